--- /dev/null
+++ b/src/test/java/beaconladder/keep/WireTest.java
@@ -0,0 +1,116 @@
+package beaconladder.keep;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import beaconladder.cells.Gate.Busy;
+import beaconladder.cells.Placement;
+import beaconladder.cells.Seat;
+import beaconladder.cells.Step;
+import beaconladder.cells.Step.Kind;
+import beaconladder.plan.PlanReader;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The texts that are stored and sent, as literals: they stay as they are when names in the code change. */
+@Timeout(60)
+class WireTest {
+    private static final String STEP = """
+            {"kind":"SWITCHED","tenant":"t","from":"a","to":"b","at":5,"fences":[1,2],"floors":[3,4],\
+            "sources":["s","r"],"why":"me"}""";
+
+    private static Step read(String text) throws IOException {
+        return Wire.read(text.getBytes(StandardCharsets.UTF_8), Step.class);
+    }
+
+    @Test
+    void aStepIsWrittenAndReadUnderTheseNames() throws IOException {
+        Step step = new Step(Kind.SWITCHED, "t", "a", "b", 5, List.of(1L, 2L), List.of(3L, 4L),
+                List.of("s", "r"), "me");
+        assertThat(Wire.text(step)).isEqualTo(STEP);
+        assertThat(read(STEP)).isEqualTo(step);
+    }
+
+    @Test
+    void everyKindOfStepIsWrittenAndReadUnderItsName() throws IOException {
+        String[] names = {"SEATED", "PROPOSED", "COPYING", "FENCED", "SEALED", "SWITCHED", "DONE", "UNDONE",
+            "LEASE", "VERSION", "ROUTER"};
+        assertThat(Kind.values()).hasSameSizeAs(names);
+        for (int i = 0; i < names.length; i++) {
+            String text = STEP.replace("SWITCHED", names[i]);
+            assertThat(read(text).kind()).isEqualTo(Kind.values()[i]);
+            assertThat(Wire.text(read(text))).isEqualTo(text);
+        }
+    }
+
+    @Test
+    void aStepWithAnUnknownNameIsRefused() {
+        assertThatThrownBy(() -> read(STEP.replace("SWITCHED", "MOVED"))).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> read(STEP.replace("fences", "limits"))).isInstanceOf(IOException.class);
+    }
+
+    @Test
+    void aPlacementIsWrittenWithOrWithoutItsSeats() {
+        Map<String, Seat> seats = new LinkedHashMap<>();
+        seats.put("t", new Seat("a", true, false, false, List.of()));
+        seats.put("u", new Seat("b", false, true, true, List.of(3_000_000L, 4_000_001L)));
+        Placement placement = new Placement(7, 1_234_999_999L, "beef", seats);
+        assertThat(Wire.text(placement, false)).isEqualTo("""
+                {"version":7,"until_ms":1234,"basis":"beef"}""");
+        assertThat(Wire.text(placement, true)).isEqualTo("""
+                {"version":7,"until_ms":1234,"basis":"beef","seats":[\
+                {"tenant":"t","cell":"a","writes":true,"reads":false,"moving":false,"floors_ms":[]},\
+                {"tenant":"u","cell":"b","writes":false,"reads":true,"moving":true,"floors_ms":[3,5]}]}""");
+    }
+
+    @Test
+    void aRoutersWordOfItsWritesIsRead() {
+        assertThat(Wire.busy("t:2:7:8,u:0")).containsExactly(
+                new Busy("t", 2, List.of(7_000_000L, 8_000_000L)), new Busy("u", 0, List.of()));
+        assertThat(Wire.busy("")).isEmpty();
+    }
+
+    @Test
+    void theKeepersAnswersHaveTheseNames(@TempDir Path folder) throws Exception {
+        int port = StoredMovesTest.freePort();
+        Path file = folder.resolve("plan");
+        Files.writeString(file, StoredMovesTest.plan(folder.resolve("store"), port));
+        StringBuilder said = new StringBuilder();
+        try (Keeper keeper = new Keeper(file, PlanReader.read(file).plan())) {
+            for (String path : List.of("placement?router=n0&run=r1&version=0&wait=0&busy=t:1:5",
+                    "placement?router=n0&run=r1&version=3&wait=0&busy=", "placement?router=n0",
+                    "move?tenant=t&to=b", "move?tenant=t&to=b", "cells", "undo?tenant=t", "undo?tenant=t",
+                    "cells")) {
+                said.append(StoredMovesTest.get(port, "/v1/" + path)
+                        .replaceAll("(_ms\":)\\d+", "$1NOW").replaceAll("(\"n0\":)\\d+", "$1AGO"))
+                        .append('\n');
+            }
+        }
+        assertThat(said.toString()).isEqualTo("""
+                {"version":3,"until_ms":NOW,"basis":"ab61e7445fded7b5","seats":[\
+                {"tenant":"t","cell":"a","writes":true,"reads":true,"moving":false,"floors_ms":[]},\
+                {"tenant":"u","cell":"a","writes":true,"reads":true,"moving":false,"floors_ms":[]},\
+                {"tenant":"v","cell":"a","writes":true,"reads":true,"moving":false,"floors_ms":[]}]}
+                {"version":3,"until_ms":NOW,"basis":"ab61e7445fded7b5"}
+                {"error":"'run' is missing or is no name"}
+                {"proposed":"t"}
+                {"error":"t is being moved to b (PROPOSED)"}
+                {"version":3,"seats":{"t":"a","u":"a","v":"a"},"routers":{"n0":AGO},"moves":[{"tenant":"t",\
+                "from":"a","to":"b","state":"proposed","waits_for":"a primary of a",\
+                "since_ms":NOW}],"ended":[]}
+                {"undone":"t"}
+                {"error":"t is not being moved"}
+                {"version":4,"seats":{"t":"a","u":"a","v":"a"},"routers":{"n0":AGO},"moves":[],"ended":[\
+                {"tenant":"t","from":"a","to":"b","state":"undone","at_ms":NOW,\
+                "why":"asked for by an operator"}]}
+                """);
+    }
+}
