--- /dev/null
+++ b/src/test/java/beaconladder/gossip/GossipWireTest.java
@@ -0,0 +1,67 @@
+package beaconladder.gossip;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import beaconladder.members.Member;
+import beaconladder.members.Message;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The datagrams of members as literal JSON, in both directions: members of two releases have to understand
+ * each other, so the names on the wire must outlive the names in the code.
+ */
+class GossipWireTest {
+    private static final Member FROM = new Member("r1", "10.0.0.4:7301", 1767225600123L, Member.State.ALIVE);
+
+    /** A message and its only form on the wire. */
+    private static final Map<Message, String> WIRE = new LinkedHashMap<>();
+
+    static {
+        WIRE.put(new Message(Message.Kind.PROBE, FROM, 7, "", List.of()), """
+                {"kind":"PROBE","from":{"name":"r1","address":"10.0.0.4:7301",\
+                "incarnation":1767225600123,"state":"ALIVE"},"number":7,"target":"","news":[]}""");
+        WIRE.put(new Message(Message.Kind.ANSWER, FROM, 8, "",
+                List.of(new Member("r2", "g1:7302", 0, Member.State.SUSPECT))), """
+                {"kind":"ANSWER","from":{"name":"r1","address":"10.0.0.4:7301",\
+                "incarnation":1767225600123,"state":"ALIVE"},"number":8,"target":"","news":[\
+                {"name":"r2","address":"g1:7302","incarnation":0,"state":"SUSPECT"}]}""");
+        WIRE.put(new Message(Message.Kind.PROBE_FOR, FROM, 9, "r2",
+                List.of(new Member("r3", "g2:7303", 3, Member.State.DEAD))), """
+                {"kind":"PROBE_FOR","from":{"name":"r1","address":"10.0.0.4:7301",\
+                "incarnation":1767225600123,"state":"ALIVE"},"number":9,"target":"r2","news":[\
+                {"name":"r3","address":"g2:7303","incarnation":3,"state":"DEAD"}]}""");
+        WIRE.put(new Message(Message.Kind.NO_ANSWER, FROM, 0, "",
+                List.of(new Member("r4", "g3:7304", 4, Member.State.LEFT))), """
+                {"kind":"NO_ANSWER","from":{"name":"r1","address":"10.0.0.4:7301",\
+                "incarnation":1767225600123,"state":"ALIVE"},"number":0,"target":"","news":[\
+                {"name":"r4","address":"g3:7304","incarnation":4,"state":"LEFT"}]}""");
+    }
+
+    @Test
+    void eachKindOfMessageIsWrittenInItsLiteralForm() {
+        WIRE.forEach((message, text) ->
+                assertThat(new String(GossipText.bytes(message), StandardCharsets.UTF_8)).isEqualTo(text));
+    }
+
+    @Test
+    void eachLiteralFormIsReadAsItsMessage() throws IOException {
+        for (Map.Entry<Message, String> each : WIRE.entrySet()) {
+            byte[] bytes = each.getValue().getBytes(StandardCharsets.UTF_8);
+            assertThat(GossipText.read(bytes, bytes.length)).isEqualTo(each.getKey());
+        }
+    }
+
+    /** The literals above are complete: a kind or state that is added needs one of its own. */
+    @Test
+    void everyKindAndStateHasALiteral() {
+        assertThat(WIRE.keySet()).extracting(Message::kind).containsExactly(Message.Kind.values());
+        assertThat(WIRE.keySet().stream().flatMap(each -> each.news().stream()).map(Member::state))
+                .containsExactlyElementsOf(Arrays.asList(Member.State.values()).subList(1, 4));
+    }
+}
--- /dev/null
+++ b/src/test/java/beaconladder/serve/StatedLiteralTest.java
@@ -0,0 +1,97 @@
+package beaconladder.serve;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import beaconladder.fleet.TxnType;
+import beaconladder.roster.Json;
+import beaconladder.roster.Watch;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The operators' configuration file as a literal: each key and what a router makes of its value. */
+class StatedLiteralTest {
+    private static final String FILE = """
+            {"name": "router-2", "listen": "127.0.0.1:6432", "discovery": "10.0.0.9:8500",
+             "seed": "ff07843b5d3a91c4", "limits": {"memory_mb": 256, "sockets": 2048},
+             "settings": {
+               "discovery": "ask",
+               "rules": {"drain_grace_us": 3000000, "ask_every_us": 4000000},
+               "family_info": {"freshness": ["loose", "recent", "own_writes", "update", "newest"],
+                 "oldest_data_us": [0, 70000, 0, 0, 0]},
+               "request_classes": [
+                 {"name": "browse", "effect": "pure", "give_up_us": 500000, "goal_time_us": 300000,
+                  "points": 2.5, "late_share": 0.25},
+                 {"name": "stock", "effect": "token", "dedup_scope": "all", "key_ttl_us": 9000},
+                 {"name": "basket", "effect": "token", "dedup_scope": "zone"},
+                 {"name": "order", "effect": "token", "dedup_scope": "cell"},
+                 {"name": "bill", "effect": "once"}],
+               "parties": [{"name": "acme"}, {"name": "beta"}]},
+             "known": {"servers": [{"id": "s-1", "addr": "10.0.0.4:5432", "zone": "a", "cell": 7,
+               "state": "Ready", "started_ms": 12, "role": "leader"}]}}
+            """;
+
+    @Test
+    void everyKeyOfTheFileIsRead(@TempDir Path folder) throws IOException {
+        Stated stated = Stated.read(Files.writeString(folder.resolve("file.json"), FILE));
+        assertThat(stated.name()).isEqualTo("router-2");
+        assertThat(stated.listen()).isEqualTo(new InetSocketAddress("127.0.0.1", 6432));
+        assertThat(stated.discovery()).isEqualTo(new InetSocketAddress("10.0.0.9", 8500));
+        assertThat(stated.seed()).isEqualTo(0xff07843b5d3a91c4L);
+        assertThat(stated.memoryMb()).isEqualTo(256);
+        assertThat(stated.descriptors()).isEqualTo(2048);
+        assertThat(stated.asks()).isTrue();
+        assertThat(stated.drainGraceMillis()).isEqualTo(3_000);
+        assertThat(stated.askEveryMillis()).isEqualTo(4_000);
+        assertThat(stated.known()).containsExactly(new Watch.Entry("s-1",
+                new InetSocketAddress("10.0.0.4", 5432), "a", 7, Watch.State.READY, true, 12));
+    }
+
+    @Test
+    void whatIsNotStatedHasItsDefault() throws Exception {
+        Stated stated = Stated.of((Map<?, ?>) Json.read(
+                "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"7\"}"));
+        assertThat(stated).isEqualTo(new Stated("null", new InetSocketAddress("127.0.0.1", 1),
+                new InetSocketAddress("127.0.0.1", 2), 7, Map.of(), 192, 1024, List.of()));
+        assertThat(stated.asks()).isFalse();
+        assertThat(stated.drainGraceMillis()).isEqualTo(2_000);
+        assertThat(stated.askEveryMillis()).isEqualTo(10_000);
+    }
+
+    @Test
+    void typesAndTenantsHaveThePlacesOfTheirNames() throws Exception {
+        Places places = new Places(settings());
+        assertThat(places.type("browse")).isZero();
+        assertThat(places.type("bill")).isEqualTo(4);
+        assertThat(places.type("other")).isNull();
+        assertThat(places.tenant("beta")).isEqualTo(1);
+        assertThat(places.tenant("other")).isEqualTo(-1);
+    }
+
+    @Test
+    void everyKeyOfATypeIsRead() throws Exception {
+        List<TxnType> types = TxnType.read(settings());
+        assertThat(types).extracting(TxnType::read).containsExactly(TxnType.Read.ANY, TxnType.Read.BOUNDED,
+                TxnType.Read.SESSION, TxnType.Read.WRITE, TxnType.Read.CURRENT);
+        assertThat(types).extracting(TxnType::effect).containsExactly(TxnType.Effect.REPEATABLE,
+                TxnType.Effect.REFERENCED, TxnType.Effect.REFERENCED, TxnType.Effect.REFERENCED,
+                TxnType.Effect.ONCE_ONLY);
+        assertThat(types.subList(1, 4)).extracting(TxnType::scope).containsExactly(TxnType.Scope.ALL,
+                TxnType.Scope.ZONE, TxnType.Scope.GROUP);
+        assertThat(types.get(0).expiry()).isEqualTo(500_000_000L);
+        assertThat(types.get(0).sla()).isEqualTo(300_000_000L);
+        assertThat(types.get(0).value()).isEqualTo(2.5);
+        assertThat(types.get(0).late()).isEqualTo(0.25);
+        assertThat(types.get(1).bound()).isEqualTo(70_000_000L);
+        assertThat(types.get(1).memory()).isEqualTo(9_000_000L);
+    }
+
+    private static Map<String, String> settings() throws Exception {
+        return Stated.of((Map<?, ?>) Json.read(FILE)).start();
+    }
+}
