--- /dev/null
+++ b/src/test/java/beaconladder/grant/StoredTextTest.java
@@ -0,0 +1,142 @@
+package beaconladder.grant;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import beaconladder.feed.FeedText;
+import beaconladder.feed.History;
+import beaconladder.feed.Proposal;
+import beaconladder.feed.Written;
+import beaconladder.lease.Answer;
+import beaconladder.lease.Ask;
+import beaconladder.lease.Grant;
+import beaconladder.lease.Grants;
+import java.io.IOException;
+import java.util.List;
+import java.util.Map;
+import org.apache.ratis.proto.RaftProtos.LogEntryProto;
+import org.apache.ratis.proto.RaftProtos.RaftPeerRole;
+import org.apache.ratis.proto.RaftProtos.StateMachineLogEntryProto;
+import org.apache.ratis.protocol.ClientId;
+import org.apache.ratis.protocol.Message;
+import org.apache.ratis.protocol.RaftClientRequest;
+import org.apache.ratis.protocol.RaftGroupId;
+import org.apache.ratis.protocol.RaftPeerId;
+import org.apache.ratis.statemachine.TransactionContext;
+import org.apache.ratis.thirdparty.com.google.protobuf.ByteString;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/**
+ * The exact JSON that the lease servers send to each other and to their clients, and that their log and their
+ * snapshots hold. A component or a constant that gets another name in Java must keep its name here.
+ */
+class StoredTextTest {
+    private static final String TAKE = "{\"kind\":\"TAKE\",\"task\":\"t\",\"holder\":\"a#1\",\"number\":2,"
+            + "\"token\":3,\"length\":600,\"heir\":\"\"}";
+    private static final String RELEASE = "{\"kind\":\"RELEASE\",\"task\":\"t\",\"holder\":\"a#1\","
+            + "\"number\":4,\"token\":3,\"length\":0,\"heir\":\"\"}";
+    private static final String HAND_OVER = "{\"kind\":\"HAND_OVER\",\"task\":\"t\",\"holder\":\"\","
+            + "\"number\":0,\"token\":0,\"length\":600,\"heir\":\"b\"}";
+    private static final String GRANTED = "{\"task\":\"t\",\"number\":2,\"why\":\"GRANTED\",\"grant\":"
+            + "{\"task\":\"t\",\"holder\":\"a#1\",\"token\":1,\"expiry\":1600},\"holder\":\"\",\"free\":0}";
+    private static final String ENTRY = "{\"ask\":" + TAKE + ",\"stamp\":1000,\"bound\":50}";
+    private static final String LEASES = "{\"clock\":1000,\"leases\":{\"t\":{\"task\":\"t\",\"holder\":\"a#1\","
+            + "\"token\":1,\"expiry\":1600,\"gaveUp\":\"\",\"gaveUpNumber\":0,\"heir\":\"\","
+            + "\"heirUntil\":-9223372036854775808}}}";
+    private static final String PROPOSAL = "{\"against\":0,\"set\":{\"a.json\":\"{}\"},\"remove\":[\"b\"]}";
+
+    private final GrantLog log = new GrantLog(() -> 1_000, 50);
+
+    @Test
+    void asks() throws IOException {
+        assertAsk(new Ask(Ask.Kind.TAKE, "t", "a#1", 2, 3, 600, ""), TAKE);
+        assertAsk(new Ask(Ask.Kind.RELEASE, "t", "a#1", 4, 3, 0, ""), RELEASE);
+        assertAsk(Ask.handOver("t", "b", 600), HAND_OVER);
+        assertThat(Ask.Kind.values()).hasSize(3);
+    }
+
+    private static void assertAsk(Ask ask, String text) throws IOException {
+        assertThat(GrantText.text(ask)).isEqualTo(text);
+        assertThat(GrantText.ask(text)).isEqualTo(ask);
+    }
+
+    @Test
+    void anAnswerWithAGrant() throws IOException {
+        Answer granted = new Answer("t", 2, Answer.Why.GRANTED, new Grant("t", "a#1", 1, 1_600), "", 0);
+        assertThat(GrantText.text(granted)).isEqualTo(GRANTED);
+        assertThat(GrantText.answer(GRANTED)).isEqualTo(granted);
+    }
+
+    @Test
+    void answersWithoutOne() throws IOException {
+        List<String> names = List.of("GRANTED", "HELD", "HANDED_OVER", "OVERTAKEN", "DONE", "NOT_HELD");
+        assertThat(Answer.Why.values()).hasSameSizeAs(names);
+        for (Answer.Why why : Answer.Why.values()) {
+            Answer answer = new Answer("t", 2, why, null, "b#9", 650);
+            String text = "{\"task\":\"t\",\"number\":2,\"why\":\"" + names.get(why.ordinal())
+                    + "\",\"grant\":null,\"holder\":\"b#9\",\"free\":650}";
+            assertThat(GrantText.text(answer)).isEqualTo(text);
+            assertThat(GrantText.read(text, Answer.class)).isEqualTo(answer);
+        }
+    }
+
+    @Test
+    void anEntryOfTheLog() throws IOException {
+        GrantText.Entry entry = new GrantText.Entry(GrantText.ask(TAKE), 1_000, 50);
+        assertThat(GrantText.text(entry)).isEqualTo(ENTRY);
+        assertThat(GrantText.read(ENTRY, GrantText.Entry.class)).isEqualTo(entry);
+        assertThat(logged(TAKE)).isEqualTo(ENTRY);
+    }
+
+    @Test
+    void theStateThatIsAskedForAndKept() throws IOException {
+        Grants grants = Grants.none().apply(GrantText.ask(TAKE), 1_000, 50).next();
+        assertThat(GrantText.text(grants)).isEqualTo(LEASES);
+        assertThat(GrantText.grants(LEASES)).isEqualTo(grants);
+        assertThat(applied(1, ENTRY)).isEqualTo(GRANTED);
+        assertThat(log.query(Message.EMPTY).join().getContent().toStringUtf8()).isEqualTo(LEASES);
+    }
+
+    @Test
+    void theFeedsMessagesAndEntries() throws IOException {
+        Proposal proposal = new Proposal(0, Map.of("a.json", "{}"), List.of("b"));
+        assertThat(FeedText.text(proposal)).isEqualTo(PROPOSAL);
+        assertThat(FeedText.read(PROPOSAL, Proposal.class)).isEqualTo(proposal);
+        assertThat(logged("feed " + PROPOSAL)).isEqualTo("feed " + PROPOSAL);
+        String digest = History.none().apply(proposal).written().digest();
+        assertThat(applied(1, "feed " + PROPOSAL))
+                .isEqualTo("{\"outcome\":\"WRITTEN\",\"version\":1,\"digest\":\"" + digest + "\"}");
+        assertThat(log.snapshot()).isEqualTo("{\"clock\":-9223372036854775808,\"leases\":{}}\n"
+                + "feed {\"newest\":{\"version\":1,\"entries\":{\"a.json\":\"{}\"},\"digest\":\"" + digest
+                + "\"},\"changes\":[{\"version\":1,\"set\":{\"a.json\":\"{}\"},\"remove\":[\"b\"],"
+                + "\"digest\":\"" + digest + "\"}]}\n");
+    }
+
+    @ParameterizedTest
+    @EnumSource
+    void whatBecameOfAProposal(Written.Outcome outcome) throws IOException {
+        List<String> names = List.of("WRITTEN", "OUT_OF_TURN", "TOO_LARGE");
+        assertThat(Written.Outcome.values()).hasSameSizeAs(names);
+        Written written = new Written(outcome, 7, "d");
+        String text = "{\"outcome\":\"" + names.get(outcome.ordinal()) + "\",\"version\":7,\"digest\":\"d\"}";
+        assertThat(FeedText.text(written)).isEqualTo(text);
+        assertThat(FeedText.read(text, Written.class)).isEqualTo(written);
+    }
+
+    /** What the leader puts into the log for a message. */
+    private String logged(String message) throws IOException {
+        return log.startTransaction(RaftClientRequest.newBuilder().setClientId(ClientId.randomId())
+                .setServerId(RaftPeerId.valueOf("a")).setGroupId(RaftGroupId.randomId()).setCallId(1)
+                .setType(RaftClientRequest.writeRequestType()).setMessage(Message.valueOf(message)).build())
+                .getStateMachineLogEntry().getLogData().toStringUtf8();
+    }
+
+    /** What a replica answers to an entry of the log. */
+    private String applied(long index, String entry) {
+        LogEntryProto logged = LogEntryProto.newBuilder().setTerm(1).setIndex(index).setStateMachineLogEntry(
+                StateMachineLogEntryProto.newBuilder().setLogData(ByteString.copyFromUtf8(entry))).build();
+        return log.applyTransaction(TransactionContext.newBuilder().setStateMachine(log).setLogEntry(logged)
+                .setServerRole(RaftPeerRole.FOLLOWER).build()).join().getContent().toStringUtf8();
+    }
+}
