--- a/src/test/java/beaconladder/grant/StoredLogTest.java
+++ b/src/test/java/beaconladder/grant/StoredLogTest.java
@@ -62,6 +62,7 @@
     void aStoreOfAnEarlierBuildIsReadAndGoesOn(String without) throws Exception {
         copy(without);
         try (Grantor grantor = open(LATER)) {
+            assertThat(get("/v1/leader")).isEqualTo("{\"leader\":\"one\"}");
             assertThat(JSON.readTree(get("/v1/leases"))).isEqualTo(JSON.readTree(LEASES));
             assertThat(get("/v1/feed?since=0&wait=0")).isEqualTo(FEED);
 
