--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # build, test, lint and run; see README.md
-.PHONY: build test lint run demo up rehearse clean
+.PHONY: build test lint format run demo up rehearse clean
 
 build:
 	mvn -q -DskipTests package
@@ -8,7 +8,11 @@
 	mvn -B -ntp verify
 
 lint:
-	mvn -q -Dmaven.compiler.failOnWarning=true clean test-compile checkstyle:check
+	mvn -q -Dmaven.compiler.failOnWarning=true clean test-compile checkstyle:check spotless:check
+
+# Formats all Java files in place.
+format:
+	mvn -q spotless:apply
 
 # The file that BALANCER_CONFIG names states all a router is told; README.md shows one.
 run: build
--- a/src/main/java/beaconladder/Choice.java
+++ b/src/main/java/beaconladder/Choice.java
@@ -9,16 +9,22 @@
 import java.util.SplittableRandom;
 
 /** Which host gets a txn now. */
-record Choice(Traffic traffic, Health health, SlowStart slowStart, Times times, HostRoom room,
-        Targets targets, Worth worth, SplittableRandom chance) {
+record Choice(
+        Traffic traffic,
+        Health health,
+        SlowStart slowStart,
+        Times times,
+        HostRoom room,
+        Targets targets,
+        Worth worth,
+        SplittableRandom chance) {
     /** The host that gets this txn now, or null: it waits. */
     Host choose(Txn txn, long now) {
         if (txn.type.read().atPrimary()) {
             return primaryFor(txn, now);
         }
         Host replica = replicaFor(txn, now);
-        if (replica == null && now >= times.release(txn) && !targets.anyFresh(txn, now)
-                && !txn.group.holdsWrite()) {
+        if (replica == null && now >= times.release(txn) && !targets.anyFresh(txn, now) && !txn.group.holdsWrite()) {
             return primaryFor(txn, now);
         }
         return replica;
@@ -29,8 +35,11 @@
         long target = targets.target(txn, now);
         List<Host> fit = new ArrayList<>();
         for (Host host : txn.group.members) {
-            if (targets.fresh(host, target) && !txn.outAt(host) && room.roomFor(host, txn, now)
-                    && slowStart.allows(host, now) && health.trusted(host, now)) {
+            if (targets.fresh(host, target)
+                    && !txn.outAt(host)
+                    && room.roomFor(host, txn, now)
+                    && slowStart.allows(host, now)
+                    && health.trusted(host, now)) {
                 fit.add(host);
             }
         }
@@ -72,9 +81,10 @@
     /** Whether an answer to a probe is under way, or, if more may be asked, a member is there to ask. */
     private boolean answerDue(Txn txn, boolean more, long now) {
         for (Host host : txn.group.members) {
-            if (host.state == Host.State.READY && host != txn.group.primary && !health.informed(host, now)
-                    && (host.probeOut ? !health.mute(host, now)
-                    : more && now >= host.probeSent + Health.YOUNG / 3)) {
+            if (host.state == Host.State.READY
+                    && host != txn.group.primary
+                    && !health.informed(host, now)
+                    && (host.probeOut ? !health.mute(host, now) : more && now >= host.probeSent + Health.YOUNG / 3)) {
                 return true;
             }
         }
@@ -88,8 +98,10 @@
 
     private Host primaryFor(Txn txn, long now) {
         Host primary = txn.group.primary;
-        if (primary == null || primary.state != Host.State.READY
-                || !primary.met && traffic.probesAllowed() || !health.trusted(primary, now)) {
+        if (primary == null
+                || primary.state != Host.State.READY
+                || !primary.met && traffic.probesAllowed()
+                || !health.trusted(primary, now)) {
             txn.want = mayAsk(txn) ? Txn.Want.PRIMARY : Txn.Want.NOTHING;
             return null;
         }
--- a/src/main/java/beaconladder/ClusterClock.java
+++ b/src/main/java/beaconladder/ClusterClock.java
@@ -8,25 +8,25 @@
 import java.util.Map;
 
 /**
- * What time it is by the clock that hosts stamp positions and starts with. The router's own time is the wall
- * clock as it stood at the start, moved on by the monotonic clock: it never steps, but it is wrong for good
- * where the wall was wrong then. Hosts tell by how much:
+ * What time it is by the clock that hosts stamp positions and starts with. The router's own time is the wall clock as
+ * it stood at the start, moved on by the monotonic clock: it never steps, but it is wrong for good where the wall was
+ * wrong then. Hosts tell by how much:
  *
- * <p>A position that was heard at {@code now} has been reached, so the hosts' clock shows it at the least.
- * Too late a time is safe for a bound, too early a one makes reads stale, so that two hosts that agree are
- * enough to move it forward; a position ahead of it is believed only then, as an answer may be spoilt. The
- * answer of a primary gives the other side: a primary stands at the present, so what it answers is no earlier
- * than the send. The clock is moved back only by several such answers in a row, and stays ahead of what they
- * allow.
+ * <p>A position that was heard at {@code now} has been reached, so the hosts' clock shows it at the least. Too late a
+ * time is safe for a bound, too early a one makes reads stale, so that two hosts that agree are enough to move it
+ * forward; a position ahead of it is believed only then, as an answer may be spoilt. The answer of a primary gives the
+ * other side: a primary stands at the present, so what it answers is no earlier than the send. The clock is moved back
+ * only by several such answers in a row, and stays ahead of what they allow.
  *
- * <p>Until a host has shown that this clock is not far ahead, it is not confirmed, and no start of a host
- * counts as long ago by it.
+ * <p>Until a host has shown that this clock is not far ahead, it is not confirmed, and no start of a host counts as
+ * long ago by it.
  */
 final class ClusterClock {
     /** Clocks read in whole milliseconds by two processes; nothing applied can lie further ahead. */
     private static final long TOLERANCE = 20 * MS;
     /** Replicas lag, so what several hosts show differs by that. */
     private static final long AGREEMENT = 5_000 * MS;
+
     private static final long EVIDENCE_AGE = 10_000 * MS;
     private static final long PENDING_AGE = 2_000 * MS;
     /** Wall clocks are off by an hour where a zone is set wrong; what lies beyond two is no time. */
@@ -37,13 +37,13 @@
     private static final int REPORTS_ALONE = 6;
     /** It is moved back for nothing less: the time that an attempt waits before its send lies within it. */
     private static final long LEAST_BACK = 250 * MS;
+
     private static final int EARLY_ANSWERS = 6;
     /** A clock that is ahead by no more than this makes little of a slow start look over. */
     private static final long CONFIRMING = 500 * MS;
 
     /** Positions of one host that lay ahead, in a row. */
-    private record Ahead(int reports, long by, long at) {
-    }
+    private record Ahead(int reports, long by, long at) {}
 
     private final Map<Host, Ahead> ahead = new HashMap<>();
     private long offset;
@@ -51,6 +51,7 @@
     private long believedAt = Long.MIN_VALUE;
     /** Answers in a row from before their send, and the least that all of them were before it. */
     private int earlyAnswers;
+
     private long leastEarly = Long.MAX_VALUE;
     private Host earlyHost;
     private boolean severalHosts;
@@ -62,8 +63,8 @@
     }
 
     /**
-     * The latest that the hosts' clock may show at this moment, as far as any host has just said: for bounds,
-     * since a target that is too late makes no read stale, and one host's word may be the first of several.
+     * The latest that the hosts' clock may show at this moment, as far as any host has just said: for bounds, since a
+     * target that is too late makes no read stale, and one host's word may be the first of several.
      */
     long latest(long now) {
         long by = 0;
@@ -101,15 +102,16 @@
             return false;
         }
         Ahead before = ahead.get(host);
-        boolean row = before != null && Math.abs(by - before.by) <= AGREEMENT
-                && now - before.at <= EVIDENCE_AGE;
+        boolean row = before != null && Math.abs(by - before.by) <= AGREEMENT && now - before.at <= EVIDENCE_AGE;
         Ahead own = new Ahead(row ? before.reports + 1 : 1, by, now);
         ahead.put(host, own);
         ahead.values().removeIf(each -> now - each.at > EVIDENCE_AGE);
         List<Ahead> agreeing = ahead.values().stream()
-                .filter(each -> each.reports >= REPORTS && Math.abs(each.by - by) <= AGREEMENT).toList();
+                .filter(each -> each.reports >= REPORTS && Math.abs(each.by - by) <= AGREEMENT)
+                .toList();
         // What was believed since then is of another host: its own would have ended its row.
-        boolean alone = ahead.size() == 1 && own.reports >= REPORTS_ALONE
+        boolean alone = ahead.size() == 1
+                && own.reports >= REPORTS_ALONE
                 && (believedAt == Long.MIN_VALUE || now - believedAt > EVIDENCE_AGE);
         if (own.reports < REPORTS || agreeing.size() < 2 && !alone) {
             return false;
--- a/src/main/java/beaconladder/Ends.java
+++ b/src/main/java/beaconladder/Ends.java
@@ -4,8 +4,8 @@
 import beaconladder.fleet.Submission;
 import beaconladder.fleet.Traffic;
 import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType.Effect;
 import beaconladder.fleet.TxnType;
+import beaconladder.fleet.TxnType.Effect;
 import java.util.List;
 
 /** How many submissions a txn gets, and how it ends without a commit. */
@@ -21,10 +21,12 @@
         traffic.failed(txn, now);
         Submission ran = txn.mayHaveRun();
         Effect effect = txn.type.effect();
-        if (ran == null || effect == Effect.REPEATABLE
+        if (ran == null
+                || effect == Effect.REPEATABLE
                 || effect == Effect.REFERENCED && txn.type.scope() == TxnType.Scope.ALL) {
             long advice = traffic.says("limits.retry_after")
-                    ? Math.min(traffic.micros("limits.max_retry_after_us"), txn.type.sla()) : 0;
+                    ? Math.min(traffic.micros("limits.max_retry_after_us"), txn.type.sla())
+                    : 0;
             return Verdict.decline(advice, reason);
         }
         return Verdict.rollBack(reason);
@@ -33,6 +35,7 @@
     /** Copies that are out when the answer is there are called off. */
     List<Submission> othersOut(Txn txn) {
         return traffic.says("limits.cancel")
-                ? txn.submissions.stream().filter(s -> !s.ended).toList() : List.of();
+                ? txn.submissions.stream().filter(s -> !s.ended).toList()
+                : List.of();
     }
 }
--- a/src/main/java/beaconladder/Health.java
+++ b/src/main/java/beaconladder/Health.java
@@ -20,12 +20,11 @@
     }
 
     /**
-     * The chance that this host answers this router in time, by how its submissions of the last twenty
-     * seconds ended: it is well and fails as rarely as hosts do that also answer, or, one in five, it is not
-     * and fails nine times in ten. Guards against reports that are not true, idle or stuck while the host is
-     * slow: what it says loses against what it does. Covers slow, ageing and hung hosts too; where answers
-     * are lost all over, hosts that answer fail often as well, and none is set aside for it. Harm: a heavy
-     * txn alone at a host counts against it.
+     * The chance that this host answers this router in time, by how its submissions of the last twenty seconds ended:
+     * it is well and fails as rarely as hosts do that also answer, or, one in five, it is not and fails nine times in
+     * ten. Guards against reports that are not true, idle or stuck while the host is slow: what it says loses against
+     * what it does. Covers slow, ageing and hung hosts too; where answers are lost all over, hosts that answer fail
+     * often as well, and none is set aside for it. Harm: a heavy txn alone at a host counts against it.
      */
     double success(Host host, long now) {
         long since = now - 20_000 * MS;
@@ -56,9 +55,8 @@
     }
 
     /**
-     * How much the silence of a host speaks against it: the waiting of all submissions out there since it
-     * last spoke, in usual times. Answers that come at random at the usual rate stay silent so long with
-     * chance e^-x.
+     * How much the silence of a host speaks against it: the waiting of all submissions out there since it last spoke,
+     * in usual times. Answers that come at random at the usual rate stay silent so long with chance e^-x.
      */
     private double silence(Host host, long now) {
         return (double) host.waited(now) / usual(host);
@@ -66,8 +64,10 @@
 
     /** Chance e^-6 a look: a heavy txn alone at a host is still given six usual times. */
     boolean doubtful(Host host, long now) {
-        return silence(host, now) > 6 || host.ends.size() > 0 && host.ends.sumSince(host.lastHeard) == 0
-                && host.ends.since(host.lastHeard) > 0;
+        return silence(host, now) > 6
+                || host.ends.size() > 0
+                        && host.ends.sumSince(host.lastHeard) == 0
+                        && host.ends.since(host.lastHeard) > 0;
     }
 
     /** A doubtful host gets one txn at a time, drawn from the posterior of its chance of success. */
--- a/src/main/java/beaconladder/HostRecord.java
+++ b/src/main/java/beaconladder/HostRecord.java
@@ -17,11 +17,8 @@
 import java.util.Set;
 
 /** What is known of positions, roles and states. */
-record HostRecord(Traffic traffic, ClusterClock clock, Health health, Targets targets, Agenda agenda,
-        Set<Host> idle) {
-    /**
-     * An answer without a position that can be; a report with one field that can't be says nothing at all.
-     */
+record HostRecord(Traffic traffic, ClusterClock clock, Health health, Targets targets, Agenda agenda, Set<Host> idle) {
+    /** An answer without a position that can be; a report with one field that can't be says nothing at all. */
     private Word believed(Host host, Word word, boolean direct, long now) {
         if (word.position() == Word.NONE || clock.believes(host, word.position(), now)) {
             return word;
@@ -52,8 +49,7 @@
             group.primaryAt = stamp;
             group.foundAt = group.primary == host ? group.foundAt : now;
             group.primary = host;
-        } else if (word.role() == Role.REPLICA && group.primary == host
-                && (direct || stamp > group.primaryAt)) {
+        } else if (word.role() == Role.REPLICA && group.primary == host && (direct || stamp > group.primaryAt)) {
             group.lose(now);
         }
     }
@@ -108,8 +104,10 @@
             group.namedByRoster = host;
             // Lists are seconds late: one that said itself that it is a replica is asked first.
             boolean denied = host.replicaAt != UNBOUND;
-            if ((group.primary == null || group.primary.state != Host.State.READY
-                    || health.doubtful(group.primary, now)) && (!denied || traffic.probesAllowed())) {
+            if ((group.primary == null
+                            || group.primary.state != Host.State.READY
+                            || health.doubtful(group.primary, now))
+                    && (!denied || traffic.probesAllowed())) {
                 group.foundAt = now;
                 group.primary = host;
                 host.met &= !denied;
@@ -159,8 +157,7 @@
             } else if (outcome == Outcome.FULL) {
                 host.fullAt = now;
             }
-        } else if (outcome == Outcome.TIMED_OUT || outcome == Outcome.RESET
-                || outcome == Outcome.UNREACHABLE) {
+        } else if (outcome == Outcome.TIMED_OUT || outcome == Outcome.RESET || outcome == Outcome.UNREACHABLE) {
             if (host.lastHeard < s.sent) {
                 host.ends.add(0, 0, now);
             }
@@ -178,8 +175,8 @@
         }
         if (outcome != Outcome.CANCELLED && outcome != Outcome.MOOT && outcome != Outcome.LOCAL_FAULT) {
             // A host that fails at once looks idle and quick; errors all over weigh as lost answers do.
-            int well = outcome == Outcome.COMMITTED && now - s.sent <= s.txn.type.sla()
-                    || outcome == Outcome.MISS ? 1 : 0;
+            int well =
+                    outcome == Outcome.COMMITTED && now - s.sent <= s.txn.type.sla() || outcome == Outcome.MISS ? 1 : 0;
             if (host.marks.sumSince(now - 20_000 * MS) > 0) {
                 traffic.mixed.add(1 - well, 0, now);
             }
--- a/src/main/java/beaconladder/HostRoom.java
+++ b/src/main/java/beaconladder/HostRoom.java
@@ -14,8 +14,8 @@
     }
 
     /**
-     * Whether this host would answer one more txn in time: its recent times, scaled by the submissions of
-     * this router out there now against those out there then.
+     * Whether this host would answer one more txn in time: its recent times, scaled by the submissions of this router
+     * out there now against those out there then.
      */
     boolean roomFor(Host host, Txn txn, long now) {
         // Work that was abandoned may still be done there, but not for ever.
@@ -60,10 +60,10 @@
         // Own times tell no crowd from work where this router alone keeps the host from being busier; what
         // the host says that it holds does.
         if (recent && mean * (n + 1) / beside <= most
-                || mean <= most && (out == 0 || recent && n <= beside) || health.said(host, now)
-                && (host.load() < 2
-                || traffic.paces.size() >= 8 && traffic.paces.expected(host.load()) <= most)
-                && health.success(host, now) >= 0.4) {
+                || mean <= most && (out == 0 || recent && n <= beside)
+                || health.said(host, now)
+                        && (host.load() < 2 || traffic.paces.size() >= 8 && traffic.paces.expected(host.load()) <= most)
+                        && health.success(host, now) >= 0.4) {
             return true;
         }
         // Among few others a txn takes what the quicker half does; with less left the work would be for
@@ -75,9 +75,9 @@
     }
 
     /**
-     * The same by what the host says that it holds for all routers, where this one sends it too little to
-     * tell: the time to expect at its load, by the last answers and the loads they met. Holding a txn back
-     * saves no time, only work for nothing, so the time may be most of what is left.
+     * The same by what the host says that it holds for all routers, where this one sends it too little to tell: the
+     * time to expect at its load, by the last answers and the loads they met. Holding a txn back saves no time, only
+     * work for nothing, so the time may be most of what is left.
      */
     private boolean roomByReport(Host host, Txn txn, boolean crowds, long left, long now) {
         double load = host.load();
@@ -87,7 +87,8 @@
         }
         // With no samples of its own a router starts from the SLA time: work takes a fifth of it, and a small
         // host does three at a time.
-        double expected = traffic.paces.size() < 8 ? 0.2 * txn.type.sla() * Math.max(1, (load + 1) / 3)
+        double expected = traffic.paces.size() < 8
+                ? 0.2 * txn.type.sla() * Math.max(1, (load + 1) / 3)
                 : traffic.paces.expected(load);
         return expected <= Math.min((crowds ? 0.25 : 0.7) * times.aim(txn, now), 0.8 * left);
     }
--- a/src/main/java/beaconladder/Logic.java
+++ b/src/main/java/beaconladder/Logic.java
@@ -3,9 +3,9 @@
 import static beaconladder.fleet.Traffic.MS;
 
 import beaconladder.api.Pause;
+import beaconladder.api.Router;
 import beaconladder.api.Router.Outcome;
 import beaconladder.api.Router.Word;
-import beaconladder.api.Router;
 import beaconladder.api.SendCheck;
 import beaconladder.api.Verdict;
 import beaconladder.fleet.Agenda;
@@ -14,8 +14,8 @@
 import beaconladder.fleet.Submission;
 import beaconladder.fleet.Traffic;
 import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType.Effect;
 import beaconladder.fleet.TxnType;
+import beaconladder.fleet.TxnType.Effect;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -28,11 +28,11 @@
 /**
  * Every decision of one router, with the classes beside it; docs/design.md tells why it decides so.
  *
- * <p>How to call it, by {@link Router}: make one a router from the seed and the start-up settings, tell it of
- * hosts with {@link #listed}, ask {@link #place} for each txn that comes in, and do what the verdict says. A
- * submission that was sent is added to its txn and host; its end goes to {@link #after}. When all that is
- * known at one time has been told, ask {@link #pause}: probe the members it names, {@link #place} the txns
- * it names, repeat until it names none, and come back at its time or with the next news.
+ * <p>How to call it, by {@link Router}: make one a router from the seed and the start-up settings, tell it of hosts
+ * with {@link #listed}, ask {@link #place} for each txn that comes in, and do what the verdict says. A submission that
+ * was sent is added to its txn and host; its end goes to {@link #after}. When all that is known at one time has been
+ * told, ask {@link #pause}: probe the members it names, {@link #place} the txns it names, repeat until it names none,
+ * and come back at its time or with the next news.
  */
 public final class Logic implements Router {
     /** A lack on this machine meets all hosts alike, and ends within milliseconds or not soon. */
@@ -41,6 +41,7 @@
     private final Agenda agenda = new Agenda();
     /** Hosts with connections that this router will hardly use again soon. */
     private final Set<Host> idle = new LinkedHashSet<>();
+
     private final Traffic traffic;
     private final Health health;
     private final SlowStart slowStart;
@@ -125,8 +126,9 @@
         }
         Verdict.Reason end = txn.submissions.size() - txn.localFaults >= ends.mostSubmissions(txn)
                 ? Verdict.Reason.ATTEMPTS_USED
-                : now >= times.lastUse(txn) ? Verdict.Reason.NO_TIME
-                : times.hopeless(txn, now) ? Verdict.Reason.PRIMARY_LOST : Verdict.Reason.NONE;
+                : now >= times.lastUse(txn)
+                        ? Verdict.Reason.NO_TIME
+                        : times.hopeless(txn, now) ? Verdict.Reason.PRIMARY_LOST : Verdict.Reason.NONE;
         if (end != Verdict.Reason.NONE) {
             return ends.giveUp(txn, end, now);
         }
@@ -147,8 +149,10 @@
 
     /** A repeatable txn that is out at hosts gone silent gets a second copy elsewhere. */
     private Verdict copy(Txn txn, long now) {
-        if (txn.type.effect() != Effect.REPEATABLE || !traffic.says("limits.second_copies")
-                || txn.submissions.size() >= ends.mostSubmissions(txn) || now >= times.lastUse(txn)) {
+        if (txn.type.effect() != Effect.REPEATABLE
+                || !traffic.says("limits.second_copies")
+                || txn.submissions.size() >= ends.mostSubmissions(txn)
+                || now >= times.lastUse(txn)) {
             return Verdict.waiting();
         }
         for (Submission s : txn.submissions) {
@@ -210,9 +214,7 @@
         return Verdict.done(ends.othersOut(txn));
     }
 
-    /**
-     * What may have run is waited for, as rule 2 has it, and never sent again: it would run in two places.
-     */
+    /** What may have run is waited for, as rule 2 has it, and never sent again: it would run in two places. */
     @Override
     public Verdict displaced(Txn txn, long now) {
         agenda.drop(txn);
--- a/src/main/java/beaconladder/Probing.java
+++ b/src/main/java/beaconladder/Probing.java
@@ -16,14 +16,20 @@
 import java.util.SplittableRandom;
 
 /** Which members are asked for the sake of held txns, and when. */
-record Probing(Traffic traffic, ClusterClock clock, Health health, Targets targets, Choice choice,
-        Worth worth, Agenda agenda,
+record Probing(
+        Traffic traffic,
+        ClusterClock clock,
+        Health health,
+        Targets targets,
+        Choice choice,
+        Worth worth,
+        Agenda agenda,
         SplittableRandom chance) {
     /**
-     * Members to ask, each for the sake of a held txn that pays for it: for one that needs the primary the
-     * member taken for it, or, where that is lost, the member furthest on; for a read the members that may be
-     * fresh enough. A router asks nobody without such a txn: hundreds of them asking at each start and each
-     * return would be a flood of its own.
+     * Members to ask, each for the sake of a held txn that pays for it: for one that needs the primary the member taken
+     * for it, or, where that is lost, the member furthest on; for a read the members that may be fresh enough. A router
+     * asks nobody without such a txn: hundreds of them asking at each start and each return would be a flood of its
+     * own.
      */
     List<Host> probes(long now) {
         List<Host> ask = new ArrayList<>();
@@ -81,15 +87,20 @@
         List<Host> of = new ArrayList<>();
         Group group = txn.group;
         boolean toPrimary = txn.want == Txn.Want.PRIMARY;
-        if (toPrimary && group.primary != null && group.primary.state == Host.State.READY
-                && !group.primary.probeOut && !health.doubtful(group.primary, now)) {
+        if (toPrimary
+                && group.primary != null
+                && group.primary.state == Host.State.READY
+                && !group.primary.probeOut
+                && !health.doubtful(group.primary, now)) {
             return List.of(group.primary);
         }
         for (Host host : group.members) {
-            if (host.state == Host.State.READY && !host.probeOut && (toPrimary || host != group.primary)
+            if (host.state == Host.State.READY
+                    && !host.probeOut
+                    && (toPrimary || host != group.primary)
                     // One that has just spoken has told what it can, but for a position not there yet.
                     && (host.saidAt < Math.max(now - Health.YOUNG, toPrimary ? group.lostAt : UNBOUND)
-                    || !toPrimary && host.position < targets.target(txn, now))) {
+                            || !toPrimary && host.position < targets.target(txn, now))) {
                 of.add(host);
             }
         }
@@ -106,7 +117,8 @@
     private long every(Host host, Txn txn, long now) {
         long failed = host.ends.since(host.lastHeard) - host.ends.sumSince(host.lastHeard);
         long target = targets.target(txn, now);
-        long lacks = txn.want == Txn.Want.PRIMARY || host.position == UNBOUND || target == UNBOUND ? 0
+        long lacks = txn.want == Txn.Want.PRIMARY || host.position == UNBOUND || target == UNBOUND
+                ? 0
                 : (target - host.position) / 2;
         return Math.max(Math.min(2_000 * MS, 100 * MS << Math.min(5, failed)), Math.min(1_000 * MS, lacks));
     }
--- a/src/main/java/beaconladder/SendGuard.java
+++ b/src/main/java/beaconladder/SendGuard.java
@@ -6,8 +6,8 @@
 import beaconladder.fleet.Txn;
 
 /**
- * The one guard of each send. Between the decision and the bytes lie a connection (250 ms) or a wait for a
- * descriptor (up to the expiry), so that all that a decision rests on is looked at again.
+ * The one guard of each send. Between the decision and the bytes lie a connection (250 ms) or a wait for a descriptor
+ * (up to the expiry), so that all that a decision rests on is looked at again.
  */
 record SendGuard(RepeatGuard repeats, Targets targets) {
     SendCheck check(Submission attempt, long now) {
--- a/src/main/java/beaconladder/SlowStart.java
+++ b/src/main/java/beaconladder/SlowStart.java
@@ -21,13 +21,12 @@
     private static final int PRIOR = 8;
 
     /**
-     * Rule 4: a cold host is sent to on tickets alone. Each txn that comes in for its group draws one with
-     * the chance that a warm member bears it, times the host's present share: what a warm member bears is
-     * at most what it can, and a cold one can at least its share of that. Over all routers, however many
-     * and however uneven, that sums to the host's part, with no router counting the others; a ticket that
-     * isn't used within the rule's window lapses, so that waiting txns can't save up for a burst. Guards
-     * against any return of hosts, single or of a whole group; harm: a host is kept small for the longest
-     * time it may need, and to what warm ones bear where they have room.
+     * Rule 4: a cold host is sent to on tickets alone. Each txn that comes in for its group draws one with the chance
+     * that a warm member bears it, times the host's present share: what a warm member bears is at most what it can, and
+     * a cold one can at least its share of that. Over all routers, however many and however uneven, that sums to the
+     * host's part, with no router counting the others; a ticket that isn't used within the rule's window lapses, so
+     * that waiting txns can't save up for a burst. Guards against any return of hosts, single or of a whole group;
+     * harm: a host is kept small for the longest time it may need, and to what warm ones bear where they have room.
      */
     void drawTickets(Group group, long now) {
         for (Host host : group.members) {
@@ -38,10 +37,10 @@
     }
 
     /**
-     * At a cold primary most tickets of txns that come in would lapse, as a router sees few txns a second and
-     * most of those don't need it. So the draw is made by the txns that do, once each, when they first need
-     * it, and with the chance raised by how many come in for each of them: over all, the same number of
-     * tickets. What waited for a lost primary draws as if all needed it, so that its return meets no burst.
+     * At a cold primary most tickets of txns that come in would lapse, as a router sees few txns a second and most of
+     * those don't need it. So the draw is made by the txns that do, once each, when they first need it, and with the
+     * chance raised by how many come in for each of them: over all, the same number of tickets. What waited for a lost
+     * primary draws as if all needed it, so that its return meets no burst.
      */
     void drawForPrimary(Txn txn, Host primary, long now) {
         if (txn.drew || !cold(primary, now)) {
@@ -60,8 +59,12 @@
         }
         int prior = alone ? PRIOR : 1;
         // Where the group has told little, the share of types that need the primary among what comes here.
-        double share = (1.0 + traffic.types.stream().filter(type -> type.read().atPrimary())
-                .mapToInt(type -> traffic.mix.count(type.place())).sum()) / (1 + traffic.mix.size());
+        double share = (1.0
+                        + traffic.types.stream()
+                                .filter(type -> type.read().atPrimary())
+                                .mapToInt(type -> traffic.mix.count(type.place()))
+                                .sum())
+                / (1 + traffic.mix.size());
         double needs = group.comes.sumSince(since);
         double comes = group.comes.since(since) - needs;
         double each = (prior + comes) / (prior * share + needs);
@@ -87,9 +90,9 @@
     }
 
     /**
-     * What one member bore lately of the group's txns at this router, a txn or more a second. Each txn counts
-     * by the members that were there when it ended: most of them may be gone, or cold, by now. Without such
-     * news a member's part of all.
+     * What one member bore lately of the group's txns at this router, a txn or more a second. Each txn counts by the
+     * members that were there when it ended: most of them may be gone, or cold, by now. Without such news a member's
+     * part of all.
      */
     private static double memberPart(Group group, Samples bore, long now) {
         long since = now - RECENT;
@@ -98,8 +101,8 @@
     }
 
     /**
-     * The part of what comes in that a cold member may be sent, were it warm. Those that are warm now bear
-     * what all that were did, as far as they can; so does a cold one, as far as chance leaves of its budget.
+     * The part of what comes in that a cold member may be sent, were it warm. Those that are warm now bear what all
+     * that were did, as far as they can; so does a cold one, as far as chance leaves of its budget.
      */
     private double part(Group group, long now) {
         double multiple = traffic.number("rules.fall_multiple", 2);
@@ -128,8 +131,8 @@
     }
 
     /**
-     * How long ago the host started. By a clock that may be far ahead it would be warm at once, so that
-     * until the clock is confirmed its age is at most the time since this router was told of the start.
+     * How long ago the host started. By a clock that may be far ahead it would be warm at once, so that until the clock
+     * is confirmed its age is at most the time since this router was told of the start.
      */
     private long age(Host host, long now) {
         long byClock = Math.max(0, clock.at(now) - host.launched);
--- a/src/main/java/beaconladder/Targets.java
+++ b/src/main/java/beaconladder/Targets.java
@@ -11,14 +11,15 @@
 import java.util.LinkedHashMap;
 
 /** The log position that a read needs, and who is known to have it. */
-record Targets(Traffic traffic, ClusterClock clock, SlowStart slowStart,
-        LinkedHashMap<Long, Session> sessions) {
+record Targets(Traffic traffic, ClusterClock clock, SlowStart slowStart, LinkedHashMap<Long, Session> sessions) {
     /** Half of the 100 ms after which an answer counts as known, arrived or not; the rest is for the way. */
     private static final long KNOWN = 50 * MS;
 
     boolean fresh(Host host, long target) {
-        return host.state == Host.State.READY && host != host.group.primary
-                && (host.met || !traffic.probesAllowed()) && host.position >= target;
+        return host.state == Host.State.READY
+                && host != host.group.primary
+                && (host.met || !traffic.probesAllowed())
+                && host.position >= target;
     }
 
     /** Whether an answer of this primary was not heard since it last said that it is the primary. */
@@ -29,8 +30,7 @@
     /** A cold member without a ticket can't take it: waiting for one would hold the read past its time. */
     boolean anyFresh(Txn txn, long now) {
         long target = target(txn, now);
-        return txn.group.members.stream()
-                .anyMatch(host -> fresh(host, target) && slowStart.allows(host, now));
+        return txn.group.members.stream().anyMatch(host -> fresh(host, target) && slowStart.allows(host, now));
     }
 
     /** The position that a replica must have reached now. Rule 5: a bound is judged at the send. */
@@ -43,16 +43,18 @@
     }
 
     /**
-     * What the session's writes have committed as far as this router counts as knowing it: a write that is
-     * still out may have been answered, and the answer lost on its way.
+     * What the session's writes have committed as far as this router counts as knowing it: a write that is still out
+     * may have been answered, and the answer lost on its way.
      */
     long sessionTarget(Txn txn, long now) {
         if (!"router".equals(traffic.start.get("family_info.session_marks"))) {
             return txn.written;
         }
         Session session = sessions.get(txn.session);
-        boolean answered = session != null && session.writes.stream().flatMap(w -> w.submissions.stream())
-                .anyMatch(s -> !s.ended && s.sent < now - KNOWN);
+        boolean answered = session != null
+                && session.writes.stream()
+                        .flatMap(w -> w.submissions.stream())
+                        .anyMatch(s -> !s.ended && s.sent < now - KNOWN);
         long commit = session != null ? session.commit : txn.group.forgotten;
         return answered ? Math.max(commit, clock.latest(now) - KNOWN) : commit;
     }
--- a/src/main/java/beaconladder/Times.java
+++ b/src/main/java/beaconladder/Times.java
@@ -14,21 +14,20 @@
     /** An older answer tells of a load that may be gone. */
     private static final long RECENT = 3_000 * MS;
     /**
-     * So much of what is left a host is not told. A router may be held up for 0.15 s between its look at the
-     * clock and its write, which is all of the slack that the protocol gives; what a part of a core takes
-     * besides has to be covered here.
+     * So much of what is left a host is not told. A router may be held up for 0.15 s between its look at the clock and
+     * its write, which is all of the slack that the protocol gives; what a part of a core takes besides has to be
+     * covered here.
      */
     private static final long KEPT_BACK = 50 * MS;
     /** Of little time no more than this part is kept back. */
     private static final int LEAST_PART = 4;
 
     /**
-     * When the SLA time ends, counted from the client's first try. First tries of a type bring one and the
-     * same budget; any other budget is what is left of the type's expiry, so the difference has already gone
-     * by. Guards against serving repeats that can earn nothing while fresh txns wait; errs on the side of
-     * serving. Where clients mark their repeats, what isn't marked is a first try; where they don't, budgets
-     * under the SLA time that are more frequent than repeats scatter are of clients that come with little
-     * time.
+     * When the SLA time ends, counted from the client's first try. First tries of a type bring one and the same budget;
+     * any other budget is what is left of the type's expiry, so the difference has already gone by. Guards against
+     * serving repeats that can earn nothing while fresh txns wait; errs on the side of serving. Where clients mark
+     * their repeats, what isn't marked is a first try; where they don't, budgets under the SLA time that are more
+     * frequent than repeats scatter are of clients that come with little time.
      */
     long slaEnd(Txn txn) {
         long budget = txn.expiry - txn.arrived;
@@ -40,30 +39,32 @@
         boolean marked = traffic.says("clients.marks_retry");
         boolean usual = budgets.size() < 8 || Math.abs(budget - first) <= 8 * MS;
         long sla = txn.type.sla();
-        boolean hurried = budget < sla && budgets.between(0, sla) * (first - sla)
-                > 2 * budgets.between(sla, first - 8 * MS) * sla;
+        boolean hurried = budget < sla
+                && budgets.between(0, sla) * (first - sla) > 2 * budgets.between(sla, first - 8 * MS) * sla;
         boolean firstTry = marked ? !txn.repeated : usual || hurried;
-        long gone = firstTry ? 0 : usual ? (long) (sla * traffic.patience.mean() / 1_000)
-                : Math.max(0, txn.type.expiry() - budget);
+        long gone = firstTry
+                ? 0
+                : usual ? (long) (sla * traffic.patience.mean() / 1_000) : Math.max(0, txn.type.expiry() - budget);
         return Math.min(txn.arrived + sla - gone, txn.expiry);
     }
 
     /**
-     * The time within which an answer is of use: the SLA time, or, where many clients leave sooner, what they
-     * have lately waited.
+     * The time within which an answer is of use: the SLA time, or, where many clients leave sooner, what they have
+     * lately waited.
      */
     double aim(Txn txn, long now) {
         long since = now - 10_000 * MS;
         // A client now and then leaves on any day; three of ten in ten seconds are a habit.
         return traffic.patience.since(since) >= Math.max(2, 0.3 * traffic.fates.since(since))
-                ? txn.type.sla() * Math.min(1, traffic.patience.mean(since) / 1_000) : txn.type.sla();
+                ? txn.type.sla() * Math.min(1, traffic.patience.mean(since) / 1_000)
+                : txn.type.sla();
     }
 
     /**
-     * When a held read may go to the primary: the design's default, one SLA time before its expiry, or
-     * earlier where the primary's answer would else come too late. One and a half usual times cover two
-     * answers in three. A round before its last use at the latest, where slower replicas set that use
-     * before the primary's answer: a release after it would never come.
+     * When a held read may go to the primary: the design's default, one SLA time before its expiry, or earlier where
+     * the primary's answer would else come too late. One and a half usual times cover two answers in three. A round
+     * before its last use at the latest, where slower replicas set that use before the primary's answer: a release
+     * after it would never come.
      */
     long release(Txn txn) {
         Host primary = txn.group.primary;
@@ -72,9 +73,9 @@
     }
 
     /**
-     * From here on a txn that is not out is not worth its work: three in five answers would come too late. A
-     * late answer that earns a quarter or less is no reason to send, since a fresh txn earns more by the
-     * same work. Guards against overload fed by work for nothing.
+     * From here on a txn that is not out is not worth its work: three in five answers would come too late. A late
+     * answer that earns a quarter or less is no reason to send, since a fresh txn earns more by the same work. Guards
+     * against overload fed by work for nothing.
      */
     long lastUse(Txn txn) {
         if (txn.type.effect() == Effect.ONCE_ONLY) {
@@ -85,9 +86,9 @@
     }
 
     /**
-     * What must not run twice and runs into its time ends as one that may have run, which is worse than a
-     * refusal. So the primary's newest answer counts too, where it is recent: a host that has just become
-     * slow shows in no quantile yet. The answer has to be here by the last moment, not by the expiry.
+     * What must not run twice and runs into its time ends as one that may have run, which is worse than a refusal. So
+     * the primary's newest answer counts too, where it is recent: a host that has just become slow shows in no quantile
+     * yet. The answer has to be here by the last moment, not by the expiry.
      */
     private long lastSafeUse(Txn txn) {
         Host primary = txn.group.primary;
@@ -99,16 +100,20 @@
     }
 
     /**
-     * A txn that lives by the primary, never sent, is given up at half of its time where that is long lost,
-     * so that its client may try again: an outage of T so far ends within r with chance r / (T + r), and at
-     * under three in ten a late answer isn't worth it. Harm: an outage's end finds fewer of them here.
+     * A txn that lives by the primary, never sent, is given up at half of its time where that is long lost, so that its
+     * client may try again: an outage of T so far ends within r with chance r / (T + r), and at under three in ten a
+     * late answer isn't worth it. Harm: an outage's end finds fewer of them here.
      */
     boolean hopeless(Txn txn, long now) {
         Host primary = txn.group.primary;
         boolean lost = primary == null || !primary.met || health.doubtful(primary, now);
         long since = primary == null ? txn.group.lostAt : primary.lastHeard;
-        return lost && since != UNBOUND && txn.type.read().needsPrimary() && txn.submissions.isEmpty()
-                && now >= half(txn) && now - since > 2.3 * (lastUse(txn) - now);
+        return lost
+                && since != UNBOUND
+                && txn.type.read().needsPrimary()
+                && txn.submissions.isEmpty()
+                && now >= half(txn)
+                && now - since > 2.3 * (lastUse(txn) - now);
     }
 
     private long half(Txn txn) {
--- a/src/main/java/beaconladder/Worth.java
+++ b/src/main/java/beaconladder/Worth.java
@@ -12,26 +12,27 @@
     }
 
     /**
-     * Whether to ask before a send to members that were not heard of lately: where two probes cost under
-     * three points in a hundred, as knowing the load brings more than that by far. Covers whatever shows in
-     * a probe: dead and unreachable members, queues, changed roles. Harm: the price and some milliseconds,
-     * where nothing is wrong.
+     * Whether to ask before a send to members that were not heard of lately: where two probes cost under three points
+     * in a hundred, as knowing the load brings more than that by far. Covers whatever shows in a probe: dead and
+     * unreachable members, queues, changed roles. Harm: the price and some milliseconds, where nothing is wrong.
      */
     boolean worthAsking() {
         return 2 * fee("fees.probe") <= 0.03;
     }
 
     /**
-     * What a unit of value counts in the goal, by txn type: its part of the whole, and for the types served
-     * worst their part of that term, spread over the little value that such a type asks for. Guards against
-     * starving a type for another of higher value; harm: a type that nobody can serve still goes first, at no
-     * cost to the hosts.
+     * What a unit of value counts in the goal, by txn type: its part of the whole, and for the types served worst their
+     * part of that term, spread over the little value that such a type asks for. Guards against starving a type for
+     * another of higher value; harm: a type that nobody can serve still goes first, at no cost to the hosts.
      */
     double[] weights() {
         double[] weights = new double[traffic.types.size()];
         double asked = Math.max(1, traffic.asked());
-        double worst = traffic.types.stream().filter(type -> type.served().size() >= 8)
-                .mapToDouble(type -> type.served().mean()).min().orElse(1);
+        double worst = traffic.types.stream()
+                .filter(type -> type.served().size() >= 8)
+                .mapToDouble(type -> type.served().mean())
+                .min()
+                .orElse(1);
         for (TxnType type : traffic.types) {
             double part = Math.max(0.05, traffic.mix.count(type.place()) * type.value() / asked);
             // Within a tenth of the worst a type may be the worst one soon: samples of 64 are as rough as
--- a/src/main/java/beaconladder/api/Rounds.java
+++ b/src/main/java/beaconladder/api/Rounds.java
@@ -41,8 +41,13 @@
         switch (verdict.step()) {
             case SEND -> {
                 Host host = verdict.host();
-                Submission s = new Submission(txn, txn.submissions.size(), host, now,
-                        host.out.size() + host.abandoned.size() + 1, verdict.ticket());
+                Submission s = new Submission(
+                        txn,
+                        txn.submissions.size(),
+                        host,
+                        now,
+                        host.out.size() + host.abandoned.size() + 1,
+                        verdict.ticket());
                 txn.submissions.add(s);
                 host.out.add(s);
                 door.send(s, verdict.timeout());
@@ -56,7 +61,7 @@
                 end(txn);
             }
             case DONE -> end(txn);
-            case WAIT -> { }
+            case WAIT -> {}
         }
     }
 
--- a/src/main/java/beaconladder/api/Router.java
+++ b/src/main/java/beaconladder/api/Router.java
@@ -8,24 +8,35 @@
 /**
  * The decisions of one router, asked like a client library: three questions and a few plain notices.
  *
- * <p>Every call carries the clock, in nanoseconds, which never runs backwards. An instance belongs to one
- * router and one thread.
+ * <p>Every call carries the clock, in nanoseconds, which never runs backwards. An instance belongs to one router and
+ * one thread.
  */
 public interface Router {
 
     /** What is known of a host's role from an answer or a report. */
-    enum Role { UNKNOWN, PRIMARY, REPLICA }
+    enum Role {
+        UNKNOWN,
+        PRIMARY,
+        REPLICA
+    }
 
     /** How a submission or a probe ended. */
     enum Outcome {
-        COMMITTED, ERROR, FULL, TIMED_OUT, UNREACHABLE, RESET, CANCELLED, MOOT, MISS,
+        COMMITTED,
+        ERROR,
+        FULL,
+        TIMED_OUT,
+        UNREACHABLE,
+        RESET,
+        CANCELLED,
+        MOOT,
+        MISS,
         /** The router's own machine gave no connection, whatever the host. */
         LOCAL_FAULT;
 
         /** Whether this outcome proves that the submission never ran. */
         public boolean provesNotRun() {
-            return this == FULL || this == UNREACHABLE || this == MOOT || this == MISS
-                    || this == LOCAL_FAULT;
+            return this == FULL || this == UNREACHABLE || this == MOOT || this == MISS || this == LOCAL_FAULT;
         }
 
         /** Whether the host itself spoke. */
@@ -37,9 +48,9 @@
     /**
      * What a host said of itself.
      *
-     * @param role     its role, or {@link Role#UNKNOWN}
+     * @param role its role, or {@link Role#UNKNOWN}
      * @param position the log position it has applied, in nanoseconds on the routers' clock, or {@link #NONE}
-     * @param holds    how many txns of all routers it holds, or less than 0 when it did not say
+     * @param holds how many txns of all routers it holds, or less than 0 when it did not say
      */
     record Word(Role role, long position, double holds) {
         public static final long NONE = Long.MIN_VALUE;
@@ -67,8 +78,7 @@
      * @param answer what the answer itself says (exact when it was given)
      * @param report a report that came along, of some age
      */
-    Verdict after(Submission submission, Outcome outcome, boolean settled, Word answer, Word report,
-            long now);
+    Verdict after(Submission submission, Outcome outcome, boolean settled, Word answer, Word report, long now);
 
     /** Third question: how long to wait; names the members to probe and the txns to ask about again. */
     Pause pause(long now);
@@ -86,9 +96,8 @@
     Verdict left(Txn txn, long now);
 
     /**
-     * This txn may no longer go where it was let in (its tenant has moved, or the leave has run out): the
-     * verdict
-     * ends it, or waits for what is out. Nothing more is sent for it.
+     * This txn may no longer go where it was let in (its tenant has moved, or the leave has run out): the verdict ends
+     * it, or waits for what is out. Nothing more is sent for it.
      */
     Verdict displaced(Txn txn, long now);
 }
--- a/src/main/java/beaconladder/api/Verdict.java
+++ b/src/main/java/beaconladder/api/Verdict.java
@@ -8,22 +8,41 @@
 /**
  * What to do with a txn now.
  *
- * @param step     the step to take
- * @param host     for {@link Step#SEND}: the member to send to
- * @param timeout  for {@link Step#SEND}: how long this submission may take
+ * @param step the step to take
+ * @param host for {@link Step#SEND}: the member to send to
+ * @param timeout for {@link Step#SEND}: how long this submission may take
  * @param comeBack for {@link Step#DECLINE}: how long the client should stay away; 0 says nothing
- * @param cancel   submissions to call off
- * @param ticket   for {@link Step#SEND}: what the host's slow start asked for
- * @param reason   for {@link Step#DECLINE} and {@link Step#ROLL_BACK}: why there is no commit
+ * @param cancel submissions to call off
+ * @param ticket for {@link Step#SEND}: what the host's slow start asked for
+ * @param reason for {@link Step#DECLINE} and {@link Step#ROLL_BACK}: why there is no commit
  */
-public record Verdict(Step step, Host host, long timeout, long comeBack, List<Submission> cancel,
-        SlowStartTicket ticket, Reason reason) {
+public record Verdict(
+        Step step,
+        Host host,
+        long timeout,
+        long comeBack,
+        List<Submission> cancel,
+        SlowStartTicket ticket,
+        Reason reason) {
 
     /** Why a request ends without a commit. */
-    public enum Reason { NONE, ATTEMPTS_USED, NO_TIME, PRIMARY_LOST, MAY_HAVE_RUN, NOT_ADMITTED }
+    public enum Reason {
+        NONE,
+        ATTEMPTS_USED,
+        NO_TIME,
+        PRIMARY_LOST,
+        MAY_HAVE_RUN,
+        NOT_ADMITTED
+    }
 
     /** The steps that a txn can take. */
-    public enum Step { SEND, WAIT, DECLINE, ROLL_BACK, DONE }
+    public enum Step {
+        SEND,
+        WAIT,
+        DECLINE,
+        ROLL_BACK,
+        DONE
+    }
 
     private static final Verdict WAITING = end(Step.WAIT, 0, List.of(), Reason.NONE);
 
--- a/src/main/java/beaconladder/app/CellsCommand.java
+++ b/src/main/java/beaconladder/app/CellsCommand.java
@@ -20,7 +20,9 @@
 import picocli.CommandLine.Spec;
 
 /** Cells: who lives where, and moves. */
-@Command(name = "cells", mixinStandardHelpOptions = true,
+@Command(
+        name = "cells",
+        mixinStandardHelpOptions = true,
         description = "Show cells, plan and make moves, or be the keeper that decides on them.",
         exitCodeList = {"0:done", "1:it could not be done, or the move was undone", "2:the call is wrong"},
         exitCodeListHeading = "Exit codes:%n")
@@ -36,9 +38,10 @@
         throw new ParameterException(spec.commandLine(), "one of keep, show, plan, move, undo belongs here");
     }
 
-    @Command(name = "keep", mixinStandardHelpOptions = true,
-            description =
-                    "Be the keeper: grant leases to routers and carry out moves, until a signal ends it.")
+    @Command(
+            name = "keep",
+            mixinStandardHelpOptions = true,
+            description = "Be the keeper: grant leases to routers and carry out moves, until a signal ends it.")
     int keep(@Mixin CheckCommand.PlanOption file) throws IOException, InterruptedException {
         Hangups hangups = new Hangups();
         Plan plan = CheckCommand.plan(file.file(), spec.commandLine());
@@ -52,7 +55,9 @@
         return 0;
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true,
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
             description = "Show who lives where, the routers, and the moves.")
     int show(@Mixin CheckCommand.PlanOption file) throws IOException {
         Plan plan = kept(file);
@@ -64,38 +69,48 @@
         out.println("placement " + all.get("version"));
         Map<?, ?> seats = (Map<?, ?>) all.get("seats");
         for (Plan.Cell cell : plan.cells()) {
-            List<?> names = seats.entrySet().stream().filter(e -> cell.name().equals(e.getValue()))
-                    .map(Map.Entry::getKey).limit(20).toList();
-            out.printf("cell %s: groups %s, %.1f%%, tenants %s%s%n", cell.name(), cell.groups(),
-                    100 * cell.share(), names, names.size() == 20 ? " ..." : "");
+            List<?> names = seats.entrySet().stream()
+                    .filter(e -> cell.name().equals(e.getValue()))
+                    .map(Map.Entry::getKey)
+                    .limit(20)
+                    .toList();
+            out.printf(
+                    "cell %s: groups %s, %.1f%%, tenants %s%s%n",
+                    cell.name(), cell.groups(), 100 * cell.share(), names, names.size() == 20 ? " ..." : "");
         }
-        ((Map<?, ?>) all.get("routers")).forEach((name, millis) ->
-                out.println("router " + name + ": heard " + (String.valueOf(millis).equals("-1")
-                        ? "not since the keeper started" : millis + " ms ago")));
+        ((Map<?, ?>) all.get("routers"))
+                .forEach((name, millis) -> out.println("router " + name + ": heard "
+                        + (String.valueOf(millis).equals("-1") ? "not since the keeper started" : millis + " ms ago")));
         for (Object each : (List<?>) all.get("moves")) {
             Map<?, ?> move = (Map<?, ?>) each;
-            out.printf("move %s from %s to %s: %s, waits for %s%n", move.get("tenant"), move.get("from"),
-                    move.get("to"), move.get("state"), move.get("waits_for"));
+            out.printf(
+                    "move %s from %s to %s: %s, waits for %s%n",
+                    move.get("tenant"), move.get("from"), move.get("to"), move.get("state"), move.get("waits_for"));
         }
         for (Object each : (List<?>) all.get("ended")) {
             Map<?, ?> move = (Map<?, ?>) each;
-            out.printf("ended %s from %s to %s: %s%s%n", move.get("tenant"), move.get("from"), move.get("to"),
-                    move.get("state"), move.get("why") == null ? "" : ", " + move.get("why"));
+            out.printf(
+                    "ended %s from %s to %s: %s%s%n",
+                    move.get("tenant"),
+                    move.get("from"),
+                    move.get("to"),
+                    move.get("state"),
+                    move.get("why") == null ? "" : ", " + move.get("why"));
         }
         return 0;
     }
 
-    @Command(name = "plan", mixinStandardHelpOptions = true,
+    @Command(
+            name = "plan",
+            mixinStandardHelpOptions = true,
             description = "Propose who should live where, and the moves to get there; nothing is changed.")
-    int plan(@Mixin CheckCommand.PlanOption file,
+    int plan(
+            @Mixin CheckCommand.PlanOption file,
             @Option(names = "--seconds", defaultValue = "10", description = "How long to think at the most.")
-            int seconds, @Option(names = "--seed", defaultValue = "1", description =
-                    "Same seed, same proposal.")
-            long seed, @Option(names = "--moves", defaultValue = "20", description =
-                    "How many moves at the most.")
-            int most, @Option(names = "--without", paramLabel = "CELL", description =
-                    "As if this cell were lost.")
-            String lost) {
+                    int seconds,
+            @Option(names = "--seed", defaultValue = "1", description = "Same seed, same proposal.") long seed,
+            @Option(names = "--moves", defaultValue = "20", description = "How many moves at the most.") int most,
+            @Option(names = "--without", paramLabel = "CELL", description = "As if this cell were lost.") String lost) {
         Plan plan = CheckCommand.plan(file.file(), spec.commandLine());
         if (plan == null) {
             return 1;
@@ -104,9 +119,8 @@
             throw new ParameterException(spec.commandLine(), "--seconds is 1 to 3600, --moves 0 or more");
         }
         Planner.Problem problem = Planner.problem(plan);
-        Planner.Proposal proposal = Planner.propose(lost == null ? problem : Planner.without(problem, lost),
-                most,
-                seconds, seed);
+        Planner.Proposal proposal =
+                Planner.propose(lost == null ? problem : Planner.without(problem, lost), most, seconds, seed);
         PrintWriter out = spec.commandLine().getOut();
         proposal.moves().forEach(move -> out.println("(move " + move.tenant() + " " + move.to() + ")"));
         out.println("; " + proposal.says());
@@ -114,7 +128,9 @@
     }
 
     @Command(name = "move", mixinStandardHelpOptions = true, description = "Move a tenant to another cell.")
-    int move(@Mixin CheckCommand.PlanOption file, @Parameters(paramLabel = "TENANT") String tenant,
+    int move(
+            @Mixin CheckCommand.PlanOption file,
+            @Parameters(paramLabel = "TENANT") String tenant,
             @Parameters(paramLabel = "CELL") String to,
             @Option(names = "--no-wait", description = "Don't wait for its end.") boolean leave)
             throws IOException, InterruptedException {
@@ -130,9 +146,13 @@
             Map<?, ?> under = find(all, "moves", tenant);
             if (under == null) {
                 Map<?, ?> end = find(all, "ended", tenant);
-                spec.commandLine().getOut().printf("%6d ms  %s%s%n", System.currentTimeMillis() - from,
-                        end == null ? "ended" : end.get("state"),
-                        end == null || end.get("why") == null ? "" : ": " + end.get("why"));
+                spec.commandLine()
+                        .getOut()
+                        .printf(
+                                "%6d ms  %s%s%n",
+                                System.currentTimeMillis() - from,
+                                end == null ? "ended" : end.get("state"),
+                                end == null || end.get("why") == null ? "" : ": " + end.get("why"));
                 return end != null && "done".equals(end.get("state")) ? 0 : 1;
             }
             String now = under.get("state") + ", waits for " + under.get("waits_for");
@@ -156,10 +176,8 @@
         return found;
     }
 
-    @Command(name = "undo", mixinStandardHelpOptions = true, description =
-            "Undo a move that has not switched.")
-    int undo(@Mixin CheckCommand.PlanOption file, @Parameters(paramLabel = "TENANT") String tenant)
-            throws IOException {
+    @Command(name = "undo", mixinStandardHelpOptions = true, description = "Undo a move that has not switched.")
+    int undo(@Mixin CheckCommand.PlanOption file, @Parameters(paramLabel = "TENANT") String tenant) throws IOException {
         Plan plan = kept(file);
         if (plan == null) {
             return 1;
--- a/src/main/java/beaconladder/app/CheckCommand.java
+++ b/src/main/java/beaconladder/app/CheckCommand.java
@@ -13,13 +13,16 @@
 import picocli.CommandLine.Spec;
 
 /** Checks a plan. */
-@Command(name = "check", mixinStandardHelpOptions = true, description =
-        "Check a plan and name every mistake in it.",
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description = "Check a plan and name every mistake in it.",
         exitCodeList = {"0:the plan is good", "1:it has mistakes", "2:the call is wrong"},
         exitCodeListHeading = "Exit codes:%n")
 final class CheckCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
+
     @Parameters(paramLabel = "FILE", description = "The plan.")
     private Path file;
 
@@ -29,10 +32,16 @@
         if (plan == null) {
             return 1;
         }
-        spec.commandLine().getOut().printf("%s is good: %d cells, %d tenants, %s%n", file, plan.cells()
-                .size(),
-                plan.tenants().size(), plan.keeper() == null ? "no keeper" : "a keeper at " + plan.keeper()
-                        .at());
+        spec.commandLine()
+                .getOut()
+                .printf(
+                        "%s is good: %d cells, %d tenants, %s%n",
+                        file,
+                        plan.cells().size(),
+                        plan.tenants().size(),
+                        plan.keeper() == null
+                                ? "no keeper"
+                                : "a keeper at " + plan.keeper().at());
         return 0;
     }
 
@@ -47,7 +56,10 @@
 
     /** The plan that a command is about, as an option of it. */
     static final class PlanOption {
-        @Option(names = "--plan", paramLabel = "FILE", defaultValue = "deploy/router.plan",
+        @Option(
+                names = "--plan",
+                paramLabel = "FILE",
+                defaultValue = "deploy/router.plan",
                 description = "The plan (default: ${DEFAULT-VALUE}).")
         private Path file;
 
--- a/src/main/java/beaconladder/app/DrillCommand.java
+++ b/src/main/java/beaconladder/app/DrillCommand.java
@@ -12,7 +12,9 @@
 import picocli.CommandLine.Command;
 
 /** The decisions on the simulator's wire. */
-@Command(name = "drill", mixinStandardHelpOptions = true,
+@Command(
+        name = "drill",
+        mixinStandardHelpOptions = true,
         description = "Make decisions on the simulator's wire, on standard input and output.")
 final class DrillCommand implements Callable<Integer> {
     @Override
--- a/src/main/java/beaconladder/app/FedRouter.java
+++ b/src/main/java/beaconladder/app/FedRouter.java
@@ -24,9 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A router whose file and plan are the operators', overlaid by what the feed tells: the document
- * {@code router.json} has the place of the parts of the file that it names, {@code plan} that of the plan.
- * Both are laid over copies; a reload tells which parts count at once and which wait for a restart.
+ * A router whose file and plan are the operators', overlaid by what the feed tells: the document {@code router.json}
+ * has the place of the parts of the file that it names, {@code plan} that of the plan. Both are laid over copies; a
+ * reload tells which parts count at once and which wait for a restart.
  */
 final class FedRouter implements Applier {
     private static final Logger LOG = LoggerFactory.getLogger(FedRouter.class);
@@ -66,7 +66,9 @@
         for (String each : relays) {
             int equals = each.indexOf('=');
             InetSocketAddress address = Watch.address(each.substring(equals + 1));
-            if (equals < 1 || !Proposal.isName(each.substring(0, equals)) || address == null
+            if (equals < 1
+                    || !Proposal.isName(each.substring(0, equals))
+                    || address == null
                     || all.put(each.substring(0, equals), address) != null) {
                 throw new IOException("'" + each + "' is no NAME=ADDRESS:PORT of a relay, or there twice");
             }
@@ -81,12 +83,11 @@
         Thread thread = new Thread(null, subscriber, "subscriber", STACK);
         thread.setDaemon(true);
         thread.start();
-        for (long until = System.nanoTime() + FIRST_MILLIS * 1_000_000; kept.version() == 0
-                && inForce.version() == 0 && System.nanoTime() < until;) {
+        for (long until = System.nanoTime() + FIRST_MILLIS * 1_000_000;
+                kept.version() == 0 && inForce.version() == 0 && System.nanoTime() < until; ) {
             wait(20);
         }
-        router = new Serve(folder.resolve("router.json"), plan == null ? null
-                : folder.resolve("router.plan"));
+        router = new Serve(folder.resolve("router.json"), plan == null ? null : folder.resolve("router.plan"));
         return router;
     }
 
@@ -118,9 +119,12 @@
         LOG.info("fed: version {}, digest {}, is in force", next.version(), next.digest());
         if (journal != null) {
             Instant now = Instant.now();
-            Files.writeString(journal, "A " + (now.getEpochSecond() * 1_000_000_000L + now.getNano()) + ' '
-                    + name + ' ' + life + ' ' + next.version() + ' ' + next.reckoned() + '\n',
-                    StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+            Files.writeString(
+                    journal,
+                    "A " + (now.getEpochSecond() * 1_000_000_000L + now.getNano()) + ' ' + name + ' ' + life + ' '
+                            + next.version() + ' ' + next.reckoned() + '\n',
+                    StandardOpenOption.CREATE,
+                    StandardOpenOption.APPEND);
         }
     }
 
@@ -132,8 +136,7 @@
             ObjectNode parts = FeedText.read(over, ObjectNode.class);
             for (Map.Entry<String, JsonNode> part : parts.properties()) {
                 if (!PARTS.contains(part.getKey())) {
-                    throw new IOException("router.json names '" + part.getKey()
-                            + "', which is not the feed's");
+                    throw new IOException("router.json names '" + part.getKey() + "', which is not the feed's");
                 }
                 stated.set(part.getKey(), part.getValue());
             }
@@ -152,7 +155,6 @@
     private void write(String text, String name) throws IOException {
         Path beside = folder.resolve(name + ".part");
         Files.writeString(beside, text);
-        Files.move(beside, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE,
-                StandardCopyOption.REPLACE_EXISTING);
+        Files.move(beside, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/src/main/java/beaconladder/app/FeedCommand.java
+++ b/src/main/java/beaconladder/app/FeedCommand.java
@@ -30,7 +30,9 @@
 import picocli.CommandLine.Spec;
 
 /** Settings and plans by versions, for every router. */
-@Command(name = "feed", mixinStandardHelpOptions = true,
+@Command(
+        name = "feed",
+        mixinStandardHelpOptions = true,
         description = "Change what all routers are told, show with how many it is in force, or be a relay.",
         exitCodeList = {"0:done", "1:it could not be done", "2:what was given is wrong; nothing is applied"},
         exitCodeListHeading = "Exit codes:%n")
@@ -59,18 +61,31 @@
         throw new ParameterException(spec.commandLine(), "one of propose, status, relay belongs here");
     }
 
-    @Command(name = "propose", mixinStandardHelpOptions = true,
+    @Command(
+            name = "propose",
+            mixinStandardHelpOptions = true,
             description = "Change documents, against the version that you have seen.")
-    int propose(@Mixin CheckCommand.PlanOption file, @Option(names = "--against", required = true,
-            paramLabel = "VERSION", description = "The newest version, as `feed status` shows it.")
-            long against, @Option(names = "--set", paramLabel = "NAME=FILE", description =
-            "A document that is new or other; one named plan is checked as a plan, *.json as JSON.")
-            Map<String, Path> set, @Option(names = "--remove", paramLabel = "NAME",
-            description = "A document that is to be gone.") List<String> remove) throws IOException {
+    int propose(
+            @Mixin CheckCommand.PlanOption file,
+            @Option(
+                            names = "--against",
+                            required = true,
+                            paramLabel = "VERSION",
+                            description = "The newest version, as `feed status` shows it.")
+                    long against,
+            @Option(
+                            names = "--set",
+                            paramLabel = "NAME=FILE",
+                            description = "A document that is new or other; one named plan is checked as a plan, "
+                                    + "*.json as JSON.")
+                    Map<String, Path> set,
+            @Option(names = "--remove", paramLabel = "NAME", description = "A document that is to be gone.")
+                    List<String> remove)
+            throws IOException {
         try {
             Map<String, String> texts = new TreeMap<>();
-            for (Map.Entry<String, Path> each : set == null ? Map.<String, Path>of().entrySet()
-                    : set.entrySet()) {
+            for (Map.Entry<String, Path> each :
+                    set == null ? Map.<String, Path>of().entrySet() : set.entrySet()) {
                 texts.put(each.getKey(), text(each.getKey(), each.getValue()));
             }
             Proposal proposal = new Proposal(against, texts, remove == null ? List.of() : remove);
@@ -88,14 +103,15 @@
     private int told(Written written, long against) throws Wrong {
         switch (written.outcome()) {
             case WRITTEN -> {
-                spec.commandLine().getOut().printf("version %d, digest %s%n", written.version(),
-                        written.digest());
+                spec.commandLine().getOut().printf("version %d, digest %s%n", written.version(), written.digest());
                 return 0;
             }
-            case OUT_OF_TURN -> throw new Wrong("out of turn: made against version " + against
-                    + ", but the newest is " + written.version());
-            default -> throw new Wrong("too large: with it, all documents would be over " + State.LARGEST
-                    + " characters, or too many");
+            case OUT_OF_TURN ->
+                throw new Wrong(
+                        "out of turn: made against version " + against + ", but the newest is " + written.version());
+            default ->
+                throw new Wrong("too large: with it, all documents would be over " + State.LARGEST
+                        + " characters, or too many");
         }
     }
 
@@ -104,8 +120,8 @@
         String text;
         try {
             if (Files.size(file) > 4L * State.LARGEST) {
-                throw new Wrong(file + " is too large: all documents together have at most " + State.LARGEST
-                        + " characters");
+                throw new Wrong(
+                        file + " is too large: all documents together have at most " + State.LARGEST + " characters");
             }
             text = Files.readString(file);
         } catch (CharacterCodingException e) {
@@ -129,7 +145,9 @@
         return text;
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true,
+    @Command(
+            name = "status",
+            mixinStandardHelpOptions = true,
             description = "Show the newest version and with how many routers it is in force.")
     int status(@Mixin CheckCommand.PlanOption file) throws IOException {
         Reports.Sum sum;
@@ -139,29 +157,47 @@
             return wrong(e.getMessage());
         }
         PrintWriter out = spec.commandLine().getOut();
-        out.printf("version %d, digest %s, %d documents of %d characters%n", sum.version(), sum.digest(),
-                sum.entries(), sum.size());
-        sum.counts().forEach(each -> out.printf("version %d: in force at %d routers, refused by %d%n",
-                each.version(), each.applied(), each.refused()));
-        out.printf("older: %d; heard within the last minute and silent now: at most %d%n", sum.older(),
-                sum.silent());
-        sum.relays().forEach(each -> out.printf(
-                "relay %s: version %d, %d ms behind the log, told %d ms ago%n", each.relay(),
-                each.report().version(), each.report().lagMillis(), each.agoMillis()));
+        out.printf(
+                "version %d, digest %s, %d documents of %d characters%n",
+                sum.version(), sum.digest(), sum.entries(), sum.size());
+        sum.counts()
+                .forEach(each -> out.printf(
+                        "version %d: in force at %d routers, refused by %d%n",
+                        each.version(), each.applied(), each.refused()));
+        out.printf("older: %d; heard within the last minute and silent now: at most %d%n", sum.older(), sum.silent());
+        sum.relays()
+                .forEach(each -> out.printf(
+                        "relay %s: version %d, %d ms behind the log, told %d ms ago%n",
+                        each.relay(), each.report().version(), each.report().lagMillis(), each.agoMillis()));
         if (sum.relays().isEmpty()) {
             out.println("no relay has told the leader of itself");
         }
         return 0;
     }
 
-    @Command(name = "relay", mixinStandardHelpOptions = true,
+    @Command(
+            name = "relay",
+            mixinStandardHelpOptions = true,
             description = "Stand between the grantors and routers, until a signal ends it.")
-    int relay(@Mixin CheckCommand.PlanOption file, @Option(names = "--name", required = true) String name,
-            @Option(names = "--at", required = true, paramLabel = "ADDRESS:PORT",
-            description = "Where routers reach it.") String at, @Option(names = "--store",
-            paramLabel = "FOLDER", description = "Keeps its state for a start without grantors.") Path store,
-            @Option(names = "--routers", defaultValue = "2048",
-            description = "The most it bears (default: ${DEFAULT-VALUE}).") int most)
+    int relay(
+            @Mixin CheckCommand.PlanOption file,
+            @Option(names = "--name", required = true) String name,
+            @Option(
+                            names = "--at",
+                            required = true,
+                            paramLabel = "ADDRESS:PORT",
+                            description = "Where routers reach it.")
+                    String at,
+            @Option(
+                            names = "--store",
+                            paramLabel = "FOLDER",
+                            description = "Keeps its state for a start without grantors.")
+                    Path store,
+            @Option(
+                            names = "--routers",
+                            defaultValue = "2048",
+                            description = "The most it bears (default: ${DEFAULT-VALUE}).")
+                    int most)
             throws IOException, InterruptedException {
         Relay relay;
         try {
@@ -192,8 +228,7 @@
             memory = system.getTotalMemorySize() / 2 / ROUTER_BYTES;
         }
         if (most < 1 || most > Math.min(descriptors, memory)) {
-            throw new Wrong("a relay bears 1 to " + Math.min(descriptors, memory) + " routers here, not "
-                    + most);
+            throw new Wrong("a relay bears 1 to " + Math.min(descriptors, memory) + " routers here, not " + most);
         }
     }
 
--- a/src/main/java/beaconladder/app/Hangups.java
+++ b/src/main/java/beaconladder/app/Hangups.java
@@ -13,8 +13,8 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object release = Proxy.newProxyInstance(Hangups.class.getClassLoader(), new Class<?>[] {handler},
-                    (proxy, method, args) -> {
+            Object release = Proxy.newProxyInstance(
+                    Hangups.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
                         permits.release();
                         return null;
                     });
@@ -22,8 +22,7 @@
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), release);
             if (before == handler.getField("SIG_IGN").get(null)) {
                 // What is ignored at the start (as under nohup) stays so in this JVM, whatever is asked for.
-                System.err.println("beaconladder: SIGHUP is ignored since the start of this process:"
-                        + " no reload");
+                System.err.println("beaconladder: SIGHUP is ignored since the start of this process:" + " no reload");
             }
         } catch (ReflectiveOperationException e) {
             System.err.println("beaconladder: this JVM leaves SIGHUP to itself, which ends it: " + e);
@@ -32,13 +31,15 @@
 
     /** Runs this from now on, also for a signal that has come already. */
     void run(Runnable reload) {
-        Thread reloads = new Thread(() -> {
-            while (true) {
-                permits.acquireUninterruptibly();
-                permits.drainPermits();
-                reload.run();
-            }
-        }, "reloads");
+        Thread reloads = new Thread(
+                () -> {
+                    while (true) {
+                        permits.acquireUninterruptibly();
+                        permits.drainPermits();
+                        reload.run();
+                    }
+                },
+                "reloads");
         reloads.setDaemon(true);
         reloads.start();
     }
--- a/src/main/java/beaconladder/app/LeaseCommand.java
+++ b/src/main/java/beaconladder/app/LeaseCommand.java
@@ -20,7 +20,9 @@
 import picocli.CommandLine.Spec;
 
 /** Leases for tasks of the fleet. */
-@Command(name = "lease", mixinStandardHelpOptions = true,
+@Command(
+        name = "lease",
+        mixinStandardHelpOptions = true,
         description = "Show who holds which task, hand one over, or be one of the grantors.",
         exitCodeList = {"0:done", "1:it could not be done", "2:the call is wrong"},
         exitCodeListHeading = "Exit codes:%n")
@@ -35,11 +37,16 @@
         throw new ParameterException(spec.commandLine(), "one of grant, status, hand-over belongs here");
     }
 
-    @Command(name = "grant", mixinStandardHelpOptions = true,
+    @Command(
+            name = "grant",
+            mixinStandardHelpOptions = true,
             description = "Be one of the grantors, until a signal ends it.")
-    int grant(@Mixin CheckCommand.PlanOption file, @Option(names = "--name", required = true,
-            description = "Which of the plan's grantors this is.") String name,
-            @Option(names = "--clock", hidden = true) Path clock) throws IOException, InterruptedException {
+    int grant(
+            @Mixin CheckCommand.PlanOption file,
+            @Option(names = "--name", required = true, description = "Which of the plan's grantors this is.")
+                    String name,
+            @Option(names = "--clock", hidden = true) Path clock)
+            throws IOException, InterruptedException {
         Plan plan = stated(file);
         if (plan == null) {
             return 1;
@@ -48,8 +55,10 @@
         try {
             grantor = new Grantor(plan.leases(), name, new WallClock(clock));
         } catch (NoClassDefFoundError e) {
-            throw new IOException("a grantor needs Apache Ratis: start it with -cp "
-                    + "'target/beaconladder.jar:target/grantors/*' beaconladder.app.Main instead of -jar", e);
+            throw new IOException(
+                    "a grantor needs Apache Ratis: start it with -cp "
+                            + "'target/beaconladder.jar:target/grantors/*' beaconladder.app.Main instead of -jar",
+                    e);
         }
         Runtime.getRuntime().addShutdownHook(new Thread(grantor::close));
         new CountDownLatch(1).await();
@@ -69,12 +78,19 @@
             }
             PrintWriter out = spec.commandLine().getOut();
             long now = new WallClock().getAsLong();
-            all.leases().values().forEach(lease -> out.printf("%s: %s, token %d, %s%s%n", lease.task(),
-                    lease.holder().isEmpty() ? "free" : lease.holder(), lease.token(),
-                    lease.holder().isEmpty() ? "given up" : lease.expiry() < now ? "expired "
-                            + (now - lease.expiry()) / 1_000_000 + " ms ago"
-                            : (lease.expiry() - now) / 1_000_000 + " ms left",
-                    lease.heir().isEmpty() || lease.heirUntil() < now ? "" : ", kept for " + lease.heir()));
+            all.leases()
+                    .values()
+                    .forEach(lease -> out.printf(
+                            "%s: %s, token %d, %s%s%n",
+                            lease.task(),
+                            lease.holder().isEmpty() ? "free" : lease.holder(),
+                            lease.token(),
+                            lease.holder().isEmpty()
+                                    ? "given up"
+                                    : lease.expiry() < now
+                                            ? "expired " + (now - lease.expiry()) / 1_000_000 + " ms ago"
+                                            : (lease.expiry() - now) / 1_000_000 + " ms left",
+                            lease.heir().isEmpty() || lease.heirUntil() < now ? "" : ", kept for " + lease.heir()));
             if (all.leases().isEmpty()) {
                 out.println("no task has been asked for yet");
             }
@@ -82,10 +98,15 @@
         return 0;
     }
 
-    @Command(name = "hand-over", mixinStandardHelpOptions = true,
+    @Command(
+            name = "hand-over",
+            mixinStandardHelpOptions = true,
             description = "Have a task given up by its holder and kept for the process of this name.")
-    int handOver(@Mixin CheckCommand.PlanOption file, @Parameters(paramLabel = "TASK") String task,
-            @Parameters(paramLabel = "NAME") String heir) throws IOException {
+    int handOver(
+            @Mixin CheckCommand.PlanOption file,
+            @Parameters(paramLabel = "TASK") String task,
+            @Parameters(paramLabel = "NAME") String heir)
+            throws IOException {
         Plan plan = stated(file);
         if (plan == null) {
             return 1;
@@ -98,9 +119,13 @@
             if (answer == null) {
                 throw new IOException("no grantor answers with a leader; is a quorum of them up?");
             }
-            spec.commandLine().getOut().println(answer.holder().isEmpty() ? task + " is kept for " + heir
-                    : answer.holder() + " is told to give it up; at the latest " + heir + " may take it in "
-                            + answer.free() / 1_000_000 + " ms");
+            spec.commandLine()
+                    .getOut()
+                    .println(
+                            answer.holder().isEmpty()
+                                    ? task + " is kept for " + heir
+                                    : answer.holder() + " is told to give it up; at the latest " + heir
+                                            + " may take it in " + answer.free() / 1_000_000 + " ms");
         }
         return 0;
     }
--- a/src/main/java/beaconladder/app/MembersCommand.java
+++ b/src/main/java/beaconladder/app/MembersCommand.java
@@ -13,7 +13,9 @@
 import picocli.CommandLine.Spec;
 
 /** Who is in the fleet. */
-@Command(name = "members", mixinStandardHelpOptions = true,
+@Command(
+        name = "members",
+        mixinStandardHelpOptions = true,
         description = "Show who is in the fleet, as a grantor knows it.",
         exitCodeList = {"0:done", "1:it could not be done", "2:the call is wrong"},
         exitCodeListHeading = "Exit codes:%n")
@@ -22,6 +24,7 @@
 
     @Spec
     private CommandSpec spec;
+
     @Mixin
     private CheckCommand.PlanOption file;
 
@@ -34,17 +37,20 @@
         if (plan.leases() == null) {
             throw new IOException(file.file() + " states no leases, and so no grantors to ask");
         }
-        try (Doors doors = new Doors(plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0,
-                CALL_MILLIS)) {
+        try (Doors doors = new Doors(
+                plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0, CALL_MILLIS)) {
             View view = doors.members();
             if (view == null) {
                 throw new IOException("no grantor answers that takes part in the fleet's membership");
             }
             PrintWriter out = spec.commandLine().getOut();
-            out.println("view " + view.version() + (view.age() == Long.MAX_VALUE ? ", nobody was heard of yet"
-                    : ", last heard of another " + view.age() / 1_000_000 + " ms ago"));
-            view.present().forEach(each -> out.println(each.name() + " at " + each.address() + ", "
-                    + each.state().name().toLowerCase(Locale.ROOT) + ", incarnation " + each.incarnation()));
+            out.println("view " + view.version()
+                    + (view.age() == Long.MAX_VALUE
+                            ? ", nobody was heard of yet"
+                            : ", last heard of another " + view.age() / 1_000_000 + " ms ago"));
+            view.present()
+                    .forEach(each -> out.println(each.name() + " at " + each.address() + ", "
+                            + each.state().name().toLowerCase(Locale.ROOT) + ", incarnation " + each.incarnation()));
         }
         return 0;
     }
--- a/src/main/java/beaconladder/app/ServeCommand.java
+++ b/src/main/java/beaconladder/app/ServeCommand.java
@@ -10,25 +10,34 @@
 import picocli.CommandLine.Option;
 
 /** A router on sockets. */
-@Command(name = "serve", mixinStandardHelpOptions = true,
+@Command(
+        name = "serve",
+        mixinStandardHelpOptions = true,
         description = "Be a router on sockets, as the file named by BALANCER_CONFIG states.")
 final class ServeCommand implements Callable<Integer> {
-    @Option(names = "--plan", paramLabel = "FILE", description =
-            "The operators' plan: cells and who lives in them.")
+    @Option(names = "--plan", paramLabel = "FILE", description = "The operators' plan: cells and who lives in them.")
     private Path plan;
-    @Option(names = "--feed", split = ",", paramLabel = "NAME=ADDRESS:PORT", description =
-            "Relays, all of them: the router takes what they tell of settings and plans.")
+
+    @Option(
+            names = "--feed",
+            split = ",",
+            paramLabel = "NAME=ADDRESS:PORT",
+            description = "Relays, all of them: the router takes what they tell of settings and plans.")
     private List<String> relays;
-    @Option(names = "--feed-store", paramLabel = "FOLDER", defaultValue = "router-feed", description =
-            "Where it keeps what it was told (default: ${DEFAULT-VALUE}).")
+
+    @Option(
+            names = "--feed-store",
+            paramLabel = "FOLDER",
+            defaultValue = "router-feed",
+            description = "Where it keeps what it was told (default: ${DEFAULT-VALUE}).")
     private Path store;
+
     @Option(names = "--feed-journal", hidden = true)
     private Path journal;
 
     @Override
     public Integer call() {
-        return relays == null ? serve(plan) : serve(plan, file -> new FedRouter(file, plan, relays, store,
-                journal));
+        return relays == null ? serve(plan) : serve(plan, file -> new FedRouter(file, plan, relays, store, journal));
     }
 
     /** What a router that takes part in the feed is told of itself. */
--- a/src/main/java/beaconladder/cells/Confined.java
+++ b/src/main/java/beaconladder/cells/Confined.java
@@ -8,8 +8,8 @@
 import beaconladder.fleet.Txn;
 
 /**
- * The decisions within cells: each question is asked of the module as ever, unless the txn may no longer go
- * where it was let in; then it is displaced before anything more is sent for it.
+ * The decisions within cells: each question is asked of the module as ever, unless the txn may no longer go where it
+ * was let in; then it is displaced before anything more is sent for it.
  */
 public final class Confined extends Within {
     private final Gate gate;
--- a/src/main/java/beaconladder/cells/Gate.java
+++ b/src/main/java/beaconladder/cells/Gate.java
@@ -16,9 +16,8 @@
 import java.util.Map;
 
 /**
- * Before a txn comes to the decisions: which cell it belongs to, whether there is room for it there, and
- * whether
- * it may go now; and, until its end, whether it may still go. Pure: the time and all events come in.
+ * Before a txn comes to the decisions: which cell it belongs to, whether there is room for it there, and whether it may
+ * go now; and, until its end, whether it may still go. Pure: the time and all events come in.
  */
 public final class Gate {
     /** All machines read one clock, give or take; a lease is over for its holder this much early. */
@@ -29,14 +28,19 @@
     private static final long COME_BACK = 100_000_000L;
 
     /** What a txn may do. */
-    public enum Kind { ADMIT, HOLD, DECLINE, REFUSE }
+    public enum Kind {
+        ADMIT,
+        HOLD,
+        DECLINE,
+        REFUSE
+    }
 
     /**
      * The answer for a txn.
      *
-     * @param pass     for ADMIT and HOLD, to be given back
-     * @param until    for HOLD: when to ask again at the latest
-     * @param reason   for DECLINE and REFUSE, for people
+     * @param pass for ADMIT and HOLD, to be given back
+     * @param until for HOLD: when to ask again at the latest
+     * @param reason for DECLINE and REFUSE, for people
      * @param comeBack for DECLINE: how long the client should stay away; 0 says nothing
      */
     public record Answer(Kind kind, Pass pass, long until, String reason, long comeBack) {
@@ -57,14 +61,10 @@
     }
 
     /** A write that may yet run, and until when. */
-    private record Lingering(String tenant, long until) {
-    }
+    private record Lingering(String tenant, long until) {}
 
-    /**
-     * What the keeper needs to know of a tenant that is moved: writes in hand and the newest commit by slot.
-     */
-    public record Busy(String tenant, int writes, List<Long> commits) {
-    }
+    /** What the keeper needs to know of a tenant that is moved: writes in hand and the newest commit by slot. */
+    public record Busy(String tenant, int writes, List<Long> commits) {}
 
     private final String router;
     private final Room room;
@@ -80,21 +80,21 @@
     private final Map<String, Integer> writes = new HashMap<>();
     private final Map<String, long[]> commits = new LinkedHashMap<>();
     private final Deque<Lingering> lingering = new ArrayDeque<>();
+
     public Gate(String router, Territory territory, Room room) {
         this.router = router;
         this.room = room;
         plan(territory);
     }
 
-    /**
-     * Another plan counts from now on, one to which there is no objection; txns in hand keep what they hold.
-     */
+    /** Another plan counts from now on, one to which there is no objection; txns in hand keep what they hold. */
     public void plan(Territory next) {
         territory = next;
         kept = next.plan().keeper() != null;
         List<String> names = next.plan().serves().get(router);
         served = names == null ? null : names.stream().map(next::place).toList();
-        double[] shares = next.plan().cells().stream().mapToDouble(Plan.Cell::share).toArray();
+        double[] shares =
+                next.plan().cells().stream().mapToDouble(Plan.Cell::share).toArray();
         if (txns == null) {
             txns = new Shares(room.txns(), shares);
             connections = new Shares(room.connections(), shares);
@@ -113,8 +113,7 @@
         for (int i = 0; i < next.cells(); i++) {
             if (!next.cell(i).name().equals(territory.cell(i).name())
                     || !next.cell(i).groups().equals(territory.cell(i).groups())) {
-                return "cell " + next.cell(i).name()
-                        + " differs in name, order or groups; that needs a restart";
+                return "cell " + next.cell(i).name() + " differs in name, order or groups; that needs a restart";
             }
         }
         if ((next.plan().keeper() != null) != kept) {
@@ -137,18 +136,26 @@
     /**
      * A txn comes.
      *
-     * @param key   of its session
+     * @param key of its session
      * @param group that the client names
-     * @param size  of its statement, in bytes
-     * @param from  the client's address, or null
+     * @param size of its statement, in bytes
+     * @param from the client's address, or null
      */
-    public Answer admit(String tenant, long key, int group, boolean write, double value, long size,
-            InetAddress from, long arrived, long expiry, long now) {
+    public Answer admit(
+            String tenant,
+            long key,
+            int group,
+            boolean write,
+            double value,
+            long size,
+            InetAddress from,
+            long arrived,
+            long expiry,
+            long now) {
         Plan.Tenant stated = territory.tenant(tenant);
         Seat seat = placement.seats().get(tenant);
         if (!territory.admits(tenant, from)) {
-            return new Answer(Kind.REFUSE, null, 0, "clients at this address don't speak for " + tenant,
-                    0);
+            return new Answer(Kind.REFUSE, null, 0, "clients at this address don't speak for " + tenant, 0);
         }
         boolean fixed = !kept || stated != null && stated.fixed();
         if (!fixed && now >= placement.until() - CLOCKS) {
@@ -165,7 +172,8 @@
             return new Answer(Kind.REFUSE, null, 0, "group " + group + " is in no cell", 0);
         }
         if (served != null && !served.contains(cell)) {
-            return Answer.decline("this router does not serve cell " + territory.cell(cell).name(), 0);
+            return Answer.decline(
+                    "this router does not serve cell " + territory.cell(cell).name(), 0);
         }
         double share = territory.share(tenant);
         Shares.Answer taken = txns.take(cell, tenant, share, 1, value, now);
@@ -176,11 +184,13 @@
             }
         }
         if (taken != Shares.Answer.TAKEN) {
-            return Answer.decline(switch (taken) {
-                case TENANT_FULL -> tenant + " holds its share";
-                case CELL_FULL -> "cell " + territory.cell(cell).name() + " holds its share";
-                default -> "the router is full";
-            }, COME_BACK);
+            return Answer.decline(
+                    switch (taken) {
+                        case TENANT_FULL -> tenant + " holds its share";
+                        case CELL_FULL -> "cell " + territory.cell(cell).name() + " holds its share";
+                        default -> "the router is full";
+                    },
+                    COME_BACK);
         }
         int to = territory.groupIn(cell, group);
         Pass pass = new Pass(tenant, cell, to, territory.slot(to), write, size, arrived, expiry);
@@ -201,8 +211,8 @@
             return new Answer(Kind.HOLD, pass, until, null, 0);
         }
         giveBack(pass);
-        return Answer.decline(here ? pass.tenant + " is being moved" : pass.tenant + " has moved",
-                here ? COME_BACK : 0);
+        return Answer.decline(
+                here ? pass.tenant + " is being moved" : pass.tenant + " has moved", here ? COME_BACK : 0);
     }
 
     /** No txn may be in hand longer, in nanoseconds: a fence waits so long for what may yet run. */
@@ -232,8 +242,8 @@
         }
         Seat seat = placement.seats().get(pass.tenant);
         return now < placement.until() - CLOCKS
-                && (seat == null || territory.place(seat.cell()) == pass.cell
-                && (pass.write ? seat.writes() : seat.reads()));
+                && (seat == null
+                        || territory.place(seat.cell()) == pass.cell && (pass.write ? seat.writes() : seat.reads()));
     }
 
     /** A submission has ended. What may yet run counts as in hand until its client's time is over. */
@@ -247,10 +257,10 @@
         }
         Seat seat = placement.seats().get(pass.tenant);
         if (outcome == Outcome.COMMITTED && seat != null && seat.moving()) {
-            long[] newest = commits.computeIfAbsent(pass.tenant,
+            long[] newest = commits.computeIfAbsent(
+                    pass.tenant,
                     t -> new long[territory.cell(pass.cell).groups().size()]);
-            newest[pass.slot] = Math.max(newest[pass.slot], answer.position() == Word.NONE ? now
-                    : answer.position());
+            newest[pass.slot] = Math.max(newest[pass.slot], answer.position() == Word.NONE ? now : answer.position());
         }
     }
 
@@ -287,8 +297,7 @@
 
     /** A client has shown by this txn whose it is: whether there is room for its connection. */
     public boolean connected(Pass pass, long now) {
-        return connections.take(pass.cell, pass.tenant, territory.share(pass.tenant), 1, 1, now)
-                == Shares.Answer.TAKEN;
+        return connections.take(pass.cell, pass.tenant, territory.share(pass.tenant), 1, 1, now) == Shares.Answer.TAKEN;
     }
 
     public void disconnected(Pass pass) {
@@ -302,9 +311,7 @@
 
     // ---- The keeper's word --------------------------------------------------------------------------------
 
-    /**
-     * What the keeper says; an older word changes nothing. Returns the groups whose txns to look at again.
-     */
+    /** What the keeper says; an older word changes nothing. Returns the groups whose txns to look at again. */
     public List<Integer> placed(Placement next) {
         if (next.version() < placement.version()
                 || next.version() == placement.version() && next.until() <= placement.until()) {
@@ -315,7 +322,8 @@
             next.seats().forEach((tenant, seat) -> {
                 Seat before = placement.seats().get(tenant);
                 if (before != null && !before.equals(seat)) {
-                    changed.addAll(territory.cell(territory.place(before.cell())).groups());
+                    changed.addAll(
+                            territory.cell(territory.place(before.cell())).groups());
                 }
             });
         }
@@ -346,7 +354,8 @@
         placement.seats().forEach((tenant, seat) -> {
             if (seat.moving()) {
                 int out = writes.getOrDefault(tenant, 0)
-                        + (int) lingering.stream().filter(l -> l.until() > now && l.tenant().equals(tenant))
+                        + (int) lingering.stream()
+                                .filter(l -> l.until() > now && l.tenant().equals(tenant))
                                 .count();
                 List<Long> newest = new ArrayList<>();
                 for (long commit : commits.getOrDefault(tenant, new long[0])) {
--- a/src/main/java/beaconladder/cells/Moves.java
+++ b/src/main/java/beaconladder/cells/Moves.java
@@ -9,32 +9,25 @@
 import java.util.Map;
 
 /**
- * The keeper's decisions: who lives where, and the steps by which a tenant moves. Pure: {@link #due} names
- * the
- * step that is due, its record is written, and {@link #take} takes it; after a crash the records are taken
- * again
- * and lead to the same state.
+ * The keeper's decisions: who lives where, and the steps by which a tenant moves. Pure: {@link #due} names the step
+ * that is due, its record is written, and {@link #take} takes it; after a crash the records are taken again and lead to
+ * the same state.
  *
- * <p>A move waits at each step until every router has acted on the step before, or can't act on an older word
- * any
- * more because its lease is over:
+ * <p>A move waits at each step until every router has acted on the step before, or can't act on an older word any more
+ * because its lease is over:
  *
  * <ol>
- * <li>PROPOSED to COPYING: old and new cell have a primary in each slot;
- * <li>COPYING to FENCED: the copy is close behind;
- * <li>FENCED to SEALED: no write is in hand or may yet run, and every ready member of the new groups has
- * copied
- * up to what the old primaries, asked after that, had in their logs;
- * <li>SEALED to SWITCHED: no router sends a read to the old cell any more, and the new primaries have been
- * asked
- * for the position from which on a member has it all;
- * <li>SWITCHED to DONE: every router has heard.
+ *   <li>PROPOSED to COPYING: old and new cell have a primary in each slot;
+ *   <li>COPYING to FENCED: the copy is close behind;
+ *   <li>FENCED to SEALED: no write is in hand or may yet run, and every ready member of the new groups has copied up to
+ *       what the old primaries, asked after that, had in their logs;
+ *   <li>SEALED to SWITCHED: no router sends a read to the old cell any more, and the new primaries have been asked for
+ *       the position from which on a member has it all;
+ *   <li>SWITCHED to DONE: every router has heard.
  * </ol>
  */
 public final class Moves {
-    /**
-     * What is left to copy when the fence goes up is waited for by writes: a tenth of the shortest SLA times.
-     */
+    /** What is left to copy when the fence goes up is waited for by writes: a tenth of the shortest SLA times. */
     private static final long NEAR = 100_000_000L;
     /** A snapshot takes the place of so many records. */
     private static final int RECORDS = 10_000;
@@ -50,6 +43,7 @@
         private long fencedAt;
         /** The version of the placement with which the present state began. */
         private long version;
+
         private List<String> sources = List.of();
         private List<Long> fences = List.of();
         private long quietAt = Long.MIN_VALUE;
@@ -72,13 +66,13 @@
         private long lease;
         /** What an earlier run of it sent may yet run until then. */
         private long earlier;
+
         private Map<String, Busy> busy = Map.of();
         private long heardAt = Long.MIN_VALUE;
     }
 
     /** A move as people are told of it. */
-    public record Shown(String tenant, String from, String to, String state, long since, String waitsFor) {
-    }
+    public record Shown(String tenant, String from, String to, String state, long since, String waitsFor) {}
 
     private Territory territory;
     private final Map<String, Seat> seats = new LinkedHashMap<>();
@@ -89,6 +83,7 @@
     private int records;
     /** The longest lease that was ever granted; no grant of before now ends later than this from now on. */
     private long longest;
+
     private final long lease;
     private final long expiry;
     private final long copy;
@@ -141,16 +136,24 @@
             return undone(move, move.undo, now);
         }
         return switch (move.state) {
-            case PROPOSED -> all(move, s -> s.source() != null && s.target() != null)
-                    ? new Step(Kind.COPYING, move.tenant, move.from, move.to, now, List.of(), List.of(),
-                            sources(move), null)
-                    : now > move.proposedAt + copy ? undone(move, "a primary was not found in time", now)
-                            : null;
+            case PROPOSED ->
+                all(move, s -> s.source() != null && s.target() != null)
+                        ? new Step(
+                                Kind.COPYING,
+                                move.tenant,
+                                move.from,
+                                move.to,
+                                now,
+                                List.of(),
+                                List.of(),
+                                sources(move),
+                                null)
+                        : now > move.proposedAt + copy ? undone(move, "a primary was not found in time", now) : null;
             case COPYING -> copying(move, now);
             case FENCED -> fenced(move, now);
             case SEALED -> sealed(move, now);
-            case SWITCHED -> heard(move.version, now)
-                    ? Step.of(Kind.DONE, move.tenant, move.from, move.to, now, null) : null;
+            case SWITCHED ->
+                heard(move.version, now) ? Step.of(Kind.DONE, move.tenant, move.from, move.to, now, null) : null;
             default -> null;
         };
     }
@@ -162,13 +165,28 @@
         if (!sameSources(move)) {
             // The new primary's log may lack the end of the old one's: what was copied is not a part of it.
             return all(move, s -> s.source() != null)
-                    ? new Step(Kind.COPYING, move.tenant, move.from, move.to,
-                    now, List.of(), List.of(), sources(move), null) : null;
-        }
-        boolean near = all(move, s -> s.askedAt() >= move.since && s.source() != null && s.target() != null
-                && s.copiedByAll() != Long.MIN_VALUE && s.copiedByAll() >= s.position() - NEAR);
+                    ? new Step(
+                            Kind.COPYING,
+                            move.tenant,
+                            move.from,
+                            move.to,
+                            now,
+                            List.of(),
+                            List.of(),
+                            sources(move),
+                            null)
+                    : null;
+        }
+        boolean near = all(
+                move,
+                s -> s.askedAt() >= move.since
+                        && s.source() != null
+                        && s.target() != null
+                        && s.copiedByAll() != Long.MIN_VALUE
+                        && s.copiedByAll() >= s.position() - NEAR);
         return near && heard(move.version, now)
-                ? Step.of(Kind.FENCED, move.tenant, move.from, move.to, now, null) : null;
+                ? Step.of(Kind.FENCED, move.tenant, move.from, move.to, now, null)
+                : null;
     }
 
     private Step fenced(Move move, long now) {
@@ -196,8 +214,9 @@
             }
             move.fences = List.copyOf(positions);
         }
-        return copied(move, move.quietAt) ? new Step(Kind.SEALED, move.tenant, move.from, move.to, now,
-                move.fences, List.of(), List.of(), null) : null;
+        return copied(move, move.quietAt)
+                ? new Step(Kind.SEALED, move.tenant, move.from, move.to, now, move.fences, List.of(), List.of(), null)
+                : null;
     }
 
     private Step sealed(Move move, long now) {
@@ -211,15 +230,16 @@
         for (Sight sight : move.sights) {
             floors.add(sight.landed());
         }
-        return new Step(Kind.SWITCHED, move.tenant, move.from, move.to, now, move.fences, floors, List.of(),
-                null);
+        return new Step(Kind.SWITCHED, move.tenant, move.from, move.to, now, move.fences, floors, List.of(), null);
     }
 
     /** Every ready member of the new groups has shown, asked after this time, all up to the fences. */
     private boolean copied(Move move, long since) {
         for (int slot = 0; slot < move.sights.length; slot++) {
             Sight sight = move.sights[slot];
-            if (sight.askedAt() <= since || sight.target() == null || sight.landed() == Long.MIN_VALUE
+            if (sight.askedAt() <= since
+                    || sight.target() == null
+                    || sight.landed() == Long.MIN_VALUE
                     || sight.copiedByAll() < move.fences.get(slot)) {
                 return false;
             }
@@ -306,7 +326,8 @@
             }
             case PROPOSED -> {
                 Move next = new Move(step.tenant(), step.from(), step.to(), step.at());
-                next.sights = new Sight[territory.cell(territory.place(step.from())).groups().size()];
+                next.sights = new Sight
+                        [territory.cell(territory.place(step.from())).groups().size()];
                 java.util.Arrays.fill(next.sights, Sight.NOTHING);
                 moves.put(step.tenant(), next);
                 enter(next, Kind.PROPOSED, step.at());
@@ -350,8 +371,14 @@
     }
 
     private void seat(Move move, Step step, boolean writes, boolean reads) {
-        seats.put(step.tenant(), new Seat(step.from(), writes, reads, true, seats.get(step.tenant())
-                .floors()));
+        seats.put(
+                step.tenant(),
+                new Seat(
+                        step.from(),
+                        writes,
+                        reads,
+                        true,
+                        seats.get(step.tenant()).floors()));
         version++;
         enter(move, step.kind(), step.at());
     }
@@ -377,15 +404,24 @@
         Plan.Tenant stated = territory.tenant(tenant);
         Move under = moves.get(tenant);
         Seat seat = seats.get(tenant);
-        String against = stated == null ? "no tenant '" + tenant + "' is stated in the plan"
-                : stated.fixed() ? tenant + " is fixed and can't be moved"
-                : territory.place(to) < 0 ? "no cell '" + to + "' is stated in the plan"
-                : under != null ? tenant + " is being moved to " + under.to + " (" + under.state + ")"
-                : seat == null ? tenant + " has no seat yet"
-                : seat.cell().equals(to) ? tenant + " lives in " + to + " as it is"
-                : slots(seat.cell()) != slots(to) ? seat.cell() + " has " + slots(seat.cell())
-                        + " groups and "
-                        + to + " has " + slots(to) + "; a move needs as many" : null;
+        String against = stated == null
+                ? "no tenant '" + tenant + "' is stated in the plan"
+                : stated.fixed()
+                        ? tenant + " is fixed and can't be moved"
+                        : territory.place(to) < 0
+                                ? "no cell '" + to + "' is stated in the plan"
+                                : under != null
+                                        ? tenant + " is being moved to " + under.to + " (" + under.state + ")"
+                                        : seat == null
+                                                ? tenant + " has no seat yet"
+                                                : seat.cell().equals(to)
+                                                        ? tenant + " lives in " + to + " as it is"
+                                                        : slots(seat.cell()) != slots(to)
+                                                                ? seat.cell() + " has " + slots(seat.cell())
+                                                                        + " groups and "
+                                                                        + to + " has " + slots(to)
+                                                                        + "; a move needs as many"
+                                                                : null;
         if (against != null) {
             throw new IllegalArgumentException(against);
         }
@@ -403,8 +439,8 @@
             throw new IllegalArgumentException(tenant + " is not being moved");
         }
         if (move.state == Kind.SWITCHED) {
-            throw new IllegalArgumentException(tenant + " has switched to " + move.to
-                    + "; to have it back, move it to " + move.from);
+            throw new IllegalArgumentException(
+                    tenant + " has switched to " + move.to + "; to have it back, move it to " + move.from);
         }
         move.undo = "asked for by " + who;
     }
@@ -416,7 +452,8 @@
      */
     public Step joins(String router, String incarnation, long now) {
         Seen seen = routers.get(router);
-        return seen != null && incarnation.equals(seen.incarnation) ? null
+        return seen != null && incarnation.equals(seen.incarnation)
+                ? null
                 : Step.of(Kind.ROUTER, router, null, null, now, incarnation);
     }
 
@@ -449,12 +486,10 @@
     /**
      * A question that the keeper has to ask.
      *
-     * @param feeds whether the new group's primary is to copy from the old one; not once the copy is known to
-     *              be
-     *              whole, as another old primary might be copied from instead
+     * @param feeds whether the new group's primary is to copy from the old one; not once the copy is known to be whole,
+     *     as another old primary might be copied from instead
      */
-    public record Errand(String tenant, int slot, int source, int target, boolean feeds) {
-    }
+    public record Errand(String tenant, int slot, int source, int target, boolean feeds) {}
 
     /** The groups to ask for the sake of moves under way. */
     public List<Errand> errands() {
@@ -463,7 +498,11 @@
             List<Integer> from = territory.cell(territory.place(move.from)).groups();
             List<Integer> to = territory.cell(territory.place(move.to)).groups();
             for (int slot = 0; slot < from.size(); slot++) {
-                errands.add(new Errand(move.tenant, slot, from.get(slot), to.get(slot),
+                errands.add(new Errand(
+                        move.tenant,
+                        slot,
+                        from.get(slot),
+                        to.get(slot),
                         move.state == Kind.COPYING || move.state == Kind.FENCED));
             }
         }
@@ -491,9 +530,15 @@
 
     /** The moves under way, and what each waits for. */
     public List<Shown> shown(long now) {
-        return moves.values().stream().map(move -> new Shown(move.tenant, move.from, move.to,
-                move.state.name().toLowerCase(java.util.Locale.ROOT), move.since,
-                        waitsFor(move, now))).toList();
+        return moves.values().stream()
+                .map(move -> new Shown(
+                        move.tenant,
+                        move.from,
+                        move.to,
+                        move.state.name().toLowerCase(java.util.Locale.ROOT),
+                        move.since,
+                        waitsFor(move, now)))
+                .toList();
     }
 
     /** The last moves that have ended. */
@@ -514,28 +559,22 @@
         if (move.state == Kind.FENCED && move.quietAt == Long.MIN_VALUE) {
             return "writes in hand";
         }
-        if (!all(move, s -> s.source() != null) && move.state.compareTo(Kind.SEALED) < 0
-                && move.fences.isEmpty()) {
+        if (!all(move, s -> s.source() != null) && move.state.compareTo(Kind.SEALED) < 0 && move.fences.isEmpty()) {
             return "a primary of " + move.from;
         }
         return all(move, s -> s.target() != null) ? "the copy" : "a primary of " + move.to;
     }
 
-    /**
-     * The routers, with the time since each was heard, in nanoseconds, or -1 for not since the keeper
-     * started.
-     */
+    /** The routers, with the time since each was heard, in nanoseconds, or -1 for not since the keeper started. */
     public Map<String, Long> routers(long now) {
         Map<String, Long> silent = new LinkedHashMap<>();
-        routers.forEach((name, seen) ->
-                silent.put(name, seen.heardAt == Long.MIN_VALUE ? -1 : now - seen.heardAt));
+        routers.forEach((name, seen) -> silent.put(name, seen.heardAt == Long.MIN_VALUE ? -1 : now - seen.heardAt));
         return silent;
     }
 
     /**
-     * The steps that lead from nothing to this state, to take the place of all records, or null: not yet, or
-     * not
-     * while a move is under way.
+     * The steps that lead from nothing to this state, to take the place of all records, or null: not yet, or not while
+     * a move is under way.
      */
     public List<Step> snapshot(long now) {
         if (records < RECORDS || !moves.isEmpty()) {
@@ -543,10 +582,9 @@
         }
         List<Step> steps = new ArrayList<>();
         steps.add(Step.of(Kind.LEASE, "", null, null, longest, null));
-        routers.forEach((name, seen) ->
-                steps.add(Step.of(Kind.ROUTER, name, null, null, now, seen.incarnation)));
-        seats.forEach((tenant, seat) -> steps.add(new Step(Kind.SEATED, tenant, seat.cell(), seat.cell(), now,
-                List.of(), seat.floors(), List.of(), null)));
+        routers.forEach((name, seen) -> steps.add(Step.of(Kind.ROUTER, name, null, null, now, seen.incarnation)));
+        seats.forEach((tenant, seat) -> steps.add(new Step(
+                Kind.SEATED, tenant, seat.cell(), seat.cell(), now, List.of(), seat.floors(), List.of(), null)));
         steps.add(Step.of(Kind.VERSION, "", null, null, version, null));
         records = steps.size();
         return steps;
--- a/src/main/java/beaconladder/cells/Pass.java
+++ b/src/main/java/beaconladder/cells/Pass.java
@@ -33,9 +33,7 @@
         return group;
     }
 
-    /**
-     * The position below which no member may answer it, as it lacks what was copied; Long.MIN_VALUE for none.
-     */
+    /** The position below which no member may answer it, as it lacks what was copied; Long.MIN_VALUE for none. */
     public long floor() {
         return floor;
     }
--- a/src/main/java/beaconladder/cells/Placement.java
+++ b/src/main/java/beaconladder/cells/Placement.java
@@ -6,9 +6,9 @@
  * Who lives where, as a router was told.
  *
  * @param version grows with each change
- * @param until   a router may act on it until then, in nanoseconds on the clock that all machines read
- * @param basis   of the keeper's plan, see {@link Territory#basis}
- * @param seats   by tenant
+ * @param until a router may act on it until then, in nanoseconds on the clock that all machines read
+ * @param basis of the keeper's plan, see {@link Territory#basis}
+ * @param seats by tenant
  */
 public record Placement(long version, long until, String basis, Map<String, Seat> seats) {
     /** Before a keeper has spoken: nothing may be acted on but what never moves. */
--- a/src/main/java/beaconladder/cells/Planner.java
+++ b/src/main/java/beaconladder/cells/Planner.java
@@ -20,25 +20,19 @@
 import org.chocosolver.solver.variables.IntVar;
 
 /**
- * Proposes who should live where and the moves to get there: loads balanced, value at risk balanced, chosen
- * tenants
- * apart, room for the loss of any one cell, as few moves as that takes. A proposal, and no more: the keeper
- * moves.
+ * Proposes who should live where and the moves to get there: loads balanced, value at risk balanced, chosen tenants
+ * apart, room for the loss of any one cell, as few moves as that takes. A proposal, and no more: the keeper moves.
  */
 public final class Planner {
-    /**
-     * Loads are reckoned in thousandths of a cell's fair part, so that the solver has small whole numbers.
-     */
+    /** Loads are reckoned in thousandths of a cell's fair part, so that the solver has small whole numbers. */
     private static final int SCALE = 1_000;
     /** A move must lower the peak by more than a hundredth of a fair part to be worth its fence. */
     private static final int PRICE = 10;
     /** Two tenants that should be apart and are not weigh as much as a quarter of a cell's fair part. */
     private static final int TOGETHER = 250;
-    /**
-     * Twenty tenants are placed anew at a time, with so many tries, so many times: some seconds at 160
-     * tenants.
-     */
+    /** Twenty tenants are placed anew at a time, with so many tries, so many times: some seconds at 160 tenants. */
     private static final int NEIGHBOURS = 20;
+
     private static final int BACKTRACKS = 200;
     private static final int NEIGHBOURHOODS = 400;
     /** A whole search of so many nodes takes about a second. */
@@ -48,48 +42,61 @@
     /** Beyond this many tenants the small ones are left where they are: the large ones decide the peak. */
     private static final int MOST_TENANTS = 160;
 
-    private Planner() {
-    }
+    private Planner() {}
 
     /**
      * The problem in numbers.
      *
      * @param tenants names
-     * @param home    the cell of each today
-     * @param load    of each, in thousandths of a cell's fair part
-     * @param value   of each, likewise
-     * @param room    of each cell, in the same measure: its share against a fair one
-     * @param apart   pairs that should not share a cell
+     * @param home the cell of each today
+     * @param load of each, in thousandths of a cell's fair part
+     * @param value of each, likewise
+     * @param room of each cell, in the same measure: its share against a fair one
+     * @param apart pairs that should not share a cell
      * @param movable of each
      */
-    public record Problem(List<String> tenants, List<String> cells, int[] home, int[] load, int[] value,
+    public record Problem(
+            List<String> tenants,
+            List<String> cells,
+            int[] home,
+            int[] load,
+            int[] value,
             int[] room,
-            int[][] apart, boolean[] movable) {
-    }
+            int[][] apart,
+            boolean[] movable) {}
 
     /** One tenant to another cell. */
-    public record Move(String tenant, String from, String to) {
-    }
+    public record Move(String tenant, String from, String to) {}
 
     /**
      * What is proposed.
      *
-     * @param moves in the order in which to make them: each lowers the peak at that point, or the pairs
-     *                together
+     * @param moves in the order in which to make them: each lowers the peak at that point, or the pairs together
      * @param optimal whether the solver has proved that there is none better
-     * @param found   whether anything was found within the time
+     * @param found whether anything was found within the time
      */
-    public record Proposal(List<Move> moves, int peakBefore, int peakAfter, int costBefore, int costAfter,
-            boolean optimal, boolean found, boolean survives) {
+    public record Proposal(
+            List<Move> moves,
+            int peakBefore,
+            int peakAfter,
+            int costBefore,
+            int costAfter,
+            boolean optimal,
+            boolean found,
+            boolean survives) {
         /** For people. */
         public String says() {
             if (!found) {
                 return "no proposal: so few moves don't empty the cell that is lost";
             }
-            return String.format("%d moves, the fullest cell from %.1f%% to %.1f%% of its fair part; %s; %s",
-                    moves.size(), peakBefore / 10.0, peakAfter / 10.0,
+            return String.format(
+                    "%d moves, the fullest cell from %.1f%% to %.1f%% of its fair part; %s; %s",
+                    moves.size(),
+                    peakBefore / 10.0,
+                    peakAfter / 10.0,
                     optimal ? "optimal" : "not proved optimal within the time",
-                    survives ? "the others can take the loss of any one cell"
+                    survives
+                            ? "the others can take the loss of any one cell"
                             : "the others can't take the loss of every one cell");
         }
     }
@@ -99,7 +106,8 @@
         int n = plan.tenants().size();
         int m = plan.cells().size();
         double loads = plan.tenants().stream().mapToDouble(Plan.Tenant::load).sum();
-        double values = plan.tenants().stream().mapToDouble(t -> t.load() * t.value()).sum();
+        double values =
+                plan.tenants().stream().mapToDouble(t -> t.load() * t.value()).sum();
         Map<String, Integer> places = new HashMap<>();
         for (int i = 0; i < m; i++) {
             places.put(plan.cells().get(i).name(), i);
@@ -123,15 +131,22 @@
                 apart.add(new int[] {i, numbers.get(other)});
             }
         }
-        int[] room = plan.cells().stream().mapToInt(c -> (int) Math.round(SCALE * m * c.share())).toArray();
-        return new Problem(plan.tenants().stream().map(Plan.Tenant::name).toList(),
-                plan.cells().stream().map(Plan.Cell::name).toList(), home, load, value, room,
-                apart.toArray(int[][]::new), movable);
+        int[] room = plan.cells().stream()
+                .mapToInt(c -> (int) Math.round(SCALE * m * c.share()))
+                .toArray();
+        return new Problem(
+                plan.tenants().stream().map(Plan.Tenant::name).toList(),
+                plan.cells().stream().map(Plan.Cell::name).toList(),
+                home,
+                load,
+                value,
+                room,
+                apart.toArray(int[][]::new),
+                movable);
     }
 
     /**
-     * The same where a cell is lost: nobody may stay or come there, and who is fixed there has to leave as
-     * well.
+     * The same where a cell is lost: nobody may stay or come there, and who is fixed there has to leave as well.
      *
      * @param lost its name
      */
@@ -149,17 +164,17 @@
         return new Problem(p.tenants(), p.cells(), p.home(), p.load(), p.value(), room, p.apart(), movable);
     }
 
-    /**
-     * What a placement costs: the peak of load and of value against each cell's room, pairs together, moves.
-     */
+    /** What a placement costs: the peak of load and of value against each cell's room, pairs together, moves. */
     public static int cost(Problem p, int[] at) {
-        int moves = (int) IntStream.range(0, at.length).filter(i -> at[i] != p.home()[i]).count();
-        return peak(p, at, p.load()) + peak(p, at, p.value()) / 2 + TOGETHER * together(p, at)
-                + PRICE * moves;
+        int moves = (int)
+                IntStream.range(0, at.length).filter(i -> at[i] != p.home()[i]).count();
+        return peak(p, at, p.load()) + peak(p, at, p.value()) / 2 + TOGETHER * together(p, at) + PRICE * moves;
     }
 
     private static int together(Problem p, int[] at) {
-        return (int) Arrays.stream(p.apart()).filter(pair -> at[pair[0]] == at[pair[1]]).count();
+        return (int) Arrays.stream(p.apart())
+                .filter(pair -> at[pair[0]] == at[pair[1]])
+                .count();
     }
 
     private static int peak(Problem p, int[] at, int[] of) {
@@ -184,9 +199,7 @@
         return sums;
     }
 
-    /**
-     * Whether, whichever cell is lost, the others together have room for all: in twice their fair part each.
-     */
+    /** Whether, whichever cell is lost, the others together have room for all: in twice their fair part each. */
     static boolean survives(Problem p, int[] at) {
         int[] sums = sums(p, at, p.load());
         for (int lost = 0; lost < sums.length; lost++) {
@@ -205,10 +218,9 @@
     }
 
     /**
-     * Proposes moves; the same problem and seed give the same proposal wherever the solver ends before its
-     * time.
+     * Proposes moves; the same problem and seed give the same proposal wherever the solver ends before its time.
      *
-     * @param most    moves
+     * @param most moves
      * @param seconds to think
      */
     public static Proposal propose(Problem p, int most, int seconds, long seed) {
@@ -216,8 +228,15 @@
         for (int i = 0; i < best.length; i++) {
             if (p.room()[best[i]] == 0) {
                 // With so few moves the lost cell can't be left.
-                return new Proposal(order(p, best), peak(p, p.home(), p.load()), peak(p, best, p.load()),
-                        cost(p, p.home()), cost(p, best), false, false, false);
+                return new Proposal(
+                        order(p, best),
+                        peak(p, p.home(), p.load()),
+                        peak(p, best, p.load()),
+                        cost(p, p.home()),
+                        cost(p, best),
+                        false,
+                        false,
+                        false);
             }
         }
         boolean optimal = false;
@@ -228,26 +247,33 @@
             best = cost(p, solved.at) < cost(p, best) ? solved.at : best;
         }
         int[] home = p.home();
-        return new Proposal(order(p, best), peak(p, home, p.load()), peak(p, best, p.load()), cost(p, home),
-                cost(p, best), optimal, true, survives(p, best));
+        return new Proposal(
+                order(p, best),
+                peak(p, home, p.load()),
+                peak(p, best, p.load()),
+                cost(p, home),
+                cost(p, best),
+                optimal,
+                true,
+                survives(p, best));
     }
 
-    /**
-     * Those whose cell the solver may choose: the movable ones with the most load, and all that should be
-     * apart.
-     */
+    /** Those whose cell the solver may choose: the movable ones with the most load, and all that should be apart. */
     private static int[] free(Problem p) {
         boolean[] pair = new boolean[p.home().length];
         Arrays.stream(p.apart()).forEach(two -> Arrays.stream(two).forEach(i -> pair[i] = true));
-        int[] all = IntStream.range(0, p.home().length).filter(i -> p.movable()[i]).boxed()
+        int[] all = IntStream.range(0, p.home().length)
+                .filter(i -> p.movable()[i])
+                .boxed()
                 .sorted(Comparator.<Integer>comparingInt(i -> pair[i] ? 0 : 1)
                         .thenComparingInt(i -> -p.load()[i])
-                        .thenComparingInt(i -> i)).mapToInt(i -> i).toArray();
+                        .thenComparingInt(i -> i))
+                .mapToInt(i -> i)
+                .toArray();
         return all.length <= MOST_TENANTS ? all : Arrays.copyOf(all, MOST_TENANTS);
     }
 
-    private record Solved(int[] at, boolean optimal) {
-    }
+    private record Solved(int[] at, boolean optimal) {}
 
     private static Solved solve(Problem p, int[] start, int[] free, int most, int seconds, long seed) {
         int m = p.cells().size();
@@ -266,7 +292,8 @@
         BoolVar[][] in = new BoolVar[free.length][m];
         BoolVar[] moved = new BoolVar[free.length];
         for (int i = 0; i < free.length; i++) {
-            at[i] = model.intVar(p.tenants().get(free[i]),
+            at[i] = model.intVar(
+                    p.tenants().get(free[i]),
                     IntStream.range(0, m).filter(cell -> p.room()[cell] > 0).toArray());
             for (int cell = 0; cell < m; cell++) {
                 in[i][cell] = model.boolVar();
@@ -274,8 +301,10 @@
             model.boolsIntChanneling(in[i], at[i], 0).post();
             moved[i] = in[i][p.home()[free[i]]].not();
         }
-        IntVar load = peak(model, p, in, Arrays.stream(free).map(i -> p.load()[i]).toArray(), fixedLoad);
-        IntVar value = peak(model, p, in, Arrays.stream(free).map(i -> p.value()[i]).toArray(), fixedValue);
+        IntVar load =
+                peak(model, p, in, Arrays.stream(free).map(i -> p.load()[i]).toArray(), fixedLoad);
+        IntVar value =
+                peak(model, p, in, Arrays.stream(free).map(i -> p.value()[i]).toArray(), fixedValue);
         IntVar moves = model.intVar("moves", 0, Math.min(most, free.length));
         model.sum(moved, "=", moves).post();
         Map<Integer, Integer> numbers = new HashMap<>();
@@ -285,15 +314,20 @@
         List<BoolVar> pairs = new ArrayList<>();
         for (int[] pair : p.apart()) {
             if (numbers.containsKey(pair[0]) && numbers.containsKey(pair[1])) {
-                pairs.add(model.arithm(at[numbers.get(pair[0])], "=", at[numbers.get(pair[1])]).reify());
+                pairs.add(model.arithm(at[numbers.get(pair[0])], "=", at[numbers.get(pair[1])])
+                        .reify());
             }
         }
         IntVar together = model.intVar("together", 0, pairs.size());
         model.sum(pairs.toArray(BoolVar[]::new), "=", together).post();
         IntVar cost = model.intVar("cost", 0, cost(p, start));
         // Twice everything, so that the half weight of value stays whole.
-        model.scalar(new IntVar[] {load, value, together, moves, cost},
-                new int[] {2, 1, 2 * TOGETHER, 2 * PRICE, -2}, "<=", 1).post();
+        model.scalar(
+                        new IntVar[] {load, value, together, moves, cost},
+                        new int[] {2, 1, 2 * TOGETHER, 2 * PRICE, -2},
+                        "<=",
+                        1)
+                .post();
         model.setObjective(Model.MINIMIZE, cost);
         Solver solver = model.getSolver();
         solver.setSearch(search(start, free, at, load, value, together, moves, cost));
@@ -318,7 +352,8 @@
             if (found) {
                 model.arithm(cost, "<", best.getIntVal(cost)).post();
             }
-            solver.setLNS(new RandomNeighborhood(at, NEIGHBOURS, new SplittableRandom(seed).nextLong()),
+            solver.setLNS(
+                    new RandomNeighborhood(at, NEIGHBOURS, new SplittableRandom(seed).nextLong()),
                     new FailCounter(model, BACKTRACKS));
             solver.limitTime(seconds * 500L);
             solver.limitRestart(NEIGHBOURHOODS);
@@ -340,24 +375,30 @@
         for (int i = 0; i < at.length; i++) {
             homes.put(at[i], start[free[i]]);
         }
-        return new AbstractStrategy<?>[] {Search.intVarSearch(vars -> {
-            for (IntVar each : vars) {
-                if (!each.isInstantiated()) {
-                    return each;
-                }
-            }
-            return null;
-        }, each -> each.contains(homes.get(each)) ? homes.get(each) : each.getLB(), at),
-            Search.inputOrderLBSearch(sums)};
+        return new AbstractStrategy<?>[] {
+            Search.intVarSearch(
+                    vars -> {
+                        for (IntVar each : vars) {
+                            if (!each.isInstantiated()) {
+                                return each;
+                            }
+                        }
+                        return null;
+                    },
+                    each -> each.contains(homes.get(each)) ? homes.get(each) : each.getLB(),
+                    at),
+            Search.inputOrderLBSearch(sums)
+        };
     }
 
     /** The largest part of its room that any cell uses. */
     private static IntVar peak(Model model, Problem p, BoolVar[][] in, int[] of, int[] fixed) {
         int total = Arrays.stream(of).sum() + Arrays.stream(fixed).sum();
         int m = p.cells().size();
-        int smallest = Math.max(1, Arrays.stream(p.room()).filter(room -> room > 0).min().orElse(1));
-        IntVar peak = model.intVar("peak", 0, (int) Math.min(Integer.MAX_VALUE / 16,
-                (long) total * SCALE / smallest + 1));
+        int smallest = Math.max(
+                1, Arrays.stream(p.room()).filter(room -> room > 0).min().orElse(1));
+        IntVar peak =
+                model.intVar("peak", 0, (int) Math.min(Integer.MAX_VALUE / 16, (long) total * SCALE / smallest + 1));
         for (int cell = 0; cell < m; cell++) {
             if (p.room()[cell] == 0) {
                 continue;
@@ -370,8 +411,8 @@
             }
             vars[in.length] = peak;
             factors[in.length] = -1;
-            model.scalar(vars, factors, "<=", -(int) ((long) fixed[cell] * SCALE / Math.max(1,
-                    p.room()[cell]))).post();
+            model.scalar(vars, factors, "<=", -(int) ((long) fixed[cell] * SCALE / Math.max(1, p.room()[cell])))
+                    .post();
         }
         return peak;
     }
@@ -411,7 +452,9 @@
 
     /** Each who is still in a lost cell counts, so that every move out of it is one for the better. */
     private static int stranded(Problem p, int[] at) {
-        return WORST / 1_000 * (int) Arrays.stream(at).filter(cell -> p.room()[cell] == 0).count();
+        return WORST
+                / 1_000
+                * (int) Arrays.stream(at).filter(cell -> p.room()[cell] == 0).count();
     }
 
     private static boolean paired(Problem p, int[] at, int tenant) {
@@ -421,13 +464,13 @@
 
     private static int fullest(Problem p, int[] at) {
         int[] sums = sums(p, at, p.load());
-        return IntStream.range(0, sums.length).boxed()
-                .max(Comparator.comparingLong(c -> part(p, sums, c))).orElse(0);
+        return IntStream.range(0, sums.length)
+                .boxed()
+                .max(Comparator.comparingLong(c -> part(p, sums, c)))
+                .orElse(0);
     }
 
-    /**
-     * Each next move is the one after which the cost is lowest, so that stopping half way leaves the least.
-     */
+    /** Each next move is the one after which the cost is lowest, so that stopping half way leaves the least. */
     private static List<Move> order(Problem p, int[] to) {
         List<Move> moves = new ArrayList<>();
         int[] at = p.home().clone();
@@ -449,7 +492,8 @@
             if (next < 0) {
                 return moves;
             }
-            moves.add(new Move(p.tenants().get(next), p.cells().get(at[next]), p.cells().get(to[next])));
+            moves.add(new Move(
+                    p.tenants().get(next), p.cells().get(at[next]), p.cells().get(to[next])));
             at[next] = to[next];
         }
     }
--- a/src/main/java/beaconladder/cells/Shares.java
+++ b/src/main/java/beaconladder/cells/Shares.java
@@ -4,17 +4,13 @@
 import java.util.Map;
 
 /**
- * What cells, and tenants in them, hold of one thing that a router has so much of: a bulkhead. A cell's share
- * is
- * its own; what cells have not used lately is lent to others, and is theirs again as soon as they ask, from a
- * part that is never lent, while the loans end with the txns that hold them. Inside a cell the same goes for
- * its
- * tenants.
+ * What cells, and tenants in them, hold of one thing that a router has so much of: a bulkhead. A cell's share is its
+ * own; what cells have not used lately is lent to others, and is theirs again as soon as they ask, from a part that is
+ * never lent, while the loans end with the txns that hold them. Inside a cell the same goes for its tenants.
  */
 public final class Shares {
     /**
-     * A quarter of what a cell or a tenant does not use is kept back from loans, so that it is never refused
-     * its first.
+     * A quarter of what a cell or a tenant does not use is kept back from loans, so that it is never refused its first.
      */
     private static final double KEPT = 0.25;
     /** Who has used so much lately may be back for twice that within one window. */
@@ -27,7 +23,12 @@
     private static final double FOLLOW = 1.0 / 32;
 
     /** Why something is not to be had. */
-    public enum Answer { TAKEN, TENANT_FULL, CELL_FULL, ROUTER_FULL }
+    public enum Answer {
+        TAKEN,
+        TENANT_FULL,
+        CELL_FULL,
+        ROUTER_FULL
+    }
 
     private static final class Holder {
         private long used;
@@ -68,7 +69,7 @@
      * One bulkhead.
      *
      * @param capacity how much there is
-     * @param shares   of each cell, from 0 to 1, together not over 1
+     * @param shares of each cell, from 0 to 1, together not over 1
      */
     public Shares(long capacity, double... shares) {
         this.capacity = capacity;
@@ -113,8 +114,9 @@
         // kept,
         // and if its share is stated never most of a cell.
         long tenantOwn = Math.max(1, (long) (share * own));
-        if (held + amount > tenantOwn && (cells[cell].used + amount > (long) ((1 - KEPT) * part * most)
-                || share < 1 && held + amount > Math.max(tenantOwn, own / 2))) {
+        if (held + amount > tenantOwn
+                && (cells[cell].used + amount > (long) ((1 - KEPT) * part * most)
+                        || share < 1 && held + amount > Math.max(tenantOwn, own / 2))) {
             return Answer.TENANT_FULL;
         }
         if (holder == null) {
--- a/src/main/java/beaconladder/cells/Territory.java
+++ b/src/main/java/beaconladder/cells/Territory.java
@@ -12,9 +12,8 @@
 import java.util.Map;
 
 /**
- * Who lives where by the plan alone: stated tenants where it says, the others by a stable hash over a few
- * cells
- * each (shuffle sharding), so that two tenants seldom share all of their cells and a new cell moves few.
+ * Who lives where by the plan alone: stated tenants where it says, the others by a stable hash over a few cells each
+ * (shuffle sharding), so that two tenants seldom share all of their cells and a new cell moves few.
  */
 public final class Territory {
     /** Cells of tenants that were asked for last; a thousand of them are some hundred kilobytes. */
@@ -26,6 +25,7 @@
     private final Map<String, Integer> places = new HashMap<>();
     /** Cell and slot of each group, the slot in the lower half. */
     private final Map<Integer, Long> groups = new HashMap<>();
+
     private final Map<String, Plan.Tenant> tenants = new HashMap<>();
     private final Map<String, int[]> subsets = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -112,9 +112,7 @@
         return best;
     }
 
-    /**
-     * The cells over which the keys of a tenant that is not stated are spread: those that weigh most for it.
-     */
+    /** The cells over which the keys of a tenant that is not stated are spread: those that weigh most for it. */
     public int[] subset(String tenant) {
         int[] known = subsets.get(tenant);
         if (known != null) {
@@ -146,7 +144,9 @@
     /** The share of its cell that a tenant may hold. */
     public double share(String tenant) {
         Plan.Tenant stated = tenants.get(tenant);
-        return stated != null ? stated.share() : plan.others() == null ? 0 : plan.others().share();
+        return stated != null
+                ? stated.share()
+                : plan.others() == null ? 0 : plan.others().share();
     }
 
     /** Whether a client at this address may speak for this tenant; null is an address that is not known. */
@@ -159,8 +159,7 @@
         return address != null && stated.networks().stream().anyMatch(network -> network.contains(address));
     }
 
-    private static final IPAddressNetwork.IPAddressGenerator ADDRESSES =
-            new IPAddressNetwork.IPAddressGenerator();
+    private static final IPAddressNetwork.IPAddressGenerator ADDRESSES = new IPAddressNetwork.IPAddressGenerator();
 
     /** What a placement by hash rests on: two routers whose plans agree in it place alike. */
     public String basis() {
--- a/src/main/java/beaconladder/closing/Calendar.java
+++ b/src/main/java/beaconladder/closing/Calendar.java
@@ -11,7 +11,7 @@
  * All closes of an installation.
  *
  * @param closes by name; a change of a close is one more of its name, for other days
- * @param bound  how far this router's clock may be from the true time
+ * @param bound how far this router's clock may be from the true time
  */
 public record Calendar(List<Close> closes, Duration bound) {
 
@@ -57,9 +57,9 @@
     }
 
     /**
-     * The instant before which no data may answer a read that comes now, or null: nothing has closed lately.
-     * A clock that is late by the bound takes a read that came after a close for one before it, so a close
-     * binds that much sooner by this clock.
+     * The instant before which no data may answer a read that comes now, or null: nothing has closed lately. A clock
+     * that is late by the bound takes a read that came after a close for one before it, so a close binds that much
+     * sooner by this clock.
      */
     public Instant floor(Instant now) {
         Instant early = now.plus(bound);
@@ -73,13 +73,14 @@
     }
 
     /**
-     * What speaks against this calendar in place of another one, or null. A change has a lead time, longer
-     * than a member of the fleet may go unheard, so that no two routers close at different times: within it,
-     * both have the same closes.
+     * What speaks against this calendar in place of another one, or null. A change has a lead time, longer than a
+     * member of the fleet may go unheard, so that no two routers close at different times: within it, both have the
+     * same closes.
      */
     public String objection(Calendar before, Instant now, Duration lead) {
         List<Due> mine = between(now.minus(bound), now.plus(lead));
-        return mine.equals(before.between(now.minus(bound), now.plus(lead))) ? objection()
+        return mine.equals(before.between(now.minus(bound), now.plus(lead)))
+                ? objection()
                 : "a close within the lead time of " + lead.toSeconds() + " s is changed";
     }
 
@@ -89,7 +90,9 @@
             for (int j = 0; j < i; j++) {
                 Close a = closes.get(i);
                 Close b = closes.get(j);
-                if (a.name().equals(b.name()) && !a.from().isAfter(b.to()) && !b.from().isAfter(a.to())) {
+                if (a.name().equals(b.name())
+                        && !a.from().isAfter(b.to())
+                        && !b.from().isAfter(a.to())) {
                     return "two closes '" + a.name() + "' are for the same days";
                 }
             }
--- a/src/main/java/beaconladder/closing/Closed.java
+++ b/src/main/java/beaconladder/closing/Closed.java
@@ -8,18 +8,17 @@
 import java.util.function.Supplier;
 
 /**
- * The decisions under closes: a read that comes after a close has the close as the least log position that it
- * must see. The module holds it and sends it as any other read with a target; nothing else is decided here.
+ * The decisions under closes: a read that comes after a close has the close as the least log position that it must see.
+ * The module holds it and sends it as any other read with a target; nothing else is decided here.
  */
 public final class Closed extends Within {
     private static final long SECOND = 1_000_000_000L;
 
     private final Supplier<Calendar> calendar;
     private Calendar known;
-    /**
-     * The floor, and until when it is the newest; a look into the calendar for each read would be too dear.
-     */
+    /** The floor, and until when it is the newest; a look into the calendar for each read would be too dear. */
     private long floor = Long.MIN_VALUE;
+
     private long until = Long.MIN_VALUE;
 
     /** Asks for the calendar at each look, as another one may come. */
--- a/src/main/java/beaconladder/drill/Drill.java
+++ b/src/main/java/beaconladder/drill/Drill.java
@@ -11,8 +11,7 @@
 public final class Drill {
 
     /** An entry of a numbered list of hosts. */
-    record Entry(boolean leader, int host, int zone, int group, int state, long launchedMicros) {
-    }
+    record Entry(boolean leader, int host, int zone, int group, int state, long launchedMicros) {}
 
     private static final int ENTRY_BYTES = 25;
 
@@ -52,8 +51,8 @@
                 }
             }
             if (in.left() > 0) {
-                throw new WireException(in.position(), in.left() + " bytes after the last of "
-                        + in.records() + " records");
+                throw new WireException(
+                        in.position(), in.left() + " bytes after the last of " + in.records() + " records");
             }
             for (Instance each : touched) {
                 each.touched = false;
@@ -122,8 +121,7 @@
                 int group = (int) in.f32();
                 long budget = in.u32();
                 int bits = in.u8();
-                to.request(call, type, session, sinceWriteMillis, tenant, group, budget, (bits & 2) != 0,
-                        clock);
+                to.request(call, type, session, sinceWriteMillis, tenant, group, budget, (bits & 2) != 0, clock);
             }
             case 1030 -> {
                 in.u64();
--- a/src/main/java/beaconladder/drill/Instance.java
+++ b/src/main/java/beaconladder/drill/Instance.java
@@ -58,7 +58,8 @@
         groups = new LinkedHashMap<>();
         txns = new HashMap<>();
         zeroMicros = Long.parseLong(start.getOrDefault("family_info.position_zero_us", "0"));
-        List<String> fields = Arrays.asList(start.getOrDefault("load_report.fields", "").split(","));
+        List<String> fields =
+                Arrays.asList(start.getOrDefault("load_report.fields", "").split(","));
         positionField = fields.indexOf("x0");
         primaryField = fields.indexOf("x1");
         loadField = fields.indexOf("rif");
@@ -112,8 +113,16 @@
         }
     }
 
-    void request(long call, int type, long session, float sinceWriteMillis, int tenant, int group,
-            long budget, boolean repeated, long clock) {
+    void request(
+            long call,
+            int type,
+            long session,
+            float sinceWriteMillis,
+            int tenant,
+            int group,
+            long budget,
+            boolean repeated,
+            long clock) {
         if (router == null) {
             return;
         }
@@ -121,10 +130,20 @@
             long now = clock * 1_000;
             // The age of a write is rounded down, that is, toward the newer position.
             long written = sinceWriteMillis > 0
-                    ? now - Math.max(1, (long) (Math.nextDown(sinceWriteMillis) * 1e6)) : Word.NONE;
+                    ? now - Math.max(1, (long) (Math.nextDown(sinceWriteMillis) * 1e6))
+                    : Word.NONE;
             Group of = groups.computeIfAbsent(group, Group::new);
-            Txn txn = new Txn(call, router.type(type), of, session, written, tenant, repeated, now,
-                    now + budget * 1_000, taken++);
+            Txn txn = new Txn(
+                    call,
+                    router.type(type),
+                    of,
+                    session,
+                    written,
+                    tenant,
+                    repeated,
+                    now,
+                    now + budget * 1_000,
+                    taken++);
             txns.put(call, txn);
             rounds.act(txn, router.place(txn, now), now);
         });
@@ -137,12 +156,14 @@
         }
         guard(() -> {
             long now = clock * 1_000;
-            Word answer = note == 0 ? Word.SILENT
-                    : new Word(note % 4 == 1 ? Role.PRIMARY : note % 4 == 2 ? Role.REPLICA : Role.UNKNOWN,
-                            note / 4 == 0 ? Word.NONE : zeroMicros * 1_000 + note / 4 * 1_000_000, -1);
+            Word answer = note == 0
+                    ? Word.SILENT
+                    : new Word(
+                            note % 4 == 1 ? Role.PRIMARY : note % 4 == 2 ? Role.REPLICA : Role.UNKNOWN,
+                            note / 4 == 0 ? Word.NONE : zeroMicros * 1_000 + note / 4 * 1_000_000,
+                            -1);
             Txn txn = submission.txn;
-            rounds.act(txn,
-                    router.after(submission, outcome(reason), settled, answer, word(pressure), now), now);
+            rounds.act(txn, router.after(submission, outcome(reason), settled, answer, word(pressure), now), now);
             if (txn.ended && txn.out() == 0) {
                 txns.remove(call);
             }
@@ -234,16 +255,17 @@
         float position = field(pressure, positionField);
         float primary = field(pressure, primaryField);
         // One step down, since the nearest float may lie above the true position.
-        return new Word(primary < 0 ? Role.UNKNOWN : primary >= 0.5f ? Role.PRIMARY : Role.REPLICA,
-                position < 0 ? Word.NONE
-                        : zeroMicros * 1_000 + (long) (Math.nextDown(position) * 1e9),
+        return new Word(
+                primary < 0 ? Role.UNKNOWN : primary >= 0.5f ? Role.PRIMARY : Role.REPLICA,
+                position < 0 ? Word.NONE : zeroMicros * 1_000 + (long) (Math.nextDown(position) * 1e9),
                 field(pressure, loadField));
     }
 
     private static float field(float[] pressure, int place) {
         // A million stands far above what a host can hold and above a clock's seconds in use here.
         return place >= 0 && place < pressure.length && pressure[place] >= 0 && pressure[place] < 1e6f
-                ? pressure[place] : -1;
+                ? pressure[place]
+                : -1;
     }
 
     private static Outcome outcome(int reason) {
--- a/src/main/java/beaconladder/drill/Reader.java
+++ b/src/main/java/beaconladder/drill/Reader.java
@@ -15,6 +15,7 @@
     private ByteBuffer fields = ByteBuffer.wrap(body, 0, 0);
     /** Bytes of the input before the current body. */
     private long before;
+
     private long records;
     private long clock;
 
--- a/src/main/java/beaconladder/drill/Reply.java
+++ b/src/main/java/beaconladder/drill/Reply.java
@@ -74,7 +74,8 @@
         }
         if (bytes.remaining() < length + 2) {
             int at = bytes.position();
-            bytes = ByteBuffer.wrap(Arrays.copyOf(bytes.array(), 2 * bytes.capacity() + length)).position(at);
+            bytes = ByteBuffer.wrap(Arrays.copyOf(bytes.array(), 2 * bytes.capacity() + length))
+                    .position(at);
         }
         records++;
         return bytes.putShort((short) code);
--- a/src/main/java/beaconladder/feed/Ack.java
+++ b/src/main/java/beaconladder/feed/Ack.java
@@ -3,10 +3,9 @@
 /**
  * What a router says of itself with each poll.
  *
- * @param life    grows with each start of this router
+ * @param life grows with each start of this router
  * @param inForce the version in force there
  * @param refused a newer one that it refused, or 0
- * @param counts  whether no other relay, and no earlier life of it, can still be counted
+ * @param counts whether no other relay, and no earlier life of it, can still be counted
  */
-record Ack(String router, long life, long inForce, long refused, boolean counts) {
-}
+record Ack(String router, long life, long inForce, long refused, boolean counts) {}
--- a/src/main/java/beaconladder/feed/Change.java
+++ b/src/main/java/beaconladder/feed/Change.java
@@ -10,11 +10,12 @@
  * What leads from one version to the next.
  *
  * @param version the one that it leads to
- * @param set     texts that are new or take the place of older ones, by name
- * @param remove  names that are gone
- * @param digest  of the state with it
+ * @param set texts that are new or take the place of older ones, by name
+ * @param remove names that are gone
+ * @param digest of the state with it
  */
-public record Change(@JsonProperty(required = true) long version,
+public record Change(
+        @JsonProperty(required = true) long version,
         @JsonProperty(required = true) Map<String, String> set,
         @JsonProperty(required = true) List<String> remove,
         @JsonProperty(required = true) String digest) {
--- a/src/main/java/beaconladder/feed/Disk.java
+++ b/src/main/java/beaconladder/feed/Disk.java
@@ -23,8 +23,9 @@
      *
      * @param heard Unix milliseconds when the state was known to be the newest
      */
-    record Kept(@JsonProperty(required = true) State state, @JsonProperty(required = true) long heard) {
-    }
+    record Kept(
+            @JsonProperty(required = true) State state,
+            @JsonProperty(required = true) long heard) {}
 
     /** Opens a folder, or none where it is null; a damaged one is an exception that names it. */
     public Disk(Path folder) throws IOException {
--- a/src/main/java/beaconladder/feed/FeedText.java
+++ b/src/main/java/beaconladder/feed/FeedText.java
@@ -16,8 +16,7 @@
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
-    private FeedText() {
-    }
+    private FeedText() {}
 
     /** A value as text, in one line. */
     public static String text(Object value) {
--- a/src/main/java/beaconladder/feed/Follower.java
+++ b/src/main/java/beaconladder/feed/Follower.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A relay's task that follows the log: long GETs at the grantors, one after the other until the leader
- * answers. With each it hands in the sums of its routers' acknowledgements.
+ * A relay's task that follows the log: long GETs at the grantors, one after the other until the leader answers. With
+ * each it hands in the sums of its routers' acknowledgements.
  */
 final class Follower implements Runnable, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Follower.class);
@@ -26,10 +26,11 @@
     /** Between two rounds at grantors of whom none leads. */
     private static final int ROUND_MILLIS = 100;
     /**
-     * A lone change goes on at once; while more come, routers are told in steps that grow from here to half a
-     * second, so that a burst is a few answers to each of them and not one for each change.
+     * A lone change goes on at once; while more come, routers are told in steps that grow from here to half a second,
+     * so that a burst is a few answers to each of them and not one for each change.
      */
     private static final int STEP_MILLIS = 100;
+
     private static final int LONGEST_STEP_MILLIS = 500;
     /** Milliseconds that stand for never: thirty years. */
     private static final long NEVER = 1_000_000_000_000L;
@@ -70,7 +71,9 @@
                 boolean newer = poll();
                 failed = 0;
                 if (away) {
-                    LOG.info("relay {} hears from the log again, version {}", name,
+                    LOG.info(
+                            "relay {} hears from the log again, version {}",
+                            name,
                             board.now().newest().version());
                     away = false;
                 }
@@ -95,10 +98,13 @@
     private boolean poll() throws IOException {
         History before = board.now();
         Report report = tally.report(before.newest().version(), lagMillis(), System.nanoTime());
-        String text = doors.get(at).get("/v1/feed?since=" + before.newest().version() + "&wait="
-                + WAIT_MILLIS + (whole ? "&whole=1" : "") + "&relay=" + name + "&report="
-                + URLEncoder.encode(FeedText.text(report), StandardCharsets.UTF_8),
-                WAIT_MILLIS + SLACK_MILLIS, SLACK_MILLIS);
+        String text = doors.get(at)
+                .get(
+                        "/v1/feed?since=" + before.newest().version() + "&wait="
+                                + WAIT_MILLIS + (whole ? "&whole=1" : "") + "&relay=" + name + "&report="
+                                + URLEncoder.encode(FeedText.text(report), StandardCharsets.UTF_8),
+                        WAIT_MILLIS + SLACK_MILLIS,
+                        SLACK_MILLIS);
         Update told = FeedText.read(text, Update.class);
         History next;
         try {
@@ -110,8 +116,9 @@
             throw e;
         }
         if (next.newest().version() != told.version() || !next.newest().digest().equals(told.digest())) {
-            throw new IOException("the log is at version " + told.version() + " with digest " + told.digest()
-                    + ", this relay holds " + next.newest().version() + " with " + next.newest().digest());
+            throw new IOException(
+                    "the log is at version " + told.version() + " with digest " + told.digest() + ", this relay holds "
+                            + next.newest().version() + " with " + next.newest().digest());
         }
         boolean newer = next.newest().version() > before.newest().version();
         if (newer) {
--- a/src/main/java/beaconladder/feed/History.java
+++ b/src/main/java/beaconladder/feed/History.java
@@ -6,19 +6,19 @@
 import java.util.List;
 
 /**
- * The newest state and how it came about, as far as it is worth keeping: what a log's replicas apply alike,
- * and what a relay holds.
+ * The newest state and how it came about, as far as it is worth keeping: what a log's replicas apply alike, and what a
+ * relay holds.
  *
  * @param changes the last ones, oldest first, the last of them leading to the newest state
  */
-public record History(@JsonProperty(required = true) State newest,
+public record History(
+        @JsonProperty(required = true) State newest,
         @JsonProperty(required = true) List<Change> changes) {
     /** At 8,700 changes a day this is most of an hour; who has been away for longer gets the base. */
     static final int MOST_CHANGES = 256;
 
     /** A history after a proposal, and what became of that. */
-    public record Applied(History next, Written written) {
-    }
+    public record Applied(History next, Written written) {}
 
     /** Copies, so that nobody changes it later. */
     public History {
@@ -38,16 +38,19 @@
     /** The history with this proposal applied; all replicas come to the same. */
     public Applied apply(Proposal proposal) {
         if (proposal.against() != newest.version()) {
-            boolean again = changes.stream().anyMatch(each -> each.version() == proposal.against() + 1
-                    && each.set().equals(proposal.set()) && each.remove().equals(proposal.remove()));
+            boolean again = changes.stream()
+                    .anyMatch(each -> each.version() == proposal.against() + 1
+                            && each.set().equals(proposal.set())
+                            && each.remove().equals(proposal.remove()));
             return applied(this, again ? Written.Outcome.WRITTEN : Written.Outcome.OUT_OF_TURN);
         }
         State next = newest.after(proposal);
         if (next.size() > State.LARGEST || next.entries().size() > State.MOST_ENTRIES) {
             return applied(this, Written.Outcome.TOO_LARGE);
         }
-        return applied(with(next, List.of(new Change(next.version(), proposal.set(), proposal.remove(),
-                next.digest()))), Written.Outcome.WRITTEN);
+        return applied(
+                with(next, List.of(new Change(next.version(), proposal.set(), proposal.remove(), next.digest()))),
+                Written.Outcome.WRITTEN);
     }
 
     private static Applied applied(History next, Written.Outcome outcome) {
@@ -72,9 +75,9 @@
         }
         int from = changes.size() - (int) Math.min(Integer.MAX_VALUE, newest.version() - version);
         List<Change> missed = whole || from < 0 ? List.of() : changes.subList(from, changes.size());
-        boolean base = missed.isEmpty() || missed.stream().mapToInt(Change::size).sum() > newest.size();
-        return new Update(newest.version(), newest.digest(), 0, base ? newest : null,
-                base ? List.of() : missed);
+        boolean base =
+                missed.isEmpty() || missed.stream().mapToInt(Change::size).sum() > newest.size();
+        return new Update(newest.version(), newest.digest(), 0, base ? newest : null, base ? List.of() : missed);
     }
 
     /**
@@ -88,7 +91,8 @@
             State base = told.base().checked();
             return base.version() > newest.version() ? of(base) : this;
         }
-        List<Change> more = told.changes().stream().filter(each -> each.version() > newest.version())
+        List<Change> more = told.changes().stream()
+                .filter(each -> each.version() > newest.version())
                 .toList();
         return more.isEmpty() ? this : with(newest.after(more), more);
     }
--- a/src/main/java/beaconladder/feed/Links.java
+++ b/src/main/java/beaconladder/feed/Links.java
@@ -8,9 +8,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Which relay a router polls: its own; its spare while that one is dead or hears nothing from the log; the
- * others in their order while neither answers. One connection at a time. Where two that answer hear nothing,
- * it stays with the first of them: the log is away, and going round would help nobody.
+ * Which relay a router polls: its own; its spare while that one is dead or hears nothing from the log; the others in
+ * their order while neither answers. One connection at a time. Where two that answer hear nothing, it stays with the
+ * first of them: the log is away, and going round would help nobody.
  */
 final class Links implements AutoCloseable {
     private final List<String> order;
@@ -22,10 +22,12 @@
     private int firstStale = -1;
     /** Whether it looks for a relay: polls don't wait then. */
     private boolean quick = true;
+
     private boolean settled;
     private long backAt;
     /** The relay that may count this router, and from when on; see {@link Tally}. */
     private int home = -1;
+
     private long countsFrom;
     private boolean closed;
 
--- a/src/main/java/beaconladder/feed/LogDoor.java
+++ b/src/main/java/beaconladder/feed/LogDoor.java
@@ -7,12 +7,13 @@
 import java.util.Map;
 
 /**
- * The feed's part of a grantor's door. The leader alone answers, from what the log has applied: relays hear
- * of nothing that could be lost again, and hand in their sums where {@code feed status} asks for them.
+ * The feed's part of a grantor's door. The leader alone answers, from what the log has applied: relays hear of nothing
+ * that could be lost again, and hand in their sums where {@code feed status} asks for them.
  */
 public final class LogDoor {
     /** A state of the largest size, each character escaped, and its frame. */
     private static final int LONGEST_BODY = 8 * State.LARGEST;
+
     private static final long LONGEST_WAIT = 5_000;
 
     /** The log behind the door. */
@@ -53,8 +54,7 @@
         this.log = log;
         door.createContext("/v1/feed", exchange -> answer(exchange, "/v1/feed", this::since));
         door.createContext("/v1/feed/status", exchange -> answer(exchange, "/v1/feed/status", this::status));
-        door.createContext("/v1/feed/propose", exchange -> answer(exchange, "/v1/feed/propose",
-                this::propose));
+        door.createContext("/v1/feed/propose", exchange -> answer(exchange, "/v1/feed/propose", this::propose));
     }
 
     private Update since(HttpExchange exchange) throws IOException, Away, InterruptedException {
@@ -67,8 +67,8 @@
             if (!Proposal.isName(relay) || query.text("report") == null) {
                 throw new IOException("a report that is not whole");
             }
-            reports.heard(relay, FeedText.read(query.text("report"), Report.class).checked(),
-                    System.nanoTime());
+            reports.heard(
+                    relay, FeedText.read(query.text("report"), Report.class).checked(), System.nanoTime());
         }
         History now = log.board().after(since, wait);
         leads();
@@ -88,7 +88,8 @@
         if (body.length > LONGEST_BODY) {
             throw new IOException("a proposal of more than " + LONGEST_BODY + " bytes");
         }
-        Proposal proposal = FeedText.read(new String(body, StandardCharsets.UTF_8), Proposal.class).checked();
+        Proposal proposal = FeedText.read(new String(body, StandardCharsets.UTF_8), Proposal.class)
+                .checked();
         try {
             return log.write(proposal);
         } catch (IOException e) {
--- a/src/main/java/beaconladder/feed/Proposal.java
+++ b/src/main/java/beaconladder/feed/Proposal.java
@@ -11,7 +11,8 @@
  *
  * @param against the version that it was made against; the log takes it only while that is the newest
  */
-public record Proposal(@JsonProperty(required = true) long against,
+public record Proposal(
+        @JsonProperty(required = true) long against,
         @JsonProperty(required = true) Map<String, String> set,
         @JsonProperty(required = true) List<String> remove) {
     private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
@@ -28,7 +29,8 @@
     }
 
     static int size(Map<String, String> entries) {
-        return entries.entrySet().stream().mapToInt(each -> each.getKey().length() + each.getValue().length())
+        return entries.entrySet().stream()
+                .mapToInt(each -> each.getKey().length() + each.getValue().length())
                 .sum();
     }
 
@@ -58,8 +60,8 @@
             throw new IOException(against < 0 ? "made against a version below nought" : "nothing is changed");
         }
         if (set.size() + remove.size() > State.MOST_ENTRIES || size(set) > State.LARGEST) {
-            throw new IOException("a change of more than " + State.LARGEST + " characters or "
-                    + State.MOST_ENTRIES + " entries");
+            throw new IOException(
+                    "a change of more than " + State.LARGEST + " characters or " + State.MOST_ENTRIES + " entries");
         }
         return this;
     }
--- a/src/main/java/beaconladder/feed/Proposer.java
+++ b/src/main/java/beaconladder/feed/Proposer.java
@@ -19,7 +19,10 @@
     public Proposer(List<InetSocketAddress> grantors, long millis) {
         this.grantors = List.copyOf(grantors);
         this.each = Duration.ofMillis(millis);
-        this.http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(each).build();
+        this.http = HttpClient.newBuilder()
+                .version(HttpClient.Version.HTTP_1_1)
+                .connectTimeout(each)
+                .build();
     }
 
     /** A proposal that can't be right, as a grantor says. */
@@ -34,25 +37,26 @@
     /**
      * Proposes; asked again after no answer, it is one change all the same.
      *
-     * @throws Wrong       where it can't be right
+     * @throws Wrong where it can't be right
      * @throws IOException where no grantor answers with a quorum; it may be written or not
      */
     public Written propose(Proposal proposal) throws IOException {
         String body = FeedText.text(proposal);
-        return FeedText.read(any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/propose"))
-                .POST(HttpRequest.BodyPublishers.ofString(body))), Written.class);
+        return FeedText.read(
+                any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/propose"))
+                        .POST(HttpRequest.BodyPublishers.ofString(body))),
+                Written.class);
     }
 
     /** The sums as the leader has them. */
     public Reports.Sum status() throws IOException {
-        return FeedText.read(any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/status"))),
-                Reports.Sum.class);
+        return FeedText.read(any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/status"))), Reports.Sum.class);
     }
 
     /** What one that holds this version lacks, as the leader has it. */
     public Update since(long version) throws IOException {
-        return FeedText.read(any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed?wait=0&since=" + version))),
-                Update.class);
+        return FeedText.read(
+                any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed?wait=0&since=" + version))), Update.class);
     }
 
     private interface Call {
@@ -67,8 +71,8 @@
         String last = "no grantor is stated";
         for (InetSocketAddress at : grantors) {
             try {
-                HttpResponse<String> answer = http.send(call.to(at).timeout(each).build(),
-                        HttpResponse.BodyHandlers.ofString());
+                HttpResponse<String> answer =
+                        http.send(call.to(at).timeout(each).build(), HttpResponse.BodyHandlers.ofString());
                 if (answer.statusCode() == 200) {
                     return answer.body();
                 }
@@ -85,13 +89,13 @@
                 throw new IOException(e);
             }
         }
-        throw new IOException("no grantor answers with a leader; is a quorum of them up? The last said: "
-                + last);
+        throw new IOException("no grantor answers with a leader; is a quorum of them up? The last said: " + last);
     }
 
     private static String error(String body) {
         try {
-            return FeedText.read(body, com.fasterxml.jackson.databind.JsonNode.class).path("error")
+            return FeedText.read(body, com.fasterxml.jackson.databind.JsonNode.class)
+                    .path("error")
                     .asText(body);
         } catch (IOException e) {
             return body;
--- a/src/main/java/beaconladder/feed/Query.java
+++ b/src/main/java/beaconladder/feed/Query.java
@@ -16,8 +16,8 @@
         }
         for (String part : raw.split("&")) {
             int equals = part.indexOf('=');
-            if (equals < 1 || values.putIfAbsent(part.substring(0, equals),
-                    decoded(part.substring(equals + 1))) != null) {
+            if (equals < 1
+                    || values.putIfAbsent(part.substring(0, equals), decoded(part.substring(equals + 1))) != null) {
                 throw new IOException("a query that is not whole");
             }
         }
--- a/src/main/java/beaconladder/feed/Relay.java
+++ b/src/main/java/beaconladder/feed/Relay.java
@@ -24,28 +24,33 @@
     private final Follower follower;
     private final RelayDoor door;
     /**
-     * The bodies of answers as of one newest version, by the version that they go on from. They say that the
-     * relay lags by nothing, as it did when the version came; they are used while it knows that to be newest.
+     * The bodies of answers as of one newest version, by the version that they go on from. They say that the relay lags
+     * by nothing, as it did when the version came; they are used while it knows that to be newest.
      */
     private final Map<Long, byte[]> bodies = new HashMap<>();
+
     private long bodiesOf = -1;
     private long bases;
 
     /** What a relay tells of itself. */
-    public record Status(@JsonProperty(required = true) String relay,
-            @JsonProperty(required = true) long version, @JsonProperty(required = true) String digest,
-            @JsonProperty(required = true) long lagMillis, @JsonProperty(required = true) int connections,
-            @JsonProperty(required = true) long answers, @JsonProperty(required = true) long bases,
-            @JsonProperty(required = true) long refused, @JsonProperty(required = true) long bytesIn,
-            @JsonProperty(required = true) long bytesOut) {
-    }
+    public record Status(
+            @JsonProperty(required = true) String relay,
+            @JsonProperty(required = true) long version,
+            @JsonProperty(required = true) String digest,
+            @JsonProperty(required = true) long lagMillis,
+            @JsonProperty(required = true) int connections,
+            @JsonProperty(required = true) long answers,
+            @JsonProperty(required = true) long bases,
+            @JsonProperty(required = true) long refused,
+            @JsonProperty(required = true) long bytesIn,
+            @JsonProperty(required = true) long bytesOut) {}
 
     /**
      * One that answers from now on.
      *
      * @param grantors where the log is
-     * @param store    the folder for its state, or null: then it starts with nothing
-     * @param most     how many routers it bears
+     * @param store the folder for its state, or null: then it starts with nothing
+     * @param most how many routers it bears
      * @throws IOException where the address is taken or the folder can't be used
      */
     public Relay(String name, InetSocketAddress at, List<InetSocketAddress> grantors, Path store, int most)
@@ -62,7 +67,11 @@
         Thread thread = new Thread(null, follower, "follower", 256 * 1024);
         thread.setDaemon(true);
         thread.start();
-        LOG.info("relay {} answers at {}, for up to {} routers, from version {}", name, door.at(), most,
+        LOG.info(
+                "relay {} answers at {}, for up to {} routers, from version {}",
+                name,
+                door.at(),
+                most,
                 disk.kept().state().version());
     }
 
@@ -74,9 +83,17 @@
     private byte[] answer(String name, String path, Query query) throws IOException, InterruptedException {
         if (path.equals("/v1/relay")) {
             State newest = board.now().newest();
-            return bytes(FeedText.text(new Status(name, newest.version(), newest.digest(),
-                    follower.lagMillis(), door.connections(), door.answers.get(), bases(),
-                    door.refused.get(), door.bytesIn.get(), door.bytesOut.get())));
+            return bytes(FeedText.text(new Status(
+                    name,
+                    newest.version(),
+                    newest.digest(),
+                    follower.lagMillis(),
+                    door.connections(),
+                    door.answers.get(),
+                    bases(),
+                    door.refused.get(),
+                    door.bytesIn.get(),
+                    door.bytesOut.get())));
         }
         if (!path.equals("/v1/feed")) {
             throw new IOException("no such path");
@@ -85,9 +102,14 @@
             throw new IOException("name is none");
         }
         long since = query.number("since", Long.MAX_VALUE);
-        tally.heard(new Ack(query.text("name"), query.number("life", Long.MAX_VALUE),
-                query.number("force", Long.MAX_VALUE), query.number("refused", Long.MAX_VALUE),
-                query.is("counts")), System.nanoTime());
+        tally.heard(
+                new Ack(
+                        query.text("name"),
+                        query.number("life", Long.MAX_VALUE),
+                        query.number("force", Long.MAX_VALUE),
+                        query.number("refused", Long.MAX_VALUE),
+                        query.is("counts")),
+                System.nanoTime());
         long wait = query.number("wait", LONGEST_WAIT);
         // Who hears from here that the log is away looks elsewhere, and must not wait for that.
         boolean tells = follower.lagMillis() <= Subscriber.STALE_MILLIS || query.is("patient");
--- a/src/main/java/beaconladder/feed/RelayDoor.java
+++ b/src/main/java/beaconladder/feed/RelayDoor.java
@@ -18,13 +18,16 @@
 import org.apache.hc.core5.http.message.BasicClassicHttpResponse;
 
 /**
- * Where a relay answers routers: a task for each connection, no more of them than stated, each with one
- * request and one answer at a time. Nothing is queued for a router that does not read.
+ * Where a relay answers routers: a task for each connection, no more of them than stated, each with one request and one
+ * answer at a time. Nothing is queued for a router that does not read.
  */
 final class RelayDoor implements AutoCloseable {
     /** What a poll takes, many times over; some kilobytes a connection are most of what a relay holds. */
-    private static final Http1Config FRAMES = Http1Config.custom().setBufferSize(1024).setMaxLineLength(2048)
-            .setMaxHeaderCount(32).build();
+    private static final Http1Config FRAMES = Http1Config.custom()
+            .setBufferSize(1024)
+            .setMaxLineLength(2048)
+            .setMaxHeaderCount(32)
+            .build();
     /** A router polls again at once; one that is silent for so long is gone. */
     private static final int IDLE_MILLIS = 10_000;
     /** The largest answer takes less at a hundredth of a gigabit a second; who reads slower is cut off. */
@@ -108,8 +111,8 @@
     }
 
     private void serve(Open each) {
-        try (each.socket; DefaultBHttpServerConnection http = new DefaultBHttpServerConnection("http",
-                FRAMES)) {
+        try (each.socket;
+                DefaultBHttpServerConnection http = new DefaultBHttpServerConnection("http", FRAMES)) {
             each.socket.setTcpNoDelay(true);
             each.socket.setSoTimeout(IDLE_MILLIS);
             http.bind(each.socket);
@@ -142,8 +145,8 @@
         int code = 200;
         byte[] body;
         try {
-            body = answering.answer(mark < 0 ? path : path.substring(0, mark),
-                    new Query(mark < 0 ? null : path.substring(mark + 1)));
+            body = answering.answer(
+                    mark < 0 ? path : path.substring(0, mark), new Query(mark < 0 ? null : path.substring(mark + 1)));
         } catch (IOException e) {
             code = 400;
             body = FeedText.text(java.util.Map.of("error", String.valueOf(e.getMessage())))
--- a/src/main/java/beaconladder/feed/Reports.java
+++ b/src/main/java/beaconladder/feed/Reports.java
@@ -12,21 +12,24 @@
     /** Eight machines are set aside; a name that is made up again and again is to fill nothing. */
     private static final int MOST = 64;
 
-    private record Entry(Report report, long at) {
-    }
+    private record Entry(Report report, long at) {}
 
     /** A relay as the leader sees it. */
-    public record Seen(@JsonProperty(required = true) String relay,
-            @JsonProperty(required = true) long agoMillis, @JsonProperty(required = true) Report report) {
-    }
+    public record Seen(
+            @JsonProperty(required = true) String relay,
+            @JsonProperty(required = true) long agoMillis,
+            @JsonProperty(required = true) Report report) {}
 
     /** The whole fleet in a few numbers. */
-    public record Sum(@JsonProperty(required = true) long version,
-            @JsonProperty(required = true) String digest, @JsonProperty(required = true) int entries,
-            @JsonProperty(required = true) int size, @JsonProperty(required = true) List<Report.Count> counts,
-            @JsonProperty(required = true) int older, @JsonProperty(required = true) int silent,
-            @JsonProperty(required = true) List<Seen> relays) {
-    }
+    public record Sum(
+            @JsonProperty(required = true) long version,
+            @JsonProperty(required = true) String digest,
+            @JsonProperty(required = true) int entries,
+            @JsonProperty(required = true) int size,
+            @JsonProperty(required = true) List<Report.Count> counts,
+            @JsonProperty(required = true) int older,
+            @JsonProperty(required = true) int silent,
+            @JsonProperty(required = true) List<Seen> relays) {}
 
     private final Map<String, Entry> entries = new TreeMap<>();
 
@@ -59,7 +62,7 @@
         List<Report.Count> all = counts.entrySet().stream()
                 .map(each -> new Report.Count(each.getKey(), each.getValue()[0], each.getValue()[1]))
                 .toList();
-        return new Sum(newest.version(), newest.digest(), newest.entries().size(), newest.size(), all, older,
-                silent, relays);
+        return new Sum(
+                newest.version(), newest.digest(), newest.entries().size(), newest.size(), all, older, silent, relays);
     }
 }
--- a/src/main/java/beaconladder/feed/State.java
+++ b/src/main/java/beaconladder/feed/State.java
@@ -13,15 +13,16 @@
 import java.util.TreeMap;
 
 /**
- * What is to be in force, whole: settings and plans as texts by name. The log alone gives versions, one after
- * the other from 1; a version has one digest, over it and all texts.
+ * What is to be in force, whole: settings and plans as texts by name. The log alone gives versions, one after the other
+ * from 1; a version has one digest, over it and all texts.
  */
-public record State(@JsonProperty(required = true) long version,
+public record State(
+        @JsonProperty(required = true) long version,
         @JsonProperty(required = true) SortedMap<String, String> entries,
         @JsonProperty(required = true) String digest) {
     /**
-     * All texts and names together, in characters: a plan of some thousand tenants, and settings of the same
-     * size. A router holds two states at once, which is to stay far below its 64 MB for control.
+     * All texts and names together, in characters: a plan of some thousand tenants, and settings of the same size. A
+     * router holds two states at once, which is to stay far below its 64 MB for control.
      */
     public static final int LARGEST = 512 * 1024;
     /** Names of documents; an installation has some dozens. */
@@ -72,8 +73,7 @@
 
     private State bounded() throws IOException {
         if (entries.size() > MOST_ENTRIES || size() > LARGEST) {
-            throw new IOException("a state of more than " + LARGEST + " characters or " + MOST_ENTRIES
-                    + " entries");
+            throw new IOException("a state of more than " + LARGEST + " characters or " + MOST_ENTRIES + " entries");
         }
         return this;
     }
@@ -94,8 +94,8 @@
     }
 
     /**
-     * A later one, by changes from outside: those beyond this one have to follow on it without a gap, and
-     * come to the digest of the last. Digests between are not looked at: no state is there that has them.
+     * A later one, by changes from outside: those beyond this one have to follow on it without a gap, and come to the
+     * digest of the last. Digests between are not looked at: no state is there that has them.
      */
     State after(List<Change> changes) throws IOException {
         TreeMap<String, String> next = new TreeMap<>(entries);
@@ -105,14 +105,16 @@
                 continue;
             }
             if (change.version() != ++at) {
-                throw new IOException("a change to version " + change.version() + " where " + at
-                        + " is next");
+                throw new IOException("a change to version " + change.version() + " where " + at + " is next");
             }
             Proposal.check(change.set());
             next.putAll(change.set());
             next.keySet().removeAll(change.remove());
         }
-        return at == version ? this : new State(at, next, digest(at, next)).bounded()
-                .withDigest(changes.get(changes.size() - 1).digest());
+        return at == version
+                ? this
+                : new State(at, next, digest(at, next))
+                        .bounded()
+                        .withDigest(changes.get(changes.size() - 1).digest());
     }
 }
--- a/src/main/java/beaconladder/feed/Subscriber.java
+++ b/src/main/java/beaconladder/feed/Subscriber.java
@@ -11,10 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A router's part: one task that polls one relay, takes what it lacks, puts it in force or refuses it, and
- * says so with its next poll. It never asks the log: four thousand routers that have lost all relays would
- * be the end of the grantors, on whom leases hang too. What it has stays in force, and it says how old that
- * is.
+ * A router's part: one task that polls one relay, takes what it lacks, puts it in force or refuses it, and says so with
+ * its next poll. It never asks the log: four thousand routers that have lost all relays would be the end of the
+ * grantors, on whom leases hang too. What it has stays in force, and it says how old that is.
  */
 public final class Subscriber implements Runnable, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Subscriber.class);
@@ -23,8 +22,8 @@
     /** What an answer may take beyond that; with the wait, two thirds of the 3 s that a change may take. */
     private static final int SLACK_MILLIS = 800;
     /**
-     * After a round in which no relay answered in time, so many times that at the most: relays that are slow
-     * from load would else be asked again and again, and heard by nobody.
+     * After a round in which no relay answered in time, so many times that at the most: relays that are slow from load
+     * would else be asked again and again, and heard by nobody.
      */
     private static final int MOST_PATIENCE = 4;
     /** So many answers in time after that, and it is a step less. */
@@ -58,18 +57,19 @@
     /**
      * One that does nothing before it is run.
      *
-     * @param life   larger than at any start of this router before
+     * @param life larger than at any start of this router before
      * @param relays by name
-     * @param store  the folder for its state, or null: then a start with no relay there has nothing
+     * @param store the folder for its state, or null: then a start with no relay there has nothing
      * @throws IOException where the folder can't be used or is damaged
      */
-    public Subscriber(String name, long life, Map<String, InetSocketAddress> relays, Path store,
-            Applier applier) throws IOException {
+    public Subscriber(String name, long life, Map<String, InetSocketAddress> relays, Path store, Applier applier)
+            throws IOException {
         this(name, life, relays, store, applier, Taking.WHOLE);
     }
 
-    Subscriber(String name, long life, Map<String, InetSocketAddress> relays, Path store, Applier applier,
-            Taking taking) throws IOException {
+    Subscriber(
+            String name, long life, Map<String, InetSocketAddress> relays, Path store, Applier applier, Taking taking)
+            throws IOException {
         this.name = name;
         this.life = life;
         this.applier = applier;
@@ -105,8 +105,12 @@
                     patience = Math.min(MOST_PATIENCE, patience + 1);
                     answers = 0;
                     fromDisk();
-                    LOG.warn("{}: no relay answers ({}); version {} stays in force, {} ms old", name,
-                            e, version(), ageMillis());
+                    LOG.warn(
+                            "{}: no relay answers ({}); version {} stays in force, {} ms old",
+                            name,
+                            e,
+                            version(),
+                            ageMillis());
                     pause(chance.nextInt(BACKOFF_MILLIS));
                 }
             }
@@ -119,10 +123,13 @@
         disk.settle();
         int wait = links.quick() ? 0 : WAIT_MILLIS;
         HttpGet relay = links.use();
-        String text = relay.get("/v1/feed?since=" + taking.since(held) + "&wait=" + wait + "&name=" + name
-                + "&life=" + life + "&force=" + inForce + "&refused=" + refused
-                + (links.counts() ? "&counts=1" : "") + (links.settled() ? "&patient=1" : "")
-                + (whole ? "&whole=1" : ""), wait + patience * SLACK_MILLIS, patience * SLACK_MILLIS);
+        String text = relay.get(
+                "/v1/feed?since=" + taking.since(held) + "&wait=" + wait + "&name=" + name
+                        + "&life=" + life + "&force=" + inForce + "&refused=" + refused
+                        + (links.counts() ? "&counts=1" : "") + (links.settled() ? "&patient=1" : "")
+                        + (whole ? "&whole=1" : ""),
+                wait + patience * SLACK_MILLIS,
+                patience * SLACK_MILLIS);
         if (patience > 1 && ++answers == ANSWERS_A_STEP) {
             patience--;
             answers = 0;
@@ -174,8 +181,12 @@
             disk.keep(next, System.currentTimeMillis());
         } catch (IOException e) {
             // A disk that is full, or fails, says nothing of the version.
-            LOG.warn("{}: version {} can't be written yet, {} stays in force: {}", name, next.version(),
-                    inForce, e.getMessage());
+            LOG.warn(
+                    "{}: version {} can't be written yet, {} stays in force: {}",
+                    name,
+                    next.version(),
+                    inForce,
+                    e.getMessage());
             return false;
         }
         try {
@@ -191,8 +202,7 @@
     }
 
     private void refuse(State next, IOException why) {
-        LOG.warn("{}: version {} is refused, {} stays in force: {}", name, next.version(), inForce,
-                why.getMessage());
+        LOG.warn("{}: version {} is refused, {} stays in force: {}", name, next.version(), inForce, why.getMessage());
         refused = next.version();
         held = next;
     }
--- a/src/main/java/beaconladder/feed/Tally.java
+++ b/src/main/java/beaconladder/feed/Tally.java
@@ -7,12 +7,12 @@
 import java.util.TreeMap;
 
 /**
- * What a relay's routers have acknowledged, by name; summed up for the log's leader, which never learns their
- * names. Times are nanoseconds of one clock.
+ * What a relay's routers have acknowledged, by name; summed up for the log's leader, which never learns their names.
+ * Times are nanoseconds of one clock.
  *
- * <p>A router is counted once although it changes relay: a relay counts it for {@link #SILENT} after its last
- * word, the leader counts a relay for {@link #REPORTED} after its last report, and a router's word to another
- * relay, or of another life, counts only {@link #MOVED} later, which is more than both together.
+ * <p>A router is counted once although it changes relay: a relay counts it for {@link #SILENT} after its last word, the
+ * leader counts a relay for {@link #REPORTED} after its last report, and a router's word to another relay, or of
+ * another life, counts only {@link #MOVED} later, which is more than both together.
  */
 final class Tally {
     /** Three polls at rest. */
@@ -29,16 +29,14 @@
     private static final int TOLD = 4;
 
     /** A router's newest word: what is in force there, and the version that it refused last, or 0. */
-    private record Word(long life, long inForce, long refused, long at) {
-    }
+    private record Word(long life, long inForce, long refused, long at) {}
 
     private final Map<String, Word> words = new HashMap<>();
 
     /** A router's word; one of an earlier life of it, or of one too many, counts for nothing. */
     synchronized void heard(Ack ack, long now) {
         Word before = words.get(ack.router());
-        if (!ack.counts() || before != null && before.life() > ack.life()
-                || before == null && words.size() >= MOST) {
+        if (!ack.counts() || before != null && before.life() > ack.life() || before == null && words.size() >= MOST) {
             return;
         }
         words.put(ack.router(), new Word(ack.life(), ack.inForce(), ack.refused(), now));
--- a/src/main/java/beaconladder/feed/Written.java
+++ b/src/main/java/beaconladder/feed/Written.java
@@ -6,10 +6,12 @@
  * What the log did with a proposal.
  *
  * @param version the newest one after it
- * @param digest  of that version
+ * @param digest of that version
  */
-public record Written(@JsonProperty(required = true) Outcome outcome,
-        @JsonProperty(required = true) long version, @JsonProperty(required = true) String digest) {
+public record Written(
+        @JsonProperty(required = true) Outcome outcome,
+        @JsonProperty(required = true) long version,
+        @JsonProperty(required = true) String digest) {
     /** What it did. */
     public enum Outcome {
         /** It is the newest version, or was the one after the stated version already: asked twice. */
--- a/src/main/java/beaconladder/fleet/Agenda.java
+++ b/src/main/java/beaconladder/fleet/Agenda.java
@@ -9,9 +9,9 @@
 import java.util.TreeSet;
 
 /**
- * When txns are to be looked at again, when a member may be asked next for the sake of one, and which groups
- * are to be looked at. That are those with txns on hold: a look at every group at each event would cost the
- * more the larger the fleet is, and find nothing in the others.
+ * When txns are to be looked at again, when a member may be asked next for the sake of one, and which groups are to be
+ * looked at. That are those with txns on hold: a look at every group at each event would cost the more the larger the
+ * fleet is, and find nothing in the others.
  */
 public final class Agenda {
     private final TreeSet<Txn> looks =
@@ -20,6 +20,7 @@
     private final TreeSet<Group> holding = new TreeSet<>(Comparator.comparingInt(group -> group.place));
     /** Groups of which something has changed since the last look. */
     private final List<Group> touched = new ArrayList<>();
+
     private int listed;
     public long probe = Long.MAX_VALUE;
 
--- a/src/main/java/beaconladder/fleet/Group.java
+++ b/src/main/java/beaconladder/fleet/Group.java
@@ -33,10 +33,11 @@
     /** What a member bears of a group that is one member alone, in the unit of the two samples below. */
     public static final long WHOLE = 1_000_000;
     /**
-     * What one member bore of each of this router's recent txns of the group, and one warm member: a commit
-     * is the work of all members that were there then, by equal parts; what did not commit nobody bore.
+     * What one member bore of each of this router's recent txns of the group, and one warm member: a commit is the work
+     * of all members that were there then, by equal parts; what did not commit nobody bore.
      */
     public final Samples borne = new Samples(32);
+
     public final Samples borneWarm = new Samples(32);
     /** Of the same txns: 1 for a commit at a warm member. */
     public final Samples committedWarm = new Samples(32);
