--- a/src/main/java/beaconladder/fleet/Host.java
+++ b/src/main/java/beaconladder/fleet/Host.java
@@ -10,7 +10,11 @@
 public final class Host {
 
     /** What the roster says of a host. */
-    public enum State { READY, DRAINING, GONE }
+    public enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     public final int id;
     public final Group group;
@@ -33,11 +37,13 @@
     public long lag;
     /** Whether it has answered this router, or a probe, since this router or it started. */
     public boolean met;
+
     public long lastHeard = Long.MIN_VALUE;
     /** How many txns of all routers it last said that it held; less than 0 for never said. */
     public double holds = -1;
     /** When it last said something of itself, in an answer or to a probe. */
     public long saidAt = -(1L << 60);
+
     public long probeSent = Long.MIN_VALUE;
     public boolean probeOut;
     /** When it last turned a txn away as full. */
@@ -53,11 +59,13 @@
     public final Samples times = new Samples(16);
     /** How long the newest committed answer took, and when it came. */
     public long newestAnswerTook;
+
     public long newestAnswerAt = Long.MIN_VALUE;
     /** Recent ends: 1 for an answer, 0 for none. */
     public final Samples ends = new Samples(16);
     /** When each of the sends that a cold host may still get was granted, oldest first. */
     public final ArrayDeque<Long> tickets = new ArrayDeque<>();
+
     public long sentAt = -(1L << 60);
     /** How the last submissions ended: 1 for an answer, 0 for none or a full queue. */
     public final Samples marks = new Samples(16);
--- a/src/main/java/beaconladder/fleet/Samples.java
+++ b/src/main/java/beaconladder/fleet/Samples.java
@@ -11,6 +11,7 @@
     private int next;
     /** The share last asked for and its quantile, which stands until the next sample; under 0 for none. */
     private double share = -1;
+
     private long quantile;
 
     public Samples(int keep) {
--- a/src/main/java/beaconladder/fleet/Session.java
+++ b/src/main/java/beaconladder/fleet/Session.java
@@ -9,6 +9,7 @@
     public long commit = Long.MIN_VALUE;
     /** Its writes that may be out. */
     public final Set<Txn> writes = new LinkedHashSet<>();
+
     public Group group;
 
     /** This session, with one more write that goes out. */
--- a/src/main/java/beaconladder/fleet/SlowStartTicket.java
+++ b/src/main/java/beaconladder/fleet/SlowStartTicket.java
@@ -1,4 +1,8 @@
 package beaconladder.fleet;
 
 /** What the slow start of a host asks of an attempt, and whether it had it. */
-public enum SlowStartTicket { NOT_NEEDED, SPENT, MISSING }
+public enum SlowStartTicket {
+    NOT_NEEDED,
+    SPENT,
+    MISSING
+}
--- a/src/main/java/beaconladder/fleet/Submission.java
+++ b/src/main/java/beaconladder/fleet/Submission.java
@@ -10,11 +10,13 @@
     public final int beside;
     /** What the host last said that it held, and when that was. */
     public final double holds;
+
     public final long saidAt;
     /** When the host had last started, as far as the decision knew. */
     public final long hostLaunched;
     /** What the slow start of its host asked of it. */
     public final SlowStartTicket ticket;
+
     public boolean ended;
     /** Whether its outcome proves that it never ran. */
     public boolean neverRan;
--- a/src/main/java/beaconladder/fleet/Traffic.java
+++ b/src/main/java/beaconladder/fleet/Traffic.java
@@ -14,6 +14,7 @@
     public final Map<String, String> start;
     /** Those settings that are numbers, read once: they are asked for at every event. */
     private final Map<String, Double> numbers = new HashMap<>();
+
     public final List<TxnType> types;
     public final double topValue;
     /** The tightest bound of a txn type; a second where none is stated. */
@@ -37,7 +38,10 @@
         this.start = start;
         this.types = TxnType.read(start);
         this.mix = new TypeMix(256, types.size());
-        this.tightest = types.stream().filter(t -> t.read() == Read.BOUNDED).mapToLong(TxnType::bound).min()
+        this.tightest = types.stream()
+                .filter(t -> t.read() == Read.BOUNDED)
+                .mapToLong(TxnType::bound)
+                .min()
                 .orElse(1_000 * MS);
         this.topValue = types.stream().mapToDouble(TxnType::value).max().orElse(1);
     }
@@ -50,7 +54,9 @@
     /** The value of the txns that came last. */
     public double asked() {
         if (asked < 0) {
-            asked = types.stream().mapToDouble(type -> mix.count(type.place()) * type.value()).sum();
+            asked = types.stream()
+                    .mapToDouble(type -> mix.count(type.place()) * type.value())
+                    .sum();
         }
         return asked;
     }
@@ -73,8 +79,8 @@
 
     /** The number that a setting gives, or the one to take without it. */
     public double number(String name, double without) {
-        Double given = numbers.computeIfAbsent(name,
-                key -> start.containsKey(key) ? Double.valueOf(start.get(key)) : null);
+        Double given =
+                numbers.computeIfAbsent(name, key -> start.containsKey(key) ? Double.valueOf(start.get(key)) : null);
         return given == null ? without : given;
     }
 
@@ -101,7 +107,7 @@
     /**
      * A txn has been committed.
      *
-     * @param members     how many members were there to bear it
+     * @param members how many members were there to bear it
      * @param warmMembers how many of them were warm, if a warm one did, else 0
      */
     public void committed(Txn txn, int members, int warmMembers, long now) {
--- a/src/main/java/beaconladder/fleet/Txn.java
+++ b/src/main/java/beaconladder/fleet/Txn.java
@@ -7,7 +7,11 @@
 public final class Txn {
 
     /** What a held txn may need to learn before it can go. */
-    public enum Want { NOTHING, MEMBER, PRIMARY }
+    public enum Want {
+        NOTHING,
+        MEMBER,
+        PRIMARY
+    }
 
     public final long id;
     public final TxnType type;
@@ -16,6 +20,7 @@
     public final long session;
     /** The position of the session's last write, as its client tells; Long.MIN_VALUE for none. */
     public final long written;
+
     public final int tenant;
     public final boolean repeated;
     public final long arrived;
@@ -34,6 +39,7 @@
     public Want want = Want.NOTHING;
     /** Probes sent for its sake, and when the last one was. */
     public int asked;
+
     public long askedAt;
     public boolean known;
     /** Whether it has drawn for a ticket at a cold primary. */
@@ -42,14 +48,24 @@
     public long retryAt = Long.MIN_VALUE;
     /** Submissions that never left this machine. */
     public int localFaults;
+
     public boolean ended;
     /** When its client was seen to have gone; Long.MAX_VALUE while it is there. */
     public long leftAt = Long.MAX_VALUE;
     /** When it is to be looked at again. */
     public long look = Long.MAX_VALUE;
 
-    public Txn(long id, TxnType type, Group group, long session, long written, int tenant,
-            boolean repeated, long arrived, long expiry, long number) {
+    public Txn(
+            long id,
+            TxnType type,
+            Group group,
+            long session,
+            long written,
+            int tenant,
+            boolean repeated,
+            long arrived,
+            long expiry,
+            long number) {
         this.id = id;
         this.type = type;
         this.group = group;
--- a/src/main/java/beaconladder/fleet/TxnType.java
+++ b/src/main/java/beaconladder/fleet/TxnType.java
@@ -7,19 +7,33 @@
 /**
  * A txn type, as stated at start.
  *
- * @param bound  for {@link Read#BOUNDED}: how old the data may be
+ * @param bound for {@link Read#BOUNDED}: how old the data may be
  * @param memory for {@link Effect#REFERENCED}: how long repeats are discarded
- * @param late   the share of the value that is left after the SLA time
+ * @param late the share of the value that is left after the SLA time
  * @param budgets the budgets that the last txns of this type brought
- * @param served  how the last txns of this type ended: 1 for an answer in time
+ * @param served how the last txns of this type ended: 1 for an answer in time
  */
-public record TxnType(int place, Read read, long bound, Effect effect, Scope scope, long memory, long sla,
-        long expiry, double value, double late, Samples budgets,
+public record TxnType(
+        int place,
+        Read read,
+        long bound,
+        Effect effect,
+        Scope scope,
+        long memory,
+        long sla,
+        long expiry,
+        double value,
+        double late,
+        Samples budgets,
         Samples served) {
 
     /** What data a txn type needs. */
     public enum Read {
-        ANY, BOUNDED, SESSION, CURRENT, WRITE;
+        ANY,
+        BOUNDED,
+        SESSION,
+        CURRENT,
+        WRITE;
 
         /** Whether only the primary can take it. */
         public boolean atPrimary() {
@@ -33,10 +47,18 @@
     }
 
     /** What a repeat does. */
-    public enum Effect { REPEATABLE, REFERENCED, ONCE_ONLY }
+    public enum Effect {
+        REPEATABLE,
+        REFERENCED,
+        ONCE_ONLY
+    }
 
     /** For referenced txns: who discards a repeat. */
-    public enum Scope { ALL, ZONE, GROUP }
+    public enum Scope {
+        ALL,
+        ZONE,
+        GROUP
+    }
 
     public static List<TxnType> read(Map<String, String> start) {
         List<TxnType> types = new ArrayList<>();
@@ -66,10 +88,18 @@
             long expiry = nanos(start.getOrDefault(at + "give_up_us", "1000000"));
             String stated = start.get(at + "goal_time_us");
             long sla = stated == null ? expiry : nanos(stated);
-            types.add(new TxnType(i, read, bound, effect, scope,
+            types.add(new TxnType(
+                    i,
+                    read,
+                    bound,
+                    effect,
+                    scope,
                     nanos(start.getOrDefault(at + "key_ttl_us", "0")),
-                    sla, expiry, Double.parseDouble(start.getOrDefault(at + "points", "1")),
-                    Double.parseDouble(start.getOrDefault(at + "late_share", "0")), new Samples(32),
+                    sla,
+                    expiry,
+                    Double.parseDouble(start.getOrDefault(at + "points", "1")),
+                    Double.parseDouble(start.getOrDefault(at + "late_share", "0")),
+                    new Samples(32),
                     new Samples(64)));
         }
         return List.copyOf(types);
--- a/src/main/java/beaconladder/gossip/Gossip.java
+++ b/src/main/java/beaconladder/gossip/Gossip.java
@@ -27,16 +27,14 @@
     /**
      * A member that listens from now on and takes part once it runs.
      *
-     * @param at    where it listens
+     * @param at where it listens
      * @param known the host and port under which the others reach it
      * @param seeds where others may be
      */
-    public Gossip(String name, InetSocketAddress at, String known,
-            Collection<String> seeds) throws IOException {
+    public Gossip(String name, InetSocketAddress at, String known, Collection<String> seeds) throws IOException {
         socket = new DatagramSocket(at);
         // A later life counts over an earlier one.
-        swim = new Swim(name, known, System.currentTimeMillis(), seeds, name.hashCode() * 31L
-                + System.nanoTime());
+        swim = new Swim(name, known, System.currentTimeMillis(), seeds, name.hashCode() * 31L + System.nanoTime());
     }
 
     /** Who is there, as known here now. */
@@ -62,9 +60,13 @@
                 View view = view();
                 if (view.version() != told) {
                     told = view.version();
-                    LOG.info("view {}: {}", told, view.present().stream().map(each -> each.name()
-                            + (each.state() == beaconladder.members.Member.State.SUSPECT
-                                    ? "?" : "")).toList());
+                    LOG.info(
+                            "view {}: {}",
+                            told,
+                            view.present().stream()
+                                    .map(each -> each.name()
+                                            + (each.state() == beaconladder.members.Member.State.SUSPECT ? "?" : ""))
+                                    .toList());
                 }
                 long left = (wake - System.nanoTime()) / 1_000_000;
                 socket.setSoTimeout((int) Math.max(1, Math.min(LOOK_MILLIS, left)));
@@ -90,7 +92,8 @@
             int colon = each.address().lastIndexOf(':');
             byte[] bytes = GossipText.bytes(each.message());
             try {
-                InetSocketAddress to = new InetSocketAddress(each.address().substring(0, colon),
+                InetSocketAddress to = new InetSocketAddress(
+                        each.address().substring(0, colon),
                         Integer.parseInt(each.address().substring(colon + 1)));
                 if (!to.isUnresolved()) {
                     socket.send(new DatagramPacket(bytes, bytes.length, to));
--- a/src/main/java/beaconladder/gossip/GossipText.java
+++ b/src/main/java/beaconladder/gossip/GossipText.java
@@ -18,8 +18,7 @@
     /** Ten words and the sender's: what is longer is no message of ours. */
     private static final int MOST_NEWS = 16;
 
-    private GossipText() {
-    }
+    private GossipText() {}
 
     static byte[] bytes(Message message) {
         try {
@@ -30,11 +29,14 @@
     }
 
     static Message read(byte[] bytes, int length) throws IOException {
-        Message message = MAPPER.readValue(new String(bytes, 0, length, StandardCharsets.UTF_8),
-                Message.class);
-        if (message == null || message.kind() == null || message.target() == null
-                || !message.target().isEmpty() && !message.target().matches(NAME) || !whole(message.from())
-                || message.news() == null || message.news().size() > MOST_NEWS
+        Message message = MAPPER.readValue(new String(bytes, 0, length, StandardCharsets.UTF_8), Message.class);
+        if (message == null
+                || message.kind() == null
+                || message.target() == null
+                || !message.target().isEmpty() && !message.target().matches(NAME)
+                || !whole(message.from())
+                || message.news() == null
+                || message.news().size() > MOST_NEWS
                 || !message.news().stream().allMatch(GossipText::whole)) {
             throw new IOException("a message that is not whole");
         }
@@ -42,8 +44,12 @@
     }
 
     private static boolean whole(Member member) {
-        return member != null && member.state() != null && member.name() != null && member.name()
-                .matches(NAME)
-                && member.address() != null && member.address().matches(ADDRESS) && member.incarnation() >= 0;
+        return member != null
+                && member.state() != null
+                && member.name() != null
+                && member.name().matches(NAME)
+                && member.address() != null
+                && member.address().matches(ADDRESS)
+                && member.incarnation() >= 0;
     }
 }
--- a/src/main/java/beaconladder/grant/FeedLog.java
+++ b/src/main/java/beaconladder/grant/FeedLog.java
@@ -13,8 +13,8 @@
 import org.apache.ratis.server.RaftServer;
 
 /**
- * The feed's log is the grantors'. A leader that is one no longer and does not know it yet answers from what
- * was applied before: that is older, and never wrong.
+ * The feed's log is the grantors'. A leader that is one no longer and does not know it yet answers from what was
+ * applied before: that is older, and never wrong.
  */
 record FeedLog(GrantLog log, RaftServer server, RaftGroupId group, RaftClient client) implements LogDoor.Log {
     @Override
--- a/src/main/java/beaconladder/grant/GrantLog.java
+++ b/src/main/java/beaconladder/grant/GrantLog.java
@@ -33,8 +33,8 @@
 import org.apache.ratis.util.MD5FileUtil;
 
 /**
- * {@link Grants} and the feed's {@link History} under Apache Ratis: the leader stamps each ask with its
- * clock, all replicas apply it alike.
+ * {@link Grants} and the feed's {@link History} under Apache Ratis: the leader stamps each ask with its clock, all
+ * replicas apply it alike.
  */
 final class GrantLog extends BaseStateMachine {
     /** Before a message, an entry, a line of a snapshot that is the feed's; those of leases begin with {. */
@@ -80,8 +80,12 @@
         } else {
             entry = GrantText.text(new GrantText.Entry(GrantText.ask(text), clock.getAsLong(), bound));
         }
-        return TransactionContext.newBuilder().setStateMachine(this).setClientRequest(request)
-                .setServerRole(RaftPeerRole.LEADER).setLogData(ByteString.copyFromUtf8(entry)).build();
+        return TransactionContext.newBuilder()
+                .setStateMachine(this)
+                .setClientRequest(request)
+                .setServerRole(RaftPeerRole.LEADER)
+                .setLogData(ByteString.copyFromUtf8(entry))
+                .build();
     }
 
     @Override
@@ -95,8 +99,7 @@
                     History.Applied applied = feed.now().apply(proposal);
                     feed.show(applied.next());
                     updateLastAppliedTermIndex(logged.getTerm(), logged.getIndex());
-                    return CompletableFuture.completedFuture(Message.valueOf(FeedText.text(
-                            applied.written())));
+                    return CompletableFuture.completedFuture(Message.valueOf(FeedText.text(applied.written())));
                 }
             }
             GrantText.Entry entry = GrantText.read(text, GrantText.Entry.class);
@@ -139,8 +142,7 @@
         File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
         Path beside = file.toPath().resolveSibling(file.getName() + ".part");
         Files.writeString(beside, text, StandardCharsets.UTF_8);
-        Files.move(beside, file.toPath(), StandardCopyOption.ATOMIC_MOVE,
-                StandardCopyOption.REPLACE_EXISTING);
+        Files.move(beside, file.toPath(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         MD5Hash hash = MD5FileUtil.computeAndSaveMd5ForFile(file);
         storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), hash), last));
         return last.getIndex();
@@ -160,7 +162,8 @@
             if (!line.startsWith(FEED)) {
                 throw new IOException("a snapshot of a program that knows of more than this one");
             }
-            history = FeedText.read(line.substring(FEED.length()), History.class).checked();
+            history =
+                    FeedText.read(line.substring(FEED.length()), History.class).checked();
         }
         grants = read;
         feed.show(history);
--- a/src/main/java/beaconladder/grant/GrantText.java
+++ b/src/main/java/beaconladder/grant/GrantText.java
@@ -20,11 +20,9 @@
     private static final long LONGEST = 86_400_000_000_000L;
 
     /** An ask as the log has it: with the leader's clock and the clock bound that it was applied with. */
-    record Entry(Ask ask, long stamp, long bound) {
-    }
+    record Entry(Ask ask, long stamp, long bound) {}
 
-    private GrantText() {
-    }
+    private GrantText() {}
 
     static String text(Object value) {
         try {
@@ -44,9 +42,13 @@
 
     static Answer answer(String text) throws IOException {
         Answer answer = read(text, Answer.class);
-        if (answer.task() == null || answer.why() == null || answer.holder() == null
-                || answer.why() == Answer.Why.GRANTED && (answer.grant() == null
-                || answer.grant().holder() == null || !answer.task().equals(answer.grant().task()))) {
+        if (answer.task() == null
+                || answer.why() == null
+                || answer.holder() == null
+                || answer.why() == Answer.Why.GRANTED
+                        && (answer.grant() == null
+                                || answer.grant().holder() == null
+                                || !answer.task().equals(answer.grant().task()))) {
             throw new IOException("an answer that is not whole");
         }
         return answer;
@@ -56,9 +58,15 @@
     static Ask ask(String text) throws IOException {
         Ask ask = read(text, Ask.class);
         boolean handsOver = ask.kind() == Ask.Kind.HAND_OVER;
-        if (ask.kind() == null || ask.task() == null || !ask.task().matches(NAME) || ask.holder() == null
-                || !handsOver && !ask.holder().matches(NAME + "#[0-9]{1,19}") || ask.heir() == null
-                || handsOver && !ask.heir().matches(NAME) || ask.length() < 0 || ask.length() > LONGEST
+        if (ask.kind() == null
+                || ask.task() == null
+                || !ask.task().matches(NAME)
+                || ask.holder() == null
+                || !handsOver && !ask.holder().matches(NAME + "#[0-9]{1,19}")
+                || ask.heir() == null
+                || handsOver && !ask.heir().matches(NAME)
+                || ask.length() < 0
+                || ask.length() > LONGEST
                 || ask.kind() != Ask.Kind.RELEASE && ask.length() == 0) {
             throw new IOException("an ask that is not whole");
         }
--- a/src/main/java/beaconladder/grant/Grantor.java
+++ b/src/main/java/beaconladder/grant/Grantor.java
@@ -38,22 +38,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * One of the three or five processes that grant leases together; any of them takes asks, and the leader
- * decides.
- */
+/** One of the three or five processes that grant leases together; any of them takes asks, and the leader decides. */
 public final class Grantor implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Grantor.class);
     /** All grantors of an installation are of one group; its number means nothing. */
     private static final RaftGroupId GROUP =
             RaftGroupId.valueOf(java.util.UUID.fromString("b7a2c0de-0000-4000-8000-000000000001"));
     /**
-     * A leader is missed after a tenth of a lease, but no sooner than this: with 150 to 300 ms three grantors
-     * that had just started agreed on no leader in 30 s, as their first calls take longer.
+     * A leader is missed after a tenth of a lease, but no sooner than this: with 150 to 300 ms three grantors that had
+     * just started agreed on no leader in 30 s, as their first calls take longer.
      */
     private static final long LEAST_MISSED = 500_000_000L;
     /** A snapshot so often keeps the log short: an ask takes some 400 bytes of it. */
     private static final long SNAPSHOT_EVERY = 2_000;
+
     private static final int RETRIES = 4;
 
     private final RaftServer server;
@@ -61,6 +59,7 @@
     private final HttpServer door;
     /** Its place in the fleet, or null. */
     private final Gossip gossip;
+
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "grantor");
         thread.setDaemon(true);
@@ -79,22 +78,30 @@
             throw new IOException("no grantor '" + name + "' is stated");
         }
         List<RaftPeer> peers = plan.grantors().stream()
-                .map(each -> RaftPeer.newBuilder().setId(each.name()).setAddress(each.raft())
-                        .build()).toList();
+                .map(each -> RaftPeer.newBuilder()
+                        .setId(each.name())
+                        .setAddress(each.raft())
+                        .build())
+                .toList();
         RaftGroup group = RaftGroup.valueOf(GROUP, peers);
         Path folder = Path.of(self.store());
         boolean first = !Files.isDirectory(folder.resolve(GROUP.getUuid().toString()));
         Files.createDirectories(folder);
         RaftProperties properties = properties(plan, self, folder);
         GrantLog log = new GrantLog(clock, plan.bound());
-        server = RaftServer.newBuilder().setServerId(peers.get(plan.grantors().indexOf(self)).getId())
-                .setGroup(group).setProperties(properties).setStateMachine(log)
+        server = RaftServer.newBuilder()
+                .setServerId(peers.get(plan.grantors().indexOf(self)).getId())
+                .setGroup(group)
+                .setProperties(properties)
+                .setStateMachine(log)
                 .setOption(first ? RaftStorage.StartupOption.FORMAT : RaftStorage.StartupOption.RECOVER)
-                        .build();
+                .build();
         server.start();
-        client = RaftClient.newBuilder().setRaftGroup(group).setProperties(properties)
-                .setRetryPolicy(RetryPolicies.retryUpToMaximumCountWithFixedSleep(RETRIES,
-                        millis(50))).build();
+        client = RaftClient.newBuilder()
+                .setRaftGroup(group)
+                .setProperties(properties)
+                .setRetryPolicy(RetryPolicies.retryUpToMaximumCountWithFixedSleep(RETRIES, millis(50)))
+                .build();
         gossip = gossip(plan, self);
         // Head and body of an answer are two segments: without this the second waits for the other's ACK.
         System.setProperty("sun.net.httpserver.nodelay", "true");
@@ -115,8 +122,8 @@
             return null;
         }
         int port = Integer.parseInt(self.gossip().substring(self.gossip().lastIndexOf(':') + 1));
-        Gossip gossip = new Gossip(self.name(), new InetSocketAddress(self.at().getAddress(), port),
-                self.gossip(), plan.seeds());
+        Gossip gossip = new Gossip(
+                self.name(), new InetSocketAddress(self.at().getAddress(), port), self.gossip(), plan.seeds());
         Thread thread = new Thread(gossip, "gossip");
         thread.setDaemon(true);
         thread.start();
@@ -128,15 +135,13 @@
         RaftServerConfigKeys.setStorageDir(of, List.of(folder.toFile()));
         RaftConfigKeys.Rpc.setType(of, SupportedRpcType.GRPC);
         GrpcConfigKeys.Server.setHost(of, self.at().getAddress().getHostAddress());
-        GrpcConfigKeys.Server.setPort(of, Integer.parseInt(self.raft().substring(self.raft()
-                .lastIndexOf(':') + 1)));
+        GrpcConfigKeys.Server.setPort(
+                of, Integer.parseInt(self.raft().substring(self.raft().lastIndexOf(':') + 1)));
         long missed = Math.max(LEAST_MISSED, plan.length() / 10);
         RaftServerConfigKeys.Rpc.setTimeoutMin(of, TimeDuration.valueOf(missed, TimeUnit.NANOSECONDS));
         RaftServerConfigKeys.Rpc.setTimeoutMax(of, TimeDuration.valueOf(2 * missed, TimeUnit.NANOSECONDS));
-        RaftServerConfigKeys.Rpc.setRequestTimeout(of, TimeDuration.valueOf(2 * missed,
-                TimeUnit.NANOSECONDS));
-        RaftClientConfigKeys.Rpc.setRequestTimeout(of, TimeDuration.valueOf(2 * missed,
-                TimeUnit.NANOSECONDS));
+        RaftServerConfigKeys.Rpc.setRequestTimeout(of, TimeDuration.valueOf(2 * missed, TimeUnit.NANOSECONDS));
+        RaftClientConfigKeys.Rpc.setRequestTimeout(of, TimeDuration.valueOf(2 * missed, TimeUnit.NANOSECONDS));
         // An eighth of the disk a segment: two are open, snapshots purge the rest.
         SizeInBytes segment = SizeInBytes.valueOf(Math.max(64 * 1024, plan.disk() / 8));
         RaftServerConfigKeys.Log.setSegmentSizeMax(of, segment);
@@ -193,7 +198,8 @@
 
     private static String asked(HttpExchange exchange) {
         String query = exchange.getRequestURI().getRawQuery();
-        return query == null || !query.startsWith("ask=") ? ""
+        return query == null || !query.startsWith("ask=")
+                ? ""
                 : URLDecoder.decode(query.substring(4), StandardCharsets.UTF_8);
     }
 
--- a/src/main/java/beaconladder/grant/Holding.java
+++ b/src/main/java/beaconladder/grant/Holding.java
@@ -6,10 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * A process's hold on a task: a thread that asks for it, holds it and gives it up, as {@link Tenure}
- * says.
- */
+/** A process's hold on a task: a thread that asks for it, holds it and gives it up, as {@link Tenure} says. */
 public final class Holding implements Runnable, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Holding.class);
     /** So long at the most between two looks at the clock. */
@@ -21,8 +18,7 @@
     private volatile boolean closed;
 
     /** What an act carries: the token, and until when it may be sent, in Unix nanoseconds. */
-    public record Permit(long token, long until) {
-    }
+    public record Permit(long token, long until) {}
 
     public Holding(Tenure tenure, Doors doors, LongSupplier clock) {
         this.doors = doors;
@@ -63,8 +59,12 @@
 
     private synchronized Tenure.Step take(Tenure.Step step) {
         if (step.next().state() != tenure.state()) {
-            LOG.info("{} of {} is {}, token {}", step.next().holder(), step.next().task(),
-                    step.next().state().name().toLowerCase(java.util.Locale.ROOT), step.next().token());
+            LOG.info(
+                    "{} of {} is {}, token {}",
+                    step.next().holder(),
+                    step.next().task(),
+                    step.next().state().name().toLowerCase(java.util.Locale.ROOT),
+                    step.next().token());
         }
         tenure = step.next();
         return step;
--- a/src/main/java/beaconladder/grant/WallClock.java
+++ b/src/main/java/beaconladder/grant/WallClock.java
@@ -7,9 +7,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time in nanoseconds as it stood when this was made, moved on by the monotonic clock: spans by it are
- * spans of real time, whatever is done to the wall clock meanwhile. In a rehearsal off by what a file says,
- * so that clocks can be set apart on one machine.
+ * Unix time in nanoseconds as it stood when this was made, moved on by the monotonic clock: spans by it are spans of
+ * real time, whatever is done to the wall clock meanwhile. In a rehearsal off by what a file says, so that clocks can
+ * be set apart on one machine.
  */
 public final class WallClock implements LongSupplier {
     private static final long READ_NANOS = 10_000_000;
--- a/src/main/java/beaconladder/invariants/Invariants.java
+++ b/src/main/java/beaconladder/invariants/Invariants.java
@@ -43,15 +43,19 @@
         Txn txn = attempt.txn;
         Host host = attempt.host;
         if (host.state != Host.State.READY && sent.began() > host.stateSince + drainGrace + SLACK) {
-            add(Rule.SENDING, attempt, "to a host that leaves, ms after its listing: "
-                    + ms(sent.began() - host.stateSince));
+            add(
+                    Rule.SENDING,
+                    attempt,
+                    "to a host that leaves, ms after its listing: " + ms(sent.began() - host.stateSince));
         }
         if (txn.leftAt != Long.MAX_VALUE && sent.began() > txn.leftAt + CLOSE_SLACK) {
             add(Rule.SENDING, attempt, "after its client had gone, ms: " + ms(sent.began() - txn.leftAt));
         }
         if (sent.passedTime() > txn.expiry - sent.ended() + TIME_SLACK) {
-            add(Rule.SENDING, attempt, "with more time than the client has, ms: "
-                    + ms(sent.passedTime() - (txn.expiry - sent.ended())));
+            add(
+                    Rule.SENDING,
+                    attempt,
+                    "with more time than the client has, ms: " + ms(sent.passedTime() - (txn.expiry - sent.ended())));
         }
         if (attempt.ticket == SlowStartTicket.MISSING) {
             add(Rule.STARTING, attempt, "without a ticket to a host in slow start");
@@ -66,8 +70,7 @@
             return;
         }
         if (txn.type.effect() == Effect.ONCE_ONLY) {
-            add(Rule.REPEATING, sent.attempt(), "of what must not run twice and may have run at "
-                    + ran.host.id);
+            add(Rule.REPEATING, sent.attempt(), "of what must not run twice and may have run at " + ran.host.id);
         } else if (txn.type.effect() == Effect.REFERENCED
                 && sent.ended() - ran.sent > txn.type.memory() + TIME_SLACK + SLACK) {
             add(Rule.REPEATING, sent.attempt(), "behind the memory time, ms: " + ms(sent.ended() - ran.sent));
@@ -77,12 +80,12 @@
     /** The client is told that this has not run and may be tried again. */
     public void refused(Txn txn) {
         Submission ran = txn.mayHaveRun();
-        boolean harmless = ran == null || txn.type.effect() == Effect.REPEATABLE
+        boolean harmless = ran == null
+                || txn.type.effect() == Effect.REPEATABLE
                 || txn.type.effect() == Effect.REFERENCED && txn.type.scope() == TxnType.Scope.ALL;
         if (!harmless) {
-            violations.add(Rule.REPEATING, "request " + txn.number
-                    + " refused though it may have run at host "
-                    + ran.host.id);
+            violations.add(
+                    Rule.REPEATING, "request " + txn.number + " refused though it may have run at host " + ran.host.id);
         }
     }
 
@@ -91,18 +94,17 @@
         if (txn.ended || now <= txn.expiry + LATE_ANSWER) {
             return false;
         }
-        violations.add(Rule.CLOSING, "request " + txn.number + " has no answer, ms behind its time: "
-                + ms(now - txn.expiry) + ", attempts " + txn.submissions.size() + ", out " + txn.out());
+        violations.add(
+                Rule.CLOSING,
+                "request " + txn.number + " has no answer, ms behind its time: " + ms(now - txn.expiry) + ", attempts "
+                        + txn.submissions.size() + ", out " + txn.out());
         return true;
     }
 
-    /**
-     * The router has closed a client's connection on which so many queries that it had read have no answer.
-     */
+    /** The router has closed a client's connection on which so many queries that it had read have no answer. */
     public void closed(String cause, int unanswered) {
         if (unanswered > 0) {
-            violations.add(Rule.CLOSING, "a connection closed as " + cause + " with queries unanswered: "
-                    + unanswered);
+            violations.add(Rule.CLOSING, "a connection closed as " + cause + " with queries unanswered: " + unanswered);
         }
     }
 
@@ -114,8 +116,10 @@
     }
 
     private void add(Rule rule, Submission attempt, String what) {
-        violations.add(rule, "request " + attempt.txn.number + " attempt " + attempt.number + " at host "
-                + attempt.host.id + ": " + what);
+        violations.add(
+                rule,
+                "request " + attempt.txn.number + " attempt " + attempt.number + " at host " + attempt.host.id + ": "
+                        + what);
     }
 
     private static long ms(long nanos) {
--- a/src/main/java/beaconladder/invariants/Violations.java
+++ b/src/main/java/beaconladder/invariants/Violations.java
@@ -47,7 +47,8 @@
 
     @Override
     public String toString() {
-        return Arrays.stream(Rule.values()).map(rule -> name(rule) + "=" + count(rule))
+        return Arrays.stream(Rule.values())
+                .map(rule -> name(rule) + "=" + count(rule))
                 .collect(Collectors.joining(" "));
     }
 
--- a/src/main/java/beaconladder/keep/Asking.java
+++ b/src/main/java/beaconladder/keep/Asking.java
@@ -15,8 +15,7 @@
     private static final Room ROOM = new Room(4 << 20);
 
     /** An answer: the first cell of its first row, or null, and what the host said of itself. */
-    record Answer(String cell, Map<String, String> said) {
-    }
+    record Answer(String cell, Map<String, String> said) {}
 
     private final Socket socket = new Socket();
     private final Inbox in;
@@ -72,7 +71,7 @@
                     }
                     return new Answer(cell, said);
                 }
-                default -> { }
+                default -> {}
             }
         }
     }
--- a/src/main/java/beaconladder/keep/Hosts.java
+++ b/src/main/java/beaconladder/keep/Hosts.java
@@ -24,6 +24,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Hosts.class);
     /** Hosts answer within milliseconds or are in trouble; a move then waits and asks again. */
     private static final int ASK_MILLIS = 400;
+
     private static final String REPORT = "SHOW server_load";
 
     private final Map<String, Watch.Entry> entries = new LinkedHashMap<>();
@@ -54,8 +55,7 @@
     }
 
     /** What one host says: of itself, and, where asked, how far the tenant's copy has come there. */
-    private record Said(Watch.Entry host, boolean primary, long position, long copied) {
-    }
+    private record Said(Watch.Entry host, boolean primary, long position, long copied) {}
 
     /** Asks both groups of a slot; who does not answer is not in it. */
     Sight look(Errand errand, long now) {
@@ -69,9 +69,12 @@
             questions.add(() -> ask(host, errand.tenant()));
         }
         List<Said> said = all(questions);
-        List<Said> source = said.subList(0, sources).stream().filter(s -> s != null && s.primary()).toList();
+        List<Said> source = said.subList(0, sources).stream()
+                .filter(s -> s != null && s.primary())
+                .toList();
         List<Said> answered = said.subList(sources, said.size());
-        List<Said> target = answered.stream().filter(s -> s != null && s.primary()).toList();
+        List<Said> target =
+                answered.stream().filter(s -> s != null && s.primary()).toList();
         if (errand.feeds() && source.size() == 1 && target.size() == 1) {
             feed(errand, source.get(0).host(), target.get(0).host());
         }
@@ -79,13 +82,19 @@
         for (int i = 0; i < targets.size(); i++) {
             // A member that is listed as ready may become primary: it has to show that it has the copy.
             if (targets.get(i).state() == Watch.State.READY) {
-                copied.add(answered.get(i) == null ? Long.MIN_VALUE : answered.get(i).copied());
+                copied.add(
+                        answered.get(i) == null
+                                ? Long.MIN_VALUE
+                                : answered.get(i).copied());
             }
         }
-        return new Sight(now, source.size() == 1 ? source.get(0).host().id() : null,
+        return new Sight(
+                now,
+                source.size() == 1 ? source.get(0).host().id() : null,
                 source.size() == 1 ? source.get(0).position() : Long.MIN_VALUE,
                 target.size() == 1 ? target.get(0).host().id() : null,
-                target.size() == 1 ? target.get(0).position() : Long.MIN_VALUE, copied);
+                target.size() == 1 ? target.get(0).position() : Long.MIN_VALUE,
+                copied);
     }
 
     /** Tells the target's primary to copy from this source; again whenever one of the two is another. */
@@ -95,15 +104,18 @@
         if (pair.equals(fed.get(key))) {
             return;
         }
-        tell(target, errand.tenant() + " on " + source.address().getHostString() + ":"
-                + source.address().getPort(), () -> fed.put(key, pair));
+        tell(
+                target,
+                errand.tenant() + " on " + source.address().getHostString() + ":"
+                        + source.address().getPort(),
+                () -> fed.put(key, pair));
     }
 
     /** Ends the copying of a move that has ended; what was copied is dropped where the tenant stays away. */
     void end(Errand errand, boolean drop) {
         fed.remove(errand.tenant() + "/" + errand.slot());
         for (Watch.Entry host : members(errand.target())) {
-            tell(host, errand.tenant() + (drop ? " drop" : " off"), () -> { });
+            tell(host, errand.tenant() + (drop ? " drop" : " off"), () -> {});
         }
     }
 
@@ -124,12 +136,18 @@
             Map<String, String> fields = new HashMap<>();
             for (String pair : String.valueOf(report.cell()).split(",")) {
                 int equals = pair.indexOf('=');
-                fields.put(pair.substring(0, Math.max(0, equals)).strip(), pair.substring(equals + 1)
-                        .strip());
+                fields.put(
+                        pair.substring(0, Math.max(0, equals)).strip(),
+                        pair.substring(equals + 1).strip());
             }
-            long copied = tenant == null ? Long.MIN_VALUE : Decimal.read(line.ask(
-                    "SELECT copied FROM beaconladder_feeds WHERE tenant = '" + tenant + "'",
-                            ASK_MILLIS).cell(), 6);
+            long copied = tenant == null
+                    ? Long.MIN_VALUE
+                    : Decimal.read(
+                            line.ask(
+                                            "SELECT copied FROM beaconladder_feeds WHERE tenant = '" + tenant + "'",
+                                            ASK_MILLIS)
+                                    .cell(),
+                            6);
             return new Said(host, "1".equals(fields.get("x1")), Decimal.read(fields.get("x0"), 9), copied);
         } catch (IOException e) {
             drop(host);
--- a/src/main/java/beaconladder/keep/Keeper.java
+++ b/src/main/java/beaconladder/keep/Keeper.java
@@ -31,14 +31,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The keeper on sockets: grants leases to routers, carries moves out step by step, answers operators. All
- * decisions
- * are {@link Moves}'; a step is on the disk before it is taken.
+ * The keeper on sockets: grants leases to routers, carries moves out step by step, answers operators. All decisions are
+ * {@link Moves}'; a step is on the disk before it is taken.
  */
 public final class Keeper implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Keeper.class);
     /** While a tenant is moved, hosts are asked so often. */
     private static final int LOOK_MILLIS = 20;
+
     private static final int LONGEST_WAIT_MILLIS = 30_000;
 
     private final Path file;
@@ -55,6 +55,7 @@
     private final Thread loop = new Thread(this::run, "moves");
     /** Ends of moves whose hosts are still to be told; for the loop. */
     private final List<Step> ends = new ArrayList<>();
+
     private volatile boolean closed;
 
     /**
@@ -77,10 +78,12 @@
             server = HttpServer.create(plan.keeper().at(), 512);
         } catch (IOException | RuntimeException e) {
             records.close();
-            throw e instanceof IOException fault ? fault
-                    : new IOException("a record makes no sense: " + e, e);
+            throw e instanceof IOException fault ? fault : new IOException("a record makes no sense: " + e, e);
         }
-        LOG.info("{} records, {} moves under way", records.found().size(), moves.shown(now()).size());
+        LOG.info(
+                "{} records, {} moves under way",
+                records.found().size(),
+                moves.shown(now()).size());
         watch = new Watch(plan.keeper().discovery(), hosts);
         server.setExecutor(threads);
         server.createContext("/v1/placement", exchange -> answer(exchange, this::placement));
@@ -186,7 +189,10 @@
             ends.add(step);
         }
         if (step.kind() != Kind.LEASE && step.kind() != Kind.SEATED) {
-            LOG.info("{} {}{}{}", step.kind().name().toLowerCase(java.util.Locale.ROOT), step.tenant(),
+            LOG.info(
+                    "{} {}{}{}",
+                    step.kind().name().toLowerCase(java.util.Locale.ROOT),
+                    step.tenant(),
                     step.to() == null ? "" : " from " + step.from() + " to " + step.to(),
                     step.why() == null ? "" : ": " + step.why());
         }
@@ -211,7 +217,8 @@
             String query = exchange.getRequestURI().getRawQuery();
             for (String pair : query == null ? new String[0] : query.split("&")) {
                 int equals = pair.indexOf('=');
-                asked.put(pair.substring(0, Math.max(0, equals)),
+                asked.put(
+                        pair.substring(0, Math.max(0, equals)),
                         URLDecoder.decode(pair.substring(equals + 1), StandardCharsets.UTF_8));
             }
             body = handler.answer(asked);
@@ -235,11 +242,8 @@
         }
     }
 
-    /**
-     * A router's call: its word, then the placement once it is newer than what it acts on, or after its wait.
-     */
-    private synchronized String placement(Map<String, String> asked) throws IOException,
-            InterruptedException {
+    /** A router's call: its word, then the placement once it is newer than what it acts on, or after its wait. */
+    private synchronized String placement(Map<String, String> asked) throws IOException, InterruptedException {
         String router = need(asked, "router");
         String run = need(asked, "run");
         long acts = Long.parseLong(need(asked, "version"));
@@ -274,13 +278,23 @@
         ObjectNode routers = all.putObject("routers");
         moves.routers(now()).forEach((name, nanos) -> routers.put(name, nanos < 0 ? -1 : nanos / 1_000_000));
         ArrayNode under = all.putArray("moves");
-        moves.shown(now()).forEach(move -> under.addObject().put("tenant", move.tenant())
-                .put("from", move.from()).put("to", move.to()).put("state", move.state())
-                .put("waits_for", move.waitsFor()).put("since_ms", move.since() / 1_000_000));
+        moves.shown(now())
+                .forEach(move -> under.addObject()
+                        .put("tenant", move.tenant())
+                        .put("from", move.from())
+                        .put("to", move.to())
+                        .put("state", move.state())
+                        .put("waits_for", move.waitsFor())
+                        .put("since_ms", move.since() / 1_000_000));
         ArrayNode ended = all.putArray("ended");
-        moves.ended().forEach(step -> ended.addObject().put("tenant", step.tenant()).put("from", step.from())
-                .put("to", step.to()).put("state", step.kind().name().toLowerCase(java.util.Locale.ROOT))
-                .put("at_ms", step.at() / 1_000_000).put("why", step.why()));
+        moves.ended()
+                .forEach(step -> ended.addObject()
+                        .put("tenant", step.tenant())
+                        .put("from", step.from())
+                        .put("to", step.to())
+                        .put("state", step.kind().name().toLowerCase(java.util.Locale.ROOT))
+                        .put("at_ms", step.at() / 1_000_000)
+                        .put("why", step.why()));
         return Wire.text(all);
     }
 
--- a/src/main/java/beaconladder/keep/Wire.java
+++ b/src/main/java/beaconladder/keep/Wire.java
@@ -14,19 +14,23 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long MS = 1_000_000;
 
-    private Wire() {
-    }
+    private Wire() {}
 
     /** A placement; the seats are left out for who has them. */
     static String text(Placement placement, boolean withSeats) {
         ObjectNode all = MAPPER.createObjectNode();
-        all.put("version", placement.version()).put("until_ms", placement.until() / MS)
+        all.put("version", placement.version())
+                .put("until_ms", placement.until() / MS)
                 .put("basis", placement.basis());
         if (withSeats) {
             ArrayNode seats = all.putArray("seats");
             placement.seats().forEach((tenant, seat) -> {
-                ObjectNode one = seats.addObject().put("tenant", tenant).put("cell", seat.cell())
-                        .put("writes", seat.writes()).put("reads", seat.reads()).put("moving", seat.moving());
+                ObjectNode one = seats.addObject()
+                        .put("tenant", tenant)
+                        .put("cell", seat.cell())
+                        .put("writes", seat.writes())
+                        .put("reads", seat.reads())
+                        .put("moving", seat.moving());
                 ArrayNode floors = one.putArray("floors_ms");
                 seat.floors().forEach(floor -> floors.add(ceiling(floor)));
             });
--- a/src/main/java/beaconladder/lab/Caller.java
+++ b/src/main/java/beaconladder/lab/Caller.java
@@ -54,12 +54,14 @@
                 if (type == 'E') {
                     message = text.replaceAll("(?s).*\0M([^\0]*)\0.*", "$1");
                 }
-                all.append(type).append(switch (type) {
-                    case 'D' -> ":" + HexFormat.of().formatHex(body, 6, Math.min(body.length, 16));
-                    case 'C' -> ":" + text.substring(0, text.length() - 1);
-                    case 'E' -> ":" + text.replaceAll("(?s).*\0C([^\0]*)\0.*", "$1");
-                    default -> "";
-                });
+                all.append(type)
+                        .append(
+                                switch (type) {
+                                    case 'D' -> ":" + HexFormat.of().formatHex(body, 6, Math.min(body.length, 16));
+                                    case 'C' -> ":" + text.substring(0, text.length() - 1);
+                                    case 'E' -> ":" + text.replaceAll("(?s).*\0C([^\0]*)\0.*", "$1");
+                                    default -> "";
+                                });
                 if (type == 'Z') {
                     return all.toString();
                 }
@@ -74,8 +76,8 @@
     }
 
     /**
-     * Whether the other side ended this with something unread, so that it is known not to have been taken:
-     * the operating system tells it by a reset, at once or shortly behind the end.
+     * Whether the other side ended this with something unread, so that it is known not to have been taken: the
+     * operating system tells it by a reset, at once or shortly behind the end.
      */
     public boolean reset() throws IOException {
         if (!reset) {
--- a/src/main/java/beaconladder/lab/Capacity.java
+++ b/src/main/java/beaconladder/lab/Capacity.java
@@ -1,8 +1,8 @@
 package beaconladder.lab;
 
 /**
- * What a service bears: so many lines a second, each call its lines and some more. Calls wait in turn, also
- * those that nobody waits for any more; one that would wait too long is turned away at once.
+ * What a service bears: so many lines a second, each call its lines and some more. Calls wait in turn, also those that
+ * nobody waits for any more; one that would wait too long is turned away at once.
  */
 public final class Capacity {
     private static final double NANOS = 1e9;
@@ -15,9 +15,9 @@
     /**
      * Makes one that is idle.
      *
-     * @param lines     it sends in a second
+     * @param lines it sends in a second
      * @param callLines a call costs beside its lines
-     * @param longest   milliseconds that a call may take, its turn included
+     * @param longest milliseconds that a call may take, its turn included
      */
     public Capacity(int lines, int callLines, int longest) {
         lineNanos = NANOS / lines;
--- a/src/main/java/beaconladder/lab/CellSizes.java
+++ b/src/main/java/beaconladder/lab/CellSizes.java
@@ -15,10 +15,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/**
- * The pure parts of cells at a size that no machine here could run on sockets: time, memory, and who is
- * touched.
- */
+/** The pure parts of cells at a size that no machine here could run on sockets: time, memory, and who is touched. */
 public final class CellSizes {
     private static final long MS = 1_000_000;
     private static final int ROUNDS = 2_000_000;
@@ -26,13 +23,15 @@
     /** Loads of tenants differ as in most services: a few bring most (Zipf, exponent 1). */
     private static final int RATE = 40_000;
 
-    private CellSizes() {
-    }
+    private CellSizes() {}
 
     /** Measures; the last line of the figures is returned. */
     public static String measure(int tenants, int cells, int routers, int seconds, long seed) {
         ObjectNode figures = new ObjectMapper().createObjectNode();
-        figures.put("tenants", tenants).put("cells", cells).put("routers", routers).put("seed", seed);
+        figures.put("tenants", tenants)
+                .put("cells", cells)
+                .put("routers", routers)
+                .put("seed", seed);
         decision(figures, tenants, cells, seed);
         touched(figures, tenants, cells, routers, seed);
         planned(figures, Math.min(tenants, 2_000), cells, seconds, seed);
@@ -49,10 +48,12 @@
             sum += 1.0 / i;
         }
         for (int i = 0; stated && i < tenants; i++) {
-            text.append("(tenant t").append(i).append(" (cell c").append(chance.nextInt(cells))
+            text.append("(tenant t")
+                    .append(i)
+                    .append(" (cell c")
+                    .append(chance.nextInt(cells))
                     .append(") (load ")
-                    .append(String.format(java.util.Locale.ROOT, "%.3f",
-                            Math.max(0.001, RATE / (i + 1) / sum)))
+                    .append(String.format(java.util.Locale.ROOT, "%.3f", Math.max(0.001, RATE / (i + 1) / sum)))
                     .append("txns/s)");
             if (i > 0 && i < 20) {
                 text.append(" (apart-from t").append(i - 1).append(')');
@@ -73,8 +74,8 @@
     private static void decision(ObjectNode figures, int tenants, int cells, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         long before = System.nanoTime();
-        Territory territory = territory(plan(tenants, cells, true, chance)
-                + "(keeper (at 127.0.0.1:1) (discovery 127.0.0.1:2) (store \"x\"))");
+        Territory territory = territory(
+                plan(tenants, cells, true, chance) + "(keeper (at 127.0.0.1:1) (discovery 127.0.0.1:2) (store \"x\"))");
         figures.put("plan_read_ms", (System.nanoTime() - before) / MS);
         Gate gate = new Gate("n0", territory, new Gate.Room(10_000, 10_000, 1L << 30));
         Map<String, Seat> seats = new HashMap<>();
@@ -84,8 +85,7 @@
             seats.put(names[i], new Seat("c" + chance.nextInt(cells), true, true, false, List.of()));
         }
         gate.placed(new Placement(1, Long.MAX_VALUE / 2, territory.basis(), seats));
-        com.sun.management.ThreadMXBean memory =
-                (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
+        com.sun.management.ThreadMXBean memory = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         for (String kind : List.of("stated", "spread")) {
             for (int round = 0; round < 2; round++) {
                 long bytes = memory.getCurrentThreadAllocatedBytes();
@@ -93,16 +93,14 @@
                 for (int i = 0; i < ROUNDS; i++) {
                     int n = chance.nextInt(tenants);
                     String tenant = kind.equals("stated") ? names[n] : names[n].substring(1);
-                    Gate.Answer answer = gate.admit(tenant, i, n % cells, i % 4 == 0, 1, 100, null, from, from
-                            + MS,
-                            from);
+                    Gate.Answer answer =
+                            gate.admit(tenant, i, n % cells, i % 4 == 0, 1, 100, null, from, from + MS, from);
                     if (answer.pass() != null) {
                         gate.left(answer.pass());
                     }
                 }
                 figures.put(kind + "_ns_a_decision", (System.nanoTime() - from) / ROUNDS);
-                figures.put(kind + "_bytes_a_decision",
-                        (memory.getCurrentThreadAllocatedBytes() - bytes) / ROUNDS);
+                figures.put(kind + "_bytes_a_decision", (memory.getCurrentThreadAllocatedBytes() - bytes) / ROUNDS);
             }
         }
     }
@@ -112,8 +110,7 @@
         SplittableRandom chance = new SplittableRandom(seed);
         Territory spread = territory(plan(tenants, cells, false, chance));
         Territory plain = territory(plan(tenants, cells, false, chance).replace("(spread 2)", "(spread 1)"));
-        Territory joined = territory(plan(tenants, cells, false, chance) + "(cell joins (groups " + cells
-                + "))");
+        Territory joined = territory(plan(tenants, cells, false, chance) + "(cell joins (groups " + cells + "))");
         long all = 0;
         long any = 0;
         long one = 0;
@@ -123,7 +120,9 @@
             Arrays.sort(of);
             for (int i = 0; i < tenants; i++) {
                 int[] other = spread.subset("t" + i);
-                int same = (int) Arrays.stream(other).filter(c -> Arrays.binarySearch(of, c) >= 0).count();
+                int same = (int) Arrays.stream(other)
+                        .filter(c -> Arrays.binarySearch(of, c) >= 0)
+                        .count();
                 all += same == of.length ? 1 : 0;
                 any += same > 0 ? 1 : 0;
                 one += plain.subset("t" + i)[0] == plain.subset("t" + b)[0] ? 1 : 0;
@@ -137,41 +136,53 @@
             modulo += Math.floorMod(key, cells) != Math.floorMod(key, cells + 1) ? 1 : 0;
         }
         double pairs = (double) bad * tenants;
-        figures.putObject("touched_by_a_bad_tenant").put("no_cells", 1.0).put("plain_hashing", one / pairs)
-                .put("spread_wholly", all / pairs).put("spread_in_part", any / pairs);
-        figures.putObject("touched_by_a_bad_router").put("serving_all", 1.0)
+        figures.putObject("touched_by_a_bad_tenant")
+                .put("no_cells", 1.0)
+                .put("plain_hashing", one / pairs)
+                .put("spread_wholly", all / pairs)
+                .put("spread_in_part", any / pairs);
+        figures.putObject("touched_by_a_bad_router")
+                .put("serving_all", 1.0)
                 .put("serving_" + SERVED + "_cells", bySome(spread, tenants, cells, routers));
-        figures.putObject("keys_moved_when_a_cell_joins").put("spread", (double) moved / tenants)
+        figures.putObject("keys_moved_when_a_cell_joins")
+                .put("spread", (double) moved / tenants)
                 .put("modulo", (double) modulo / tenants);
     }
 
-    /**
-     * Routers serve eight cells each, in turn: the share of tenants with any cell at one of them, on average.
-     */
+    /** Routers serve eight cells each, in turn: the share of tenants with any cell at one of them, on average. */
     private static double bySome(Territory spread, int tenants, int cells, int routers) {
         long touched = 0;
         for (int router = 0; router < routers; router++) {
             int from = router * SERVED % cells;
             for (int i = 0; i < tenants; i++) {
                 touched += Arrays.stream(spread.subset("t" + i))
-                        .anyMatch(cell -> Math.floorMod(cell - from, cells) < SERVED) ? 1 : 0;
+                                .anyMatch(cell -> Math.floorMod(cell - from, cells) < SERVED)
+                        ? 1
+                        : 0;
             }
         }
         return (double) touched / routers / tenants;
     }
 
     private static void planned(ObjectNode figures, int tenants, int cells, int seconds, long seed) {
-        Planner.Problem problem = Planner.problem(PlanReader.read("made",
-                plan(tenants, cells, true, new SplittableRandom(seed))).plan());
+        Planner.Problem problem =
+                Planner.problem(PlanReader.read("made", plan(tenants, cells, true, new SplittableRandom(seed)))
+                        .plan());
         long from = System.nanoTime();
         int greedy = Planner.cost(problem, Planner.greedy(problem, 100));
         long middle = System.nanoTime();
         Planner.Proposal proposal = Planner.propose(problem, 100, seconds, seed);
         long end = System.nanoTime();
-        figures.putObject("planner").put("tenants", tenants).put("cost_before", proposal.costBefore())
-                .put("cost_greedy", greedy).put("greedy_ms", (middle - from) / MS)
-                .put("cost", proposal.costAfter()).put("ms", (end - middle) / MS)
-                .put("moves", proposal.moves().size()).put("peak_before", proposal.peakBefore())
-                .put("peak_after", proposal.peakAfter()).put("optimal", proposal.optimal());
+        figures.putObject("planner")
+                .put("tenants", tenants)
+                .put("cost_before", proposal.costBefore())
+                .put("cost_greedy", greedy)
+                .put("greedy_ms", (middle - from) / MS)
+                .put("cost", proposal.costAfter())
+                .put("ms", (end - middle) / MS)
+                .put("moves", proposal.moves().size())
+                .put("peak_before", proposal.peakBefore())
+                .put("peak_after", proposal.peakAfter())
+                .put("optimal", proposal.optimal());
     }
 }
--- a/src/main/java/beaconladder/lab/CellsRehearsal.java
+++ b/src/main/java/beaconladder/lab/CellsRehearsal.java
@@ -21,28 +21,46 @@
 import java.util.stream.Stream;
 
 /**
- * The rehearsal of cells: usual clients at several routers, a flood in one cell, and moves that are
- * interrupted by a
+ * The rehearsal of cells: usual clients at several routers, a flood in one cell, and moves that are interrupted by a
  * script drawn from the seed; judged by what clients and hosts saw.
  */
 public final class CellsRehearsal {
     /** What may happen to a move. */
     public enum Fault {
-        NONE, KILL_ROUTER, KILL_KEEPER, STALL_ROUTER, CUT_ROUTER, SOURCE_FAILS, TARGET_FAILS, LOST_TAIL,
-                SECOND_MOVE,
-        UNDO, RELOAD, LOSE_ANSWERS, DRAIN
+        NONE,
+        KILL_ROUTER,
+        KILL_KEEPER,
+        STALL_ROUTER,
+        CUT_ROUTER,
+        SOURCE_FAILS,
+        TARGET_FAILS,
+        LOST_TAIL,
+        SECOND_MOVE,
+        UNDO,
+        RELOAD,
+        LOSE_ANSWERS,
+        DRAIN
     }
 
     /** In which state of the move it happens. */
     private static final List<String> STATES = List.of("copying", "fenced", "sealed", "switched");
-    private static final Set<Fault> IN_THE_FENCE = EnumSet.of(Fault.SOURCE_FAILS, Fault.TARGET_FAILS,
-            Fault.LOST_TAIL, Fault.KILL_ROUTER, Fault.KILL_KEEPER, Fault.UNDO, Fault.SECOND_MOVE,
-                    Fault.RELOAD);
+
+    private static final Set<Fault> IN_THE_FENCE = EnumSet.of(
+            Fault.SOURCE_FAILS,
+            Fault.TARGET_FAILS,
+            Fault.LOST_TAIL,
+            Fault.KILL_ROUTER,
+            Fault.KILL_KEEPER,
+            Fault.UNDO,
+            Fault.SECOND_MOVE,
+            Fault.RELOAD);
     /** Other cells' service may move so much for a flood. */
     private static final double FLOOD_LIMIT = 0.01;
+
     private static final int WINDOW_MILLIS = 3_000;
     /** A flood is so many times what its cell is usually asked. */
     private static final int FLOOD_TIMES = 20;
+
     private static final int SLOW_MILLIS = 250;
     private static final int BUSY_SESSIONS = 4;
     private static final int MOVE_MILLIS = 25_000;
@@ -55,8 +73,7 @@
     }
 
     /** A step of the script. */
-    private record Planned(Fault fault, String at, int router, String tenant, String to) {
-    }
+    private record Planned(Fault fault, String at, int router, String tenant, String to) {}
 
     private final Size size;
     private final long seed;
@@ -81,7 +98,7 @@
     /**
      * Plays it.
      *
-     * @param faults   from which the script is drawn
+     * @param faults from which the script is drawn
      * @param withFlood whether a tenant floods as well
      * @return whether every rule held
      */
@@ -89,7 +106,9 @@
         Path folder = Files.createTempDirectory("rehearsal");
         long started = System.currentTimeMillis();
         ObjectNode figures = new ObjectMapper().createObjectNode();
-        figures.put("rehearsal", "cells").put("seed", seed).put("cells", size.cells())
+        figures.put("rehearsal", "cells")
+                .put("seed", seed)
+                .put("cells", size.cells())
                 .put("tenants", size.tenants())
                 .put("routers", size.routers());
         try (Installation all = new Installation(folder, size.cells(), 1, 3, size.routers(), 15, tenants())) {
@@ -102,9 +121,8 @@
                 homes[i] = i % size.cells();
                 groups[i] = homes[i];
             }
-            try (Load load = new Load(judge, all, names, homes, groups, "k", size.clients(),
-                    size.restMillis(),
-                    chance.nextLong())) {
+            try (Load load = new Load(
+                    judge, all, names, homes, groups, "k", size.clients(), size.restMillis(), chance.nextLong())) {
                 load.await(1_500);
                 if (withFlood) {
                     flood(figures);
@@ -121,7 +139,8 @@
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
                 if (broken.isEmpty()) {
-                    files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
+                    files.sorted(Comparator.reverseOrder())
+                            .forEach(file -> file.toFile().delete());
                 } else {
                     out.println("the programs' logs are in " + folder);
                 }
@@ -139,8 +158,13 @@
     private String tenants() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < size.tenants() * 9 / 10; i++) {
-            text.append("(tenant t").append(i).append(" (cell c").append(i % size.cells()).append(")")
-                    .append(i == 0 ? " (share 20%)" : "").append(")\n");
+            text.append("(tenant t")
+                    .append(i)
+                    .append(" (cell c")
+                    .append(i % size.cells())
+                    .append(")")
+                    .append(i == 0 ? " (share 20%)" : "")
+                    .append(")\n");
         }
         return text + "(others (spread 2) (share 20%))\n";
     }
@@ -151,9 +175,12 @@
         for (int i = 0; i < size.moves(); i++) {
             int tenant = 1 + i;
             int to = (tenant % size.cells() + 1 + chance.nextInt(size.cells() - 1)) % size.cells();
-            script.add(new Planned(faults.get(chance.nextInt(faults.size())),
+            script.add(new Planned(
+                    faults.get(chance.nextInt(faults.size())),
                     STATES.get(chance.nextInt(STATES.size())),
-                    chance.nextInt(size.routers()), "t" + tenant, "c" + to));
+                    chance.nextInt(size.routers()),
+                    "t" + tenant,
+                    "c" + to));
         }
         return script;
     }
@@ -170,7 +197,10 @@
         Thread.sleep(WINDOW_MILLIS);
         long middle = System.currentTimeMillis();
         int usual = Math.max(10, (int) (judge.asked.stream()
-                .filter(t -> t.sent() >= from && t.cell() == 0).count() * 1_000 / WINDOW_MILLIS));
+                        .filter(t -> t.sent() >= from && t.cell() == 0)
+                        .count()
+                * 1_000
+                / WINDOW_MILLIS));
         long served;
         long declined;
         // Its hosts are slow, so that what is asked piles up in the routers.
@@ -186,14 +216,18 @@
         double with = judge.service(middle, to, others);
         ObjectNode node = figures.putObject("flood")
                 .put("kind", kind.name().toLowerCase(java.util.Locale.ROOT))
-                .put("asked_per_second", FLOOD_TIMES * usual).put("served", served).put("declined", declined);
-        node.put("others_without", round(without)).put("others_with", round(with))
+                .put("asked_per_second", FLOOD_TIMES * usual)
+                .put("served", served)
+                .put("declined", declined);
+        node.put("others_without", round(without))
+                .put("others_with", round(with))
                 .put("own_without", round(judge.service(from, middle, own)))
                 .put("own_with", round(judge.service(middle, to, own)))
                 .put("others_p99_without_ms", judge.quantile(0.99, from, middle, others))
                 .put("others_p99_with_ms", judge.quantile(0.99, middle, to, others));
-        out.printf("flood %s: other cells %.4f to %.4f, its own %.3f to %.3f%n", kind, without, with,
-                judge.service(from, middle, own), judge.service(middle, to, own));
+        out.printf(
+                "flood %s: other cells %.4f to %.4f, its own %.3f to %.3f%n",
+                kind, without, with, judge.service(from, middle, own), judge.service(middle, to, own));
         if (without - with > FLOOD_LIMIT) {
             broken.add(new Judge.Broken("a flood cost other cells service", 1, without + " to " + with));
         }
@@ -209,9 +243,16 @@
     /** A move, with sessions of its tenant that write and read without rest, at one router and another. */
     private void move(Planned step) throws IOException, InterruptedException {
         int home = Integer.parseInt(step.tenant().substring(1)) % size.cells();
-        try (Load busy = new Load(judge, installation, List.of(step.tenant()), new int[] {home},
+        try (Load busy = new Load(
+                judge,
+                installation,
+                List.of(step.tenant()),
+                new int[] {home},
                 new int[] {home},
-                "m" + step.tenant() + "-", BUSY_SESSIONS, 2, chance.nextLong())) {
+                "m" + step.tenant() + "-",
+                BUSY_SESSIONS,
+                2,
+                chance.nextLong())) {
             busy.await(200);
             moves(step);
         }
@@ -227,7 +268,8 @@
         // A router that does not hear holds the fence up for the rest of its lease and an expiry: time to
         // fail in.
         Relay silent = step.at().equals("fenced") && IN_THE_FENCE.contains(step.fault())
-                ? installation.relays.get((step.router() + 1) % size.routers()) : null;
+                ? installation.relays.get((step.router() + 1) % size.routers())
+                : null;
         if (silent != null) {
             silent.cut();
         }
@@ -271,16 +313,23 @@
             fences.add(opened - fenced);
         }
         ends.merge(state, 1, Integer::sum);
-        hit.merge(step.fault().name().toLowerCase(java.util.Locale.ROOT) + (at.isEmpty() ? "" : " at " + at),
+        hit.merge(
+                step.fault().name().toLowerCase(java.util.Locale.ROOT) + (at.isEmpty() ? "" : " at " + at),
                 1,
                 Integer::sum);
         String lives = installation.cellOf(step.tenant());
         String why = Installation.ended(installation.keeper("/v1/cells"), step.tenant(), "why");
-        out.printf("move %s %s to %s, %s%s: %s%s, fence %d ms, %d ms in all%n", step.tenant(), from,
+        out.printf(
+                "move %s %s to %s, %s%s: %s%s, fence %d ms, %d ms in all%n",
+                step.tenant(),
+                from,
                 step.to(),
-                step.fault(), at.isEmpty() ? "" : " at " + at, state,
+                step.fault(),
+                at.isEmpty() ? "" : " at " + at,
+                state,
                 why.equals("null") || why.equals("none") ? "" : " (" + why + ")",
-                fenced == 0 ? 0 : opened - fenced, System.currentTimeMillis() - proposed);
+                fenced == 0 ? 0 : opened - fenced,
+                System.currentTimeMillis() - proposed);
         if (!state.equals("done") && !state.equals("undone")) {
             broken.add(new Judge.Broken("a move did not end", 1, step + " stands at " + state));
         } else if (!lives.equals(state.equals("done") ? step.to() : from)) {
@@ -319,8 +368,7 @@
                 case SOURCE_FAILS -> fail(source, false);
                 case TARGET_FAILS -> fail(target, false);
                 case LOST_TAIL -> fail(source, true);
-                case SECOND_MOVE -> refused("/v1/move?tenant=" + step.tenant() + "&to=" + step.to(),
-                        "a second move");
+                case SECOND_MOVE -> refused("/v1/move?tenant=" + step.tenant() + "&to=" + step.to(), "a second move");
                 case UNDO -> {
                     try {
                         installation.keeper("/v1/undo?tenant=" + step.tenant());
@@ -338,7 +386,7 @@
                     Member draining = installation.ground.replica(source);
                     installation.ground.list(draining.id, "Terminating");
                 }
-                default -> { }
+                default -> {}
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -394,20 +442,26 @@
     private void report(ObjectNode figures, long millis) {
         Map<String, Long> answers = new LinkedHashMap<>();
         for (End end : End.values()) {
-            answers.put(end.name().toLowerCase(java.util.Locale.ROOT),
+            answers.put(
+                    end.name().toLowerCase(java.util.Locale.ROOT),
                     judge.asked.stream().filter(t -> t.end() == end).count());
         }
         figures.put("txns", judge.asked.size());
         ObjectNode all = figures.putObject("answers");
         answers.forEach(all::put);
-        long[] times = judge.asked.stream().filter(t -> t.end() == End.COMMITTED)
-                .mapToLong(t -> t.answered() - t.sent()).sorted().toArray();
+        long[] times = judge.asked.stream()
+                .filter(t -> t.end() == End.COMMITTED)
+                .mapToLong(t -> t.answered() - t.sent())
+                .sorted()
+                .toArray();
         figures.put("median_ms", times.length == 0 ? 0 : times[times.length / 2]);
-        figures.put("declined_by_moves", judge.asked.stream().filter(CellsRehearsal::byMove).count());
+        figures.put(
+                "declined_by_moves",
+                judge.asked.stream().filter(CellsRehearsal::byMove).count());
         figures.put("double_runs", count("a once-only txn ran twice"))
                 .put("stale_reads", count("a stale read"))
                 .put("wrong_cell", count("a write in the wrong cell"))
-                        .put("lost", count("a committed write is lost"));
+                .put("lost", count("a committed write is lost"));
         ObjectNode moves = figures.putObject("moves");
         ends.forEach(moves::put);
         ObjectNode faults = figures.putObject("faults");
@@ -415,7 +469,9 @@
         long[] fence = fences.stream().mapToLong(Long::longValue).sorted().toArray();
         figures.put("fence_median_ms", fence.length == 0 ? 0 : fence[fence.length / 2])
                 .put("fence_longest_ms", fence.length == 0 ? 0 : fence[fence.length - 1]);
-        figures.put("recovery_longest_ms", recoveries.stream().mapToLong(Long::longValue).max().orElse(0));
+        figures.put(
+                "recovery_longest_ms",
+                recoveries.stream().mapToLong(Long::longValue).max().orElse(0));
         double[] service = new double[size.cells()];
         for (int cell = 0; cell < size.cells(); cell++) {
             boolean[] one = new boolean[size.cells()];
@@ -438,6 +494,9 @@
     }
 
     private int count(String rule) {
-        return broken.stream().filter(b -> b.rule().equals(rule)).mapToInt(Judge.Broken::times).sum();
+        return broken.stream()
+                .filter(b -> b.rule().equals(rule))
+                .mapToInt(Judge.Broken::times)
+                .sum();
     }
 }
--- a/src/main/java/beaconladder/lab/ChangeLog.java
+++ b/src/main/java/beaconladder/lab/ChangeLog.java
@@ -10,12 +10,12 @@
 
 /** A list of hosts by versions: the whole of it, and what has changed since any of them. */
 final class ChangeLog {
-    private record Change(boolean full, List<String> entries) {
-    }
+    private record Change(boolean full, List<String> entries) {}
 
     private static final Pattern ID = Pattern.compile("\"id\"\\s*:\\s*\"([^\"]*)\"");
     /** The change at place n made version n + 1. */
     private final List<Change> changes = new ArrayList<>();
+
     private String whole;
 
     int version() {
@@ -42,7 +42,8 @@
         if (index >= version()) {
             return body(false, List.of());
         }
-        return changes.subList(index, version()).stream().anyMatch(Change::full) ? whole()
+        return changes.subList(index, version()).stream().anyMatch(Change::full)
+                ? whole()
                 : body(false, collect(index).values());
     }
 
@@ -70,7 +71,6 @@
     }
 
     private String body(boolean full, Collection<String> entries) {
-        return "{\"version\":" + version() + ",\"full\":" + full + ",\"servers\":["
-                + String.join(",", entries) + "]}";
+        return "{\"version\":" + version() + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
     }
 }
--- a/src/main/java/beaconladder/lab/DatagramRelay.java
+++ b/src/main/java/beaconladder/lab/DatagramRelay.java
@@ -10,10 +10,7 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/**
- * Passes datagrams on from one process to another, or drops, delays and doubles them; late ones are
- * overtaken.
- */
+/** Passes datagrams on from one process to another, or drops, delays and doubles them; late ones are overtaken. */
 final class DatagramRelay implements AutoCloseable {
     private static final int LONGEST = 8 * 1024;
 
--- a/src/main/java/beaconladder/lab/Demo.java
+++ b/src/main/java/beaconladder/lab/Demo.java
@@ -12,9 +12,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/**
- * For who has just cloned it: routers between stand-ins, some troubles, and what comes of the txns meanwhile.
- */
+/** For who has just cloned it: routers between stand-ins, some troubles, and what comes of the txns meanwhile. */
 public final class Demo {
     private static final int SECOND = 1_000;
     private static final String TENANTS = """
@@ -31,10 +29,7 @@
         this.out = out;
     }
 
-    /**
-     * Starts the same and stays, with a usual load, until it is ended: for whoever wants to move a tenant by
-     * hand.
-     */
+    /** Starts the same and stays, with a usual load, until it is ended: for whoever wants to move a tenant by hand. */
     public void stay() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("up");
         try (Installation started = new Installation(folder, 2, 1, 3, 2, 8, TENANTS);
@@ -54,8 +49,16 @@
     }
 
     private Load load(Installation at) {
-        return new Load(judge, at, List.of("acme", "beta", "corp", "dune"), new int[] {0, 0, 1, 1},
-                new int[] {0, 0, 1, 1}, "k", 12, 15, 1);
+        return new Load(
+                judge,
+                at,
+                List.of("acme", "beta", "corp", "dune"),
+                new int[] {0, 0, 1, 1},
+                new int[] {0, 0, 1, 1},
+                "k",
+                12,
+                15,
+                1);
     }
 
     /** Plays it; whether every rule held. */
@@ -85,23 +88,29 @@
             List<Judge.Broken> broken = judge.broken(all.ground, group -> group);
             Map<End, Long> ends = judge.asked.stream()
                     .collect(Collectors.groupingBy(Judge.Asked::end, TreeMap::new, Collectors.counting()));
-            out.printf("%n%d txns: %s%n", judge.asked.size(), ends.entrySet().stream()
-                    .map(e -> e.getValue() + " "
-                    + e.getKey().name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '))
-                    .collect(Collectors.joining(", ")));
+            out.printf(
+                    "%n%d txns: %s%n",
+                    judge.asked.size(),
+                    ends.entrySet().stream()
+                            .map(e -> e.getValue() + " "
+                                    + e.getKey()
+                                            .name()
+                                            .toLowerCase(java.util.Locale.ROOT)
+                                            .replace('_', ' '))
+                            .collect(Collectors.joining(", ")));
             boolean[] every = Judge.all(2);
-            out.printf("half of the answers within %d ms, 99 of 100 within %d ms%n",
-                    judge.quantile(0.5, 0, Long.MAX_VALUE, every),
-                            judge.quantile(0.99, 0, Long.MAX_VALUE, every));
+            out.printf(
+                    "half of the answers within %d ms, 99 of 100 within %d ms%n",
+                    judge.quantile(0.5, 0, Long.MAX_VALUE, every), judge.quantile(0.99, 0, Long.MAX_VALUE, every));
             out.println("acme lives in " + all.cellOf("acme") + "; its move: " + all.state("acme"));
             broken.forEach(b -> out.println("BROKEN: " + b.rule() + ": " + b.example()));
-            out.println(broken.isEmpty() ? "every rule held, by what clients and hosts saw"
-                    : "a rule was broken");
+            out.println(broken.isEmpty() ? "every rule held, by what clients and hosts saw" : "a rule was broken");
             out.flush();
             return broken.isEmpty();
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
-                files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
+                files.sorted(Comparator.reverseOrder())
+                        .forEach(file -> file.toFile().delete());
             }
         }
     }
@@ -117,7 +126,8 @@
             ran = now.size();
             Map<String, Long> hosts = now.subList(Math.min(before, ran), ran).stream()
                     .collect(Collectors.groupingBy(Ground.Ran::host, TreeMap::new, Collectors.counting()));
-            Map<End, Long> ends = judge.asked.stream().filter(t -> t.answered() >= from)
+            Map<End, Long> ends = judge.asked.stream()
+                    .filter(t -> t.answered() >= from)
                     .collect(Collectors.groupingBy(Judge.Asked::end, TreeMap::new, Collectors.counting()));
             out.printf("  %s   ran at %s%n", ends, hosts);
             out.flush();
--- a/src/main/java/beaconladder/lab/DiscoveryStandIn.java
+++ b/src/main/java/beaconladder/lab/DiscoveryStandIn.java
@@ -18,10 +18,17 @@
 /** Discovery's agent. */
 public final class DiscoveryStandIn implements AutoCloseable {
     /**
-     * How it takes a call: half an answer then silence, half an answer then an end, a byte now and then, all
-     * of it without its length and then a reset.
+     * How it takes a call: half an answer then silence, half an answer then an end, a byte now and then, all of it
+     * without its length and then a reset.
      */
-    public enum Manner { ANSWER, SILENT, HALF, CUT, DRIP, RESET }
+    public enum Manner {
+        ANSWER,
+        SILENT,
+        HALF,
+        CUT,
+        DRIP,
+        RESET
+    }
 
     private static final int DRIP_MILLIS = 20;
 
@@ -41,6 +48,7 @@
     public final AtomicLong bytes = new AtomicLong();
     /** What it was asked, in turn. */
     public final List<String> paths = new CopyOnWriteArrayList<>();
+
     private ChangeLog log = new ChangeLog();
 
     public DiscoveryStandIn() throws IOException {
@@ -85,15 +93,18 @@
                 paths.add(path);
                 Capacity bears = capacity;
                 if (bears != null && !bears.serve(lines(path))) {
-                    socket.getOutputStream().write(("HTTP/1.1 503 Service Unavailable\r\n"
-                            + "Content-Length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+                    socket.getOutputStream()
+                            .write(("HTTP/1.1 503 Service Unavailable\r\n" + "Content-Length: 0\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
                     continue;
                 }
                 String body = body(path);
                 Tasks.sleep(lateMillis);
                 String bad = garbage;
-                byte[] answer = (bad != null ? bad : "HTTP/1.1 200 OK\r\nContent-Length: " + body.length()
-                        + "\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII);
+                byte[] answer = (bad != null
+                                ? bad
+                                : "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                        .getBytes(StandardCharsets.US_ASCII);
                 bytes.addAndGet(answer.length);
                 if (!say(socket, born < age.get() ? Manner.SILENT : manner, answer) || bad != null) {
                     return;
@@ -115,15 +126,14 @@
             }
             case RESET -> {
                 String text = new String(answer, StandardCharsets.US_ASCII);
-                out.write(text.replaceFirst("\r\nContent-Length: \\d+", "")
-                        .getBytes(StandardCharsets.US_ASCII));
+                out.write(text.replaceFirst("\r\nContent-Length: \\d+", "").getBytes(StandardCharsets.US_ASCII));
                 // What was written is read first, then the reset is met.
                 Tasks.sleep(DRIP_MILLIS);
                 socket.setSoLinger(true, 0);
                 socket.close();
             }
             case HALF, CUT -> out.write(Arrays.copyOf(answer, answer.length / 2));
-            default -> { }
+            default -> {}
         }
         if (manner == Manner.SILENT || manner == Manner.HALF) {
             InputStream in = socket.getInputStream();
--- a/src/main/java/beaconladder/lab/FaultRelay.java
+++ b/src/main/java/beaconladder/lab/FaultRelay.java
@@ -14,17 +14,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stands between two processes and does to what they say to each other what networks do. It passes bytes
- * on, or, between
- * an HTTP client and its server, whole messages: those it can drop, delay, send twice and let overtake
- * each other.
- * Each direction can be held on its own; what is held is passed on late once it is mended, as TCP does.
+ * Stands between two processes and does to what they say to each other what networks do. It passes bytes on, or,
+ * between an HTTP client and its server, whole messages: those it can drop, delay, send twice and let overtake each
+ * other. Each direction can be held on its own; what is held is passed on late once it is mended, as TCP does.
  */
 final class FaultRelay implements AutoCloseable {
-    /**
-     * How often a message is dropped and sent twice, and how long it is kept at the most; of a thousand
-     * each.
-     */
+    /** How often a message is dropped and sent twice, and how long it is kept at the most; of a thousand each. */
     record Weather(int drops, int doubles, int keepsMillis) {
         static final Weather FAIR = new Weather(0, 0, 0);
         static final Weather FOUL = new Weather(80, 150, 400);
@@ -125,7 +120,9 @@
 
     private void copy(Socket from, Socket into, boolean there) throws IOException {
         byte[] buffer = new byte[16 * 1024];
-        for (int n = from.getInputStream().read(buffer); n >= 0; n = from.getInputStream().read(buffer)) {
+        for (int n = from.getInputStream().read(buffer);
+                n >= 0;
+                n = from.getInputStream().read(buffer)) {
             pass(there);
             sent.incrementAndGet();
             bytes.addAndGet(n);
--- a/src/main/java/beaconladder/lab/FeedFaults.java
+++ b/src/main/java/beaconladder/lab/FeedFaults.java
@@ -21,6 +21,7 @@
     private static final int ALONE_MILLIS = 25_000;
     /** After a cut has healed: at most so many polls a router in so long; at rest there is one a second. */
     private static final int HEALED_MILLIS = 3_000;
+
     private static final int MOST_POLLS = 12;
 
     private final FeedFleet fleet;
@@ -32,8 +33,14 @@
     private final FeedRehearsal.Size size;
     private final int lasts;
 
-    FeedFaults(FeedFleet fleet, FeedWriter writer, Path folder, List<Outage> outages, List<String> broken,
-            SplittableRandom chance, FeedRehearsal.Size size) {
+    FeedFaults(
+            FeedFleet fleet,
+            FeedWriter writer,
+            Path folder,
+            List<Outage> outages,
+            List<String> broken,
+            SplittableRandom chance,
+            FeedRehearsal.Size size) {
         this.fleet = fleet;
         this.writer = writer;
         this.folder = folder;
@@ -163,17 +170,22 @@
                     + " ms, and a router of it says that its version is " + age + " ms old");
         }
         if (polls > (long) MOST_POLLS * fleet.names().size()) {
-            broken.add("a storm: " + polls + " polls of " + fleet.names().size() + " routers in "
-                    + HEALED_MILLIS + " ms after a region healed");
+            broken.add("a storm: " + polls + " polls of " + fleet.names().size() + " routers in " + HEALED_MILLIS
+                    + " ms after a region healed");
         }
     }
 
     /** The least age that a router of the first region told of last. */
     private long ages(long since) throws IOException {
-        return fleet.journal().stream().map(line -> line.split(" "))
-                .filter(words -> words.length == 5 && words[0].equals("G") && words[2].equals("n0")
+        return fleet.journal().stream()
+                .map(line -> line.split(" "))
+                .filter(words -> words.length == 5
+                        && words[0].equals("G")
+                        && words[2].equals("n0")
                         && Long.parseLong(words[1]) > since)
-                .reduce((first, second) -> second).map(words -> Long.parseLong(words[3])).orElse(0L);
+                .reduce((first, second) -> second)
+                .map(words -> Long.parseLong(words[3]))
+                .orElse(0L);
     }
 
     private long answers() {
@@ -206,10 +218,10 @@
     }
 
     /** A real router has put this version or a newer one in force since then. */
-    private void await(int real, long since, long version, long millis)
-            throws IOException, InterruptedException {
+    private void await(int real, long since, long version, long millis) throws IOException, InterruptedException {
         long until = System.nanoTime() + millis * 1_000_000;
-        while (Files.readAllLines(folder.resolve("m" + real + ".journal")).stream().map(Applied::of)
+        while (Files.readAllLines(folder.resolve("m" + real + ".journal")).stream()
+                .map(Applied::of)
                 .filter(Objects::nonNull)
                 .noneMatch(each -> each.at() >= since && each.version() >= version)) {
             if (System.nanoTime() > until) {
@@ -227,8 +239,8 @@
         long version = writer.log().size();
         long until = System.nanoTime() + 2 * lasts * 1_000_000L;
         long from = FeedRouters.unix();
-        while (writer.proposer().status().counts().stream().noneMatch(each -> each.version() == version
-                && each.refused() == 1)) {
+        while (writer.proposer().status().counts().stream()
+                .noneMatch(each -> each.version() == version && each.refused() == 1)) {
             if (System.nanoTime() > until) {
                 broken.add("no sum tells that version " + version + " was refused by one: "
                         + writer.proposer().status());
--- a/src/main/java/beaconladder/lab/FeedFigures.java
+++ b/src/main/java/beaconladder/lab/FeedFigures.java
@@ -14,8 +14,7 @@
     private static final double TICKS = 100;
 
     /** One look. */
-    private record Look(long nanos, long bytes, long answers, long[] ticks) {
-    }
+    private record Look(long nanos, long bytes, long answers, long[] ticks) {}
 
     private final FeedFleet fleet;
     private Look from;
@@ -39,14 +38,19 @@
         String[] names = {"hollow_core_percent_router", "relay_core_percent", "grantor_core_percent"};
         for (int i = 0; i < groups.size(); i++) {
             double cores = (to.ticks[i] - from.ticks[i]) / TICKS / seconds;
-            into.put(names[i], round(100 * cores / (i == 0 ? routers : groups.get(i).size())));
+            into.put(
+                    names[i],
+                    round(100 * cores / (i == 0 ? routers : groups.get(i).size())));
         }
-        into.put("relay_mb_most", fleet.relays.stream().mapToLong(each -> kilobytes(each)).max().orElse(0)
-                / 1024);
-        into.put("grantor_mb_most", fleet.grantors.stream().mapToLong(each -> kilobytes(each)).max()
-                .orElse(0) / 1024);
-        into.put("hollow_kb_router", round(fleet.hollow.stream().mapToLong(each -> kilobytes(each)).sum()
-                / (double) routers));
+        into.put(
+                "relay_mb_most",
+                fleet.relays.stream().mapToLong(each -> kilobytes(each)).max().orElse(0) / 1024);
+        into.put(
+                "grantor_mb_most",
+                fleet.grantors.stream().mapToLong(each -> kilobytes(each)).max().orElse(0) / 1024);
+        into.put(
+                "hollow_kb_router",
+                round(fleet.hollow.stream().mapToLong(each -> kilobytes(each)).sum() / (double) routers));
     }
 
     private static double round(double value) {
@@ -59,9 +63,17 @@
 
     private Look look() {
         List<Relay.Status> all = fleet.statuses();
-        return new Look(System.nanoTime(), all.stream().mapToLong(each -> each.bytesIn() + each.bytesOut())
-                .sum(), all.stream().mapToLong(Relay.Status::answers).sum(), groups().stream()
-                .mapToLong(group -> group.stream().mapToLong(FeedFigures::ticks).sum()).toArray());
+        return new Look(
+                System.nanoTime(),
+                        all.stream()
+                                .mapToLong(each -> each.bytesIn() + each.bytesOut())
+                                .sum(),
+                all.stream().mapToLong(Relay.Status::answers).sum(),
+                        groups().stream()
+                                .mapToLong(group -> group.stream()
+                                        .mapToLong(FeedFigures::ticks)
+                                        .sum())
+                                .toArray());
     }
 
     private static long ticks(Program program) {
@@ -77,8 +89,10 @@
     private static long kilobytes(Program program) {
         try {
             return Files.readAllLines(Path.of("/proc/" + program.pid() + "/status")).stream()
-                    .filter(line -> line.startsWith("VmRSS")).mapToLong(line -> Long.parseLong(
-                    line.replaceAll("[^0-9]", ""))).findFirst().orElse(0);
+                    .filter(line -> line.startsWith("VmRSS"))
+                    .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")))
+                    .findFirst()
+                    .orElse(0);
         } catch (IOException e) {
             return 0;
         }
--- a/src/main/java/beaconladder/lab/FeedFleet.java
+++ b/src/main/java/beaconladder/lab/FeedFleet.java
@@ -23,6 +23,7 @@
     /** Nobody is there; a router wants to know of a host before it serves. */
     private static final String HOST = "{\"id\":\"h0\",\"addr\":\"127.0.0.1:9\",\"zone\":\"east\",\"cell\":0,"
             + "\"state\":\"Ready\",\"started_ms\":0,\"role\":\"leader\"}";
+
     private static final int READY_MILLIS = 30_000;
     /** Stacks of tasks are outside the heap; a thousand routers' states and buffers are within it. */
     private static final List<String> LARGE = List.of("-Xmx192m");
@@ -60,31 +61,62 @@
             grantors.add(grantor(i, raft));
         }
         for (int j = 0; j < relayCount; j++) {
-            relays.add(programs.program("r" + j, null, LARGE, "feed", "relay", "--plan", plan("r" + j, raft,
-                    links.doorsFrom(j)), "--name", "r" + j, "--at", text(relayAddresses.get(j)), "--store",
+            relays.add(programs.program(
+                    "r" + j,
+                    null,
+                    LARGE,
+                    "feed",
+                    "relay",
+                    "--plan",
+                    plan("r" + j, raft, links.doorsFrom(j)),
+                    "--name",
+                    "r" + j,
+                    "--at",
+                    text(relayAddresses.get(j)),
+                    "--store",
                     folder.resolve("relay" + j).toString()));
         }
         for (int region = 0; region < FeedLinks.REGIONS; region++) {
             int from = first(region);
             if (first(region + 1) > from) {
-                hollow.add(programs.program("hollow" + region, null, LARGE, "lab", "feed-routers", "--prefix",
-                        "n", "--from", "" + from, "--count", "" + (first(region + 1) - from), "--relays",
-                        named(links.relaysFrom(region)), "--journal",
+                hollow.add(programs.program(
+                        "hollow" + region,
+                        null,
+                        LARGE,
+                        "lab",
+                        "feed-routers",
+                        "--prefix",
+                        "n",
+                        "--from",
+                        "" + from,
+                        "--count",
+                        "" + (first(region + 1) - from),
+                        "--relays",
+                        named(links.relaysFrom(region)),
+                        "--journal",
                         folder.resolve("hollow" + region + ".journal").toString()));
             }
         }
         for (int i = 0; i < REAL; i++) {
-            real.add(programs.program("m" + i, RouterFile.of("m" + i, port(), discovery, 256, 192, HOST),
-                    "serve", "--feed", named(links.relaysFromReal(i)), "--feed-store",
-                    folder.resolve("fed" + i).toString(), "--feed-journal",
+            real.add(programs.program(
+                    "m" + i,
+                    RouterFile.of("m" + i, port(), discovery, 256, 192, HOST),
+                    "serve",
+                    "--feed",
+                    named(links.relaysFromReal(i)),
+                    "--feed-store",
+                    folder.resolve("fed" + i).toString(),
+                    "--feed-journal",
                     folder.resolve("m" + i + ".journal").toString()));
         }
         // Also when the rehearsal itself is ended.
         Runtime.getRuntime().addShutdownHook(new Thread(programs::close));
         boolean started = false;
         try {
-            for (List<Program> group : List.of(grantors, relays, Stream.concat(hollow.stream(),
-                    real.stream()).toList())) {
+            for (List<Program> group : List.of(
+                    grantors,
+                    relays,
+                    Stream.concat(hollow.stream(), real.stream()).toList())) {
                 for (Program each : group) {
                     each.start();
                 }
@@ -112,28 +144,45 @@
     }
 
     private static String named(List<InetSocketAddress> relays) {
-        return IntStream.range(0, relays.size()).mapToObj(j -> "r" + j + "=" + text(relays.get(j)))
+        return IntStream.range(0, relays.size())
+                .mapToObj(j -> "r" + j + "=" + text(relays.get(j)))
                 .collect(Collectors.joining(","));
     }
 
     private Program grantor(int i, int[] raft) throws IOException {
-        StringBuilder names = new StringBuilder("127.0.0.1 localhost\n127.0.0.1 "
-                + InetAddress.getLocalHost().getHostName() + "\n");
+        StringBuilder names = new StringBuilder(
+                "127.0.0.1 localhost\n127.0.0.1 " + InetAddress.getLocalHost().getHostName() + "\n");
         for (int j = 0; j < GRANTORS; j++) {
             names.append(FeedLinks.raftHost(seed, i, j)).append(" k").append(j).append('\n');
         }
         Path hosts = folder.resolve("hosts" + i);
         Files.writeString(hosts, names);
-        return programs.program("k" + i, null, List.of("-Djdk.net.hosts.file=" + hosts, "-Xmx128m"), "lease",
-                "grant", "--plan", plan("k" + i, raft, doors), "--name", "k" + i);
+        return programs.program(
+                "k" + i,
+                null,
+                List.of("-Djdk.net.hosts.file=" + hosts, "-Xmx128m"),
+                "lease",
+                "grant",
+                "--plan",
+                plan("k" + i, raft, doors),
+                "--name",
+                "k" + i);
     }
 
     private String plan(String name, int[] raft, List<InetSocketAddress> at) throws IOException {
         StringBuilder text = new StringBuilder("(leases (length 1500ms) (clock 60ms) (disk 16MB))\n");
         for (int j = 0; j < GRANTORS; j++) {
-            text.append("(grantor k").append(j).append(" (raft k").append(j).append(':').append(raft[j])
-                    .append(") (at ").append(text(at.get(j))).append(") (store \"")
-                    .append(folder.resolve("log" + j)).append("\"))\n");
+            text.append("(grantor k")
+                    .append(j)
+                    .append(" (raft k")
+                    .append(j)
+                    .append(':')
+                    .append(raft[j])
+                    .append(") (at ")
+                    .append(text(at.get(j)))
+                    .append(") (store \"")
+                    .append(folder.resolve("log" + j))
+                    .append("\"))\n");
         }
         Path file = folder.resolve(name + ".plan");
         Files.writeString(file, text);
@@ -151,15 +200,23 @@
 
     /** All routers that are to have each version. */
     List<String> names() {
-        return Stream.concat(IntStream.range(0, routers).mapToObj(i -> "n" + i),
-                IntStream.range(0, REAL).mapToObj(i -> "m" + i)).toList();
+        return Stream.concat(
+                        IntStream.range(0, routers).mapToObj(i -> "n" + i),
+                        IntStream.range(0, REAL).mapToObj(i -> "m" + i))
+                .toList();
     }
 
     /** Waits until the grantors have a leader, relays hear from it, or all routers have a relay. */
     private void ready(boolean grantor, boolean relay) throws IOException, InterruptedException {
         long until = System.nanoTime() + READY_MILLIS * 1_000_000L;
-        while (grantor ? !led() : relay ? statuses().stream().filter(each -> each.lagMillis() < 1_000).count()
-                < relays.size() : connections() < routers + REAL) {
+        while (grantor
+                ? !led()
+                : relay
+                        ? statuses().stream()
+                                        .filter(each -> each.lagMillis() < 1_000)
+                                        .count()
+                                < relays.size()
+                        : connections() < routers + REAL) {
             if (System.nanoTime() > until) {
                 throw new IOException("not all are ready: " + statuses());
             }
@@ -217,7 +274,8 @@
     List<String> journal() throws IOException {
         List<String> lines = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path file : files.filter(each -> each.toString().endsWith(".journal")).toList()) {
+            for (Path file :
+                    files.filter(each -> each.toString().endsWith(".journal")).toList()) {
                 lines.addAll(Files.readAllLines(file));
             }
         }
--- a/src/main/java/beaconladder/lab/FeedJudge.java
+++ b/src/main/java/beaconladder/lab/FeedJudge.java
@@ -20,19 +20,22 @@
         /** A line of a journal, or null where it is of another kind or cut off. */
         static Applied of(String line) {
             String[] words = line.split(" ");
-            return words.length != 6 || !words[0].equals("A") || words[5].length() != 32 ? null
-                    : new Applied(Long.parseLong(words[1]), words[2], Long.parseLong(words[3]),
-                            Long.parseLong(words[4]), words[5]);
+            return words.length != 6 || !words[0].equals("A") || words[5].length() != 32
+                    ? null
+                    : new Applied(
+                            Long.parseLong(words[1]),
+                            words[2],
+                            Long.parseLong(words[3]),
+                            Long.parseLong(words[4]),
+                            words[5]);
         }
     }
 
     /** These routers could reach nothing; what was written meanwhile counts from the end of it. */
-    record Outage(Predicate<String> routers, long from, long to) {
-    }
+    record Outage(Predicate<String> routers, long from, long to) {}
 
     /** What a run came to. */
-    record Verdict(List<String> broken, int late, int never) {
-    }
+    record Verdict(List<String> broken, int late, int never) {}
 
     private final List<String> broken = new ArrayList<>();
     private final Map<String, List<Applied>> byRouter;
@@ -44,7 +47,8 @@
     FeedJudge(List<Logged> log, List<Applied> journal, List<Outage> outages) {
         this.log = log;
         this.outages = outages;
-        byRouter = journal.stream().sorted(Comparator.comparingLong(Applied::at))
+        byRouter = journal.stream()
+                .sorted(Comparator.comparingLong(Applied::at))
                 .collect(Collectors.groupingBy(Applied::router));
     }
 
@@ -76,19 +80,18 @@
     }
 
     /**
-     * Each version, or a newer one, is in force in time, counted from when the log answered or a first router
-     * had it.
+     * Each version, or a newer one, is in force in time, counted from when the log answered or a first router had it.
      *
-     * @param share  of the routers, as one in so many, that may take longer than the first bar
-     * @param first  nanoseconds
-     * @param all    nanoseconds in which it has to be in force at all of them
-     * @param times  takes each time
+     * @param share of the routers, as one in so many, that may take longer than the first bar
+     * @param first nanoseconds
+     * @param all nanoseconds in which it has to be in force at all of them
+     * @param times takes each time
      */
-    FeedJudge inForce(List<String> routers, int share, long first, long all, LongConsumer times,
-            Predicate<Logged> judged) {
+    FeedJudge inForce(
+            List<String> routers, int share, long first, long all, LongConsumer times, Predicate<Logged> judged) {
         Map<Long, Long> firsts = new HashMap<>();
-        byRouter.values().forEach(each -> each.forEach(applied -> firsts.merge(applied.version(),
-                applied.at(), Math::min)));
+        byRouter.values()
+                .forEach(each -> each.forEach(applied -> firsts.merge(applied.version(), applied.at(), Math::min)));
         Map<String, Integer> next = new HashMap<>();
         for (Logged version : log) {
             if (!judged.test(version)) {
@@ -107,15 +110,19 @@
                 times.accept(Math.max(0, nanos));
                 lateNow += nanos > first ? 1 : 0;
                 if (nanos > all) {
-                    broke("in force too late", router + ", version " + version.version() + " ("
-                            + version.phase() + ") after " + nanos / 1_000_000 + " ms");
+                    broke(
+                            "in force too late",
+                            router + ", version " + version.version() + " (" + version.phase() + ") after "
+                                    + nanos / 1_000_000 + " ms");
                 }
             }
             late += lateNow;
             if ((long) lateNow * share > routers.size()) {
-                broke("at too many too late", lateNow + " of " + routers.size() + " had version "
-                        + version.version() + " (" + version.phase() + ") after more than "
-                        + first / 1_000_000 + " ms");
+                broke(
+                        "at too many too late",
+                        lateNow + " of " + routers.size() + " had version "
+                                + version.version() + " (" + version.phase() + ") after more than "
+                                + first / 1_000_000 + " ms");
             }
         }
         return this;
--- a/src/main/java/beaconladder/lab/FeedLinks.java
+++ b/src/main/java/beaconladder/lab/FeedLinks.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The ways between the processes of the feed's rehearsal, each with a fault relay on it where a script may
- * cut it. Routers outside the first region go straight to relays outside of it: no script cuts these.
+ * The ways between the processes of the feed's rehearsal, each with a fault relay on it where a script may cut it.
+ * Routers outside the first region go straight to relays outside of it: no script cuts these.
  */
 final class FeedLinks implements AutoCloseable {
     static final int REGIONS = 4;
@@ -19,6 +19,7 @@
     private final List<InetSocketAddress> relays;
     /** From the first region's routers to each relay; from all others to the first region's relays. */
     private final FaultRelay[] fromFirst;
+
     private final FaultRelay[] intoFirst;
     /** From each real router to each relay. */
     private final FaultRelay[][] fromReal;
@@ -39,12 +40,10 @@
         for (int j = 0; j < relays.size(); j++) {
             fromFirst[j] = joined(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), relays.get(j));
             if (inFirst(j)) {
-                intoFirst[j] = joined(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        relays.get(j));
+                intoFirst[j] = joined(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), relays.get(j));
             }
             for (int i = 0; i < real; i++) {
-                fromReal[i][j] = joined(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        relays.get(j));
+                fromReal[i][j] = joined(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), relays.get(j));
             }
             for (int k = 0; k < doors.size(); k++) {
                 toDoors[j][k] = FaultRelay.toDoor(doors.get(k), chance.nextLong());
@@ -53,7 +52,8 @@
         for (int i = 0; i < doors.size(); i++) {
             for (int j = 0; j < doors.size(); j++) {
                 if (i != j) {
-                    between[i][j] = joined(new InetSocketAddress(raftHost(seed, i, j), raft[j]),
+                    between[i][j] = joined(
+                            new InetSocketAddress(raftHost(seed, i, j), raft[j]),
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), raft[j]));
                 }
             }
@@ -66,8 +66,9 @@
 
     /** Where one grantor finds another. */
     static String raftHost(long seed, int from, int to) {
-        return from == to ? "127.0.0.1" : "127." + (100 + Math.floorMod(seed, 100L)) + "." + (from + 1) + "."
-                + (to + 1);
+        return from == to
+                ? "127.0.0.1"
+                : "127." + (100 + Math.floorMod(seed, 100L)) + "." + (from + 1) + "." + (to + 1);
     }
 
     static boolean inFirst(int relay) {
--- a/src/main/java/beaconladder/lab/FeedRehearsal.java
+++ b/src/main/java/beaconladder/lab/FeedRehearsal.java
@@ -22,22 +22,29 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The rehearsal of the feed: grantors, relays and routers under changes and a fault script drawn from the
- * seed, judged by what routers wrote when they put a version in force, and by the log.
+ * The rehearsal of the feed: grantors, relays and routers under changes and a fault script drawn from the seed, judged
+ * by what routers wrote when they put a version in force, and by the log.
  */
 public final class FeedRehearsal {
     /**
      * What is played.
      *
-     * @param everyMillis  between two changes when nothing happens
+     * @param everyMillis between two changes when nothing happens
      * @param steadyMillis for so long; and for half of it nothing changes at all, before
-     * @param burst        changes one right after the other
-     * @param lastsMillis  so long a fault lasts: longer than the feed's time-outs, so that they are met
-     * @param firstMillis  in which a change is in force at all but one in a thousand
-     * @param allMillis    in which it is in force at all
+     * @param burst changes one right after the other
+     * @param lastsMillis so long a fault lasts: longer than the feed's time-outs, so that they are met
+     * @param firstMillis in which a change is in force at all but one in a thousand
+     * @param allMillis in which it is in force at all
      */
-    public record Size(int relays, int routers, int everyMillis, int steadyMillis, int burst,
-            int lastsMillis, int firstMillis, int allMillis) {
+    public record Size(
+            int relays,
+            int routers,
+            int everyMillis,
+            int steadyMillis,
+            int burst,
+            int lastsMillis,
+            int firstMillis,
+            int allMillis) {
         /** The users' bars. */
         public static Size of(int relays, int routers, int everyMillis, int steadyMillis) {
             return new Size(relays, routers, everyMillis, steadyMillis, 100, 4_000, 3_000, 6_000);
@@ -80,9 +87,11 @@
             left = left.isEmpty() ? new ArrayList<>(from) : left;
             script.add(left.remove(chance.nextInt(left.size())));
         }
-        figures.put("rehearsal", "feed").put("seed", seed).put("script", script.stream()
-                .map(FeedRehearsal::name).collect(Collectors.joining(",")));
-        figures.put("relays", size.relays()).put("routers_hollow", size.routers())
+        figures.put("rehearsal", "feed")
+                .put("seed", seed)
+                .put("script", script.stream().map(FeedRehearsal::name).collect(Collectors.joining(",")));
+        figures.put("relays", size.relays())
+                .put("routers_hollow", size.routers())
                 .put("routers_real", FeedFleet.REAL);
         try (FeedFleet set = new FeedFleet(folder, seed, size.relays(), size.routers())) {
             fleet = set;
@@ -105,8 +114,10 @@
         if (!broken.isEmpty()) {
             out.println("logs are in " + folder);
         }
-        figures.put("versions", writer.log().size()).put("broken", broken.size())
-                .put("held", broken.isEmpty()).put("seconds", (System.nanoTime() - started) / MS / 1_000);
+        figures.put("versions", writer.log().size())
+                .put("broken", broken.size())
+                .put("held", broken.isEmpty())
+                .put("seconds", (System.nanoTime() - started) / MS / 1_000);
         out.println(figures);
         out.flush();
         return broken.isEmpty();
@@ -147,8 +158,11 @@
     private void settle() throws InterruptedException {
         long last = writer.log().get(writer.log().size() - 1).version();
         long until = System.nanoTime() + size.allMillis() * MS;
-        while (System.nanoTime() < until && fleet.statuses().stream().filter(each -> each.version() == last)
-                .count() < size.relays()) {
+        while (System.nanoTime() < until
+                && fleet.statuses().stream()
+                                .filter(each -> each.version() == last)
+                                .count()
+                        < size.relays()) {
             Thread.sleep(50);
         }
         Thread.sleep(Math.min(2_500, size.allMillis()));
@@ -160,18 +174,22 @@
         long last = writer.log().get(writer.log().size() - 1).version();
         int counted = 0;
         for (int i = 0; i < COUNTED_TRIES && counted < routers; i++) {
-            int all = writer.proposer().status().counts().stream().mapToInt(each -> each.applied()).sum();
+            int all = writer.proposer().status().counts().stream()
+                    .mapToInt(each -> each.applied())
+                    .sum();
             if (all > routers) {
                 broken.add("the leader counts " + all + " of " + routers + " routers");
             }
-            counted = writer.proposer().status().counts().stream().filter(each -> each.version() == last)
-                    .mapToInt(each -> each.applied()).sum();
+            counted = writer.proposer().status().counts().stream()
+                    .filter(each -> each.version() == last)
+                    .mapToInt(each -> each.applied())
+                    .sum();
             Thread.sleep(100);
         }
         figures.put("acknowledged", counted);
         if (counted != routers) {
-            broken.add("the leader counts version " + last + " in force at " + counted + " of " + routers
-                    + ": " + writer.proposer().status());
+            broken.add("the leader counts version " + last + " in force at " + counted + " of " + routers + ": "
+                    + writer.proposer().status());
         }
     }
 
@@ -182,23 +200,37 @@
         if (told.version() != last.version() || !told.digest().equals(last.digest())) {
             broken.add("the log ends with " + told + ", and answered " + last);
         }
-        List<Applied> applied = journal.stream().map(Applied::of).filter(Objects::nonNull).toList();
+        List<Applied> applied =
+                journal.stream().map(Applied::of).filter(Objects::nonNull).toList();
         FeedJudge judge = new FeedJudge(log, applied, outages).contents();
         ObjectNode times = figures.putObject("in_force_ms");
         for (String phase : new TreeSet<>(log.stream().map(Logged::phase).toList())) {
             Histogram histogram = new Histogram(DIGITS);
-            judge.inForce(fleet.names(), SHARE, size.firstMillis() * MS, size.allMillis() * MS,
-                    nanos -> histogram.recordValue(nanos / 1_000), each -> each.phase().equals(phase));
+            judge.inForce(
+                    fleet.names(),
+                    SHARE,
+                    size.firstMillis() * MS,
+                    size.allMillis() * MS,
+                    nanos -> histogram.recordValue(nanos / 1_000),
+                    each -> each.phase().equals(phase));
             double most = histogram.getMaxValue() / 1e3;
-            times.put(phase, Stream.of(50, 99, 99.9).map(each -> String.valueOf(histogram
-                    .getValueAtPercentile(each.doubleValue()) / 1_000)).collect(Collectors.joining(",")) + ","
-                    + Math.round(most));
+            times.put(
+                    phase,
+                    Stream.of(50, 99, 99.9)
+                                    .map(each ->
+                                            String.valueOf(histogram.getValueAtPercentile(each.doubleValue()) / 1_000))
+                                    .collect(Collectors.joining(","))
+                            + ","
+                            + Math.round(most));
         }
         times.put("columns", "p50,p99,p999,max");
         broken.addAll(judge.verdict().broken());
         figures.put("late", judge.verdict().late());
-        figures.put("propose_ms_most", log.stream().mapToLong(each -> each.at() - each.from()).max()
-                .orElse(0) / MS);
-        figures.put("bases_told", fleet.statuses().stream().mapToLong(Relay.Status::bases).sum());
+        figures.put(
+                "propose_ms_most",
+                log.stream().mapToLong(each -> each.at() - each.from()).max().orElse(0) / MS);
+        figures.put(
+                "bases_told",
+                fleet.statuses().stream().mapToLong(Relay.Status::bases).sum());
     }
 }
--- a/src/main/java/beaconladder/lab/FeedRouters.java
+++ b/src/main/java/beaconladder/lab/FeedRouters.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * A process of subscribers, each with its own task and connection as in a router, and no clients or hosts
- * behind them: hollow routers. What each puts in force it writes to a journal, which is all that is judged.
+ * A process of subscribers, each with its own task and connection as in a router, and no clients or hosts behind them:
+ * hollow routers. What each puts in force it writes to a journal, which is all that is judged.
  */
 public final class FeedRouters {
     /** As a router's tasks have it; with half of it, the loading of HttpCore's classes ran out of stack. */
@@ -24,8 +24,7 @@
     /** So often the journal is written out and the ages are told. */
     private static final int FLUSH_MILLIS = 200;
 
-    private FeedRouters() {
-    }
+    private FeedRouters() {}
 
     /** Unix nanoseconds, the same clock for all processes of a machine. */
     static long unix() {
@@ -44,8 +43,8 @@
 
         @Override
         public void apply(State next) throws IOException {
-            String line = "A " + unix() + ' ' + router + ' ' + life + ' ' + next.version() + ' '
-                    + next.reckoned() + '\n';
+            String line =
+                    "A " + unix() + ' ' + router + ' ' + life + ' ' + next.version() + ' ' + next.reckoned() + '\n';
             synchronized (out) {
                 out.write(line);
             }
@@ -53,10 +52,9 @@
     }
 
     /** Runs them until a signal ends the process, on no disk: two thousand of them would be all it does. */
-    public static void run(String prefix, int from, int count, Map<String, InetSocketAddress> relays,
-            Path journal) throws IOException, InterruptedException {
-        BufferedWriter out = Files.newBufferedWriter(journal, StandardOpenOption.CREATE,
-                StandardOpenOption.APPEND);
+    public static void run(String prefix, int from, int count, Map<String, InetSocketAddress> relays, Path journal)
+            throws IOException, InterruptedException {
+        BufferedWriter out = Files.newBufferedWriter(journal, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         long life = System.currentTimeMillis();
         List<Subscriber> all = new ArrayList<>();
         for (int i = from; i < from + count; i++) {
--- a/src/main/java/beaconladder/lab/FeedWriter.java
+++ b/src/main/java/beaconladder/lab/FeedWriter.java
@@ -14,21 +14,22 @@
 final class FeedWriter {
     /** A document as settings are: a few kilobytes, of which there are some. */
     private static final int DOCUMENTS = 8;
+
     private static final int LEAST = 500;
     private static final int MOST = 3_000;
     /** A leader that answers does so at once; one that is gone is not waited for. */
     private static final int CALL_MILLIS = 1_200;
+
     private static final int GIVE_UP_MILLIS = 12_000;
 
     /**
      * A version that the log has written.
      *
-     * @param from   when it was proposed, in Unix nanoseconds
-     * @param at     when the log said so
-     * @param phase  the part of the script
+     * @param from when it was proposed, in Unix nanoseconds
+     * @param at when the log said so
+     * @param phase the part of the script
      */
-    record Logged(long version, String digest, long from, long at, String phase) {
-    }
+    record Logged(long version, String digest, long from, long at, String phase) {}
 
     private final Proposer proposer;
     private final SplittableRandom chance;
@@ -55,14 +56,19 @@
         while (text.length() < length) {
             text.append(Long.toHexString(chance.nextLong())).append(' ');
         }
-        write(new Proposal(version, Map.of("settings-" + chance.nextInt(DOCUMENTS), text.toString()),
-                List.of()), phase);
+        write(
+                new Proposal(version, Map.of("settings-" + chance.nextInt(DOCUMENTS), text.toString()), List.of()),
+                phase);
     }
 
     /** Has one router refuse a version, or none any more. */
     void refusal(String router, String phase) throws IOException, InterruptedException {
-        write(new Proposal(version, router == null ? Map.of() : Map.of("refuse", router),
-                router == null ? List.of("refuse") : List.of()), phase);
+        write(
+                new Proposal(
+                        version,
+                        router == null ? Map.of() : Map.of("refuse", router),
+                        router == null ? List.of("refuse") : List.of()),
+                phase);
     }
 
     private void write(Proposal proposal, String phase) throws IOException, InterruptedException {
--- a/src/main/java/beaconladder/lab/Flood.java
+++ b/src/main/java/beaconladder/lab/Flood.java
@@ -8,10 +8,17 @@
 /** One tenant's flood, of one kind, at a stated rate; what it is answered is counted and no more. */
 final class Flood implements AutoCloseable {
     /** The kinds that the issue names. */
-    enum Kind { CONNECTIONS, ONE_CONNECTION, LARGE, READS, WRITES }
+    enum Kind {
+        CONNECTIONS,
+        ONE_CONNECTION,
+        LARGE,
+        READS,
+        WRITES
+    }
 
     /** So many at once: more than any one tenant may have in hand. */
     private static final int THREADS = 320;
+
     private static final int LARGE_BYTES = 48 * 1024;
     private static final int AHEAD = 32;
     private final AtomicLong ids = new AtomicLong();
@@ -70,11 +77,16 @@
     private String query(Kind kind, String tenant, int group) {
         long n = ids.incrementAndGet();
         boolean write = kind == Kind.WRITES || kind == Kind.LARGE || kind != Kind.READS && n % 2 == 0;
-        String query = Load.query("f" + Long.toHexString(n), write ? "write" : "any", tenant, "flood"
-                + n % 100, group,
-                n, 0, Load.BUDGET_MILLIS);
-        return kind != Kind.LARGE ? query : query.replace("') RETURNING", "00".repeat(LARGE_BYTES)
-                + "') RETURNING");
+        String query = Load.query(
+                "f" + Long.toHexString(n),
+                write ? "write" : "any",
+                tenant,
+                "flood" + n % 100,
+                group,
+                n,
+                0,
+                Load.BUDGET_MILLIS);
+        return kind != Kind.LARGE ? query : query.replace("') RETURNING", "00".repeat(LARGE_BYTES) + "') RETURNING");
     }
 
     long served() {
--- a/src/main/java/beaconladder/lab/Ground.java
+++ b/src/main/java/beaconladder/lab/Ground.java
@@ -13,13 +13,10 @@
 /** The hosts of a rehearsal, group by group, and discovery that lists them; keeps what the hosts saw. */
 final class Ground implements AutoCloseable {
     /** A txn ran at a host. */
-    record Ran(String id, String tenant, String key, boolean write, long version, int group, String host,
-            long at) {
-    }
+    record Ran(String id, String tenant, String key, boolean write, long version, int group, String host, long at) {}
 
     /** A txn reached a host; for the check of drains. */
-    record Reached(String host, String id, long at) {
-    }
+    record Reached(String host, String id, long at) {}
 
     private final Map<Integer, List<Member>> groups = new LinkedHashMap<>();
     private final Map<String, String> states = new LinkedHashMap<>();
@@ -55,11 +52,17 @@
     }
 
     Member replica(int group) {
-        return groups.get(group).stream().filter(m -> m != primary(group)).findFirst().orElseThrow();
+        return groups.get(group).stream()
+                .filter(m -> m != primary(group))
+                .findFirst()
+                .orElseThrow();
     }
 
     Member at(int port) {
-        return groups.values().stream().flatMap(List::stream).filter(m -> m.port() == port).findFirst()
+        return groups.values().stream()
+                .flatMap(List::stream)
+                .filter(m -> m.port() == port)
+                .findFirst()
                 .orElse(null);
     }
 
@@ -73,13 +76,17 @@
     }
 
     private synchronized void list() {
-        discovery.list(true, groups.values().stream().flatMap(List::stream)
-                .map(m -> m.listed(states.get(m.id))).toArray(String[]::new));
+        discovery.list(
+                true,
+                groups.values().stream()
+                        .flatMap(List::stream)
+                        .map(m -> m.listed(states.get(m.id)))
+                        .toArray(String[]::new));
     }
 
     /**
-     * Another member becomes primary: the one that has received most of the log, so that no write that was
-     * answered is lost where writes wait for a replica. The others go on from its log.
+     * Another member becomes primary: the one that has received most of the log, so that no write that was answered is
+     * lost where writes wait for a replica. The others go on from its log.
      */
     synchronized Member failOver(int group) {
         Member old = primary(group);
--- a/src/main/java/beaconladder/lab/HostStandIn.java
+++ b/src/main/java/beaconladder/lab/HostStandIn.java
@@ -20,8 +20,26 @@
 public class HostStandIn implements AutoCloseable {
     /** How a host stand-in takes a statement. */
     public enum Manner {
-        ANSWER, MISS, BEHIND, ERROR, FULL, RESET, CUT, GARBAGE, TWO_ROWS, HUGE, UNKNOWN, SILENT,
-        NO_DESCRIPTION, TWO_COLUMNS, INNER_LENGTH, ERROR_BEHIND_ROW, HALF_AN_ERROR, ODD_TAG, STALL, TWICE
+        ANSWER,
+        MISS,
+        BEHIND,
+        ERROR,
+        FULL,
+        RESET,
+        CUT,
+        GARBAGE,
+        TWO_ROWS,
+        HUGE,
+        UNKNOWN,
+        SILENT,
+        NO_DESCRIPTION,
+        TWO_COLUMNS,
+        INNER_LENGTH,
+        ERROR_BEHIND_ROW,
+        HALF_AN_ERROR,
+        ODD_TAG,
+        STALL,
+        TWICE
     }
 
     private volatile ServerSocket door = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
@@ -137,9 +155,12 @@
                 }
                 halt();
                 if (text.equals("SELECT 1") || text.equals("SHOW server_load")) {
-                    byte[] cell = text.equals("SELECT 1") ? new byte[] {'1'}
-                            : load().getBytes(StandardCharsets.US_ASCII);
-                    new Outbox().row("x", cell).commandComplete("SELECT 1").ready()
+                    byte[] cell =
+                            text.equals("SELECT 1") ? new byte[] {'1'} : load().getBytes(StandardCharsets.US_ASCII);
+                    new Outbox()
+                            .row("x", cell)
+                            .commandComplete("SELECT 1")
+                            .ready()
                             .writeTo(socket.getOutputStream());
                     continue;
                 }
@@ -160,8 +181,7 @@
     }
 
     /** Called before each answer; returns when there may be one. */
-    protected void halt() {
-    }
+    protected void halt() {}
 
     /** How many txns it holds. */
     protected int holds() {
@@ -194,20 +214,33 @@
                 }
                 answer.ready().writeTo(out);
             }
-            case MISS -> said().error("ERROR", "25006", "no primary", null).ready().writeTo(out);
-            case BEHIND -> said().error("ERROR", "72000", "behind", null).ready().writeTo(out);
+            case MISS ->
+                said().error("ERROR", "25006", "no primary", null).ready().writeTo(out);
+            case BEHIND ->
+                said().error("ERROR", "72000", "behind", null).ready().writeTo(out);
             case ERROR -> said().error("ERROR", "XX000", "broken", null).ready().writeTo(out);
             case FULL -> said().error("ERROR", "53300", "full", null).ready().writeTo(out);
             case CUT -> out.write(new byte[] {'D', 0, 0, 1, 0, 0, 1, 0, 0});
             case GARBAGE -> out.write("HTTP/1.1 400 Bad\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            case TWO_ROWS -> said().row("doc", value).row("doc", value).commandComplete("SELECT").ready()
-                    .writeTo(out);
-            case HUGE -> out.write(ByteBuffer.allocate(5).put((byte) 'D').putInt(0x7fffffff).array());
+            case TWO_ROWS ->
+                said().row("doc", value)
+                        .row("doc", value)
+                        .commandComplete("SELECT")
+                        .ready()
+                        .writeTo(out);
+            case HUGE ->
+                out.write(ByteBuffer.allocate(5)
+                        .put((byte) 'D')
+                        .putInt(0x7fffffff)
+                        .array());
             case UNKNOWN -> out.write(new byte[] {'G', 0, 0, 0, 4});
             case NO_DESCRIPTION -> {
                 byte[] row = new byte[new Outbox().row("doc", value).size() - 28];
                 new Outbox().row("doc", value).bytes().get(28, row);
-                said().raw(row, 0, row.length).commandComplete("SELECT 1").ready().writeTo(out);
+                said().raw(row, 0, row.length)
+                        .commandComplete("SELECT 1")
+                        .ready()
+                        .writeTo(out);
             }
             case TWO_COLUMNS -> out.write(new byte[] {'T', 0, 0, 0, 6, 0, 2});
             case INNER_LENGTH -> {
@@ -215,14 +248,23 @@
                 row.bytes().put(row.size() - value.length - 1, (byte) (value.length - 1));
                 row.commandComplete("SELECT 1").ready().writeTo(out);
             }
-            case ERROR_BEHIND_ROW -> said().row("doc", value).error("ERROR", "53300", "full", null)
-                    .ready().writeTo(out);
-            case HALF_AN_ERROR -> out.write(HexFormat.of().parseHex("45000000095335333330" + "30"
-                    + "5a0000000549"));
-            case ODD_TAG -> said().row("doc", value).commandComplete("GARBAGE").ready().writeTo(out);
+            case ERROR_BEHIND_ROW ->
+                said().row("doc", value)
+                        .error("ERROR", "53300", "full", null)
+                        .ready()
+                        .writeTo(out);
+            case HALF_AN_ERROR -> out.write(HexFormat.of().parseHex("45000000095335333330" + "30" + "5a0000000549"));
+            case ODD_TAG ->
+                said().row("doc", value).commandComplete("GARBAGE").ready().writeTo(out);
             case STALL -> out.write(new byte[] {'T', 0, 0, 0, 28, 0, 1, 'd'});
-            case TWICE -> said().row("doc", value).commandComplete("SELECT 1").ready()
-                    .append(said().row("doc", value).commandComplete("SELECT 1").ready()).writeTo(out);
+            case TWICE ->
+                said().row("doc", value)
+                        .commandComplete("SELECT 1")
+                        .ready()
+                        .append(said().row("doc", value)
+                                .commandComplete("SELECT 1")
+                                .ready())
+                        .writeTo(out);
             case RESET -> socket.setSoLinger(true, 0);
             case SILENT -> {
                 if (socket.getInputStream().read() < 0) {
@@ -235,7 +277,8 @@
     }
 
     protected Outbox said() {
-        return new Outbox().parameterStatus("node_role", role)
+        return new Outbox()
+                .parameterStatus("node_role", role)
                 .parameterStatus("replay_position", String.valueOf(position()))
                 .parameterStatus("server_load", load());
     }
@@ -247,8 +290,8 @@
 
     private String load() {
         long at = position();
-        return "x0=" + at / 1000 + "." + String.format("%03d", at % 1000) + ",x1="
-                + (role.equals("leader") ? 1 : 0) + ",inflight=" + holds();
+        return "x0=" + at / 1000 + "." + String.format("%03d", at % 1000) + ",x1=" + (role.equals("leader") ? 1 : 0)
+                + ",inflight=" + holds();
     }
 
     @Override
--- a/src/main/java/beaconladder/lab/Installation.java
+++ b/src/main/java/beaconladder/lab/Installation.java
@@ -16,6 +16,9 @@
 
 /** Hosts, discovery, a keeper and routers, started and ready to be asked. */
 final class Installation implements AutoCloseable, Load.Doors {
+    private static final String REQUEST_CLASS = """
+                {"name":"%s","effect":"%s","goal_time_us":500000,"give_up_us":1000000,"late_share":0.5,\
+                "key_ttl_us":5000000,"points":%s}""";
     static final int LEASE_MILLIS = 800;
     static final int FENCE_MILLIS = 4_000;
     private static final int READY_MILLIS = 30_000;
@@ -34,11 +37,11 @@
     /**
      * Starts all and waits until they serve.
      *
-     * @param tenants    lines of the plan beside cells and keeper
+     * @param tenants lines of the plan beside cells and keeper
      * @param membersEach hosts in each group
      */
-    Installation(Path folder, int cells, int groupsEach, int membersEach, int routerCount, int lagMillis,
-            String tenants)
+    Installation(
+            Path folder, int cells, int groupsEach, int membersEach, int routerCount, int lagMillis, String tenants)
             throws IOException, InterruptedException {
         ground = new Ground(cells * groupsEach, membersEach, lagMillis);
         programs = new Programs(folder);
@@ -64,8 +67,7 @@
             Files.writeString(own, text + keeperAt(relay.port(), folder));
             int port = Programs.freePort();
             ports.add(port);
-            Program router = programs.program("n" + i, config("n" + i, port), "serve", "--plan",
-                    own.toString());
+            Program router = programs.program("n" + i, config("n" + i, port), "serve", "--plan", own.toString());
             routers.add(router);
             router.start();
         }
@@ -83,12 +85,13 @@
     }
 
     private String config(String name, int port) {
-        String types = Stream.of("any", "fresh", "own", "write", "token").map(type -> """
-                {"name":"%s","effect":"%s","goal_time_us":500000,"give_up_us":1000000,"late_share":0.5,\
-                "key_ttl_us":5000000,"points":%s}""".formatted(type, type.equals("write") ? "side_effect"
-                : type.equals("token") ? "token" : "pure", type.equals("write") ? "3" : "1"))
+        String types = Stream.of("any", "fresh", "own", "write", "token")
+                .map(type -> REQUEST_CLASS.formatted(
+                        type,
+                        type.equals("write") ? "side_effect" : type.equals("token") ? "token" : "pure",
+                        type.equals("write") ? "3" : "1"))
                 .collect(Collectors.joining(","));
-        return """
+        String file = """
                 {"name":"%s","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"1f",
                  "limits":{"sockets":1024,"memory_mb":192},"known":{"version":0,"full":true,"servers":[]},
                  "settings":{"family_info":{"freshness":["loose","recent","own_writes","update","update"],
@@ -96,9 +99,8 @@
                   "limits":{"max_attempts":10,"second_copies":true,"cancel":true,"probes":true,
                    "dial_timeout_us":250000,"conn_idle_us":3000000},
                   "load_report":{"fields":["x0","x1","rif"],"how":"inline"},"parties":[{"name":"t0"}],
-                  "round_us":5000,"replicas_of_me":1,"zones":["east"],"request_classes":[%s]}}"""
-                .formatted(name, port, ground.discovery.door.getLocalPort(), Load.BOUND_MILLIS * 1_000,
-                        types);
+                  "round_us":5000,"replicas_of_me":1,"zones":["east"],"request_classes":[%s]}}""";
+        return file.formatted(name, port, ground.discovery.door.getLocalPort(), Load.BOUND_MILLIS * 1_000, types);
     }
 
     /** Waits until a router answers an empty query. */
@@ -114,7 +116,8 @@
                 Thread.sleep(20);
             }
         }
-        throw new IllegalStateException("router " + router + " is not ready: " + routers.get(router).log());
+        throw new IllegalStateException(
+                "router " + router + " is not ready: " + routers.get(router).log());
     }
 
     /** A router is in trouble from now on until the end of it. */
--- a/src/main/java/beaconladder/lab/Judge.java
+++ b/src/main/java/beaconladder/lab/Judge.java
@@ -15,30 +15,50 @@
 /** Judges a rehearsal by what clients and hosts saw; the routers and the keeper are not asked. */
 final class Judge {
     /** How a txn ended for its client. */
-    enum End { COMMITTED, DECLINED, ROLLED_BACK, ERROR, NONE, CUT }
+    enum End {
+        COMMITTED,
+        DECLINED,
+        ROLLED_BACK,
+        ERROR,
+        NONE,
+        CUT
+    }
 
     /**
      * A txn as its client saw it.
      *
      * @param version written, or read; -1 without an answer
-     * @param least   the version that a read must at least show, and the txn that wrote it
-     * @param most    the newest version that was ever tried
-     * @param budget  how long the client waits, in milliseconds
+     * @param least the version that a read must at least show, and the txn that wrote it
+     * @param most the newest version that was ever tried
+     * @param budget how long the client waits, in milliseconds
      * @param excused whether its router was killed, stopped or ended meanwhile
-     * @param extra   whether more came behind its answer
+     * @param extra whether more came behind its answer
      */
-    record Asked(String id, String tenant, String key, String type, int cell, int router, long sent,
+    record Asked(
+            String id,
+            String tenant,
+            String key,
+            String type,
+            int cell,
+            int router,
+            long sent,
             long answered,
-            int budget, End end, long version, long least, String leastBy, long most, boolean excused,
-                    boolean extra, String message) {
+            int budget,
+            End end,
+            long version,
+            long least,
+            String leastBy,
+            long most,
+            boolean excused,
+            boolean extra,
+            String message) {
         boolean write() {
             return type.equals("write") || type.equals("token");
         }
     }
 
     /** A rule that was broken, with one example. */
-    record Broken(String rule, int times, String example) {
-    }
+    record Broken(String rule, int times, String example) {}
 
     /** An answer may be so late by the clocks of a busy machine. */
     private static final long LATE_MILLIS = 100;
@@ -50,6 +70,7 @@
 
     /** A look that was due every ten milliseconds and came much later tells of a machine that is too busy. */
     private static final long TICK_MILLIS = 10;
+
     private static final long BUSY_MILLIS = 60;
 
     final Queue<Asked> asked = new ConcurrentLinkedQueue<>();
@@ -107,15 +128,22 @@
             if (txn.end() == End.CUT && !txn.excused() && reached.contains(txn.id())) {
                 add(found, "the connection was ended with a txn in hand", txn.toString());
             }
-            if (txn.answered() - txn.sent() > txn.budget() + LATE_MILLIS && !txn.excused()
-                    && !machineBusy(txn)) {
+            if (txn.answered() - txn.sent() > txn.budget() + LATE_MILLIS && !txn.excused() && !machineBusy(txn)) {
                 add(found, "an answer after the expiry", txn.toString());
             }
             // What a group's own failover has dropped is its loss, and no router's.
-            if (txn.end() == End.COMMITTED && !txn.write() && txn.version() < txn.least()
-                    && !ground.dropped.contains(txn.leastBy()) && !overtaken(txn, unknown, runs)) {
-                add(found, "a stale read", txn + " ran " + ground.ran.stream()
-                        .filter(r -> r.id().equals(txn.id()) || r.id().equals(txn.leastBy())).toList());
+            if (txn.end() == End.COMMITTED
+                    && !txn.write()
+                    && txn.version() < txn.least()
+                    && !ground.dropped.contains(txn.leastBy())
+                    && !overtaken(txn, unknown, runs)) {
+                add(
+                        found,
+                        "a stale read",
+                        txn + " ran "
+                                + ground.ran.stream()
+                                        .filter(r -> r.id().equals(txn.id()) || r.id().equals(txn.leastBy()))
+                                        .toList());
             }
             if (txn.end() == End.COMMITTED && !txn.write() && txn.version() > txn.most()) {
                 add(found, "a value that nobody wrote", txn.toString());
@@ -132,16 +160,14 @@
         return broken;
     }
 
-    /**
-     * Whether what was read is a write whose client was never told, and that ran after the one that is
-     * missed.
-     */
-    private static boolean overtaken(Asked read, Map<String, Asked> unknown, Map<String,
-            List<Ground.Ran>> runs) {
+    /** Whether what was read is a write whose client was never told, and that ran after the one that is missed. */
+    private static boolean overtaken(Asked read, Map<String, Asked> unknown, Map<String, List<Ground.Ran>> runs) {
         Asked late = unknown.get(read.tenant() + "/" + read.key() + "/" + read.version());
         List<Ground.Ran> missed = runs.get(read.leastBy());
-        return late != null && missed != null && runs.getOrDefault(late.id(), List.of()).stream()
-                .anyMatch(run -> run.at() >= missed.get(0).at());
+        return late != null
+                && missed != null
+                && runs.getOrDefault(late.id(), List.of()).stream()
+                        .anyMatch(run -> run.at() >= missed.get(0).at());
     }
 
     private static void judge(Asked txn, List<Ground.Ran> runs, Map<String, List<String>> found) {
@@ -164,16 +190,13 @@
         return tenant.startsWith(SPREAD) ? tenant + "/" + key : tenant;
     }
 
-    /**
-     * Once a tenant's write has run in a cell, none runs in the cell before; no rehearsal moves a tenant
-     * back.
-     */
-    private static void twoCells(Ground ground, IntUnaryOperator cellOfGroup, Map<String,
-            List<String>> found) {
+    /** Once a tenant's write has run in a cell, none runs in the cell before; no rehearsal moves a tenant back. */
+    private static void twoCells(Ground ground, IntUnaryOperator cellOfGroup, Map<String, List<String>> found) {
         Map<String, List<Ground.Ran>> writes = new HashMap<>();
         ground.ran.forEach(r -> {
             if (r.write()) {
-                writes.computeIfAbsent(resident(r.tenant(), r.key()), t -> new ArrayList<>()).add(r);
+                writes.computeIfAbsent(resident(r.tenant(), r.key()), t -> new ArrayList<>())
+                        .add(r);
             }
         });
         writes.forEach((tenant, all) -> {
@@ -202,9 +225,7 @@
         }
     }
 
-    /**
-     * Where each tenant's writes ran last, its committed writes are there, but for those a failover dropped.
-     */
+    /** Where each tenant's writes ran last, its committed writes are there, but for those a failover dropped. */
     private void lost(Ground ground, Map<String, List<String>> found) {
         Map<String, Integer> home = new HashMap<>();
         Map<String, Long> at = new HashMap<>();
@@ -218,17 +239,17 @@
         Map<String, Asked> newest = new HashMap<>();
         for (Asked txn : asked) {
             if (txn.write() && txn.end() == End.COMMITTED && !ground.dropped.contains(txn.id())) {
-                newest.merge(txn.tenant() + "/" + txn.key(), txn, (a, b) -> a.version() > b.version() ? a
-                        : b);
+                newest.merge(txn.tenant() + "/" + txn.key(), txn, (a, b) -> a.version() > b.version() ? a : b);
             }
         }
         newest.values().forEach(txn -> {
             Integer group = home.get(resident(txn.tenant(), txn.key()));
             Member primary = group == null ? null : ground.primary(group);
-            if (primary != null && primary.alive()
-                    && primary.version(txn.tenant(), txn.key()) < txn.version()) {
-                add(found, "a committed write is lost", txn + "; " + primary.id + " has "
-                        + primary.version(txn.tenant(), txn.key()));
+            if (primary != null && primary.alive() && primary.version(txn.tenant(), txn.key()) < txn.version()) {
+                add(
+                        found,
+                        "a committed write is lost",
+                        txn + "; " + primary.id + " has " + primary.version(txn.tenant(), txn.key()));
             }
         });
     }
@@ -252,9 +273,11 @@
 
     /** The time, in milliseconds, within which this share of the txns served had their answers. */
     long quantile(double share, long from, long to, boolean... ofCell) {
-        long[] times = asked.stream().filter(t -> t.end() == End.COMMITTED && t.sent() >= from
-                && t.sent() < to
-                && ofCell[t.cell()]).mapToLong(t -> t.answered() - t.sent()).sorted().toArray();
+        long[] times = asked.stream()
+                .filter(t -> t.end() == End.COMMITTED && t.sent() >= from && t.sent() < to && ofCell[t.cell()])
+                .mapToLong(t -> t.answered() - t.sent())
+                .sorted()
+                .toArray();
         return times.length == 0 ? 0 : times[(int) Math.min(times.length - 1, share * times.length)];
     }
 
--- a/src/main/java/beaconladder/lab/LeaseHolder.java
+++ b/src/main/java/beaconladder/lab/LeaseHolder.java
@@ -13,36 +13,35 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/**
- * A process that wants a task and acts on shared resources for as long as it holds it, until a signal
- * ends it.
- */
+/** A process that wants a task and acts on shared resources for as long as it holds it, until a signal ends it. */
 public final class LeaseHolder {
     private static final int ACT_MILLIS = 300;
     /** Between its look at the lease and the act it works so long: that is where a pause does harm. */
     private static final int WORK_MILLIS = 25;
 
-    private LeaseHolder() {
-    }
+    private LeaseHolder() {}
 
     /** Holds and acts; does not return. */
-    public static void run(Plan plan, String name, String task, List<InetSocketAddress> resources,
-            Path clockFile, String gossipAt) throws IOException, InterruptedException {
+    public static void run(
+            Plan plan, String name, String task, List<InetSocketAddress> resources, Path clockFile, String gossipAt)
+            throws IOException, InterruptedException {
         WallClock clock = new WallClock(clockFile);
         Plan.Leases leases = plan.leases();
         // A life of its own: what an earlier one of this name held is not this one's.
         String holder = name + "#" + System.currentTimeMillis();
-        Doors doors = new Doors(leases.grantors().stream().map(Plan.Grantor::at).toList(), name.hashCode(),
-                (int) (leases.length() / 4_000_000));
+        Doors doors = new Doors(leases.grantors().stream().map(Plan.Grantor::at).toList(), name.hashCode(), (int)
+                (leases.length() / 4_000_000));
         Holding holding = new Holding(Tenure.of(task, holder, leases.length(), leases.bound()), doors, clock);
         Thread loop = new Thread(holding, "holding");
         loop.setDaemon(true);
         loop.start();
         Runtime.getRuntime().addShutdownHook(new Thread(holding::close));
         if (gossipAt != null) {
-            Gossip gossip = new Gossip(name, new InetSocketAddress("127.0.0.1",
-                    Integer.parseInt(gossipAt.substring(gossipAt.indexOf(':') + 1))), gossipAt,
-                            leases.seeds());
+            Gossip gossip = new Gossip(
+                    name,
+                    new InetSocketAddress("127.0.0.1", Integer.parseInt(gossipAt.substring(gossipAt.indexOf(':') + 1))),
+                    gossipAt,
+                    leases.seeds());
             Thread talk = new Thread(gossip, "gossip");
             talk.setDaemon(true);
             talk.start();
@@ -56,9 +55,11 @@
                 continue;
             }
             try {
-                to.get(chance.nextInt(to.size())).get("/act?task=" + task + "&holder=" + holder.replace('#',
-                        '.')
-                        + "&token=" + permit.token() + "&until=" + permit.until(), ACT_MILLIS);
+                to.get(chance.nextInt(to.size()))
+                        .get(
+                                "/act?task=" + task + "&holder=" + holder.replace('#', '.') + "&token=" + permit.token()
+                                        + "&until=" + permit.until(),
+                                ACT_MILLIS);
             } catch (IOException e) {
                 // It may have been done or not; the next one is another act.
             }
--- a/src/main/java/beaconladder/lab/LeaseJudge.java
+++ b/src/main/java/beaconladder/lab/LeaseJudge.java
@@ -10,20 +10,21 @@
 
 /** Whether holders ever acted at once, judged by what the resources saw alone. */
 final class LeaseJudge {
-    private LeaseJudge() {
-    }
+    private LeaseJudge() {}
 
     /**
      * What was broken, a line each.
      *
-     * @param unixZero  what the true Unix time was at nanoTime 0
-     * @param bound     how far the resources' clocks may be off
+     * @param unixZero what the true Unix time was at nanoTime 0
+     * @param bound how far the resources' clocks may be off
      * @param withTimes whether all clocks were within the bound; else the order of tokens alone is judged
      */
     static List<String> broken(List<Act> acts, long unixZero, long bound, boolean withTimes) {
         List<String> broken = new ArrayList<>();
-        List<Act> done = acts.stream().filter(act -> act.verdict() == Fence.Verdict.ADMITTED)
-                .sorted(Comparator.comparingLong(Act::at)).toList();
+        List<Act> done = acts.stream()
+                .filter(act -> act.verdict() == Fence.Verdict.ADMITTED)
+                .sorted(Comparator.comparingLong(Act::at))
+                .toList();
         Map<Integer, Act> last = new HashMap<>();
         Map<Long, String> holders = new HashMap<>();
         Act newest = null;
--- a/src/main/java/beaconladder/lab/LeaseRehearsal.java
+++ b/src/main/java/beaconladder/lab/LeaseRehearsal.java
@@ -25,9 +25,8 @@
 import java.util.stream.Stream;
 
 /**
- * The rehearsal of leases: grantors and holders, each a process of its own, with a relay between every
- * two, under a fault
- * script drawn from the seed; judged by what the shared resources saw.
+ * The rehearsal of leases: grantors and holders, each a process of its own, with a relay between every two, under a
+ * fault script drawn from the seed; judged by what the shared resources saw.
  */
 public final class LeaseRehearsal {
     /** What may happen. */
@@ -74,6 +73,7 @@
     private static final long BOUND_MILLIS = 60;
     /** Within a lease, two bounds and two elections somebody must act again once all is mended. */
     private static final long AGAIN_MILLIS = LENGTH_MILLIS + 2 * BOUND_MILLIS + 6_000;
+
     private static final long READY_MILLIS = 30_000;
     /** A suspicion, its refutation and a round of probes, with all periods at their longest. */
     private static final long TOGETHER_MILLIS = 40_000;
@@ -89,11 +89,13 @@
     private final List<InetSocketAddress> doors = new ArrayList<>();
     /** From each holder to each grantor's door and to each resource. */
     private final FaultRelay[][] toDoors = new FaultRelay[HOLDERS][GRANTORS];
+
     private final FaultRelay[][] toResources = new FaultRelay[HOLDERS][2];
     /** From each grantor to each other one. */
     private final FaultRelay[][] between = new FaultRelay[GRANTORS][GRANTORS];
     /** From each process to each other one, grantors first: datagrams of the fleet's membership. */
     private final DatagramRelay[][] gossip = new DatagramRelay[GRANTORS + HOLDERS][GRANTORS + HOLDERS];
+
     private final int[] gossipPorts = new int[GRANTORS + HOLDERS];
     private final List<String> broken = new ArrayList<>();
     private final Map<Fault, List<Long>> takeovers = new TreeMap<>();
@@ -110,7 +112,7 @@
     /**
      * Plays it.
      *
-     * @param from  the faults from which the script is drawn
+     * @param from the faults from which the script is drawn
      * @param count how many of them
      * @return whether every rule held
      */
@@ -118,7 +120,8 @@
         folder = Files.createTempDirectory("leases");
         long started = System.nanoTime();
         List<Fault> script = Stream.generate(() -> from.get(chance.nextInt(from.size())))
-                .limit(count).toList();
+                .limit(count)
+                .toList();
         try (Programs programs = new Programs(folder)) {
             set(programs);
             try {
@@ -137,8 +140,9 @@
                 for (Program holder : holders) {
                     holder.signal("CONT");
                 }
-                for (FaultRelay[] row : Stream.of(toDoors, toResources,
-                        between).flatMap(Stream::of).toList()) {
+                for (FaultRelay[] row : Stream.of(toDoors, toResources, between)
+                        .flatMap(Stream::of)
+                        .toList()) {
                     for (FaultRelay relay : row) {
                         if (relay != null) {
                             relay.close();
@@ -169,16 +173,26 @@
 
     private ObjectNode figures(List<Fault> script, List<Act> acts, long millis) {
         ObjectNode all = new ObjectMapper().createObjectNode();
-        all.put("rehearsal", "lease").put("seed", seed).put("script",
-                script.stream().map(LeaseRehearsal::name)
-                .collect(Collectors.joining(",")));
-        all.put("acts", acts.stream().filter(act -> act.verdict() == Fence.Verdict.ADMITTED).count());
-        all.put("refused_lower", acts.stream().filter(act -> act.verdict() == Fence.Verdict.LOWER).count());
-        all.put("refused_over", acts.stream().filter(act -> act.verdict() == Fence.Verdict.OVER).count());
+        all.put("rehearsal", "lease")
+                .put("seed", seed)
+                .put("script", script.stream().map(LeaseRehearsal::name).collect(Collectors.joining(",")));
+        all.put(
+                "acts",
+                acts.stream()
+                        .filter(act -> act.verdict() == Fence.Verdict.ADMITTED)
+                        .count());
+        all.put(
+                "refused_lower",
+                acts.stream()
+                        .filter(act -> act.verdict() == Fence.Verdict.LOWER)
+                        .count());
+        all.put(
+                "refused_over",
+                acts.stream().filter(act -> act.verdict() == Fence.Verdict.OVER).count());
         all.put("tokens", acts.stream().mapToLong(Act::token).distinct().count());
         ObjectNode times = all.putObject("takeover_ms");
-        takeovers.forEach((fault, each) -> times.put(name(fault), each.stream().map(String::valueOf)
-                .collect(Collectors.joining(","))));
+        takeovers.forEach((fault, each) ->
+                times.put(name(fault), each.stream().map(String::valueOf).collect(Collectors.joining(","))));
         long sent = 0;
         long bytes = 0;
         for (FaultRelay[] row : Stream.of(toDoors, between).flatMap(Stream::of).toList()) {
@@ -189,7 +203,9 @@
         }
         all.put("messages_s_process", Math.round(1_000.0 * sent / millis / (GRANTORS + HOLDERS)));
         all.put("bytes_s_process", Math.round(1_000.0 * bytes / millis / (GRANTORS + HOLDERS)));
-        all.put("beyond_the_bound", beyond).put("broken", broken.size()).put("held", broken.isEmpty())
+        all.put("beyond_the_bound", beyond)
+                .put("broken", broken.size())
+                .put("held", broken.isEmpty())
                 .put("seconds", millis / 1_000);
         return all;
     }
@@ -226,19 +242,30 @@
         for (int i = 0; i < GRANTORS; i++) {
             StringBuilder names = names(i);
             for (int j = 0; j < GRANTORS; j++) {
-                String at = i == j ? "127.0.0.1" : "127." + (100 + seed % 100) + "." + (i + 1) + "." + (j
-                        + 1);
+                String at = i == j ? "127.0.0.1" : "127." + (100 + seed % 100) + "." + (i + 1) + "." + (j + 1);
                 names.append(at).append(" k").append(j).append('\n');
-                between[i][j] = i == j ? null : new FaultRelay(new InetSocketAddress(at, raft[j]),
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), raft[j]), false,
-                        chance.nextLong());
+                between[i][j] = i == j
+                        ? null
+                        : new FaultRelay(
+                                new InetSocketAddress(at, raft[j]),
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), raft[j]),
+                                false,
+                                chance.nextLong());
             }
             Path hosts = folder.resolve("hosts" + i);
             Files.writeString(hosts, names);
             offset("k" + i, 0);
-            grantors.add(programs.program("k" + i, null, List.of("-Djdk.net.hosts.file=" + hosts), "lease",
+            grantors.add(programs.program(
+                    "k" + i,
+                    null,
+                    List.of("-Djdk.net.hosts.file=" + hosts),
+                    "lease",
                     "grant",
-                    "--plan", plan("k" + i, raft, doors), "--name", "k" + i, "--clock",
+                    "--plan",
+                    plan("k" + i, raft, doors),
+                    "--name",
+                    "k" + i,
+                    "--clock",
                     clockFile("k" + i).toString()));
         }
         for (int i = 0; i < HOLDERS; i++) {
@@ -255,11 +282,24 @@
             offset("h" + i, 0);
             Path hosts = folder.resolve("hosts" + (GRANTORS + i));
             Files.writeString(hosts, names(GRANTORS + i));
-            holders.add(programs.program("h" + i, null, List.of("-Djdk.net.hosts.file=" + hosts), "lab",
+            holders.add(programs.program(
+                    "h" + i,
+                    null,
+                    List.of("-Djdk.net.hosts.file=" + hosts),
+                    "lab",
                     "holder",
-                    "--plan", plan("h" + i, raft, mine), "--name", "h" + i, "--task", TASK,
-                    "--resources", String.join(",", to), "--clock", clockFile("h" + i).toString(),
-                    "--gossip", "g" + (GRANTORS + i) + ":" + gossipPorts[GRANTORS + i]));
+                    "--plan",
+                    plan("h" + i, raft, mine),
+                    "--name",
+                    "h" + i,
+                    "--task",
+                    TASK,
+                    "--resources",
+                    String.join(",", to),
+                    "--clock",
+                    clockFile("h" + i).toString(),
+                    "--gossip",
+                    "g" + (GRANTORS + i) + ":" + gossipPorts[GRANTORS + i]));
         }
         for (Program each : Stream.concat(grantors.stream(), holders.stream()).toList()) {
             each.start();
@@ -268,29 +308,41 @@
 
     /** Each process finds the others under the same names, but at relays of its own. */
     private StringBuilder names(int process) throws IOException {
-        StringBuilder names = new StringBuilder("127.0.0.1 localhost\n127.0.0.1 "
-                + InetAddress.getLocalHost().getHostName() + "\n");
+        StringBuilder names = new StringBuilder(
+                "127.0.0.1 localhost\n127.0.0.1 " + InetAddress.getLocalHost().getHostName() + "\n");
         for (int j = 0; j < gossipPorts.length; j++) {
-            String at = j == process ? "127.0.0.1"
-                    : "127." + (100 + seed % 100) + "." + (100 + process) + "." + (j + 1);
+            String at =
+                    j == process ? "127.0.0.1" : "127." + (100 + seed % 100) + "." + (100 + process) + "." + (j + 1);
             names.append(at).append(" g").append(j).append('\n');
-            gossip[process][j] = j == process ? null : new DatagramRelay(
-                    new InetSocketAddress(at, gossipPorts[j]),
-                    new InetSocketAddress(InetAddress.getLoopbackAddress(), gossipPorts[j]),
+            gossip[process][j] = j == process
+                    ? null
+                    : new DatagramRelay(
+                            new InetSocketAddress(at, gossipPorts[j]),
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), gossipPorts[j]),
                             chance.nextLong());
         }
         return names;
     }
 
     private String plan(String name, int[] raft, List<InetSocketAddress> at) throws IOException {
-        StringBuilder text = new StringBuilder("(leases (length " + LENGTH_MILLIS + "ms) (clock "
-                + BOUND_MILLIS
-                + "ms) (disk 8MB))\n");
+        StringBuilder text = new StringBuilder(
+                "(leases (length " + LENGTH_MILLIS + "ms) (clock " + BOUND_MILLIS + "ms) (disk 8MB))\n");
         for (int j = 0; j < GRANTORS; j++) {
-            text.append("(grantor k").append(j).append(" (raft k").append(j).append(':').append(raft[j])
-                    .append(") (at 127.0.0.1:").append(at.get(j).getPort()).append(") (store \"")
-                    .append(folder.resolve("log" + j)).append("\") (gossip g").append(j).append(':')
-                    .append(gossipPorts[j]).append("))\n");
+            text.append("(grantor k")
+                    .append(j)
+                    .append(" (raft k")
+                    .append(j)
+                    .append(':')
+                    .append(raft[j])
+                    .append(") (at 127.0.0.1:")
+                    .append(at.get(j).getPort())
+                    .append(") (store \"")
+                    .append(folder.resolve("log" + j))
+                    .append("\") (gossip g")
+                    .append(j)
+                    .append(':')
+                    .append(gossipPorts[j])
+                    .append("))\n");
         }
         Path file = folder.resolve(name + ".plan");
         Files.writeString(file, text);
@@ -304,8 +356,7 @@
     private void offset(String name, long millis) throws IOException {
         Path beside = folder.resolve(name + ".clock.part");
         Files.writeString(beside, String.valueOf(millis));
-        Files.move(beside, clockFile(name), StandardCopyOption.ATOMIC_MOVE,
-                StandardCopyOption.REPLACE_EXISTING);
+        Files.move(beside, clockFile(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     // ---- The script ---------------------------------------------------------------------------------------
@@ -316,15 +367,20 @@
         int leader = leader();
         long from = System.nanoTime();
         long hold = LENGTH_MILLIS * 3 / 2;
-        out.printf("%8.3f %s, holder h%d, leader k%d%n", (from + unixZero) / 1e9 % 1_000, name(fault),
-                holder, leader);
+        out.printf("%8.3f %s, holder h%d, leader k%d%n", (from + unixZero) / 1e9 % 1_000, name(fault), holder, leader);
         out.flush();
         boolean passesOn = true;
         switch (fault) {
-            case PAUSE_HOLDER -> during(hold, () -> holders.get(holder).signal("STOP"),
-                    () -> holders.get(holder).signal("CONT"));
-            case KILL_HOLDER -> during(hold, () -> holders.get(holder).kill(),
-                    () -> holders.get(holder).start());
+            case PAUSE_HOLDER ->
+                during(
+                        hold,
+                        () -> holders.get(holder).signal("STOP"),
+                        () -> holders.get(holder).signal("CONT"));
+            case KILL_HOLDER ->
+                during(
+                        hold,
+                        () -> holders.get(holder).kill(),
+                        () -> holders.get(holder).start());
             case RESTART_HOLDER -> {
                 holders.get(holder).kill();
                 holders.get(holder).start();
@@ -332,7 +388,10 @@
             case KILL_ASKED -> {
                 passesOn = false;
                 int other = (holder + 1) % HOLDERS;
-                during(hold, () -> holders.get(other).kill(), () -> holders.get(other).start());
+                during(
+                        hold,
+                        () -> holders.get(other).kill(),
+                        () -> holders.get(other).start());
             }
             case KILL_RENEWING -> {
                 hold(toDoors[holder], false, true);
@@ -343,24 +402,31 @@
             }
             case KILL_RELEASED -> {
                 handOver((holder + 1) % HOLDERS);
-                during(hold, () -> killIn(holder, "released"), () -> holders.get(holder).start());
+                during(
+                        hold,
+                        () -> killIn(holder, "released"),
+                        () -> holders.get(holder).start());
             }
-            case CUT_HOLDER -> during(hold, () -> hold(toDoors[holder], true, true),
-                    () -> hold(toDoors[holder], false, false));
+            case CUT_HOLDER ->
+                during(hold, () -> hold(toDoors[holder], true, true), () -> hold(toDoors[holder], false, false));
             case MUTE_GRANTORS -> {
                 // What it asked before it stopped may have moved its time on past the end of this.
                 passesOn = false;
-                during(hold, () -> hold(toDoors[holder], false, true),
-                    () -> hold(toDoors[holder], false, false));
+                during(hold, () -> hold(toDoors[holder], false, true), () -> hold(toDoors[holder], false, false));
             }
             case PAUSE_LEADER -> {
                 passesOn = false;
-                during(hold, () -> grantors.get(leader).signal("STOP"),
+                during(
+                        hold,
+                        () -> grantors.get(leader).signal("STOP"),
                         () -> grantors.get(leader).signal("CONT"));
             }
             case KILL_LEADER -> {
                 passesOn = false;
-                during(hold, () -> grantors.get(leader).kill(), () -> grantors.get(leader).start());
+                during(
+                        hold,
+                        () -> grantors.get(leader).kill(),
+                        () -> grantors.get(leader).start());
             }
             case CUT_LEADER, MUTE_LEADER -> {
                 passesOn = false;
@@ -383,16 +449,20 @@
             }
         }
         long mended = System.nanoTime();
-        if (!acted(passesOn ? from : mended, AGAIN_MILLIS + (mended - from) / MS,
+        if (!acted(
+                passesOn ? from : mended,
+                AGAIN_MILLIS + (mended - from) / MS,
                 passesOn && newest != null ? newest.token() + 1 : 0)) {
             broken.add("nobody acts after " + name(fault));
             return;
         }
         long token = newest == null ? 0 : newest.token();
-        acts().stream().filter(act -> act.token() > token && act.verdict() == Fence.Verdict.ADMITTED)
-                .mapToLong(Act::at).min()
-                .ifPresent(at -> takeovers.computeIfAbsent(fault,
-                        f -> new ArrayList<>()).add((at - from) / MS));
+        acts().stream()
+                .filter(act -> act.token() > token && act.verdict() == Fence.Verdict.ADMITTED)
+                .mapToLong(Act::at)
+                .min()
+                .ifPresent(at ->
+                        takeovers.computeIfAbsent(fault, f -> new ArrayList<>()).add((at - from) / MS));
     }
 
     /** What may throw. */
@@ -441,7 +511,8 @@
     }
 
     private void weather(Weather next) {
-        for (FaultRelay[] row : Stream.of(toDoors, toResources).flatMap(Stream::of).toList()) {
+        for (FaultRelay[] row :
+                Stream.of(toDoors, toResources).flatMap(Stream::of).toList()) {
             for (FaultRelay relay : row) {
                 relay.weather(next);
             }
@@ -472,7 +543,7 @@
         long until = System.nanoTime() + TOGETHER_MILLIS * MS;
         for (InetSocketAddress door : doors) {
             String view = "";
-            for (int there = 0; there < gossipPorts.length;) {
+            for (int there = 0; there < gossipPorts.length; ) {
                 if (System.nanoTime() > until) {
                     broken.add("not all are in the fleet again: " + view);
                     return;
@@ -525,16 +596,19 @@
     }
 
     private Act newest() {
-        return acts().stream().filter(act -> act.verdict() == Fence.Verdict.ADMITTED)
-                .max((a, b) -> Long.compare(a.token(), b.token())).orElse(null);
+        return acts().stream()
+                .filter(act -> act.verdict() == Fence.Verdict.ADMITTED)
+                .max((a, b) -> Long.compare(a.token(), b.token()))
+                .orElse(null);
     }
 
     /** Waits until an act is done, since then and under this token or a higher one. */
     private boolean acted(long since, long millis, long token) throws InterruptedException {
         long until = since + millis * MS;
         while (System.nanoTime() < until) {
-            if (acts().stream().anyMatch(act -> act.verdict() == Fence.Verdict.ADMITTED && act.at() >= since
-                    && act.token() >= token)) {
+            if (acts().stream()
+                    .anyMatch(act ->
+                            act.verdict() == Fence.Verdict.ADMITTED && act.at() >= since && act.token() >= token)) {
                 return true;
             }
             Thread.sleep(10);
--- a/src/main/java/beaconladder/lab/Load.java
+++ b/src/main/java/beaconladder/lab/Load.java
@@ -64,8 +64,7 @@
         }
     }
 
-    private record Commit(long at, long version, String id) {
-    }
+    private record Commit(long at, long version, String id) {}
 
     /** One connection to one router. */
     static final class Line implements AutoCloseable {
@@ -109,7 +108,7 @@
                         case 'Z' -> {
                             return true;
                         }
-                        default -> { }
+                        default -> {}
                     }
                 }
             } catch (EOFException e) {
@@ -149,13 +148,21 @@
     /**
      * Clients that start at once.
      *
-     * @param tenants   names; tenant i lives in cell homes[i] and names group groups[i]
-     * @param keys      what the names of their keys begin with
-     * @param clients   threads, each with sessions of its own
+     * @param tenants names; tenant i lives in cell homes[i] and names group groups[i]
+     * @param keys what the names of their keys begin with
+     * @param clients threads, each with sessions of its own
      * @param restMillis between two txns of a client, on average
      */
-    Load(Judge judge, Doors doors, List<String> tenants, int[] homes, int[] groups, String keys, int clients,
-            int restMillis, long seed) {
+    Load(
+            Judge judge,
+            Doors doors,
+            List<String> tenants,
+            int[] homes,
+            int[] groups,
+            String keys,
+            int clients,
+            int restMillis,
+            long seed) {
         this.judge = judge;
         this.keys = keys;
         this.doors = doors;
@@ -181,8 +188,11 @@
             Session session = sessions.get(chance.nextInt(sessions.size()));
             int dice = chance.nextInt(100);
             // A session's read comes soon after its write, and often at another router.
-            List<String> steps = dice < 45 ? List.of("write", "own") : dice < 55 ? List.of("token", "own")
-                    : dice < 75 ? List.of("fresh") : dice < 90 ? List.of("any") : List.of("own");
+            List<String> steps = dice < 45
+                    ? List.of("write", "own")
+                    : dice < 55
+                            ? List.of("token", "own")
+                            : dice < 75 ? List.of("fresh") : dice < 90 ? List.of("any") : List.of("own");
             for (String type : steps) {
                 int router = chance.nextInt(doors.count());
                 if (line == null || chance.nextInt(3) == 0) {
@@ -216,9 +226,8 @@
         }
     }
 
-    static String query(String id, String type, String tenant, String key, int group, long version,
-            long after,
-            int budget) {
+    static String query(
+            String id, String type, String tenant, String key, int group, long version, long after, int budget) {
         String comment = " /* id=" + id + ",c=" + type + ",t=" + tenant + ",d=" + budget + ",cluster=" + group
                 + (after > 0 ? ",after=" + after : "") + " */";
         return type.equals("write") || type.equals("token")
@@ -233,15 +242,23 @@
         boolean write = type.equals("write") || type.equals("token");
         long version = write ? ++session.tried : 0;
         long sent = System.currentTimeMillis();
-        Commit least = type.equals("own") ? new Commit(0, session.committed, session.committedId)
+        Commit least = type.equals("own")
+                ? new Commit(0, session.committed, session.committedId)
                 : session.committedBy(type.equals("fresh") ? sent - BOUND_MILLIS : 0);
         End end;
         boolean good = false;
         boolean extra = false;
         try {
             line.timeout(BUDGET_MILLIS + PATIENCE_MILLIS);
-            line.send(query(id, type, session.tenant, session.key, session.group, version,
-                    type.equals("own") ? session.after : 0, BUDGET_MILLIS));
+            line.send(query(
+                    id,
+                    type,
+                    session.tenant,
+                    session.key,
+                    session.group,
+                    version,
+                    type.equals("own") ? session.after : 0,
+                    BUDGET_MILLIS));
             good = line.answer();
             end = !good && line.code() == null ? End.CUT : end(line.code());
             extra = good && line.more();
@@ -252,7 +269,9 @@
         }
         long answered = System.currentTimeMillis();
         if (end == End.COMMITTED) {
-            version = line.cell != null && line.cell.length >= 8 ? ByteBuffer.wrap(line.cell).getLong() : -1;
+            version = line.cell != null && line.cell.length >= 8
+                    ? ByteBuffer.wrap(line.cell).getLong()
+                    : -1;
             if (write) {
                 session.committed = version;
                 session.committedId = id;
@@ -265,20 +284,35 @@
             }
         }
         boolean excused = doors.troubledAt(line.router) >= sent - 100;
-        judge.asked.add(new Asked(id, session.tenant, session.key, type, session.cell, line.router, sent,
+        judge.asked.add(new Asked(
+                id,
+                session.tenant,
+                session.key,
+                type,
+                session.cell,
+                line.router,
+                sent,
                 answered,
-                BUDGET_MILLIS, end, end == End.COMMITTED ? version : write ? session.tried : -1,
-                        least.version(), least.id(),
-                session.tried, excused, extra, line.message));
+                BUDGET_MILLIS,
+                end,
+                end == End.COMMITTED ? version : write ? session.tried : -1,
+                least.version(),
+                least.id(),
+                session.tried,
+                excused,
+                extra,
+                line.message));
         return good && end != End.NONE;
     }
 
     private static End end(String code) {
-        return code == null ? End.COMMITTED : switch (code) {
-            case "53300", "57P03" -> End.DECLINED;
-            case "40003" -> End.ROLLED_BACK;
-            default -> End.ERROR;
-        };
+        return code == null
+                ? End.COMMITTED
+                : switch (code) {
+                    case "53300", "57P03" -> End.DECLINED;
+                    case "40003" -> End.ROLLED_BACK;
+                    default -> End.ERROR;
+                };
     }
 
     /** Lets it run on by itself for so long. */
--- a/src/main/java/beaconladder/lab/Member.java
+++ b/src/main/java/beaconladder/lab/Member.java
@@ -17,14 +17,12 @@
 import java.util.regex.Pattern;
 
 /**
- * A host with data: a log of writes, a primary that appends to it, replicas that apply it a little later, and
- * a
- * feed by which a primary copies one tenant's writes from a host of another group.
+ * A host with data: a log of writes, a primary that appends to it, replicas that apply it a little later, and a feed by
+ * which a primary copies one tenant's writes from a host of another group.
  */
 final class Member extends HostStandIn {
     private static final Pattern KEY =
-            Pattern.compile("(?:id = |VALUES \\()'([^']*)'(?:, '\\\\x([0-9a-f]*)')?.*",
-            Pattern.DOTALL);
+            Pattern.compile("(?:id = |VALUES \\()'([^']*)'(?:, '\\\\x([0-9a-f]*)')?.*", Pattern.DOTALL);
     private static final Pattern FEED =
             Pattern.compile("SET beaconladder.feed = '(\\S+) (on|off|drop)(?: .*:(\\d+))?'");
     private static final Pattern COPIED =
@@ -40,8 +38,7 @@
     }
 
     /** What a replica has received and is to apply at a time. */
-    private record Received(long due, int length, long asOf) {
-    }
+    private record Received(long due, int length, long asOf) {}
 
     final String id;
     private final Ground ground;
@@ -52,6 +49,7 @@
     private final Map<String, Long> copies = new HashMap<>();
     /** Writes by their ids: a repeat of a referenced txn is known by them. */
     private final Map<String, Entry> known = new HashMap<>();
+
     private final ArrayDeque<Received> pipe = new ArrayDeque<>();
     private final Map<String, Feed> feeds = new HashMap<>();
     private final Semaphore cores = new Semaphore(CORES);
@@ -65,6 +63,7 @@
     volatile boolean deaf;
     /** So many of the next writes run, and their answers are lost. */
     final AtomicInteger loseAnswers = new AtomicInteger();
+
     private final ThreadLocal<Long> arrived = new ThreadLocal<>();
 
     private static final class Feed {
@@ -181,8 +180,7 @@
 
     private synchronized Entry append(String txn, String tenant, String key, long version, long copied) {
         long last = log.isEmpty() ? 0 : log.get(log.size() - 1).position();
-        Entry entry = new Entry(Math.max(last, System.currentTimeMillis()), txn, tenant, key, version,
-                copied);
+        Entry entry = new Entry(Math.max(last, System.currentTimeMillis()), txn, tenant, key, version, copied);
         apply(entry);
         return entry;
     }
@@ -263,8 +261,7 @@
         List<Entry> entries;
         long at;
         synchronized (source) {
-            entries = new ArrayList<>(source.log.subList(Math.min(feed.taken, source.log.size()),
-                    source.log.size()));
+            entries = new ArrayList<>(source.log.subList(Math.min(feed.taken, source.log.size()), source.log.size()));
             feed.taken = source.log.size();
             at = System.currentTimeMillis() - 1;
         }
@@ -273,8 +270,7 @@
                 return;
             }
             for (Entry entry : entries) {
-                if (tenant.equals(entry.tenant()) && (entry.key() != null || entry.copied()
-                        == Entry.DROPPED)) {
+                if (tenant.equals(entry.tenant()) && (entry.key() != null || entry.copied() == Entry.DROPPED)) {
                     append(entry.id(), tenant, entry.key(), entry.version(), entry.copied());
                 }
             }
@@ -306,8 +302,10 @@
             synchronized (this) {
                 at = copies.get(copied.group(1));
             }
-            return new Outbox().row("copied", (at == null ? "" : String.valueOf(at))
-                    .getBytes(StandardCharsets.US_ASCII)).commandComplete("SELECT 1").ready();
+            return new Outbox()
+                    .row("copied", (at == null ? "" : String.valueOf(at)).getBytes(StandardCharsets.US_ASCII))
+                    .commandComplete("SELECT 1")
+                    .ready();
         }
         return null;
     }
@@ -353,8 +351,7 @@
             if (System.currentTimeMillis() - arrived.get() > Long.parseLong(statement.value("d"))) {
                 return said().error("ERROR", "53300", "the request is over", null);
             }
-            return statement.writes() ? write(statement, form.group(1), form.group(2))
-                    : read(statement, form.group(1));
+            return statement.writes() ? write(statement, form.group(1), form.group(2)) : read(statement, form.group(1));
         } finally {
             held.decrementAndGet();
         }
@@ -381,8 +378,7 @@
                 return said().error("ERROR", "25006", "no primary", null);
             }
             Entry before = "token".equals(statement.value("c")) ? known.get(statement.value("id")) : null;
-            entry = before != null ? before : append(statement.value("id"), statement.value("t"), key,
-                    version, 0);
+            entry = before != null ? before : append(statement.value("id"), statement.value("t"), key, version, 0);
             length = log.size();
             if (before == null) {
                 ran(statement, key, true, version);
@@ -393,20 +389,29 @@
         }
         // It is answered when a replica has it, too.
         long until = System.currentTimeMillis() + 100;
-        while (System.currentTimeMillis() < until && alive && ground.members(group).stream()
-                .noneMatch(m -> m != this && m.alive && m.received() >= length)) {
+        while (System.currentTimeMillis() < until
+                && alive
+                && ground.members(group).stream().noneMatch(m -> m != this && m.alive && m.received() >= length)) {
             Tasks.sleep(1);
         }
         if (!alive || !primary) {
             return null;
         }
-        return new Outbox().parameterStatus("node_role", "leader")
+        return new Outbox()
+                .parameterStatus("node_role", "leader")
                 .parameterStatus("replay_position", String.valueOf(entry.position()))
-                .row("doc", HexFormat.of().parseHex(hex)).commandComplete("INSERT 0 1");
+                .row("doc", HexFormat.of().parseHex(hex))
+                .commandComplete("INSERT 0 1");
     }
 
     private void ran(Statement statement, String key, boolean write, long version) {
-        ground.ran.add(new Ground.Ran(statement.value("id"), statement.value("t"), key, write, version, group,
+        ground.ran.add(new Ground.Ran(
+                statement.value("id"),
+                statement.value("t"),
+                key,
+                write,
+                version,
+                group,
                 id,
                 System.currentTimeMillis()));
     }
@@ -414,8 +419,11 @@
     @Override
     protected long position() {
         synchronized (this) {
-            return primary ? Math.max(System.currentTimeMillis(), log.isEmpty() ? 0
-                    : log.get(log.size() - 1).position()) : asOf;
+            return primary
+                    ? Math.max(
+                            System.currentTimeMillis(),
+                            log.isEmpty() ? 0 : log.get(log.size() - 1).position())
+                    : asOf;
         }
     }
 
--- a/src/main/java/beaconladder/lab/Programs.java
+++ b/src/main/java/beaconladder/lab/Programs.java
@@ -14,9 +14,8 @@
 /** Programs of this project, started as operators start them; only what was started here is ended here. */
 public final class Programs implements AutoCloseable {
     /** As in deploy/balancer.toml. */
-    private static final List<String> FLAGS = List.of("-XX:-UsePerfData", "-Xmx64m", "-Xss256k",
-            "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1");
+    private static final List<String> FLAGS =
+            List.of("-XX:-UsePerfData", "-Xmx64m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
 
     /** One of them. */
     public static final class Program {
@@ -33,7 +32,8 @@
         }
 
         public void start() throws IOException {
-            ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
+            ProcessBuilder builder = new ProcessBuilder(command)
+                    .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
             builder.environment().putAll(environment);
             if (config != null) {
@@ -84,7 +84,9 @@
         }
 
         public void signal(String name) throws IOException, InterruptedException {
-            new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                    .start()
+                    .waitFor();
         }
 
         public String log() {
@@ -109,8 +111,7 @@
     }
 
     /** One whose JVM gets more flags. */
-    public Program program(String name, String config, List<String> flags,
-            String... arguments) throws IOException {
+    public Program program(String name, String config, List<String> flags, String... arguments) throws IOException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(FLAGS);
--- a/src/main/java/beaconladder/lab/Relay.java
+++ b/src/main/java/beaconladder/lab/Relay.java
@@ -7,10 +7,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/**
- * Passes connections on to a port, until it is cut: then those that are open fall silent and new ones are
- * refused.
- */
+/** Passes connections on to a port, until it is cut: then those that are open fall silent and new ones are refused. */
 final class Relay implements AutoCloseable {
     private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final int to;
@@ -44,8 +41,11 @@
 
     private void pass(Socket from, Socket into) throws IOException {
         byte[] buffer = new byte[16 * 1024];
-        try (from; into) {
-            for (int n = from.getInputStream().read(buffer); n >= 0; n = from.getInputStream().read(buffer)) {
+        try (from;
+                into) {
+            for (int n = from.getInputStream().read(buffer);
+                    n >= 0;
+                    n = from.getInputStream().read(buffer)) {
                 if (cut) {
                     return;
                 }
--- a/src/main/java/beaconladder/lab/RestartRehearsal.java
+++ b/src/main/java/beaconladder/lab/RestartRehearsal.java
@@ -15,8 +15,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Routers restarted a tenth at a time, by SIGTERM and then SIGKILL, while clients go on sending on every
- * connection that stays open. Judged by what clients and hosts saw.
+ * Routers restarted a tenth at a time, by SIGTERM and then SIGKILL, while clients go on sending on every connection
+ * that stays open. Judged by what clients and hosts saw.
  */
 public final class RestartRehearsal {
     /** What happens to a router that is to end. */
@@ -37,12 +37,12 @@
 
     /** SIGKILL comes this long after SIGTERM: the longest deadline, counted as 3 s, and 0.7 s. */
     private static final int KILL_MILLIS = 3_700;
+
     private static final int READY_MILLIS = 30_000;
     private static final int SLOW_MILLIS = 1_200;
 
     /** One router, over all its lives. */
-    private record Router(Programs.Program program, int port) {
-    }
+    private record Router(Programs.Program program, int port) {}
 
     private final long seed;
     private final int count;
@@ -76,8 +76,7 @@
             }
             int wave = Math.max(1, count / 10);
             for (int first = 0; first < count; first += wave) {
-                wave(routers.subList(first, Math.min(count, first + wave)),
-                        from.get(chance.nextInt(from.size())));
+                wave(routers.subList(first, Math.min(count, first + wave)), from.get(chance.nextInt(from.size())));
             }
             // The clients end before the routers do: what they have out is answered first.
             over = true;
@@ -98,15 +97,19 @@
         }
         discovery = new DiscoveryStandIn();
         discovery.waitMillis = 60_000;
-        String known = String.join(",", hosts.get(0).entry("h0", "Ready"),
-                hosts.get(1).entry("h1", "Ready"), hosts.get(2).entry("h2", "Ready"));
+        String known = String.join(
+                ",",
+                hosts.get(0).entry("h0", "Ready"),
+                hosts.get(1).entry("h1", "Ready"),
+                hosts.get(2).entry("h2", "Ready"));
         discovery.list(true, known);
         writers = new Writers(hosts, kills::contains);
         delay(5);
         for (int i = 0; i < count; i++) {
             int port = Programs.freePort();
-            routers.add(new Router(programs.program("n" + i,
-                    RouterFile.of("n" + i, port, discovery, 256, 144, known), "serve"), port));
+            routers.add(new Router(
+                    programs.program("n" + i, RouterFile.of("n" + i, port, discovery, 256, 144, known), "serve"),
+                    port));
         }
         all(routers, this::start);
     }
@@ -227,16 +230,28 @@
         broken.stream().limit(5).forEach(out::println);
         Collections.sort(ends);
         Collections.sort(starts);
-        out.printf(Locale.ROOT, "{\"rehearsal\":\"restarts\",\"seed\":%d,\"routers\":%d,\"faults\":{%s},"
-                + "\"txns\":%d,\"served\":%d,\"declined\":%d,\"declined_share\":%.4f,\"unread_ends\":%d,"
-                + "\"in_hand_at_kills\":%d,\"end_ms_median\":%d,\"end_ms_most\":%d,\"ready_ms_most\":%d,"
-                + "\"broken\":%d}%n", seed, count,
-                played.entrySet().stream().map(e -> "\"" + name(e.getKey()) + "\":" + e.getValue()).sorted()
+        out.printf(
+                Locale.ROOT,
+                "{\"rehearsal\":\"restarts\",\"seed\":%d,\"routers\":%d,\"faults\":{%s},"
+                        + "\"txns\":%d,\"served\":%d,\"declined\":%d,\"declined_share\":%.4f,\"unread_ends\":%d,"
+                        + "\"in_hand_at_kills\":%d,\"end_ms_median\":%d,\"end_ms_most\":%d,\"ready_ms_most\":%d,"
+                        + "\"broken\":%d}%n",
+                seed,
+                count,
+                played.entrySet().stream()
+                        .map(e -> "\"" + name(e.getKey()) + "\":" + e.getValue())
+                        .sorted()
                         .collect(Collectors.joining(",")),
-                writers.answered.get(), writers.served.get(), writers.declined.get(),
-                writers.declined.get() / Math.max(1.0, writers.answered.get()), writers.unread.get(),
-                writers.killed.get(), ends.isEmpty() ? 0 : ends.get(ends.size() / 2),
-                ends.isEmpty() ? 0 : ends.get(ends.size() - 1), starts.get(starts.size() - 1), broken.size());
+                writers.answered.get(),
+                writers.served.get(),
+                writers.declined.get(),
+                writers.declined.get() / Math.max(1.0, writers.answered.get()),
+                writers.unread.get(),
+                writers.killed.get(),
+                ends.isEmpty() ? 0 : ends.get(ends.size() / 2),
+                ends.isEmpty() ? 0 : ends.get(ends.size() - 1),
+                starts.get(starts.size() - 1),
+                broken.size());
         out.flush();
         return broken.isEmpty();
     }
--- a/src/main/java/beaconladder/lab/SharedStandIn.java
+++ b/src/main/java/beaconladder/lab/SharedStandIn.java
@@ -13,17 +13,13 @@
 import java.util.concurrent.Executors;
 import java.util.function.LongSupplier;
 
-/**
- * A resource that one process of the fleet may act on at a time; it refuses what comes late and notes all
- * it saw.
- */
+/** A resource that one process of the fleet may act on at a time; it refuses what comes late and notes all it saw. */
 final class SharedStandIn implements AutoCloseable {
     /** What came: when by the true time, from whom, under which token, and whether it was done. */
-    record Act(long at, int resource, String holder, long token, long until, Fence.Verdict verdict) {
-    }
+    record Act(long at, int resource, String holder, long token, long until, Fence.Verdict verdict) {}
 
-    private final HttpServer server = HttpServer.create(
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200);
+    private final HttpServer server =
+            HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200);
     private final int number;
     private final LongSupplier clock;
     private final Map<String, Fence> fences = new HashMap<>();
@@ -43,8 +39,12 @@
             for (String pair : exchange.getRequestURI().getQuery().split("&")) {
                 asked.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
             }
-            byte[] body = act(asked.get("task"), asked.get("holder"), Long.parseLong(asked.get("token")),
-                    Long.parseLong(asked.get("until"))).getBytes(StandardCharsets.US_ASCII);
+            byte[] body = act(
+                            asked.get("task"),
+                            asked.get("holder"),
+                            Long.parseLong(asked.get("token")),
+                            Long.parseLong(asked.get("until")))
+                    .getBytes(StandardCharsets.US_ASCII);
             try (exchange) {
                 exchange.sendResponseHeaders(200, body.length);
                 exchange.getResponseBody().write(body);
@@ -54,8 +54,7 @@
     }
 
     private synchronized String act(String task, String holder, long token, long until) {
-        Fence.Admission admission = fences.getOrDefault(task, Fence.open()).admit(token, until,
-                clock.getAsLong());
+        Fence.Admission admission = fences.getOrDefault(task, Fence.open()).admit(token, until, clock.getAsLong());
         fences.put(task, admission.next());
         acts.add(new Act(System.nanoTime(), number, holder, token, until, admission.verdict()));
         return admission.verdict().name();
