--- a/src/main/java/beaconladder/lab/Tasks.java
+++ b/src/main/java/beaconladder/lab/Tasks.java
@@ -10,17 +10,20 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private Tasks() {
-    }
+    private Tasks() {}
 
     public static Thread spawn(Task task) {
-        Thread thread = new Thread(null, () -> {
-            try {
-                task.run();
-            } catch (IOException | InterruptedException e) {
-                // The other side, or the rehearsal, has ended it.
-            }
-        }, "lab", 256 * 1024);
+        Thread thread = new Thread(
+                null,
+                () -> {
+                    try {
+                        task.run();
+                    } catch (IOException | InterruptedException e) {
+                        // The other side, or the rehearsal, has ended it.
+                    }
+                },
+                "lab",
+                256 * 1024);
         thread.setDaemon(true);
         thread.start();
         return thread;
--- a/src/main/java/beaconladder/lab/scale/Callers.java
+++ b/src/main/java/beaconladder/lab/scale/Callers.java
@@ -76,7 +76,9 @@
                 }
                 next += gap;
                 int turns = callers.size() / THREADS;
-                if (ask(callers.get(first + THREADS * mine.nextInt(turns)), mine.nextInt(groups),
+                if (ask(
+                        callers.get(first + THREADS * mine.nextInt(turns)),
+                        mine.nextInt(groups),
                         mine.nextInt(4) == 0)) {
                     served.incrementAndGet();
                 }
@@ -93,13 +95,17 @@
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < THREADS; i++) {
             int first = i;
-            Thread thread = new Thread(null, () -> {
-                try {
-                    task.run(first, callers);
-                } catch (IOException | InterruptedException e) {
-                    failed.incrementAndGet();
-                }
-            }, "callers", STACK);
+            Thread thread = new Thread(
+                    null,
+                    () -> {
+                        try {
+                            task.run(first, callers);
+                        } catch (IOException | InterruptedException e) {
+                            failed.incrementAndGet();
+                        }
+                    },
+                    "callers",
+                    STACK);
             thread.start();
             threads.add(thread);
         }
@@ -110,12 +116,12 @@
 
     private boolean ask(Caller caller, int group, boolean write) throws IOException {
         String id = "s" + Long.toHexString(ids.incrementAndGet());
-        String comment = " /* id=" + id + ",c=" + (write ? "write" : "any") + ",t=acme,d=1000,cluster="
-                + group + " */";
+        String comment = " /* id=" + id + ",c=" + (write ? "write" : "any") + ",t=acme,d=1000,cluster=" + group + " */";
         long from = System.nanoTime();
-        String answer = caller.ask(write
-                ? "INSERT INTO items (id, doc) VALUES ('" + id + "', '\\x9f') RETURNING doc" + comment
-                : "SELECT doc FROM items WHERE id = 'k" + id.hashCode() % 100 + "'" + comment);
+        String answer = caller.ask(
+                write
+                        ? "INSERT INTO items (id, doc) VALUES ('" + id + "', '\\x9f') RETURNING doc" + comment
+                        : "SELECT doc FROM items WHERE id = 'k" + id.hashCode() % 100 + "'" + comment);
         times.recordValue((System.nanoTime() - from) / 1_000);
         boolean served = answer.contains("D:") && answer.endsWith("Z");
         if (!served) {
--- a/src/main/java/beaconladder/lab/scale/Counters.java
+++ b/src/main/java/beaconladder/lab/scale/Counters.java
@@ -8,11 +8,11 @@
 /**
  * What the system has counted of a process.
  *
- * @param cpuNanos     processor time, its own and the system's for it
- * @param residentKb   memory in place
- * @param descriptors  open files and sockets
- * @param threads      as many as it has now
- * @param at           when it was read, by {@link System#nanoTime}
+ * @param cpuNanos processor time, its own and the system's for it
+ * @param residentKb memory in place
+ * @param descriptors open files and sockets
+ * @param threads as many as it has now
+ * @param at when it was read, by {@link System#nanoTime}
  */
 record Counters(long cpuNanos, long residentKb, int descriptors, int threads, long at) {
     /** Linux tells processor time in hundredths of a second on every machine that this runs on. */
--- a/src/main/java/beaconladder/lab/scale/HollowPeers.java
+++ b/src/main/java/beaconladder/lab/scale/HollowPeers.java
@@ -67,8 +67,14 @@
             Thread.sleep(5);
         }
         for (int i = 0; i < members.size(); i += NEWS) {
-            send(0, new Message(Kind.NO_ANSWER, members.get(0), 0, "",
-                    members.subList(i, Math.min(members.size(), i + NEWS))));
+            send(
+                    0,
+                    new Message(
+                            Kind.NO_ANSWER,
+                            members.get(0),
+                            0,
+                            "",
+                            members.subList(i, Math.min(members.size(), i + NEWS))));
             // As fast as its socket's buffer bears.
             Thread.sleep(PACE);
         }
@@ -88,7 +94,8 @@
                         real = from;
                         messages.incrementAndGet();
                         bytes.addAndGet(buffer.position());
-                        answer((Integer) key.attachment(),
+                        answer(
+                                (Integer) key.attachment(),
                                 MAPPER.readValue(buffer.array(), 0, buffer.position(), Message.class));
                     }
                 }
--- a/src/main/java/beaconladder/lab/scale/HostsAtWork.java
+++ b/src/main/java/beaconladder/lab/scale/HostsAtWork.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * A real router at work before N listed hosts, in groups of three, its txns spread evenly over all groups:
- * what it uses, and how many connections to hosts it holds. Three stand-ins play all hosts, by role.
+ * A real router at work before N listed hosts, in groups of three, its txns spread evenly over all groups: what it
+ * uses, and how many connections to hosts it holds. Three stand-ins play all hosts, by role.
  */
 final class HostsAtWork {
     private static final List<Integer> SIZES = List.of(60, 300, 600, 1_200, 2_400, 5_800);
@@ -18,8 +18,7 @@
     private static final int TXNS = 902;
     private static final int CLIENTS = 64;
 
-    private HostsAtWork() {
-    }
+    private HostsAtWork() {}
 
     static void measure(List<HostStandIn> hosts, SplittableRandom chance, Path folder, Report report)
             throws IOException, InterruptedException {
@@ -28,7 +27,8 @@
         List<Point> descriptors = new ArrayList<>();
         for (int size : SIZES) {
             int port = Child.freePort();
-            try (ListStandIn list = new ListStandIn(size, i -> hosts.get(i % ListStandIn.MEMBERS).port());
+            try (ListStandIn list = new ListStandIn(
+                            size, i -> hosts.get(i % ListStandIn.MEMBERS).port());
                     Child router = ClientsPart.router(list, folder, port, "w" + size);
                     Callers callers = new Callers(port, CLIENTS)) {
                 callers.groups(size / ListStandIn.MEMBERS);
@@ -41,16 +41,25 @@
                 cores.add(new Point(size, 100 * now.cores(before)));
                 resident.add(new Point(size, now.residentKb() / 1024.0));
                 descriptors.add(new Point(size, now.descriptors()));
-                report.say(String.format(java.util.Locale.ROOT, "  %d hosts at work: %.0f served a second, %d"
-                        + " not, %d descriptors, %d threads", size, served, callers.failed() - failed,
-                        now.descriptors(), now.threads()));
+                report.say(String.format(
+                        java.util.Locale.ROOT,
+                        "  %d hosts at work: %.0f served a second, %d" + " not, %d descriptors, %d threads",
+                        size,
+                        served,
+                        callers.failed() - failed,
+                        now.descriptors(),
+                        now.threads()));
                 report.times("clients.hosts_answer_us_" + size, callers.times());
             }
         }
-        report.slope("clients.hosts_cpu_percent", "% of a core at 902 txns a second", "hosts", TARGET,
-                2 * Report.TIMED, cores);
-        report.slope("clients.hosts_resident_mb", "MB at 902 txns a second", "hosts", TARGET, Report.TIMED,
-                resident);
+        report.slope(
+                "clients.hosts_cpu_percent",
+                "% of a core at 902 txns a second",
+                "hosts",
+                TARGET,
+                2 * Report.TIMED,
+                cores);
+        report.slope("clients.hosts_resident_mb", "MB at 902 txns a second", "hosts", TARGET, Report.TIMED, resident);
         for (Point point : descriptors) {
             report.figure("clients.hosts_descriptors_" + (int) point.size(), point.value());
         }
--- a/src/main/java/beaconladder/lab/scale/OneForAll.java
+++ b/src/main/java/beaconladder/lab/scale/OneForAll.java
@@ -15,16 +15,20 @@
     final AtomicLong connections = new AtomicLong();
 
     OneForAll() throws IOException {
-        Thread thread = new Thread(null, () -> {
-            try {
-                while (true) {
-                    taken.add(door.accept());
-                    connections.incrementAndGet();
-                }
-            } catch (IOException e) {
-                // It is closed.
-            }
-        }, "hosts", 128 * 1024);
+        Thread thread = new Thread(
+                null,
+                () -> {
+                    try {
+                        while (true) {
+                            taken.add(door.accept());
+                            connections.incrementAndGet();
+                        }
+                    } catch (IOException e) {
+                        // It is closed.
+                    }
+                },
+                "hosts",
+                128 * 1024);
         thread.setDaemon(true);
         thread.start();
     }
--- a/src/main/java/beaconladder/lab/scale/PositionsHosts.java
+++ b/src/main/java/beaconladder/lab/scale/PositionsHosts.java
@@ -5,25 +5,29 @@
 import java.util.SplittableRandom;
 
 /**
- * Hollow hosts, in memory: groups of a primary and two replicas, in three of nine zones each. A replica has
- * applied the log up to a time that lies a constant part behind the clock, drawn for each; hosts answer after
- * a drawn time, however many ask. They are well, but for a zone that may be lost.
+ * Hollow hosts, in memory: groups of a primary and two replicas, in three of nine zones each. A replica has applied the
+ * log up to a time that lies a constant part behind the clock, drawn for each; hosts answer after a drawn time, however
+ * many ask. They are well, but for a zone that may be lost.
  */
 final class PositionsHosts {
     static final long MS = 1_000_000;
     static final int MEMBERS = 3;
     /** How far replicas lie behind: 20 to 200 ms, so that all of them bear a bound of 500 ms. */
     private static final long LEAST_LAG = 20 * MS;
+
     private static final long MOST_LAG = 200 * MS;
     /** A round trip within a region, and the mean of the work, as that of short statements. */
     private static final long WAY = MS;
+
     private static final long WORK = 4 * MS;
     /** The middle of what valpo-despacho-later states for its reports: refreshed, and late by. */
     private static final long REPORT_PERIOD = 148 * MS;
+
     private static final long REPORT_DELAY = 38 * MS;
 
     /** The users' nine zones, and the longest that their changes of primary take. */
     private static final int ZONES = 9;
+
     static final long FAILOVER = 13_000 * MS;
 
     private final SplittableRandom chance;
@@ -31,6 +35,7 @@
     private final long[] phase;
     /** How far replicas lie behind what they claim; 0 for hosts that tell the truth. */
     private final long hidden;
+
     private long lostAt = Long.MAX_VALUE;
 
     PositionsHosts(int groups, SplittableRandom chance, long hidden) {
@@ -68,8 +73,9 @@
 
     /** Whether it is the primary: the first member, or the second once it has taken over. */
     boolean leads(int host, long now) {
-        return isPrimary(host) ? !down(host, now) : host % MEMBERS == 1 && down(host - 1, now)
-                && now >= lostAt + FAILOVER;
+        return isPrimary(host)
+                ? !down(host, now)
+                : host % MEMBERS == 1 && down(host - 1, now) && now >= lostAt + FAILOVER;
     }
 
     /** Up to when it has applied the log. */
--- a/src/main/java/beaconladder/lab/scale/PositionsLines.java
+++ b/src/main/java/beaconladder/lab/scale/PositionsLines.java
@@ -13,10 +13,12 @@
     private final long keepIdle;
     /** Whether connections are closed when the module asks for it; else only those idle too long. */
     private final boolean closes;
+
     private final List<Deque<Long>> idle = new ArrayList<>();
     private final int[] inUse;
     /** To primaries and to replicas: connections made, and the sums of those open and in use at the looks. */
     private final long[] made = new long[2];
+
     private final long[] open = new long[2];
     private final long[] used = new long[2];
     private long looks;
--- a/src/main/java/beaconladder/lab/scale/PositionsSight.java
+++ b/src/main/java/beaconladder/lab/scale/PositionsSight.java
@@ -21,6 +21,7 @@
         long reads;
         /** No replica was fresh enough by the record when it came; by what the hosts have. */
         long noneByRecord;
+
         long noneInTruth;
         long held;
         long toPrimary;
@@ -30,6 +31,7 @@
         final Histogram heldFor = new Histogram(3);
         /** When sent: how long ago the host had last spoken, and how far back its known position was. */
         final Histogram heardAgo = new Histogram(3);
+
         final Histogram positionAge = new Histogram(3);
     }
 
@@ -37,6 +39,7 @@
     private final Map<Read, Kind> kinds = new LinkedHashMap<>();
     /** How long ago a replica of the group had last spoken when a read came. */
     private final Histogram heardBefore = new Histogram(3);
+
     private final PositionsLines lines;
     private final PositionsLines kept;
     private long txns;
--- a/src/main/java/beaconladder/lab/scale/Settled.java
+++ b/src/main/java/beaconladder/lab/scale/Settled.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 
 /**
- * A member that has known all others for long. By itself it comes there only once it has told each of them as
- * news, some twenty times: with thousands that takes half an hour, which a test does not have.
+ * A member that has known all others for long. By itself it comes there only once it has told each of them as news,
+ * some twenty times: with thousands that takes half an hour, which a test does not have.
  */
 final class Settled {
     private static final int NEWS = 10;
 
-    private Settled() {
-    }
+    private Settled() {}
 
     /** Tells it of all these, in messages as a newcomer is told. */
     static void introduce(Swim swim, Member from, List<Member> all, long now) {
         for (int i = 0; i < all.size(); i += NEWS) {
-            swim.heard(new Message(Message.Kind.NO_ANSWER, from, 0, "",
-                    all.subList(i, Math.min(all.size(), i + NEWS))), now);
+            swim.heard(
+                    new Message(Message.Kind.NO_ANSWER, from, 0, "", all.subList(i, Math.min(all.size(), i + NEWS))),
+                    now);
         }
     }
 
--- a/src/main/java/beaconladder/lab/soak/FaultPlan.java
+++ b/src/main/java/beaconladder/lab/soak/FaultPlan.java
@@ -12,9 +12,20 @@
 public final class FaultPlan {
     /** What can be set, in the order of the shim. */
     public enum Field {
-        WALL_OFFSET_NANOS, ACCEPT_ERRNO, ACCEPT_PER_MILLE, CONNECT_ERRNO, CONNECT_PER_MILLE, SOCKET_ERRNO,
-        SOCKET_PER_MILLE, THREAD_PER_MILLE, SHORT_PER_MILLE, INTERRUPT_PER_MILLE, FILE_ERRNO, FILE_SHORT,
-        HOLD_UP_PER_MILLE, HOLD_UP_MICROS
+        WALL_OFFSET_NANOS,
+        ACCEPT_ERRNO,
+        ACCEPT_PER_MILLE,
+        CONNECT_ERRNO,
+        CONNECT_PER_MILLE,
+        SOCKET_ERRNO,
+        SOCKET_PER_MILLE,
+        THREAD_PER_MILLE,
+        SHORT_PER_MILLE,
+        INTERRUPT_PER_MILLE,
+        FILE_ERRNO,
+        FILE_SHORT,
+        HOLD_UP_PER_MILLE,
+        HOLD_UP_MICROS
     }
 
     private final Path file;
@@ -24,8 +35,8 @@
     public FaultPlan(Path file) throws IOException {
         this.file = file;
         int size = Field.values().length * Long.BYTES;
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ,
-                StandardOpenOption.WRITE)) {
+        try (FileChannel channel =
+                FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             channel.write(ByteBuffer.allocate(size));
             values = channel.map(MapMode.READ_WRITE, 0, size).order(ByteOrder.nativeOrder());
         }
--- a/src/main/java/beaconladder/lab/soak/FaultShim.java
+++ b/src/main/java/beaconladder/lab/soak/FaultShim.java
@@ -30,8 +30,19 @@
         try (InputStream in = FaultShim.class.getResourceAsStream(SOURCE)) {
             Files.copy(in, source, StandardCopyOption.REPLACE_EXISTING);
         }
-        Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O2", "-Wall", "-Wextra", "-o",
-                library.toString(), source.toString(), "-ldl").redirectErrorStream(true).start();
+        Process compiler = new ProcessBuilder(
+                        "cc",
+                        "-shared",
+                        "-fPIC",
+                        "-O2",
+                        "-Wall",
+                        "-Wextra",
+                        "-o",
+                        library.toString(),
+                        source.toString(),
+                        "-ldl")
+                .redirectErrorStream(true)
+                .start();
         String said = new String(compiler.getInputStream().readAllBytes());
         if (compiler.waitFor() != 0) {
             throw new IOException("the fault shim does not compile: " + said);
--- a/src/main/java/beaconladder/lab/soak/HostTroubles.java
+++ b/src/main/java/beaconladder/lab/soak/HostTroubles.java
@@ -7,9 +7,19 @@
 
 /** Brings the troubles of database hosts about, and ends them. */
 final class HostTroubles {
-    private static final Manner[] SPOILT = {Manner.CUT, Manner.GARBAGE, Manner.TWO_ROWS, Manner.HUGE,
-        Manner.UNKNOWN, Manner.NO_DESCRIPTION, Manner.INNER_LENGTH, Manner.ERROR_BEHIND_ROW, Manner.ODD_TAG,
-        Manner.STALL, Manner.RESET};
+    private static final Manner[] SPOILT = {
+        Manner.CUT,
+        Manner.GARBAGE,
+        Manner.TWO_ROWS,
+        Manner.HUGE,
+        Manner.UNKNOWN,
+        Manner.NO_DESCRIPTION,
+        Manner.INNER_LENGTH,
+        Manner.ERROR_BEHIND_ROW,
+        Manner.ODD_TAG,
+        Manner.STALL,
+        Manner.RESET
+    };
 
     private final SoakFleet fleet;
 
@@ -76,7 +86,8 @@
     }
 
     private Troubles.End hosts(Trouble trouble, SplittableRandom chance) {
-        List<SoakHost> some = fleet.hosts().stream().filter(host -> chance.nextInt(3) != 0).toList();
+        List<SoakHost> some =
+                fleet.hosts().stream().filter(host -> chance.nextInt(3) != 0).toList();
         for (SoakHost host : some) {
             switch (trouble) {
                 case HOST_NETWORK -> {
@@ -93,7 +104,8 @@
 
     private Troubles.End movePrimary(SplittableRandom chance) {
         int group = 1 + chance.nextInt(Soak.GROUPS);
-        List<SoakHost> members = fleet.hosts().stream().filter(host -> host.group == group).toList();
+        List<SoakHost> members =
+                fleet.hosts().stream().filter(host -> host.group == group).toList();
         SoakHost next = members.get(chance.nextInt(members.size()));
         members.forEach(host -> host.lead(host == next));
         return () -> fleet.list(next);
--- a/src/main/java/beaconladder/lab/soak/Request.java
+++ b/src/main/java/beaconladder/lab/soak/Request.java
@@ -6,20 +6,34 @@
 /** One request, as its client and the hosts saw it; times are System.nanoTime's. */
 final class Request {
     /** How it ended for its client. */
-    enum End { PENDING, SERVED, REFUSED, FAILED, LEFT, UNREAD, CUT, SILENT }
+    enum End {
+        PENDING,
+        SERVED,
+        REFUSED,
+        FAILED,
+        LEFT,
+        UNREAD,
+        CUT,
+        SILENT
+    }
 
     /**
      * One arrival at a host.
      *
-     * @param ran          whether the host ran it, or may have
+     * @param ran whether the host ran it, or may have
      * @param leavingSince when the host was listed as leaving, or 0
-     * @param position     the log position that the host had applied, in Unix milliseconds
-     * @param waitMillis   the time that it was told
+     * @param position the log position that the host had applied, in Unix milliseconds
+     * @param waitMillis the time that it was told
      */
-    record Arrival(int host, int group, long at, boolean ran, long leavingSince, long position,
+    record Arrival(
+            int host,
+            int group,
+            long at,
+            boolean ran,
+            long leavingSince,
+            long position,
             long wallMillis,
-            long waitMillis) {
-    }
+            long waitMillis) {}
 
     /** No kind of request waits longer. */
     private static final long LONGEST_MILLIS = 2_000;
@@ -28,10 +42,12 @@
     final Kind kind;
     /** How long its client waits. */
     final int budgetMillis;
+
     final int router;
     final int group;
     /** How many queries were written ahead of it at once. */
     private final int ahead;
+
     final long sentAt;
     private final List<Arrival> arrivals = new ArrayList<>();
     private End end = End.PENDING;
@@ -85,21 +101,28 @@
 
     /** The statement; its row is to hold its id. */
     String statement(long after) {
-        String comment = " /* id=" + id + ",c=" + kind.label + ",t=acme,d=" + budgetMillis + ",cluster="
-                + group + (kind == Kind.SESSION && after > 0 ? ",after=" + after : "") + " */";
-        return kind.writes() ? "INSERT INTO items (id, doc) VALUES ('" + id + "', '\\x9f03') RETURNING doc"
-                + comment : "SELECT doc FROM items WHERE id = '" + id + "'" + comment;
+        String comment = " /* id=" + id + ",c=" + kind.label + ",t=acme,d=" + budgetMillis + ",cluster=" + group
+                + (kind == Kind.SESSION && after > 0 ? ",after=" + after : "") + " */";
+        return kind.writes()
+                ? "INSERT INTO items (id, doc) VALUES ('" + id + "', '\\x9f03') RETURNING doc" + comment
+                : "SELECT doc FROM items WHERE id = '" + id + "'" + comment;
     }
 
     @Override
     public synchronized String toString() {
-        StringBuilder all = new StringBuilder(id + " " + kind + " router " + router + " " + end + " " + code
-                + " after " + (endedAt - sentAt) / 1_000_000 + " ms;");
+        StringBuilder all = new StringBuilder(id + " " + kind + " router " + router + " " + end + " " + code + " after "
+                + (endedAt - sentAt) / 1_000_000 + " ms;");
         for (Arrival a : arrivals) {
-            all.append(" host ").append(a.host()).append(" at ").append((a.at() - sentAt) / 1_000_000)
-                    .append(a.ran() ? " ran" : " not run").append(", lag ")
-                            .append(a.wallMillis() - a.position())
-                    .append(", told ").append(a.waitMillis()).append(';');
+            all.append(" host ")
+                    .append(a.host())
+                    .append(" at ")
+                    .append((a.at() - sentAt) / 1_000_000)
+                    .append(a.ran() ? " ran" : " not run")
+                    .append(", lag ")
+                    .append(a.wallMillis() - a.position())
+                    .append(", told ")
+                    .append(a.waitMillis())
+                    .append(';');
         }
         return all.toString();
     }
--- a/src/main/java/beaconladder/lab/soak/SoakHost.java
+++ b/src/main/java/beaconladder/lab/soak/SoakHost.java
@@ -10,7 +10,13 @@
 /** A database host of the soak, behind a proxy of its own; it notes each request that arrives. */
 final class SoakHost extends HostStandIn {
     /** How it takes requests. */
-    enum Behavior { WELL, ERROR, FULL, LOSES_ANSWERS, ANSWERS_TWICE }
+    enum Behavior {
+        WELL,
+        ERROR,
+        FULL,
+        LOSES_ANSWERS,
+        ANSWERS_TWICE
+    }
 
     private static final int LAG_MILLIS = 20;
     private static final int HANG_LOOK_MILLIS = 5;
@@ -21,15 +27,18 @@
     private final FaultProxy proxy;
     /** When the request that this thread serves had arrived, and how it is taken. */
     private final ThreadLocal<Long> arrivedAt = ThreadLocal.withInitial(System::nanoTime);
+
     private final ThreadLocal<Behavior> taken = ThreadLocal.withInitial(() -> Behavior.WELL);
     /** Whether this host may not take the request that this thread serves; judged when it arrives. */
     private final ThreadLocal<Boolean> missed = ThreadLocal.withInitial(() -> false);
+
     private long newestPosition;
     volatile Behavior behavior = Behavior.WELL;
     volatile boolean hangs;
     volatile int lagMillis = LAG_MILLIS;
     /** When it was listed as leaving, or 0. */
     volatile long leavingSince;
+
     private volatile boolean leader;
     private volatile String state = "Ready";
     private volatile long startedMillis;
@@ -77,9 +86,14 @@
     String entry() {
         return """
                 {"id":"s-%d","addr":"127.0.0.1:%d","zone":"%s","kind":"m2","cell":%d,"state":"%s",\
-                "weight":1.0,"started_ms":%d,"role":"%s"}""".formatted(number,
-                proxy.port(), number % 2 == 0 ? "east" : "west", group, state,
-                startedMillis, leader ? "leader" : "follower");
+                "weight":1.0,"started_ms":%d,"role":"%s"}""".formatted(
+                        number,
+                        proxy.port(),
+                        number % 2 == 0 ? "east" : "west",
+                        group,
+                        state,
+                        startedMillis,
+                        leader ? "leader" : "follower");
     }
 
     @Override
@@ -100,8 +114,14 @@
         }
         boolean misses = misses(request, text);
         missed.set(misses);
-        request.arrived(new Request.Arrival(number, group, arrivedAt.get(), now != Behavior.FULL && !misses,
-                leavingSince, position(), System.currentTimeMillis(),
+        request.arrived(new Request.Arrival(
+                number,
+                group,
+                arrivedAt.get(),
+                now != Behavior.FULL && !misses,
+                leavingSince,
+                position(),
+                System.currentTimeMillis(),
                 Long.parseLong(Statements.value(text, "d"))));
     }
 
@@ -131,7 +151,8 @@
                 String tag = text.startsWith("INSERT") ? "INSERT 0 1" : "SELECT 1";
                 Outbox answer = said().row("doc", row).commandComplete(tag);
                 return taken.get() == Behavior.ANSWERS_TWICE
-                        ? answer.ready().append(said().row("doc", row).commandComplete(tag)) : answer;
+                        ? answer.ready().append(said().row("doc", row).commandComplete(tag))
+                        : answer;
             }
         }
     }
--- a/src/main/java/beaconladder/lab/soak/SoakRouter.java
+++ b/src/main/java/beaconladder/lab/soak/SoakRouter.java
@@ -14,9 +14,11 @@
 final class SoakRouter {
     /** SIGKILL comes this long after SIGTERM at the earliest. */
     private static final int KILL_MILLIS = 3_700;
+
     private static final int READY_MILLIS = 30_000;
     /** Nine in ten are to be ready within this; here all are. */
     private static final int SOON_MILLIS = 10_000;
+
     private static final int LOOK_MILLIS = 20;
 
     final int number;
@@ -26,6 +28,7 @@
     private final List<String> broken;
     /** When it was killed with requests in hand, System.nanoTime's. */
     private final List<Long> kills = new CopyOnWriteArrayList<>();
+
     private volatile boolean ready;
     /** Held by who ends or starts it. */
     private boolean busy;
--- a/src/main/java/beaconladder/lab/soak/Troubles.java
+++ b/src/main/java/beaconladder/lab/soak/Troubles.java
@@ -17,8 +17,10 @@
     private static final int[] CONNECT_ERRORS = {105, 99, 101, 113, 110};
     /** The longest that a router is held up between reading its clock and writing. */
     private static final int HOLD_UP_MICROS = 150_000;
-    private static final DiscoveryStandIn.Manner[] BREAKS = {DiscoveryStandIn.Manner.HALF,
-        DiscoveryStandIn.Manner.CUT, DiscoveryStandIn.Manner.RESET};
+
+    private static final DiscoveryStandIn.Manner[] BREAKS = {
+        DiscoveryStandIn.Manner.HALF, DiscoveryStandIn.Manner.CUT, DiscoveryStandIn.Manner.RESET
+    };
 
     private final SoakFleet fleet;
     private final HostTroubles hosts;
@@ -33,7 +35,7 @@
         void run() throws IOException, InterruptedException;
     }
 
-    static final End NOTHING = () -> { };
+    static final End NOTHING = () -> {};
 
     /** Begins it; what it returns ends it. */
     End begin(Trouble trouble, int millis, SplittableRandom chance) throws IOException, InterruptedException {
@@ -106,7 +108,7 @@
         SoakRouter router = anyRouter(chance);
         SplittableRandom own = chance.split();
         Thread task = Tasks.spawn(() -> {
-            for (long until = System.nanoTime() + millis * 1_000_000L; System.nanoTime() < until;) {
+            for (long until = System.nanoTime() + millis * 1_000_000L; System.nanoTime() < until; ) {
                 router.signal("STOP");
                 Tasks.sleep(20 + own.nextInt(130));
                 router.signal("CONT");
@@ -169,8 +171,10 @@
     }
 
     private End discovery(Trouble trouble, SplittableRandom chance) {
-        DiscoveryStandIn agent = fleet.discoveries().get(chance.nextInt(fleet.discoveries().size()));
-        agent.manner = trouble == Trouble.DISCOVERY_SILENT ? DiscoveryStandIn.Manner.SILENT
+        DiscoveryStandIn agent =
+                fleet.discoveries().get(chance.nextInt(fleet.discoveries().size()));
+        agent.manner = trouble == Trouble.DISCOVERY_SILENT
+                ? DiscoveryStandIn.Manner.SILENT
                 : BREAKS[chance.nextInt(BREAKS.length)];
         if (trouble == Trouble.DISCOVERY_SILENT) {
             agent.cutOff();
@@ -207,7 +211,8 @@
     }
 
     private End slowDiscovery(SplittableRandom chance) {
-        DiscoveryStandIn agent = fleet.discoveries().get(chance.nextInt(fleet.discoveries().size()));
+        DiscoveryStandIn agent =
+                fleet.discoveries().get(chance.nextInt(fleet.discoveries().size()));
         agent.lateMillis = 100 + chance.nextInt(900);
         fleet.discoveryTrouble(true);
         return () -> {
--- a/src/main/java/beaconladder/lease/Answer.java
+++ b/src/main/java/beaconladder/lease/Answer.java
@@ -4,9 +4,9 @@
  * What the grantor says to an ask.
  *
  * @param number of the ask
- * @param grant  what the asker holds now, or null
+ * @param grant what the asker holds now, or null
  * @param holder who else holds it, or an empty text
- * @param free   so long until it may be free, in nanoseconds
+ * @param free so long until it may be free, in nanoseconds
  */
 public record Answer(String task, long number, Why why, Grant grant, String holder, long free) {
     /** Why the answer is as it is. */
--- a/src/main/java/beaconladder/lease/Ask.java
+++ b/src/main/java/beaconladder/lease/Ask.java
@@ -5,13 +5,17 @@
  *
  * @param holder the process that asks, by name and incarnation
  * @param number counts the asks of a process for a task, so that one that comes late is known
- * @param token  for a take, the token under which the asker acts now, or 0; for a release, the one given up
+ * @param token for a take, the token under which the asker acts now, or 0; for a release, the one given up
  * @param length for a take, how long the lease is to be, in nanoseconds
- * @param heir   for a hand-over, the name of the process that is to hold the task next
+ * @param heir for a hand-over, the name of the process that is to hold the task next
  */
 public record Ask(Kind kind, String task, String holder, long number, long token, long length, String heir) {
     /** Take it or hold it longer; give it up; have it given to another. */
-    public enum Kind { TAKE, RELEASE, HAND_OVER }
+    public enum Kind {
+        TAKE,
+        RELEASE,
+        HAND_OVER
+    }
 
     static Ask take(String task, String holder, long number, long token, long length) {
         return new Ask(Kind.TAKE, task, holder, number, token, length, "");
--- a/src/main/java/beaconladder/lease/Fence.java
+++ b/src/main/java/beaconladder/lease/Fence.java
@@ -1,12 +1,10 @@
 package beaconladder.lease;
 
 /**
- * What a shared resource remembers of a task, so that an act that comes late is refused there: the holder
- * may have stood
- * still between its look at the clock and the act, or the network may have kept it. The token is judged
- * alone by what the
- * resource has seen, with no clock in it; the time is a second bar for what comes late before anybody else
- * has acted.
+ * What a shared resource remembers of a task, so that an act that comes late is refused there: the holder may have
+ * stood still between its look at the clock and the act, or the network may have kept it. The token is judged alone by
+ * what the resource has seen, with no clock in it; the time is a second bar for what comes late before anybody else has
+ * acted.
  *
  * @param highest the highest token seen
  */
@@ -22,8 +20,7 @@
     }
 
     /** The state after an act, and whether it may be done. */
-    public record Admission(Fence next, Verdict verdict) {
-    }
+    public record Admission(Fence next, Verdict verdict) {}
 
     /** Nothing seen yet. */
     public static Fence open() {
--- a/src/main/java/beaconladder/lease/Grants.java
+++ b/src/main/java/beaconladder/lease/Grants.java
@@ -4,24 +4,20 @@
 import java.util.TreeMap;
 
 /**
- * The grantor: all leases, as a state machine that replicas of a log apply alike. It reads no clock; each ask
- * comes with the time and the clock bound that the leader stamped it with, so that a replay gives the same.
+ * The grantor: all leases, as a state machine that replicas of a log apply alike. It reads no clock; each ask comes
+ * with the time and the clock bound that the leader stamped it with, so that a replay gives the same.
  *
- * <p>The source is Gray and Cheriton, Leases (1989); the token is Chubby's sequencer, and what Kleppmann
- * calls a
- * fencing token. Kept: a grant ends by time alone, with the holder's count shortened and the grantor's
- * lengthened by the
- * clock bound. Changed: one holder at a time, and a token that only grows, since a process can stand still
- * between its
- * look at the clock and its act.
+ * <p>The source is Gray and Cheriton, Leases (1989); the token is Chubby's sequencer, and what Kleppmann calls a
+ * fencing token. Kept: a grant ends by time alone, with the holder's count shortened and the grantor's lengthened by
+ * the clock bound. Changed: one holder at a time, and a token that only grows, since a process can stand still between
+ * its look at the clock and its act.
  *
- * @param clock  the newest stamp; a leader whose clock is behind that of the one before it takes no time back
+ * @param clock the newest stamp; a leader whose clock is behind that of the one before it takes no time back
  * @param leases by task
  */
 public record Grants(long clock, Map<String, Lease> leases) {
     /** The state after an ask, and what is said to the asker. */
-    public record Applied(Grants next, Answer answer) {
-    }
+    public record Applied(Grants next, Answer answer) {}
 
     /** No lease yet. */
     public static Grants none() {
@@ -44,15 +40,17 @@
             return refused(ask, Answer.Why.OVERTAKEN, lease, 0);
         }
         boolean mine = ask.holder().equals(lease.holder());
-        boolean passesOn = !lease.heir().isEmpty() && clock <= lease.heirUntil()
+        boolean passesOn = !lease.heir().isEmpty()
+                && clock <= lease.heirUntil()
                 && !Ask.name(ask.holder()).equals(lease.heir());
         if (mine && clock <= lease.expiry()) {
             // One that asks without its token has not heard of its grant, or has stopped for want of an
             // answer:
             // were its time moved on, one that speaks and hears nothing would keep the task from all others.
-            long expiry = ask.token() == lease.token() ? Math.max(lease.expiry(), clock + ask.length())
-                    : lease.expiry();
-            return passesOn ? refused(ask, Answer.Why.HANDED_OVER, lease, 0)
+            long expiry =
+                    ask.token() == lease.token() ? Math.max(lease.expiry(), clock + ask.length()) : lease.expiry();
+            return passesOn
+                    ? refused(ask, Answer.Why.HANDED_OVER, lease, 0)
                     : granted(ask, lease.held(ask.holder(), lease.token(), expiry));
         }
         // Another one may act until its expiry by its own clock, which may be behind by the bound.
@@ -69,24 +67,37 @@
 
     /** A token of 0 stands for whatever its holder holds: it gave up before it heard of a grant. */
     private Applied release(Ask ask, Lease lease) {
-        boolean held = ask.holder().equals(lease.holder()) && (ask.token() == 0
-                || ask.token() == lease.token());
+        boolean held = ask.holder().equals(lease.holder()) && (ask.token() == 0 || ask.token() == lease.token());
         // Remembered also where nothing is held: the take that it gives up may come behind it.
-        return new Applied(with(held ? lease.free(ask.number()) : lease.gaveUp(ask.holder(), ask.number())),
-                new Answer(ask.task(), ask.number(), held ? Answer.Why.DONE : Answer.Why.NOT_HELD, null,
-                        held ? "" : lease.holder(), 0));
+        return new Applied(
+                with(held ? lease.free(ask.number()) : lease.gaveUp(ask.holder(), ask.number())),
+                new Answer(
+                        ask.task(),
+                        ask.number(),
+                        held ? Answer.Why.DONE : Answer.Why.NOT_HELD,
+                        null,
+                        held ? "" : lease.holder(),
+                        0));
     }
 
     /** Kept for the heir until the holder's time is over, and then for as long as a lease is. */
     private Applied handOver(Ask ask, Lease lease, long bound) {
         long from = lease.free() ? clock : Math.max(clock, lease.expiry() + bound);
-        return new Applied(with(lease.keptFor(ask.heir(), from + ask.length())),
+        return new Applied(
+                with(lease.keptFor(ask.heir(), from + ask.length())),
                 new Answer(ask.task(), ask.number(), Answer.Why.DONE, null, lease.holder(), from - clock));
     }
 
     private Applied granted(Ask ask, Lease lease) {
-        return new Applied(with(lease), new Answer(ask.task(), ask.number(), Answer.Why.GRANTED,
-                new Grant(ask.task(), ask.holder(), lease.token(), lease.expiry()), "", 0));
+        return new Applied(
+                with(lease),
+                new Answer(
+                        ask.task(),
+                        ask.number(),
+                        Answer.Why.GRANTED,
+                        new Grant(ask.task(), ask.holder(), lease.token(), lease.expiry()),
+                        "",
+                        0));
     }
 
     private Applied refused(Ask ask, Answer.Why why, Lease lease, long wait) {
--- a/src/main/java/beaconladder/lease/Notes.java
+++ b/src/main/java/beaconladder/lease/Notes.java
@@ -6,18 +6,15 @@
 import java.util.TreeMap;
 
 /**
- * The notes of all tasks, as replicas of a log apply them alike. A holder's note is taken only while its
- * lease stands by the log's own clock and token, in one step with the look at it: of two who both think that
- * they hold a task, one at the most can write. A writer states how many notes it knows, so that nothing is
- * done twice.
+ * The notes of all tasks, as replicas of a log apply them alike. A holder's note is taken only while its lease stands
+ * by the log's own clock and token, in one step with the look at it: of two who both think that they hold a task, one
+ * at the most can write. A writer states how many notes it knows, so that nothing is done twice.
  *
  * @param tasks the texts of each task, oldest first
  * @param begun how many notes of a task were dropped as of no more use
  */
 public record Notes(Map<String, List<String>> tasks, Map<String, Integer> begun) {
-    /**
-     * More than the notes of any one change; a writer that goes on and on is stopped before the disk is full.
-     */
+    /** More than the notes of any one change; a writer that goes on and on is stopped before the disk is full. */
     static final int MOST = 1_000;
 
     /** What became of a note. */
@@ -33,8 +30,7 @@
     }
 
     /** The state after a note, and what became of it. */
-    public record Applied(Notes next, Kept kept) {
-    }
+    public record Applied(Notes next, Kept kept) {}
 
     /** What a reader sees of a task. */
     public record Seen(int begun, List<String> texts) {
@@ -59,7 +55,9 @@
         Seen seen = seen(note.task());
         if (note.token() != 0 || !note.holder().isEmpty()) {
             Lease lease = grants.leases().get(note.task());
-            if (lease == null || !lease.holder().equals(note.holder()) || lease.token() != note.token()
+            if (lease == null
+                    || !lease.holder().equals(note.holder())
+                    || lease.token() != note.token()
                     || grants.clock() > lease.expiry()) {
                 return new Applied(this, Kept.NOT_HELD);
             }
--- a/src/main/java/beaconladder/lease/Tenure.java
+++ b/src/main/java/beaconladder/lease/Tenure.java
@@ -1,52 +1,77 @@
 package beaconladder.lease;
 
 /**
- * One process and one task, as a state machine: what to ask, and until when it may act. The caller hands
- * it the time at
- * each {@link #wake} and what the grantor says, acts only while {@link #mayAct}, and puts token and {@link
- * #until} on
+ * One process and one task, as a state machine: what to ask, and until when it may act. The caller hands it the time at
+ * each {@link #wake} and what the grantor says, acts only while {@link #mayAct}, and puts token and {@link #until} on
  * every act. docs/lease.md has its transitions as a table.
  *
- * @param holder     this process, by name and incarnation
- * @param length     how long a lease is asked for
- * @param bound      how far any clock of the fleet may be from the true time
- * @param wanted     whether the task is wanted at all
- * @param number     of the newest ask
+ * @param holder this process, by name and incarnation
+ * @param length how long a lease is asked for
+ * @param bound how far any clock of the fleet may be from the true time
+ * @param wanted whether the task is wanted at all
+ * @param number of the newest ask
  * @param sentNumber of the first ask whose answer is awaited, or Long.MAX_VALUE
- * @param sentAt     when that was sent, by this process's clock
- * @param token      of the newest grant
- * @param until      an act must be sent before this, by this process's clock
- * @param askAt      when to ask next
- * @param seen       the newest time that this process's clock has shown
+ * @param sentAt when that was sent, by this process's clock
+ * @param token of the newest grant
+ * @param until an act must be sent before this, by this process's clock
+ * @param askAt when to ask next
+ * @param seen the newest time that this process's clock has shown
  */
-public record Tenure(String task, String holder, long length, long bound, State state, boolean wanted,
-        long number, long sentNumber, long sentAt, long token, long until, long askAt, long seen) {
+public record Tenure(
+        String task,
+        String holder,
+        long length,
+        long bound,
+        State state,
+        boolean wanted,
+        long number,
+        long sentNumber,
+        long sentAt,
+        long token,
+        long until,
+        long askAt,
+        long seen) {
     /** Where the process stands with the task. */
-    public enum State { ASKED, HELD, RENEWING, EXPIRED, RELEASED }
+    public enum State {
+        ASKED,
+        HELD,
+        RENEWING,
+        EXPIRED,
+        RELEASED
+    }
 
-    /**
-     * A third of its length has gone when a lease is asked for anew, which leaves four tries before its
-     * end.
-     */
+    /** A third of its length has gone when a lease is asked for anew, which leaves four tries before its end. */
     private static final int RENEW = 3;
+
     private static final int AGAIN = 6;
     private static final long NONE = Long.MAX_VALUE;
 
     /** The state after an event, and what is to be asked of the grantor, or null. */
-    public record Step(Tenure next, Ask ask) {
-    }
+    public record Step(Tenure next, Ask ask) {}
 
     /** A process that wants nothing yet. */
     public static Tenure of(String task, String holder, long length, long bound) {
-        return new Tenure(task, holder, length, bound, State.RELEASED, false, 0, NONE, 0, 0, Long.MIN_VALUE,
-                Long.MIN_VALUE, Long.MIN_VALUE);
+        return new Tenure(
+                task,
+                holder,
+                length,
+                bound,
+                State.RELEASED,
+                false,
+                0,
+                NONE,
+                0,
+                0,
+                Long.MIN_VALUE,
+                Long.MIN_VALUE,
+                Long.MIN_VALUE);
     }
 
     /** From here on the task is wanted, until a release. */
     public Tenure want(long now) {
-        return wanted ? this : new Tenure(task, holder, length, bound, state, true, number, NONE, 0, token,
-                until,
-                now, seen);
+        return wanted
+                ? this
+                : new Tenure(task, holder, length, bound, state, true, number, NONE, 0, token, until, now, seen);
     }
 
     /** Whether it may act now, by this process's clock. */
@@ -75,10 +100,20 @@
         // that. One too
         // old to bring a lease of use is given up, and with it what is said to it.
         boolean anew = here.sentNumber == NONE || back || now - here.sentAt > length / 2;
-        Tenure asked = new Tenure(task, holder, length, bound, here.holds() ? State.RENEWING : State.ASKED,
+        Tenure asked = new Tenure(
+                task,
+                holder,
+                length,
+                bound,
+                here.holds() ? State.RENEWING : State.ASKED,
                 true,
-                number + 1, anew ? number + 1 : here.sentNumber, anew ? now : here.sentAt, token, here.until,
-                now + Math.max(1, length / AGAIN), now);
+                number + 1,
+                anew ? number + 1 : here.sentNumber,
+                anew ? now : here.sentAt,
+                token,
+                here.until,
+                now + Math.max(1, length / AGAIN),
+                now);
         return new Step(asked, Ask.take(task, holder, number + 1, here.holds() ? token : 0, length));
     }
 
@@ -90,11 +125,19 @@
         }
         return switch (answer.why()) {
             case GRANTED -> granted(answer.grant(), timed, now);
-            case HANDED_OVER -> new Step(gone(number + 1, State.RELEASED, now + length + 2 * bound, now),
-                    Ask.release(task, holder, number + 1, 0));
+            case HANDED_OVER ->
+                new Step(
+                        gone(number + 1, State.RELEASED, now + length + 2 * bound, now),
+                        Ask.release(task, holder, number + 1, 0));
             // Said to one that holds it, too: then the clocks are further off than the bound, and it stops.
-            case HELD -> new Step(gone(number, State.ASKED, now + Math.max(Math.max(1, length / AGAIN),
-                    Math.min(length, answer.free())), now), null);
+            case HELD ->
+                new Step(
+                        gone(
+                                number,
+                                State.ASKED,
+                                now + Math.max(Math.max(1, length / AGAIN), Math.min(length, answer.free())),
+                                now),
+                        null);
             case OVERTAKEN, DONE, NOT_HELD -> timed;
         };
     }
@@ -112,33 +155,69 @@
         if (end <= now) {
             return new Step(here.expired(grant.token(), now), timed.ask());
         }
-        return new Step(new Tenure(task, holder, length, bound, State.HELD, true, here.number, NONE, 0,
-                grant.token(), end, now + Math.max(1, Math.min(length / RENEW, (end - now) / 2)), now), null);
+        return new Step(
+                new Tenure(
+                        task,
+                        holder,
+                        length,
+                        bound,
+                        State.HELD,
+                        true,
+                        here.number,
+                        NONE,
+                        0,
+                        grant.token(),
+                        end,
+                        now + Math.max(1, Math.min(length / RENEW, (end - now) / 2)),
+                        now),
+                null);
     }
 
     /** Gives it up: nothing may be done for it from here on. */
     public Step release(long now) {
         Tenure next = gone(number + 1, State.RELEASED, now, now);
-        return new Step(new Tenure(task, holder, length, bound, next.state, false, next.number, NONE, 0,
-                token,
-                next.until, NONE, next.seen), state == State.RELEASED && !wanted ? null
-                        : Ask.release(task, holder, number + 1, 0));
+        return new Step(
+                new Tenure(
+                        task,
+                        holder,
+                        length,
+                        bound,
+                        next.state,
+                        false,
+                        next.number,
+                        NONE,
+                        0,
+                        token,
+                        next.until,
+                        NONE,
+                        next.seen),
+                state == State.RELEASED && !wanted ? null : Ask.release(task, holder, number + 1, 0));
     }
 
     private Tenure expired(long withToken, long now) {
-        return new Tenure(task, holder, length, bound, State.EXPIRED, wanted, number, NONE, 0, withToken,
-                now, now,
-                now);
+        return new Tenure(
+                task, holder, length, bound, State.EXPIRED, wanted, number, NONE, 0, withToken, now, now, now);
     }
 
     private Tenure gone(long nextNumber, State next, long nextAskAt, long now) {
-        return new Tenure(task, holder, length, bound, next, wanted, nextNumber, NONE, 0, token,
-                Math.min(until, now), nextAskAt, now);
+        return new Tenure(
+                task,
+                holder,
+                length,
+                bound,
+                next,
+                wanted,
+                nextNumber,
+                NONE,
+                0,
+                token,
+                Math.min(until, now),
+                nextAskAt,
+                now);
     }
 
     private Tenure seen(long now) {
-        return new Tenure(task, holder, length, bound, state, wanted, number, sentNumber, sentAt, token,
-                until,
-                askAt, now);
+        return new Tenure(
+                task, holder, length, bound, state, wanted, number, sentNumber, sentAt, token, until, askAt, now);
     }
 }
--- a/src/main/java/beaconladder/members/Swim.java
+++ b/src/main/java/beaconladder/members/Swim.java
@@ -17,15 +17,12 @@
 import java.util.TreeMap;
 
 /**
- * One process's part in finding out who is there. Each period it probes one other; without an answer in
- * time it has some
- * others probe that one, and without any answer it suspects it. Who is suspected hears of it and objects
- * under a higher
- * incarnation; who does not is found dead. All news ride on these messages.
+ * One process's part in finding out who is there. Each period it probes one other; without an answer in time it has
+ * some others probe that one, and without any answer it suspects it. Who is suspected hears of it and objects under a
+ * higher incarnation; who does not is found dead. All news ride on these messages.
  *
- * <p>Of Lifeguard: a process that hears little waits longer before it blames others (local health); a
- * suspicion lasts the
- * shorter the more others share it; who is probed while suspected is told so.
+ * <p>Of Lifeguard: a process that hears little waits longer before it blames others (local health); a suspicion lasts
+ * the shorter the more others share it; who is probed while suspected is told so.
  */
 public final class Swim {
     private static final long MS = 1_000_000L;
@@ -37,11 +34,9 @@
     private static final int OTHERS = 3;
     /** A rumour is passed on so often, times the logarithm of the fleet: the paper's lambda. */
     private static final double SPREAD = 3;
-    /**
-     * Lifeguard's alpha and beta: the shortest and longest suspicion, in logarithms of the fleet and
-     * periods.
-     */
+    /** Lifeguard's alpha and beta: the shortest and longest suspicion, in logarithms of the fleet and periods. */
     private static final double SHORTEST = 5;
+
     private static final double LONGEST = 6;
     /** So many others that suspect the same bring a suspicion to its shortest: Lifeguard's K. */
     private static final int SHARED = 3;
@@ -72,6 +67,7 @@
         private long since;
         /** How often this word has been passed on. */
         private int told;
+
         private final Set<String> suspects = new HashSet<>();
     }
 
@@ -93,8 +89,7 @@
     }
 
     /** A probe made for another one. */
-    private record Carried(String forAddress, long itsNumber, long sayNoAt) {
-    }
+    private record Carried(String forAddress, long itsNumber, long sayNoAt) {}
 
     /**
      * A process that knows only of itself and of addresses where others may be.
@@ -113,8 +108,7 @@
         present.add(self);
         known.values().stream().map(each -> each.member).filter(Member::present).forEach(present::add);
         present.sort(Comparator.comparing(Member::name));
-        return new View(version, heardAt == Long.MIN_VALUE ? Long.MAX_VALUE : now - heardAt,
-                List.copyOf(present));
+        return new View(version, heardAt == Long.MIN_VALUE ? Long.MAX_VALUE : now - heardAt, List.copyOf(present));
     }
 
     /** What is known of the process of this name, or null. */
@@ -149,7 +143,7 @@
     /** What time alone brings. */
     public List<Send> at(long now) {
         List<Send> sends = new ArrayList<>();
-        for (Iterator<Carried> all = carried.values().iterator(); all.hasNext();) {
+        for (Iterator<Carried> all = carried.values().iterator(); all.hasNext(); ) {
             Carried each = all.next();
             if (now >= each.sayNoAt()) {
                 all.remove();
@@ -232,7 +226,11 @@
         if (next != null) {
             probe = new Probe(next.name(), ++number, now + ANSWER * (1 + health), nextPeriod);
             Known target = known.get(next.name());
-            sends.add(send(next.address(), Kind.PROBE, probe.number, "",
+            sends.add(send(
+                    next.address(),
+                    Kind.PROBE,
+                    probe.number,
+                    "",
                     target.member.state() == State.SUSPECT ? target.member : null));
         }
         if (next == null || chance.nextInt(Math.max(2, known.size())) == 0) {
@@ -249,7 +247,8 @@
                     return each.member;
                 }
             }
-            known.values().stream().filter(each -> each.member.present())
+            known.values().stream()
+                    .filter(each -> each.member.present())
                     .forEach(each -> round.add(each.member.name()));
             shuffle(round);
         }
@@ -257,20 +256,24 @@
     }
 
     /**
-     * Now and then one that is dead, or a seed, is told of this process: two halves that have been cut off
-     * from each
+     * Now and then one that is dead, or a seed, is told of this process: two halves that have been cut off from each
      * other, each of which holds the other for dead, find together again.
      */
     private void lonely(List<Send> sends) {
         List<String> addresses = new ArrayList<>(seeds);
-        known.values().stream().filter(each -> each.member.state() == State.DEAD)
+        known.values().stream()
+                .filter(each -> each.member.state() == State.DEAD)
                 .forEach(each -> addresses.add(each.member.address()));
-        known.values().stream().filter(each -> each.member.present())
+        known.values().stream()
+                .filter(each -> each.member.present())
                 .forEach(each -> addresses.remove(each.member.address()));
         if (!addresses.isEmpty()) {
             String address = addresses.get(chance.nextInt(addresses.size()));
-            Member dead = known.values().stream().map(each -> each.member)
-                    .filter(each -> each.address().equals(address)).findFirst().orElse(null);
+            Member dead = known.values().stream()
+                    .map(each -> each.member)
+                    .filter(each -> each.address().equals(address))
+                    .findFirst()
+                    .orElse(null);
             sends.add(send(address, Kind.PROBE, 0, "", dead));
         }
     }
@@ -282,8 +285,8 @@
         double most = LONGEST * least;
         int shared = Math.max(0, of.suspects.size() - 1);
         double left = Math.log(shared + 1) / Math.log(SHARED + 1);
-        return (long) Math.max(least, most - (most - least) * left) * (of.suspects.contains(self.name())
-                ? 1 + health : 1);
+        return (long) Math.max(least, most - (most - least) * left)
+                * (of.suspects.contains(self.name()) ? 1 + health : 1);
     }
 
     // ---- Messages -----------------------------------------------------------------------------------------
@@ -296,7 +299,8 @@
             return sends;
         }
         heardAt = now;
-        boolean stranger = !known.containsKey(from.name()) || !known.get(from.name()).member.present();
+        boolean stranger = !known.containsKey(from.name())
+                || !known.get(from.name()).member.present();
         learn(from, from.name(), now);
         for (Member each : message.news()) {
             learn(each, from.name(), now);
@@ -313,7 +317,11 @@
                 if (target != null) {
                     long mine = ++number;
                     carried.put(mine, new Carried(from.address(), message.number(), now + ANSWER));
-                    sends.add(send(target.member.address(), Kind.PROBE, mine, "",
+                    sends.add(send(
+                            target.member.address(),
+                            Kind.PROBE,
+                            mine,
+                            "",
                             target.member.state() == State.SUSPECT ? target.member : null));
                 }
             }
@@ -330,10 +338,11 @@
     private void answered(Message message, List<Send> sends) {
         Carried one = carried.remove(message.number());
         if (one != null) {
-            sends.add(new Send(one.forAddress(), new Message(Kind.ANSWER, message.from(), one.itsNumber(),
-                    "", news(null))));
-        } else if (probe != null && probe.number == message.number() && probe.target.equals(message.from()
-                .name())) {
+            sends.add(new Send(
+                    one.forAddress(), new Message(Kind.ANSWER, message.from(), one.itsNumber(), "", news(null))));
+        } else if (probe != null
+                && probe.number == message.number()
+                && probe.target.equals(message.from().name())) {
             probe = null;
             health = Math.max(0, health - 1);
         }
@@ -343,8 +352,14 @@
     private void introduce(String address, List<Send> sends) {
         List<Member> all = known.values().stream().map(each -> each.member).toList();
         for (int i = 0; i < all.size(); i += MOST_NEWS) {
-            sends.add(new Send(address, new Message(Kind.NO_ANSWER, self, 0, "",
-                    List.copyOf(all.subList(i, Math.min(all.size(), i + MOST_NEWS))))));
+            sends.add(new Send(
+                    address,
+                    new Message(
+                            Kind.NO_ANSWER,
+                            self,
+                            0,
+                            "",
+                            List.copyOf(all.subList(i, Math.min(all.size(), i + MOST_NEWS))))));
         }
     }
 
@@ -353,7 +368,9 @@
         self = self.as(State.LEFT);
         version++;
         List<Send> sends = new ArrayList<>();
-        known.values().stream().filter(each -> each.member.present()).limit(4L * OTHERS)
+        known.values().stream()
+                .filter(each -> each.member.present())
+                .limit(4L * OTHERS)
                 .forEach(each -> sends.add(send(each.member.address(), Kind.NO_ANSWER, 0, "", null)));
         return sends;
     }
--- a/src/main/java/beaconladder/members/View.java
+++ b/src/main/java/beaconladder/members/View.java
@@ -6,9 +6,7 @@
  * The fleet as one process knows it.
  *
  * @param version grows with each change; of this process's own, not to be compared with another's
- * @param age     how long ago this process last heard from any other, in nanoseconds; Long.MAX_VALUE for
- * never
+ * @param age how long ago this process last heard from any other, in nanoseconds; Long.MAX_VALUE for never
  * @param present who takes part, this process too, by name
  */
-public record View(long version, long age, List<Member> present) {
-}
+public record View(long version, long age, List<Member> present) {}
--- a/src/main/java/beaconladder/metrics/Counters.java
+++ b/src/main/java/beaconladder/metrics/Counters.java
@@ -28,7 +28,9 @@
 
     @Override
     public String toString() {
-        return new TreeMap<>(counts).entrySet().stream().map(e -> e.getKey() + "=" + e.getValue().sum())
-                .collect(Collectors.joining(" "));
+        return new TreeMap<>(counts)
+                .entrySet().stream()
+                        .map(e -> e.getKey() + "=" + e.getValue().sum())
+                        .collect(Collectors.joining(" "));
     }
 }
--- a/src/main/java/beaconladder/pg/Decimal.java
+++ b/src/main/java/beaconladder/pg/Decimal.java
@@ -12,8 +12,7 @@
     /** Beyond this exponent a number is 0 or no long; written out, its digits would fill the memory. */
     private static final int LARGEST_SCALE = 64;
 
-    private Decimal() {
-    }
+    private Decimal() {}
 
     /**
      * The number times a power of ten, rounded down.
--- a/src/main/java/beaconladder/pg/Inbox.java
+++ b/src/main/java/beaconladder/pg/Inbox.java
@@ -12,7 +12,15 @@
 public final class Inbox extends Message {
 
     /** What became of a wait for a message. */
-    public enum Got { MESSAGE, CLOSED, CUT, TIMED_OUT, MALFORMED, NO_ROOM, NOTHING }
+    public enum Got {
+        MESSAGE,
+        CLOSED,
+        CUT,
+        TIMED_OUT,
+        MALFORMED,
+        NO_ROOM,
+        NOTHING
+    }
 
     /** A value of 64 KiB is twice that in hex; the rest leaves room for the statement round it. */
     public static final int BOUND = 256 * 1024;
@@ -31,6 +39,7 @@
     private int needed;
     /** When the message that is coming in began, or 0. */
     private long begunAt;
+
     private int from;
     private int to;
 
@@ -174,8 +183,8 @@
                 // The kernel may end a wait late by a two-hundredth of its length (15 ms of 3 s were
                 // seen), so all but a sixty-fourth is waited for first and then the rest.
                 long millis = Math.max(1, (left + 999_999) / 1_000_000);
-                socket.setSoTimeout(left == Long.MAX_VALUE ? 0
-                        : (int) Math.min(Integer.MAX_VALUE, millis - millis / 64));
+                socket.setSoTimeout(
+                        left == Long.MAX_VALUE ? 0 : (int) Math.min(Integer.MAX_VALUE, millis - millis / 64));
                 int n = in.read(buffer, to, buffer.length - to);
                 if (n < 0) {
                     return to == from ? Got.CLOSED : Got.CUT;
--- a/src/main/java/beaconladder/pg/Message.java
+++ b/src/main/java/beaconladder/pg/Message.java
@@ -30,8 +30,10 @@
     }
 
     public int int32(int place) {
-        return (buffer[place] & 0xff) << 24 | (buffer[place + 1] & 0xff) << 16
-                | (buffer[place + 2] & 0xff) << 8 | buffer[place + 3] & 0xff;
+        return (buffer[place] & 0xff) << 24
+                | (buffer[place + 1] & 0xff) << 16
+                | (buffer[place + 2] & 0xff) << 8
+                | buffer[place + 3] & 0xff;
     }
 
     public byte int8(int place) {
@@ -71,7 +73,9 @@
             return null;
         }
         try {
-            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(buffer, at, end - 1 - at))
+            return StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(buffer, at, end - 1 - at))
                     .toString();
         } catch (CharacterCodingException e) {
             return null;
@@ -103,7 +107,10 @@
             i = next;
         }
         String code = errorField('C');
-        return i == end - 1 && errorField('S') != null && code != null && code.length() == 5
+        return i == end - 1
+                && errorField('S') != null
+                && code != null
+                && code.length() == 5
                 && code.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'A' && c <= 'Z');
     }
 
@@ -113,7 +120,7 @@
 
     /** A field of the current ErrorResponse, or null. */
     public String errorField(char name) {
-        for (int i = at; i < end && buffer[i] != 0;) {
+        for (int i = at; i < end && buffer[i] != 0; ) {
             if (buffer[i] == name) {
                 return text(i + 1);
             }
--- a/src/main/java/beaconladder/pg/Outbox.java
+++ b/src/main/java/beaconladder/pg/Outbox.java
@@ -26,7 +26,12 @@
     public static Outbox startup(String user, String database) {
         Outbox out = new Outbox();
         int at = out.begin((char) 0);
-        out.int32(3 << 16).text("user").text(user).text("database").text(database).int8(0);
+        out.int32(3 << 16)
+                .text("user")
+                .text(user)
+                .text("database")
+                .text(database)
+                .int8(0);
         return out.end(at);
     }
 
@@ -69,7 +74,14 @@
     /** An error; the detail may be null. */
     public Outbox error(String severity, String code, String message, String detail) {
         int at = begin('E');
-        int8('S').text(severity).int8('V').text(severity).int8('C').text(code).int8('M').text(message);
+        int8('S')
+                .text(severity)
+                .int8('V')
+                .text(severity)
+                .int8('C')
+                .text(code)
+                .int8('M')
+                .text(message);
         if (detail != null) {
             int8('D').text(detail);
         }
@@ -89,8 +101,18 @@
     /** A row description and a row of one column, in text. */
     public Outbox row(String column, byte[] value) {
         int at = begin('T');
-        int8(0).int8(1).text(column).int32(0).int8(0).int8(0).int32(25).int8(255).int8(255).int32(-1)
-                .int8(0).int8(0).end(at);
+        int8(0).int8(1)
+                .text(column)
+                .int32(0)
+                .int8(0)
+                .int8(0)
+                .int32(25)
+                .int8(255)
+                .int8(255)
+                .int32(-1)
+                .int8(0)
+                .int8(0)
+                .end(at);
         at = begin('D');
         return int8(0).int8(1).int32(value.length).raw(value, 0, value.length).end(at);
     }
@@ -111,7 +133,9 @@
     public String cell() {
         ByteBuffer all = bytes();
         for (int at = 0; at + 5 <= size; at += 1 + all.getInt(at + 1)) {
-            if (buffer[at] == 'D' && all.getInt(at + 1) >= 10 && all.getInt(at + 7) >= 0
+            if (buffer[at] == 'D'
+                    && all.getInt(at + 1) >= 10
+                    && all.getInt(at + 7) >= 0
                     && all.getInt(at + 7) <= all.getInt(at + 1) - 10) {
                 return new String(buffer, at + 11, all.getInt(at + 7), StandardCharsets.UTF_8);
             }
--- a/src/main/java/beaconladder/pg/Statement.java
+++ b/src/main/java/beaconladder/pg/Statement.java
@@ -14,6 +14,7 @@
             + "|INSERT INTO items \\(id, doc\\) VALUES \\('(?<write>[^'\\\\\\p{Cntrl}]++)', "
             + "'\\\\x(?<value>[0-9a-fA-F]*+)'\\) RETURNING doc"
             + ") /\\*(?<comment>[^*\\p{Cntrl}]*+)\\*/\\s*+");
+
     private static final int LONGEST_VALUE = 64 * 1024;
 
     private final String text;
@@ -43,14 +44,15 @@
             statement.session = hash(form.start("write") >= 0 ? form.group("write") : form.group("read"));
             int digits = form.end("value") - form.start("value");
             statement.fault = digits % 2 != 0 || digits > 2 * LONGEST_VALUE
-                    ? "the value is no hexadecimal text of at most 64 KiB" : null;
+                    ? "the value is no hexadecimal text of at most 64 KiB"
+                    : null;
             statement.readComment(form.start("comment"), form.end("comment"));
         }
         return statement;
     }
 
     private void readComment(int from, int to) {
-        for (int at = from; at <= to && fault == null;) {
+        for (int at = from; at <= to && fault == null; ) {
             int comma = text.indexOf(',', at);
             int end = comma < 0 || comma > to ? to : comma;
             String pair = text.substring(at, end);
@@ -102,7 +104,9 @@
 
     /** The statement as it came, but for the time that the sender will wait. */
     public String waiting(long millis) {
-        return text.substring(0, delayFrom) + millis
-                + (text.substring(delayFrom, delayTo).endsWith(" ") ? " " : "") + text.substring(delayTo);
+        return text.substring(0, delayFrom)
+                + millis
+                + (text.substring(delayFrom, delayTo).endsWith(" ") ? " " : "")
+                + text.substring(delayTo);
     }
 }
--- a/src/main/java/beaconladder/plan/Fault.java
+++ b/src/main/java/beaconladder/plan/Fault.java
@@ -3,7 +3,7 @@
 /**
  * A mistake in the operators' file.
  *
- * @param line   from 1
+ * @param line from 1
  * @param column from 1
  */
 public record Fault(String file, int line, int column, String mistake) {
--- a/src/main/java/beaconladder/plan/Node.java
+++ b/src/main/java/beaconladder/plan/Node.java
@@ -12,7 +12,7 @@
 /**
  * A list, a word or a quoted text, with its place in the file.
  *
- * @param text  of a word or a quoted text; null for a list
+ * @param text of a word or a quoted text; null for a list
  * @param items of a list
  */
 record Node(int line, int column, String text, boolean quoted, List<Node> items) {
@@ -31,8 +31,13 @@
         }
         BaseErrorListener listener = new BaseErrorListener() {
             @Override
-            public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column,
-                    String message, RecognitionException e) {
+            public void syntaxError(
+                    Recognizer<?, ?> recognizer,
+                    Object symbol,
+                    int line,
+                    int column,
+                    String message,
+                    RecognitionException e) {
                 faults.add(new Fault(file, line, column + 1, plain(symbol, message)));
             }
         };
@@ -52,11 +57,14 @@
 
     private static String plain(Object symbol, String message) {
         if (symbol instanceof Token token) {
-            return token.getType() == Token.EOF ? "the file ends where a ')' belongs"
-                    : token.getText().equals(")") ? "a ')' that closes nothing"
-                    : "'" + token.getText() + "' stands where a '(' belongs";
+            return token.getType() == Token.EOF
+                    ? "the file ends where a ')' belongs"
+                    : token.getText().equals(")")
+                            ? "a ')' that closes nothing"
+                            : "'" + token.getText() + "' stands where a '(' belongs";
         }
-        return message.contains("\"") ? "a quoted text that does not end on its line"
+        return message.contains("\"")
+                ? "a quoted text that does not end on its line"
                 : "a character that belongs to nothing: " + message;
     }
 
@@ -69,8 +77,12 @@
                 Token token = item.getStart();
                 boolean quoted = item.text() != null;
                 String text = token.getText();
-                items.add(new Node(token.getLine(), token.getCharPositionInLine() + 1,
-                        quoted ? text.substring(1, text.length() - 1) : text, quoted, List.of()));
+                items.add(new Node(
+                        token.getLine(),
+                        token.getCharPositionInLine() + 1,
+                        quoted ? text.substring(1, text.length() - 1) : text,
+                        quoted,
+                        List.of()));
             }
         }
         Token open = context.getStart();
