--- a/src/main/java/beaconladder/plan/PlanReader.java
+++ b/src/main/java/beaconladder/plan/PlanReader.java
@@ -22,14 +22,14 @@
 public final class PlanReader {
     /** A plan of 10,000 tenants takes a megabyte; a file beyond this is none. */
     private static final long LONGEST = 16 << 20;
+
     private static final Pattern MEASURE = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)([a-zA-Z%/]*)");
     private static final Map<String, Double> TIMES = Map.of("ms", 1e6, "s", 1e9, "min", 60e9, "h", 3600e9);
     private static final Map<String, Double> SIZES = Map.of("MB", 0x1p20, "GB", 0x1p30);
     private static final long MS = 1_000_000;
 
     /** The plan, or null and what is wrong. */
-    public record Result(Plan plan, List<Fault> faults) {
-    }
+    public record Result(Plan plan, List<Fault> faults) {}
 
     private final String file;
     private final List<Fault> faults = new ArrayList<>();
@@ -39,6 +39,7 @@
     private final List<Plan.Relocation> moves = new ArrayList<>();
     /** Where each thing stands, for the checks across lists. */
     private final Map<Object, Node> places = new HashMap<>();
+
     private final Set<String> unshared = new HashSet<>();
     private Plan.Others others;
     private Plan.Keeper keeper;
@@ -73,11 +74,23 @@
             reader.across();
             reader.grantors();
         }
-        Plan plan = reader.faults.isEmpty() ? new Plan(file, List.copyOf(reader.cells),
-                List.copyOf(reader.tenants), reader.others, Map.copyOf(reader.serves), reader.keeper,
-                List.copyOf(reader.moves), reader.leases == null ? null : new Plan.Leases(
-                        reader.leases.length(), reader.leases.bound(), reader.leases.disk(),
-                        List.copyOf(reader.grantors))) : null;
+        Plan plan = reader.faults.isEmpty()
+                ? new Plan(
+                        file,
+                        List.copyOf(reader.cells),
+                        List.copyOf(reader.tenants),
+                        reader.others,
+                        Map.copyOf(reader.serves),
+                        reader.keeper,
+                        List.copyOf(reader.moves),
+                        reader.leases == null
+                                ? null
+                                : new Plan.Leases(
+                                        reader.leases.length(),
+                                        reader.leases.bound(),
+                                        reader.leases.disk(),
+                                        List.copyOf(reader.grantors)))
+                : null;
         return new Result(plan, List.copyOf(reader.faults));
     }
 
@@ -91,9 +104,11 @@
             case "move" -> move(list);
             case "leases" -> leases(list);
             case "grantor" -> grantor(list);
-            default -> fault(list,
-                    "a list of cell, tenant, others, router, keeper, move, leases or grantor belongs here,"
-                    + " not '" + list.head() + "'");
+            default ->
+                fault(
+                        list,
+                        "a list of cell, tenant, others, router, keeper, move, leases or grantor belongs here,"
+                                + " not '" + list.head() + "'");
         }
     }
 
@@ -106,8 +121,10 @@
                 for (Node number : item.rest()) {
                     Integer group = group(number);
                     if (group != null && places.putIfAbsent(group, number) != null) {
-                        fault(number, "group " + group + " is in a cell already, at line "
-                                + places.get(group).line());
+                        fault(
+                                number,
+                                "group " + group + " is in a cell already, at line "
+                                        + places.get(group).line());
                     } else if (group != null) {
                         groups.add(group);
                     }
@@ -144,8 +161,7 @@
         double load = 1;
         double value = 1;
         boolean fixed = false;
-        for (Node item : parts(list, 2, "cell", "share", "networks", "apart-from", "load", "value",
-                "fixed")) {
+        for (Node item : parts(list, 2, "cell", "share", "networks", "apart-from", "load", "value", "fixed")) {
             switch (item.head()) {
                 case "cell" -> {
                     cell = word(only(item));
@@ -153,10 +169,11 @@
                 }
                 case "share" -> share = share(only(item));
                 case "networks" -> item.rest().forEach(network -> network(name, network, networks));
-                case "apart-from" -> item.rest().forEach(other -> {
-                    apart.add(word(other));
-                    places.put("apart " + name + " " + word(other), other);
-                });
+                case "apart-from" ->
+                    item.rest().forEach(other -> {
+                        apart.add(word(other));
+                        places.put("apart " + name + " " + word(other), other);
+                    });
                 case "load" -> load = measure(only(item), Map.of("txns/s", 1.0), "a rate such as 12txns/s");
                 case "value" -> value = measure(only(item), Map.of("", 1.0), "a number");
                 default -> fixed = true;
@@ -166,8 +183,8 @@
             fault(list, "a tenant needs (cell NAME)");
         }
         if (unique(list, "tenant", name)) {
-            tenants.add(new Plan.Tenant(name, cell, share, List.copyOf(networks), List.copyOf(apart), load,
-                    value, fixed));
+            tenants.add(
+                    new Plan.Tenant(name, cell, share, List.copyOf(networks), List.copyOf(apart), load, value, fixed));
         }
     }
 
@@ -219,16 +236,15 @@
         InetSocketAddress at = null;
         InetSocketAddress discovery = null;
         String store = null;
-        Map<String, Long> times = new HashMap<>(Map.of("lease", 2_000 * MS, "expiry", 3_000 * MS,
-                "copy", 600_000 * MS, "fence", 10_000 * MS));
+        Map<String, Long> times = new HashMap<>(
+                Map.of("lease", 2_000 * MS, "expiry", 3_000 * MS, "copy", 600_000 * MS, "fence", 10_000 * MS));
         for (Node item : parts(list, 1, "at", "discovery", "store", "lease", "expiry", "copy", "fence")) {
             switch (item.head()) {
                 case "at" -> at = address(only(item));
                 case "discovery" -> discovery = address(only(item));
                 case "store" -> store = word(only(item));
                 default -> {
-                    double nanos = measure(only(item), TIMES,
-                            "a time with its unit, such as 500ms, 2s or 1min");
+                    double nanos = measure(only(item), TIMES, "a time with its unit, such as 500ms, 2s or 1min");
                     times.put(item.head(), (long) nanos);
                     places.put(item.head(), item);
                     if (nanos >= 0 && (nanos < 50e6 || nanos > 86_400e9)) {
@@ -250,16 +266,17 @@
             fault(list, "there is one keeper, and it is stated already");
         }
         if (times.get("fence") < times.get("lease") + times.get("expiry")) {
-            fault(places.getOrDefault("fence", places.getOrDefault("lease", list)), "the fence ("
-                    + times.get("fence") / MS
+            fault(
+                    places.getOrDefault("fence", places.getOrDefault("lease", list)),
+                    "the fence ("
+                            + times.get("fence") / MS
                             + "ms) must not end before the lease and the expiry have passed ("
-                    + (times.get("lease") + times.get("expiry")) / MS
+                            + (times.get("lease") + times.get("expiry")) / MS
                             + "ms), or a move could never finish while"
-                    + " a router is silent");
+                            + " a router is silent");
         }
-        keeper = new Plan.Keeper(at, discovery, store, times.get("lease"), times.get("expiry"),
-                times.get("copy"),
-                times.get("fence"));
+        keeper = new Plan.Keeper(
+                at, discovery, store, times.get("lease"), times.get("expiry"), times.get("copy"), times.get("fence"));
     }
 
     private void leases(Node list) {
@@ -326,13 +343,13 @@
         if (leases == null && n > 0) {
             fault(places.get("grantor " + grantors.get(0).name()), "grantors need (leases ...)");
         } else if (leases != null && n != 1 && n != 3 && n != 5) {
-            fault(places.get("leases"), "leases need 3 or 5 grantors, or 1 that bears no loss; here are "
-                    + n);
+            fault(places.get("leases"), "leases need 3 or 5 grantors, or 1 that bears no loss; here are " + n);
         }
     }
 
     private InetSocketAddress address(Node node) {
-        Matcher form = Pattern.compile("([0-9.]+|\\[[0-9a-fA-F:.]+\\]):([0-9]{1,5})").matcher(word(node));
+        Matcher form =
+                Pattern.compile("([0-9.]+|\\[[0-9a-fA-F:.]+\\]):([0-9]{1,5})").matcher(word(node));
         if (form.matches() && Integer.parseInt(form.group(2)) <= 65_535) {
             InetSocketAddress address = new InetSocketAddress(form.group(1), Integer.parseInt(form.group(2)));
             if (!address.isUnresolved()) {
@@ -358,15 +375,16 @@
 
     /** Cells whose share is not stated share what is left evenly. */
     private void shares() {
-        double stated = cells.stream().mapToDouble(cell -> Math.max(0, cell.share())).sum();
+        double stated =
+                cells.stream().mapToDouble(cell -> Math.max(0, cell.share())).sum();
         if (stated > 1 + 1e-9) {
-            fault(places.get("cell " + cells.get(cells.size() - 1).name()),
-                    "the shares of all cells add up to "
-                    + Math.round(stated * 1000) / 10.0 + "%, over 100%");
+            fault(
+                    places.get("cell " + cells.get(cells.size() - 1).name()),
+                    "the shares of all cells add up to " + Math.round(stated * 1000) / 10.0 + "%, over 100%");
         } else if (!unshared.isEmpty() && stated > 1 - 1e-9) {
-            fault(places.get("cell " + unshared.iterator().next()),
-                    "the other cells' shares leave nothing for"
-                    + " this one");
+            fault(
+                    places.get("cell " + unshared.iterator().next()),
+                    "the other cells' shares leave nothing for" + " this one");
         }
         double each = unshared.isEmpty() ? 0 : (1 - stated) / unshared.size();
         cells.replaceAll(cell -> cell.share() < 0 ? new Plan.Cell(cell.name(), cell.groups(), each) : cell);
@@ -384,20 +402,23 @@
             for (String other : tenant.apart()) {
                 Plan.Tenant with = byName.get(other);
                 if (with == null || other.equals(tenant.name())) {
-                    fault(places.get("apart " + tenant.name() + " " + other), "another stated tenant belongs"
-                            + " here, not '" + other + "'" + nearest(other, byName.keySet()));
+                    fault(
+                            places.get("apart " + tenant.name() + " " + other),
+                            "another stated tenant belongs" + " here, not '" + other + "'"
+                                    + nearest(other, byName.keySet()));
                 }
             }
         }
         sums.forEach((cell, sum) -> {
             if (sum > 1 + 1e-9) {
-                fault(places.get("cell " + cell), "the shares of the tenants in " + cell + " add up to "
-                        + Math.round(sum * 1000) / 10.0 + "%, over 100%");
+                fault(
+                        places.get("cell " + cell),
+                        "the shares of the tenants in " + cell + " add up to " + Math.round(sum * 1000) / 10.0
+                                + "%, over 100%");
             }
         });
         overlaps();
-        serves.forEach((router, served) ->
-                served.forEach(cell -> known(names, cell, "serves " + router + " " + cell)));
+        serves.forEach((router, served) -> served.forEach(cell -> known(names, cell, "serves " + router + " " + cell)));
         if (others != null && (others.spread() < 1 || others.spread() > cells.size())) {
             fault(places.get("spread"), "others can be spread over 1 to " + cells.size() + " cells");
         }
@@ -406,8 +427,7 @@
             Node place = places.get(move);
             Plan.Tenant tenant = byName.get(move.tenant());
             if (tenant == null) {
-                fault(place, "no tenant '" + move.tenant() + "' is stated"
-                        + nearest(move.tenant(), byName.keySet()));
+                fault(place, "no tenant '" + move.tenant() + "' is stated" + nearest(move.tenant(), byName.keySet()));
             } else if (!names.contains(move.to())) {
                 fault(place, "no cell '" + move.to() + "' is stated" + nearest(move.to(), names));
             } else if (tenant.cell().equals(move.to())) {
@@ -415,8 +435,10 @@
             } else if (tenant.fixed()) {
                 fault(place, move.tenant() + " is fixed and can't be moved");
             } else if (groups(tenant.cell()) != groups(move.to())) {
-                fault(place, tenant.cell() + " has " + groups(tenant.cell()) + " groups and " + move.to()
-                        + " has " + groups(move.to()) + "; a move needs as many");
+                fault(
+                        place,
+                        tenant.cell() + " has " + groups(tenant.cell()) + " groups and " + move.to() + " has "
+                                + groups(move.to()) + "; a move needs as many");
             }
             if (!moved.add(move.tenant())) {
                 fault(place, move.tenant() + " is moved twice");
@@ -428,26 +450,32 @@
     }
 
     private int groups(String cell) {
-        return cells.stream().filter(c -> c.name().equals(cell)).findFirst().map(c -> c.groups().size())
+        return cells.stream()
+                .filter(c -> c.name().equals(cell))
+                .findFirst()
+                .map(c -> c.groups().size())
                 .orElse(0);
     }
 
     /** Sorted by their lower ends, networks that overlap lie next to one that holds them. */
     private void overlaps() {
-        record Owned(IPAddress network, String tenant) {
-        }
+        record Owned(IPAddress network, String tenant) {}
 
         List<Owned> all = new ArrayList<>();
         tenants.forEach(t -> t.networks().forEach(network -> all.add(new Owned(network, t.name()))));
         all.sort((a, b) -> {
             int order = a.network().getLower().compareTo(b.network().getLower());
-            return order != 0 ? order : b.network().getCount().compareTo(a.network().getCount());
+            return order != 0
+                    ? order
+                    : b.network().getCount().compareTo(a.network().getCount());
         });
         Owned widest = null;
         for (Owned next : all) {
             if (widest != null && widest.network().contains(next.network())) {
-                fault(places.get("network " + next.tenant() + " " + next.network()), next.network() + " of "
-                        + next.tenant() + " lies in " + widest.network() + " of " + widest.tenant());
+                fault(
+                        places.get("network " + next.tenant() + " " + next.network()),
+                        next.network() + " of " + next.tenant() + " lies in " + widest.network() + " of "
+                                + widest.tenant());
             } else {
                 widest = next;
             }
@@ -487,11 +515,14 @@
     private List<Node> parts(Node list, int from, String... heads) {
         List<Node> good = new ArrayList<>();
         Set<String> seen = new HashSet<>();
-        for (Node item : list.items().subList(Math.min(from, list.items().size()), list.items().size())) {
+        for (Node item : list.items()
+                .subList(Math.min(from, list.items().size()), list.items().size())) {
             String head = String.valueOf(item.head());
             if (!List.of(heads).contains(head)) {
-                fault(item, "one of (" + String.join(" ...) (", heads) + " ...) belongs here"
-                        + (item.head() == null ? "" : ", not '" + head + "'" + nearest(head, Set.of(heads))));
+                fault(
+                        item,
+                        "one of (" + String.join(" ...) (", heads) + " ...) belongs here"
+                                + (item.head() == null ? "" : ", not '" + head + "'" + nearest(head, Set.of(heads))));
             } else if (!seen.add(head)) {
                 fault(item, head + " is stated twice");
             } else {
@@ -530,8 +561,7 @@
         Double unit = form.matches() ? units.get(form.group(2)) : null;
         if (unit == null) {
             String none = form.matches() && form.group(2).isEmpty() ? " has no unit" : " is not one";
-            fault(node, expected + " belongs here; " + (node.isList() ? "a list" : "'" + node.text() + "'")
-                    + none);
+            fault(node, expected + " belongs here; " + (node.isList() ? "a list" : "'" + node.text() + "'") + none);
             return -1;
         }
         return Double.parseDouble(form.group(1)) * unit;
@@ -560,8 +590,8 @@
             int diagonal = row[0];
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
-                int next = Math.min(Math.min(row[j], row[j - 1]) + 1,
-                        diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1));
+                int next = Math.min(
+                        Math.min(row[j], row[j - 1]) + 1, diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1));
                 diagonal = row[j];
                 row[j] = next;
             }
--- a/src/main/java/beaconladder/rollout/Sequential.java
+++ b/src/main/java/beaconladder/rollout/Sequential.java
@@ -3,27 +3,25 @@
 import org.apache.commons.math3.special.Beta;
 
 /**
- * Bounds for a share that may be looked at after each txn without more false alarms: Robbins's mixture
- * (1970), here the Beta mixture of Bernoulli likelihoods, whose ratio at the true share exceeds 1/alpha at
- * any time with a chance of at most alpha (Ville). Kept: the bound holds at all times together. Changed:
- * counts are first divided by how much more routers of one arm differ from each other than chance has them
- * (quasi-likelihood, McCullagh and Nelder), since txns that fail together are no independent ones.
+ * Bounds for a share that may be looked at after each txn without more false alarms: Robbins's mixture (1970), here the
+ * Beta mixture of Bernoulli likelihoods, whose ratio at the true share exceeds 1/alpha at any time with a chance of at
+ * most alpha (Ville). Kept: the bound holds at all times together. Changed: counts are first divided by how much more
+ * routers of one arm differ from each other than chance has them (quasi-likelihood, McCullagh and Nelder), since txns
+ * that fail together are no independent ones.
  */
 public final class Sequential {
     private static final int HALVINGS = 40;
 
     /** A range that holds the share at all times, but for the chance stated. */
-    public record Range(double low, double high) {
-    }
+    public record Range(double low, double high) {}
 
-    private Sequential() {
-    }
+    private Sequential() {}
 
     /**
      * The range for a share, of which so many trials told, so many of them bad.
      *
      * @param trials may be broken numbers, once divided for what fails together
-     * @param alpha  the chance that it ever leaves out the true share
+     * @param alpha the chance that it ever leaves out the true share
      */
     public static Range range(double trials, double bad, double alpha) {
         if (trials <= 0) {
@@ -36,10 +34,7 @@
         return new Range(edge(0, middle, bad, good, most), edge(1, middle, bad, good, most));
     }
 
-    /**
-     * The share between an end and the middle at which the likelihood falls below what is left of the
-     * mixture.
-     */
+    /** The share between an end and the middle at which the likelihood falls below what is left of the mixture. */
     private static double edge(double out, double in, double bad, double good, double least) {
         if (likelihood(out, bad, good) >= least) {
             return out;
--- a/src/main/java/beaconladder/rollout/Stages.java
+++ b/src/main/java/beaconladder/rollout/Stages.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 
 /**
- * Which routers a change reaches at which stage: first one in each zone, then shares of all. Each router has
- * a rank by rendezvous hash of its name and the change's number (Thaler and Ravishankar, 1998), so that any
- * process reckons the same sets, and another change begins with other routers.
+ * Which routers a change reaches at which stage: first one in each zone, then shares of all. Each router has a rank by
+ * rendezvous hash of its name and the change's number (Thaler and Ravishankar, 1998), so that any process reckons the
+ * same sets, and another change begins with other routers.
  */
 public final class Stages {
     /** Of all routers, at the stages after the first; each adds to the one before it. */
@@ -19,11 +19,9 @@
     public static final int COUNT = SHARES.length + 1;
 
     /** A router that takes part. */
-    public record Place(String name, String zone) {
-    }
+    public record Place(String name, String zone) {}
 
-    private Stages() {
-    }
+    private Stages() {}
 
     /**
      * The routers that are on the new version at a stage; none before the first.
--- a/src/main/java/beaconladder/rollout/Tally.java
+++ b/src/main/java/beaconladder/rollout/Tally.java
@@ -6,17 +6,17 @@
 /**
  * What one router has seen of its txns under one version, by txn type, since it began with it.
  *
- * @param router  by name
- * @param life    of the process, so that what a restart has set back is not taken off
+ * @param router by name
+ * @param life of the process, so that what a restart has set back is not taken off
  * @param version that the counts are of
  */
 public record Tally(String router, String life, long version, Map<String, Count> types) {
     /**
      * Txns of one type.
      *
-     * @param txns   that have had their final answer
-     * @param lost   of them, those that were not served in time: declined, rolled back, late
-     * @param nanos  from the first byte to the answer, of those served, summed
+     * @param txns that have had their final answer
+     * @param lost of them, those that were not served in time: declined, rolled back, late
+     * @param nanos from the first byte to the answer, of those served, summed
      */
     public record Count(long txns, long lost, long nanos) {
         /** None yet. */
@@ -27,8 +27,8 @@
         }
 
         Count minus(Count less) {
-            return new Count(Math.max(0, txns - less.txns), Math.max(0, lost - less.lost),
-                    Math.max(0, nanos - less.nanos));
+            return new Count(
+                    Math.max(0, txns - less.txns), Math.max(0, lost - less.lost), Math.max(0, nanos - less.nanos));
         }
     }
 
@@ -38,8 +38,7 @@
             return this;
         }
         Map<String, Count> more = new TreeMap<>();
-        types.forEach((type, count) -> more.put(type,
-                count.minus(before.types.getOrDefault(type, Count.NONE))));
+        types.forEach((type, count) -> more.put(type, count.minus(before.types.getOrDefault(type, Count.NONE))));
         return new Tally(router, life, version, more);
     }
 
--- a/src/main/java/beaconladder/roster/AskedSchedule.java
+++ b/src/main/java/beaconladder/roster/AskedSchedule.java
@@ -3,10 +3,10 @@
 import java.util.SplittableRandom;
 
 /**
- * The schedule of a list that is asked for: discovery is one service of fixed capacity for all routers, and
- * every call costs it work, also one that nobody waits for any more. So calls are waited for; who is refused
- * comes again later each time, by chance, and its watches get longer; while nobody is refused a silent
- * watch is found before its news count.
+ * The schedule of a list that is asked for: discovery is one service of fixed capacity for all routers, and every call
+ * costs it work, also one that nobody waits for any more. So calls are waited for; who is refused comes again later
+ * each time, by chance, and its watches get longer; while nobody is refused a silent watch is found before its news
+ * count.
  */
 final class AskedSchedule implements Schedule {
     /** A silent watch that should have ended so soon, and a call behind it, are over before news count. */
@@ -29,6 +29,7 @@
     private static final int LONG = 4;
     /** After a break, which the whole fleet may have seen: as long as leaves time for two calls more. */
     private static final int BROKEN_MILLIS = 1_000;
+
     private static final int LONGEST_REST_MILLIS = TOLD_MILLIS - LONGEST_MILLIS;
     /** Calls that bring nothing for so long, over half a minute, are as much as nobody there bears. */
     private static final int PATIENT = 16;
--- a/src/main/java/beaconladder/roster/HttpGet.java
+++ b/src/main/java/beaconladder/roster/HttpGet.java
@@ -18,8 +18,8 @@
 import org.apache.hc.core5.http.protocol.HttpCoreContext;
 
 /**
- * GET over HTTP/1.1 to one address, on one connection that is kept for as long as it can be. Framing is that
- * of Apache HttpCore; what is bounded here is the whole call, however its bytes drip.
+ * GET over HTTP/1.1 to one address, on one connection that is kept for as long as it can be. Framing is that of Apache
+ * HttpCore; what is bounded here is the whole call, however its bytes drip.
  */
 public final class HttpGet {
     /** What is taken into memory at once; a body is refused beyond it. */
@@ -46,8 +46,11 @@
 
     private static final int CONNECT_MILLIS = 1_000;
     private static final HttpRequestExecutor CALLS = new HttpRequestExecutor();
-    private static final Http1Config FRAMES = Http1Config.custom().setBufferSize(4096).setMaxLineLength(8192)
-            .setMaxHeaderCount(128).build();
+    private static final Http1Config FRAMES = Http1Config.custom()
+            .setBufferSize(4096)
+            .setMaxLineLength(8192)
+            .setMaxHeaderCount(128)
+            .build();
 
     private final InetSocketAddress address;
     private final boolean mistakes;
@@ -198,9 +201,7 @@
         private final DefaultBHttpClientConnection http = new DefaultBHttpClientConnection(FRAMES);
     }
 
-    /**
-     * A socket whose reads end at a moment, not each after a while: bytes that drip don't draw a call out.
-     */
+    /** A socket whose reads end at a moment, not each after a while: bytes that drip don't draw a call out. */
     private static final class TimedSocket extends Socket {
         private volatile long until;
         private volatile long tail;
--- a/src/main/java/beaconladder/roster/Json.java
+++ b/src/main/java/beaconladder/roster/Json.java
@@ -33,13 +33,14 @@
 
     /** A name told twice makes the whole void: nobody knows which of them was meant. */
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST)
-                    .maxNumberLength(LONGEST_NUMBER).build())
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(DEEPEST)
+                    .maxNumberLength(LONGEST_NUMBER)
+                    .build())
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
-    private Json() {
-    }
+    private Json() {}
 
     public static Object read(String text) throws Fault {
         try (JsonParser json = FACTORY.createParser(text)) {
@@ -64,11 +65,11 @@
     }
 
     static Fault fault(JsonProcessingException e) {
-        long at = e.getLocation() == null ? 0
+        long at = e.getLocation() == null
+                ? 0
                 : Math.max(e.getLocation().getCharOffset(), e.getLocation().getByteOffset());
         // Where it began, of a text that ends too soon, is of no help to who is told the place.
-        return new Fault(at,
-                e.getOriginalMessage().replaceFirst(" \\((start marker|for \\w+ starting) at .*", ""));
+        return new Fault(at, e.getOriginalMessage().replaceFirst(" \\((start marker|for \\w+ starting) at .*", ""));
     }
 
     /** The value that begins with the present token. */
@@ -118,8 +119,8 @@
     }
 
     /**
-     * A value as the drill's flat lines have it: plain values of a list are joined by commas, a list of
-     * objects states its length under count, spaces and commas inside of values become underscores.
+     * A value as the drill's flat lines have it: plain values of a list are joined by commas, a list of objects states
+     * its length under count, spaces and commas inside of values become underscores.
      */
     public static void flatten(String name, Object value, Map<String, String> into) {
         if (value instanceof Map<?, ?> map) {
@@ -139,7 +140,8 @@
     }
 
     private static String plain(Object value) {
-        return value instanceof BigDecimal number ? number.toPlainString()
+        return value instanceof BigDecimal number
+                ? number.toPlainString()
                 : String.valueOf(value).replace(' ', '_').replace(',', '_');
     }
 }
--- a/src/main/java/beaconladder/roster/ListReader.java
+++ b/src/main/java/beaconladder/roster/ListReader.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * Reads a list of hosts as discovery sends it, entry by entry from its bytes; nothing but the entries is
- * held. Whole or not at all: one entry that can't be read makes all of it void.
+ * Reads a list of hosts as discovery sends it, entry by entry from its bytes; nothing but the entries is held. Whole or
+ * not at all: one entry that can't be read makes all of it void.
  */
 final class ListReader {
     /** Over three times the 5,800 hosts that are in sight; entries hold some 200 bytes each. */
@@ -29,11 +29,9 @@
     }
 
     /** An answer of discovery: the whole list, or what has changed up to this version. */
-    record News(long version, boolean whole, List<Watch.Entry> entries) {
-    }
+    record News(long version, boolean whole, List<Watch.Entry> entries) {}
 
-    private ListReader() {
-    }
+    private ListReader() {}
 
     /** The news in these bytes, read up to their end. */
     static News read(InputStream in) throws IOException, Json.Fault {
@@ -86,7 +84,8 @@
 
     /** An entry as JSON has it. */
     static Watch.Entry entry(Object value) throws IOException {
-        if (!(value instanceof Map<?, ?> e) || !(e.get("id") instanceof String id)
+        if (!(value instanceof Map<?, ?> e)
+                || !(e.get("id") instanceof String id)
                 || !(e.get("cell") instanceof BigDecimal cell)) {
             throw new Unfit("an entry without id or group");
         }
@@ -101,7 +100,13 @@
             throw new Unfit("no address of " + id);
         }
         long launched = e.get("started_ms") instanceof BigDecimal started ? started.longValue() : 0;
-        return new Watch.Entry(id, address, String.valueOf(e.get("zone")), cell.intValue(), state,
-                "leader".equals(e.get("role")), launched);
+        return new Watch.Entry(
+                id,
+                address,
+                String.valueOf(e.get("zone")),
+                cell.intValue(),
+                state,
+                "leader".equals(e.get("role")),
+                launched);
     }
 }
--- a/src/main/java/beaconladder/roster/Schedule.java
+++ b/src/main/java/beaconladder/roster/Schedule.java
@@ -11,11 +11,10 @@
      * A call.
      *
      * @param waits how long discovery may wait for news, in milliseconds; 0 asks for an answer at once
-     * @param all   after how many milliseconds it is given up, quiet or silent; tail counts from the first
-     *              byte of its answer
+     * @param all after how many milliseconds it is given up, quiet or silent; tail counts from the first byte of its
+     *     answer
      */
-    record Call(int waits, int all, int tail) {
-    }
+    record Call(int waits, int all, int tail) {}
 
     /** Another address: nothing is known of it. */
     void moved();
--- a/src/main/java/beaconladder/roster/Watch.java
+++ b/src/main/java/beaconladder/roster/Watch.java
@@ -17,12 +17,21 @@
     private static final Logger LOG = LoggerFactory.getLogger(Watch.class);
 
     /** One host as discovery lists it. */
-    public record Entry(String id, InetSocketAddress address, String zone, int group, State state,
-            boolean leader, long launchedMillis) {
-    }
+    public record Entry(
+            String id,
+            InetSocketAddress address,
+            String zone,
+            int group,
+            State state,
+            boolean leader,
+            long launchedMillis) {}
 
     /** What discovery says of a host. */
-    public enum State { READY, DRAINING, GONE }
+    public enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** Takes the news. */
     public interface Listener {
@@ -33,6 +42,7 @@
     private final Schedule schedule;
     /** The calls to the present address; those to an earlier one are ended. */
     private volatile HttpGet http;
+
     private final long madeAt = System.nanoTime();
     private volatile boolean answered;
     private volatile boolean stopped;
@@ -46,7 +56,7 @@
      * One that has not begun.
      *
      * @param graceMillis how long after it counts as told a drain may still be unheeded
-     * @param seed        for the moments at which it asks
+     * @param seed for the moments at which it asks
      */
     public Watch(InetSocketAddress discovery, long graceMillis, long seed, Listener listener) {
         this(discovery, new CallSchedule(graceMillis, seed), listener);
@@ -62,7 +72,7 @@
      * One of a discovery that is one service for all routers and tells nobody who does not ask.
      *
      * @param everyMillis how often the rules want to be asked by who has no watch
-     * @param seed        for the moments at which it asks
+     * @param seed for the moments at which it asks
      */
     public static Watch asking(InetSocketAddress discovery, long everyMillis, long seed, Listener listener) {
         return new Watch(discovery, new AskedSchedule(everyMillis, seed), listener);
@@ -96,8 +106,10 @@
             Schedule.Call call = schedule.call(goesOn);
             long from = System.nanoTime();
             try {
-                ListReader.News news = asked.get(version < 0 ? "/v1/servers"
-                        : "/v1/servers?index=" + version + "&wait=" + call.waits(), call.all(), call.tail(),
+                ListReader.News news = asked.get(
+                        version < 0 ? "/v1/servers" : "/v1/servers?index=" + version + "&wait=" + call.waits(),
+                        call.all(),
+                        call.tail(),
                         ListReader::read);
                 if (asked != http) {
                     continue;
@@ -127,8 +139,9 @@
                     rest(asked, schedule.refused(call));
                 } else {
                     // What can't be read, or does not fit what is held, is asked for whole.
-                    version = e instanceof ListReader.Unfit || e instanceof Json.Fault
-                            || e instanceof HttpGet.Status ? -1 : version;
+                    version = e instanceof ListReader.Unfit || e instanceof Json.Fault || e instanceof HttpGet.Status
+                            ? -1
+                            : version;
                     rest(asked, schedule.failed());
                 }
             } catch (RuntimeException | Error e) {
@@ -155,7 +168,8 @@
     private synchronized void rest(HttpGet asked, int millis) {
         long until = System.nanoTime() + millis * 1_000_000L;
         try {
-            for (long left = until - System.nanoTime(); left > 0 && !stopped && asked == http;
+            for (long left = until - System.nanoTime();
+                    left > 0 && !stopped && asked == http;
                     left = until - System.nanoTime()) {
                 TimeUnit.NANOSECONDS.timedWait(this, left);
             }
@@ -168,8 +182,9 @@
     private long take(ListReader.News news, long since) throws IOException {
         // One that goes back is of a discovery that began anew, and knows nothing of what we hold; nor can
         // there be changes without a newer version.
-        if (!news.whole() && (news.version() < since
-                || news.version() == since && !news.entries().isEmpty())) {
+        if (!news.whole()
+                && (news.version() < since
+                        || news.version() == since && !news.entries().isEmpty())) {
             throw new ListReader.Unfit("changes up to version " + news.version() + " since " + since);
         }
         if (news.whole() || !news.entries().isEmpty()) {
--- a/src/main/java/beaconladder/serve/Admission.java
+++ b/src/main/java/beaconladder/serve/Admission.java
@@ -14,8 +14,7 @@
      * @param told what the client is to be told where there is none
      * @param last whether its connection ends with that
      */
-    record Answer(Pass pass, Outbox told, boolean last) {
-    }
+    record Answer(Pass pass, Outbox told, boolean last) {}
 
     private final Desk desk;
     private final Wire wire;
@@ -30,12 +29,20 @@
     }
 
     /** Asks for leave, and waits for it as long as the client stays. */
-    Answer enter(Asked asked, int size, long arrived, long expiry, BooleanSupplier gone)
-            throws InterruptedException {
+    Answer enter(Asked asked, int size, long arrived, long expiry, BooleanSupplier gone) throws InterruptedException {
         String tenant = asked.statement().value("t");
-        Gate.Answer leave = desk.cells().enter(tenant == null ? "" : tenant, asked.statement().session(),
-                asked.cluster(), desk.writes(asked.type()) || asked.statement().writes(), asked.type(), size,
-                wire.from(), arrived, expiry, gone);
+        Gate.Answer leave = desk.cells()
+                .enter(
+                        tenant == null ? "" : tenant,
+                        asked.statement().session(),
+                        asked.cluster(),
+                        desk.writes(asked.type()) || asked.statement().writes(),
+                        asked.type(),
+                        size,
+                        wire.from(),
+                        arrived,
+                        expiry,
+                        gone);
         if (leave == null) {
             return new Answer(null, new Outbox(), false);
         }
@@ -51,8 +58,11 @@
                     return new Answer(leave.pass(), null, false);
                 }
                 desk.cells().leave(leave.pass());
-                return new Answer(null, new Outbox().error("FATAL", "53300",
-                        "too many connections of this tenant; it has not run", null), true);
+                return new Answer(
+                        null,
+                        new Outbox()
+                                .error("FATAL", "53300", "too many connections of this tenant; it has not run", null),
+                        true);
             }
         }
     }
--- a/src/main/java/beaconladder/serve/Ahead.java
+++ b/src/main/java/beaconladder/serve/Ahead.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * What one client wrote ahead, between the reader that takes it in, the tasks that see it through side by
- * side, and whoever of them writes the answers out, in the order in which the queries came.
+ * What one client wrote ahead, between the reader that takes it in, the tasks that see it through side by side, and
+ * whoever of them writes the answers out, in the order in which the queries came.
  */
 final class Ahead {
     /** So many queries written ahead are read; further ones wait in the socket. */
@@ -90,23 +90,30 @@
 
         /** Whether both name one row and one of them writes: what came first is to be seen by the other. */
         private boolean ordered(Work other) {
-            return query != null && other.query != null
+            return query != null
+                    && other.query != null
                     && (statement().writes() || other.statement().writes())
                     && statement().session() == other.statement().session();
         }
     }
 
     /** What is to be done with work that has come in. */
-    enum Turn { WAITS, START_TASK, WRITE_NOW }
+    enum Turn {
+        WAITS,
+        START_TASK,
+        WRITE_NOW
+    }
 
     /** In the order in which it came, until its answer is out. */
     private final ArrayDeque<Work> work = new ArrayDeque<>();
+
     private int chars;
     private int tasks;
     /** Whether a task writes out the answer of the first. */
     private boolean writing;
     /** Whether the reader waits for the tasks to get on. */
     private boolean paused;
+
     private boolean over;
 
     /** Takes work in; the caller may have to start a task for it, or to write it at once. */
@@ -151,8 +158,10 @@
     /** The first query that nobody has begun and that need not wait for one before it. */
     private Work free() {
         for (Work each : work) {
-            if (!each.begun && work.stream().takeWhile(before -> before != each)
-                    .noneMatch(before -> before.answer == null && before.ordered(each))) {
+            if (!each.begun
+                    && work.stream()
+                            .takeWhile(before -> before != each)
+                            .noneMatch(before -> before.answer == null && before.ordered(each))) {
                 return each;
             }
         }
@@ -191,7 +200,8 @@
     /** Queries whose answer has not begun to go out. */
     synchronized int unanswered() {
         int begun = writing ? 1 : 0;
-        return (int) work.stream().skip(begun).filter(each -> each.query != null).count();
+        return (int)
+                work.stream().skip(begun).filter(each -> each.query != null).count();
     }
 
     /** Whether an answer is owed that has not begun to go out. */
--- a/src/main/java/beaconladder/serve/Asked.java
+++ b/src/main/java/beaconladder/serve/Asked.java
@@ -9,16 +9,17 @@
 /**
  * A query as it was read: a txn, or the answer it gets here.
  *
- * @param answer  what is to be said at once, without a txn; null for a txn
+ * @param answer what is to be said at once, without a txn; null for a txn
  * @param cluster the group's number as named
- * @param group   null where no such group is known and there are cells
+ * @param group null where no such group is known and there are cells
  * @param written the position that the read must see, or Word.NONE
- * @param budget  how long the client waits, in nanoseconds
+ * @param budget how long the client waits, in nanoseconds
  */
-record Asked(Outbox answer, Statement statement, String id, int type, int cluster, Group group, long written,
-        long budget) {
+record Asked(
+        Outbox answer, Statement statement, String id, int type, int cluster, Group group, long written, long budget) {
     /** Ids are short, and no client waits ten minutes; what is beyond is no id and no deadline. */
     private static final int LONGEST_ID = 128;
+
     private static final int LONGEST_MILLIS = 600_000;
 
     static Asked read(String query, Statement statement, Desk desk) {
@@ -42,13 +43,20 @@
         long budget = number(statement.value("d"));
         String after = statement.value("after");
         long written = after == null ? Word.NONE : Ending.nanos(after, 6);
-        String wrong = id == null || id.isEmpty() || id.length() > LONGEST_ID ? "id"
-                : type == null ? "c" : !named || group == null && !desk.confined() ? "cluster"
-                : budget <= 0 || budget > LONGEST_MILLIS ? "d"
-                : after != null && written == Word.NONE ? "after" : null;
+        String wrong = id == null || id.isEmpty() || id.length() > LONGEST_ID
+                ? "id"
+                : type == null
+                        ? "c"
+                        : !named || group == null && !desk.confined()
+                                ? "cluster"
+                                : budget <= 0 || budget > LONGEST_MILLIS
+                                        ? "d"
+                                        : after != null && written == Word.NONE ? "after" : null;
         if (wrong != null) {
-            return only(statement.value(wrong) == null ? error("42601", "the comment lacks " + wrong)
-                    : error("22023", "the comment has an impossible " + wrong));
+            return only(
+                    statement.value(wrong) == null
+                            ? error("42601", "the comment lacks " + wrong)
+                            : error("22023", "the comment has an impossible " + wrong));
         }
         return new Asked(null, statement, id, type, (int) cluster, group, written, budget * 1_000_000);
     }
@@ -59,8 +67,13 @@
 
     /** A decline for this reason, with when to come back, in nanoseconds, where that is known. */
     static Outbox declined(String reason, long comeBack) {
-        return new Outbox().error("ERROR", "53300", "declined, as " + reason + "; it has not run",
-                comeBack > 0 ? String.valueOf(comeBack / 1_000_000) : null).ready();
+        return new Outbox()
+                .error(
+                        "ERROR",
+                        "53300",
+                        "declined, as " + reason + "; it has not run",
+                        comeBack > 0 ? String.valueOf(comeBack / 1_000_000) : null)
+                .ready();
     }
 
     private static Asked only(Outbox answer) {
--- a/src/main/java/beaconladder/serve/AttemptEvents.java
+++ b/src/main/java/beaconladder/serve/AttemptEvents.java
@@ -21,8 +21,8 @@
     private final Trace trace;
     private final Monitor monitor;
 
-    AttemptEvents(Desk desk, ReentrantLock lock, Router router, Rounds rounds, Orders orders, Trace trace,
-            Monitor monitor) {
+    AttemptEvents(
+            Desk desk, ReentrantLock lock, Router router, Rounds rounds, Orders orders, Trace trace, Monitor monitor) {
         this.desk = desk;
         this.lock = lock;
         this.router = router;
--- a/src/main/java/beaconladder/serve/CellDesk.java
+++ b/src/main/java/beaconladder/serve/CellDesk.java
@@ -29,12 +29,22 @@
     }
 
     /** Asks for leave for a txn; waits while it is held, as long as its client stays. */
-    Gate.Answer enter(String tenant, long key, int named, boolean write, int type, long size,
-            InetAddress from, long arrived, long expiry, BooleanSupplier gone) throws InterruptedException {
+    Gate.Answer enter(
+            String tenant,
+            long key,
+            int named,
+            boolean write,
+            int type,
+            long size,
+            InetAddress from,
+            long arrived,
+            long expiry,
+            BooleanSupplier gone)
+            throws InterruptedException {
         lock.lock();
         try {
-            Gate.Answer answer = gate.admit(tenant, key, named, write, desk.value(type), size, from, arrived,
-                    expiry, desk.now());
+            Gate.Answer answer =
+                    gate.admit(tenant, key, named, write, desk.value(type), size, from, arrived, expiry, desk.now());
             while (answer.kind() == Gate.Kind.HOLD) {
                 if (gone.getAsBoolean()) {
                     gate.left(answer.pass());
--- a/src/main/java/beaconladder/serve/Client.java
+++ b/src/main/java/beaconladder/serve/Client.java
@@ -9,9 +9,7 @@
 /** A client's connection as its reader sees it: messages come in, it is told to go, it leaves. */
 final class Client {
     private static final Logger LOG = LoggerFactory.getLogger(Client.class);
-    /**
-     * A startup message is due so long after the connection, and the rest of a message after its first byte.
-     */
+    /** A startup message is due so long after the connection, and the rest of a message after its first byte. */
     private static final long OPENING = 2_000_000_000L;
     /** So much is read of a client after its end was told, so that it sees the message. */
     private static final int WASTE = 64 * 1024;
@@ -30,6 +28,7 @@
     private int wasted;
     /** Whether the last look at it was taken: no txn is taken in but the rest of a query that has begun. */
     private boolean lastLook;
+
     private boolean restDue;
     /** What a request has to name to cancel what is in hand here. */
     private final long key;
@@ -39,6 +38,7 @@
     private volatile long usedAt = System.nanoTime();
     /** Whether it has asked for something that is served here. */
     private volatile boolean known;
+
     private long cameAt;
     /** When its end was told, or 0. */
     private volatile long endedAt;
@@ -134,11 +134,12 @@
     }
 
     /**
-     * Whether more is to be read now: not of who has far too much ahead, or goes on after its end. Behind the
-     * last look only the sweep reads on.
+     * Whether more is to be read now: not of who has far too much ahead, or goes on after its end. Behind the last look
+     * only the sweep reads on.
      */
     boolean reads() {
-        return wasted < WASTE && !(ahead.full() && in.holds(BEHIND))
+        return wasted < WASTE
+                && !(ahead.full() && in.holds(BEHIND))
                 && !(lastLook && endedAt == 0 && in.begunAt() == 0);
     }
 
@@ -209,8 +210,8 @@
     }
 
     /**
-     * Ends the connection if it has lain idle since before this nanoTime, with what has come in unread looked
-     * at first; the client sees its end. For the reader alone.
+     * Ends the connection if it has lain idle since before this nanoTime, with what has come in unread looked at first;
+     * the client sees its end. For the reader alone.
      */
     boolean closeIfIdle(long since) {
         if (endedAt != 0 || !lastLook && !readable() || usedAt >= since || !idle(since)) {
@@ -233,10 +234,10 @@
     }
 
     /**
-     * The router ends: this connection is looked at for the last time, and closed now or after the answers to
-     * what has come in by then; else a client that writes on and on would keep it open until the kill. While
-     * the last answers are due the sweep still reads what comes, for the client's end may stand behind it,
-     * and declines it; what crosses the last is unread.
+     * The router ends: this connection is looked at for the last time, and closed now or after the answers to what has
+     * come in by then; else a client that writes on and on would keep it open until the kill. While the last answers
+     * are due the sweep still reads what comes, for the client's end may stand behind it, and declines it; what crosses
+     * the last is unread.
      */
     void lastLook() {
         closeIfIdle(Long.MAX_VALUE);
--- a/src/main/java/beaconladder/serve/ClientAcceptor.java
+++ b/src/main/java/beaconladder/serve/ClientAcceptor.java
@@ -28,12 +28,19 @@
     private final Consumer<SocketChannel> taker;
     /** Whether clients wait in the listener's queue, for a descriptor or for the end of a rest. */
     private boolean queued;
+
     private long againAt = System.nanoTime();
     private int failures;
 
     /** Listens at this address from now on. */
-    ClientAcceptor(Selector selector, InetSocketAddress address, Descriptors descriptors, Crowd crowd,
-            Monitor monitor, Consumer<SocketChannel> taker) throws IOException {
+    ClientAcceptor(
+            Selector selector,
+            InetSocketAddress address,
+            Descriptors descriptors,
+            Crowd crowd,
+            Monitor monitor,
+            Consumer<SocketChannel> taker)
+            throws IOException {
         this.selector = selector;
         this.descriptors = descriptors;
         this.crowd = crowd;
@@ -54,8 +61,8 @@
     }
 
     /**
-     * Takes in who waits, while there are descriptors: the others stay in the listener's queue, where their
-     * time runs but nothing of theirs is lost.
+     * Takes in who waits, while there are descriptors: the others stay in the listener's queue, where their time runs
+     * but nothing of theirs is lost.
      */
     void accept() {
         try {
@@ -79,8 +86,8 @@
     }
 
     /**
-     * The system gives no connection now, for what may end by itself (a connection that was aborted, a table
-     * that is full), so nobody is ended for it at once, and the others are read on.
+     * The system gives no connection now, for what may end by itself (a connection that was aborted, a table that is
+     * full), so nobody is ended for it at once, and the others are read on.
      */
     private void failed(IOException cause) {
         failures++;
--- a/src/main/java/beaconladder/serve/ClientReader.java
+++ b/src/main/java/beaconladder/serve/ClientReader.java
@@ -46,8 +46,10 @@
             }
             if (got != Got.MESSAGE) {
                 if (greeted) {
-                    sendAway(got == Got.NO_ROOM ? "a long message while there is no room for more of them"
-                            : "a message of impossible length");
+                    sendAway(
+                            got == Got.NO_ROOM
+                                    ? "a long message while there is no room for more of them"
+                                    : "a message of impossible length");
                 } else {
                     greet(Greeting.fatal("08P01", "a startup message of impossible length"));
                 }
@@ -96,8 +98,8 @@
             case 'P', 'B', 'D', 'E', 'C', 'F', 'H', 'd', 'c', 'f' -> {
                 if (!skipping) {
                     skipping = true;
-                    add(new Ahead.Work(new Outbox().error("ERROR", "0A000",
-                            "only simple queries are spoken here", null), false));
+                    add(new Ahead.Work(
+                            new Outbox().error("ERROR", "0A000", "only simple queries are spoken here", null), false));
                 }
             }
             case 'S' -> {
@@ -134,7 +136,7 @@
                     wire.endWriting();
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/beaconladder/serve/ClientTask.java
+++ b/src/main/java/beaconladder/serve/ClientTask.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A client's tasks: each sees through what its reader took in, one txn after the other, while there is any.
- * Several do so side by side for a client that writes ahead, since the time of each query runs from its own
- * last byte; whoever has the answer that is next writes it.
+ * A client's tasks: each sees through what its reader took in, one txn after the other, while there is any. Several do
+ * so side by side for a client that writes ahead, since the time of each query runs from its own last byte; whoever has
+ * the answer that is next writes it.
  */
 final class ClientTask implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(ClientTask.class);
@@ -25,8 +25,7 @@
             () -> Asked.error("57014", "cancelled at the client's request; it may have run");
 
     /** The final answer to a query; with the last one its connection ends. */
-    record Reply(Outbox messages, boolean last) {
-    }
+    record Reply(Outbox messages, boolean last) {}
 
     private final Client client;
     private final Clients clients;
@@ -51,8 +50,11 @@
         for (Ahead.Work next = ahead.next(atOnce()); next != null; next = ahead.next(atOnce())) {
             try {
                 more();
-                ahead.answered(next, next.query() == null
-                        ? new Reply(Asked.error("22021", "a query that is not UTF-8"), false) : answer(next),
+                ahead.answered(
+                        next,
+                        next.query() == null
+                                ? new Reply(Asked.error("22021", "a query that is not UTF-8"), false)
+                                : answer(next),
                         desk.now());
                 more();
                 writeOut();
@@ -118,8 +120,12 @@
         long arrived = work.begins();
         long budget = Math.min(asked.budget(), desk.longest());
         Drain drain = clients.draining();
-        long expiry = drain == null ? arrived + budget : drain.expiry(arrived, budget,
-                desk.writes(asked.type()) || asked.statement().writes());
+        long expiry = drain == null
+                ? arrived + budget
+                : drain.expiry(
+                        arrived,
+                        budget,
+                        desk.writes(asked.type()) || asked.statement().writes());
         if (expiry <= desk.now()) {
             refused(DoorRefusal.NO_TIME);
             return new Reply(Asked.error("57P03", "no time is left for it here; it has not run"), false);
@@ -127,8 +133,7 @@
         Group group = asked.group();
         Pass pass = null;
         if (desk.confined()) {
-            Admission.Answer leave =
-                    admission.enter(asked, work.query().length(), arrived, expiry, gone);
+            Admission.Answer leave = admission.enter(asked, work.query().length(), arrived, expiry, gone);
             pass = leave.pass();
             group = pass == null ? null : desk.group(pass.group());
             if (pass == null) {
@@ -139,8 +144,8 @@
                 return new Reply(Asked.declined("no host of the cell is known", 0), false);
             }
         }
-        Hand taken = desk.take(asked.id(), asked.type(), group, asked.statement(), asked.written(), arrived,
-                expiry, pass);
+        Hand taken =
+                desk.take(asked.id(), asked.type(), group, asked.statement(), asked.written(), arrived, expiry, pass);
         if (taken == null) {
             if (pass != null) {
                 desk.cells().leave(pass);
@@ -206,7 +211,8 @@
                 }
                 case DECLINED -> {
                     String detail = order.nanos() > 0 ? String.valueOf(order.nanos() / 1_000_000) : null;
-                    return new Outbox().error("ERROR", "53300", "declined; it has not run, try again", detail)
+                    return new Outbox()
+                            .error("ERROR", "53300", "declined; it has not run, try again", detail)
                             .ready();
                 }
                 case ROLLED_BACK -> {
--- a/src/main/java/beaconladder/serve/Clients.java
+++ b/src/main/java/beaconladder/serve/Clients.java
@@ -24,6 +24,7 @@
     private final Room room;
     /** Of it, what the clients of each cell may take for large messages; empty where there are no cells. */
     private final List<Room> rooms;
+
     private final Descriptors descriptors;
     private final Crowd crowd;
     private final Queue<Client> resumed = new ConcurrentLinkedQueue<>();
@@ -34,8 +35,7 @@
     /** The planned end that has come, or null. */
     private volatile Drain draining;
 
-    Clients(Desk desk, Lines lines, Threads threads, Room room, List<Room> rooms, Descriptors descriptors,
-            int stated) {
+    Clients(Desk desk, Lines lines, Threads threads, Room room, List<Room> rooms, Descriptors descriptors, int stated) {
         this.desk = desk;
         this.lines = lines;
         this.threads = threads;
@@ -89,8 +89,8 @@
     }
 
     /**
-     * A channel that was closed keeps its descriptor until the next selection, and what its client sent last
-     * is told unread by a reset only then. Left to the end of the process that would come some 400 ms later.
+     * A channel that was closed keeps its descriptor until the next selection, and what its client sent last is told
+     * unread by a reset only then. Left to the end of the process that would come some 400 ms later.
      */
     private void finishCloses() {
         try {
--- a/src/main/java/beaconladder/serve/Crowd.java
+++ b/src/main/java/beaconladder/serve/Crowd.java
@@ -19,6 +19,7 @@
     private final int share;
     /** So many connections may be held by those who have asked for nothing yet that is served here. */
     private final int mostStrangers;
+
     private final Set<Client> all = ConcurrentHashMap.newKeySet();
     /** Decides nothing, so it needs no seed that is told; each process has other keys. */
     private final SplittableRandom keys = new SplittableRandom(System.nanoTime());
@@ -69,11 +70,13 @@
     private boolean closeOldest(Predicate<Client> of) {
         long lately = System.nanoTime() - LATELY;
         // Their tasks go on meanwhile: what is sorted by must not change under the sort.
-        record Aged(Client client, long usedAt) {
-        }
+        record Aged(Client client, long usedAt) {}
 
-        return all.stream().filter(of).filter(client -> !client.ending())
-                .map(client -> new Aged(client, client.usedAt())).filter(aged -> aged.usedAt() < lately)
+        return all.stream()
+                .filter(of)
+                .filter(client -> !client.ending())
+                .map(client -> new Aged(client, client.usedAt()))
+                .filter(aged -> aged.usedAt() < lately)
                 .sorted(Comparator.comparingLong(Aged::usedAt))
                 .anyMatch(aged -> aged.client().closeIfIdle(lately));
     }
@@ -92,7 +95,10 @@
      */
     void thin(boolean cells) {
         // Clients that ask once and stay would leave none of their share for those who come to ask.
-        long crowd = all.stream().filter(client -> client.known() && !client.ending()).count() - share / 2;
+        long crowd = all.stream()
+                        .filter(client -> client.known() && !client.ending())
+                        .count()
+                - share / 2;
         while (crowd-- > 0 && (cells && closeOldest(Client::borrows) || closeOldest(Client::known))) {
             continue;
         }
--- a/src/main/java/beaconladder/serve/Descriptors.java
+++ b/src/main/java/beaconladder/serve/Descriptors.java
@@ -1,19 +1,22 @@
 package beaconladder.serve;
 
 /**
- * The one owner of the descriptors that the settings allow: whoever opens a connection has taken its
- * descriptor here before, and gives it back once the operating system has it again. So no call of the program
- * meets "too many open files", whatever comes at once: clients wait in the listener's queue, and txns for a
- * connection to a host. It holds no socket and reads no clock but to wait.
+ * The one owner of the descriptors that the settings allow: whoever opens a connection has taken its descriptor here
+ * before, and gives it back once the operating system has it again. So no call of the program meets "too many open
+ * files", whatever comes at once: clients wait in the listener's queue, and txns for a connection to a host. It holds
+ * no socket and reads no clock but to wait.
  */
 final class Descriptors {
     /** What a descriptor is held for. */
-    enum Use { CLIENT, HOST }
+    enum Use {
+        CLIENT,
+        HOST
+    }
 
     /**
-     * Jars, streams, the selector and its wake-up, the listener and the JVM's own were counted at 20; two
-     * more for discovery's old and new address, one for the keeper, one for the operators' file at a reload,
-     * and as many as that to spare.
+     * Jars, streams, the selector and its wake-up, the listener and the JVM's own were counted at 20; two more for
+     * discovery's old and new address, one for the keeper, one for the operators' file at a reload, and as many as that
+     * to spare.
      */
     private static final int OWN = 32;
     /** As much again is for clients that are only told that they can't stay. */
--- a/src/main/java/beaconladder/serve/Desk.java
+++ b/src/main/java/beaconladder/serve/Desk.java
@@ -25,8 +25,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Holds the module, its one lock and its one clock. Each event is told under the lock, then the rounds are
- * played; what has to be done on sockets is done by others, or here once the lock is free.
+ * Holds the module, its one lock and its one clock. Each event is told under the lock, then the rounds are played; what
+ * has to be done on sockets is done by others, or here once the lock is free.
  */
 final class Desk implements Watch.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Desk.class);
@@ -37,6 +37,7 @@
     private final Rounds rounds;
     /** Which cell a txn belongs to and whether it may go there; both null where there are no cells. */
     private final Gate gate;
+
     private final CellDesk cells;
     private final Orders orders;
     private final Monitor monitor;
@@ -142,20 +143,30 @@
     }
 
     /**
-     * Takes a txn in, with its leave where there are cells: its task is told through the hand what to do, and
-     * releases its id at the end. Null where another txn of this id is in hand.
+     * Takes a txn in, with its leave where there are cells: its task is told through the hand what to do, and releases
+     * its id at the end. Null where another txn of this id is in hand.
      */
-    Hand take(String id, int type, Group group, Statement statement, long written, long arrived,
-            long expiry, Pass pass) {
+    Hand take(
+            String id, int type, Group group, Statement statement, long written, long arrived, long expiry, Pass pass) {
         lock.lock();
         Hand hand;
         try {
             if (!ids.add(id)) {
                 return null;
             }
-            hand = new Hand(new Txn(taken, router.type(type), group, statement.session(), written,
-                    places.tenant(statement.value("t")), "1".equals(statement.value("r")), arrived, expiry,
-                    taken++), statement);
+            hand = new Hand(
+                    new Txn(
+                            taken,
+                            router.type(type),
+                            group,
+                            statement.session(),
+                            written,
+                            places.tenant(statement.value("t")),
+                            "1".equals(statement.value("r")),
+                            arrived,
+                            expiry,
+                            taken++),
+                    statement);
             orders.add(hand);
             trace.taken(hand.txn, id, now());
             if (pass != null) {
--- a/src/main/java/beaconladder/serve/Drain.java
+++ b/src/main/java/beaconladder/serve/Drain.java
@@ -1,10 +1,10 @@
 package beaconladder.serve;
 
 /**
- * The planned end of a router. Others learn of it within the notice; until then all goes on. Then one last
- * look is taken at each connection: what it finds is seen through, what crosses the close stays unread.
+ * The planned end of a router. Others learn of it within the notice; until then all goes on. Then one last look is
+ * taken at each connection: what it finds is seen through, what crosses the close stays unread.
  *
- * @param told    when the end was asked for, in nanoseconds
+ * @param told when the end was asked for, in nanoseconds
  * @param longest the longest that a txn may be in hand, in nanoseconds
  */
 record Drain(long told, long longest) {
@@ -26,9 +26,9 @@
     }
 
     /**
-     * The expiry of a txn that begins now; none is left where it may not begin. A query written ahead has its
-     * time from the answer before it, which may reach past the kill: a read makes do with what is left, a
-     * write cut short might have run with nobody told, so it has its whole time or none.
+     * The expiry of a txn that begins now; none is left where it may not begin. A query written ahead has its time from
+     * the answer before it, which may reach past the kill: a read makes do with what is left, a write cut short might
+     * have run with nobody told, so it has its whole time or none.
      */
     long expiry(long begins, long budget, boolean write) {
         boolean whole = begins <= last() && budget <= longest || begins + budget <= end();
--- a/src/main/java/beaconladder/serve/Ending.java
+++ b/src/main/java/beaconladder/serve/Ending.java
@@ -9,24 +9,37 @@
 /**
  * How an exchange with a host ended, and how far it had come.
  *
- * @param reach    how far it had come
- * @param code     the host's error code, or null
- * @param row      whether a whole answer came
+ * @param reach how far it had come
+ * @param code the host's error code, or null
+ * @param row whether a whole answer came
  * @param timedOut whether it was given up waiting
- * @param role     what the host said of its role
+ * @param role what the host said of its role
  * @param position the position it said, in nanoseconds
- * @param load     the report it gave, or null
+ * @param load the report it gave, or null
  * @param messages the answer as it came
  * @param reusable whether the connection stands for the next
  */
-record Ending(Reach reach, String code, boolean row, boolean timedOut, Role role, long position, String load,
-        Outbox messages, boolean reusable) {
+record Ending(
+        Reach reach,
+        String code,
+        boolean row,
+        boolean timedOut,
+        Role role,
+        long position,
+        String load,
+        Outbox messages,
+        boolean reusable) {
 
     /** The code of an answer that gives none; for the module it is an error of a host that can be reached. */
     private static final String SPOILT = "";
 
     /** How far a submission had come when it ended. */
-    enum Reach { NOT_CONNECTED, PART_WRITTEN, WRITTEN, ANSWER_BEGUN }
+    enum Reach {
+        NOT_CONNECTED,
+        PART_WRITTEN,
+        WRITTEN,
+        ANSWER_BEGUN
+    }
 
     static Ending early(Reach reach) {
         return broken(reach, false);
@@ -39,8 +52,7 @@
 
     /** An answer that can't be read: it may have run, and nothing that it said counts. */
     static Ending spoilt() {
-        return new Ending(Reach.ANSWER_BEGUN, SPOILT, false, false, Role.UNKNOWN, Word.NONE, null, null,
-                false);
+        return new Ending(Reach.ANSWER_BEGUN, SPOILT, false, false, Role.UNKNOWN, Word.NONE, null, null, false);
     }
 
     /** The outcome in the module's words. */
@@ -91,7 +103,7 @@
                 }
                 case "x1" -> role = figure >= 0.5 ? Role.PRIMARY : Role.REPLICA;
                 case "inflight", "rif" -> holds = figure;
-                default -> { }
+                default -> {}
             }
             if (!read) {
                 return Word.SILENT;
--- a/src/main/java/beaconladder/serve/Greeting.java
+++ b/src/main/java/beaconladder/serve/Greeting.java
@@ -9,12 +9,17 @@
  * What an opening message of a client gets.
  *
  * @param answer null for one that is only to be closed
- * @param kind   what it means for the connection
- * @param key    for CANCEL the key that it names
+ * @param kind what it means for the connection
+ * @param key for CANCEL the key that it names
  */
 record Greeting(Outbox answer, Kind kind, long key) {
     /** Whether the client is greeted, asks again, has to go, or cancels what another has in hand. */
-    enum Kind { GREETED, AGAIN, FATAL, CANCEL }
+    enum Kind {
+        GREETED,
+        AGAIN,
+        FATAL,
+        CANCEL
+    }
 
     Greeting(Outbox answer, Kind kind) {
         this(answer, kind, 0);
@@ -36,11 +41,13 @@
         if (version == SSL || version == GSSENC) {
             return new Greeting(new Outbox().raw(new byte[] {'N'}, 0, 1), Kind.AGAIN);
         } else if (version == CANCEL) {
-            return new Greeting(null, Kind.CANCEL, length == 12
-                    ? (long) in.int32(in.at() + 4) << 32 | in.int32(in.at() + 8) & 0xffffffffL : 0);
+            return new Greeting(
+                    null,
+                    Kind.CANCEL,
+                    length == 12 ? (long) in.int32(in.at() + 4) << 32 | in.int32(in.at() + 8) & 0xffffffffL : 0);
         } else if (version >> 16 != 3) {
-            return fatal("0A000", "protocol " + (version >> 16) + "." + (version & 0xffff)
-                    + " is not spoken here, 3.0 is");
+            return fatal(
+                    "0A000", "protocol " + (version >> 16) + "." + (version & 0xffff) + " is not spoken here, 3.0 is");
         } else if (length < 5 || in.int8(in.end() - 1) != 0) {
             return fatal("08P01", "a startup message without its end");
         } else if (full) {
@@ -52,10 +59,15 @@
         if (version != VERSION_3 || unknown.length > 0) {
             out.negotiateVersion(unknown);
         }
-        return new Greeting(out.authenticationOk().parameterStatus("server_version", "15.0")
-                .parameterStatus("client_encoding", "UTF8").parameterStatus("server_encoding", "UTF8")
-                .parameterStatus("standard_conforming_strings", "on")
-                .backendKey((int) (key >> 32), (int) key).ready(), Kind.GREETED);
+        return new Greeting(
+                out.authenticationOk()
+                        .parameterStatus("server_version", "15.0")
+                        .parameterStatus("client_encoding", "UTF8")
+                        .parameterStatus("server_encoding", "UTF8")
+                        .parameterStatus("standard_conforming_strings", "on")
+                        .backendKey((int) (key >> 32), (int) key)
+                        .ready(),
+                Kind.GREETED);
     }
 
     static Greeting fatal(String code, String message) {
@@ -65,7 +77,7 @@
     /** The options of the protocol that the client asks for; none is known here. */
     private static String[] unknownOptions(Inbox in) {
         List<String> unknown = new ArrayList<>();
-        for (int at = in.at() + 4; at < in.end() && in.int8(at) != 0;) {
+        for (int at = in.at() + 4; at < in.end() && in.int8(at) != 0; ) {
             String name = in.text(at);
             if (name.startsWith("_pq_.")) {
                 unknown.add(name);
--- a/src/main/java/beaconladder/serve/Hand.java
+++ b/src/main/java/beaconladder/serve/Hand.java
@@ -10,17 +10,22 @@
 final class Hand {
 
     /** What there is to do. */
-    enum Kind { SEND, COMMITTED, DECLINED, ROLLED_BACK, LEFT }
+    enum Kind {
+        SEND,
+        COMMITTED,
+        DECLINED,
+        ROLLED_BACK,
+        LEFT
+    }
 
     /**
      * One thing to do.
      *
      * @param submission for SEND
-     * @param nanos      for SEND when it is to be over, for DECLINED how long the client should stay away
-     * @param answer     for COMMITTED: the host's messages
+     * @param nanos for SEND when it is to be over, for DECLINED how long the client should stay away
+     * @param answer for COMMITTED: the host's messages
      */
-    record Order(Kind kind, Submission submission, long nanos, Outbox answer) {
-    }
+    record Order(Kind kind, Submission submission, long nanos, Outbox answer) {}
 
     final Txn txn;
     final Statement statement;
--- a/src/main/java/beaconladder/serve/HostCall.java
+++ b/src/main/java/beaconladder/serve/HostCall.java
@@ -25,16 +25,18 @@
     private final long until;
     /** What it uses, until it has given it back. */
     private Line line;
+
     private boolean cancelled;
     /** Whether the query may have reached the host, in part or whole. */
     private boolean begun;
+
     private boolean localFault;
 
     /**
      * One that has not begun.
      *
      * @param submission what is sent, or null for a probe
-     * @param until      a nanoTime by which it has to be over
+     * @param until a nanoTime by which it has to be over
      */
     HostCall(Lines lines, Desk desk, Host host, Submission submission, Statement statement, long until) {
         this.lines = lines;
@@ -53,8 +55,7 @@
         try {
             boolean connected = connect();
             // Where its own time ran out on the way, nothing speaks against the host.
-            moot = submission != null && (connected ? !desk.attempts().mayGo(submission)
-                    : System.nanoTime() >= until);
+            moot = submission != null && (connected ? !desk.attempts().mayGo(submission) : System.nanoTime() >= until);
             if (connected && !moot) {
                 ending = exchange();
             }
@@ -74,7 +75,8 @@
 
     private void tellProbe(Ending ending) {
         Word report = lines.probeReports() && ending.row()
-                ? Ending.report(ending.messages().cell()) : ending.report();
+                ? Ending.report(ending.messages().cell())
+                : ending.report();
         desk.attempts().probed(host, localFault ? Outcome.LOCAL_FAULT : ending.outcome(), report);
     }
 
@@ -91,8 +93,7 @@
     private Ending exchange() {
         if (submission == null) {
             begun = true;
-            return line.send(Outbox.query(lines.probeQuery())) ? line.receive(until)
-                    : Ending.early(Reach.PART_WRITTEN);
+            return line.send(Outbox.query(lines.probeQuery())) ? line.receive(until) : Ending.early(Reach.PART_WRITTEN);
         }
         long began = desk.now();
         long millis = Math.max(1, desk.attempts().toldTime(until - System.nanoTime()) / 1_000_000);
--- a/src/main/java/beaconladder/serve/HostList.java
+++ b/src/main/java/beaconladder/serve/HostList.java
@@ -22,6 +22,7 @@
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     /** Those of them that are gone and not yet let go, so that a sweep does not walk the whole list. */
     private final Map<String, Host> leaving = new LinkedHashMap<>();
+
     private final Map<Integer, Group> groups = new ConcurrentHashMap<>();
     private final Map<Host, InetSocketAddress> addresses = new ConcurrentHashMap<>();
     /** How many hosts have been named; each has a number of its own. */
@@ -47,8 +48,12 @@
 
     /** How much it holds. */
     int held() {
-        return hosts.size() + leaving.size() + addresses.size()
-                + groups.values().stream().mapToInt(group -> group.members.size()).sum();
+        return hosts.size()
+                + leaving.size()
+                + addresses.size()
+                + groups.values().stream()
+                        .mapToInt(group -> group.members.size())
+                        .sum();
     }
 
     /** Discovery's news; returns the hosts whose idle connections are of no use any more. */
@@ -60,8 +65,7 @@
                 continue;
             }
             Group group = groups.computeIfAbsent(e.group(), Group::new);
-            Host host = hosts.computeIfAbsent(e.id(),
-                    id -> new Host(numbered++, group, zones.indexOf(e.zone())));
+            Host host = hosts.computeIfAbsent(e.id(), id -> new Host(numbered++, group, zones.indexOf(e.zone())));
             named.add(host);
             trace.named(host, e.id());
             trace.listed(host, e.state().name(), e.leader(), e.launchedMillis());
--- a/src/main/java/beaconladder/serve/Line.java
+++ b/src/main/java/beaconladder/serve/Line.java
@@ -33,6 +33,7 @@
     private boolean greeted;
     /** When it was last used, on System.nanoTime's clock. */
     long usedAt = System.nanoTime();
+
     final InetSocketAddress address;
 
     Line(InetSocketAddress address, Room room) throws IOException {
@@ -51,7 +52,11 @@
     }
 
     /** What became of a connection that was to be opened. */
-    enum Opening { OPEN, HOST_FAILED, LOCAL_FAULT }
+    enum Opening {
+        OPEN,
+        HOST_FAILED,
+        LOCAL_FAULT
+    }
 
     /** Connects and greets; the host fails when it did not take the connection by then (a nanoTime). */
     Opening open(long until) {
@@ -89,7 +94,7 @@
                             return false;
                         }
                     }
-                    case 'S', 'K', 'N', 'v' -> { }
+                    case 'S', 'K', 'N', 'v' -> {}
                     default -> {
                         return false;
                     }
@@ -141,8 +146,8 @@
     }
 
     /**
-     * The answer, judged whole: a description of one column, one row, a tag, or an error; then ready. Any
-     * other order, count or length makes it spoilt, and then nothing that it said counts.
+     * The answer, judged whole: a description of one column, one row, a tag, or an error; then ready. Any other order,
+     * count or length makes it spoilt, and then nothing that it said counts.
      */
     private Ending answer(long until) {
         Reach reach = Reach.WRITTEN;
@@ -171,16 +176,17 @@
             }
             read += in.end() - in.at();
             char type = in.type();
-            boolean good = read <= MOST && switch (type) {
-                case 'S' -> in.texts(2);
-                case 'N' -> in.isError();
-                case 'T' -> due == 'T' && in.describesOneColumn();
-                case 'D' -> due == 'D' && in.isRowOfOne();
-                case 'C' -> due == 'C' && in.texts(1) && TAGS.contains(in.text(in.at()));
-                case 'E' -> due == 'T' && in.isError();
-                case 'Z' -> due == 'Z' && in.end() - in.at() == 1 && "ITE".indexOf(in.int8(in.at())) >= 0;
-                default -> false;
-            };
+            boolean good = read <= MOST
+                    && switch (type) {
+                        case 'S' -> in.texts(2);
+                        case 'N' -> in.isError();
+                        case 'T' -> due == 'T' && in.describesOneColumn();
+                        case 'D' -> due == 'D' && in.isRowOfOne();
+                        case 'C' -> due == 'C' && in.texts(1) && TAGS.contains(in.text(in.at()));
+                        case 'E' -> due == 'T' && in.isError();
+                        case 'Z' -> due == 'Z' && in.end() - in.at() == 1 && "ITE".indexOf(in.int8(in.at())) >= 0;
+                        default -> false;
+                    };
             if (!good) {
                 return Ending.spoilt();
             }
@@ -188,11 +194,13 @@
                 case 'S' -> {
                     String value = in.text(in.after(in.at()));
                     switch (in.text(in.at())) {
-                        case "node_role" -> role = value.equals("leader") ? Role.PRIMARY
-                                : value.equals("follower") ? Role.REPLICA : Role.UNKNOWN;
+                        case "node_role" ->
+                            role = value.equals("leader")
+                                    ? Role.PRIMARY
+                                    : value.equals("follower") ? Role.REPLICA : Role.UNKNOWN;
                         case "replay_position" -> position = Ending.nanos(value, 6);
                         case "server_load" -> load = value;
-                        default -> { }
+                        default -> {}
                     }
                 }
                 case 'T', 'D', 'C' -> {
@@ -208,10 +216,9 @@
                     }
                 }
                 case 'Z' -> {
-                    return new Ending(reach, code, code == null, false, role, position, load, messages,
-                            !in.more());
+                    return new Ending(reach, code, code == null, false, role, position, load, messages, !in.more());
                 }
-                default -> { }
+                default -> {}
             }
         }
     }
--- a/src/main/java/beaconladder/serve/Lines.java
+++ b/src/main/java/beaconladder/serve/Lines.java
@@ -26,7 +26,12 @@
     private final Set<HostCall> calls = ConcurrentHashMap.newKeySet();
     private final Descriptors descriptors;
 
-    Lines(Desk desk, Map<String, String> start, TaskStarter threads, Room room, Descriptors descriptors,
+    Lines(
+            Desk desk,
+            Map<String, String> start,
+            TaskStarter threads,
+            Room room,
+            Descriptors descriptors,
             Opener opener) {
         this.desk = desk;
         this.descriptors = descriptors;
@@ -51,10 +56,7 @@
         return descriptors.held(Descriptors.Use.HOST);
     }
 
-    /**
-     * Makes a connection that is not yet open, within this moment (a nanoTime); null where there is no
-     * descriptor.
-     */
+    /** Makes a connection that is not yet open, within this moment (a nanoTime); null where there is no descriptor. */
     Line make(InetSocketAddress address, long until) throws IOException {
         boolean taken = descriptors.take(Descriptors.Use.HOST)
                 || idle.closeOldest() && descriptors.take(Descriptors.Use.HOST)
@@ -102,8 +104,8 @@
 
     /** Sees a submission through on the caller's thread; what became of it is told to the desk. */
     void send(Hand.Order order, Statement statement) {
-        HostCall call = new HostCall(this, desk, order.submission().host, order.submission(), statement,
-                desk.nanoTime(order.nanos()));
+        HostCall call = new HostCall(
+                this, desk, order.submission().host, order.submission(), statement, desk.nanoTime(order.nanos()));
         // The answer of a copy must not wait for one that can't be called off, unless there is no thread for
         // it.
         if (cancels || !threads.tryExecute(call)) {
@@ -130,8 +132,7 @@
 
     @Override
     public void probe(Host host) {
-        if (!threads.tryExecute(new HostCall(this, desk, host, null, null,
-                System.nanoTime() + dialNanos))) {
+        if (!threads.tryExecute(new HostCall(this, desk, host, null, null, System.nanoTime() + dialNanos))) {
             desk.attempts().probed(host, Outcome.MOOT, Word.SILENT);
         }
     }
--- a/src/main/java/beaconladder/serve/Monitor.java
+++ b/src/main/java/beaconladder/serve/Monitor.java
@@ -7,9 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * What a router counts of itself, and the checks of its rules; told in the log each minute and at its end.
- */
+/** What a router counts of itself, and the checks of its rules; told in the log each minute and at its end. */
 final class Monitor {
     private static final Logger LOG = LoggerFactory.getLogger(Monitor.class);
     private static final long EVERY = 60_000_000_000L;
--- a/src/main/java/beaconladder/serve/Placements.java
+++ b/src/main/java/beaconladder/serve/Placements.java
@@ -24,6 +24,7 @@
     private static final int RENEWALS = 3;
     /** While a tenant is moved, the keeper waits for word of its writes. */
     private static final int MOVING_MILLIS = 10;
+
     private static final int LATE_MILLIS = 500;
     private static final int RETRY_MILLIS = 50;
 
@@ -76,12 +77,17 @@
         List<Busy> busy = desk.cells().busy();
         long version = desk.cells().placement().version();
         long wait = busy.isEmpty() ? waitMillis : MOVING_MILLIS;
-        String told = busy.stream().map(b -> b.tenant() + ":" + b.writes() + b.commits().stream()
-                .map(commit -> ":" + Math.floorDiv(commit + MS - 1, MS)).collect(Collectors.joining()))
+        String told = busy.stream()
+                .map(b -> b.tenant() + ":" + b.writes()
+                        + b.commits().stream()
+                                .map(commit -> ":" + Math.floorDiv(commit + MS - 1, MS))
+                                .collect(Collectors.joining()))
                 .collect(Collectors.joining(","));
-        String body = http.get("/v1/placement?router=" + router + "&run=" + run + "&version=" + version
-                + "&wait="
-                + wait + "&busy=" + told, (int) wait + LATE_MILLIS);
+        String body = http.get(
+                "/v1/placement?router=" + router + "&run=" + run + "&version=" + version
+                        + "&wait="
+                        + wait + "&busy=" + told,
+                (int) wait + LATE_MILLIS);
         desk.cells().placed(read(body));
     }
 
@@ -89,26 +95,31 @@
         if (!(Json.read(body) instanceof Map<?, ?> told)
                 || !(told.get("version") instanceof BigDecimal version)
                 || !(told.get("until_ms") instanceof BigDecimal until)
-                        || !(told.get("basis") instanceof String basis)) {
+                || !(told.get("basis") instanceof String basis)) {
             throw new IOException("no placement");
         }
         Map<String, Seat> next = seats;
         if (told.get("seats") instanceof List<?> list) {
             next = new HashMap<>();
             for (Object each : list) {
-                if (!(each instanceof Map<?, ?> seat) || !(seat.get("tenant") instanceof String tenant)
+                if (!(each instanceof Map<?, ?> seat)
+                        || !(seat.get("tenant") instanceof String tenant)
                         || !(seat.get("cell") instanceof String cell)
                         || !(seat.get("floors_ms") instanceof List<?> floors)) {
                     throw new IOException("a seat that can't be read");
                 }
                 List<Long> positions = new ArrayList<>();
                 for (Object floor : floors) {
-                    positions.add(floor instanceof BigDecimal millis ? millis.longValue() * MS
-                            : Long.MAX_VALUE);
+                    positions.add(floor instanceof BigDecimal millis ? millis.longValue() * MS : Long.MAX_VALUE);
                 }
-                next.put(tenant, new Seat(cell, Boolean.TRUE.equals(seat.get("writes")),
-                        Boolean.TRUE.equals(seat.get("reads")), Boolean.TRUE.equals(seat.get("moving")),
-                        List.copyOf(positions)));
+                next.put(
+                        tenant,
+                        new Seat(
+                                cell,
+                                Boolean.TRUE.equals(seat.get("writes")),
+                                Boolean.TRUE.equals(seat.get("reads")),
+                                Boolean.TRUE.equals(seat.get("moving")),
+                                List.copyOf(positions)));
             }
             next = Map.copyOf(next);
         } else if (version.longValue() != desk.cells().placement().version()) {
--- a/src/main/java/beaconladder/serve/Serve.java
+++ b/src/main/java/beaconladder/serve/Serve.java
@@ -41,9 +41,11 @@
     private final long longest;
     /** Shortly after its process began: the virtual machine takes some tenths of a second before. */
     private final long madeAt = System.nanoTime();
+
     private volatile boolean stopped;
     /** Whether clients may have come, and whether the end has been asked for; what both wait for is this. */
     private boolean listens;
+
     private boolean ends;
 
     /**
@@ -60,14 +62,30 @@
         long bytes = Runtime.getRuntime().maxMemory() / LARGE_SHARE;
         Room room = new Room(bytes);
         Territory territory = plan == null ? null : territory(plan);
-        desk = new Desk(stated.seed(), stated.start(), territory == null ? null : new Gate(stated.name(),
-                territory, Gate.Room.of(threads.most(), stated.descriptors() / 3, bytes)));
+        desk = new Desk(
+                stated.seed(),
+                stated.start(),
+                territory == null
+                        ? null
+                        : new Gate(
+                                stated.name(),
+                                territory,
+                                Gate.Room.of(threads.most(), stated.descriptors() / 3, bytes)));
         Descriptors descriptors = new Descriptors(stated.descriptors());
         lines = new Lines(desk, stated.start(), threads, room, descriptors, Line::new);
         desk.errands(lines);
-        clients = new Clients(desk, lines, threads, room, territory == null ? List.of()
-                : territory.plan().cells().stream().map(cell -> new Room((long) (cell.share() * bytes), room))
-                .toList(), descriptors, stated.descriptors());
+        clients = new Clients(
+                desk,
+                lines,
+                threads,
+                room,
+                territory == null
+                        ? List.of()
+                        : territory.plan().cells().stream()
+                                .map(cell -> new Room((long) (cell.share() * bytes), room))
+                                .toList(),
+                descriptors,
+                stated.descriptors());
         watch = stated.asks()
                 ? Watch.asking(stated.discovery(), stated.askEveryMillis(), stated.seed(), desk)
                 : new Watch(stated.discovery(), stated.drainGraceMillis(), stated.seed(), desk);
@@ -76,8 +94,7 @@
         }
         long expiry = 0;
         for (int i = 0; stated.start().containsKey("request_classes." + i + ".give_up_us"); i++) {
-            expiry = Math.max(expiry,
-                    Long.parseLong(stated.start().get("request_classes." + i + ".give_up_us")));
+            expiry = Math.max(expiry, Long.parseLong(stated.start().get("request_classes." + i + ".give_up_us")));
         }
         longest = expiry * 1_000;
         Plan.Keeper keeper = territory == null ? null : territory.plan().keeper();
@@ -85,15 +102,21 @@
             throw new IOException(plan + ": the keeper's expiry (" + keeper.expiry() / 1_000_000
                     + "ms) is shorter than that of a txn type (" + expiry / 1_000 + "ms)");
         }
-        placements = keeper == null ? null : new Placements(keeper.at(), keeper.lease(), stated.name(),
-                Long.toHexString(System.currentTimeMillis()) + "-" + ProcessHandle.current().pid(), desk);
+        placements = keeper == null
+                ? null
+                : new Placements(
+                        keeper.at(),
+                        keeper.lease(),
+                        stated.name(),
+                        Long.toHexString(System.currentTimeMillis()) + "-"
+                                + ProcessHandle.current().pid(),
+                        desk);
     }
 
     private static Territory territory(Path plan) throws IOException {
         PlanReader.Result read = PlanReader.read(plan);
         if (read.plan() == null) {
-            throw new IOException(read.faults().stream().map(Fault::toString)
-                    .collect(Collectors.joining("\n")));
+            throw new IOException(read.faults().stream().map(Fault::toString).collect(Collectors.joining("\n")));
         }
         return new Territory(read.plan());
     }
@@ -131,8 +154,8 @@
     }
 
     /**
-     * Reads the file again. Discovery's address counts at once, and all that the router holds stays; what
-     * else has changed waits for a restart. A file that can't be read whole changes nothing.
+     * Reads the file again. Discovery's address counts at once, and all that the router holds stays; what else has
+     * changed waits for a restart. A file that can't be read whole changes nothing.
      *
      * @return whether it counts now
      */
@@ -142,8 +165,10 @@
             List<String> waits = new ArrayList<>();
             waits.addAll(next.listen().equals(stated.listen()) ? List.of() : List.of("listen"));
             waits.addAll(next.start().equals(stated.start()) ? List.of() : List.of("settings"));
-            waits.addAll(next.memoryMb() == stated.memoryMb() && next.descriptors() == stated.descriptors()
-                    ? List.of() : List.of("limits"));
+            waits.addAll(
+                    next.memoryMb() == stated.memoryMb() && next.descriptors() == stated.descriptors()
+                            ? List.of()
+                            : List.of("limits"));
             if (plan != null) {
                 String objection = desk.cells().plan(territory(plan));
                 if (objection != null) {
@@ -151,7 +176,9 @@
                 }
             }
             watch.moveTo(next.discovery());
-            LOG.info("reloaded: discovery is at {}{}", next.discovery(),
+            LOG.info(
+                    "reloaded: discovery is at {}{}",
+                    next.discovery(),
                     waits.isEmpty() ? "" : "; for a restart: " + String.join(", ", waits));
             return true;
         } catch (IOException | RuntimeException e) {
--- a/src/main/java/beaconladder/serve/Stated.java
+++ b/src/main/java/beaconladder/serve/Stated.java
@@ -14,12 +14,19 @@
 /**
  * What the operators' file states, checked whole before any of it counts.
  *
- * @param start       the settings, flat
+ * @param start the settings, flat
  * @param descriptors how many may be held
- * @param known       the hosts as last listed; it may be out of date, or empty
+ * @param known the hosts as last listed; it may be out of date, or empty
  */
-record Stated(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        Map<String, String> start, int memoryMb, int descriptors, List<Watch.Entry> known) {
+record Stated(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        Map<String, String> start,
+        int memoryMb,
+        int descriptors,
+        List<Watch.Entry> known) {
     /** A thousand hosts are a hundred kilobytes; a file beyond this is no configuration. */
     private static final long LONGEST = 4 << 20;
 
@@ -72,15 +79,20 @@
         } catch (NumberFormatException e) {
             throw new IOException("the seed is no hexadecimal number");
         }
-        List<Watch.Entry> known = stated.get("known") instanceof Map<?, ?> list ? Watch.entries(list)
-                : List.of();
+        List<Watch.Entry> known = stated.get("known") instanceof Map<?, ?> list ? Watch.entries(list) : List.of();
         try {
             new Logic(seed, start);
             drainGraceMillis(start);
             askEveryMillis(start);
-            return new Stated(String.valueOf(stated.get("name")), listen, discovery, seed, start,
+            return new Stated(
+                    String.valueOf(stated.get("name")),
+                    listen,
+                    discovery,
+                    seed,
+                    start,
                     Integer.parseInt(limits.getOrDefault("memory_mb", "192")),
-                    Integer.parseInt(limits.getOrDefault("sockets", "1024")), known);
+                    Integer.parseInt(limits.getOrDefault("sockets", "1024")),
+                    known);
         } catch (NumberFormatException e) {
             throw new IOException("a number belongs where there is none: " + e.getMessage());
         }
--- a/src/main/java/beaconladder/serve/Tape.java
+++ b/src/main/java/beaconladder/serve/Tape.java
@@ -17,7 +17,7 @@
     /**
      * Makes a connection.
      *
-     * @param first  what the other end says first; may be empty
+     * @param first what the other end says first; may be empty
      * @param answer what the other end says to what was written; null when it ends
      */
     Tape(byte[] first, UnaryOperator<byte[]> answer) {
--- a/src/main/java/beaconladder/serve/Threads.java
+++ b/src/main/java/beaconladder/serve/Threads.java
@@ -19,12 +19,13 @@
     private static final int PROGRAM_MB = 96;
     /** Under load a thread is used again within milliseconds; each one that idles costs at every stop. */
     private static final int KEPT_SECONDS = 2;
+
     private static final int FEWEST = 64;
 
     private final AtomicInteger number = new AtomicInteger();
     private final AtomicInteger inUse = new AtomicInteger();
-    private final ThreadPoolExecutor pool = new ThreadPoolExecutor(0, Integer.MAX_VALUE, KEPT_SECONDS,
-            TimeUnit.SECONDS, new SynchronousQueue<>(), this::make);
+    private final ThreadPoolExecutor pool = new ThreadPoolExecutor(
+            0, Integer.MAX_VALUE, KEPT_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), this::make);
     private final int most;
 
     Threads(int memoryMb) {
--- a/src/main/java/beaconladder/serve/Timer.java
+++ b/src/main/java/beaconladder/serve/Timer.java
@@ -36,7 +36,7 @@
         while (!stopped) {
             try {
                 if (due()) {
-                    desk.tell(now -> { });
+                    desk.tell(now -> {});
                     Thread.sleep(SHORTEST_REST_MILLIS);
                 }
             } catch (InterruptedException e) {
--- a/src/main/java/beaconladder/serve/Trace.java
+++ b/src/main/java/beaconladder/serve/Trace.java
@@ -13,8 +13,8 @@
 
 /**
  * The life of each txn and what was heard of each host, one line an event, at the level DEBUG of the logger
- * {@code beaconladder.trace}; off by default. Lines are gathered under the desk's lock and written once it is
- * free. Times are milliseconds since the txn came in; ids are those of the clients and of discovery.
+ * {@code beaconladder.trace}; off by default. Lines are gathered under the desk's lock and written once it is free.
+ * Times are milliseconds since the txn came in; ids are those of the clients and of discovery.
  *
  * <p>Switch it on with {@code -Dorg.slf4j.simpleLogger.log.beaconladder.trace=debug} in the command line.
  */
@@ -53,8 +53,8 @@
         if (on) {
             ids.put(txn, id);
             add("take " + id + " type=" + txn.type.place() + " group=" + txn.group.number + " budget="
-                    + ms(txn.expiry - txn.arrived) + " written=" + (txn.written == Long.MIN_VALUE ? "-"
-                    : ms(now - txn.written)) + " repeat=" + txn.repeated);
+                    + ms(txn.expiry - txn.arrived) + " written="
+                    + (txn.written == Long.MIN_VALUE ? "-" : ms(now - txn.written)) + " repeat=" + txn.repeated);
         }
     }
 
@@ -87,15 +87,19 @@
     /** A client's connection has ended. */
     static void closed(long key, CloseCause cause, int unanswered, int unread) {
         if (LOG.isDebugEnabled()) {
-            LOG.debug("close client={} cause={} unanswered={} unread_bytes={}", Long.toHexString(key), cause,
-                    unanswered, unread);
+            LOG.debug(
+                    "close client={} cause={} unanswered={} unread_bytes={}",
+                    Long.toHexString(key),
+                    cause,
+                    unanswered,
+                    unread);
         }
     }
 
     void finished(Txn txn, String how, long now) {
         if (on) {
-            add(how + " " + id(txn) + " at=" + ms(now - txn.arrived) + " left=" + ms(txn.expiry - now)
-                    + " subs=" + txn.submissions.size() + " want=" + txn.want + " asked=" + txn.asked);
+            add(how + " " + id(txn) + " at=" + ms(now - txn.arrived) + " left=" + ms(txn.expiry - now) + " subs="
+                    + txn.submissions.size() + " want=" + txn.want + " asked=" + txn.asked);
         }
     }
 
@@ -119,8 +123,8 @@
 
     void listed(Host host, String state, boolean leader, long launched) {
         if (on) {
-            add("listed host=" + name(host) + " group=" + host.group.number + " zone=" + host.zone + " "
-                    + state + (leader ? " leader" : "") + " started=" + launched);
+            add("listed host=" + name(host) + " group=" + host.group.number + " zone=" + host.zone + " " + state
+                    + (leader ? " leader" : "") + " started=" + launched);
         }
     }
 
--- a/src/main/java/beaconladder/serve/WarmUp.java
+++ b/src/main/java/beaconladder/serve/WarmUp.java
@@ -15,8 +15,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Plays txns from client to host and back in memory, to a router that is then thrown away, so that the first
- * clients don't wait for cold code: on half a core a cold router took five seconds to catch up with them.
+ * Plays txns from client to host and back in memory, to a router that is then thrown away, so that the first clients
+ * don't wait for cold code: on half a core a cold router took five seconds to catch up with them.
  */
 final class WarmUp {
     private static final int CLIENTS = 6;
@@ -25,29 +25,37 @@
     /** A restart is not to take much longer for it: the others carry this router's load meanwhile. */
     private static final long LONGEST_MILLIS = 1_000;
 
-    private WarmUp() {
-    }
+    private WarmUp() {}
 
     static void run(Stated stated, Threads threads) throws InterruptedException {
         Room room = new Room(1 << 20);
-        Desk desk = new Desk(1, stated.start(), null,
+        Desk desk = new Desk(
+                1,
+                stated.start(),
+                null,
                 // Cold code is slow, and no client is there yet: what it takes too long for is no violation.
                 new Monitor(stated.start(), Violations.unlogged()));
         InetSocketAddress nowhere = new InetSocketAddress("127.0.0.1", 1);
         InetSocketAddress primary = new InetSocketAddress("127.0.0.1", 2);
         Descriptors descriptors = new Descriptors(stated.descriptors());
-        Lines lines = new Lines(desk, stated.start(), threads, room, descriptors,
-                (address, of) -> new Line(address, of,
-                new Tape(new byte[0], written -> host(written, address.equals(primary)))));
+        Lines lines = new Lines(
+                desk,
+                stated.start(),
+                threads,
+                room,
+                descriptors,
+                (address, of) -> new Line(
+                        address, of, new Tape(new byte[0], written -> host(written, address.equals(primary)))));
         desk.errands(lines);
-        desk.listed(true, List.of(
-                new Watch.Entry("a", primary, "", 0, Watch.State.READY, true, 0),
-                new Watch.Entry("b", nowhere, "", 0, Watch.State.READY, false, 0),
-                new Watch.Entry("c", nowhere, "", 0, Watch.State.READY, false, 0)));
-        Clients clients = new Clients(desk, lines, threads, room, List.of(), descriptors,
-                stated.descriptors());
+        desk.listed(
+                true,
+                List.of(
+                        new Watch.Entry("a", primary, "", 0, Watch.State.READY, true, 0),
+                        new Watch.Entry("b", nowhere, "", 0, Watch.State.READY, false, 0),
+                        new Watch.Entry("c", nowhere, "", 0, Watch.State.READY, false, 0)));
+        Clients clients = new Clients(desk, lines, threads, room, List.of(), descriptors, stated.descriptors());
         List<String> types = new ArrayList<>();
-        for (String name; (name = stated.start().get("request_classes." + types.size() + ".name")) != null;) {
+        for (String name; (name = stated.start().get("request_classes." + types.size() + ".name")) != null; ) {
             types.add(name);
         }
         if (types.isEmpty()) {
@@ -86,8 +94,9 @@
         int type = n % types.size();
         String comment = " /* id=" + n + ",c=" + types.get(type) + ",t=t,d=900,cluster=0,after="
                 + (desk.now() / 1_000_000 - 50) + " */";
-        return desk.writes(type) ? "INSERT INTO items (id, doc) VALUES ('k" + n + "', '\\x00') RETURNING doc"
-                + comment : "SELECT doc FROM items WHERE id = 'k" + n + "'" + comment;
+        return desk.writes(type)
+                ? "INSERT INTO items (id, doc) VALUES ('k" + n + "', '\\x00') RETURNING doc" + comment
+                : "SELECT doc FROM items WHERE id = 'k" + n + "'" + comment;
     }
 
     /** What a host says to this: the startup message, a probe, or a statement. */
@@ -98,11 +107,13 @@
         long millis = System.currentTimeMillis();
         String load = "x0=" + millis / 1_000 + ",x1=" + (primary ? 1 : 0) + ",inflight=1";
         boolean probe = written.length < 32;
-        return bytes(new Outbox().parameterStatus("node_role", primary ? "leader" : "follower")
+        return bytes(new Outbox()
+                .parameterStatus("node_role", primary ? "leader" : "follower")
                 .parameterStatus("replay_position", String.valueOf(millis))
                 .parameterStatus("server_load", load)
                 .row("doc", probe ? load.getBytes(StandardCharsets.US_ASCII) : new byte[64])
-                .commandComplete(probe ? "SHOW" : "SELECT 1").ready());
+                .commandComplete(probe ? "SHOW" : "SELECT 1")
+                .ready());
     }
 
     private static byte[] bytes(Outbox out) {
--- a/src/main/java/beaconladder/store/Records.java
+++ b/src/main/java/beaconladder/store/Records.java
@@ -12,10 +12,9 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * Records that survive a kill at any instant: once {@link #append} has returned, a record is there whatever
- * happens, and one whose append did not return is there whole or not at all. Kept by H2's MVStore; each
- * record
- * carries a hash of its own, as pages do not.
+ * Records that survive a kill at any instant: once {@link #append} has returned, a record is there whatever happens,
+ * and one whose append did not return is there whole or not at all. Kept by H2's MVStore; each record carries a hash of
+ * its own, as pages do not.
  */
 public final class Records implements AutoCloseable {
     private static final String FILE = "records.mv";
@@ -24,6 +23,7 @@
     private final Path file;
     /** Null between a write that failed and the next that finds the file in order. */
     private MVStore store;
+
     private MVMap<Long, byte[]> map;
     private final List<byte[]> found = new ArrayList<>();
     private long next;
@@ -36,9 +36,8 @@
     /**
      * Opens the records of a folder, which is made if there is none.
      *
-     * @throws IOException where the folder can't be used, another process has it open, or a record is
-     * damaged; the
-     *                     message says which
+     * @throws IOException where the folder can't be used, another process has it open, or a record is damaged; the
+     *     message says which
      */
     public static Records open(Path folder) throws IOException {
         Files.createDirectories(folder);
@@ -52,7 +51,8 @@
             return records;
         } catch (IOException | MVStoreException e) {
             records.abandonStore();
-            throw e instanceof IOException fault ? fault
+            throw e instanceof IOException fault
+                    ? fault
                     : new IOException(records.file + " is damaged: " + e.getMessage(), e);
         }
     }
@@ -60,15 +60,22 @@
     private void openStore() throws IOException {
         MVStore opened = null;
         try {
-            opened = new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open();
+            opened = new MVStore.Builder()
+                    .fileName(file.toString())
+                    .autoCommitDisabled()
+                    .open();
             map = opened.openMap("records");
             store = opened;
         } catch (MVStoreException e) {
             if (opened != null) {
                 opened.closeImmediately();
             }
-            throw new IOException(file + (e.getMessage().contains("locked") ? " is in use by another process"
-                    : " can't be opened: " + e.getMessage()), e);
+            throw new IOException(
+                    file
+                            + (e.getMessage().contains("locked")
+                                    ? " is in use by another process"
+                                    : " can't be opened: " + e.getMessage()),
+                    e);
         }
     }
 
@@ -83,8 +90,9 @@
     }
 
     private static byte[] body(Path file, long number, byte[] stored) throws IOException {
-        if (stored.length < HASH || ByteBuffer.wrap(stored).getLong()
-                != Hashing.xxh3_64().hashBytesToLong(stored, HASH, stored.length - HASH)) {
+        if (stored.length < HASH
+                || ByteBuffer.wrap(stored).getLong()
+                        != Hashing.xxh3_64().hashBytesToLong(stored, HASH, stored.length - HASH)) {
             throw new IOException("record " + number + " in " + file + " is damaged");
         }
         byte[] body = new byte[stored.length - HASH];
@@ -103,8 +111,8 @@
     }
 
     /**
-     * Writes one record; it is on the disk when this returns. Where it can't be written, it is not there once
-     * a later write has succeeded, and the next call finds out whether the disk is well again.
+     * Writes one record; it is on the disk when this returns. Where it can't be written, it is not there once a later
+     * write has succeeded, and the next call finds out whether the disk is well again.
      */
     public void append(byte[] record) throws IOException {
         long number = next;
@@ -112,17 +120,17 @@
         next = number + 1;
     }
 
-    /**
-     * Puts these in the place of all records, at once: after a kill there are the old ones or the new ones.
-     */
+    /** Puts these in the place of all records, at once: after a kill there are the old ones or the new ones. */
     public void replace(List<byte[]> records) throws IOException {
         long from = next;
-        commit(() -> {
-            map.clear();
-            for (int i = 0; i < records.size(); i++) {
-                map.put(from + i, hashed(records.get(i)));
-            }
-        }, "the snapshot could not be written");
+        commit(
+                () -> {
+                    map.clear();
+                    for (int i = 0; i < records.size(); i++) {
+                        map.put(from + i, hashed(records.get(i)));
+                    }
+                },
+                "the snapshot could not be written");
         next = from + records.size();
     }
 
@@ -160,7 +168,9 @@
 
     private static byte[] hashed(byte[] record) {
         return ByteBuffer.allocate(HASH + record.length)
-                .putLong(Hashing.xxh3_64().hashBytesToLong(record, 0, record.length)).put(record).array();
+                .putLong(Hashing.xxh3_64().hashBytesToLong(record, 0, record.length))
+                .put(record)
+                .array();
     }
 
     @Override
--- a/src/test/java/beaconladder/ClusterClockTest.java
+++ b/src/test/java/beaconladder/ClusterClockTest.java
@@ -95,7 +95,9 @@
     void itIsConfirmedOnceAHostShowsThatItIsNotFarAhead() {
         assertThat(clock.confirmed()).isFalse();
         clock.believes(a, NOW - HOUR, NOW);
-        assertThat(clock.confirmed()).as("a replica that lags, or a clock that is ahead").isFalse();
+        assertThat(clock.confirmed())
+                .as("a replica that lags, or a clock that is ahead")
+                .isFalse();
         clock.believes(b, NOW - 400 * MS, NOW);
         assertThat(clock.confirmed()).isTrue();
     }
--- a/src/test/java/beaconladder/ColdFleet.java
+++ b/src/test/java/beaconladder/ColdFleet.java
@@ -16,11 +16,11 @@
     private static final long ZERO = 100_000 * MS;
     /** What a warm host does at once, and how long a txn takes there. */
     private static final long WORK = 150 * MS;
+
     static final long WARM = 10_000 * MS;
     static final double LEAST = 0.2;
 
-    private record Event(long at, long number, Runnable run) {
-    }
+    private record Event(long at, long number, Runnable run) {}
 
     final SplittableRandom chance;
     private final int cores;
@@ -45,8 +45,7 @@
     int atCold;
 
     /** So many routers; uneven ones get from a fifth to three times the mean. */
-    ColdFleet(long seed, int count, boolean uneven, double multiple, long windowMillis, double load,
-            int cores) {
+    ColdFleet(long seed, int count, boolean uneven, double multiple, long windowMillis, double load, int cores) {
         this.cores = cores;
         capacity = cores * 1e9 / WORK;
         coreFree = new long[HOSTS][cores];
@@ -54,7 +53,8 @@
         this.multiple = multiple;
         this.window = windowMillis * MS;
         this.rate = load * HOSTS * capacity;
-        weights = chance.doubles(count).map(x -> uneven ? Math.pow(15, x) / 5 : 1).toArray();
+        weights =
+                chance.doubles(count).map(x -> uneven ? Math.pow(15, x) / 5 : 1).toArray();
         whole = Arrays.stream(weights).sum();
         for (int i = 0; i < count; i++) {
             routers.add(new ColdFleetRouter(this, chance.nextLong(), count, 0));
@@ -122,7 +122,8 @@
     }
 
     private double share(int host, long at) {
-        return launched[host] == 0 || at >= launched[host] + WARM ? 1
+        return launched[host] == 0 || at >= launched[host] + WARM
+                ? 1
                 : LEAST + (1 - LEAST) * Math.max(0, at - launched[host]) / WARM;
     }
 
@@ -138,8 +139,7 @@
             while (of.peekFirst() <= now - window) {
                 of.removeFirst();
             }
-            double budget = multiple * share(host, Math.max(launched[host], now - window)) * capacity * window
-                    / 1e9;
+            double budget = multiple * share(host, Math.max(launched[host], now - window)) * capacity * window / 1e9;
             worst = Math.max(worst, of.size() / (budget + 2 * Math.sqrt(budget) + 2));
         }
         long[] cores = coreFree[host];
--- a/src/test/java/beaconladder/ColdFleetRouter.java
+++ b/src/test/java/beaconladder/ColdFleetRouter.java
@@ -19,6 +19,7 @@
     private final ColdFleet fleet;
     /** By how much its clock is ahead of the hosts'. */
     private final long ahead;
+
     private final Logic logic;
     private final Rounds rounds;
     private final Group group = new Group(1);
@@ -31,9 +32,13 @@
     ColdFleetRouter(ColdFleet fleet, long seed, int count, long ahead) {
         this.fleet = fleet;
         this.ahead = ahead;
-        Script settings = new Script("fees.probe=0.069", "rules.fall_multiple=" + fleet.multiple,
-                "rules.fall_us=" + fleet.window / 1_000, "rules.cold_share=" + ColdFleet.LEAST,
-                "rules.warm_within_us=" + ColdFleet.WARM / 1_000, "replicas_of_me=" + count);
+        Script settings = new Script(
+                "fees.probe=0.069",
+                "rules.fall_multiple=" + fleet.multiple,
+                "rules.fall_us=" + fleet.window / 1_000,
+                "rules.cold_share=" + ColdFleet.LEAST,
+                "rules.warm_within_us=" + ColdFleet.WARM / 1_000,
+                "replicas_of_me=" + count);
         logic = new Logic(seed, settings.start);
         rounds = new Rounds(logic, this);
         for (int i = 0; i < ColdFleet.HOSTS; i++) {
@@ -59,8 +64,8 @@
     void comes() {
         // A quarter writes, the rest any reads.
         int type = fleet.chance.nextInt(4) == 0 ? Script.WRITE : Script.ANY;
-        Txn txn = new Txn(txns, logic.type(type), group, 0, Long.MIN_VALUE, 0, false, clock(),
-                clock() + 2_000 * MS, txns++);
+        Txn txn = new Txn(
+                txns, logic.type(type), group, 0, Long.MIN_VALUE, 0, false, clock(), clock() + 2_000 * MS, txns++);
         rounds.act(txn, logic.place(txn, clock()), clock());
         until = 0;
     }
@@ -84,8 +89,16 @@
         Outcome outcome = done < 0 ? Outcome.UNREACHABLE : inTime ? Outcome.COMMITTED : Outcome.TIMED_OUT;
         fleet.at(done < 0 ? fleet.now + ColdFleet.TICK : inTime ? done : fleet.now + timeout, () -> {
             if (!s.ended && !killed) {
-                rounds.act(s.txn, logic.after(s, outcome, s.txn.ended || inTime,
-                        inTime ? says(host) : Word.SILENT, Word.SILENT, clock()), clock());
+                rounds.act(
+                        s.txn,
+                        logic.after(
+                                s,
+                                outcome,
+                                s.txn.ended || inTime,
+                                inTime ? says(host) : Word.SILENT,
+                                Word.SILENT,
+                                clock()),
+                        clock());
                 until = 0;
             }
         });
@@ -95,8 +108,7 @@
     public void probe(Host host) {
         boolean up = !fleet.down[host.id];
         fleet.at(fleet.now + ColdFleet.TICK, () -> {
-            logic.probed(host, up ? Outcome.COMMITTED : Outcome.UNREACHABLE,
-                    up ? says(host.id) : Word.SILENT, clock());
+            logic.probed(host, up ? Outcome.COMMITTED : Outcome.UNREACHABLE, up ? says(host.id) : Word.SILENT, clock());
             until = 0;
         });
     }
@@ -105,25 +117,23 @@
     public void cancel(Submission s) {
         fleet.at(fleet.now + ColdFleet.TICK, () -> {
             if (!s.ended && !killed) {
-                rounds.act(s.txn, logic.after(s, Outcome.CANCELLED, s.txn.ended, Word.SILENT, Word.SILENT,
-                        clock()), clock());
+                rounds.act(
+                        s.txn,
+                        logic.after(s, Outcome.CANCELLED, s.txn.ended, Word.SILENT, Word.SILENT, clock()),
+                        clock());
             }
         });
     }
 
     @Override
-    public void decline(Txn txn, long comeBack, Verdict.Reason reason) {
-    }
+    public void decline(Txn txn, long comeBack, Verdict.Reason reason) {}
 
     @Override
-    public void rollBack(Txn txn, Verdict.Reason reason) {
-    }
+    public void rollBack(Txn txn, Verdict.Reason reason) {}
 
     @Override
-    public void ended(Txn txn) {
-    }
+    public void ended(Txn txn) {}
 
     @Override
-    public void close(Host host) {
-    }
+    public void close(Host host) {}
 }
--- a/src/test/java/beaconladder/HostHealthTest.java
+++ b/src/test/java/beaconladder/HostHealthTest.java
@@ -19,7 +19,10 @@
             s.ask(i, ANY, 0, 2000).tick(170 * i).end(i, Outcome.COMMITTED, Role.REPLICA, 170 * i);
         }
         s.probed("b", Role.REPLICA, 2040, 0).probed("c", Role.REPLICA, 2040, 0).quiet();
-        s.ask(21, ANY, 0, 2000).ask(22, ANY, 0, 2000).ask(23, ANY, 0, 2000).ask(24, ANY, 0, 2000)
+        s.ask(21, ANY, 0, 2000)
+                .ask(22, ANY, 0, 2000)
+                .ask(23, ANY, 0, 2000)
+                .ask(24, ANY, 0, 2000)
                 .ask(25, ANY, 0, 2000);
         assertThat(s.trace()).isEqualTo("""
                 2040 ask 21 any
@@ -40,7 +43,9 @@
         Script s = Script.warm();
         int atB = 0;
         for (int i = 1; i <= 60; i++) {
-            s.probed("b", Role.REPLICA, 40 * i - 40, 0).probed("c", Role.REPLICA, 40 * i - 40, 0).quiet()
+            s.probed("b", Role.REPLICA, 40 * i - 40, 0)
+                    .probed("c", Role.REPLICA, 40 * i - 40, 0)
+                    .quiet()
                     .ask(i, ANY, 0, 2000);
             boolean b = s.trace().contains("to b");
             atB += b && i > 20 ? 1 : 0;
@@ -54,8 +59,11 @@
 
     @Test
     void aFullHostIsLeftAloneForAMoment() {
-        Script s = Script.warm().list("c", false, Host.State.GONE, 0).ask(1, ANY, 0, 2000)
-                .end(1, Outcome.FULL, Role.REPLICA, 0).tick(150);
+        Script s = Script.warm()
+                .list("c", false, Host.State.GONE, 0)
+                .ask(1, ANY, 0, 2000)
+                .end(1, Outcome.FULL, Role.REPLICA, 0)
+                .tick(150);
         assertThat(s.trace()).isEqualTo("""
                 0 ask 1 any
                 0   send 1 to b
@@ -66,8 +74,8 @@
 
     @Test
     void aRestartedRouterTrustsNoReplicaBeforeItsProbe() {
-        Script s = new Script().list("a*", "b", "c").ask(1, ANY, 0, 2000).tick(5)
-                .probed("c", Role.REPLICA, -900);
+        Script s =
+                new Script().list("a*", "b", "c").ask(1, ANY, 0, 2000).tick(5).probed("c", Role.REPLICA, -900);
         assertThat(s.trace()).isEqualTo("""
                 0 ask 1 any
                 0 probe c
@@ -78,8 +86,13 @@
 
     @Test
     void aHandoverOfThePrimaryIsLearnedFromAMissAndTheNewOneFound() {
-        Script s = Script.warm().tick(200).ask(1, WRITE, 0, 2000).tick(205)
-                .end(1, Outcome.MISS, Role.REPLICA, 4).tick(250).probed("b", Role.REPLICA, 4)
+        Script s = Script.warm()
+                .tick(200)
+                .ask(1, WRITE, 0, 2000)
+                .tick(205)
+                .end(1, Outcome.MISS, Role.REPLICA, 4)
+                .tick(250)
+                .probed("b", Role.REPLICA, 4)
                 .probed("c", Role.PRIMARY, 240);
         assertThat(s.trace()).isEqualTo("""
                 200 ask 1 write
@@ -93,8 +106,14 @@
 
     @Test
     void anUnreachableHostIsTrustedAgainOnlyAfterAProbe() {
-        Script s = Script.warm().list("c", false, Host.State.GONE, 0).tick(500).ask(1, ANY, 0, 2000).tick(750)
-                .end(1, Outcome.UNREACHABLE).tick(900).probed("b", Role.REPLICA, 890);
+        Script s = Script.warm()
+                .list("c", false, Host.State.GONE, 0)
+                .tick(500)
+                .ask(1, ANY, 0, 2000)
+                .tick(750)
+                .end(1, Outcome.UNREACHABLE)
+                .tick(900)
+                .probed("b", Role.REPLICA, 890);
         assertThat(s.trace()).isEqualTo("""
                 500 ask 1 any
                 500   send 1 to b
@@ -112,8 +131,12 @@
 
     @Test
     void whereProbesAreCheapMembersAreAskedBeforeTheSendAndTheLessLoadedIsTaken() {
-        Script s = Script.warm("fees.probe=0.01").tick(1000).ask(1, ANY, 0, 2000).tick(1005)
-                .probed("b", Role.REPLICA, 990, 6).probed("c", Role.REPLICA, 990, 1);
+        Script s = Script.warm("fees.probe=0.01")
+                .tick(1000)
+                .ask(1, ANY, 0, 2000)
+                .tick(1005)
+                .probed("b", Role.REPLICA, 990, 6)
+                .probed("c", Role.REPLICA, 990, 1);
         assertThat(s.trace()).isEqualTo("""
                 1000 ask 1 any
                 1000 probe c
@@ -124,8 +147,12 @@
 
     @Test
     void aMemberThatDoesNotAnswerItsProbeIsPassedOver() {
-        Script s = Script.warm("fees.probe=0.01").tick(1000).ask(1, ANY, 0, 2000).tick(1005)
-                .probed("b", Role.REPLICA, 990, 6).tick(1100);
+        Script s = Script.warm("fees.probe=0.01")
+                .tick(1000)
+                .ask(1, ANY, 0, 2000)
+                .tick(1005)
+                .probed("b", Role.REPLICA, 990, 6)
+                .tick(1100);
         assertThat(s.trace()).isEqualTo("""
                 1000 ask 1 any
                 1000 probe c
@@ -138,8 +165,11 @@
     void aHostThatSaysItIsIdleAndAnswersNothingLosesAgainstItsTimes() {
         Script s = Script.warm("fees.probe=0.01");
         for (int i = 0; i < 8; i++) {
-            s.tick(1000 + 400 * i).probed("b", Role.REPLICA, 990 + 400 * i, 0)
-                    .probed("c", Role.REPLICA, 990 + 400 * i, 4).ask(i, ANY, 0, 2000).tick(1150 + 400 * i);
+            s.tick(1000 + 400 * i)
+                    .probed("b", Role.REPLICA, 990 + 400 * i, 0)
+                    .probed("c", Role.REPLICA, 990 + 400 * i, 4)
+                    .ask(i, ANY, 0, 2000)
+                    .tick(1150 + 400 * i);
             s.silent("b", i);
         }
         assertThat(s.trace().replaceAll("(?m)^(?!.*send).*\\n", "")).isEqualTo("""
--- a/src/test/java/beaconladder/LogicTest.java
+++ b/src/test/java/beaconladder/LogicTest.java
@@ -15,8 +15,13 @@
 class LogicTest {
     @Test
     void aReadIsHeldUntilAReplicaIsKnownAtItsTarget() {
-        Script s = Script.warm().tick(400).ask(1, SESSION, 100, 2000).tick(420).probed("b", Role.REPLICA, 250)
-                .tick(440).probed("c", Role.REPLICA, 310);
+        Script s = Script.warm()
+                .tick(400)
+                .ask(1, SESSION, 100, 2000)
+                .tick(420)
+                .probed("b", Role.REPLICA, 250)
+                .tick(440)
+                .probed("c", Role.REPLICA, 310);
         assertThat(s.trace()).isEqualTo("""
                 400 ask 1 session
                 400 probe c
@@ -27,8 +32,13 @@
 
     @Test
     void aBoundIsJudgedAtTheSendSoTheTargetMovesUpWhileHeld() {
-        Script s = Script.warm().tick(600).ask(1, BOUNDED, 0, 2000).tick(650).probed("b", Role.REPLICA, 140)
-                .tick(651).probed("c", Role.REPLICA, 200);
+        Script s = Script.warm()
+                .tick(600)
+                .ask(1, BOUNDED, 0, 2000)
+                .tick(650)
+                .probed("b", Role.REPLICA, 140)
+                .tick(651)
+                .probed("c", Role.REPLICA, 200);
         assertThat(s.trace()).isEqualTo("""
                 600 ask 1 bounded
                 600 probe c
@@ -49,9 +59,9 @@
     }
 
     /**
-     * Seen at full size in a rolling restart: a session's read held for replicas that lagged was declined at
-     * 640 of 3,223 ms, with the primary answering in 56 ms, since its release to the primary came after the
-     * last moment that it was worth sending, reckoned by the group's slower replicas.
+     * Seen at full size in a rolling restart: a session's read held for replicas that lagged was declined at 640 of
+     * 3,223 ms, with the primary answering in 56 ms, since its release to the primary came after the last moment that
+     * it was worth sending, reckoned by the group's slower replicas.
      */
     @Test
     void aHeldReadIsReleasedToThePrimaryBeforeItIsNoLongerWorthSending() {
@@ -62,8 +72,10 @@
             s.ask(200 + i, ANY, 0, 2000).tick(t += 300).end(200 + i, Outcome.COMMITTED, Role.REPLICA, t);
             s.ask(100 + i, WRITE, 0, 2000).tick(t += 40).end(100 + i, Outcome.COMMITTED, Role.PRIMARY, t);
         }
-        s.probed("b", Role.REPLICA, t - 900).probed("c", Role.REPLICA, t - 900).quiet().ask(1000, SESSION, 1,
-                2000);
+        s.probed("b", Role.REPLICA, t - 900)
+                .probed("c", Role.REPLICA, t - 900)
+                .quiet()
+                .ask(1000, SESSION, 1, 2000);
         long asked = t;
         for (long at = asked + 10; at <= asked + 2000; at += 10) {
             s.tick(at).probed("b", Role.REPLICA, asked - 900).probed("c", Role.REPLICA, asked - 900);
@@ -73,7 +85,10 @@
 
     @Test
     void ofTwoDrawnReplicasTheLessBusyIsTaken() {
-        Script s = Script.warm().ask(1, ANY, 0, 2000).ask(2, ANY, 0, 2000).ask(3, ANY, 0, 2000)
+        Script s = Script.warm()
+                .ask(1, ANY, 0, 2000)
+                .ask(2, ANY, 0, 2000)
+                .ask(3, ANY, 0, 2000)
                 .ask(4, ANY, 0, 2000);
         assertThat(s.trace()).isEqualTo("""
                 0 ask 1 any
@@ -89,10 +104,15 @@
 
     @Test
     void aSessionWithItsWritesRememberedHereWaitsForTheirCommit() {
-        Script s = Script.warm("family_info.session_marks=router").ask(1, SESSION, 0, 2000)
-                .end(1, Outcome.COMMITTED, Role.REPLICA, 0).ask(2, WRITE, 0, 2000).tick(100)
-                .end(2, Outcome.COMMITTED, Role.PRIMARY, 90).ask(3, SESSION, 0, 2000)
-                .probed("c", Role.REPLICA, 89).probed("b", Role.REPLICA, 90);
+        Script s = Script.warm("family_info.session_marks=router")
+                .ask(1, SESSION, 0, 2000)
+                .end(1, Outcome.COMMITTED, Role.REPLICA, 0)
+                .ask(2, WRITE, 0, 2000)
+                .tick(100)
+                .end(2, Outcome.COMMITTED, Role.PRIMARY, 90)
+                .ask(3, SESSION, 0, 2000)
+                .probed("c", Role.REPLICA, 89)
+                .probed("b", Role.REPLICA, 90);
         assertThat(s.trace()).isEqualTo("""
                 0 ask 1 session
                 0   send 1 to c
@@ -111,9 +131,16 @@
 
     @Test
     void nothingNewGoesToADrainingOrGoneHost() {
-        Script s = Script.warm().list("b", false, Host.State.DRAINING, 0).ask(1, ANY, 0, 2000)
-                .ask(2, ANY, 0, 2000).list("c", false, Host.State.GONE, 0).ask(3, ANY, 0, 2000).tick(10)
-                .list("a", true, Host.State.DRAINING, 0).ask(4, WRITE, 0, 400).tick(500);
+        Script s = Script.warm()
+                .list("b", false, Host.State.DRAINING, 0)
+                .ask(1, ANY, 0, 2000)
+                .ask(2, ANY, 0, 2000)
+                .list("c", false, Host.State.GONE, 0)
+                .ask(3, ANY, 0, 2000)
+                .tick(10)
+                .list("a", true, Host.State.DRAINING, 0)
+                .ask(4, WRITE, 0, 400)
+                .tick(500);
         assertThat(s.trace()).isEqualTo("""
                 0 ask 1 any
                 0   send 1 to c
@@ -127,9 +154,16 @@
 
     @Test
     void ofHeldTxnsTheOneWithMostTimeLeftGoesFirst() {
-        Script s = Script.warm().list("b", false, Host.State.GONE, 0).list("c", false, Host.State.DRAINING, 0)
-                .list("a", true, Host.State.DRAINING, 0).ask(1, ANY, 0, 2000).tick(50).ask(2, ANY, 0, 2000)
-                .tick(100).list("c", false, Host.State.READY, 0).tick(101);
+        Script s = Script.warm()
+                .list("b", false, Host.State.GONE, 0)
+                .list("c", false, Host.State.DRAINING, 0)
+                .list("a", true, Host.State.DRAINING, 0)
+                .ask(1, ANY, 0, 2000)
+                .tick(50)
+                .ask(2, ANY, 0, 2000)
+                .tick(100)
+                .list("c", false, Host.State.READY, 0)
+                .tick(101);
         assertThat(s.trace()).isEqualTo("""
                 0 ask 1 any
                 50 ask 2 any
@@ -176,7 +210,10 @@
 
     @Test
     void ofTwoDrawnAnAnyReadGoesToTheOneTooFarBehindForOthers() {
-        Script s = Script.warm().tick(3000).probed("c", Role.REPLICA, 100).probed("b", Role.REPLICA, 2990)
+        Script s = Script.warm()
+                .tick(3000)
+                .probed("c", Role.REPLICA, 100)
+                .probed("b", Role.REPLICA, 2990)
                 .quiet();
         for (int i = 0; i < 4; i++) {
             s.ask(i, ANY, 0, 2000);
@@ -195,8 +232,10 @@
         for (int i = 0; i < 8; i++) {
             s.tick(200 * i).ask(i, ANY, 0, 2000).tick(200 * i + 190).end(i, Outcome.COMMITTED);
         }
-        s.list("a", true, Host.State.DRAINING, 0).list("b", false, Host.State.DRAINING, 0)
-                .list("c", false, Host.State.DRAINING, 0).quiet();
+        s.list("a", true, Host.State.DRAINING, 0)
+                .list("b", false, Host.State.DRAINING, 0)
+                .list("c", false, Host.State.DRAINING, 0)
+                .quiet();
         assertThat(s.ask(9, ANY, 0, 2000).tick(3000).trace()).isEqualTo("""
                 1590 ask 9 any
                 2200   decline 9
--- a/src/test/java/beaconladder/PrimaryClockTest.java
+++ b/src/test/java/beaconladder/PrimaryClockTest.java
@@ -15,16 +15,25 @@
     /** Its bounded reads can go to replicas again; without once-only writes too. */
     @Test
     void readsAtThePrimaryMoveTheClockBack() {
-        Script script = new Script().list("a*", "b", "c").tick(0).probed("a", Role.PRIMARY, -HOUR)
-                .probed("b", Role.REPLICA, -HOUR).probed("c", Role.REPLICA, -HOUR);
+        Script script = new Script()
+                .list("a*", "b", "c")
+                .tick(0)
+                .probed("a", Role.PRIMARY, -HOUR)
+                .probed("b", Role.REPLICA, -HOUR)
+                .probed("c", Role.REPLICA, -HOUR);
         for (int i = 0; i < READS; i++) {
             int sent = 20 * i;
-            script.tick(sent).ask(i, Script.CURRENT, 0, 2_000).tick(sent + 10)
+            script.tick(sent)
+                    .ask(i, Script.CURRENT, 0, 2_000)
+                    .tick(sent + 10)
                     .end(i, Outcome.COMMITTED, Role.PRIMARY, sent + 5 - HOUR);
         }
         int at = 20 * READS;
-        script.tick(at).probed("b", Role.REPLICA, at - 10 - HOUR).probed("c", Role.REPLICA, at - 10 - HOUR)
-                .quiet().ask(READS, Script.BOUNDED, 0, 2_000);
+        script.tick(at)
+                .probed("b", Role.REPLICA, at - 10 - HOUR)
+                .probed("c", Role.REPLICA, at - 10 - HOUR)
+                .quiet()
+                .ask(READS, Script.BOUNDED, 0, 2_000);
         assertThat(script.trace()).containsPattern("send " + READS + " to [bc]");
     }
 
@@ -33,30 +42,47 @@
     void commitsOfReferencedWritesMoveNothing() {
         Script script = Script.warm();
         for (int i = 0; i < READS; i++) {
-            script.tick(100 * i).ask(i, Script.REFERENCED, 0, 2_000).tick(100 * i + 10)
+            script.tick(100 * i)
+                    .ask(i, Script.REFERENCED, 0, 2_000)
+                    .tick(100 * i + 10)
                     .end(i, Outcome.COMMITTED, Role.PRIMARY, 100 * i - 3_000);
         }
         int at = 100 * READS;
-        script.tick(at).probed("b", Role.REPLICA, at - 2_000).probed("c", Role.REPLICA, at - 2_000)
-                .quiet().ask(READS, Script.BOUNDED, 0, 2_000);
+        script.tick(at)
+                .probed("b", Role.REPLICA, at - 2_000)
+                .probed("c", Role.REPLICA, at - 2_000)
+                .quiet()
+                .ask(READS, Script.BOUNDED, 0, 2_000);
         assertThat(script.trace()).doesNotContainPattern("send " + READS + " to [bc]");
     }
 
     /** An answer that was not heard keeps reads from its primary until that has said what it is. */
     @Test
     void anAnswerThatWasLostBeforeTheClockWasPutRightHoldsNoReadFromThePrimary() {
-        Script script = new Script().list("a*", "b", "c").tick(0).probed("a", Role.PRIMARY, -HOUR)
-                .ask(0, Script.CURRENT, 0, 2_000).ask(LOST, Script.CURRENT, 0, 2_000).tick(10)
-                .end(0, Outcome.COMMITTED, Role.PRIMARY, 5 - HOUR).end(LOST, Outcome.RESET)
-                .left(LOST).tick(20).probed("a", Role.PRIMARY, 15 - HOUR)
+        Script script = new Script()
+                .list("a*", "b", "c")
+                .tick(0)
+                .probed("a", Role.PRIMARY, -HOUR)
+                .ask(0, Script.CURRENT, 0, 2_000)
+                .ask(LOST, Script.CURRENT, 0, 2_000)
+                .tick(10)
+                .end(0, Outcome.COMMITTED, Role.PRIMARY, 5 - HOUR)
+                .end(LOST, Outcome.RESET)
+                .left(LOST)
+                .tick(20)
+                .probed("a", Role.PRIMARY, 15 - HOUR)
                 .probed("c", Role.REPLICA, 15 - HOUR);
         int at = 1_000;
         for (int i = 1; i <= READS; i++) {
             at += 20;
-            script.tick(at).ask(i, Script.WRITE, 0, 2_000).tick(at + 10)
+            script.tick(at)
+                    .ask(i, Script.WRITE, 0, 2_000)
+                    .tick(at + 10)
                     .end(i, Outcome.COMMITTED, Role.PRIMARY, at + 5 - HOUR);
         }
-        script.tick(at + 100).probed("a", Role.PRIMARY, at + 90 - HOUR).quiet()
+        script.tick(at + 100)
+                .probed("a", Role.PRIMARY, at + 90 - HOUR)
+                .quiet()
                 .ask(READS + 1, Script.CURRENT, 0, 2_000);
         assertThat(script.trace()).contains("send " + (READS + 1) + " to a");
     }
@@ -68,10 +94,15 @@
         int at = 0;
         for (int i = 1; i <= READS; i++) {
             at += 20;
-            script.tick(at).ask(i, Script.WRITE, 0, 2_000).tick(at + 10)
+            script.tick(at)
+                    .ask(i, Script.WRITE, 0, 2_000)
+                    .tick(at + 10)
                     .end(i, Outcome.COMMITTED, Role.PRIMARY, at + 5 - HOUR);
         }
-        script.tick(at + 100).found("a", Role.REPLICA).found("b", Role.PRIMARY).quiet()
+        script.tick(at + 100)
+                .found("a", Role.REPLICA)
+                .found("b", Role.PRIMARY)
+                .quiet()
                 .ask(READS + 1, Script.CURRENT, 0, 2_000);
         assertThat(script.trace()).contains("send " + (READS + 1) + " to b");
     }
@@ -83,12 +114,18 @@
         int at = 2_000;
         for (int i = 0; i <= READS; i++) {
             at += 20;
-            script.tick(at).probed("b", Role.REPLICA, at - 10).ask(i, Script.CURRENT, 0, 2_000).tick(at + 10)
+            script.tick(at)
+                    .probed("b", Role.REPLICA, at - 10)
+                    .ask(i, Script.CURRENT, 0, 2_000)
+                    .tick(at + 10)
                     .end(i, Outcome.COMMITTED, Role.PRIMARY, 0);
         }
         int stopped = at - 10;
         at += 2_000;
-        script.tick(at).probed("b", Role.REPLICA, stopped).probed("c", Role.REPLICA, stopped).quiet()
+        script.tick(at)
+                .probed("b", Role.REPLICA, stopped)
+                .probed("c", Role.REPLICA, stopped)
+                .quiet()
                 .ask(LOST, Script.BOUNDED, 0, 2_000);
         assertThat(script.trace()).doesNotContainPattern("send " + LOST + " to [bc]");
     }
--- a/src/test/java/beaconladder/RandomEvents.java
+++ b/src/test/java/beaconladder/RandomEvents.java
@@ -21,8 +21,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A script of random events for one module: lists, txns, answers, probes, clients that leave, time. Every
- * decision and the contents of every pause go into a digest, so that two texts of the module can be compared.
+ * A script of random events for one module: lists, txns, answers, probes, clients that leave, time. Every decision and
+ * the contents of every pause go into a digest, so that two texts of the module can be compared.
  */
 final class RandomEvents implements Rounds.Door {
     private static final long MS = 1_000_000L;
@@ -42,13 +42,15 @@
     private long taken;
     /** Sends, probes, and txns put before the module again by a pause. */
     int sends;
+
     int probes;
     int again;
 
     RandomEvents(long seed, int groups) throws java.security.GeneralSecurityException {
         chance = new SplittableRandom(seed);
         digest = MessageDigest.getInstance("SHA-256");
-        Script settings = new Script("family_info.session_marks=" + (seed % 2 == 0 ? "client" : "router"),
+        Script settings = new Script(
+                "family_info.session_marks=" + (seed % 2 == 0 ? "client" : "router"),
                 "fees.probe=" + (seed % 3 == 0 ? 0.01 : 0.069));
         logic = new Within(new Logic(seed, settings.start)) {
             @Override
@@ -114,17 +116,29 @@
             hosts.add(host);
         }
         int state = chance.nextInt(12);
-        logic.listed(host, chance.nextInt(3) == 0, state == 0 ? Host.State.GONE
-                : state == 1 ? Host.State.DRAINING : Host.State.READY,
-                chance.nextInt(8) == 0 ? now - chance.nextLong(12_000 * MS) : host.launched, now);
+        logic.listed(
+                host,
+                chance.nextInt(3) == 0,
+                state == 0 ? Host.State.GONE : state == 1 ? Host.State.DRAINING : Host.State.READY,
+                chance.nextInt(8) == 0 ? now - chance.nextLong(12_000 * MS) : host.launched,
+                now);
     }
 
     private void come() {
         Group group = groups.get(chance.nextInt(groups.size()));
         int type = chance.nextInt(6);
         long written = chance.nextBoolean() ? now - chance.nextLong(900 * MS) : Long.MIN_VALUE;
-        Txn txn = new Txn(taken, logic.type(type), group, 1 + chance.nextInt(50), written, 0, false, now,
-                now + 200 * MS + chance.nextLong(2_800 * MS), taken++);
+        Txn txn = new Txn(
+                taken,
+                logic.type(type),
+                group,
+                1 + chance.nextInt(50),
+                written,
+                0,
+                false,
+                now,
+                now + 200 * MS + chance.nextLong(2_800 * MS),
+                taken++);
         txns.add(txn);
         if (txns.size() > 500) {
             txns.remove(0);
@@ -134,19 +148,24 @@
 
     private void end(Submission s) {
         if (!s.ended) {
-            Outcome outcome = chance.nextInt(3) > 0 ? Outcome.COMMITTED
-                    : OUTCOMES[chance.nextInt(OUTCOMES.length)];
+            Outcome outcome = chance.nextInt(3) > 0 ? Outcome.COMMITTED : OUTCOMES[chance.nextInt(OUTCOMES.length)];
             boolean settled = s.txn.ended || outcome == Outcome.COMMITTED;
             Word answer = outcome.fromHost() ? word() : Word.SILENT;
-            rounds.act(s.txn, logic.after(s, outcome, settled, answer,
-                    outcome.fromHost() ? word() : Word.SILENT, now), now);
+            rounds.act(
+                    s.txn,
+                    logic.after(s, outcome, settled, answer, outcome.fromHost() ? word() : Word.SILENT, now),
+                    now);
         }
     }
 
     private Word word() {
         int role = chance.nextInt(6);
-        return role == 0 ? Word.SILENT : new Word(role == 1 ? Role.PRIMARY : Role.REPLICA,
-                now - chance.nextLong(role == 1 ? 5 * MS : 700 * MS), chance.nextInt(8) - 1);
+        return role == 0
+                ? Word.SILENT
+                : new Word(
+                        role == 1 ? Role.PRIMARY : Role.REPLICA,
+                        now - chance.nextLong(role == 1 ? 5 * MS : 700 * MS),
+                        chance.nextInt(8) - 1);
     }
 
     private void say(String line) {
@@ -191,16 +210,15 @@
     }
 
     @Override
-    public void close(Host host) {
-    }
+    public void close(Host host) {}
 
     /** Prints the digest for each of so many seeds: {@code groups events seeds}. */
     public static void main(String[] args) throws java.security.GeneralSecurityException {
         for (int seed = 1; seed <= Integer.parseInt(args[2]); seed++) {
             RandomEvents day = new RandomEvents(seed, Integer.parseInt(args[0]));
             String digest = day.play(Integer.parseInt(args[1]));
-            System.out.println(seed + " " + digest + " sends " + day.sends + " probes " + day.probes
-                    + " again " + day.again);
+            System.out.println(
+                    seed + " " + digest + " sends " + day.sends + " probes " + day.probes + " again " + day.again);
         }
     }
 }
--- a/src/test/java/beaconladder/RandomEventsTest.java
+++ b/src/test/java/beaconladder/RandomEventsTest.java
@@ -11,7 +11,8 @@
         for (int seed = 1; seed <= 3; seed++) {
             RandomEvents day = new RandomEvents(seed, 40);
             String digest = day.play(8_000);
-            assertThat(digest).isEqualTo(new RandomEvents(seed, 40).play(8_000))
+            assertThat(digest)
+                    .isEqualTo(new RandomEvents(seed, 40).play(8_000))
                     .isNotEqualTo(new RandomEvents(seed + 1, 40).play(8_000));
             assertThat(day.sends).isGreaterThan(500);
             assertThat(day.probes).isGreaterThan(500);
--- a/src/test/java/beaconladder/RepeatTest.java
+++ b/src/test/java/beaconladder/RepeatTest.java
@@ -14,10 +14,9 @@
 /** When a request is sent again, refused or given up, and whether an attempt still stands. */
 class RepeatTest {
     /**
-     * Seen in rehearsals of restarts: hosts that answered within milliseconds took 1.2 s from one moment to
-     * the next. The writes that waited behind the first of them were sent when its answer came, with 0.8 s
-     * left, and ran into their time: their clients were told that they may have run. That the host takes 1.2
-     * s was known by then.
+     * Seen in rehearsals of restarts: hosts that answered within milliseconds took 1.2 s from one moment to the next.
+     * The writes that waited behind the first of them were sent when its answer came, with 0.8 s left, and ran into
+     * their time: their clients were told that they may have run. That the host takes 1.2 s was known by then.
      */
     @Test
     void aWriteThatMustNotRunTwiceIsNotSentWithLessTimeThanItsPrimaryLastTook() {
@@ -25,18 +24,27 @@
         for (int i = 1; i <= 16; i++) {
             s.ask(i, WRITE, 0, 2000).tick(10 * i).end(i, Outcome.COMMITTED, Role.PRIMARY, 10 * i);
         }
-        s.quiet().ask(100, WRITE, 0, 2000).tick(460).ask(101, WRITE, 0, 2000).tick(1_360)
-                .end(100, Outcome.COMMITTED, Role.PRIMARY, 1_360).tick(2_200);
-        assertThat(s.trace()).contains("send 100 to a").doesNotContain("send 101 to a")
+        s.quiet()
+                .ask(100, WRITE, 0, 2000)
+                .tick(460)
+                .ask(101, WRITE, 0, 2000)
+                .tick(1_360)
+                .end(100, Outcome.COMMITTED, Role.PRIMARY, 1_360)
+                .tick(2_200);
+        assertThat(s.trace())
+                .contains("send 100 to a")
+                .doesNotContain("send 101 to a")
                 .contains("decline 101");
     }
 
-    /**
-     * The decision was inside the memory time of 300 ms; the connection that it waited for came up behind it.
-     */
+    /** The decision was inside the memory time of 300 ms; the connection that it waited for came up behind it. */
     @Test
     void aRepeatDoesNotStandOnceItsMemoryTimeIsOver() {
-        Script s = Script.warm().tick(100).ask(1, REFERENCED, 0, 2000).tick(110).end(1, Outcome.ERROR)
+        Script s = Script.warm()
+                .tick(100)
+                .ask(1, REFERENCED, 0, 2000)
+                .tick(110)
+                .end(1, Outcome.ERROR)
                 .tick(150);
         assertThat(s.trace()).containsSubsequence("send 1 to a", "error", "send 1 to a");
         s.quiet().tick(399).stands(1).tick(400).stands(1);
@@ -44,9 +52,7 @@
         assertThat(s.quiet().end(1, Outcome.MOOT).trace()).contains("roll back 1");
     }
 
-    /**
-     * It was sent to a warm host, or on a ticket of the start before; what connects late meets a cold one.
-     */
+    /** It was sent to a warm host, or on a ticket of the start before; what connects late meets a cold one. */
     @Test
     void anAttemptDoesNotStandOnceItsHostHasStartedAnew() {
         Script s = Script.warm().tick(5_000).ask(1, ANY, 0, 2000).stands(1);
@@ -59,7 +65,12 @@
     void aOnceOnlyTxnIsRepeatedOnlyWhereItIsKnownNotToHaveRun() {
         StringBuilder all = new StringBuilder();
         for (Outcome outcome : Outcome.values()) {
-            all.append(Script.warm().tick(5).ask(1, WRITE, 0, 900).tick(9).end(1, outcome).trace());
+            all.append(Script.warm()
+                    .tick(5)
+                    .ask(1, WRITE, 0, 900)
+                    .tick(9)
+                    .end(1, outcome)
+                    .trace());
         }
         assertThat(all.toString()).isEqualTo("""
                 5 ask 1 write
@@ -103,10 +114,7 @@
                 """);
     }
 
-    /**
-     * The router's own machine gave no connection: nothing speaks against the host, and it is tried again
-     * shortly.
-     */
+    /** The router's own machine gave no connection: nothing speaks against the host, and it is tried again shortly. */
     @Test
     void whatNeverLeftThisMachineIsSentAgainAfterARestAndCountsAsNoAttempt() {
         Script s = Script.warm().tick(5).ask(1, WRITE, 0, 900);
@@ -119,7 +127,11 @@
 
     @Test
     void aReferencedTxnIsRepeatedOnlyInsideTheMemoryOfItsGroup() {
-        Script s = Script.warm().ask(1, REFERENCED, 0, 2000).tick(100).end(1, Outcome.ERROR).tick(350)
+        Script s = Script.warm()
+                .ask(1, REFERENCED, 0, 2000)
+                .tick(100)
+                .end(1, Outcome.ERROR)
+                .tick(350)
                 .end(1, Outcome.ERROR);
         assertThat(s.trace()).isEqualTo("""
                 0 ask 1 write
@@ -133,9 +145,14 @@
 
     @Test
     void aRepeatableTxnAtAHostGoneSilentGetsACopyElsewhere() {
-        Script s = Script.warm().list("c", false, Host.State.GONE, 0).ask(1, ANY, 0, 2000)
-                .ask(2, ANY, 0, 2000).ask(3, ANY, 0, 2000).tick(300)
-                .list("c", false, Host.State.READY, 0).tick(700)
+        Script s = Script.warm()
+                .list("c", false, Host.State.GONE, 0)
+                .ask(1, ANY, 0, 2000)
+                .ask(2, ANY, 0, 2000)
+                .ask(3, ANY, 0, 2000)
+                .tick(300)
+                .list("c", false, Host.State.READY, 0)
+                .tick(700)
                 .end(1, Outcome.COMMITTED, Role.REPLICA, 650);
         assertThat(s.trace()).isEqualTo("""
                 0 ask 1 any
@@ -157,12 +174,31 @@
     @Test
     void aSubmissionStandsOnlyAsLongAsItsReasonsDo() {
         StringBuilder all = new StringBuilder();
-        all.append(Script.warm().tick(400).ask(1, BOUNDED, 0, 2000).tick(499).stands(1).tick(501)
-                .stands(1).trace());
-        all.append(Script.warm().ask(1, ANY, 0, 2000).ask(2, WRITE, 0, 900).tick(100).stands(1).stands(2)
-                .list("a", false, Host.State.DRAINING, 0).list("b", false, Host.State.DRAINING, 0)
-                .list("c", false, Host.State.GONE, 0).stands(1).stands(2).trace());
-        all.append(Script.warm().ask(1, WRITE, 0, 900).tick(20).probed("b", Role.PRIMARY, 20).stands(1)
+        all.append(Script.warm()
+                .tick(400)
+                .ask(1, BOUNDED, 0, 2000)
+                .tick(499)
+                .stands(1)
+                .tick(501)
+                .stands(1)
+                .trace());
+        all.append(Script.warm()
+                .ask(1, ANY, 0, 2000)
+                .ask(2, WRITE, 0, 900)
+                .tick(100)
+                .stands(1)
+                .stands(2)
+                .list("a", false, Host.State.DRAINING, 0)
+                .list("b", false, Host.State.DRAINING, 0)
+                .list("c", false, Host.State.GONE, 0)
+                .stands(1)
+                .stands(2)
+                .trace());
+        all.append(Script.warm()
+                .ask(1, WRITE, 0, 900)
+                .tick(20)
+                .probed("b", Role.PRIMARY, 20)
+                .stands(1)
                 .trace());
         all.append(Script.warm().ask(1, ANY, 0, 900).left(1).stands(1).trace());
         assertThat(all.toString()).isEqualTo("""
@@ -193,7 +229,11 @@
     /** Time-outs end two ticks before the expiry, so that the answer leaves in time from a busy core too. */
     @Test
     void aSubmissionMayTakeUntilTwoTicksBeforeTheExpiry() {
-        Script s = Script.warm().showTimes().ask(1, WRITE, 0, 900).ask(2, ANY, 0, 2000).ask(3, ANY, 0, 300);
+        Script s = Script.warm()
+                .showTimes()
+                .ask(1, WRITE, 0, 900)
+                .ask(2, ANY, 0, 2000)
+                .ask(3, ANY, 0, 300);
         assertThat(s.trace()).isEqualTo("""
                 0 ask 1 write
                 0   send 1 to a for 890
@@ -207,9 +247,17 @@
     /** The primary is lost at 100: a write of then may outlast that, one of four seconds later is told. */
     @Test
     void aWriteInALongOutageIsGivenUpAtHalfOfItsTime() {
-        Script s = Script.warm().ask(1, WRITE, 0, 2000).tick(90).end(1, Outcome.COMMITTED, Role.PRIMARY, 90)
-                .ask(2, WRITE, 0, 2000).tick(100).end(2, Outcome.UNREACHABLE).quiet().tick(4100)
-                .ask(3, WRITE, 0, 2000).tick(6100);
+        Script s = Script.warm()
+                .ask(1, WRITE, 0, 2000)
+                .tick(90)
+                .end(1, Outcome.COMMITTED, Role.PRIMARY, 90)
+                .ask(2, WRITE, 0, 2000)
+                .tick(100)
+                .end(2, Outcome.UNREACHABLE)
+                .quiet()
+                .tick(4100)
+                .ask(3, WRITE, 0, 2000)
+                .tick(6100);
         assertThat(s.trace().replaceAll(".*probe.*\n", "")).isEqualTo("""
                 1940   decline 2
                 4100 ask 3 write
--- a/src/test/java/beaconladder/Script.java
+++ b/src/test/java/beaconladder/Script.java
@@ -18,6 +18,7 @@
     static final long MS = 1_000_000L;
     /** The script starts at this clock, so that positions before it exist. */
     static final long ZERO = 100_000 * MS;
+
     static final int ANY = 0;
     static final int BOUNDED = 1;
     static final int SESSION = 2;
@@ -44,8 +45,13 @@
 
     /** A group of a (primary by the roster), b and c, all met, replicas at the present. */
     static Script warm(String... settings) {
-        return new Script(settings).list("a*", "b", "c").tick(0).probed("a", Role.PRIMARY, 0)
-                .probed("b", Role.REPLICA, 0).probed("c", Role.REPLICA, 0).quiet();
+        return new Script(settings)
+                .list("a*", "b", "c")
+                .tick(0)
+                .probed("a", Role.PRIMARY, 0)
+                .probed("b", Role.REPLICA, 0)
+                .probed("c", Role.REPLICA, 0)
+                .quiet();
     }
 
     Script list(String... entries) {
@@ -75,9 +81,17 @@
     }
 
     Script ask(int id, int type, long sinceWriteMillis, long budgetMillis) {
-        Txn txn = new Txn(id, logic.type(type), group, 9,
-                sinceWriteMillis > 0 ? now - sinceWriteMillis * MS : Long.MIN_VALUE, 0, false, now,
-                now + budgetMillis * MS, id);
+        Txn txn = new Txn(
+                id,
+                logic.type(type),
+                group,
+                9,
+                sinceWriteMillis > 0 ? now - sinceWriteMillis * MS : Long.MIN_VALUE,
+                0,
+                false,
+                now,
+                now + budgetMillis * MS,
+                id);
         txns.put(id, txn);
         say("ask " + id + " " + txn.type.read().name().toLowerCase(java.util.Locale.ROOT));
         act(txn, logic.place(txn, now));
@@ -95,16 +109,27 @@
 
     /** The same, of an answer that brings a report along. */
     Script end(int id, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
-        return end(txns.get(id).submissions.get(txns.get(id).submissions.size() - 1), outcome, role,
-                positionMillis, reported, reportedMillis);
+        return end(
+                txns.get(id).submissions.get(txns.get(id).submissions.size() - 1),
+                outcome,
+                role,
+                positionMillis,
+                reported,
+                reportedMillis);
     }
 
-    private Script end(Submission s, Outcome outcome, Role role, long positionMillis, Role reported,
-            long reportedMillis) {
-        say("end " + s.txn.id + "@" + (char) s.host.id + " "
-                + outcome.name().toLowerCase(java.util.Locale.ROOT));
-        act(s.txn, logic.after(s, outcome, outcome == Outcome.COMMITTED, word(role, positionMillis),
-                word(reported, reportedMillis), now));
+    private Script end(
+            Submission s, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
+        say("end " + s.txn.id + "@" + (char) s.host.id + " " + outcome.name().toLowerCase(java.util.Locale.ROOT));
+        act(
+                s.txn,
+                logic.after(
+                        s,
+                        outcome,
+                        outcome == Outcome.COMMITTED,
+                        word(role, positionMillis),
+                        word(reported, reportedMillis),
+                        now));
         settle();
         return this;
     }
@@ -118,8 +143,13 @@
         for (Submission s : java.util.List.copyOf(txns.get(id).submissions)) {
             if (!s.ended) {
                 boolean lost = s.host == hosts.get(name);
-                end(s, lost ? Outcome.TIMED_OUT : Outcome.COMMITTED, lost ? Role.UNKNOWN : Role.REPLICA,
-                        (now - ZERO) / MS, Role.UNKNOWN, 0);
+                end(
+                        s,
+                        lost ? Outcome.TIMED_OUT : Outcome.COMMITTED,
+                        lost ? Role.UNKNOWN : Role.REPLICA,
+                        (now - ZERO) / MS,
+                        Role.UNKNOWN,
+                        0);
             }
         }
         return this;
@@ -211,17 +241,25 @@
         }
         switch (verdict.step()) {
             case SEND -> {
-                Submission s = new Submission(txn, txn.submissions.size(), verdict.host(), now,
+                Submission s = new Submission(
+                        txn,
+                        txn.submissions.size(),
+                        verdict.host(),
+                        now,
                         verdict.host().out.size() + 1);
                 txn.submissions.add(s);
                 s.host.out.add(s);
                 say("  send " + txn.id + " to " + (char) s.host.id
                         + (showsTimes ? " for " + verdict.timeout() / MS : ""));
             }
-            case WAIT -> { }
+            case WAIT -> {}
             default -> {
                 txn.ended = true;
-                say("  " + verdict.step().name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ') + " "
+                say("  "
+                        + verdict.step()
+                                .name()
+                                .toLowerCase(java.util.Locale.ROOT)
+                                .replace('_', ' ') + " "
                         + txn.id
                         + (verdict.comeBack() > 0 ? ", back in " + verdict.comeBack() / MS : ""));
             }
--- a/src/test/java/beaconladder/ScriptSettings.java
+++ b/src/test/java/beaconladder/ScriptSettings.java
@@ -5,8 +5,7 @@
 
 /** What the routers of scripts are told at their start, unless a script says otherwise. */
 final class ScriptSettings {
-    private ScriptSettings() {
-    }
+    private ScriptSettings() {}
 
     /** Six request types, one of each kind of read and write. */
     static Map<String, String> usual() {
--- a/src/test/java/beaconladder/SlowStartTest.java
+++ b/src/test/java/beaconladder/SlowStartTest.java
@@ -12,16 +12,20 @@
 /** What a host in slow start is sent. */
 class SlowStartTest {
     /**
-     * Seen at full size when six in ten hosts were replaced: reads waited for cold replicas without tickets
-     * and were declined while the warm primary had room, and cold hosts got a third of what they could, as
-     * the part of a member was reckoned over all members, cold ones too, and over the txns declined so.
+     * Seen at full size when six in ten hosts were replaced: reads waited for cold replicas without tickets and were
+     * declined while the warm primary had room, and cold hosts got a third of what they could, as the part of a member
+     * was reckoned over all members, cold ones too, and over the txns declined so.
      */
     @Test
     void aColdHostGetsItsShareOfWhatAWarmMemberBears() {
-        Script s = Script.warm("rules.cold_share=0.5", "rules.warm_within_us=600000000",
-                "rules.fall_multiple=3").tick(10).list("b", false, Host.State.READY, 10)
-                .list("c", false, Host.State.READY, 10).tick(20)
-                .probed("b", Role.REPLICA, 20).probed("c", Role.REPLICA, 20).quiet();
+        Script s = Script.warm("rules.cold_share=0.5", "rules.warm_within_us=600000000", "rules.fall_multiple=3")
+                .tick(10)
+                .list("b", false, Host.State.READY, 10)
+                .list("c", false, Host.State.READY, 10)
+                .tick(20)
+                .probed("b", Role.REPLICA, 20)
+                .probed("c", Role.REPLICA, 20)
+                .quiet();
         int cold = 0;
         long t = 20;
         for (int i = 1; i <= 200; i++) {
@@ -42,15 +46,17 @@
     }
 
     /**
-     * Seen at full size in a rolling release: a router with a txn of the group every second or two held each
-     * write for three seconds before a cold primary and declined it, while the tickets of the reads that came
-     * by lapsed unused.
+     * Seen at full size in a rolling release: a router with a txn of the group every second or two held each write for
+     * three seconds before a cold primary and declined it, while the tickets of the reads that came by lapsed unused.
      */
     @Test
     void theTicketsOfAColdPrimaryGoToTheTxnsThatNeedIt() {
-        Script s = Script.warm("rules.cold_share=0.2", "rules.warm_within_us=360000000000",
-                "rules.fall_multiple=3").tick(10).list("a", true, Host.State.READY, 10)
-                .tick(20).probed("a", Role.PRIMARY, 20).quiet();
+        Script s = Script.warm("rules.cold_share=0.2", "rules.warm_within_us=360000000000", "rules.fall_multiple=3")
+                .tick(10)
+                .list("a", true, Host.State.READY, 10)
+                .tick(20)
+                .probed("a", Role.PRIMARY, 20)
+                .quiet();
         int sent = 0;
         long t = 20;
         for (int i = 1; i <= 500; i++) {
@@ -70,8 +76,12 @@
 
     @Test
     void aColdHostIsSentToOnTicketsAlone() {
-        Script s = Script.warm().tick(10).list("b", false, Host.State.READY, 10).tick(11)
-                .probed("b", Role.REPLICA, 10).quiet();
+        Script s = Script.warm()
+                .tick(10)
+                .list("b", false, Host.State.READY, 10)
+                .tick(11)
+                .probed("b", Role.REPLICA, 10)
+                .quiet();
         for (int i = 0; i < 8; i++) {
             s.ask(i, ANY, 0, 2000).end(i, Outcome.COMMITTED, Role.REPLICA, 11);
         }
--- a/src/test/java/beaconladder/app/CommandNamesTest.java
+++ b/src/test/java/beaconladder/app/CommandNamesTest.java
@@ -55,12 +55,15 @@
     /** One line a command; a required option ends in "!", one that takes a value in "=". */
     private static void list(CommandLine line, List<String> into) {
         CommandLine.Model.CommandSpec spec = line.getCommandSpec();
-        String positional = spec.positionalParameters().stream().map(each -> " " + each.paramLabel())
+        String positional = spec.positionalParameters().stream()
+                .map(each -> " " + each.paramLabel())
                 .collect(Collectors.joining());
-        String options = spec.options().stream().filter(each -> !each.usageHelp() && !each.versionHelp())
+        String options = spec.options().stream()
+                .filter(each -> !each.usageHelp() && !each.versionHelp())
                 .map(each -> " " + String.join("|", each.names())
                         + (each.arity().max() > 0 ? "=" : "") + (each.required() ? "!" : ""))
-                .sorted().collect(Collectors.joining());
+                .sorted()
+                .collect(Collectors.joining());
         into.add(spec.qualifiedName() + positional + options);
         new TreeMap<>(line.getSubcommands()).values().forEach(each -> list(each, into));
     }
--- a/src/test/java/beaconladder/app/ScaleCommandTest.java
+++ b/src/test/java/beaconladder/app/ScaleCommandTest.java
@@ -20,8 +20,11 @@
 
     @Test
     void aSizeBeyondTheMachineIsOneLineAndTwo() {
-        assertThat(call("lab", "scale", "--part", "list", "--sizes", "9,10,11,12,900000000")).isEqualTo(2);
-        assertThat(err.toString()).startsWith("beaconladder: size 900000000 of list needs ").hasLineCount(1);
+        assertThat(call("lab", "scale", "--part", "list", "--sizes", "9,10,11,12,900000000"))
+                .isEqualTo(2);
+        assertThat(err.toString())
+                .startsWith("beaconladder: size 900000000 of list needs ")
+                .hasLineCount(1);
     }
 
     @Test
@@ -29,7 +32,8 @@
         assertThat(call("lab", "scale", "--part", "nonsense")).isEqualTo(2);
         assertThat(call("lab", "scale", "--sizes", "9,10,11,12,13")).isEqualTo(2);
         assertThat(err.toString()).contains("name it by --part");
-        assertThat(call("lab", "scale", "--part", "list", "--sizes", "9,10,11,12")).isEqualTo(2);
+        assertThat(call("lab", "scale", "--part", "list", "--sizes", "9,10,11,12"))
+                .isEqualTo(2);
         assertThat(call("lab", "scale", "--seed", "x")).isEqualTo(2);
     }
 
--- a/src/test/java/beaconladder/cells/GateTest.java
+++ b/src/test/java/beaconladder/cells/GateTest.java
@@ -15,8 +15,7 @@
     private static final long NOW = 1_000_000 * MS;
     private static final String CELLS = "(cell a (groups 0 1)) (cell b (groups 2 3))\n";
     private static final String KEEPER =
-            "(keeper (at 127.0.0.1:1) (discovery 127.0.0.1:2) (store \"x\") (lease 1s) (expiry 2s)"
-                    + " (fence 5s))";
+            "(keeper (at 127.0.0.1:1) (discovery 127.0.0.1:2) (store \"x\") (lease 1s) (expiry 2s)" + " (fence 5s))";
 
     private static Territory territory(String plan) {
         PlanReader.Result read = PlanReader.read("p", plan);
@@ -33,7 +32,10 @@
         if (answer.pass() != null) {
             gate.left(answer.pass());
         }
-        return answer.kind() + (answer.pass() == null ? " " + answer.reason() : " " + answer.pass().group());
+        return answer.kind()
+                + (answer.pass() == null
+                        ? " " + answer.reason()
+                        : " " + answer.pass().group());
     }
 
     @Test
@@ -50,11 +52,11 @@
     @Test
     void clientsSpeakForATenantFromItsNetworksAlone() throws Exception {
         Gate gate = gate(CELLS + "(tenant t (cell a) (networks 10.1.0.0/16 2001:db8::/32))");
-        for (String[] each : new String[][] {{"10.1.2.3", "ADMIT"}, {"10.2.0.1", "REFUSE"},
-                {"2001:db8::5", "ADMIT"},
-            {"2001:db9::5", "REFUSE"}}) {
-            Gate.Answer answer = gate.admit("t", 1, 0, false, 1, 10, InetAddress.getByName(each[0]), NOW, NOW
-                    + MS, NOW);
+        for (String[] each : new String[][] {
+            {"10.1.2.3", "ADMIT"}, {"10.2.0.1", "REFUSE"}, {"2001:db8::5", "ADMIT"}, {"2001:db9::5", "REFUSE"}
+        }) {
+            Gate.Answer answer =
+                    gate.admit("t", 1, 0, false, 1, 10, InetAddress.getByName(each[0]), NOW, NOW + MS, NOW);
             assertThat(answer.kind()).as(each[0]).hasToString(each[1]);
         }
     }
@@ -65,41 +67,43 @@
         assertThat(ask(gate, "t", 0, true, NOW)).startsWith("DECLINE the lease on the placement is over");
         assertThat(ask(gate, "f", 0, true, NOW)).isEqualTo("ADMIT 0");
         String basis = gate.territory().basis();
-        gate.placed(new Placement(3, NOW + 1_000 * MS, basis,
-                Map.of("t", new Seat("a", true, true, false, List.of()))));
+        gate.placed(
+                new Placement(3, NOW + 1_000 * MS, basis, Map.of("t", new Seat("a", true, true, false, List.of()))));
         assertThat(ask(gate, "t", 0, true, NOW)).isEqualTo("ADMIT 0");
         assertThat(ask(gate, "o", 0, true, NOW)).startsWith("ADMIT");
         assertThat(ask(gate, "t", 0, true, NOW + 990 * MS)).startsWith("DECLINE the lease");
         // An older word, or one for a shorter time, changes nothing.
         gate.placed(new Placement(2, NOW + 9_000 * MS, basis, Map.of()));
         assertThat(ask(gate, "t", 0, true, NOW + 990 * MS)).startsWith("DECLINE the lease");
-        gate.placed(new Placement(4, NOW + 9_000 * MS, "other", Map.of("t",
-                new Seat("b", true, true, false, List.of()))));
+        gate.placed(
+                new Placement(4, NOW + 9_000 * MS, "other", Map.of("t", new Seat("b", true, true, false, List.of()))));
         assertThat(ask(gate, "t", 0, true, NOW)).isEqualTo("ADMIT 2");
-        assertThat(ask(gate, "o", 0, true, NOW))
-                .isEqualTo("DECLINE this router's plan differs from the keeper's");
+        assertThat(ask(gate, "o", 0, true, NOW)).isEqualTo("DECLINE this router's plan differs from the keeper's");
     }
 
     @Test
     void aWriteWaitsAtTheFenceUpToHalfOfItsTimeAndReadsGoOnUntilItIsSealed() {
         Gate gate = gate(CELLS + KEEPER + "(tenant t (cell a))");
         String basis = gate.territory().basis();
-        gate.placed(new Placement(1, NOW + 9_000 * MS, basis,
-                Map.of("t", new Seat("a", false, true, true, List.of()))));
+        gate.placed(
+                new Placement(1, NOW + 9_000 * MS, basis, Map.of("t", new Seat("a", false, true, true, List.of()))));
         Gate.Answer held = gate.admit("t", 7, 0, true, 1, 10, null, NOW, NOW + 2_000 * MS, NOW);
         assertThat(held.kind()).isEqualTo(Gate.Kind.HOLD);
         assertThat(held.until()).isEqualTo(NOW + 1_000 * MS);
         assertThat(gate.inHand(0)).isEqualTo(1);
         assertThat(ask(gate, "t", 0, false, NOW)).isEqualTo("ADMIT 0");
-        gate.placed(new Placement(2, NOW + 9_000 * MS, basis,
-                Map.of("t", new Seat("a", false, false, true, List.of()))));
+        gate.placed(
+                new Placement(2, NOW + 9_000 * MS, basis, Map.of("t", new Seat("a", false, false, true, List.of()))));
         assertThat(ask(gate, "t", 0, false, NOW)).startsWith("HOLD");
         assertThat(gate.again(held.pass(), NOW + 999 * MS).kind()).isEqualTo(Gate.Kind.HOLD);
         Gate.Answer end = gate.again(held.pass(), NOW + 1_000 * MS);
         assertThat(end.kind() + " " + end.reason()).isEqualTo("DECLINE t is being moved");
         assertThat(gate.inHand(0)).isZero();
         // Once it has moved, reads there wait for members that have the copy.
-        gate.placed(new Placement(3, NOW + 9_000 * MS, basis,
+        gate.placed(new Placement(
+                3,
+                NOW + 9_000 * MS,
+                basis,
                 Map.of("t", new Seat("b", true, true, false, List.of(NOW + 5 * MS, NOW + 6 * MS)))));
         Gate.Answer there = gate.admit("t", 7, 1, false, 1, 10, null, NOW, NOW + 2_000 * MS, NOW);
         assertThat(there.pass().group()).isEqualTo(3);
@@ -138,7 +142,8 @@
         // One in seventeen is its part: 235; the rest are keys whose tenant has the new cell in another's
         // place.
         assertThat(moved).isBetween(235, 420);
-        assertThat(java.util.Arrays.stream(of).allMatch(n -> n > 180 && n < 320)).isTrue();
+        assertThat(java.util.Arrays.stream(of).allMatch(n -> n > 180 && n < 320))
+                .isTrue();
         assertThat(pairs).hasSize(16 * 15);
     }
 }
--- a/src/test/java/beaconladder/cells/MovesTest.java
+++ b/src/test/java/beaconladder/cells/MovesTest.java
@@ -42,9 +42,12 @@
     private static void settle(Moves moves, StringBuilder trace, long now) {
         for (Step step = moves.due(now); step != null; step = moves.due(now)) {
             moves.take(step);
-            trace.append((now - START) / MS).append(' ').append(step.kind())
+            trace.append((now - START) / MS)
+                    .append(' ')
+                    .append(step.kind())
                     .append(step.tenant().isEmpty() ? "" : " " + step.tenant())
-                    .append(step.why() == null ? "" : " " + step.why()).append('\n');
+                    .append(step.why() == null ? "" : " " + step.why())
+                    .append('\n');
         }
     }
 
@@ -66,8 +69,7 @@
         moves.heard("n0", moves.version(), List.of(new Gate.Busy("t", 2, List.of(0L))), START + 20 * MS);
         moves.seen("t", 0, sight(START + 25 * MS, "s", START + 25 * MS, "d", START + 25 * MS));
         settle(moves, trace, START + 30 * MS);
-        moves.heard("n0", moves.version(), List.of(new Gate.Busy("t", 0, List.of(START + 50 * MS))), START
-                + 40 * MS);
+        moves.heard("n0", moves.version(), List.of(new Gate.Busy("t", 0, List.of(START + 50 * MS))), START + 40 * MS);
         settle(moves, trace, START + 41 * MS);
         moves.seen("t", 0, sight(START + 45 * MS, "s", START + 45 * MS, "d", START + 49 * MS));
         settle(moves, trace, START + 46 * MS);
@@ -88,8 +90,7 @@
                 270 SWITCHED t
                 270 DONE t
                 """);
-        assertThat(moves.seats().get("t")).isEqualTo(new Seat("b", true, true, false,
-                List.of(START + 200 * MS)));
+        assertThat(moves.seats().get("t")).isEqualTo(new Seat("b", true, true, false, List.of(START + 200 * MS)));
     }
 
     @Test
@@ -161,8 +162,8 @@
                 long at = now + i * 10 * MS;
                 known.seen("t", 0, sight(at, "s", at, "d", at));
                 record(known, records, at);
-                if (chance.nextInt(20) == 0 && known.shown(at).stream()
-                        .noneMatch(m -> m.state().equals("switched"))
+                if (chance.nextInt(20) == 0
+                        && known.shown(at).stream().noneMatch(m -> m.state().equals("switched"))
                         && !known.shown(at).isEmpty()) {
                     known.undo("t", "me");
                 }
@@ -191,11 +192,9 @@
     // --------------------------------------------------------
 
     /**
-     * Keepers that crash before and after each record, routers that stall, restart, lose the keeper's word or
-     * hear
-     * it late, writes that run long after they were sent: none runs in the old cell behind the fence, and
-     * none in
-     * the new cell before the switch.
+     * Keepers that crash before and after each record, routers that stall, restart, lose the keeper's word or hear it
+     * late, writes that run long after they were sent: none runs in the old cell behind the fence, and none in the new
+     * cell before the switch.
      */
     @Test
     void noOrderOfEventsLetsAWriteRunInTheWrongCell() {
@@ -214,9 +213,16 @@
         private final List<Node> nodes = new ArrayList<>();
         private final List<long[]> ranInA = new ArrayList<>();
         private final List<Long> ranInB = new ArrayList<>();
-        private final TxnType write = TxnType.read(Map.of("request_classes.count", "1",
-                "family_info.freshness", "update", "request_classes.0.effect", "side_effect",
-                "request_classes.0.give_up_us", "300000")).get(0);
+        private final TxnType write = TxnType.read(Map.of(
+                        "request_classes.count",
+                        "1",
+                        "family_info.freshness",
+                        "update",
+                        "request_classes.0.effect",
+                        "side_effect",
+                        "request_classes.0.give_up_us",
+                        "300000"))
+                .get(0);
         private Moves keeper;
         private long now = START;
         private long copied;
@@ -246,12 +252,8 @@
             }
         }
 
-        /**
-         * Bytes on their way to a host, or waiting there: each runs at its time, if that is before its
-         * expiry.
-         */
-        private record Flying(long at, long expiry, int cell, Node node, int run, Txn txn) {
-        }
+        /** Bytes on their way to a host, or waiting there: each runs at its time, if that is before its expiry. */
+        private record Flying(long at, long expiry, int cell, Node node, int run, Txn txn) {}
 
         private final List<Flying> flying = new ArrayList<>();
 
@@ -330,13 +332,10 @@
                 if (joins != null) {
                     write(joins);
                 }
-                Placement word = keeper.heard(node.name, node.gate.placement().version(), node.gate.busy(now),
-                        now);
-                Placement copy = new Placement(word.version(), word.until(), word.basis(),
-                        Map.copyOf(word.seats()));
+                Placement word = keeper.heard(node.name, node.gate.placement().version(), node.gate.busy(now), now);
+                Placement copy = new Placement(word.version(), word.until(), word.basis(), Map.copyOf(word.seats()));
                 if (chance.nextInt(10) > 0) {
-                    node.mail.add(new Object[] {now + chance.nextInt(chance.nextInt(20) == 0 ? 400 : 10) * MS,
-                            copy});
+                    node.mail.add(new Object[] {now + chance.nextInt(chance.nextInt(20) == 0 ? 400 : 10) * MS, copy});
                 }
             }
             node.mail.removeIf(each -> {
@@ -349,8 +348,8 @@
             if (chance.nextInt(3) == 0) {
                 Gate.Answer answer = node.gate.admit("t", 1, 0, true, 1, 50, null, now, now + 300 * MS, now);
                 if (answer.kind() == Gate.Kind.ADMIT) {
-                    Txn txn = new Txn(now, write, new Group(answer.pass().group()), 1, 0, 0, false, now,
-                            now + 300 * MS, now);
+                    Txn txn = new Txn(
+                            now, write, new Group(answer.pass().group()), 1, 0, 0, false, now, now + 300 * MS, now);
                     node.gate.bind(txn, answer.pass());
                     node.hand.add(txn);
                 } else if (answer.kind() == Gate.Kind.HOLD) {
@@ -363,9 +362,13 @@
                     node.hand.remove(txn);
                     if (node.gate.stands(txn, now) && now < txn.expiry) {
                         txn.submissions.add(new Submission(txn, 0, new Host(0, txn.group, 0), now, 1));
-                        flying.add(new Flying(now + chance.nextInt(chance.nextInt(5) == 0 ? 350 : 20) * MS,
+                        flying.add(new Flying(
+                                now + chance.nextInt(chance.nextInt(5) == 0 ? 350 : 20) * MS,
                                 txn.expiry,
-                                txn.group.number, node, node.run, txn));
+                                txn.group.number,
+                                node,
+                                node.run,
+                                txn));
                     } else {
                         node.gate.ended(txn);
                     }
@@ -403,9 +406,13 @@
                 if (same && !each.txn().ended) {
                     each.txn().ended = true;
                     boolean told = chance.nextInt(8) > 0;
-                    each.node().gate.ended(s, told ? Outcome.COMMITTED : Outcome.RESET,
-                            told ? new Word(beaconladder.api.Router.Role.PRIMARY, each.at(), -1)
-                                    : Word.SILENT, now);
+                    each.node()
+                            .gate
+                            .ended(
+                                    s,
+                                    told ? Outcome.COMMITTED : Outcome.RESET,
+                                    told ? new Word(beaconladder.api.Router.Role.PRIMARY, each.at(), -1) : Word.SILENT,
+                                    now);
                     each.node().gate.ended(each.txn());
                 }
                 return true;
@@ -413,20 +420,30 @@
         }
 
         private void judge(Map<Kind, Integer> ends) {
-            Step switched = records.stream().filter(s -> s.kind() == Kind.SWITCHED).findFirst().orElse(null);
-            String story = "seed " + seed + " " + records.stream()
-                    .map(s -> s.kind() + "@" + (s.at() - START) / MS)
-                    .collect(Collectors.joining(" "));
+            Step switched = records.stream()
+                    .filter(s -> s.kind() == Kind.SWITCHED)
+                    .findFirst()
+                    .orElse(null);
+            String story = "seed " + seed + " "
+                    + records.stream()
+                            .map(s -> s.kind() + "@" + (s.at() - START) / MS)
+                            .collect(Collectors.joining(" "));
             if (switched == null) {
                 assertThat(ranInB).as(story).isEmpty();
             } else {
                 assertThat(ranInB).as(story).allMatch(at -> at >= switched.at());
-                assertThat(ranInA).as(story).allMatch(at -> at[0] <= switched.fences().get(0));
+                assertThat(ranInA)
+                        .as(story)
+                        .allMatch(at -> at[0] <= switched.fences().get(0));
             }
-            records.stream().map(Step::kind).filter(k -> k == Kind.DONE || k == Kind.UNDONE)
+            records.stream()
+                    .map(Step::kind)
+                    .filter(k -> k == Kind.DONE || k == Kind.UNDONE)
                     .forEach(k -> ends.merge(k, 1, Integer::sum));
-            assertThat(keeper.shown(now).stream().noneMatch(m -> m.state().equals("fenced")
-                    && now > m.since() + 1_500 * MS)).as(story).isTrue();
+            assertThat(keeper.shown(now).stream()
+                            .noneMatch(m -> m.state().equals("fenced") && now > m.since() + 1_500 * MS))
+                    .as(story)
+                    .isTrue();
         }
     }
 }
--- a/src/test/java/beaconladder/cells/PlannerTest.java
+++ b/src/test/java/beaconladder/cells/PlannerTest.java
@@ -12,7 +12,9 @@
     }
 
     private static String moves(Planner.Proposal proposal) {
-        return proposal.moves().stream().map(m -> m.tenant() + ">" + m.to()).sorted()
+        return proposal.moves().stream()
+                .map(m -> m.tenant() + ">" + m.to())
+                .sorted()
                 .collect(Collectors.joining(" "));
     }
 
@@ -40,7 +42,8 @@
                 (tenant a3 (cell a) (fixed))
                 (tenant b1 (cell b) (load 3txns/s)) (tenant c1 (cell c) (load 3txns/s))
                 """;
-        Planner.Problem lost = Planner.without(Planner.problem(PlanReader.read("p", plan).plan()), "a");
+        Planner.Problem lost =
+                Planner.without(Planner.problem(PlanReader.read("p", plan).plan()), "a");
         Planner.Proposal proposal = Planner.propose(lost, 5, 5, 1);
         assertThat(proposal.moves()).extracting(Planner.Move::tenant).contains("a1", "a2", "a3");
         assertThat(proposal.moves()).noneMatch(m -> m.to().equals("a"));
@@ -59,7 +62,8 @@
         assertThat(proposal.optimal()).isTrue();
         assertThat(proposal.survives()).isTrue();
         assertThat(moves(propose(plan, 0))).isEmpty();
-        assertThat(moves(propose(plan.replace("(tenant y (cell a))", "(tenant y (cell c))"), 3))).isEmpty();
+        assertThat(moves(propose(plan.replace("(tenant y (cell a))", "(tenant y (cell c))"), 3)))
+                .isEmpty();
         assertThat(propose(plan, 3)).isEqualTo(proposal);
     }
 }
--- a/src/test/java/beaconladder/cells/SharesTest.java
+++ b/src/test/java/beaconladder/cells/SharesTest.java
@@ -106,7 +106,8 @@
                 all--;
             }
             assertThat(all).isLessThanOrEqualTo(64);
-            assertThat(shares.used(cell)).isEqualTo(java.util.Arrays.stream(held[cell]).sum());
+            assertThat(shares.used(cell))
+                    .isEqualTo(java.util.Arrays.stream(held[cell]).sum());
         }
     }
 }
--- a/src/test/java/beaconladder/closing/CalendarTest.java
+++ b/src/test/java/beaconladder/closing/CalendarTest.java
@@ -19,14 +19,16 @@
 import org.junit.jupiter.api.Test;
 
 class CalendarTest {
-    private static final List<String> ZONES = List.of("America/Santiago", "Europe/Lisbon", "Asia/Kolkata",
-            "Australia/Lord_Howe", "Pacific/Apia", "UTC");
+    private static final List<String> ZONES =
+            List.of("America/Santiago", "Europe/Lisbon", "Asia/Kolkata", "Australia/Lord_Howe", "Pacific/Apia", "UTC");
     private static final Set<DayOfWeek> WORKDAYS = EnumSet.range(DayOfWeek.MONDAY, DayOfWeek.FRIDAY);
 
     /** However a stretch of time is cut up, each business day closes once in it, and none on other days. */
     @Property(tries = 200, seed = "1")
-    void eachBusinessDayClosesOnceHoweverOftenIsLooked(@ForAll @IntRange(max = 5) int zone,
-            @ForAll @IntRange(max = 86_399) int at, @ForAll @IntRange(min = 1, max = 400_000) int step,
+    void eachBusinessDayClosesOnceHoweverOftenIsLooked(
+            @ForAll @IntRange(max = 5) int zone,
+            @ForAll @IntRange(max = 86_399) int at,
+            @ForAll @IntRange(min = 1, max = 400_000) int step,
             @ForAll @IntRange(max = 700) int first) {
         Close close = close(ZONES.get(zone), LocalTime.ofSecondOfDay(at));
         Calendar calendar = new Calendar(List.of(close), Duration.ZERO);
@@ -60,10 +62,22 @@
 
     @Test
     void holidaysAndWeekendsAreLeaptOverAndTwoZonesCloseInTheOrderOfTheirInstants() {
-        Close east = new Close("east", ZoneId.of("Asia/Kolkata"), LocalTime.of(18, 0), WORKDAYS,
-                Set.of(LocalDate.of(2026, 12, 25)), LocalDate.MIN, LocalDate.MAX);
-        Close west = new Close("west", ZoneId.of("America/Santiago"), LocalTime.of(18, 0), WORKDAYS,
-                Set.of(LocalDate.of(2026, 12, 25)), LocalDate.MIN, LocalDate.MAX);
+        Close east = new Close(
+                "east",
+                ZoneId.of("Asia/Kolkata"),
+                LocalTime.of(18, 0),
+                WORKDAYS,
+                Set.of(LocalDate.of(2026, 12, 25)),
+                LocalDate.MIN,
+                LocalDate.MAX);
+        Close west = new Close(
+                "west",
+                ZoneId.of("America/Santiago"),
+                LocalTime.of(18, 0),
+                WORKDAYS,
+                Set.of(LocalDate.of(2026, 12, 25)),
+                LocalDate.MIN,
+                LocalDate.MAX);
         Calendar calendar = new Calendar(List.of(west, east), Duration.ofMillis(50));
         Instant eve = Instant.parse("2026-12-24T11:00:00Z");
         assertThat(calendar.between(eve, eve.plus(Duration.ofDays(5))).stream().map(Calendar.Due::key))
@@ -89,20 +103,25 @@
     void aChangeWithinTheLeadTimeIsRefusedAndTwoOfANameForTheSameDaysAre() {
         LocalDate day = LocalDate.of(2026, 12, 10);
         Calendar before = new Calendar(List.of(close("UTC", LocalTime.of(18, 0))), Duration.ofMillis(50));
-        Calendar after = new Calendar(List.of(span(LocalTime.of(18, 0), LocalDate.MIN, day.minusDays(1)),
-                span(LocalTime.of(17, 0), day, LocalDate.MAX)), Duration.ofMillis(50));
+        Calendar after = new Calendar(
+                List.of(
+                        span(LocalTime.of(18, 0), LocalDate.MIN, day.minusDays(1)),
+                        span(LocalTime.of(17, 0), day, LocalDate.MAX)),
+                Duration.ofMillis(50));
         Duration lead = Duration.ofHours(6);
-        assertThat(after.objection(before, Instant.parse("2026-12-10T10:59:00Z"), lead)).isNull();
+        assertThat(after.objection(before, Instant.parse("2026-12-10T10:59:00Z"), lead))
+                .isNull();
         assertThat(after.objection(before, Instant.parse("2026-12-10T11:01:00Z"), lead))
                 .contains("lead time");
-        Calendar twice = new Calendar(List.of(span(LocalTime.of(18, 0), LocalDate.MIN, day),
-                span(LocalTime.of(17, 0), day, LocalDate.MAX)), Duration.ofMillis(50));
+        Calendar twice = new Calendar(
+                List.of(span(LocalTime.of(18, 0), LocalDate.MIN, day), span(LocalTime.of(17, 0), day, LocalDate.MAX)),
+                Duration.ofMillis(50));
         assertThat(twice.objection()).contains("same days");
     }
 
     private static Close close(String zone, LocalTime at) {
-        return new Close("day", ZoneId.of(zone), at, EnumSet.allOf(DayOfWeek.class), Set.of(), LocalDate.MIN,
-                LocalDate.MAX);
+        return new Close(
+                "day", ZoneId.of(zone), at, EnumSet.allOf(DayOfWeek.class), Set.of(), LocalDate.MIN, LocalDate.MAX);
     }
 
     private static Close span(LocalTime at, LocalDate from, LocalDate to) {
--- a/src/test/java/beaconladder/closing/ClosedTest.java
+++ b/src/test/java/beaconladder/closing/ClosedTest.java
@@ -23,9 +23,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/**
- * The module under a close: a read that comes after it is never sent to a replica that is not known past it.
- */
+/** The module under a close: a read that comes after it is never sent to a replica that is not known past it. */
 class ClosedTest {
     private static final long MS = 1_000_000;
     private static final Instant CLOSE = Instant.parse("2026-12-02T18:00:00Z");
@@ -33,13 +31,32 @@
 
     @Test
     void aReadThatComesAfterACloseWaitsForAReplicaPastItAndOneBeforeItDoesNot() {
-        Close day = new Close("day", ZoneId.of("UTC"), LocalTime.of(18, 0), EnumSet.allOf(DayOfWeek.class),
-                Set.of(), LocalDate.MIN, LocalDate.MAX);
+        Close day = new Close(
+                "day",
+                ZoneId.of("UTC"),
+                LocalTime.of(18, 0),
+                EnumSet.allOf(DayOfWeek.class),
+                Set.of(),
+                LocalDate.MIN,
+                LocalDate.MAX);
         Calendar calendar = new Calendar(List.of(day), Duration.ofMillis(20));
-        Map<String, String> start = new LinkedHashMap<>(Map.of("request_classes.count", "1",
-                "request_classes.0.name", "any", "request_classes.0.effect", "pure",
-                "request_classes.0.goal_time_us", "500000", "request_classes.0.give_up_us", "2000000",
-                "family_info.freshness", "loose", "zones", "east", "limits.probes", "true"));
+        Map<String, String> start = new LinkedHashMap<>(Map.of(
+                "request_classes.count",
+                "1",
+                "request_classes.0.name",
+                "any",
+                "request_classes.0.effect",
+                "pure",
+                "request_classes.0.goal_time_us",
+                "500000",
+                "request_classes.0.give_up_us",
+                "2000000",
+                "family_info.freshness",
+                "loose",
+                "zones",
+                "east",
+                "limits.probes",
+                "true"));
         Router router = new Closed(new Logic(1, start), () -> calendar);
         Group group = new Group(0);
         Host primary = new Host(0, group, 0);
--- a/src/test/java/beaconladder/drill/DrillTest.java
+++ b/src/test/java/beaconladder/drill/DrillTest.java
@@ -33,15 +33,19 @@
 
     @Test
     void eachInstanceStartsProbesAndSendsAfterItsOwnProbe() throws Exception {
-        String request = "03fc ff07843b5d3a91c4 00 00000000 0000000000000000"
-                + "00000000 00000000 3f800000 00061a80 00";
+        String request =
+                "03fc ff07843b5d3a91c4 00 00000000 0000000000000000" + "00000000 00000000 3f800000 00061a80 00";
         String sampled = "042e 00000012 00000100 0000 00";
-        assertThat(drill(batch(9, "0456 00000000" + start() + "0456 00000003" + start() + LIST + request
-                + "0456 00000000 0424 0000000000000063") + batch(2, "0456 00000003" + sampled)))
+        assertThat(drill(batch(
+                                9,
+                                "0456 00000000" + start() + "0456 00000003" + start() + LIST + request
+                                        + "0456 00000000 0424 0000000000000063")
+                        + batch(2, "0456 00000003" + sampled)))
                 .isEqualTo(("0000001a 00000003"
-                        + "0460 00000003  041a 00000012  0410 0000000000000001 00009c40"
-                        + "00000018 00000002"
-                        + "0460 00000003  03e8 ff07843b5d3a91c4 00000012 000493e0").replace(" ", ""));
+                                + "0460 00000003  041a 00000012  0410 0000000000000001 00009c40"
+                                + "00000018 00000002"
+                                + "0460 00000003  03e8 ff07843b5d3a91c4 00000012 000493e0")
+                        .replace(" ", ""));
     }
 
     /** The settings name neither prices nor limits nor rules: their defaults serve all the same. */
@@ -50,12 +54,21 @@
         Instance instance = new Instance(0, new Reply());
         instance.start(7, SETTINGS + "load_report.fields=x0,x1,rif\n", 0);
         StringBuilder trace = new StringBuilder();
-        float[][] reports = {{2, 1, 3}, {2, 0}, {}, {Float.NaN, 1, 3}, {-1, -1, -3}, {1e9f, 0, 1e9f},
-            {2, Float.NaN, Float.POSITIVE_INFINITY}};
+        float[][] reports = {
+            {2, 1, 3},
+            {2, 0},
+            {},
+            {Float.NaN, 1, 3},
+            {-1, -1, -3},
+            {1e9f, 0, 1e9f},
+            {2, Float.NaN, Float.POSITIVE_INFINITY}
+        };
         for (float[] report : reports) {
             Word word = instance.word(report);
-            trace.append(word.role()).append(word.position() == Word.NONE ? " nowhere" : " placed")
-                    .append(word.holds() < 0 ? " silent" : " holds " + Math.round(word.holds())).append('\n');
+            trace.append(word.role())
+                    .append(word.position() == Word.NONE ? " nowhere" : " placed")
+                    .append(word.holds() < 0 ? " silent" : " holds " + Math.round(word.holds()))
+                    .append('\n');
         }
         assertThat(trace.toString()).isEqualTo("""
                 PRIMARY placed holds 3
@@ -76,17 +89,18 @@
                 .hasMessage("bad input at byte 20: the input ends inside a batch of 6 bytes");
         assertThatThrownBy(() -> drill(batch(2, "0456 00000003 0999")))
                 .hasMessage("bad input at byte 22: unknown record code 2457");
-        assertThatThrownBy(() -> drill(batch(1, "0456 0000"))).hasMessage(
-                "bad input at byte 18: a record that runs past the batch");
-        assertThatThrownBy(() -> drill(batch(1, "044c 00 00000009 00"))).hasMessage(
-                "bad input at byte 23: a count of 9 that runs past the batch");
-        assertThatThrownBy(() -> drill(batch(1, "0456 00000003 00"))).hasMessage(
-                "bad input at byte 22: 1 bytes after the last of 1 records");
+        assertThatThrownBy(() -> drill(batch(1, "0456 0000")))
+                .hasMessage("bad input at byte 18: a record that runs past the batch");
+        assertThatThrownBy(() -> drill(batch(1, "044c 00 00000009 00")))
+                .hasMessage("bad input at byte 23: a count of 9 that runs past the batch");
+        assertThatThrownBy(() -> drill(batch(1, "0456 00000003 00")))
+                .hasMessage("bad input at byte 22: 1 bytes after the last of 1 records");
     }
 
     private static String start() {
         byte[] text = SETTINGS.getBytes(StandardCharsets.UTF_8);
-        return "03e8 0000000000000007" + String.format("%08x", text.length) + HexFormat.of().formatHex(text);
+        return "03e8 0000000000000007" + String.format("%08x", text.length)
+                + HexFormat.of().formatHex(text);
     }
 
     private static String batch(int records, String body) {
--- a/src/test/java/beaconladder/feed/FeedDiskTest.java
+++ b/src/test/java/beaconladder/feed/FeedDiskTest.java
@@ -32,8 +32,13 @@
     @Test
     void aDiskWithAnotherStateThanItsDigestSaysIsNotBelieved(@TempDir Path folder) throws IOException {
         try (beaconladder.store.Records records = beaconladder.store.Records.open(folder)) {
-            records.append(FeedText.text(new Disk.Kept(new State(1, State.of(1, Map.of("a", "1")).entries(),
-                    State.none().digest()), 5)).getBytes(java.nio.charset.StandardCharsets.UTF_8));
+            records.append(FeedText.text(new Disk.Kept(
+                            new State(
+                                    1,
+                                    State.of(1, Map.of("a", "1")).entries(),
+                                    State.none().digest()),
+                            5))
+                    .getBytes(java.nio.charset.StandardCharsets.UTF_8));
         }
         assertThatThrownBy(() -> new Disk(folder)).hasMessageContaining(folder.toString());
     }
