--- a/src/test/java/beaconladder/feed/FeedStateTest.java
+++ b/src/test/java/beaconladder/feed/FeedStateTest.java
@@ -33,7 +33,9 @@
         assertThat(one.apply(late).next()).isEqualTo(one);
         assertThat(one.apply(late).written().outcome()).isEqualTo(Written.Outcome.OUT_OF_TURN);
         assertThat(one.apply(late).written().version()).isEqualTo(1);
-        assertThat(one.apply(new Proposal(5, Map.of("a", "2"), List.of())).written().outcome())
+        assertThat(one.apply(new Proposal(5, Map.of("a", "2"), List.of()))
+                        .written()
+                        .outcome())
                 .isEqualTo(Written.Outcome.OUT_OF_TURN);
         Proposal again = new Proposal(0, Map.of("a", "1"), List.of());
         assertThat(one.apply(again).next()).isEqualTo(one);
@@ -54,18 +56,26 @@
 
     @Test
     void whatIsNoProposalIsRefused() {
-        for (Proposal wrong : List.of(new Proposal(0, Map.of(), List.of()),
+        for (Proposal wrong : List.of(
+                new Proposal(0, Map.of(), List.of()),
                 new Proposal(-1, Map.of("a", "1"), List.of()),
                 new Proposal(0, Map.of("../a", "1"), List.of()),
-                new Proposal(0, Map.of("a", "1"), List.of("a")), new Proposal(0, Map.of(), List.of("a b")),
+                new Proposal(0, Map.of("a", "1"), List.of("a")),
+                new Proposal(0, Map.of(), List.of("a b")),
                 new Proposal(0, Map.of("a", "x".repeat(State.LARGEST)), List.of()))) {
             assertThatThrownBy(wrong::checked).as(wrong.toString()).isInstanceOf(IOException.class);
         }
-        for (String wrong : List.of("", "{}", "null", "[]", "{\"against\":0,\"set\":null,\"remove\":[]}",
+        for (String wrong : List.of(
+                "",
+                "{}",
+                "null",
+                "[]",
+                "{\"against\":0,\"set\":null,\"remove\":[]}",
                 "{\"against\":0,\"set\":{\"a\":\"1\",\"a\":\"2\"},\"remove\":[]}",
                 "{\"against\":0,\"set\":{},\"remove\":[]} {}",
                 "{\"against\":null,\"set\":{},\"remove\":[]}")) {
-            assertThatThrownBy(() -> FeedText.read(wrong, Proposal.class)).as(wrong)
+            assertThatThrownBy(() -> FeedText.read(wrong, Proposal.class))
+                    .as(wrong)
                     .isInstanceOf(IOException.class);
         }
     }
@@ -124,8 +134,9 @@
 
     @Test
     void whatDoesNotFitCountsForNothing() throws IOException {
-        History log = written(written(written(History.none(), Map.of("a", "a longer text than most")),
-                Map.of("b", "2")), Map.of("c", "3"));
+        History log = written(
+                written(written(History.none(), Map.of("a", "a longer text than most")), Map.of("b", "2")),
+                Map.of("c", "3"));
         Update two = log.since(1, false);
         assertThat(two.changes()).hasSize(2);
         State one = log.newest().version() == 3 ? State.of(1, Map.of("a", "a longer text than most")) : null;
@@ -136,13 +147,18 @@
                 new Update(3, two.digest(), 0, null, List.of(last)),
                 new Update(3, two.digest(), 0, null, List.of()),
                 new Update(3, two.digest(), 0, null, List.of(two.changes().get(0))),
-                new Update(3, two.digest(), 0, null, List.of(two.changes().get(0),
-                        new Change(3, Map.of("c", "4"), List.of(), last.digest()))),
+                new Update(
+                        3,
+                        two.digest(),
+                        0,
+                        null,
+                        List.of(two.changes().get(0), new Change(3, Map.of("c", "4"), List.of(), last.digest()))),
                 new Update(3, two.digest(), 0, new State(3, log.newest().entries(), "0"), List.of()),
                 new Update(3, "0", 0, log.newest(), List.of()),
                 new Update(4, two.digest(), 0, log.newest(), List.of()),
                 new Update(1, "0", 0, null, List.of()))) {
-            assertThatThrownBy(() -> Taking.WHOLE.take(one, wrong)).as(wrong.toString())
+            assertThatThrownBy(() -> Taking.WHOLE.take(one, wrong))
+                    .as(wrong.toString())
                     .isInstanceOf(IOException.class);
         }
         assertThatThrownBy(() -> Taking.WHOLE.take(State.of(1, Map.of("a", "other")), two))
@@ -160,7 +176,8 @@
 
     @Test
     void aRouterTurnsToItsOwnRelaysAndOneLessMovesOnlyItsOwn() {
-        List<String> eight = java.util.stream.IntStream.range(0, 8).mapToObj(i -> "r" + i).toList();
+        List<String> eight =
+                java.util.stream.IntStream.range(0, 8).mapToObj(i -> "r" + i).toList();
         List<String> seven = eight.subList(0, 7);
         int[] first = new int[8];
         for (int i = 0; i < 4_100; i++) {
--- a/src/test/java/beaconladder/feed/FeedSubscriberTest.java
+++ b/src/test/java/beaconladder/feed/FeedSubscriberTest.java
@@ -75,13 +75,14 @@
         await().atMost(LONG).until(() -> two.equals(keeps.last()));
         assertThat(subscriber.ageMillis()).isLessThan(10_000);
         Proposer proposer = new Proposer(List.of(log.at()), 2_000);
-        await().atMost(LONG).until(() -> proposer.status().counts().equals(
-                List.of(new Report.Count(2, 1, 0))));
+        await().atMost(LONG).until(() -> proposer.status().counts().equals(List.of(new Report.Count(2, 1, 0))));
         assertThat(proposer.status().relays()).hasSize(2);
         // The one before stays in force until a better one comes.
         log.set("bad", "1");
-        await().atMost(LONG).until(() -> proposer.status().counts().equals(
-                List.of(new Report.Count(3, 0, 1), new Report.Count(2, 1, 0))));
+        await().atMost(LONG)
+                .until(() -> proposer.status()
+                        .counts()
+                        .equals(List.of(new Report.Count(3, 0, 1), new Report.Count(2, 1, 0))));
         assertThat(subscriber.version()).isEqualTo(2);
         Written four = proposer.propose(new Proposal(3, Map.of(), List.of("bad")));
         await().atMost(LONG).until(() -> keeps.last().version() == four.version());
@@ -118,8 +119,8 @@
         relay.close();
         Thread.sleep(1_200);
         Keeps after = new Keeps();
-        Subscriber second = await().atMost(LONG).ignoreExceptions().until(() -> subscriber("n", 2, folder,
-                after), each -> true);
+        Subscriber second =
+                await().atMost(LONG).ignoreExceptions().until(() -> subscriber("n", 2, folder, after), each -> true);
         await().atMost(LONG).until(() -> one.equals(after.last()));
         assertThat(second.ageMillis()).isBetween(1_000L, 60_000L);
         assertThat(second.version()).isEqualTo(1);
@@ -136,8 +137,7 @@
         relays.clear();
         LogStandIn away = log();
         away.leads(false);
-        await().atMost(LONG).ignoreExceptions().until(() -> relay(first, away, folder.resolve("now")),
-                each -> true);
+        await().atMost(LONG).ignoreExceptions().until(() -> relay(first, away, folder.resolve("now")), each -> true);
         relay(first.equals("a") ? "b" : "a", log, null);
         State two = log.set("x", "2");
         Keeps keeps = new Keeps();
@@ -223,8 +223,7 @@
         Socket slow = open(new Socket());
         slow.setReceiveBufferSize(16 * 1024);
         slow.connect(relay.at());
-        byte[] poll = ("GET /v1/feed?since=0&wait=0&name=n&life=1&force=0&refused=0 HTTP/1.1\r\n"
-                + "Host: a\r\n\r\n")
+        byte[] poll = ("GET /v1/feed?since=0&wait=0&name=n&life=1&force=0&refused=0 HTTP/1.1\r\n" + "Host: a\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
         for (int i = 0; i < 100; i++) {
             slow.getOutputStream().write(poll);
@@ -237,9 +236,13 @@
     @Test
     void whatIsNoPollIsAnsweredSoAndTheConnectionEnds() throws Exception {
         Relay relay = open(new Relay("a", ANY, List.of(log().at()), null, 10));
-        for (String wrong : List.of("/v1/feed", "/v1/feed?since=1", "/v1/feed?since=-1&wait=0&name=n&life=1"
-                + "&force=0&refused=0", "/v1/feed?since=0&wait=99999999&name=n&life=1&force=0&refused=0",
-                "/v1/feed?since=0&wait=0&name=a%2Fb&life=1&force=0&refused=0", "/v1/feed?since=0&since=0",
+        for (String wrong : List.of(
+                "/v1/feed",
+                "/v1/feed?since=1",
+                "/v1/feed?since=-1&wait=0&name=n&life=1" + "&force=0&refused=0",
+                "/v1/feed?since=0&wait=99999999&name=n&life=1&force=0&refused=0",
+                "/v1/feed?since=0&wait=0&name=a%2Fb&life=1&force=0&refused=0",
+                "/v1/feed?since=0&since=0",
                 "/v1/other")) {
             beaconladder.roster.HttpGet http = new beaconladder.roster.HttpGet(relay.at(), true);
             assertThat(http.get(wrong, 2_000)).as(wrong).contains("error");
--- a/src/test/java/beaconladder/feed/FeedTallyTest.java
+++ b/src/test/java/beaconladder/feed/FeedTallyTest.java
@@ -17,13 +17,13 @@
         tally.heard(new Ack("a", 7, 3, 0, true), 0);
         tally.heard(new Ack("a", 7, 4, 0, true), SECOND);
         tally.heard(new Ack("b", 1, 4, 5, true), SECOND);
-        assertThat(tally.report(5, 0, SECOND).counts()).containsExactly(new Report.Count(5, 0, 1),
-                new Report.Count(4, 2, 0));
+        assertThat(tally.report(5, 0, SECOND).counts())
+                .containsExactly(new Report.Count(5, 0, 1), new Report.Count(4, 2, 0));
         tally.heard(new Ack("a", 8, 5, 0, true), SECOND);
         // A word of the life before comes late.
         tally.heard(new Ack("a", 7, 4, 0, true), SECOND);
-        assertThat(tally.report(5, 0, SECOND).counts()).containsExactly(new Report.Count(5, 1, 1),
-                new Report.Count(4, 1, 0));
+        assertThat(tally.report(5, 0, SECOND).counts())
+                .containsExactly(new Report.Count(5, 1, 1), new Report.Count(4, 1, 0));
         tally.heard(new Ack("c", 1, 5, 0, false), SECOND);
         assertThat(tally.report(5, 0, SECOND).counts().get(0).applied()).isEqualTo(1);
     }
@@ -74,8 +74,7 @@
     @Test
     void theLeaderAddsUpAndForgetsRelaysThatAreSilent() {
         Reports leader = new Reports();
-        leader.heard("a", new Report(5, 0, List.of(new Report.Count(5, 10, 1),
-                new Report.Count(4, 3, 0)), 2, 1), 0);
+        leader.heard("a", new Report(5, 0, List.of(new Report.Count(5, 10, 1), new Report.Count(4, 3, 0)), 2, 1), 0);
         leader.heard("b", new Report(5, 0, List.of(new Report.Count(5, 20, 0)), 0, 0), SECOND);
         Reports.Sum sum = leader.sum(State.of(5, Map.of("a", "b")), SECOND);
         assertThat(sum.counts()).containsExactly(new Report.Count(5, 30, 1), new Report.Count(4, 3, 0));
@@ -89,6 +88,8 @@
     }
 
     private static int counted(Reports leader, long now) {
-        return leader.sum(State.none(), now).counts().stream().mapToInt(Report.Count::applied).sum();
+        return leader.sum(State.none(), now).counts().stream()
+                .mapToInt(Report.Count::applied)
+                .sum();
     }
 }
--- a/src/test/java/beaconladder/feed/LogStandIn.java
+++ b/src/test/java/beaconladder/feed/LogStandIn.java
@@ -34,8 +34,8 @@
 
     /** Sets a document. */
     public State set(String name, String text) {
-        History.Applied applied = board.now().apply(new Proposal(board.now().newest().version(),
-                Map.of(name, text), List.of()));
+        History.Applied applied =
+                board.now().apply(new Proposal(board.now().newest().version(), Map.of(name, text), List.of()));
         board.show(applied.next());
         return applied.next().newest();
     }
--- a/src/test/java/beaconladder/feed/Mutants.java
+++ b/src/test/java/beaconladder/feed/Mutants.java
@@ -7,8 +7,7 @@
 
 /** Subscribers that are wrong in one way each, for the judge to find. */
 public final class Mutants {
-    private Mutants() {
-    }
+    private Mutants() {}
 
     /** As it should be. */
     public static Subscriber right(String name, Map<String, InetSocketAddress> relays, Applier applier)
--- a/src/test/java/beaconladder/feed/Orders.java
+++ b/src/test/java/beaconladder/feed/Orders.java
@@ -4,8 +4,7 @@
 
 /** For tests of other packages. */
 public final class Orders {
-    private Orders() {
-    }
+    private Orders() {}
 
     /** The relay that a router polls first. */
     public static String first(String router, List<String> relays) {
--- a/src/test/java/beaconladder/feed/StoredFeedTest.java
+++ b/src/test/java/beaconladder/feed/StoredFeedTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Folders that a router and a relay wrote at commit 88160da are opened by the present program, which goes on
- * from them. The files under {@code stored/} are never written anew to get a pass: a program that does not
- * read them does not read what installations have on their disks either. {@link #main} wrote them.
+ * Folders that a router and a relay wrote at commit 88160da are opened by the present program, which goes on from them.
+ * The files under {@code stored/} are never written anew to get a pass: a program that does not read them does not read
+ * what installations have on their disks either. {@link #main} wrote them.
  */
 @Timeout(60)
 class StoredFeedTest {
@@ -81,8 +81,7 @@
 
     @Test
     void theStoredRecordsAreTheseTexts() throws IOException {
-        assertThat(record(copy("feed-router")))
-                .isEqualTo("{\"state\":" + STATE + ",\"heard\":1796225597712}");
+        assertThat(record(copy("feed-router"))).isEqualTo("{\"state\":" + STATE + ",\"heard\":1796225597712}");
         assertThat(record(copy("feed-relay"))).isEqualTo("{\"state\":" + STATE + ",\"heard\":1796225597707}");
     }
 
@@ -92,8 +91,9 @@
         try (Disk disk = new Disk(folder)) {
             State state = disk.kept().state();
             assertThat(state.version()).isEqualTo(3);
-            assertThat(state.entries()).containsExactly(Map.entry("plan.us", "pool=\"b\"\nname=\u00fc"),
-                    Map.entry("settings", "limit=20"));
+            assertThat(state.entries())
+                    .containsExactly(
+                            Map.entry("plan.us", "pool=\"b\"\nname=\u00fc"), Map.entry("settings", "limit=20"));
             assertThat(state.digest()).isEqualTo(DIGEST).isEqualTo(state.reckoned());
             assertThat(disk.kept().heard()).isEqualTo(1796225597712L);
             disk.keep(state.after(new Proposal(3, Map.of("plan.us", "pool=c"), List.of())), 99);
@@ -119,7 +119,8 @@
     void aRouterGoesOnFromTheStoredStateAndStoresTheNext() throws Exception {
         Path folder = copy("feed-router");
         Keeps keeps = new Keeps();
-        try (LogStandIn log = log(); Relay relay = new Relay("a", ANY, List.of(log.at()), null, 10);
+        try (LogStandIn log = log();
+                Relay relay = new Relay("a", ANY, List.of(log.at()), null, 10);
                 Subscriber router = new Subscriber("n", 2, Map.of("a", relay.at()), folder, keeps)) {
             assertThat(FeedText.text(router.kept())).isEqualTo(STATE);
             run(router);
@@ -128,8 +129,9 @@
             await().atMost(LONG).until(() -> router.version() == 4);
         }
         assertThat(FeedText.text(keeps.last())).isEqualTo(NEXT_STATE);
-        await().atMost(LONG).ignoreExceptions().untilAsserted(() -> assertThat(record(folder))
-                .startsWith("{\"state\":" + NEXT_STATE + ",\"heard\":"));
+        await().atMost(LONG)
+                .ignoreExceptions()
+                .untilAsserted(() -> assertThat(record(folder)).startsWith("{\"state\":" + NEXT_STATE + ",\"heard\":"));
     }
 
     @Test
@@ -139,29 +141,30 @@
         try (LogStandIn log = log()) {
             log.leads(false);
             try (Relay relay = new Relay("a", ANY, List.of(log.at()), folder, 10)) {
-                assertThat(get(relay.at(), poll)).isEqualTo("{\"version\":3,\"digest\":\"" + DIGEST
-                        + "\",\"lagMillis\":1000000000000,\"base\":" + STATE + ",\"changes\":[]}");
+                assertThat(get(relay.at(), poll))
+                        .isEqualTo("{\"version\":3,\"digest\":\"" + DIGEST + "\",\"lagMillis\":1000000000000,\"base\":"
+                                + STATE + ",\"changes\":[]}");
                 log.leads(true);
                 log.set("plan.us", "pool=c");
-                await().atMost(LONG).untilAsserted(() -> assertThat(get(relay.at(), poll))
-                        .contains("\"base\":" + NEXT_STATE));
+                await().atMost(LONG)
+                        .untilAsserted(() -> assertThat(get(relay.at(), poll)).contains("\"base\":" + NEXT_STATE));
             }
         }
-        await().atMost(LONG).ignoreExceptions().untilAsserted(() -> assertThat(record(folder))
-                .startsWith("{\"state\":" + NEXT_STATE + ",\"heard\":"));
+        await().atMost(LONG)
+                .ignoreExceptions()
+                .untilAsserted(() -> assertThat(record(folder)).startsWith("{\"state\":" + NEXT_STATE + ",\"heard\":"));
     }
 
     /**
-     * Wrote the fixtures: a log, a relay and a router with folders of their own go through three versions.
-     * Not a test; run by hand with the folder that {@code feed-router} and {@code feed-relay} are to be made
-     * in.
+     * Wrote the fixtures: a log, a relay and a router with folders of their own go through three versions. Not a test;
+     * run by hand with the folder that {@code feed-router} and {@code feed-relay} are to be made in.
      */
     public static void main(String[] args) throws Exception {
         Path into = Path.of(args[0]);
         try (LogStandIn log = new LogStandIn();
                 Relay relay = new Relay("a", ANY, List.of(log.at()), into.resolve("feed-relay"), 10);
-                Subscriber router = new Subscriber("n", 1, Map.of("a", relay.at()),
-                        into.resolve("feed-router"), new Keeps())) {
+                Subscriber router =
+                        new Subscriber("n", 1, Map.of("a", relay.at()), into.resolve("feed-router"), new Keeps())) {
             run(router);
             for (Proposal each : WRITTEN) {
                 log.write(each);
@@ -169,7 +172,9 @@
             }
         }
         for (String name : List.of("feed-router", "feed-relay")) {
-            await().atMost(LONG).ignoreExceptions().until(() -> !record(into.resolve(name)).isEmpty());
+            await().atMost(LONG)
+                    .ignoreExceptions()
+                    .until(() -> !record(into.resolve(name)).isEmpty());
         }
     }
 }
--- a/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
+++ b/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
@@ -34,6 +34,7 @@
 
     @TempDir
     Path folder;
+
     private LogStandIn log;
     private Relay relay;
     private FaultPlan plan;
@@ -60,8 +61,8 @@
                 System.out.println("in force " + next.version());
             }
         };
-        try (Subscriber subscriber = new Subscriber("n", System.nanoTime(),
-                Map.of("a", Watch.address(args[0])), Path.of(args[1]), applier)) {
+        try (Subscriber subscriber = new Subscriber(
+                "n", System.nanoTime(), Map.of("a", Watch.address(args[0])), Path.of(args[1]), applier)) {
             System.out.println("kept " + subscriber.kept().version());
             subscriber.run();
         }
@@ -94,19 +95,25 @@
     private void start() throws IOException, InterruptedException {
         out = Files.createTempFile(folder, "out", ".txt");
         Path store = folder.resolve("store");
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), "-cp", System.getProperty("java.class.path"),
-                SubscriberDiskFaultTest.class.getName(),
-                "127.0.0.1:" + relay.at().getPort(), store.toString())
-                .redirectErrorStream(true).redirectOutput(out.toFile());
-        builder.environment().put("LD_PRELOAD", FaultShim.build(folder).library().toString());
+        ProcessBuilder builder = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        SubscriberDiskFaultTest.class.getName(),
+                        "127.0.0.1:" + relay.at().getPort(),
+                        store.toString())
+                .redirectErrorStream(true)
+                .redirectOutput(out.toFile());
+        builder.environment()
+                .put("LD_PRELOAD", FaultShim.build(folder).library().toString());
         builder.environment().put("FAULT_SHIM_PLAN", plan.file().toString());
         builder.environment().put("FAULT_SHIM_FOLDER", store.toString());
         process = builder.start();
     }
 
     private void awaitSaid(String line) {
-        await().atMost(LONG).untilAsserted(() -> assertThat(Files.readString(out).lines()).contains(line));
+        await().atMost(LONG)
+                .untilAsserted(() -> assertThat(Files.readString(out).lines()).contains(line));
     }
 
     /** A disk that is full for a while says nothing of the version. */
@@ -119,8 +126,7 @@
             plan.set(Field.FILE_ERRNO, fault);
             log.set("x", String.valueOf(++version));
             Thread.sleep(FAULT_MILLIS);
-            assertThat(Files.readString(out)).as("in force before it was kept")
-                    .doesNotContain("in force " + version);
+            assertThat(Files.readString(out)).as("in force before it was kept").doesNotContain("in force " + version);
             plan.clear();
             awaitSaid("in force " + version);
         }
--- a/src/test/java/beaconladder/fleet/AgendaTest.java
+++ b/src/test/java/beaconladder/fleet/AgendaTest.java
@@ -12,7 +12,8 @@
 
 class AgendaTest {
     private final Agenda agenda = new Agenda();
-    private final TxnType type = TxnType.read(Map.of("request_classes.count", "1")).get(0);
+    private final TxnType type =
+            TxnType.read(Map.of("request_classes.count", "1")).get(0);
     private long taken;
 
     private Txn txn(Group group) {
@@ -83,11 +84,14 @@
                     group.changed = true;
                     marked.add(group);
                 }
-                assertThat(agenda.holding()).containsExactlyElementsOf(
-                        listed.stream().filter(g -> !g.held.isEmpty()).toList());
+                assertThat(agenda.holding())
+                        .containsExactlyElementsOf(
+                                listed.stream().filter(g -> !g.held.isEmpty()).toList());
                 List<Group> changed = agenda.changed();
-                assertThat(changed).containsExactlyElementsOf(
-                        listed.stream().filter(g -> marked.contains(g) && !g.held.isEmpty()).toList());
+                assertThat(changed)
+                        .containsExactlyElementsOf(listed.stream()
+                                .filter(g -> marked.contains(g) && !g.held.isEmpty())
+                                .toList());
                 named += changed.size();
                 marked.clear();
             }
--- a/src/test/java/beaconladder/gossip/GossipTextTest.java
+++ b/src/test/java/beaconladder/gossip/GossipTextTest.java
@@ -20,26 +20,37 @@
     void whatIsWrittenIsReadAsTheSameAndFitsADatagram() throws IOException {
         byte[] bytes = GossipText.bytes(GOOD);
         assertThat(GossipText.read(bytes, bytes.length)).isEqualTo(GOOD);
-        Member longest = new Member("n".repeat(64), "h".repeat(60) + ":65535", Long.MAX_VALUE,
-                Member.State.SUSPECT);
-        assertThat(GossipText.bytes(new Message(Message.Kind.PROBE_FOR, longest, Long.MAX_VALUE,
-                "n".repeat(64),
-                Collections.nCopies(10, longest)))).hasSizeLessThan(8 * 1024);
+        Member longest = new Member("n".repeat(64), "h".repeat(60) + ":65535", Long.MAX_VALUE, Member.State.SUSPECT);
+        assertThat(GossipText.bytes(new Message(
+                        Message.Kind.PROBE_FOR,
+                        longest,
+                        Long.MAX_VALUE,
+                        "n".repeat(64),
+                        Collections.nCopies(10, longest))))
+                .hasSizeLessThan(8 * 1024);
     }
 
     @Test
     void whatIsNotWholeIsPassedOver() {
         String good = new String(GossipText.bytes(GOOD), StandardCharsets.UTF_8);
-        for (String wrong : List.of("", "{}", "null", "[]", "x", good.substring(1), good.replace("\"b\"",
-                "\"../b\""),
-                good.replace("10.0.0.4:7301", "10.0.0.4"), good.replace("ALIVE", "WELL"),
-                good.replace("\"incarnation\":5", "\"incarnation\":-5"), good.replace("\"number\":7",
-                        "\"number\":null"),
-                good.replaceAll("\"news\":.*]", "\"news\":[null]"), good.replaceAll("\"news\":.*]",
-                        "\"news\":null"))) {
+        for (String wrong : List.of(
+                "",
+                "{}",
+                "null",
+                "[]",
+                "x",
+                good.substring(1),
+                good.replace("\"b\"", "\"../b\""),
+                good.replace("10.0.0.4:7301", "10.0.0.4"),
+                good.replace("ALIVE", "WELL"),
+                good.replace("\"incarnation\":5", "\"incarnation\":-5"),
+                good.replace("\"number\":7", "\"number\":null"),
+                good.replaceAll("\"news\":.*]", "\"news\":[null]"),
+                good.replaceAll("\"news\":.*]", "\"news\":null"))) {
             byte[] bytes = wrong.getBytes(StandardCharsets.UTF_8);
-            assertThatThrownBy(() -> GossipText.read(bytes,
-                    bytes.length)).as(wrong).isInstanceOf(IOException.class);
+            assertThatThrownBy(() -> GossipText.read(bytes, bytes.length))
+                    .as(wrong)
+                    .isInstanceOf(IOException.class);
         }
         Message crowd = new Message(Message.Kind.ANSWER, A, 1, "", Collections.nCopies(17, B));
         byte[] bytes = GossipText.bytes(crowd);
--- a/src/test/java/beaconladder/gossip/GossipWireTest.java
+++ b/src/test/java/beaconladder/gossip/GossipWireTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The datagrams of members as literal JSON, in both directions: members of two releases have to understand
- * each other, so the names on the wire must outlive the names in the code.
+ * The datagrams of members as literal JSON, in both directions: members of two releases have to understand each other,
+ * so the names on the wire must outlive the names in the code.
  */
 class GossipWireTest {
     private static final Member FROM = new Member("r1", "10.0.0.4:7301", 1767225600123L, Member.State.ALIVE);
@@ -26,18 +26,36 @@
         WIRE.put(new Message(Message.Kind.PROBE, FROM, 7, "", List.of()), """
                 {"kind":"PROBE","from":{"name":"r1","address":"10.0.0.4:7301",\
                 "incarnation":1767225600123,"state":"ALIVE"},"number":7,"target":"","news":[]}""");
-        WIRE.put(new Message(Message.Kind.ANSWER, FROM, 8, "",
-                List.of(new Member("r2", "g1:7302", 0, Member.State.SUSPECT))), """
+        WIRE.put(
+                new Message(
+                        Message.Kind.ANSWER,
+                        FROM,
+                        8,
+                        "",
+                        List.of(new Member("r2", "g1:7302", 0, Member.State.SUSPECT))),
+                """
                 {"kind":"ANSWER","from":{"name":"r1","address":"10.0.0.4:7301",\
                 "incarnation":1767225600123,"state":"ALIVE"},"number":8,"target":"","news":[\
                 {"name":"r2","address":"g1:7302","incarnation":0,"state":"SUSPECT"}]}""");
-        WIRE.put(new Message(Message.Kind.PROBE_FOR, FROM, 9, "r2",
-                List.of(new Member("r3", "g2:7303", 3, Member.State.DEAD))), """
+        WIRE.put(
+                new Message(
+                        Message.Kind.PROBE_FOR,
+                        FROM,
+                        9,
+                        "r2",
+                        List.of(new Member("r3", "g2:7303", 3, Member.State.DEAD))),
+                """
                 {"kind":"PROBE_FOR","from":{"name":"r1","address":"10.0.0.4:7301",\
                 "incarnation":1767225600123,"state":"ALIVE"},"number":9,"target":"r2","news":[\
                 {"name":"r3","address":"g2:7303","incarnation":3,"state":"DEAD"}]}""");
-        WIRE.put(new Message(Message.Kind.NO_ANSWER, FROM, 0, "",
-                List.of(new Member("r4", "g3:7304", 4, Member.State.LEFT))), """
+        WIRE.put(
+                new Message(
+                        Message.Kind.NO_ANSWER,
+                        FROM,
+                        0,
+                        "",
+                        List.of(new Member("r4", "g3:7304", 4, Member.State.LEFT))),
+                """
                 {"kind":"NO_ANSWER","from":{"name":"r1","address":"10.0.0.4:7301",\
                 "incarnation":1767225600123,"state":"ALIVE"},"number":0,"target":"","news":[\
                 {"name":"r4","address":"g3:7304","incarnation":4,"state":"LEFT"}]}""");
@@ -45,8 +63,8 @@
 
     @Test
     void eachKindOfMessageIsWrittenInItsLiteralForm() {
-        WIRE.forEach((message, text) ->
-                assertThat(new String(GossipText.bytes(message), StandardCharsets.UTF_8)).isEqualTo(text));
+        WIRE.forEach((message, text) -> assertThat(new String(GossipText.bytes(message), StandardCharsets.UTF_8))
+                .isEqualTo(text));
     }
 
     @Test
--- a/src/test/java/beaconladder/grant/GrantLogTest.java
+++ b/src/test/java/beaconladder/grant/GrantLogTest.java
@@ -20,7 +20,9 @@
     void aSnapshotHoldsLeasesAndTheFeed() throws IOException {
         GrantLog one = new GrantLog(() -> 0, 50);
         Grants grants = Grants.none().apply(TAKE, 1_000, 50).next();
-        History history = History.none().apply(new Proposal(0, Map.of("a.json", "{\n}"), List.of())).next();
+        History history = History.none()
+                .apply(new Proposal(0, Map.of("a.json", "{\n}"), List.of()))
+                .next();
         one.read(GrantText.text(grants));
         one.feed().show(history);
         GrantLog two = new GrantLog(() -> 0, 50);
@@ -42,10 +44,18 @@
     void oneThatIsNotWholeOrOfANewerProgramDoesNotCount() throws IOException {
         String grants = GrantText.text(Grants.none());
         GrantLog log = new GrantLog(() -> 0, 50);
-        log.feed().show(History.none().apply(new Proposal(0, Map.of("a", "1"), List.of())).next());
+        log.feed()
+                .show(History.none()
+                        .apply(new Proposal(0, Map.of("a", "1"), List.of()))
+                        .next());
         String whole = log.snapshot();
-        for (String wrong : List.of("", grants + "\nnotes {}\n", grants + "\nfeed {}\n", grants + "\nfeed \n",
-                whole.replace("\"a\":\"1\"", "\"a\":\"2\""), whole.substring(0, whole.length() - 4))) {
+        for (String wrong : List.of(
+                "",
+                grants + "\nnotes {}\n",
+                grants + "\nfeed {}\n",
+                grants + "\nfeed \n",
+                whole.replace("\"a\":\"1\"", "\"a\":\"2\""),
+                whole.substring(0, whole.length() - 4))) {
             assertThatThrownBy(() -> log.read(wrong)).as(wrong).isInstanceOf(IOException.class);
         }
         assertThat(log.snapshot()).isEqualTo(whole);
--- a/src/test/java/beaconladder/grant/GrantTextTest.java
+++ b/src/test/java/beaconladder/grant/GrantTextTest.java
@@ -24,15 +24,28 @@
 
     @Test
     void whatIsNotWholeDoesNotCount() {
-        for (String wrong : new String[] {"", "{}", "[]", "null", "x", TAKE.replace("TAKE", "GRAB"),
-            TAKE.replace("\"t\"", "\"../t\""), TAKE.replace("a#1", "a"), TAKE.replace("a#1", "a#x"),
-            TAKE.replace("600", "0"), TAKE.replace("600", "-1"), TAKE.replace("600", "null"),
-            TAKE.replace("600", "99999999999999999"), TAKE.replace(",\"heir\":\"\"", ""),
-            TAKE.replace("TAKE", "HAND_OVER")}) {
+        for (String wrong : new String[] {
+            "",
+            "{}",
+            "[]",
+            "null",
+            "x",
+            TAKE.replace("TAKE", "GRAB"),
+            TAKE.replace("\"t\"", "\"../t\""),
+            TAKE.replace("a#1", "a"),
+            TAKE.replace("a#1", "a#x"),
+            TAKE.replace("600", "0"),
+            TAKE.replace("600", "-1"),
+            TAKE.replace("600", "null"),
+            TAKE.replace("600", "99999999999999999"),
+            TAKE.replace(",\"heir\":\"\"", ""),
+            TAKE.replace("TAKE", "HAND_OVER")
+        }) {
             assertThatThrownBy(() -> GrantText.ask(wrong)).as(wrong).isInstanceOf(IOException.class);
         }
-        for (String wrong : new String[] {"", "{}", "null", "{\"clock\":1,\"leases\":null}",
-            "{\"clock\":1,\"leases\":{\"t\":null}}"}) {
+        for (String wrong :
+                new String[] {"", "{}", "null", "{\"clock\":1,\"leases\":null}", "{\"clock\":1,\"leases\":{\"t\":null}}"
+                }) {
             assertThatThrownBy(() -> GrantText.grants(wrong)).as(wrong).isInstanceOf(IOException.class);
         }
     }
--- a/src/test/java/beaconladder/grant/StoredLogTest.java
+++ b/src/test/java/beaconladder/grant/StoredLogTest.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A store that an earlier build wrote, under src/test/resources/stored/lease-server: the Raft folder of a
- * single lease server, with a snapshot and a log that goes on after it. It must open with the same content,
- * and take more. {@link #generate} has written it.
+ * A store that an earlier build wrote, under src/test/resources/stored/lease-server: the Raft folder of a single lease
+ * server, with a snapshot and a log that goes on after it. It must open with the same content, and take more.
+ * {@link #generate} has written it.
  */
 class StoredLogTest {
     private static final Path FIXTURE = Path.of("src/test/resources/stored/lease-server");
@@ -49,10 +49,12 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     /** When the store was written, in Unix nanoseconds, and a little later. */
     private static final long WRITTEN = 1_700_000_000_000_000_000L;
+
     private static final long LATER = WRITTEN + 1_000_000_000L;
 
     @TempDir
     private Path folder;
+
     private int door;
     private int raft;
 
@@ -62,27 +64,38 @@
     void aStoreOfAnEarlierBuildIsReadAndGoesOn(String without) throws Exception {
         copy(without);
         try (Grantor grantor = open(LATER)) {
+            assertThat(grantor).isNotNull();
             assertThat(get("/v1/leader")).isEqualTo("{\"leader\":\"one\"}");
             assertThat(JSON.readTree(get("/v1/leases"))).isEqualTo(JSON.readTree(LEASES));
             assertThat(get("/v1/feed?since=0&wait=0")).isEqualTo(FEED);
 
-            assertThat(ask("TAKE", "index", "c#2", 2, 1, "")).as("a renewal").isEqualTo(
-                    "{\"task\":\"index\",\"number\":2,\"why\":\"GRANTED\",\"grant\":{\"task\":\"index\","
-                    + "\"holder\":\"c#2\",\"token\":1,\"expiry\":1700000011000000000},"
-                    + "\"holder\":\"\",\"free\":0}");
-            assertThat(ask("TAKE", "mover", "a#1", 3, 1, "")).as("kept for its heir").isEqualTo(
-                    refused("mover", 3, "HANDED_OVER", "a#1", 0));
-            assertThat(ask("TAKE", "archive", "a#1", 1, 0, "")).as("held by another").isEqualTo(
-                    refused("archive", 1, "HELD", "b#7", 9_050_000_000L));
-            assertThat(ask("TAKE", "archive", "b#7", 1, 2, "")).as("older than its release").isEqualTo(
-                    refused("archive", 1, "OVERTAKEN", "b#7", 0));
-            assertThat(ask("RELEASE", "archive", "b#7", 4, 2, "")).as("a release").isEqualTo(
-                    refused("archive", 4, "DONE", "", 0));
-            assertThat(ask("TAKE", "archive", "a#1", 2, 0, "")).as("a higher token").contains("\"token\":3,");
-            for (String again : List.of(propose(0, "\"plan.json\":\"1\",\"old.json\":\"0\"", ""),
+            assertThat(ask("TAKE", "index", "c#2", 2, 1, ""))
+                    .as("a renewal")
+                    .isEqualTo("{\"task\":\"index\",\"number\":2,\"why\":\"GRANTED\",\"grant\":{\"task\":\"index\","
+                            + "\"holder\":\"c#2\",\"token\":1,\"expiry\":1700000011000000000},"
+                            + "\"holder\":\"\",\"free\":0}");
+            assertThat(ask("TAKE", "mover", "a#1", 3, 1, ""))
+                    .as("kept for its heir")
+                    .isEqualTo(refused("mover", 3, "HANDED_OVER", "a#1", 0));
+            assertThat(ask("TAKE", "archive", "a#1", 1, 0, ""))
+                    .as("held by another")
+                    .isEqualTo(refused("archive", 1, "HELD", "b#7", 9_050_000_000L));
+            assertThat(ask("TAKE", "archive", "b#7", 1, 2, ""))
+                    .as("older than its release")
+                    .isEqualTo(refused("archive", 1, "OVERTAKEN", "b#7", 0));
+            assertThat(ask("RELEASE", "archive", "b#7", 4, 2, ""))
+                    .as("a release")
+                    .isEqualTo(refused("archive", 4, "DONE", "", 0));
+            assertThat(ask("TAKE", "archive", "a#1", 2, 0, ""))
+                    .as("a higher token")
+                    .contains("\"token\":3,");
+            for (String again : List.of(
+                    propose(0, "\"plan.json\":\"1\",\"old.json\":\"0\"", ""),
                     propose(1, "\"plan.json\":\"2\"", "\"old.json\""))) {
-                assertThat(again).as("a change that is known").isEqualTo("{\"outcome\":\"WRITTEN\","
-                        + "\"version\":2,\"digest\":\"e03bbc4c6bfacf9ed01ad920487dad58\"}");
+                assertThat(again)
+                        .as("a change that is known")
+                        .isEqualTo("{\"outcome\":\"WRITTEN\","
+                                + "\"version\":2,\"digest\":\"e03bbc4c6bfacf9ed01ad920487dad58\"}");
             }
             assertThat(propose(1, "\"plan.json\":\"3\"", "")).contains("\"OUT_OF_TURN\",\"version\":2,");
             assertThat(propose(2, "\"plan.json\":\"3\"", "")).contains("\"WRITTEN\",\"version\":3,");
@@ -98,15 +111,22 @@
     void generate(Path into) throws Exception {
         folder = into;
         try (Grantor grantor = open(WRITTEN)) {
+            assertThat(grantor).isNotNull();
             ask("TAKE", "mover", "a#1", 1, 0, "");
             ask("TAKE", "archive", "b#7", 1, 0, "");
             ask("RELEASE", "archive", "b#7", 2, 1, "");
             propose(0, "\"plan.json\":\"1\",\"old.json\":\"0\"", "");
-            try (RaftClient client = RaftClient.newBuilder().setProperties(new RaftProperties())
-                    .setRaftGroup(RaftGroup.valueOf(RaftGroupId.valueOf(UUID.fromString(GROUP)),
-                            RaftPeer.newBuilder().setId("one").setAddress("127.0.0.1:" + raft).build()))
+            try (RaftClient client = RaftClient.newBuilder()
+                    .setProperties(new RaftProperties())
+                    .setRaftGroup(RaftGroup.valueOf(
+                            RaftGroupId.valueOf(UUID.fromString(GROUP)),
+                            RaftPeer.newBuilder()
+                                    .setId("one")
+                                    .setAddress("127.0.0.1:" + raft)
+                                    .build()))
                     .build()) {
-                assertThat(client.getSnapshotManagementApi().create(1, 10_000).isSuccess()).isTrue();
+                assertThat(client.getSnapshotManagementApi().create(1, 10_000).isSuccess())
+                        .isTrue();
             }
             ask("TAKE", "mover", "a#1", 2, 1, "");
             ask("HAND_OVER", "mover", "", 0, 0, "c");
@@ -121,7 +141,8 @@
         Files.createDirectories(folder.resolve(GROUP).resolve("sm"));
         try (Stream<Path> all = Files.walk(FIXTURE)) {
             for (Path each : all.filter(Files::isRegularFile)
-                    .filter(file -> !file.getFileName().toString().matches(without)).toList()) {
+                    .filter(file -> !file.getFileName().toString().matches(without))
+                    .toList()) {
                 Path to = folder.resolve(FIXTURE.relativize(each).toString());
                 Files.createDirectories(to.getParent());
                 Files.copy(each, to);
@@ -133,9 +154,16 @@
     private Grantor open(long now) throws Exception {
         door = port();
         raft = port();
-        Plan.Leases plan = new Plan.Leases(10_000_000_000L, 50_000_000L, 8 << 20, List.of(new Plan.Grantor(
-                "one", "127.0.0.1:" + raft, new InetSocketAddress("127.0.0.1", door), folder.toString(),
-                null)));
+        Plan.Leases plan = new Plan.Leases(
+                10_000_000_000L,
+                50_000_000L,
+                8 << 20,
+                List.of(new Plan.Grantor(
+                        "one",
+                        "127.0.0.1:" + raft,
+                        new InetSocketAddress("127.0.0.1", door),
+                        folder.toString(),
+                        null)));
         Grantor grantor = new Grantor(plan, "one", () -> now);
         long end = System.nanoTime() + 30_000_000_000L;
         while (get("/v1/feed?since=0&wait=0").contains("error") && System.nanoTime() < end) {
@@ -150,18 +178,22 @@
         }
     }
 
-    private String ask(String kind, String task, String holder, long number, long token, String heir)
-            throws Exception {
-        return get("/v1/lease?ask=" + URLEncoder.encode("{\"kind\":\"" + kind + "\",\"task\":\"" + task
-                + "\",\"holder\":\"" + holder + "\",\"number\":" + number + ",\"token\":" + token
-                + ",\"length\":" + (kind.equals("RELEASE") ? 0 : 10_000_000_000L) + ",\"heir\":\"" + heir
-                + "\"}", StandardCharsets.UTF_8));
+    private String ask(String kind, String task, String holder, long number, long token, String heir) throws Exception {
+        return get("/v1/lease?ask="
+                + URLEncoder.encode(
+                        "{\"kind\":\"" + kind + "\",\"task\":\"" + task
+                                + "\",\"holder\":\"" + holder + "\",\"number\":" + number + ",\"token\":" + token
+                                + ",\"length\":" + (kind.equals("RELEASE") ? 0 : 10_000_000_000L) + ",\"heir\":\""
+                                + heir
+                                + "\"}",
+                        StandardCharsets.UTF_8));
     }
 
     private String propose(long against, String set, String remove) throws Exception {
-        return send(HttpRequest.newBuilder(uri("/v1/feed/propose")).POST(HttpRequest.BodyPublishers.ofString(
-                "{\"against\":" + against + ",\"set\":{" + set
-                        + "},\"remove\":[" + remove + "]}")).build());
+        return send(HttpRequest.newBuilder(uri("/v1/feed/propose"))
+                .POST(HttpRequest.BodyPublishers.ofString(
+                        "{\"against\":" + against + ",\"set\":{" + set + "},\"remove\":[" + remove + "]}"))
+                .build());
     }
 
     private String get(String path) throws Exception {
@@ -173,6 +205,8 @@
     }
 
     private static String send(HttpRequest request) throws Exception {
-        return HttpClient.newHttpClient().send(request, HttpResponse.BodyHandlers.ofString()).body();
+        return HttpClient.newHttpClient()
+                .send(request, HttpResponse.BodyHandlers.ofString())
+                .body();
     }
 }
--- a/src/test/java/beaconladder/grant/StoredTextTest.java
+++ b/src/test/java/beaconladder/grant/StoredTextTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The exact JSON that the lease servers send to each other and to their clients, and that their log and their
- * snapshots hold. A component or a constant that gets another name in Java must keep its name here.
+ * The exact JSON that the lease servers send to each other and to their clients, and that their log and their snapshots
+ * hold. A component or a constant that gets another name in Java must keep its name here.
  */
 class StoredTextTest {
     private static final String TAKE = "{\"kind\":\"TAKE\",\"task\":\"t\",\"holder\":\"a#1\",\"number\":2,"
@@ -106,10 +106,11 @@
         String digest = "8cc2910c8901c330e1e3a707274de015";
         assertThat(applied(1, "feed " + PROPOSAL))
                 .isEqualTo("{\"outcome\":\"WRITTEN\",\"version\":1,\"digest\":\"" + digest + "\"}");
-        assertThat(log.snapshot()).isEqualTo("{\"clock\":-9223372036854775808,\"leases\":{}}\n"
-                + "feed {\"newest\":{\"version\":1,\"entries\":{\"a.json\":\"{}\"},\"digest\":\"" + digest
-                + "\"},\"changes\":[{\"version\":1,\"set\":{\"a.json\":\"{}\"},\"remove\":[\"b\"],"
-                + "\"digest\":\"" + digest + "\"}]}\n");
+        assertThat(log.snapshot())
+                .isEqualTo("{\"clock\":-9223372036854775808,\"leases\":{}}\n"
+                        + "feed {\"newest\":{\"version\":1,\"entries\":{\"a.json\":\"{}\"},\"digest\":\"" + digest
+                        + "\"},\"changes\":[{\"version\":1,\"set\":{\"a.json\":\"{}\"},\"remove\":[\"b\"],"
+                        + "\"digest\":\"" + digest + "\"}]}\n");
     }
 
     @ParameterizedTest
@@ -125,17 +126,34 @@
 
     /** What the leader puts into the log for a message. */
     private String logged(String message) throws IOException {
-        return log.startTransaction(RaftClientRequest.newBuilder().setClientId(ClientId.randomId())
-                .setServerId(RaftPeerId.valueOf("a")).setGroupId(RaftGroupId.randomId()).setCallId(1)
-                .setType(RaftClientRequest.writeRequestType()).setMessage(Message.valueOf(message)).build())
-                .getStateMachineLogEntry().getLogData().toStringUtf8();
+        return log.startTransaction(RaftClientRequest.newBuilder()
+                        .setClientId(ClientId.randomId())
+                        .setServerId(RaftPeerId.valueOf("a"))
+                        .setGroupId(RaftGroupId.randomId())
+                        .setCallId(1)
+                        .setType(RaftClientRequest.writeRequestType())
+                        .setMessage(Message.valueOf(message))
+                        .build())
+                .getStateMachineLogEntry()
+                .getLogData()
+                .toStringUtf8();
     }
 
     /** What a replica answers to an entry of the log. */
     private String applied(long index, String entry) {
-        LogEntryProto logged = LogEntryProto.newBuilder().setTerm(1).setIndex(index).setStateMachineLogEntry(
-                StateMachineLogEntryProto.newBuilder().setLogData(ByteString.copyFromUtf8(entry))).build();
-        return log.applyTransaction(TransactionContext.newBuilder().setStateMachine(log).setLogEntry(logged)
-                .setServerRole(RaftPeerRole.FOLLOWER).build()).join().getContent().toStringUtf8();
+        LogEntryProto logged = LogEntryProto.newBuilder()
+                .setTerm(1)
+                .setIndex(index)
+                .setStateMachineLogEntry(
+                        StateMachineLogEntryProto.newBuilder().setLogData(ByteString.copyFromUtf8(entry)))
+                .build();
+        return log.applyTransaction(TransactionContext.newBuilder()
+                        .setStateMachine(log)
+                        .setLogEntry(logged)
+                        .setServerRole(RaftPeerRole.FOLLOWER)
+                        .build())
+                .join()
+                .getContent()
+                .toStringUtf8();
     }
 }
--- a/src/test/java/beaconladder/grant/WallClockTest.java
+++ b/src/test/java/beaconladder/grant/WallClockTest.java
@@ -39,10 +39,15 @@
     void aSpanByItIsASpanOfRealTime() throws Exception {
         FaultPlan plan = new FaultPlan(folder.resolve("plan"));
         Path out = folder.resolve("out");
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), "-cp", System.getProperty("java.class.path"), WallClockTest.class.getName())
-                .redirectErrorStream(true).redirectOutput(out.toFile());
-        builder.environment().put("LD_PRELOAD", FaultShim.build(folder).library().toString());
+        ProcessBuilder builder = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        WallClockTest.class.getName())
+                .redirectErrorStream(true)
+                .redirectOutput(out.toFile());
+        builder.environment()
+                .put("LD_PRELOAD", FaultShim.build(folder).library().toString());
         builder.environment().put("FAULT_SHIM_PLAN", plan.file().toString());
         Process process = builder.start();
         try {
@@ -51,20 +56,26 @@
                 plan.stepWallClock(step);
                 looks += LOOKS;
                 int least = looks;
-                Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> shown(out).size() > least);
+                Awaitility.await()
+                        .atMost(Duration.ofSeconds(10))
+                        .until(() -> shown(out).size() > least);
             }
         } finally {
             process.destroyForcibly().onExit().join();
         }
         List<Long> shown = shown(out);
         for (int i = 1; i < shown.size(); i++) {
-            assertThat(shown.get(i) - shown.get(i - 1)).as("ns from look " + (i - 1) + " to the next")
+            assertThat(shown.get(i) - shown.get(i - 1))
+                    .as("ns from look " + (i - 1) + " to the next")
                     .isBetween(0L, LONGEST_REST);
         }
     }
 
     private static List<Long> shown(Path out) throws java.io.IOException {
         String text = Files.exists(out) ? Files.readString(out) : "";
-        return text.substring(0, text.lastIndexOf('\n') + 1).lines().map(Long::parseLong).toList();
+        return text.substring(0, text.lastIndexOf('\n') + 1)
+                .lines()
+                .map(Long::parseLong)
+                .toList();
     }
 }
--- a/src/test/java/beaconladder/invariants/InvariantsTest.java
+++ b/src/test/java/beaconladder/invariants/InvariantsTest.java
@@ -23,8 +23,13 @@
     private final Host host = new Host(1, group, 0);
 
     private Txn txn(String effect) {
-        Map<String, String> start = new HashMap<>(Map.of("request_classes.count", "1",
-                "request_classes.0.effect", effect, "request_classes.0.key_ttl_us", "300000"));
+        Map<String, String> start = new HashMap<>(Map.of(
+                "request_classes.count",
+                "1",
+                "request_classes.0.effect",
+                effect,
+                "request_classes.0.key_ttl_us",
+                "300000"));
         return new Txn(1, TxnType.read(start).get(0), group, 1, Long.MIN_VALUE, 0, false, 0, SECOND, 1);
     }
 
@@ -46,7 +51,8 @@
 
     @Test
     void aSendWithinTheRulesCountsNothing() {
-        assertThat(sent(Rule.SENDING, attempt(txn("side_effect"), 0), 10 * MS, 980 * MS)).isZero();
+        assertThat(sent(Rule.SENDING, attempt(txn("side_effect"), 0), 10 * MS, 980 * MS))
+                .isZero();
     }
 
     @Test
@@ -68,14 +74,18 @@
 
     @Test
     void moreTimePassedOnThanIsLeft() {
-        assertThat(sent(Rule.SENDING, attempt(txn("pure"), 0), 500 * MS, 649 * MS)).isZero();
-        assertThat(sent(Rule.SENDING, attempt(txn("pure"), 0), 500 * MS, 651 * MS)).isEqualTo(1);
+        assertThat(sent(Rule.SENDING, attempt(txn("pure"), 0), 500 * MS, 649 * MS))
+                .isZero();
+        assertThat(sent(Rule.SENDING, attempt(txn("pure"), 0), 500 * MS, 651 * MS))
+                .isEqualTo(1);
     }
 
     @Test
     void aHostInSlowStartWithoutATicket() {
-        assertThat(sent(Rule.STARTING, attempt(txn("pure"), 0, SlowStartTicket.SPENT), 0, MS)).isZero();
-        assertThat(sent(Rule.STARTING, attempt(txn("pure"), 0, SlowStartTicket.MISSING), 0, MS)).isEqualTo(1);
+        assertThat(sent(Rule.STARTING, attempt(txn("pure"), 0, SlowStartTicket.SPENT), 0, MS))
+                .isZero();
+        assertThat(sent(Rule.STARTING, attempt(txn("pure"), 0, SlowStartTicket.MISSING), 0, MS))
+                .isEqualTo(1);
     }
 
     @Test
@@ -92,8 +102,10 @@
     void aRepeatBehindTheMemoryTime() {
         Txn referenced = txn("token");
         attempt(referenced, 0);
-        assertThat(sent(Rule.REPEATING, attempt(referenced, 250 * MS), 299 * MS, MS)).isZero();
-        assertThat(sent(Rule.REPEATING, attempt(referenced, 250 * MS), 501 * MS, MS)).isEqualTo(1);
+        assertThat(sent(Rule.REPEATING, attempt(referenced, 250 * MS), 299 * MS, MS))
+                .isZero();
+        assertThat(sent(Rule.REPEATING, attempt(referenced, 250 * MS), 501 * MS, MS))
+                .isEqualTo(1);
     }
 
     @Test
--- a/src/test/java/beaconladder/keep/StoredMovesTest.java
+++ b/src/test/java/beaconladder/keep/StoredMovesTest.java
@@ -27,8 +27,8 @@
 
 /**
  * Records that an earlier build has written are read by this one, and it continues from them. The fixture
- * src/test/resources/stored/coordinator holds one finished move (t), one that is switched (u) and one that is
- * sealed (v). It is made by {@link #generate} and is not to be made anew when the code changes.
+ * src/test/resources/stored/coordinator holds one finished move (t), one that is switched (u) and one that is sealed
+ * (v). It is made by {@link #generate} and is not to be made anew when the code changes.
  */
 @Timeout(60)
 class StoredMovesTest {
@@ -54,13 +54,17 @@
     }
 
     static String get(int port, String path) throws IOException, InterruptedException {
-        return HttpClient.newHttpClient().send(HttpRequest.newBuilder(
-                URI.create("http://127.0.0.1:" + port + path)).build(), HttpResponse.BodyHandlers.ofString())
+        return HttpClient.newHttpClient()
+                .send(
+                        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
+                                .build(),
+                        HttpResponse.BodyHandlers.ofString())
                 .body();
     }
 
     private static Moves moves() {
-        return new Moves(new Territory(PlanReader.read("p", plan(Path.of("x"), 1)).plan()));
+        return new Moves(
+                new Territory(PlanReader.read("p", plan(Path.of("x"), 1)).plan()));
     }
 
     private static void write(Moves moves, Records records, Step step) throws IOException {
@@ -83,8 +87,8 @@
     }
 
     /**
-     * Writes the fixture into this folder, which must be empty. The steps are the ones that a keeper writes,
-     * at fixed times.
+     * Writes the fixture into this folder, which must be empty. The steps are the ones that a keeper writes, at fixed
+     * times.
      */
     static void generate(Path into) throws IOException {
         Path steps = Files.createTempDirectory("steps");
@@ -128,13 +132,15 @@
     }
 
     private static List<String> texts(Records records) {
-        return records.found().stream().map(record -> new String(record, StandardCharsets.UTF_8)).toList();
+        return records.found().stream()
+                .map(record -> new String(record, StandardCharsets.UTF_8))
+                .toList();
     }
 
     @Test
     void storedRecordsHaveTheirExactContent() throws IOException {
-        assertThat(String.join("\n", lines(fixture())) + "\n").isEqualTo(Files.readString(
-                Path.of("src/test/resources/stored/coordinator/records.txt")));
+        assertThat(String.join("\n", lines(fixture())) + "\n")
+                .isEqualTo(Files.readString(Path.of("src/test/resources/stored/coordinator/records.txt")));
     }
 
     @Test
@@ -161,11 +167,12 @@
                     {t=Seat[cell=b, writes=true, reads=true, moving=false, floors=[1767225600041000000]], \
                     u=Seat[cell=b, writes=true, reads=true, moving=false, floors=[1767225602041000000]], \
                     v=Seat[cell=a, writes=false, reads=false, moving=true, floors=[]]}""");
-            assertThat(moves.shown(now).stream().map(Moves.Shown::toString)).containsExactly(
-                    "Shown[tenant=v, from=a, to=b, state=sealed, since=1767225601032000000, "
-                            + "waitsFor=word from n0]",
-                    "Shown[tenant=u, from=a, to=b, state=switched, since=1767225602042000000, "
-                            + "waitsFor=word from n0]");
+            assertThat(moves.shown(now).stream().map(Moves.Shown::toString))
+                    .containsExactly(
+                            "Shown[tenant=v, from=a, to=b, state=sealed, since=1767225601032000000, "
+                                    + "waitsFor=word from n0]",
+                            "Shown[tenant=u, from=a, to=b, state=switched, since=1767225602042000000, "
+                                    + "waitsFor=word from n0]");
             write(moves, records, moves.joins("n0", "run2", now));
             seen(moves, records, "v", now);
             seen(moves, records, "v", now + 10 * MS);
@@ -190,6 +197,7 @@
         Files.writeString(file, plan(store, port));
         String cells;
         try (Keeper keeper = new Keeper(file, PlanReader.read(file).plan())) {
+            assertThat(keeper).isNotNull();
             do {
                 Thread.sleep(20);
                 cells = get(port, "/v1/cells");
--- a/src/test/java/beaconladder/keep/WireTest.java
+++ b/src/test/java/beaconladder/keep/WireTest.java
@@ -33,16 +33,27 @@
 
     @Test
     void aStepIsWrittenAndReadUnderTheseNames() throws IOException {
-        Step step = new Step(Kind.SWITCHED, "t", "a", "b", 5, List.of(1L, 2L), List.of(3L, 4L),
-                List.of("s", "r"), "me");
+        Step step =
+                new Step(Kind.SWITCHED, "t", "a", "b", 5, List.of(1L, 2L), List.of(3L, 4L), List.of("s", "r"), "me");
         assertThat(Wire.text(step)).isEqualTo(STEP);
         assertThat(read(STEP)).isEqualTo(step);
     }
 
     @Test
     void everyKindOfStepIsWrittenAndReadUnderItsName() throws IOException {
-        String[] names = {"SEATED", "PROPOSED", "COPYING", "FENCED", "SEALED", "SWITCHED", "DONE", "UNDONE",
-            "LEASE", "VERSION", "ROUTER"};
+        String[] names = {
+            "SEATED",
+            "PROPOSED",
+            "COPYING",
+            "FENCED",
+            "SEALED",
+            "SWITCHED",
+            "DONE",
+            "UNDONE",
+            "LEASE",
+            "VERSION",
+            "ROUTER"
+        };
         assertThat(Kind.values()).hasSameSizeAs(names);
         for (int i = 0; i < names.length; i++) {
             String text = STEP.replace("SWITCHED", names[i]);
@@ -73,8 +84,8 @@
 
     @Test
     void aRoutersWordOfItsWritesIsRead() {
-        assertThat(Wire.busy("t:2:7:8,u:0")).containsExactly(
-                new Busy("t", 2, List.of(7_000_000L, 8_000_000L)), new Busy("u", 0, List.of()));
+        assertThat(Wire.busy("t:2:7:8,u:0"))
+                .containsExactly(new Busy("t", 2, List.of(7_000_000L, 8_000_000L)), new Busy("u", 0, List.of()));
         assertThat(Wire.busy("")).isEmpty();
     }
 
@@ -85,12 +96,20 @@
         Files.writeString(file, StoredMovesTest.plan(folder.resolve("store"), port));
         StringBuilder said = new StringBuilder();
         try (Keeper keeper = new Keeper(file, PlanReader.read(file).plan())) {
-            for (String path : List.of("placement?router=n0&run=r1&version=0&wait=0&busy=t:1:5",
-                    "placement?router=n0&run=r1&version=3&wait=0&busy=", "placement?router=n0",
-                    "move?tenant=t&to=b", "move?tenant=t&to=b", "cells", "undo?tenant=t", "undo?tenant=t",
+            assertThat(keeper).isNotNull();
+            for (String path : List.of(
+                    "placement?router=n0&run=r1&version=0&wait=0&busy=t:1:5",
+                    "placement?router=n0&run=r1&version=3&wait=0&busy=",
+                    "placement?router=n0",
+                    "move?tenant=t&to=b",
+                    "move?tenant=t&to=b",
+                    "cells",
+                    "undo?tenant=t",
+                    "undo?tenant=t",
                     "cells")) {
                 said.append(StoredMovesTest.get(port, "/v1/" + path)
-                        .replaceAll("(_ms\":)\\d+", "$1NOW").replaceAll("(\"n0\":)\\d+", "$1AGO"))
+                                .replaceAll("(_ms\":)\\d+", "$1NOW")
+                                .replaceAll("(\"n0\":)\\d+", "$1AGO"))
                         .append('\n');
             }
         }
--- a/src/test/java/beaconladder/lab/CellsIT.java
+++ b/src/test/java/beaconladder/lab/CellsIT.java
@@ -24,9 +24,13 @@
     Path folder;
 
     @ParameterizedTest
-    @CsvSource({"1, KILL_KEEPER, true", "2, KILL_ROUTER, false", "3, STALL_ROUTER, false",
-            "4, TARGET_FAILS, true",
-        "5, SOURCE_FAILS, false"})
+    @CsvSource({
+        "1, KILL_KEEPER, true",
+        "2, KILL_ROUTER, false",
+        "3, STALL_ROUTER, false",
+        "4, TARGET_FAILS, true",
+        "5, SOURCE_FAILS, false"
+    })
     void aMoveThatIsInterruptedEndsAndEveryRuleHolds(long seed, Fault fault, boolean flood) throws Exception {
         StringWriter said = new StringWriter();
         Size size = new Size(3, 24, 2, 16, 40, 2);
@@ -45,17 +49,17 @@
         try (Installation all = new Installation(folder, 2, 1, 2, 1, 5, tenants);
                 Load.Line line = new Load.Line(all.port(0), 0)) {
             StringBuilder said = new StringBuilder();
-            String[][] asks = {{"t", "0"}, {"t", "1"}, {"t", "7"}, {"lost", "99"}, {"far", "0"},
-                    {"nobody", "0"},
-                {"other", "1"}};
+            String[][] asks = {
+                {"t", "0"}, {"t", "1"}, {"t", "7"}, {"lost", "99"}, {"far", "0"}, {"nobody", "0"}, {"other", "1"}
+            };
             Thread.sleep(300);
             for (String[] ask : asks) {
-                line.send(Load.query("q" + said.length(), "any", ask[0], "k", Integer.parseInt(ask[1]), 0, 0,
-                        900));
+                line.send(Load.query("q" + said.length(), "any", ask[0], "k", Integer.parseInt(ask[1]), 0, 0, 900));
                 assertThat(line.answer()).isTrue();
-                said.append(String.join(" ", ask)).append(": ")
+                said.append(String.join(" ", ask))
+                        .append(": ")
                         .append(line.code() == null ? "served" : line.code() + " " + line.message)
-                                .append('\n');
+                        .append('\n');
             }
             assertThat(said.toString()).isEqualTo("""
                     t 0: served
@@ -99,35 +103,41 @@
             judge.asked.add(asked("r1", "own", Judge.End.COMMITTED, 1, 2, false));
             judge.asked.add(asked("r2", "any", Judge.End.COMMITTED, 9, 0, true));
             judge.asked.add(asked("r3", "any", Judge.End.NONE, -1, 0, false));
-            assertThat(judge.broken(ground, group -> group)).extracting(Judge.Broken::rule)
+            assertThat(judge.broken(ground, group -> group))
+                    .extracting(Judge.Broken::rule)
                     .containsExactlyInAnyOrder(
-                    "a once-only txn ran twice", "a declined txn ran", "a committed txn never ran",
+                            "a once-only txn ran twice",
+                            "a declined txn ran",
+                            "a committed txn never ran",
                             "a stale read",
-                    "a value that nobody wrote", "more than one answer", "no answer in time",
-                    "a write in the wrong cell", "new work at a draining host", "a committed write is lost");
+                            "a value that nobody wrote",
+                            "more than one answer",
+                            "no answer in time",
+                            "a write in the wrong cell",
+                            "new work at a draining host",
+                            "a committed write is lost");
         }
     }
 
-    private static Judge.Asked asked(String id, String type, Judge.End end, long version, long least,
-            boolean extra) {
-        return new Judge.Asked(id, "t", "k", type, 0, 0, 1, 2, 1_000, end, version, least, "w1", 4, false,
-                extra, "");
+    private static Judge.Asked asked(String id, String type, Judge.End end, long version, long least, boolean extra) {
+        return new Judge.Asked(id, "t", "k", type, 0, 0, 1, 2, 1_000, end, version, least, "w1", 4, false, extra, "");
     }
 
     @Test
     void theCommandLineSaysWhatIsWrongAndEndsWithItsCode() throws Exception {
         Path plan = folder.resolve("router.plan");
         Files.writeString(plan, "(cell a (groups 0))\n(tenant t (cell b))\n");
-        assertThat(run("check", plan.toString())).isEqualTo("1 " + plan
-                + ":2:17: no cell 'b' is stated; did you mean 'a'?\n");
-        Files.writeString(plan, "(cell a (groups 0)) (cell b (groups 1)) (tenant t (cell a) (load 2txns/s))\n"
-                + "(tenant u (cell a) (load 2txns/s)) (keeper (at 127.0.0.1:" + Programs.freePort()
-                + ") (discovery 127.0.0.1:9) (store \"" + folder.resolve("store") + "\"))");
-        assertThat(run("check", plan.toString())).startsWith("0 " + plan
-                + " is good: 2 cells, 2 tenants, a keeper");
-        assertThat(run("cells", "show", "--plan", plan.toString()))
-                .startsWith("1 beaconladder: no keeper answers at");
-        assertThat(run("cells", "plan", "--plan", plan.toString())).startsWith("0 (move t b)\n; 1 moves, ")
+        assertThat(run("check", plan.toString()))
+                .isEqualTo("1 " + plan + ":2:17: no cell 'b' is stated; did you mean 'a'?\n");
+        Files.writeString(
+                plan,
+                "(cell a (groups 0)) (cell b (groups 1)) (tenant t (cell a) (load 2txns/s))\n"
+                        + "(tenant u (cell a) (load 2txns/s)) (keeper (at 127.0.0.1:" + Programs.freePort()
+                        + ") (discovery 127.0.0.1:9) (store \"" + folder.resolve("store") + "\"))");
+        assertThat(run("check", plan.toString())).startsWith("0 " + plan + " is good: 2 cells, 2 tenants, a keeper");
+        assertThat(run("cells", "show", "--plan", plan.toString())).startsWith("1 beaconladder: no keeper answers at");
+        assertThat(run("cells", "plan", "--plan", plan.toString()))
+                .startsWith("0 (move t b)\n; 1 moves, ")
                 .contains("; optimal;");
         assertThat(run("cells", "move", "t")).startsWith("2 Missing required parameter: 'CELL'");
         assertThat(run("nonsense")).startsWith("2 Unmatched argument at index 0: 'nonsense'");
@@ -144,8 +154,7 @@
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().remove("BALANCER_CONFIG");
         Process process = builder.start();
-        String said = new String(process.getInputStream().readAllBytes(),
-                java.nio.charset.StandardCharsets.UTF_8);
+        String said = new String(process.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
         assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
         return process.exitValue() + " " + said;
     }
--- a/src/test/java/beaconladder/lab/FedRouterIT.java
+++ b/src/test/java/beaconladder/lab/FedRouterIT.java
@@ -29,13 +29,20 @@
 
     @Test
     void whatItIsToldCountsOrIsRefusedAndIsThereAfterAKill(@TempDir Path folder) throws Exception {
-        try (LogStandIn log = new LogStandIn(); DiscoveryStandIn first = new DiscoveryStandIn();
-                DiscoveryStandIn second = new DiscoveryStandIn(); Programs programs = new Programs(folder)) {
+        try (LogStandIn log = new LogStandIn();
+                DiscoveryStandIn first = new DiscoveryStandIn();
+                DiscoveryStandIn second = new DiscoveryStandIn();
+                Programs programs = new Programs(folder)) {
             first.list(true, HOST);
             second.list(true, HOST);
             Relay relay = new Relay("a", ANY, List.of(log.at()), null, 10);
-            Program router = programs.program("m0", RouterFile.of("m0", Programs.freePort(), first, 256, 192,
-                    HOST), "serve", "--feed", "a=127.0.0.1:" + relay.at().getPort(), "--feed-store",
+            Program router = programs.program(
+                    "m0",
+                    RouterFile.of("m0", Programs.freePort(), first, 256, 192, HOST),
+                    "serve",
+                    "--feed",
+                    "a=127.0.0.1:" + relay.at().getPort(),
+                    "--feed-store",
                     folder.resolve("fed").toString());
             router.start();
             await().atMost(LONG).until(() -> first.calls.get() > 0);
@@ -46,18 +53,19 @@
             String moved = "{\"discovery\":\"127.0.0.1:" + second.door.getLocalPort() + "\"}";
             proposer.propose(new Proposal(0, Map.of("router.json", moved), List.of()));
             await().atMost(LONG).until(() -> second.calls.get() > 0);
-            await().atMost(LONG).until(() -> proposer.status().counts().equals(
-                    List.of(new Report.Count(1, 1, 0))));
+            await().atMost(LONG).until(() -> proposer.status().counts().equals(List.of(new Report.Count(1, 1, 0))));
 
             // What can't be read, or is not the feed's, is refused, and said so.
-            proposer.propose(new Proposal(1, Map.of("router.json", "{\"discovery\":\"nowhere\"}"),
-                    List.of()));
-            await().atMost(LONG).until(() -> proposer.status().counts().equals(
-                    List.of(new Report.Count(2, 0, 1), new Report.Count(1, 1, 0))));
-            proposer.propose(new Proposal(2, Map.of("router.json", "{\"listen\":\"127.0.0.1:1\"}"),
-                    List.of()));
-            await().atMost(LONG).until(() -> proposer.status().counts().equals(
-                    List.of(new Report.Count(3, 0, 1), new Report.Count(1, 1, 0))));
+            proposer.propose(new Proposal(1, Map.of("router.json", "{\"discovery\":\"nowhere\"}"), List.of()));
+            await().atMost(LONG)
+                    .until(() -> proposer.status()
+                            .counts()
+                            .equals(List.of(new Report.Count(2, 0, 1), new Report.Count(1, 1, 0))));
+            proposer.propose(new Proposal(2, Map.of("router.json", "{\"listen\":\"127.0.0.1:1\"}"), List.of()));
+            await().atMost(LONG)
+                    .until(() -> proposer.status()
+                            .counts()
+                            .equals(List.of(new Report.Count(3, 0, 1), new Report.Count(1, 1, 0))));
 
             // Killed and alone, it goes on with what was in force.
             relay.close();
@@ -73,9 +81,15 @@
 
     @Test
     void aRelayThatCantBeReadEndsTheStart(@TempDir Path folder) throws Exception {
-        try (DiscoveryStandIn discovery = new DiscoveryStandIn(); Programs programs = new Programs(folder)) {
-            Program router = programs.program("m0", RouterFile.of("m0", Programs.freePort(), discovery, 256,
-                    192, HOST), "serve", "--feed", "a=nowhere", "--feed-store",
+        try (DiscoveryStandIn discovery = new DiscoveryStandIn();
+                Programs programs = new Programs(folder)) {
+            Program router = programs.program(
+                    "m0",
+                    RouterFile.of("m0", Programs.freePort(), discovery, 256, 192, HOST),
+                    "serve",
+                    "--feed",
+                    "a=nowhere",
+                    "--feed-store",
                     folder.resolve("fed").toString());
             router.start();
             assertThat(router.ended(20_000)).isTrue();
--- a/src/test/java/beaconladder/lab/FeedMutantsTest.java
+++ b/src/test/java/beaconladder/lab/FeedMutantsTest.java
@@ -34,8 +34,7 @@
     private final List<Logged> logged = new ArrayList<>();
 
     private interface Maker {
-        Subscriber make(String name, Map<String, InetSocketAddress> relays, Applier applier)
-                throws IOException;
+        Subscriber make(String name, Map<String, InetSocketAddress> relays, Applier applier) throws IOException;
     }
 
     @Test
@@ -60,7 +59,8 @@
 
     /** Bursts at one relay; then that one ends, and the router finds another whose log is older. */
     private void play(Maker maker) throws Exception {
-        try (LogStandIn log = new LogStandIn(); LogStandIn old = new LogStandIn();
+        try (LogStandIn log = new LogStandIn();
+                LogStandIn old = new LogStandIn();
                 Relay a = new Relay("a", ANY, List.of(log.at()), null, 10);
                 Relay b = new Relay("b", ANY, List.of(old.at()), null, 10)) {
             // One whose own relay is the first.
@@ -72,8 +72,7 @@
             String router = name;
             try (Subscriber subscriber = maker.make(name, relays, new Applier() {
                 @Override
-                public void check(State next) {
-                }
+                public void check(State next) {}
 
                 @Override
                 public void apply(State next) {
@@ -90,8 +89,8 @@
                         write(log, "d" + i, "text " + burst);
                     }
                     long version = logged.size();
-                    await().atMost(Duration.ofSeconds(20)).until(() -> journal.stream().anyMatch(each ->
-                            each.version() == version));
+                    await().atMost(Duration.ofSeconds(20))
+                            .until(() -> journal.stream().anyMatch(each -> each.version() == version));
                 }
                 AutoCloseable ends = a;
                 ends.close();
@@ -118,7 +117,8 @@
         logged.add(new Logged(1, "x", 0, 10 * SECOND, "test"));
         journal.add(new Applied(11 * SECOND, "a", 1, 1, "x"));
         journal.add(new Applied(15 * SECOND, "b", 1, 1, "x"));
-        assertThat(inForce(List.of("a", "b"), List.of())).anyMatch(line -> line.startsWith("at too many"))
+        assertThat(inForce(List.of("a", "b"), List.of()))
+                .anyMatch(line -> line.startsWith("at too many"))
                 .noneMatch(line -> line.startsWith("in force too late"));
         assertThat(inForce(List.of("a", "b"), List.of(new Outage("b"::equals, 9 * SECOND, 14 * SECOND))))
                 .isEmpty();
@@ -129,8 +129,7 @@
                 .isNotEmpty();
         assertThat(inForce(List.of("a", "c"), List.of())).anyMatch(line -> line.startsWith("never"));
         journal.add(new Applied(17 * SECOND, "c", 1, 1, "x"));
-        assertThat(inForce(List.of("a", "c"), List.of()))
-                .anyMatch(line -> line.startsWith("in force too late"));
+        assertThat(inForce(List.of("a", "c"), List.of())).anyMatch(line -> line.startsWith("in force too late"));
     }
 
     @Test
@@ -146,14 +145,16 @@
     }
 
     private List<String> inForce(List<String> routers, List<Outage> outages) {
-        return new FeedJudge(logged, journal, outages).inForce(routers, 1_000, 3 * SECOND, 6 * SECOND,
-                nanos -> { }, each -> true).verdict().broken();
+        return new FeedJudge(logged, journal, outages)
+                .inForce(routers, 1_000, 3 * SECOND, 6 * SECOND, nanos -> {}, each -> true)
+                .verdict()
+                .broken();
     }
 
     @Test
     void aJournalsLineIsReadWholeOrNotAtAll() {
-        assertThat(Applied.of("A 5 n1 1 2 0123456789abcdef0123456789abcdef")).isEqualTo(new Applied(5, "n1",
-                1, 2, "0123456789abcdef0123456789abcdef"));
+        assertThat(Applied.of("A 5 n1 1 2 0123456789abcdef0123456789abcdef"))
+                .isEqualTo(new Applied(5, "n1", 1, 2, "0123456789abcdef0123456789abcdef"));
         for (String cut : List.of("", "A 5", "A 5 n1 1 2 0123456789ab", "G 5 n1 1 2")) {
             assertThat(Applied.of(cut)).isNull();
         }
--- a/src/test/java/beaconladder/lab/LeaseIT.java
+++ b/src/test/java/beaconladder/lab/LeaseIT.java
@@ -11,10 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * A short part of the rehearsal of leases, each process the program itself; and the judge, on what it
- * must find.
- */
+/** A short part of the rehearsal of leases, each process the program itself; and the judge, on what it must find. */
 @Timeout(180)
 class LeaseIT {
     private static final long SECOND = 1_000_000_000;
--- a/src/test/java/beaconladder/lab/RestartsIT.java
+++ b/src/test/java/beaconladder/lab/RestartsIT.java
@@ -19,8 +19,7 @@
 
     @Test
     void norDoesOneToldTwiceOrWhileStartingAndAKillLosesOnlyWhatWasInHand() throws Exception {
-        play(2, List.of(Fault.TOLD_TWICE, Fault.TOLD_WHILE_STARTING, Fault.KILLED_EARLY,
-                Fault.SILENT_DISCOVERY));
+        play(2, List.of(Fault.TOLD_TWICE, Fault.TOLD_WHILE_STARTING, Fault.KILLED_EARLY, Fault.SILENT_DISCOVERY));
     }
 
     private static void play(long seed, List<Fault> faults) throws Exception {
--- a/src/test/java/beaconladder/lab/scale/HollowFleetTest.java
+++ b/src/test/java/beaconladder/lab/scale/HollowFleetTest.java
@@ -34,7 +34,9 @@
     @Test
     void twoPausedAloneAreHeldForDeadByNobody() {
         for (int seed = 1; seed <= 3; seed++) {
-            assertThat(FleetRun.of(60, new SplittableRandom(seed)).buriedFew()).as("seed %d", seed).isZero();
+            assertThat(FleetRun.of(60, new SplittableRandom(seed)).buriedFew())
+                    .as("seed %d", seed)
+                    .isZero();
         }
     }
 
--- a/src/test/java/beaconladder/lab/scale/ModuleCostTest.java
+++ b/src/test/java/beaconladder/lab/scale/ModuleCostTest.java
@@ -8,13 +8,14 @@
 
 class ModuleCostTest {
     /**
-     * The aim is 1.5, and a third more is for the noise of the machine; what is over 1 is memory further
-     * away. A look at all groups at each event made it over thirty.
+     * The aim is 1.5, and a third more is for the noise of the machine; what is over 1 is memory further away. A look
+     * at all groups at each event made it over thirty.
      */
     @Test
     void aTxnCostsAboutTheSameAmongFiftyTimesAsManyGroups() {
         double best = LongStream.rangeClosed(1, 3)
-                .mapToDouble(seed -> ModuleCost.ratio(40, 1_933, PositionsRouter.PLAIN, seed)).min()
+                .mapToDouble(seed -> ModuleCost.ratio(40, 1_933, PositionsRouter.PLAIN, seed))
+                .min()
                 .orElseThrow();
         assertThat(best).isLessThan(2);
     }
--- a/src/test/java/beaconladder/lab/scale/PositionsTest.java
+++ b/src/test/java/beaconladder/lab/scale/PositionsTest.java
@@ -14,8 +14,7 @@
 
     @Test
     void sameSeedSameFigures() {
-        assertThat(Positions.run(120, 5, 5)).isEqualTo(Positions.run(120, 5, 5))
-                .isNotEqualTo(Positions.run(120, 6, 5));
+        assertThat(Positions.run(120, 5, 5)).isEqualTo(Positions.run(120, 5, 5)).isNotEqualTo(Positions.run(120, 6, 5));
     }
 
     @Test
@@ -43,8 +42,7 @@
     void theRecordIsOlderAmongMoreGroups() {
         Map<String, Object> few = Positions.run(40, 1, 10);
         Map<String, Object> many = Positions.run(1_933, 1, 10);
-        assertThat(of(many, "any_heard_ago_at_use_ms_p50"))
-                .isGreaterThan(10 * of(few, "any_heard_ago_at_use_ms_p50"));
+        assertThat(of(many, "any_heard_ago_at_use_ms_p50")).isGreaterThan(10 * of(few, "any_heard_ago_at_use_ms_p50"));
         assertThat(of(many, "bounded_none_fresh_by_record"))
                 .isGreaterThan(10 * of(few, "bounded_none_fresh_by_record"));
         assertThat(of(many, "bounded_none_fresh_in_truth")).isZero();
--- a/src/test/java/beaconladder/lab/scale/ReportTest.java
+++ b/src/test/java/beaconladder/lab/scale/ReportTest.java
@@ -13,7 +13,8 @@
 class ReportTest {
     private static boolean flat(DoubleUnaryOperator value) {
         List<Point> points = DoubleStream.of(30, 60, 120, 240, 480)
-                .mapToObj(size -> new Point(size, value.applyAsDouble(size))).toList();
+                .mapToObj(size -> new Point(size, value.applyAsDouble(size)))
+                .toList();
         Report report = new Report(new PrintWriter(new StringWriter()), 1, true, List.of("list"));
         boolean holds = report.flat("value", "B/s", 2 * Report.COUNTED, points);
         assertThat(report.held()).isEqualTo(holds);
--- a/src/test/java/beaconladder/lab/scale/ScaleTest.java
+++ b/src/test/java/beaconladder/lab/scale/ScaleTest.java
@@ -20,14 +20,16 @@
                 .doesNotContain("\n");
         assertThat(Scale.objection(Scale.Name.LIST, List.of(100, 200, 400, 800, 5_000_000), MEMORY))
                 .startsWith("size 5000000 of list needs ");
-        assertThat(Scale.objection(Scale.Name.LIST, List.of(100, 200, 400, 800, 5_800), MEMORY)).isNull();
+        assertThat(Scale.objection(Scale.Name.LIST, List.of(100, 200, 400, 800, 5_800), MEMORY))
+                .isNull();
     }
 
     @Test
     void tooFewSizesAndTooSmallOnesAreNamed() {
         assertThat(Scale.objection(Scale.Name.LIST, List.of(100, 200, 400, 800), MEMORY))
                 .isEqualTo("list needs 5 sizes or more, each once");
-        assertThat(Scale.objection(Scale.Name.LIST, List.of(100, 200, 400, 800, 800), MEMORY)).isNotNull();
+        assertThat(Scale.objection(Scale.Name.LIST, List.of(100, 200, 400, 800, 800), MEMORY))
+                .isNotNull();
         assertThat(Scale.objection(Scale.Name.LIST, List.of(0, 200, 400, 800, 900), MEMORY))
                 .isEqualTo("size 0 of list: the least is 9");
     }
@@ -36,7 +38,9 @@
     void everyPartHasFiveSizesThatAMachineOfThisKindHolds() {
         for (Scale.Name name : Scale.Name.values()) {
             for (boolean small : new boolean[] {true, false}) {
-                assertThat(Scale.objection(name, name.part().sizes(small), MEMORY)).as("%s", name).isNull();
+                assertThat(Scale.objection(name, name.part().sizes(small), MEMORY))
+                        .as("%s", name)
+                        .isNull();
             }
         }
     }
@@ -44,9 +48,10 @@
     @Test
     void routersRunWithTheFlagsOfTheRunLine() throws IOException {
         String line = Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
-                .filter(each -> each.startsWith("run = ")).findFirst().orElseThrow();
-        assertThat(Arrays.stream(line.split(" "))
-                .filter(word -> word.startsWith("-X") || word.startsWith("-D")))
+                .filter(each -> each.startsWith("run = "))
+                .findFirst()
+                .orElseThrow();
+        assertThat(Arrays.stream(line.split(" ")).filter(word -> word.startsWith("-X") || word.startsWith("-D")))
                 .containsExactlyElementsOf(Child.RUN);
     }
 
--- a/src/test/java/beaconladder/lab/scale/SlopeTest.java
+++ b/src/test/java/beaconladder/lab/scale/SlopeTest.java
@@ -12,7 +12,8 @@
 
 class SlopeTest {
     private static List<Point> points(DoubleUnaryOperator value) {
-        return DoubleStream.of(100, 200, 400, 800, 1_600).mapToObj(x -> new Point(x, value.applyAsDouble(x)))
+        return DoubleStream.of(100, 200, 400, 800, 1_600)
+                .mapToObj(x -> new Point(x, value.applyAsDouble(x)))
                 .toList();
     }
 
@@ -41,15 +42,18 @@
     void whatGrowsFasterThanALineIsRefused() {
         assertThat(Slope.of(points(x -> x * x)).holds(Report.TIMED)).isFalse();
         assertThat(Slope.of(points(x -> 50_000 + x * x)).holds(Report.TIMED)).isFalse();
-        assertThat(Slope.of(points(x -> Math.pow(2, x / 200))).holds(2 * Report.TIMED)).isFalse();
-        assertThat(Slope.of(points(x -> x * Math.sqrt(x))).holds(Report.COUNTED)).isFalse();
+        assertThat(Slope.of(points(x -> Math.pow(2, x / 200))).holds(2 * Report.TIMED))
+                .isFalse();
+        assertThat(Slope.of(points(x -> x * Math.sqrt(x))).holds(Report.COUNTED))
+                .isFalse();
     }
 
     @Test
     void aSquareIsRefusedWhateverNoiseIsAllowed() {
         assertThat(Slope.of(points(x -> x * x)).holds(10)).isFalse();
         assertThat(Slope.of(points(x -> 50_000 + x * x)).holds(10)).isFalse();
-        assertThat(Slope.of(points(x -> x > 1_000 ? 1.5 * x : x)).holds(2 * Report.TIMED)).isTrue();
+        assertThat(Slope.of(points(x -> x > 1_000 ? 1.5 * x : x)).holds(2 * Report.TIMED))
+                .isTrue();
     }
 
     @Test
@@ -66,9 +70,9 @@
 
     @Test
     void fewerSizesAreNoSlope() {
-        assertThatThrownBy(() -> Slope.of(points(x -> x).subList(0, 4)))
+        assertThatThrownBy(() -> Slope.of(points(x -> x).subList(0, 4))).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> Slope.of(
+                        List.of(new Point(1, 1), new Point(1, 1), new Point(2, 2), new Point(3, 3), new Point(4, 4))))
                 .isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> Slope.of(List.of(new Point(1, 1), new Point(1, 1), new Point(2, 2),
-                new Point(3, 3), new Point(4, 4)))).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/beaconladder/lab/soak/SoakIT.java
+++ b/src/test/java/beaconladder/lab/soak/SoakIT.java
@@ -18,14 +18,33 @@
 
     @Test
     void systemCallsThatFailBesideStopsAndBadClientsHold() throws Exception {
-        play(8, List.of(Trouble.THREADS_FAIL, Trouble.ACCEPT_FAILS, Trouble.CONNECT_FAILS, Trouble.SHORT_IO,
-                Trouble.TERMINATE, Trouble.BAD_CLIENTS, Trouble.CLOCK_WRONG_AT_START));
+        play(
+                8,
+                List.of(
+                        Trouble.THREADS_FAIL,
+                        Trouble.ACCEPT_FAILS,
+                        Trouble.CONNECT_FAILS,
+                        Trouble.SHORT_IO,
+                        Trouble.TERMINATE,
+                        Trouble.BAD_CLIENTS,
+                        Trouble.CLOCK_WRONG_AT_START));
     }
 
     @Test
     void hostsThatLeaveWhileDiscoveryIsAskedAndWritesAreHeldUpHold() throws Exception {
-        play(new SoakPlan(9, 4, 4, 0, true, List.of(Trouble.HELD_UP, Trouble.HOST_DRAINS,
-                Trouble.DISCOVERY_SLOW, Trouble.DISCOVERY_BREAKS, Trouble.RELOAD, Trouble.IDLE_CROWD)));
+        play(new SoakPlan(
+                9,
+                4,
+                4,
+                0,
+                true,
+                List.of(
+                        Trouble.HELD_UP,
+                        Trouble.HOST_DRAINS,
+                        Trouble.DISCOVERY_SLOW,
+                        Trouble.DISCOVERY_BREAKS,
+                        Trouble.RELOAD,
+                        Trouble.IDLE_CROWD)));
     }
 
     private static void play(long seed, List<Trouble> troubles) throws Exception {
--- a/src/test/java/beaconladder/lease/LeaseModelTest.java
+++ b/src/test/java/beaconladder/lease/LeaseModelTest.java
@@ -11,27 +11,24 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Two processes, the grantor and one resource, over all interleavings to a depth: time passes, a process
- * looks or stands
- * still, messages come late, twice or never, the grantor's leader changes to one with another clock, a
- * process begins an
- * act and the act lands at any later time. Clocks are off by the bound in either direction, or by more.
+ * Two processes, the grantor and one resource, over all interleavings to a depth: time passes, a process looks or
+ * stands still, messages come late, twice or never, the grantor's leader changes to one with another clock, a process
+ * begins an act and the act lands at any later time. Clocks are off by the bound in either direction, or by more.
  */
 @Timeout(120)
 class LeaseModelTest {
     private static final long LENGTH = 3;
     private static final long BOUND = 1;
     /**
-     * As short as a breach without the fence can be, and one more: two leases asked for and heard of, an
-     * act under
+     * As short as a breach without the fence can be, and one more: two leases asked for and heard of, an act under
      * each, the first one late, and the time between.
      */
     private static final int DEPTH = 10;
+
     private static final String[] HOLDERS = {"a#1", "b#1"};
 
     /** What the machines are run with: the real one, or one with something left out. */
-    private record Rules(long bound, boolean fence) {
-    }
+    private record Rules(long bound, boolean fence) {}
 
     /** How far each clock is from the true time, the grantor's before and after its leader changes. */
     private record Clocks(long first, long second, long resource, long before, long after) {
@@ -40,15 +37,22 @@
         }
     }
 
-    private record Mail(int to, Answer answer) {
-    }
+    private record Mail(int to, Answer answer) {}
 
-    private record Act(long token, long until) {
-    }
+    private record Act(long token, long until) {}
 
     /** One state of it all; messages in flight may land in any order. */
-    private record World(long time, boolean changed, Grants grants, List<Tenure> tenures, Fence fence,
-            List<Ask> asks, List<Mail> mail, List<Act> acts, boolean doubled, long done) {
+    private record World(
+            long time,
+            boolean changed,
+            Grants grants,
+            List<Tenure> tenures,
+            Fence fence,
+            List<Ask> asks,
+            List<Mail> mail,
+            List<Act> acts,
+            boolean doubled,
+            long done) {
         World at(long next) {
             return new World(next, changed, grants, tenures, fence, asks, mail, acts, doubled, done);
         }
@@ -58,8 +62,17 @@
         }
 
         World with(int who, Tenure tenure) {
-            return new World(time, changed, grants, who == 0 ? List.of(tenure, tenures.get(1))
-                    : List.of(tenures.get(0), tenure), fence, asks, mail, acts, doubled, done);
+            return new World(
+                    time,
+                    changed,
+                    grants,
+                    who == 0 ? List.of(tenure, tenures.get(1)) : List.of(tenures.get(0), tenure),
+                    fence,
+                    asks,
+                    mail,
+                    acts,
+                    doubled,
+                    done);
         }
 
         World asks(List<Ask> next) {
@@ -93,7 +106,9 @@
             states += search.states;
             bothActed += search.bothActed ? 1 : 0;
         }
-        assertThat(bothActed).as("searches that went deep enough for both to act").isPositive();
+        assertThat(bothActed)
+                .as("searches that went deep enough for both to act")
+                .isPositive();
         assertThat(states).isGreaterThan(100_000);
     }
 
@@ -107,10 +122,7 @@
         assertThat(worst(new Rules(0, true))).startsWith("two may act");
     }
 
-    /**
-     * Beyond the bound two may act at once; the fence still lets none act out of turn, and nothing else
-     * does.
-     */
+    /** Beyond the bound two may act at once; the fence still lets none act out of turn, and nothing else does. */
     @Test
     void withClocksBeyondTheBoundTheFenceAloneHolds() {
         Clocks far = new Clocks(-8, 4, -8, -4, 4);
@@ -162,9 +174,17 @@
 
         /** How a rule is broken, or null. */
         String run() {
-            World start = new World(0, false, Grants.none(), List.of(tenure(0), tenure(1)), Fence.open(),
+            World start = new World(
+                    0,
+                    false,
+                    Grants.none(),
+                    List.of(tenure(0), tenure(1)),
+                    Fence.open(),
+                    List.of(),
+                    List.of(),
                     List.of(),
-                    List.of(), List.of(), false, 0);
+                    false,
+                    0);
             List<World> edge = List.of(start);
             seen.add(start);
             for (int step = 0; step < DEPTH && broken == null; step++) {
@@ -189,7 +209,8 @@
         }
 
         private void judge(World w) {
-            if (!tokensAlone && w.tenures().get(0).mayAct(w.time() + clocks.first())
+            if (!tokensAlone
+                    && w.tenures().get(0).mayAct(w.time() + clocks.first())
                     && w.tenures().get(1).mayAct(w.time() + clocks.second())) {
                 broken = "two may act at once: " + w;
             }
@@ -226,8 +247,10 @@
             for (int i = 0; i < w.mail().size(); i++) {
                 Mail mail = w.mail().get(i);
                 World rest = w.mail(minus(w.mail(), i));
-                to.accept(stepped(rest, mail.to(), w.tenures().get(mail.to())
-                        .heard(mail.answer(), w.time() + clocks.of(mail.to()))));
+                to.accept(stepped(
+                        rest,
+                        mail.to(),
+                        w.tenures().get(mail.to()).heard(mail.answer(), w.time() + clocks.of(mail.to()))));
             }
             if (!w.acts().isEmpty()) {
                 to.accept(landed(w.acts(List.of()), w.acts().get(0)));
@@ -264,8 +287,7 @@
         }
 
         private World landed(World rest, Act act) {
-            Fence.Admission admission = rest.fence().admit(act.token(), act.until(), rest.time()
-                    + clocks.resource());
+            Fence.Admission admission = rest.fence().admit(act.token(), act.until(), rest.time() + clocks.resource());
             if (rules.fence() && admission.verdict() != Fence.Verdict.ADMITTED) {
                 return rest.landed(admission.next(), rest.done());
             }
--- a/src/test/java/beaconladder/lease/LeaseTest.java
+++ b/src/test/java/beaconladder/lease/LeaseTest.java
@@ -115,8 +115,7 @@
     @Test
     void theFenceRefusesALowerTokenWhateverTheTimeAndALateActOfTheNewestHolder() {
         Fence fence = Fence.open();
-        for (long[] act : new long[][] {{2, 900, 800}, {1, 5_000, 800}, {2, 900, 900}, {3, 900, 899}, {2,
-                900, 1}}) {
+        for (long[] act : new long[][] {{2, 900, 800}, {1, 5_000, 800}, {2, 900, 900}, {3, 900, 899}, {2, 900, 1}}) {
             Fence.Admission admission = fence.admit(act[0], act[1], act[2]);
             fence = admission.next();
             trace.append(admission.verdict()).append(' ');
--- a/src/test/java/beaconladder/lease/NotesTest.java
+++ b/src/test/java/beaconladder/lease/NotesTest.java
@@ -47,7 +47,8 @@
     }
 
     private void take(String holder, long at, long token) {
-        grants = grants.apply(Ask.take("task", holder, 1, token, LENGTH), at, BOUND).next();
+        grants = grants.apply(Ask.take("task", holder, 1, token, LENGTH), at, BOUND)
+                .next();
     }
 
     private void clock(long at) {
--- a/src/test/java/beaconladder/members/SwimTest.java
+++ b/src/test/java/beaconladder/members/SwimTest.java
@@ -74,10 +74,7 @@
         assertThat(fleet.views()).containsOnly(fleet.names());
     }
 
-    /**
-     * One that stood still blames itself first: its suspicions last longer, and it comes back under a new
-     * life.
-     */
+    /** One that stood still blames itself first: its suspicions last longer, and it comes back under a new life. */
     @Test
     void oneThatStoodStillComesBack() {
         Fleet fleet = new Fleet(12, 4);
@@ -128,18 +125,18 @@
         fleet.run(20_000);
         fleet.down.add(2);
         fleet.run(20_000);
-        return fleet.all.stream().map(each -> each.view(0).version() + " " + each.view(0).present())
+        return fleet.all.stream()
+                .map(each -> each.view(0).version() + " " + each.view(0).present())
                 .collect(Collectors.joining("\n"));
     }
 
     /** Processes and a network between them, on a clock of their own. */
     private static final class Fleet {
-        private record Due(long at, long order, int to, Message message) {
-        }
+        private record Due(long at, long order, int to, Message message) {}
 
         private final List<Swim> all = new ArrayList<>();
-        private final PriorityQueue<Due> network = new PriorityQueue<>(
-                Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+        private final PriorityQueue<Due> network =
+                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
         private final SplittableRandom chance;
         private final Set<Integer> down = new HashSet<>();
         private int lossPerMille;
@@ -177,8 +174,10 @@
         }
 
         private long dead(int i) {
-            return names().stream().map(all.get(i)::member).filter(m -> m != null
-                    && m.state() == State.DEAD).count();
+            return names().stream()
+                    .map(all.get(i)::member)
+                    .filter(m -> m != null && m.state() == State.DEAD)
+                    .count();
         }
 
         void leave(int i) {
@@ -209,7 +208,8 @@
             Set<Set<String>> views = new HashSet<>();
             for (int i = 0; i < all.size(); i++) {
                 if (!down.contains(i)) {
-                    views.add(all.get(i).view(now).present().stream().map(Member::name)
+                    views.add(all.get(i).view(now).present().stream()
+                            .map(Member::name)
                             .collect(Collectors.toSet()));
                 }
             }
--- a/src/test/java/beaconladder/plan/PlanLiteralTest.java
+++ b/src/test/java/beaconladder/plan/PlanLiteralTest.java
@@ -36,31 +36,66 @@
     void everyWordOfAPlanIsRead() {
         PlanReader.Result read = PlanReader.read("p", TEXT);
         assertThat(read.faults()).isEmpty();
-        assertThat(read.plan()).isEqualTo(new Plan("p",
-                List.of(new Plan.Cell("north", List.of(0, 1), 0.75),
-                        new Plan.Cell("south", List.of(2, 3), 0.25)),
-                List.of(new Plan.Tenant("acme", "north", 0.25,
-                                List.of(new IPAddressString("10.1.0.0/16").getAddress()), List.of("beta"),
-                                12, 3, true),
-                        new Plan.Tenant("beta", "south", 1, List.of(), List.of(), 1, 1, false)),
-                new Plan.Others(2, 0.5), Map.of("n3", List.of("south", "north")),
-                new Plan.Keeper(at(7070), at(8500), "records", 500_000_000L, 2_000_000_000L,
-                        60_000_000_000L, 3_600_000_000_000L),
-                List.of(new Plan.Relocation("beta", "north")),
-                new Plan.Leases(2_000_000_000L, 50_000_000L, 1L << 30,
-                        List.of(new Plan.Grantor("k0", "k0:7101", at(7201), "s0", "g0:7301")))));
+        assertThat(read.plan())
+                .isEqualTo(new Plan(
+                        "p",
+                        List.of(
+                                new Plan.Cell("north", List.of(0, 1), 0.75),
+                                new Plan.Cell("south", List.of(2, 3), 0.25)),
+                        List.of(
+                                new Plan.Tenant(
+                                        "acme",
+                                        "north",
+                                        0.25,
+                                        List.of(new IPAddressString("10.1.0.0/16").getAddress()),
+                                        List.of("beta"),
+                                        12,
+                                        3,
+                                        true),
+                                new Plan.Tenant("beta", "south", 1, List.of(), List.of(), 1, 1, false)),
+                        new Plan.Others(2, 0.5),
+                        Map.of("n3", List.of("south", "north")),
+                        new Plan.Keeper(
+                                at(7070),
+                                at(8500),
+                                "records",
+                                500_000_000L,
+                                2_000_000_000L,
+                                60_000_000_000L,
+                                3_600_000_000_000L),
+                        List.of(new Plan.Relocation("beta", "north")),
+                        new Plan.Leases(
+                                2_000_000_000L,
+                                50_000_000L,
+                                1L << 30,
+                                List.of(new Plan.Grantor("k0", "k0:7101", at(7201), "s0", "g0:7301")))));
     }
 
     @Test
     void whatIsNotStatedHasItsDefault() {
         PlanReader.Result read = PlanReader.read("p", PLAINEST);
         assertThat(read.faults()).isEmpty();
-        assertThat(read.plan()).isEqualTo(new Plan("p", List.of(new Plan.Cell("only", List.of(5), 1)),
-                List.of(), new Plan.Others(1, 0.1), Map.of(),
-                new Plan.Keeper(at(7070), at(8500), "records", 2_000_000_000L, 3_000_000_000L,
-                        600_000_000_000L, 10_000_000_000L), List.of(),
-                new Plan.Leases(5_000_000_000L, 100_000_000L, 64L << 20,
-                        List.of(new Plan.Grantor("k0", "k0:7101", at(7201), "s0", null)))));
+        assertThat(read.plan())
+                .isEqualTo(new Plan(
+                        "p",
+                        List.of(new Plan.Cell("only", List.of(5), 1)),
+                        List.of(),
+                        new Plan.Others(1, 0.1),
+                        Map.of(),
+                        new Plan.Keeper(
+                                at(7070),
+                                at(8500),
+                                "records",
+                                2_000_000_000L,
+                                3_000_000_000L,
+                                600_000_000_000L,
+                                10_000_000_000L),
+                        List.of(),
+                        new Plan.Leases(
+                                5_000_000_000L,
+                                100_000_000L,
+                                64L << 20,
+                                List.of(new Plan.Grantor("k0", "k0:7101", at(7201), "s0", null)))));
     }
 
     private static InetSocketAddress at(int port) {
--- a/src/test/java/beaconladder/plan/PlanReaderTest.java
+++ b/src/test/java/beaconladder/plan/PlanReaderTest.java
@@ -5,9 +5,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/**
- * Each mistake is named with its line and column, all of them at once, and a good plan comes out as stated.
- */
+/** Each mistake is named with its line and column, all of them at once, and a good plan comes out as stated. */
 class PlanReaderTest {
     private static final String GOOD = """
             ; two cells
@@ -54,12 +52,11 @@
         assertThat(faults("(cell a (groups 0))\n(tenant t (cell b))"))
                 .isEqualTo("p:2:17: no cell 'b' is stated; did you mean 'a'?");
         assertThat(faults("(cell a (groups 0))\n(tenant t (cell a) (networks 10.0.0.0/8))\n"
-                + "(tenant u (cell a) (networks 10.2.0.0/16))"))
+                        + "(tenant u (cell a) (networks 10.2.0.0/16))"))
                 .isEqualTo("p:3:30: 10.2.0.0/16 of u lies in 10.0.0.0/8 of t");
         assertThat(faults("(cell a (groups 0))\n(tenant t (cell a) (networks 10.0.0.1/8))"))
                 .startsWith("p:2:30: a network such as 10.1.0.0/16 belongs here");
-        assertThat(faults("(cell a (groups 0))\n(tenant t (cell a) (share 60%))\n"
-                + "(tenant u (cell a) (share 60%))"))
+        assertThat(faults("(cell a (groups 0))\n(tenant t (cell a) (share 60%))\n" + "(tenant u (cell a) (share 60%))"))
                 .isEqualTo("p:1:1: the shares of the tenants in a add up to 120.0%, over 100%");
         assertThat(faults("(cell a (groups 0))\n(others (spread 2))"))
                 .isEqualTo("p:2:9: others can be spread over 1 to 1 cells");
@@ -78,8 +75,8 @@
         assertThat(faults(GOOD.replace("(lease 500ms)", "(lease 30s)")))
                 .startsWith("p:9:15: the fence (4000ms) must not end before the lease and the expiry");
         assertThat(faults(GOOD.replace("(lease 500ms)", "(lease 500)")))
-                .contains("p:8:81: a time with its unit, such as 500ms, 2s or 1min belongs here;"
-                        + " '500' has no unit");
+                .contains(
+                        "p:8:81: a time with its unit, such as 500ms, 2s or 1min belongs here;" + " '500' has no unit");
         assertThat(faults(GOOD.replace("127.0.0.1:7070", "localhost:7070")))
                 .startsWith("p:8:13: an address with a port belongs here");
     }
@@ -88,8 +85,12 @@
     void leasesAndTheirGrantorsAreCheckedWhole() {
         String grantor = "(grantor k%d (raft k%d:7101) (at 127.0.0.1:720%d) (store \"s%d\"))\n";
         String three = grantor.replace("%d", "0") + grantor.replace("%d", "1") + grantor.replace("%d", "2");
-        Plan.Leases leases = PlanReader.read("p", "(leases (length 2s) (clock 50ms) (disk 8MB))\n"
-                + three.replace("(raft k1", "(gossip g1:7301) (raft k1")).plan().leases();
+        Plan.Leases leases = PlanReader.read(
+                        "p",
+                        "(leases (length 2s) (clock 50ms) (disk 8MB))\n"
+                                + three.replace("(raft k1", "(gossip g1:7301) (raft k1"))
+                .plan()
+                .leases();
         assertThat(leases.length()).isEqualTo(2_000_000_000L);
         assertThat(leases.bound()).isEqualTo(50_000_000L);
         assertThat(leases.disk()).isEqualTo(8 << 20);
@@ -99,16 +100,12 @@
         assertThat(faults(three)).isEqualTo("p:1:1: grantors need (leases ...)");
         assertThat(faults("(leases)\n" + grantor.replace("%d", "0") + grantor.replace("%d", "1")))
                 .isEqualTo("p:1:1: leases need 3 or 5 grantors, or 1 that bears no loss; here are 2");
-        assertThat(faults("(leases (clock 2s))\n"
-                + three)).startsWith("p:1:1: clock lies between 1ms and a quarter");
-        assertThat(faults("(leases (length 1ms))\n"
-                + three)).startsWith("p:1:1: length lies between 500ms and 1h");
+        assertThat(faults("(leases (clock 2s))\n" + three)).startsWith("p:1:1: clock lies between 1ms and a quarter");
+        assertThat(faults("(leases (length 1ms))\n" + three)).startsWith("p:1:1: length lies between 500ms and 1h");
         assertThat(faults("(leases (disk 8))\n" + three)).contains("'8' has no unit");
-        assertThat(faults("(leases)\n" + three.replace("k1:7101",
-                "k1"))).contains("a host with a port belongs here");
+        assertThat(faults("(leases)\n" + three.replace("k1:7101", "k1"))).contains("a host with a port belongs here");
         assertThat(faults("(leases)\n" + three.replace(" (store \"s1\")", "")))
-                .isEqualTo("p:3:1: a grantor needs (raft HOST:PORT), (at ADDRESS:PORT) and"
-                        + " (store \"FOLDER\")");
+                .isEqualTo("p:3:1: a grantor needs (raft HOST:PORT), (at ADDRESS:PORT) and" + " (store \"FOLDER\")");
         assertThat(faults("(leases)\n" + three + three)).contains("grantor k0 is stated already, at line 2");
     }
 
--- a/src/test/java/beaconladder/rollout/StagesTest.java
+++ b/src/test/java/beaconladder/rollout/StagesTest.java
@@ -18,7 +18,8 @@
     /** In whatever order a process knows the routers: one in each zone first, each stage on the last. */
     @Property(tries = 200, seed = "1")
     void anyProcessReckonsTheSameStagesEachOnTopOfTheOneBefore(
-            @ForAll @IntRange(min = 1, max = 120) int count, @ForAll @IntRange(min = 1, max = 5) int zones,
+            @ForAll @IntRange(min = 1, max = 120) int count,
+            @ForAll @IntRange(min = 1, max = 5) int zones,
             @ForAll @IntRange(min = 1, max = 1_000) int change) {
         List<Place> routers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -33,7 +34,8 @@
             assertThat(now).isEqualTo(Stages.changed(shuffled, change, stage)).containsAll(before);
             if (stage == 0) {
                 assertThat(routers.stream().filter(r -> now.contains(r.name())).map(Place::zone))
-                        .doesNotHaveDuplicates().hasSize(Math.min(count, zones));
+                        .doesNotHaveDuplicates()
+                        .hasSize(Math.min(count, zones));
             }
             before = now;
         }
@@ -50,6 +52,7 @@
         for (int i = 0; i < 5; i++) {
             first.add(Stages.changed(routers, change + i, 0));
         }
-        assertThat(first.stream().flatMap(Set::stream).collect(Collectors.toSet())).hasSizeGreaterThan(5);
+        assertThat(first.stream().flatMap(Set::stream).collect(Collectors.toSet()))
+                .hasSizeGreaterThan(5);
     }
 }
--- a/src/test/java/beaconladder/rollout/VerdictTest.java
+++ b/src/test/java/beaconladder/rollout/VerdictTest.java
@@ -25,10 +25,7 @@
         assertThat(stops).isLessThanOrEqualTo(8);
     }
 
-    /**
-     * A host dies now and then: for a while two in five txns are lost, at all routers, each with its own
-     * luck.
-     */
+    /** A host dies now and then: for a while two in five txns are lost, at all routers, each with its own luck. */
     @Test
     void faultsThatStrikeBothArmsAlikeStopNothing() {
         int stops = 0;
@@ -65,25 +62,23 @@
         List<Tally> many = List.of(tally("b", Map.of("read", new Count(9_000, 90, 9_000))));
         assertThat(Verdict.of(slow, many, 30 * S, TERMS).why()).startsWith("read: takes");
         List<Tally> silent = List.of(tally("a", Map.of(Verdict.HEARD, new Count(60, 40, 0))));
-        List<Tally> heard = List.of(tally("b", Map.of(Verdict.HEARD, new Count(600, 2, 0),
-                "read", new Count(9_000, 90, 9_000))));
+        List<Tally> heard =
+                List.of(tally("b", Map.of(Verdict.HEARD, new Count(600, 2, 0), "read", new Count(9_000, 90, 9_000))));
         assertThat(Verdict.of(silent, heard, 30 * S, TERMS).why()).startsWith("(heard)");
     }
 
     @Test
     void aRestartAndAnotherVersionSetCountsBackAndTakeNothingOff() {
         Tally before = new Tally("a", "1", 7, Map.of("read", new Count(100, 3, 900)));
-        Tally after = new Tally("a", "1", 7,
-                Map.of("read", new Count(150, 4, 1_300), "new", new Count(2, 0, 5)));
-        assertThat(after.since(before).types()).isEqualTo(Map.of("read", new Count(50, 1, 400), "new",
-                new Count(2, 0, 5)));
+        Tally after = new Tally("a", "1", 7, Map.of("read", new Count(150, 4, 1_300), "new", new Count(2, 0, 5)));
+        assertThat(after.since(before).types())
+                .isEqualTo(Map.of("read", new Count(50, 1, 400), "new", new Count(2, 0, 5)));
         assertThat(new Tally("a", "2", 7, after.types()).since(before).types()).isEqualTo(after.types());
         assertThat(new Tally("a", "1", 8, after.types()).since(before).types()).isEqualTo(after.types());
     }
 
     /**
-     * Two types over sixty looks, two routers changed and ten not, each with its own luck, and some better
-     * than others.
+     * Two types over sixty looks, two routers changed and ten not, each with its own luck, and some better than others.
      *
      * @param shocks the share of looks in which two in five txns are lost, changed or not
      */
--- a/src/test/java/beaconladder/roster/AskedScheduleTest.java
+++ b/src/test/java/beaconladder/roster/AskedScheduleTest.java
@@ -18,8 +18,7 @@
 
     /** A fleet of routers that all start at once, or whose watches all break at once. */
     private static final class Fleet {
-        private record Event(double at, int router, Runnable what) {
-        }
+        private record Event(double at, int router, Runnable what) {}
 
         private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparing(Event::at));
         private final Schedule[] schedules;
@@ -94,7 +93,8 @@
 
     /** Where discovery bears a call of each in eight seconds a start together is over within three turns. */
     @Property(seed = "1", tries = 30)
-    void aStartTogetherIsOverSoonAndThenNobodyIsRefused(@ForAll @IntRange(max = 1_000) int seed,
+    void aStartTogetherIsOverSoonAndThenNobodyIsRefused(
+            @ForAll @IntRange(max = 1_000) int seed,
             @ForAll @IntRange(min = 20, max = 1_000) int routers,
             @ForAll @IntRange(min = 2, max = 8) int turn) {
         Fleet fleet = new Fleet(routers, turn, i -> new AskedSchedule(10_000, seed * 100_003L + i));
@@ -135,8 +135,8 @@
 
     /** While nobody is refused a silent watch is found, and its news are heard, before they count. */
     @Property(seed = "1")
-    void aSilentWatchIsFoundBeforeItsNewsCount(@ForAll @IntRange(max = 1_000) int seed,
-            @ForAll @IntRange(max = 400) int beyond) {
+    void aSilentWatchIsFoundBeforeItsNewsCount(
+            @ForAll @IntRange(max = 1_000) int seed, @ForAll @IntRange(max = 400) int beyond) {
         AskedSchedule schedule = new AskedSchedule(10_000, seed);
         schedule.answered(schedule.call(false), beyond * 1_000_000L, true);
         Schedule.Call watch = schedule.call(true);
@@ -147,8 +147,10 @@
 
     /** Nor does a refusal before it change that: the watch behind it says a short wait. */
     @Property(seed = "1")
-    void aSilentWatchBehindARefusalIsFoundBeforeItsNewsCount(@ForAll @IntRange(max = 1_000) int seed,
-            @ForAll @IntRange(max = 400) int beyond, @ForAll @IntRange(min = 1, max = 5) int refusals) {
+    void aSilentWatchBehindARefusalIsFoundBeforeItsNewsCount(
+            @ForAll @IntRange(max = 1_000) int seed,
+            @ForAll @IntRange(max = 400) int beyond,
+            @ForAll @IntRange(min = 1, max = 5) int refusals) {
         AskedSchedule schedule = new AskedSchedule(10_000, seed);
         schedule.answered(schedule.call(false), beyond * 1_000_000L, true);
         schedule.refused(schedule.call(true));
@@ -165,8 +167,8 @@
 
     /** An outage's end is heard within what counts as told, however long it was, up to half a minute. */
     @Property(seed = "1")
-    void theEndOfAnOutageIsHeardInTime(@ForAll @IntRange(max = 1_000) int seed,
-            @ForAll @IntRange(max = 14) int failures) {
+    void theEndOfAnOutageIsHeardInTime(
+            @ForAll @IntRange(max = 1_000) int seed, @ForAll @IntRange(max = 14) int failures) {
         AskedSchedule schedule = new AskedSchedule(10_000, seed);
         for (int i = 0; i < failures; i++) {
             schedule.failed();
--- a/src/test/java/beaconladder/roster/CallScheduleTest.java
+++ b/src/test/java/beaconladder/roster/CallScheduleTest.java
@@ -14,8 +14,8 @@
     private static final int CALLS = 200;
 
     /**
-     * Whatever came before, and however short the grace of drains: a watch that falls silent as it begins is
-     * broken so early that a try for slow answers and one more fit in before its news count.
+     * Whatever came before, and however short the grace of drains: a watch that falls silent as it begins is broken so
+     * early that a try for slow answers and one more fit in before its news count.
      */
     @Property(seed = "1")
     void aSilentWatchIsAskedAgainTwiceBeforeItsNewsCount(
@@ -33,7 +33,8 @@
                 schedule.silent(new Schedule.Call(0, 1, 1));
                 listed = false;
             } else {
-                assertThat(schedule.answered(call, took * 1_000_000L, took % 2 == 0)).isBetween(0, 200);
+                assertThat(schedule.answered(call, took * 1_000_000L, took % 2 == 0))
+                        .isBetween(0, 200);
                 slowest = call.waits() == 0 ? took : slowest;
                 listed = true;
             }
@@ -57,8 +58,10 @@
 
     /** At the return of a quick discovery that was silent so long its list is heard within the grace. */
     @Property(seed = "1")
-    void theEndOfAnOutageIsHeardWithinTheGrace(@ForAll @IntRange(max = 100) int silences,
-            @ForAll @IntRange(min = 450, max = 5_000) int grace, @ForAll @IntRange(max = 20) int took) {
+    void theEndOfAnOutageIsHeardWithinTheGrace(
+            @ForAll @IntRange(max = 100) int silences,
+            @ForAll @IntRange(min = 450, max = 5_000) int grace,
+            @ForAll @IntRange(max = 20) int took) {
         CallSchedule schedule = new CallSchedule(grace, 1);
         schedule.answered(schedule.call(false), took * 1_000_000L, true);
         for (int i = 0; i < silences; i++) {
@@ -84,8 +87,8 @@
     }
 
     /**
-     * However slow discovery is, its list is heard, and then at each call. Beyond two and a half seconds no
-     * schedule of one call at a time knows in six seconds what began behind a call's snapshot.
+     * However slow discovery is, its list is heard, and then at each call. Beyond two and a half seconds no schedule of
+     * one call at a time knows in six seconds what began behind a call's snapshot.
      */
     @Property(seed = "1")
     void aSlowDiscoveryIsHeard(@ForAll @IntRange(min = 1, max = Schedule.LONGEST_MILLIS) int millis) {
--- a/src/test/java/beaconladder/roster/FleetWatchTest.java
+++ b/src/test/java/beaconladder/roster/FleetWatchTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Thirty watches before one discovery that bears a call of each in three seconds and not more: whatever made
- * them all call at once, each hears the next change, and none is turned away when it is over.
+ * Thirty watches before one discovery that bears a call of each in three seconds and not more: whatever made them all
+ * call at once, each hears the next change, and none is turned away when it is over.
  */
 @Timeout(180)
 class FleetWatchTest {
@@ -35,6 +35,7 @@
     private final List<Watch> watches = new ArrayList<>();
     /** The launch of the first host that each watch heard last. */
     private final List<AtomicInteger> heard = new ArrayList<>();
+
     private int launch;
 
     @BeforeEach
@@ -46,8 +47,11 @@
         for (int i = 0; i < WATCHES; i++) {
             AtomicInteger last = new AtomicInteger(-1);
             heard.add(last);
-            watches.add(watch(new InetSocketAddress("127.0.0.1", discovery.door.getLocalPort()), i,
-                    (whole, entries) -> entries.stream().filter(e -> e.id().equals("s-0"))
+            watches.add(watch(
+                    new InetSocketAddress("127.0.0.1", discovery.door.getLocalPort()),
+                    i,
+                    (whole, entries) -> entries.stream()
+                            .filter(e -> e.id().equals("s-0"))
                             .forEach(e -> last.set((int) e.launchedMillis()))));
         }
     }
@@ -116,7 +120,9 @@
         change();
         long refused = discovery.capacity.refused();
         Thread.sleep(5_000);
-        assertThat(discovery.capacity.refused() - refused).as("turned away in calm").isLessThan(WATCHES);
+        assertThat(discovery.capacity.refused() - refused)
+                .as("turned away in calm")
+                .isLessThan(WATCHES);
         change();
     }
 
@@ -127,10 +133,14 @@
     }
 
     private void allHear(int launched) {
-        Awaitility.await().atMost(HEARD).pollInterval(Duration.ofMillis(20)).untilAsserted(
-                () -> assertThat(heard.stream().filter(each -> each.get() == launched).count())
-                        .as("watches that heard of launch " + launched + "; " + discovery.calls.get()
-                                + " calls, " + discovery.capacity.refused() + " turned away")
+        Awaitility.await()
+                .atMost(HEARD)
+                .pollInterval(Duration.ofMillis(20))
+                .untilAsserted(() -> assertThat(heard.stream()
+                                .filter(each -> each.get() == launched)
+                                .count())
+                        .as("watches that heard of launch " + launched + "; " + discovery.calls.get() + " calls, "
+                                + discovery.capacity.refused() + " turned away")
                         .isEqualTo(WATCHES));
     }
 
--- a/src/test/java/beaconladder/roster/JsonTest.java
+++ b/src/test/java/beaconladder/roster/JsonTest.java
@@ -30,7 +30,8 @@
     void whatBreaksOffIsNoValue(@ForAll("trees") Map<String, Object> tree, @ForAll int at) throws Exception {
         String text = WRITER.writeValueAsString(tree);
         assertThatThrownBy(() -> Json.read(text.substring(0, Math.floorMod(at, text.length()))))
-                .isInstanceOf(Json.Fault.class).hasMessageStartingWith("bad JSON at character ");
+                .isInstanceOf(Json.Fault.class)
+                .hasMessageStartingWith("bad JSON at character ");
     }
 
     /** Any text at all is read or refused, never anything else. */
@@ -45,19 +46,27 @@
 
     @Provide
     Arbitrary<String> texts() {
-        return Arbitraries.strings().withChars("{}[]\",:truefalsn0123456789eE+-. \n\t\\u").ofMaxLength(24);
+        return Arbitraries.strings()
+                .withChars("{}[]\",:truefalsn0123456789eE+-. \n\t\\u")
+                .ofMaxLength(24);
     }
 
     @Provide
     Arbitrary<Map<String, Object>> trees() {
-        Arbitrary<Object> plain = Arbitraries.oneOf(Arbitraries.strings().ofMaxLength(8).map(s -> (Object) s),
-                Arbitraries.bigDecimals().between(new BigDecimal("-1e15"), new BigDecimal("1e15")).ofScale(6)
+        Arbitrary<Object> plain = Arbitraries.oneOf(
+                Arbitraries.strings().ofMaxLength(8).map(s -> (Object) s),
+                Arbitraries.bigDecimals()
+                        .between(new BigDecimal("-1e15"), new BigDecimal("1e15"))
+                        .ofScale(6)
                         .map(n -> (Object) n),
                 Arbitraries.of(true, false).map(b -> (Object) b));
-        Arbitrary<Object> nested = Arbitraries.lazyOf(() -> plain, () -> plain,
+        Arbitrary<Object> nested = Arbitraries.lazyOf(
+                () -> plain,
+                () -> plain,
                 () -> plain.list().ofMaxSize(4).map(l -> (Object) l),
                 () -> trees().map(m -> (Object) m));
-        return Arbitraries.maps(Arbitraries.strings().ofMaxLength(6), nested).ofMaxSize(4)
+        return Arbitraries.maps(Arbitraries.strings().ofMaxLength(6), nested)
+                .ofMaxSize(4)
                 .map(m -> (Map<String, Object>) new LinkedHashMap<>(m));
     }
 
--- a/src/test/java/beaconladder/roster/ListLiteralTest.java
+++ b/src/test/java/beaconladder/roster/ListLiteralTest.java
@@ -23,16 +23,22 @@
 
     @Test
     void aListIsItsVersionAndItsHosts() throws Exception {
-        ListReader.News news = ListReader.read(
-                new ByteArrayInputStream(LIST.getBytes(StandardCharsets.UTF_8)));
+        ListReader.News news = ListReader.read(new ByteArrayInputStream(LIST.getBytes(StandardCharsets.UTF_8)));
         assertThat(news.version()).isEqualTo(42);
         assertThat(news.whole()).isTrue();
-        assertThat(news.entries()).containsExactly(
-                new Watch.Entry("s-1", new InetSocketAddress("10.0.0.4", 5432), "a", 7, Watch.State.READY,
-                        true, 1767225600123L),
-                new Watch.Entry("s-2", new InetSocketAddress("10.0.0.5", 5433), "b", 7, Watch.State.DRAINING,
-                        false, 0),
-                new Watch.Entry("s-3", null, "null", 8, Watch.State.GONE, false, 0));
+        assertThat(news.entries())
+                .containsExactly(
+                        new Watch.Entry(
+                                "s-1",
+                                new InetSocketAddress("10.0.0.4", 5432),
+                                "a",
+                                7,
+                                Watch.State.READY,
+                                true,
+                                1767225600123L),
+                        new Watch.Entry(
+                                "s-2", new InetSocketAddress("10.0.0.5", 5433), "b", 7, Watch.State.DRAINING, false, 0),
+                        new Watch.Entry("s-3", null, "null", 8, Watch.State.GONE, false, 0));
         assertThat(Watch.entries((Map<?, ?>) Json.read(LIST))).isEqualTo(news.entries());
     }
 
@@ -50,7 +56,8 @@
                 {"rules": {"ask_every_us": 2e6, "on": true, "none": null}, "zones": ["a", "b c"],
                  "parties": [{"name": "acme, inc"}, {"name": "beta"}], "hosts": []}
                 """), flat);
-        assertThat(flat.toString()).isEqualTo("{rules.ask_every_us=2000000, rules.on=true, zones=a,b_c,"
-                + " parties.count=2, parties.0.name=acme__inc, parties.1.name=beta, hosts=}");
+        assertThat(flat.toString())
+                .isEqualTo("{rules.ask_every_us=2000000, rules.on=true, zones=a,b_c,"
+                        + " parties.count=2, parties.0.name=acme__inc, parties.1.name=beta, hosts=}");
     }
 }
--- a/src/test/java/beaconladder/roster/ListReaderTest.java
+++ b/src/test/java/beaconladder/roster/ListReaderTest.java
@@ -34,7 +34,8 @@
         assertThat(news.entries()).isEqualTo(entries);
         assertThat(news.whole()).isEqualTo(list.get("full"));
         assertThat(news.version()).isEqualTo(((Number) list.get("version")).longValue());
-        assertThat(read(WRITER.writerWithDefaultPrettyPrinter().writeValueAsString(list))).isEqualTo(news);
+        assertThat(read(WRITER.writerWithDefaultPrettyPrinter().writeValueAsString(list)))
+                .isEqualTo(news);
     }
 
     /** Whatever is missing at its end, however whole its entries: it is no list. */
@@ -69,20 +70,22 @@
         cases.put("{\"version\":-1,\"servers\":[]}", "a list without its version");
         cases.put("{\"version\":1,\"servers\":[" + good + "]} {}", "more after the list of hosts");
         cases.put("{\"version\":1,\"servers\":[" + good + ",7]}", "an entry without id or group");
-        cases.put("{\"version\":1,\"servers\":[" + good + "," + good.replace("Ready", "Off") + "]}",
+        cases.put(
+                "{\"version\":1,\"servers\":[" + good + "," + good.replace("Ready", "Off") + "]}",
                 "an unknown state Off");
-        cases.put("{\"version\":1,\"servers\":[" + good.replace("\"kind\"", "\"id\"") + "]}",
-                "Duplicate field 'id'");
+        cases.put("{\"version\":1,\"servers\":[" + good.replace("\"kind\"", "\"id\"") + "]}", "Duplicate field 'id'");
         cases.put("{\"version\":1,\"version\":1,\"servers\":[]}", "Duplicate field 'version'");
-        cases.put("{\"version\":1,\"servers\":[" + good.replace("\"weight\":1.0", "\"weight\":1e999999999")
-                + "]}", "a number out of range");
+        cases.put(
+                "{\"version\":1,\"servers\":[" + good.replace("\"weight\":1.0", "\"weight\":1e999999999") + "]}",
+                "a number out of range");
         cases.forEach((text, cause) -> assertThatThrownBy(() -> read(text)).hasMessageContaining(cause));
     }
 
     /** A body that would fill the memory with entries ends before it does. */
     @Test
     void aListOfTooManyHostsIsRefused() {
-        String some = IntStream.range(0, ListReader.MOST_ENTRIES + 1).mapToObj(ListReaderTest::entry)
+        String some = IntStream.range(0, ListReader.MOST_ENTRIES + 1)
+                .mapToObj(ListReaderTest::entry)
                 .collect(Collectors.joining(","));
         assertThatThrownBy(() -> read("{\"version\":1,\"servers\":[" + some + "]}"))
                 .hasMessageContaining("more than");
@@ -91,11 +94,13 @@
     /** As many hosts as there will be, indented by anyone. */
     @Test
     void fiveThousandEightHundredIndentedHostsFit() throws Exception {
-        String text = "{\"version\":1,\"full\":true,\"servers\":[" + IntStream.range(0, 5_800)
-                .mapToObj(ListReaderTest::entry).collect(Collectors.joining(",")) + "]}";
+        String text = "{\"version\":1,\"full\":true,\"servers\":["
+                + IntStream.range(0, 5_800).mapToObj(ListReaderTest::entry).collect(Collectors.joining(",")) + "]}";
         String margin = "\n" + " ".repeat(70) + "\"";
-        String indented = text.replace(",\"", "," + margin).replace("{\"", "{" + margin)
-                .replace(":", " : ").replace("127.0.0.1 : ", "127.0.0.1:");
+        String indented = text.replace(",\"", "," + margin)
+                .replace("{\"", "{" + margin)
+                .replace(":", " : ")
+                .replace("127.0.0.1 : ", "127.0.0.1:");
         assertThat(indented.length()).isBetween(4 << 20, HttpGet.LONGEST_STREAM);
         assertThat(read(indented).entries()).hasSize(5_800).isEqualTo(read(text).entries());
     }
@@ -116,10 +121,13 @@
     @Provide
     Arbitrary<Map<String, Object>> lists() {
         Arbitrary<Map<String, Object>> entries = Combinators.combine(
-                Arbitraries.strings().ofMinLength(1).ofMaxLength(8),
-                Arbitraries.integers().between(1, 65_535), Arbitraries.of("a", "b", "ü"),
-                Arbitraries.of("Ready", "Terminating", "Gone"), Arbitraries.longs().between(0, 1L << 45),
-                Arbitraries.of("leader", "follower")).as((id, port, zone, state, launched, role) -> {
+                        Arbitraries.strings().ofMinLength(1).ofMaxLength(8),
+                        Arbitraries.integers().between(1, 65_535),
+                        Arbitraries.of("a", "b", "ü"),
+                        Arbitraries.of("Ready", "Terminating", "Gone"),
+                        Arbitraries.longs().between(0, 1L << 45),
+                        Arbitraries.of("leader", "follower"))
+                .as((id, port, zone, state, launched, role) -> {
                     Map<String, Object> entry = new LinkedHashMap<>();
                     entry.put("id", id);
                     entry.put("addr", "10.0.0.1:" + port);
@@ -132,8 +140,12 @@
                     entry.put("role", role);
                     return entry;
                 });
-        return Combinators.combine(entries.list().ofMaxSize(5), Arbitraries.longs().between(0, 1L << 50),
-                Arbitraries.of(true, false), Arbitraries.of(true, false)).as((all, version, full, first) -> {
+        return Combinators.combine(
+                        entries.list().ofMaxSize(5),
+                        Arbitraries.longs().between(0, 1L << 50),
+                        Arbitraries.of(true, false),
+                        Arbitraries.of(true, false))
+                .as((all, version, full, first) -> {
                     Map<String, Object> list = new LinkedHashMap<>();
                     if (first) {
                         list.put("servers", all);
--- a/src/test/java/beaconladder/roster/WatchMovesTest.java
+++ b/src/test/java/beaconladder/roster/WatchMovesTest.java
@@ -35,6 +35,8 @@
         // Each failure lets them rest longer; by now they do for seconds.
         Thread.sleep(8_000);
         watches.forEach(watch -> watch.moveTo(at(discovery)));
-        assertThat(told.await(1, TimeUnit.SECONDS)).as("all but " + told.getCount() + " within 1 s").isTrue();
+        assertThat(told.await(1, TimeUnit.SECONDS))
+                .as("all but " + told.getCount() + " within 1 s")
+                .isTrue();
     }
 }
--- a/src/test/java/beaconladder/roster/WatchTest.java
+++ b/src/test/java/beaconladder/roster/WatchTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The clock of the list: what discovery has, and what could be had of it, counts as told 6 s later, and at
- * the end of an outage what is left is the grace of drains. By then the watch has asked again and knows it,
- * over every way in which a call can fail.
+ * The clock of the list: what discovery has, and what could be had of it, counts as told 6 s later, and at the end of
+ * an outage what is left is the grace of drains. By then the watch has asked again and knows it, over every way in
+ * which a call can fail.
  */
 @Timeout(90)
 class WatchTest extends WatchedDiscovery {
@@ -49,10 +49,8 @@
                 new Case("bytes that drip", d -> d.manner = Manner.DRIP, 500),
                 new Case("silence for a while, also to new calls", d -> d.manner = Manner.SILENT, 5_300),
                 new Case("silence for long", d -> d.manner = Manner.SILENT, 20_500),
-                new Case("nonsense", 
-                        d -> d.garbage = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}", 4_000),
-                new Case("a body without length, reset once its list looks whole",
-                        d -> d.manner = Manner.RESET, 4_000),
+                new Case("nonsense", d -> d.garbage = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}", 4_000),
+                new Case("a body without length, reset once its list looks whole", d -> d.manner = Manner.RESET, 4_000),
                 new Case("answers that are late by 1.2 s", d -> d.lateMillis = 1_200, 0));
         Map<String, Long> took = new ConcurrentHashMap<>();
         List<Thread> all = new ArrayList<>();
@@ -64,8 +62,10 @@
         for (Thread thread : all) {
             thread.join();
         }
-        return cases.stream().map(each -> DynamicTest.dynamicTest(each.name(),
-                () -> assertThat(took.get(each.name())).isNotNull().isLessThan(each.bound())));
+        return cases.stream()
+                .map(each -> DynamicTest.dynamicTest(
+                        each.name(),
+                        () -> assertThat(took.get(each.name())).isNotNull().isLessThan(each.bound())));
     }
 
     /** Milliseconds from the silence, at its latest moment for a watch, to the news. */
@@ -90,7 +90,9 @@
                 discovery.garbage = null;
                 discovery.lateMillis = 0;
             }
-            Awaitility.await().atMost(Duration.ofSeconds(30)).pollInterval(Duration.ofMillis(5))
+            Awaitility.await()
+                    .atMost(Duration.ofSeconds(30))
+                    .pollInterval(Duration.ofMillis(5))
                     .until(() -> heard.get() != 0);
             return (heard.get() - from) / 1_000_000;
         } catch (Exception e) {
@@ -113,17 +115,19 @@
         old.waitMillis = 60_000;
         old.list(true, host("Ready"));
         List<Watch.State> heard = new ArrayList<>();
-        Watch watch = new Watch(at(old), GRACE, 7,
-                (whole, entries) -> entries.forEach(e -> heard.add(e.state())));
+        Watch watch = new Watch(at(old), GRACE, 7, (whole, entries) -> entries.forEach(e -> heard.add(e.state())));
         start(watch);
         Awaitility.await().until(() -> old.calls.get() >= 2);
         DiscoveryStandIn next = discovery();
-        next.list(true, host("Terminating").replace(",", ",\n\t    ").replace(":", " :\r\n ")
-                .replace("127.0.0.1 :\r\n ", "127.0.0.1:"));
+        next.list(
+                true,
+                host("Terminating")
+                        .replace(",", ",\n\t    ")
+                        .replace(":", " :\r\n ")
+                        .replace("127.0.0.1 :\r\n ", "127.0.0.1:"));
         long from = System.nanoTime();
         watch.moveTo(at(next));
-        Awaitility.await().pollInterval(Duration.ofMillis(5))
-                .until(() -> heard.contains(Watch.State.DRAINING));
+        Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> heard.contains(Watch.State.DRAINING));
         assertThat(System.nanoTime() - from).isLessThan(1_000_000_000L);
         int calls = old.calls.get();
         Thread.sleep(300);
@@ -135,8 +139,7 @@
     void aStartWaitsForTheFirstListNoLongerThanItsBound() throws Exception {
         ServerSocket mute = new ServerSocket(0);
         open.add(mute);
-        Watch watch = new Watch(new InetSocketAddress("127.0.0.1", mute.getLocalPort()), GRACE, 7,
-                (whole, all) -> { });
+        Watch watch = new Watch(new InetSocketAddress("127.0.0.1", mute.getLocalPort()), GRACE, 7, (whole, all) -> {});
         start(watch);
         long from = System.nanoTime();
         Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> !watch.mayStillTell());
--- a/src/test/java/beaconladder/roster/WatchVersionsTest.java
+++ b/src/test/java/beaconladder/roster/WatchVersionsTest.java
@@ -28,8 +28,7 @@
         Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> discovery.calls.get() >= 4);
         discovery.cutOff();
         discovery.list(false, host("Terminating"));
-        Awaitility.await().atMost(Duration.ofSeconds(10))
-                .until(() -> heard.contains(Watch.State.DRAINING));
+        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(Watch.State.DRAINING));
         assertThat(heard).hasSize(hosts.length + 1);
         assertThat(discovery.paths.get(0)).isEqualTo("/v1/servers");
         assertThat(discovery.paths.subList(1, discovery.paths.size()))
@@ -48,8 +47,7 @@
         List<Watch.State> heard = watch(discovery);
         Awaitility.await().until(() -> discovery.calls.get() >= 2);
         discovery.restart(host("Terminating"));
-        Awaitility.await().atMost(Duration.ofSeconds(10))
-                .until(() -> heard.contains(Watch.State.DRAINING));
+        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(Watch.State.DRAINING));
     }
 
     /** Nonsense may have been news. */
@@ -61,7 +59,9 @@
         Awaitility.await().until(() -> discovery.calls.get() >= 2);
         discovery.garbage = "HTTP/1.1 200 OK\r\nContent-Length: 51\r\n\r\n"
                 + "{\"version\":9,\"full\":false,\"servers\":[{\"id\":\"s-1\"}]}".substring(0, 51);
-        Awaitility.await().until(() -> discovery.paths.stream().filter("/v1/servers"::equals).count() > 1);
+        Awaitility.await()
+                .until(() ->
+                        discovery.paths.stream().filter("/v1/servers"::equals).count() > 1);
         discovery.garbage = null;
         discovery.list(false, host("Terminating"));
         Awaitility.await().until(() -> heard.contains(Watch.State.DRAINING));
--- a/src/test/java/beaconladder/roster/WatchedDiscovery.java
+++ b/src/test/java/beaconladder/roster/WatchedDiscovery.java
@@ -29,8 +29,7 @@
 
     List<Watch.State> watch(DiscoveryStandIn discovery) {
         List<Watch.State> heard = new CopyOnWriteArrayList<>();
-        start(new Watch(at(discovery), GRACE, 7,
-                (whole, entries) -> entries.forEach(e -> heard.add(e.state()))));
+        start(new Watch(at(discovery), GRACE, 7, (whole, entries) -> entries.forEach(e -> heard.add(e.state()))));
         return heard;
     }
 
--- a/src/test/java/beaconladder/serve/AheadTest.java
+++ b/src/test/java/beaconladder/serve/AheadTest.java
@@ -42,8 +42,7 @@
         assertThat(ahead.another(MANY)).isFalse();
         done(w2);
         assertThat(ahead.next(MANY)).isSameAs(r3);
-        assertThat(List.of(r1.begins(), w4.begins(), w2.begins(), r3.begins()))
-                .containsExactly(0L, 0L, 7L, 7L);
+        assertThat(List.of(r1.begins(), w4.begins(), w2.begins(), r3.begins())).containsExactly(0L, 0L, 7L, 7L);
     }
 
     @Test
@@ -111,12 +110,13 @@
     }
 
     private static Ahead.Work read(String key) {
-        return new Ahead.Work("SELECT doc FROM items WHERE id = '" + key
-                + "' /* id=1,c=any,d=9,cluster=1 */", 0);
+        return new Ahead.Work("SELECT doc FROM items WHERE id = '" + key + "' /* id=1,c=any,d=9,cluster=1 */", 0);
     }
 
     private static Ahead.Work write(String key) {
-        return new Ahead.Work("INSERT INTO items (id, doc) VALUES ('" + key + "', '\\x00') RETURNING doc "
-                + "/* id=1,c=write,d=9,cluster=1 */", 0);
+        return new Ahead.Work(
+                "INSERT INTO items (id, doc) VALUES ('" + key + "', '\\x00') RETURNING doc "
+                        + "/* id=1,c=write,d=9,cluster=1 */",
+                0);
     }
 }
--- a/src/test/java/beaconladder/serve/ClientTest.java
+++ b/src/test/java/beaconladder/serve/ClientTest.java
@@ -13,14 +13,14 @@
 
 class ClientTest {
     /**
-     * On a part of a core the reader may stand still between any two steps. Wherever a query comes in while
-     * an idle client is ended, it is either answered, or stays unread in the socket, which the operating
-     * system tells the client by a reset.
+     * On a part of a core the reader may stand still between any two steps. Wherever a query comes in while an idle
+     * client is ended, it is either answered, or stays unread in the socket, which the operating system tells the
+     * client by a reset.
      */
     @Test
     void aQueryThatComesWhileAnIdleClientIsEndedIsAnsweredOrStaysUnread() throws Exception {
-        Map<String, String> start = new LinkedHashMap<>(Map.of("request_classes.count", "1",
-                "family_info.freshness", "loose", "zones", "east"));
+        Map<String, String> start = new LinkedHashMap<>(
+                Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east"));
         Desk desk = new Desk(1, start, null);
         Threads threads = new Threads(192);
         Room room = new Room(1 << 20);
@@ -38,8 +38,12 @@
             for (int i = 0; i < 500 && !wire.said().contains("Z") && !ended; i++) {
                 Thread.sleep(10);
             }
-            trace.append(read).append(ended ? " ended " : " stays ").append(wire.unread).append(" unread, ")
-                    .append(wire.said()).append('\n');
+            trace.append(read)
+                    .append(ended ? " ended " : " stays ")
+                    .append(wire.unread)
+                    .append(" unread, ")
+                    .append(wire.said())
+                    .append('\n');
         }
         assertThat(trace.toString()).isEqualTo("""
                 2 stays 0 unread, IZ
@@ -63,7 +67,8 @@
         @Override
         public synchronized int read(ByteBuffer into) {
             reads++;
-            byte[] bytes = reads == 1 ? bytes(Outbox.startup("app", "shop"))
+            byte[] bytes = reads == 1
+                    ? bytes(Outbox.startup("app", "shop"))
                     : reads == at ? bytes(Outbox.query("")) : new byte[0];
             into.put(bytes);
             return bytes.length;
@@ -90,8 +95,7 @@
         }
 
         @Override
-        public void endWriting() {
-        }
+        public void endWriting() {}
 
         @Override
         public synchronized boolean isOpen() {
--- a/src/test/java/beaconladder/serve/ClockIT.java
+++ b/src/test/java/beaconladder/serve/ClockIT.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The wall clock of a router is wrong, or is stepped; the monotonic one runs on, and hosts tell positions by
- * the true time.
+ * The wall clock of a router is wrong, or is stepped; the monotonic one runs on, and hosts tell positions by the true
+ * time.
  */
 class ClockIT extends ServedProgram {
     private static final long HOUR = 3_600_000_000_000L;
@@ -21,8 +21,13 @@
         plan = new FaultPlan(folder.resolve("plan"));
         plan.stepWallClock(offset);
         int port = Program.freePort();
-        router = keep(new Program(folder, config(port), port, "export LD_PRELOAD="
-                + FaultShim.build(folder).library() + " FAULT_SHIM_PLAN=" + plan.file() + "; ")).ready();
+        router = keep(new Program(
+                        folder,
+                        config(port),
+                        port,
+                        "export LD_PRELOAD=" + FaultShim.build(folder).library() + " FAULT_SHIM_PLAN=" + plan.file()
+                                + "; "))
+                .ready();
     }
 
     private static String fresh(String id) {
@@ -55,7 +60,8 @@
             ask(c, fresh("right" + i));
             ask(c, write("rightw" + i, 1_500));
         }
-        assertThat(b.queries()).as("reads with a bound of 500 ms at a replica 2 s behind")
+        assertThat(b.queries())
+                .as("reads with a bound of 500 ms at a replica 2 s behind")
                 .noneMatch(query -> query.contains("c=fresh"));
     }
 
@@ -69,7 +75,9 @@
             ask(c, "first" + offset, LOOKS / 2);
             b.queries.clear();
             ask(c, "then" + offset, LOOKS / 2);
-            assertThat(b.queries().stream().filter(query -> query.contains("c=fresh")).count())
+            assertThat(b.queries().stream()
+                            .filter(query -> query.contains("c=fresh"))
+                            .count())
                     .as("bounded reads of " + LOOKS / 2 + " at the replica, off by " + offset)
                     .isGreaterThan(LOOKS / 4);
         }
@@ -84,8 +92,11 @@
             plan.stepWallClock(step);
             b.queries.clear();
             ask(c, "step" + step, LOOKS / 4);
-            assertThat(b.queries().stream().filter(query -> query.contains("c=fresh")).count())
-                    .as("bounded reads at the replica after a step of " + step).isGreaterThan(LOOKS / 8);
+            assertThat(b.queries().stream()
+                            .filter(query -> query.contains("c=fresh"))
+                            .count())
+                    .as("bounded reads at the replica after a step of " + step)
+                    .isGreaterThan(LOOKS / 8);
         }
     }
 }
--- a/src/test/java/beaconladder/serve/DescriptorsTest.java
+++ b/src/test/java/beaconladder/serve/DescriptorsTest.java
@@ -11,8 +11,13 @@
     void neitherUseCanLockTheOtherOutAndTheProgramsOwnStayFree() {
         Descriptors of = new Descriptors(128);
         StringBuilder trace = new StringBuilder();
-        trace.append(of.most()).append(' ').append(takeAll(of, Use.CLIENT)).append(' ')
-                .append(takeAll(of, Use.HOST)).append(' ').append(of.take(Use.CLIENT));
+        trace.append(of.most())
+                .append(' ')
+                .append(takeAll(of, Use.CLIENT))
+                .append(' ')
+                .append(takeAll(of, Use.HOST))
+                .append(' ')
+                .append(of.take(Use.CLIENT));
         of.give(Use.CLIENT, 72);
         trace.append(' ').append(takeAll(of, Use.HOST)).append(' ').append(takeAll(of, Use.CLIENT));
         assertThat(trace.toString()).isEqualTo("64 72 24 false 48 24");
@@ -28,7 +33,9 @@
                 Use use = Use.values()[chance.nextInt(2)];
                 if (chance.nextInt(3) > 0) {
                     boolean due = of.held(use) < whole / 4;
-                    assertThat(of.take(use) || !due).as("%s has its part of %d", use, stated).isTrue();
+                    assertThat(of.take(use) || !due)
+                            .as("%s has its part of %d", use, stated)
+                            .isTrue();
                 } else {
                     of.give(use, chance.nextInt(Math.min(4, of.held(use)) + 1));
                 }
--- a/src/test/java/beaconladder/serve/DiscoveryIT.java
+++ b/src/test/java/beaconladder/serve/DiscoveryIT.java
@@ -22,13 +22,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Several routers, each with an agent of its own that fails in a way of its own while a host is taken out of
- * service; judged by what that host saw.
+ * Several routers, each with an agent of its own that fails in a way of its own while a host is taken out of service;
+ * judged by what that host saw.
  */
 @Timeout(120)
 class DiscoveryIT {
     /** What could be reached counts as told so long after, and after SIGHUP; then comes the grace. */
     private static final long TOLD_MILLIS = 6_000;
+
     private static final long HANGUP_MILLIS = 4_000;
     private static final long GRACE_MILLIS = 2_000;
     private static final long SLACK_MILLIS = 50;
@@ -37,6 +38,7 @@
 
     @TempDir
     Path folder;
+
     private final List<AutoCloseable> open = new ArrayList<>();
     private final List<Thread> clients = new ArrayList<>();
     private Writers writers;
@@ -66,8 +68,10 @@
 
     @Test
     void noNewTxnReachesADrainingHostOnceItCountsAsTold() throws Exception {
-        List<Consumer<DiscoveryStandIn>> faults = List.of(DiscoveryStandIn::cutOff,
-                agent -> agent.manner = Manner.HALF, agent -> agent.manner = Manner.DRIP,
+        List<Consumer<DiscoveryStandIn>> faults = List.of(
+                DiscoveryStandIn::cutOff,
+                agent -> agent.manner = Manner.HALF,
+                agent -> agent.manner = Manner.DRIP,
                 agent -> agent.manner = Manner.SILENT,
                 agent -> agent.garbage = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[}");
         List<DiscoveryStandIn> agents = new ArrayList<>();
@@ -81,10 +85,12 @@
         moved.list(true, entries("Terminating"));
         DiscoveryStandIn before = agent();
         int port = Program.freePort();
-        Program hungUp = keep(new Program(folder, file("m", port, before), port)).ready();
+        Program hungUp =
+                keep(new Program(folder, file("m", port, before), port)).ready();
         load("m", hungUp);
-        Awaitility.await().until(() -> List.of("f0-", "f1-", "f2-", "f3-", "f4-", "m-").stream()
-                .allMatch(name -> sawAfter(name, 0)));
+        Awaitility.await()
+                .until(() -> List.of("f0-", "f1-", "f2-", "f3-", "f4-", "m-").stream()
+                        .allMatch(name -> sawAfter(name, 0)));
         long from = System.currentTimeMillis();
         for (int i = 0; i < faults.size(); i++) {
             faults.get(i).accept(agents.get(i));
@@ -103,9 +109,12 @@
             // The first could be reached all the time over a new connection.
             long counts = i == 0 ? from + TOLD_MILLIS : back;
             assertThat(sawAfter("f" + i + "-", counts + GRACE_MILLIS + SLACK_MILLIS))
-                    .as("fault " + i + "\n" + routers.get(i).log()).isFalse();
+                    .as("fault " + i + "\n" + routers.get(i).log())
+                    .isFalse();
         }
-        assertThat(sawAfter("m-", from + HANGUP_MILLIS + GRACE_MILLIS)).as("moved").isFalse();
+        assertThat(sawAfter("m-", from + HANGUP_MILLIS + GRACE_MILLIS))
+                .as("moved")
+                .isFalse();
         // It did drain: all is served at the others, and nothing was odd.
         assertThat(writers.odd).isEmpty();
         assertThat(writers.served.get()).isGreaterThan(500);
@@ -129,7 +138,8 @@
     // ---- Helpers ------------------------------------------------------------------------------------------
 
     private boolean sawAfter(String name, long millis) {
-        return goes.queries().stream().filter(query -> query.contains("id=" + name))
+        return goes.queries().stream()
+                .filter(query -> query.contains("id=" + name))
                 .anyMatch(query -> !goes.sawBefore(query.replaceAll(".*(id=[^,]*,).*", "$1"), millis));
     }
 
--- a/src/test/java/beaconladder/serve/DrainTest.java
+++ b/src/test/java/beaconladder/serve/DrainTest.java
@@ -11,9 +11,10 @@
 
     /** Whatever was taken by the last look has the whole of its time; nothing ends after a kill may come. */
     @Property(seed = "1")
-    void nothingEndsAfterAKillMayCome(@ForAll @LongRange(min = 1, max = 20 * S) long longest,
-            @ForAll @LongRange(min = 0, max = 30 * S) long begins, @ForAll @LongRange(min = 1, max = 20 * S)
-            long budget) {
+    void nothingEndsAfterAKillMayCome(
+            @ForAll @LongRange(min = 1, max = 20 * S) long longest,
+            @ForAll @LongRange(min = 0, max = 30 * S) long begins,
+            @ForAll @LongRange(min = 1, max = 20 * S) long budget) {
         long told = 1_767_225_600L * S;
         Drain drain = new Drain(told, longest);
         long kill = told + Math.max(longest, 3 * S) + 700_000_000L;
--- a/src/test/java/beaconladder/serve/FullHouseIT.java
+++ b/src/test/java/beaconladder/serve/FullHouseIT.java
@@ -26,7 +26,8 @@
     void discoveryIsReachedAtItsReturnAndAtANewAddressAndTheEndIsADrain() throws Exception {
         sockets = LIMIT;
         int port = Program.freePort();
-        router = keep(new Program(folder, config(port), port, "ulimit -n " + LIMIT + "; ")).ready();
+        router = keep(new Program(folder, config(port), port, "ulimit -n " + LIMIT + "; "))
+                .ready();
         Caller c = caller();
         ask(c, read("warm", 2000));
         discovery.manner = Manner.SILENT;
@@ -86,7 +87,8 @@
         for (int i = 0; host.queries.isEmpty(); i++) {
             assertThat(System.nanoTime()).as(router.log()).isLessThan(until);
             try (Caller one = new Caller(new Socket(InetAddress.getLoopbackAddress(), router.port))) {
-                Outbox.startup("app", "shop").append(Outbox.query(read("h" + host.port() + "-" + i, 1500)))
+                Outbox.startup("app", "shop")
+                        .append(Outbox.query(read("h" + host.port() + "-" + i, 1500)))
                         .writeTo(one.out);
                 one.answer();
                 one.answer();
--- a/src/test/java/beaconladder/serve/GoneClientsIT.java
+++ b/src/test/java/beaconladder/serve/GoneClientsIT.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A client that closes or cancels has gone: no attempt for it begins more than a tenth of a second later, by
- * what the hosts saw.
+ * A client that closes or cancels has gone: no attempt for it begins more than a tenth of a second later, by what the
+ * hosts saw.
  */
 @Timeout(60)
 class GoneClientsIT extends ServedProgram {
@@ -182,7 +182,9 @@
     private void nothingAfter(long gone, String name, long watch) throws InterruptedException {
         TimeUnit.MILLISECONDS.sleep(watch);
         for (String id : seen(name)) {
-            assertThat(a.sawBefore(id, gone + LATE) || b.sawBefore(id, gone + LATE)).as(id).isTrue();
+            assertThat(a.sawBefore(id, gone + LATE) || b.sawBefore(id, gone + LATE))
+                    .as(id)
+                    .isTrue();
         }
     }
 
@@ -196,8 +198,13 @@
 
     private void cancel(int process, int secret) throws IOException {
         try (Socket one = new Socket(InetAddress.getLoopbackAddress(), router.port)) {
-            one.getOutputStream().write(ByteBuffer.allocate(16).putInt(16).putInt(80877102).putInt(process)
-                    .putInt(secret).array());
+            one.getOutputStream()
+                    .write(ByteBuffer.allocate(16)
+                            .putInt(16)
+                            .putInt(80877102)
+                            .putInt(process)
+                            .putInt(secret)
+                            .array());
             assertThat(one.getInputStream().read()).isEqualTo(-1);
         }
     }
--- a/src/test/java/beaconladder/serve/HardTimesIT.java
+++ b/src/test/java/beaconladder/serve/HardTimesIT.java
@@ -20,13 +20,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The packaged program while it is stopped, restarted and flooded. Clients write ahead; what they wrote is
- * answered, or its connection is reset with it unread. Nothing else is good enough.
+ * The packaged program while it is stopped, restarted and flooded. Clients write ahead; what they wrote is answered, or
+ * its connection is reset with it unread. Nothing else is good enough.
  */
 @Timeout(240)
 class HardTimesIT {
     @TempDir
     Path folder;
+
     private final List<AutoCloseable> open = new ArrayList<>();
     private Writers writers;
     private volatile boolean over;
@@ -148,8 +149,8 @@
     }
 
     /**
-     * The process is stopped wherever it just is, 200 times for 20 to 200 ms, while clients come, stay idle,
-     * are ended for it, and write at that very moment.
+     * The process is stopped wherever it just is, 200 times for 20 to 200 ms, while clients come, stay idle, are ended
+     * for it, and write at that very moment.
      */
     @Test
     void twoHundredStopsOfTheProcessUnderLoadLoseNothing() throws Exception {
@@ -169,8 +170,8 @@
                     try (caller) {
                         boolean stays = true;
                         for (int j = 0; stays && !over; j++) {
-                            stays = writers.ask(program.port, caller, "s" + n + "-" + k + "-" + j,
-                                    1 + chance.nextInt(2), chance);
+                            stays = writers.ask(
+                                    program.port, caller, "s" + n + "-" + k + "-" + j, 1 + chance.nextInt(2), chance);
                             TimeUnit.MILLISECONDS.sleep(chance.nextInt(300));
                         }
                     }
@@ -204,13 +205,17 @@
     }
 
     private Thread thread(Work work) {
-        Thread thread = new Thread(null, () -> {
-            try {
-                work.run();
-            } catch (Exception | AssertionError e) {
-                writers.odd.add(e.toString());
-            }
-        }, "client", 256 * 1024);
+        Thread thread = new Thread(
+                null,
+                () -> {
+                    try {
+                        work.run();
+                    } catch (Exception | AssertionError e) {
+                        writers.odd.add(e.toString());
+                    }
+                },
+                "client",
+                256 * 1024);
         thread.start();
         return thread;
     }
@@ -220,8 +225,9 @@
     }
 
     private Program start(int limit, String before, int port) throws Exception {
-        return keep(new Program(folder, Program.config(port, discovery, limit, 192, a.entry("a", "Ready")),
-                port, before)).ready();
+        return keep(new Program(
+                        folder, Program.config(port, discovery, limit, 192, a.entry("a", "Ready")), port, before))
+                .ready();
     }
 
     private synchronized <T extends AutoCloseable> T keep(T each) {
--- a/src/test/java/beaconladder/serve/LastCloseIT.java
+++ b/src/test/java/beaconladder/serve/LastCloseIT.java
@@ -10,14 +10,13 @@
 /** The close of the last connection of a drain, crossed by a query. */
 class LastCloseIT extends ServedProgram {
     /**
-     * The program rests for 100 ms after the last answer, and the JVM waits up to 300 ms for threads in
-     * system calls.
+     * The program rests for 100 ms after the last answer, and the JVM waits up to 300 ms for threads in system calls.
      */
     private static final int SOON_MILLIS = 80;
 
     /**
-     * Seen in a rehearsal of restarts: queries written ahead were neither answered nor, within 450 ms, told
-     * by a reset that they were unread.
+     * Seen in a rehearsal of restarts: queries written ahead were neither answered nor, within 450 ms, told by a reset
+     * that they were unread.
      */
     @Test
     void aQueryThatCrossesItIsToldByAResetAtOnce() throws Exception {
--- a/src/test/java/beaconladder/serve/LinesTest.java
+++ b/src/test/java/beaconladder/serve/LinesTest.java
@@ -23,14 +23,31 @@
 @Timeout(20)
 class LinesTest {
     private static final Map<String, String> SETTINGS = new LinkedHashMap<>(Map.of(
-            "request_classes.count", "1", "request_classes.0.name", "write",
-            "request_classes.0.effect", "side_effect", "request_classes.0.give_up_us", "2000000",
-            "family_info.freshness", "update", "limits.max_attempts", "6", "limits.probes", "false",
-            "limits.cancel", "true", "zones", "east", "limits.conn_idle_us", "15000000"));
+            "request_classes.count",
+            "1",
+            "request_classes.0.name",
+            "write",
+            "request_classes.0.effect",
+            "side_effect",
+            "request_classes.0.give_up_us",
+            "2000000",
+            "family_info.freshness",
+            "update",
+            "limits.max_attempts",
+            "6",
+            "limits.probes",
+            "false",
+            "limits.cancel",
+            "true",
+            "zones",
+            "east",
+            "limits.conn_idle_us",
+            "15000000"));
     private static final int USES = 5;
     private static final int BUDGET_MILLIS = 2_000;
     /** The protocol's slack, the hold-up that it allows for, and what a part of a core takes besides. */
     private static final int SLACK_MILLIS = 150;
+
     private static final int HOLD_UP_MILLIS = 150;
     private static final int REST_OF_THE_WAY_MILLIS = 30;
     private static final int LOCK_MILLIS = 400;
@@ -43,8 +60,7 @@
 
     /** Sends a write by connections of this kind until it has its final answer. */
     private Hand.Order finalAnswer(Lines.Opener opener) throws Exception {
-        Lines lines = new Lines(desk, SETTINGS, new Threads(192), new Room(1 << 20), new Descriptors(128),
-                opener);
+        Lines lines = new Lines(desk, SETTINGS, new Threads(192), new Room(1 << 20), new Descriptors(128), opener);
         desk.errands(lines);
         desk.listed(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
         Thread timer = new Thread(desk.timer());
@@ -54,7 +70,7 @@
         expiry = now + BUDGET_MILLIS * 1_000_000L;
         Statement statement = Statement.read(WRITE);
         Hand hand = desk.take("w1", 0, desk.group(1), statement, Word.NONE, now, expiry, null);
-        for (Hand.Order order = hand.take();; order = hand.take()) {
+        for (Hand.Order order = hand.take(); ; order = hand.take()) {
             if (order.kind() != Hand.Kind.SEND) {
                 desk.stop();
                 return order;
@@ -65,37 +81,40 @@
 
     @Test
     void whatFailsInAnUnforeseenWayBehindTheQueryMayHaveRun() throws Exception {
-        Hand.Order answer = finalAnswer((address, room) -> new Line(address, room, new FaultySocket(
-                new IllegalStateException("a fault of our own while the answer is read"), written)));
+        Hand.Order answer = finalAnswer((address, room) -> new Line(
+                address,
+                room,
+                new FaultySocket(new IllegalStateException("a fault of our own while the answer is read"), written)));
         assertThat(written.get()).as("queries written to a host").isEqualTo(1);
         assertThat(answer.kind()).isEqualTo(Hand.Kind.ROLLED_BACK);
     }
 
     @Test
     void norIsItSentAgainWhereMemoryRanOut() throws Exception {
-        Hand.Order answer = finalAnswer((address, room) -> new Line(address, room, new FaultySocket(
-                new Error("as where memory runs out while the answer is read"), written)));
+        Hand.Order answer = finalAnswer((address, room) -> new Line(
+                address,
+                room,
+                new FaultySocket(new Error("as where memory runs out while the answer is read"), written)));
         assertThat(written.get()).as("queries written to a host").isEqualTo(1);
         assertThat(answer.kind()).isEqualTo(Hand.Kind.ROLLED_BACK);
     }
 
     /**
-     * Seen under stops of the process: with 10 ms kept back, a hold-up of the 150 ms that are allowed for and
-     * 30 ms for the rest of the way told a host of more time than the client still had, and the slack.
+     * Seen under stops of the process: with 10 ms kept back, a hold-up of the 150 ms that are allowed for and 30 ms for
+     * the rest of the way told a host of more time than the client still had, and the slack.
      */
     @Test
     void theTimeThatAHostIsToldHoldsWhereTheWriteIsHeldUp() throws Exception {
         List<Long> excess = new ArrayList<>();
-        Hand.Order answer = finalAnswer((address, room) -> new Line(address, room, new Tape(new byte[0],
-                query -> {
-                    if (query[0] == 'Q') {
-                        sleep(HOLD_UP_MILLIS + REST_OF_THE_WAY_MILLIS);
-                        String text = new String(query, 5, query.length - 6, StandardCharsets.UTF_8);
-                        long told = Long.parseLong(Statement.read(text).value("d"));
-                        excess.add(told - (expiry - desk.now()) / 1_000_000);
-                    }
-                    return answer(query, new InetSocketAddress("127.0.0.1", 1));
-                })));
+        Hand.Order answer = finalAnswer((address, room) -> new Line(address, room, new Tape(new byte[0], query -> {
+            if (query[0] == 'Q') {
+                sleep(HOLD_UP_MILLIS + REST_OF_THE_WAY_MILLIS);
+                String text = new String(query, 5, query.length - 6, StandardCharsets.UTF_8);
+                long told = Long.parseLong(Statement.read(text).value("d"));
+                excess.add(told - (expiry - desk.now()) / 1_000_000);
+            }
+            return answer(query, new InetSocketAddress("127.0.0.1", 1));
+        })));
         assertThat(answer.kind()).isEqualTo(Hand.Kind.COMMITTED);
         assertThat(excess).singleElement().satisfies(ms -> assertThat(ms).isLessThanOrEqualTo(SLACK_MILLIS));
     }
@@ -103,13 +122,12 @@
     /** The check of a send takes the lock of the decisions; what it waits for that is no part of the send. */
     @Test
     void aSendThatWaitsForTheLockToBeCheckedIsNotHeldAgainstItself() throws Exception {
-        Hand.Order answer = finalAnswer((address, room) -> new Line(address, room, new Tape(new byte[0],
-                query -> {
-                    if (query[0] == 'Q') {
-                        holdLock(LOCK_MILLIS);
-                    }
-                    return answer(query, new InetSocketAddress("127.0.0.1", 1));
-                })));
+        Hand.Order answer = finalAnswer((address, room) -> new Line(address, room, new Tape(new byte[0], query -> {
+            if (query[0] == 'Q') {
+                holdLock(LOCK_MILLIS);
+            }
+            return answer(query, new InetSocketAddress("127.0.0.1", 1));
+        })));
         assertThat(answer.kind()).isEqualTo(Hand.Kind.COMMITTED);
         assertThat(desk.monitor().invariants().violations().total()).isZero();
     }
@@ -143,8 +161,7 @@
     void aConnectionThatIsOfNoUseGivesItsDescriptorBackOnce() throws Exception {
         Descriptors descriptors = new Descriptors(128);
         InetSocketAddress moved = new InetSocketAddress("127.0.0.1", 2);
-        Lines lines = new Lines(desk, SETTINGS, new Threads(192), new Room(1 << 20), descriptors, (address,
-                room) -> {
+        Lines lines = new Lines(desk, SETTINGS, new Threads(192), new Room(1 << 20), descriptors, (address, room) -> {
             if (address.equals(moved)) {
                 throw new IOException("no buffer space available");
             }
@@ -155,8 +172,8 @@
         Statement statement = Statement.read(WRITE);
         // Connections to a host that was used less are not kept.
         for (int i = 0; i <= USES; i++) {
-            Hand hand = desk.take("w" + i, 0, desk.group(1), statement, Word.NONE, desk.now(),
-                    desk.now() + 100_000_000, null);
+            Hand hand = desk.take(
+                    "w" + i, 0, desk.group(1), statement, Word.NONE, desk.now(), desk.now() + 100_000_000, null);
             lines.send(hand.take(), statement);
             // An idle connection is used again once it has rested.
             Thread.sleep(10);
@@ -166,8 +183,8 @@
     }
 
     /**
-     * While it answers for the last time, its host moves: the connection goes back to those that wait, of no
-     * use any more.
+     * While it answers for the last time, its host moves: the connection goes back to those that wait, of no use any
+     * more.
      */
     private byte[] answer(byte[] query, InetSocketAddress moved) {
         Outbox out = new Outbox();
--- a/src/test/java/beaconladder/serve/PartsTest.java
+++ b/src/test/java/beaconladder/serve/PartsTest.java
@@ -56,26 +56,39 @@
                 request_classes.1.effect=side_effect
                 request_classes.1.name=trip-book
                 request_classes.1.points=3.0
-                """.lines().forEach(line -> drill.put(line.split("=")[0],
-                        line.substring(line.indexOf('=') + 1)));
+                """.lines().forEach(line -> drill.put(line.split("=")[0], line.substring(line.indexOf('=') + 1)));
         assertThat(new TreeMap<>(flat)).isEqualTo(drill);
     }
 
     @Test
     void positionsStayExactAndAreRoundedDownOnly() {
         StringBuilder trace = new StringBuilder();
-        for (String position : new String[] {"1767225600123", "1767225600123.9999999", "0", "-3", "1e30", "x",
-            ""}) {
+        for (String position : new String[] {"1767225600123", "1767225600123.9999999", "0", "-3", "1e30", "x", ""}) {
             long nanos = Ending.nanos(position, 6);
-            trace.append(position).append(" ms: ").append(nanos == Word.NONE ? "none" : nanos).append('\n');
+            trace.append(position)
+                    .append(" ms: ")
+                    .append(nanos == Word.NONE ? "none" : nanos)
+                    .append('\n');
         }
-        for (String load : new String[] {"x0=1767225600.123456789,x1=1,inflight=7",
-            "x0=1767225600.1239999999,x1=0", "inflight=7,util=0.61", "rif=2.5",
-            "x0=NaN,x1=none,inflight=-1", "inflight=1e9", "nonsense", ""}) {
+        for (String load : new String[] {
+            "x0=1767225600.123456789,x1=1,inflight=7",
+            "x0=1767225600.1239999999,x1=0",
+            "inflight=7,util=0.61",
+            "rif=2.5",
+            "x0=NaN,x1=none,inflight=-1",
+            "inflight=1e9",
+            "nonsense",
+            ""
+        }) {
             Word word = Ending.report(load);
-            trace.append(load).append(": ").append(word.role()).append(' ')
-                    .append(word.position() == Word.NONE ? "none" : word.position()).append(' ')
-                    .append(word.holds()).append('\n');
+            trace.append(load)
+                    .append(": ")
+                    .append(word.role())
+                    .append(' ')
+                    .append(word.position() == Word.NONE ? "none" : word.position())
+                    .append(' ')
+                    .append(word.holds())
+                    .append('\n');
         }
         assertThat(trace.toString()).isEqualTo("""
                 1767225600123 ms: 1767225600123000000
@@ -96,28 +109,36 @@
                 """);
     }
 
-    /**
-     * Seen: 28 s and all of the heap for the eleven characters of one number, of a client or of a spoilt
-     * answer.
-     */
+    /** Seen: 28 s and all of the heap for the eleven characters of one number, of a client or of a spoilt answer. */
     @Test
     void aNumberWithALongExponentIsReadAtOnce() {
-        for (String number : new String[] {"1e5000000", "1e50000000", "1e500000000", "1e2147483640",
-            "1e-2147483640", "-1e50000000", "1" + "0".repeat(200_000), "0." + "0".repeat(200_000) + "1"}) {
-            assertTimeoutPreemptively(Duration.ofSeconds(2), () -> {
-                assertThat(Ending.nanos(number, 6)).isEqualTo(Word.NONE);
-                assertThat(Ending.report("x0=" + number + ",x1=1")).isEqualTo(Word.SILENT);
-            }, () -> number.substring(0, Math.min(20, number.length())));
+        for (String number : new String[] {
+            "1e5000000",
+            "1e50000000",
+            "1e500000000",
+            "1e2147483640",
+            "1e-2147483640",
+            "-1e50000000",
+            "1" + "0".repeat(200_000),
+            "0." + "0".repeat(200_000) + "1"
+        }) {
+            assertTimeoutPreemptively(
+                    Duration.ofSeconds(2),
+                    () -> {
+                        assertThat(Ending.nanos(number, 6)).isEqualTo(Word.NONE);
+                        assertThat(Ending.report("x0=" + number + ",x1=1")).isEqualTo(Word.SILENT);
+                    },
+                    () -> number.substring(0, Math.min(20, number.length())));
         }
     }
 
     @Test
     void onlyTheTimeToWaitChangesInAStatementThatIsPassedOn() {
-        String text = "SELECT doc FROM items WHERE id = 'it/d=1,/' "
-                + "/* id=9,c=x , d=480,cluster=2,after=5,k=z */ ";
+        String text = "SELECT doc FROM items WHERE id = 'it/d=1,/' " + "/* id=9,c=x , d=480,cluster=2,after=5,k=z */ ";
         Statement statement = Statement.read(text);
         assertThat(statement.fault()).isNull();
-        assertThat(statement.value("id") + statement.value("c") + statement.value("k")).isEqualTo("9xz");
+        assertThat(statement.value("id") + statement.value("c") + statement.value("k"))
+                .isEqualTo("9xz");
         assertThat(statement.waiting(7)).isEqualTo(text.replace(" d=480,", " d=7,"));
         assertThat(Statement.read(text.replace("9,c", "8,c")).session()).isEqualTo(statement.session());
         assertThat(Statement.read(text.replace("it", "is")).session()).isNotEqualTo(statement.session());
@@ -127,8 +148,23 @@
     @Test
     void badJsonIsNamedWithItsPlace() {
         StringBuilder trace = new StringBuilder();
-        for (String text : new String[] {"", "{", "{\"a\" 1}", "[1,]", "[1", "tru", "\"a", "\"\\x\"",
-            "1e999999999", "01x", "{} {}", "[".repeat(100_000), "\"\\u00zz\"", "{\"a\":1,\"a\":2}", "NaN"}) {
+        for (String text : new String[] {
+            "",
+            "{",
+            "{\"a\" 1}",
+            "[1,]",
+            "[1",
+            "tru",
+            "\"a",
+            "\"\\x\"",
+            "1e999999999",
+            "01x",
+            "{} {}",
+            "[".repeat(100_000),
+            "\"\\u00zz\"",
+            "{\"a\":1,\"a\":2}",
+            "NaN"
+        }) {
             try {
                 trace.append(Json.read(text)).append('\n');
             } catch (Json.Fault e) {
@@ -144,9 +180,15 @@
         String good = """
                 {"id":"s-1","addr":"10.1.0.18:5432","zone":"a","cell":3,"state":"Ready",
                  "started_ms":1767225600123,"role":"leader"}""";
-        for (String entry : new String[] {good, good.replace("Ready", "Gone").replace("10.1.0.18:5432", ""),
-            good.replace("Ready", "Sleeping"), good.replace("10.1.0.18", "db.internal"),
-            good.replace(":5432", ":99999"), good.replace("\"cell\":3", "\"cell\":\"x\""), "7"}) {
+        for (String entry : new String[] {
+            good,
+            good.replace("Ready", "Gone").replace("10.1.0.18:5432", ""),
+            good.replace("Ready", "Sleeping"),
+            good.replace("10.1.0.18", "db.internal"),
+            good.replace(":5432", ":99999"),
+            good.replace("\"cell\":3", "\"cell\":\"x\""),
+            "7"
+        }) {
             try {
                 Map<?, ?> news = (Map<?, ?>) Json.read("{\"servers\":[" + entry + "]}");
                 trace.append(Watch.entries(news)).append('\n');
@@ -170,24 +212,31 @@
     /** Hosts come and go under new ids all day; nothing is held for those that are gone. */
     @Test
     void hostsThatAreGoneAreLetGo() throws Exception {
-        Map<String, String> start = new LinkedHashMap<>(Map.of("request_classes.count", "1",
-                "family_info.freshness", "loose", "zones", "east"));
+        Map<String, String> start = new LinkedHashMap<>(
+                Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east"));
         Desk desk = new Desk(1, start, null);
-        desk.errands(new Lines(desk, start, task -> {
-            task.run();
-            return true;
-        }, new Room(0), new Descriptors(64),
+        desk.errands(new Lines(
+                desk,
+                start,
+                task -> {
+                    task.run();
+                    return true;
+                },
+                new Room(0),
+                new Descriptors(64),
                 (address, room) -> {
-            throw new IOException("nobody there");
-        }));
+                    throw new IOException("nobody there");
+                }));
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 1);
         for (int i = 0; i < 3_000; i++) {
-            desk.listed(false, List.of(
-                    new Watch.Entry("s" + i, address, "east", i % 2, Watch.State.READY, false, 0),
-                    new Watch.Entry("s" + (i - 5), null, "east", i % 2, Watch.State.GONE, false, 0)));
+            desk.listed(
+                    false,
+                    List.of(
+                            new Watch.Entry("s" + i, address, "east", i % 2, Watch.State.READY, false, 0),
+                            new Watch.Entry("s" + (i - 5), null, "east", i % 2, Watch.State.GONE, false, 0)));
             Statement read = Statement.read("SELECT doc FROM items WHERE id = 'k' /* id=1,c=x,d=9 */");
-            Hand hand = desk.take("t" + i, 0, desk.group(i % 2), read, Word.NONE, desk.now(),
-                    desk.now() + 1_000_000, null);
+            Hand hand =
+                    desk.take("t" + i, 0, desk.group(i % 2), read, Word.NONE, desk.now(), desk.now() + 1_000_000, null);
             desk.left(hand);
             desk.release("t" + i);
             desk.sweep();
@@ -212,11 +261,17 @@
     }
 
     private static Desk listing(int count) {
-        Desk desk = new Desk(1, new LinkedHashMap<>(Map.of("request_classes.count", "1",
-                "family_info.freshness", "loose", "zones", "east")), null);
+        Desk desk = new Desk(
+                1,
+                new LinkedHashMap<>(
+                        Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east")),
+                null);
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 1);
-        desk.listed(true, IntStream.range(0, count).mapToObj(i -> new Watch.Entry("s" + i, address, "east",
-                i / 3, Watch.State.READY, false, 0)).toList());
+        desk.listed(
+                true,
+                IntStream.range(0, count)
+                        .mapToObj(i -> new Watch.Entry("s" + i, address, "east", i / 3, Watch.State.READY, false, 0))
+                        .toList());
         return desk;
     }
 
--- a/src/test/java/beaconladder/serve/PipelineIT.java
+++ b/src/test/java/beaconladder/serve/PipelineIT.java
@@ -44,8 +44,10 @@
         Outbox.query(read("slow", 2000)).writeTo(c.out);
         await(() -> b.queries().stream().anyMatch(q -> q.contains("id=slow")));
         b.delayMillis = 0;
-        Outbox.query(read("fast", 2000)).append(Outbox.query("DROP TABLE items"))
-                .append(Outbox.query("")).writeTo(c.out);
+        Outbox.query(read("fast", 2000))
+                .append(Outbox.query("DROP TABLE items"))
+                .append(Outbox.query(""))
+                .writeTo(c.out);
         await(() -> b.queries().stream().anyMatch(q -> q.contains("id=fast")));
         assertThat(c.waiting()).isZero();
         for (int i = 0; i < 4; i++) {
@@ -61,9 +63,11 @@
         Caller c = caller();
         ask(c, read("warm", 2000));
         a.delayMillis = 300;
-        Outbox.query(read("r1", 2000)).append(Outbox.query(write("w2", 2000)))
+        Outbox.query(read("r1", 2000))
+                .append(Outbox.query(write("w2", 2000)))
                 .append(Outbox.query(read("r3", 2000)))
-                .append(Outbox.query(read("other", 2000).replace("'k'", "'another'"))).writeTo(c.out);
+                .append(Outbox.query(read("other", 2000).replace("'k'", "'another'")))
+                .writeTo(c.out);
         await(() -> a.queries().stream().anyMatch(q -> q.contains("id=w2")));
         TimeUnit.MILLISECONDS.sleep(150);
         List<String> seen = b.queries();
--- a/src/test/java/beaconladder/serve/PlacementsTest.java
+++ b/src/test/java/beaconladder/serve/PlacementsTest.java
@@ -30,18 +30,28 @@
             {"tenant":"t","cell":"a","writes":true,"reads":false,"moving":false,"floors_ms":[]},\
             {"tenant":"u","cell":"b","writes":false,"reads":true,"moving":true,"floors_ms":[3,5]}]}""";
 
+    private static final String PLAN =
+            "(cell a (groups 0)) (cell b (groups 1)) (tenant t (cell a)) (tenant u (cell b))";
+
     private static Desk desk() {
-        Map<String, String> start = new LinkedHashMap<>(Map.of("request_classes.count", "1",
-                "family_info.freshness", "loose", "zones", "east"));
-        Desk desk = new Desk(1, start, new Gate("n0", new Territory(PlanReader.read("p",
-                "(cell a (groups 0)) (cell b (groups 1)) (tenant t (cell a)) (tenant u (cell b))").plan()),
-                Gate.Room.of(8, 8, 1 << 20)));
-        desk.errands(new Lines(desk, start, task -> {
-            task.run();
-            return true;
-        }, new Room(0), new Descriptors(64), (address, room) -> {
-            throw new IOException("nobody there");
-        }));
+        Map<String, String> start = new LinkedHashMap<>(
+                Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east"));
+        Desk desk = new Desk(
+                1,
+                start,
+                new Gate("n0", new Territory(PlanReader.read("p", PLAN).plan()), Gate.Room.of(8, 8, 1 << 20)));
+        desk.errands(new Lines(
+                desk,
+                start,
+                task -> {
+                    task.run();
+                    return true;
+                },
+                new Room(0),
+                new Descriptors(64),
+                (address, room) -> {
+                    throw new IOException("nobody there");
+                }));
         return desk;
     }
 
@@ -62,17 +72,22 @@
         Thread thread = new Thread(placements, "placements");
         try {
             thread.start();
-            assertThat(asked.poll(30, TimeUnit.SECONDS)).isEqualTo(
-                    "/v1/placement?router=n0&run=r1&version=0&wait=333&busy=");
-            assertThat(asked.poll(30, TimeUnit.SECONDS)).isEqualTo(
-                    "/v1/placement?router=n0&run=r1&version=7&wait=10&busy=u:0");
+            assertThat(asked.poll(30, TimeUnit.SECONDS))
+                    .isEqualTo("/v1/placement?router=n0&run=r1&version=0&wait=333&busy=");
+            assertThat(asked.poll(30, TimeUnit.SECONDS))
+                    .isEqualTo("/v1/placement?router=n0&run=r1&version=7&wait=10&busy=u:0");
         } finally {
             placements.stop();
             thread.join();
             keeper.stop(0);
         }
-        assertThat(desk.cells().placement()).isEqualTo(new Placement(7, 1_234_000_000L, "beef", Map.of(
-                "t", new Seat("a", true, false, false, List.of()),
-                "u", new Seat("b", false, true, true, List.of(3_000_000L, 5_000_000L)))));
+        assertThat(desk.cells().placement())
+                .isEqualTo(new Placement(
+                        7,
+                        1_234_000_000L,
+                        "beef",
+                        Map.of(
+                                "t", new Seat("a", true, false, false, List.of()),
+                                "u", new Seat("b", false, true, true, List.of(3_000_000L, 5_000_000L)))));
     }
 }
--- a/src/test/java/beaconladder/serve/Program.java
+++ b/src/test/java/beaconladder/serve/Program.java
@@ -33,8 +33,12 @@
         Files.writeString(file, config);
         log = Files.createTempFile(folder, "log", ".txt");
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow().split("\"")[1];
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", before + run).redirectErrorStream(true)
+                .filter(line -> line.startsWith("run = "))
+                .findFirst()
+                .orElseThrow()
+                .split("\"")[1];
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", before + run)
+                .redirectErrorStream(true)
                 .redirectOutput(log.toFile());
         builder.environment().put("BALANCER_CONFIG", file.toString());
         process = builder.start();
@@ -52,16 +56,19 @@
 
     /** Waits until it answers an empty query. */
     Program ready() {
-        Awaitility.await().atMost(Duration.ofSeconds(20)).pollInterval(Duration.ofMillis(10)).until(() -> {
-            assertThat(process.isAlive()).as(log()).isTrue();
-            try (Caller caller = new Caller(new Socket(InetAddress.getLoopbackAddress(), port))) {
-                Outbox.startup("app", "shop").append(Outbox.query("")).writeTo(caller.out);
-                caller.answer();
-                return caller.answer().equals("I Z");
-            } catch (IOException e) {
-                return false;
-            }
-        });
+        Awaitility.await()
+                .atMost(Duration.ofSeconds(20))
+                .pollInterval(Duration.ofMillis(10))
+                .until(() -> {
+                    assertThat(process.isAlive()).as(log()).isTrue();
+                    try (Caller caller = new Caller(new Socket(InetAddress.getLoopbackAddress(), port))) {
+                        Outbox.startup("app", "shop").append(Outbox.query("")).writeTo(caller.out);
+                        caller.answer();
+                        return caller.answer().equals("I Z");
+                    } catch (IOException e) {
+                        return false;
+                    }
+                });
         return this;
     }
 
@@ -71,7 +78,9 @@
     }
 
     void signal(String name) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                .start()
+                .waitFor();
     }
 
     String log() {
--- a/src/test/java/beaconladder/serve/ServeClientsIT.java
+++ b/src/test/java/beaconladder/serve/ServeClientsIT.java
@@ -85,14 +85,24 @@
         Caller c = caller();
         String tail = "t=acme,d=480,cluster=1 */";
         String read = "SELECT doc FROM items WHERE id = 'k' ";
-        for (String q : List.of("SELECT 1", read + "/* id=1", read + "/* nonsense */",
-                read + "/* c=any," + tail, read + "/* id=1,c=nosuch," + tail, read + "/* id=1," + tail,
+        for (String q : List.of(
+                "SELECT 1",
+                read + "/* id=1",
+                read + "/* nonsense */",
+                read + "/* c=any," + tail,
+                read + "/* id=1,c=nosuch," + tail,
+                read + "/* id=1," + tail,
                 read + "/* id=1,c=any,cluster=1 */",
-                read + "/* id=1,c=any,d=0,cluster=1 */", read + "/* id=1,c=any,d=-5,cluster=1 */",
-                read + "/* id=1,c=any,d=x,cluster=1 */", read + "/* id=1,c=any,d=9,cluster=77 */",
-                read + "/* id=1,c=any,d=9 */", read + "/* id=1,c=own,after=soon," + tail,
-                read + "/* id=1,id=2,c=any," + tail, read + "; " + read + "/* id=1,c=any," + tail,
-                "DROP TABLE items /* id=1,c=any," + tail, read + "/* id=1,c=any," + tail + " OR 1=1",
+                read + "/* id=1,c=any,d=0,cluster=1 */",
+                read + "/* id=1,c=any,d=-5,cluster=1 */",
+                read + "/* id=1,c=any,d=x,cluster=1 */",
+                read + "/* id=1,c=any,d=9,cluster=77 */",
+                read + "/* id=1,c=any,d=9 */",
+                read + "/* id=1,c=own,after=soon," + tail,
+                read + "/* id=1,id=2,c=any," + tail,
+                read + "; " + read + "/* id=1,c=any," + tail,
+                "DROP TABLE items /* id=1,c=any," + tail,
+                read + "/* id=1,c=any," + tail + " OR 1=1",
                 "INSERT INTO items (id, doc) VALUES ('k', '\\x9f0') RETURNING doc /* id=1,c=write," + tail,
                 read + "/* id=" + "1".repeat(200) + ",c=any," + tail,
                 read + "/* id=1,c=any,d=99999999999999999999,cluster=1 */")) {
@@ -128,17 +138,26 @@
     @Test
     void otherOpeningsAndFramesGetWhatTheProtocolGives() throws Exception {
         start();
-        Outbox parse = new Outbox().raw(new byte[] {'P', 0, 0, 0, 8, 0, 0, 0, 0, 'B', 0, 0, 0, 4,
-            'd', 0, 0, 0, 4, 'S', 0, 0, 0, 4}, 0, 24);
+        Outbox parse = new Outbox()
+                .raw(
+                        new byte[] {'P', 0, 0, 0, 8, 0, 0, 0, 0, 'B', 0, 0, 0, 4, 'd', 0, 0, 0, 4, 'S', 0, 0, 0, 4},
+                        0,
+                        24);
         Caller c = caller();
         parse.writeTo(c.out);
         say("extended " + c.answer() + ", then " + c.ask(""));
-        for (String hex : List.of("00000008 04d2162f", "00000008 04d21630",
+        for (String hex : List.of(
+                "00000008 04d2162f",
+                "00000008 04d21630",
                 "00000010 04d2162e 00000001 00000002",
-                "00000008 00020000", "00000003", "7fffffff 00030000",
-                "00000010 00030002 5f70715f 2e780000", "0000000900030000 00 51 7fffffff",
+                "00000008 00020000",
+                "00000003",
+                "7fffffff 00030000",
+                "00000010 00030002 5f70715f 2e780000",
+                "0000000900030000 00 51 7fffffff",
                 "0000000900030000 00 51 00000003",
-                "0000000900030000 00 7a 00000004", "0000000900030000 00 58 00000004")) {
+                "0000000900030000 00 7a 00000004",
+                "0000000900030000 00 58 00000004")) {
             Socket socket = keep(new Socket(InetAddress.getLoopbackAddress(), router.port));
             Caller raw = new Caller(socket);
             raw.out.write(HexFormat.of().parseHex(hex.replace(" ", "")));
--- a/src/test/java/beaconladder/serve/ServeIT.java
+++ b/src/test/java/beaconladder/serve/ServeIT.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import beaconladder.lab.Caller;
-import beaconladder.lab.HostStandIn.Manner;
 import beaconladder.lab.HostStandIn;
+import beaconladder.lab.HostStandIn.Manner;
 import beaconladder.pg.Outbox;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -22,8 +22,7 @@
     void readsGoToTheReplicaAndWritesToThePrimaryWithTheirTextUnchangedAndTheRowAsItCame() throws Exception {
         start();
         Caller c = caller();
-        say(c.ask(read("r1", 1500)), c.ask(write("w1", 1500)), c.ask("SET x = 1"), c.ask(""),
-                c.ask("reset all"));
+        say(c.ask(read("r1", 1500)), c.ask(write("w1", 1500)), c.ask("SET x = 1"), c.ask(""), c.ask("reset all"));
         say("a " + a.queries(), "b " + b.queries());
         assertThat(trace.toString().replaceAll("d=1[34]\\d\\d", "d=less")).isEqualTo("""
                 T D:00ff27 C:SELECT 1 Z
@@ -42,8 +41,10 @@
         start();
         Socket socket = keep(new Socket(InetAddress.getLoopbackAddress(), router.port));
         b.delayMillis = 100;
-        Outbox all = Outbox.startup("app", "shop").append(Outbox.query(read("r1", 2000)))
-                .append(Outbox.query("")).append(Outbox.query(read("r2", 2000)))
+        Outbox all = Outbox.startup("app", "shop")
+                .append(Outbox.query(read("r1", 2000)))
+                .append(Outbox.query(""))
+                .append(Outbox.query(read("r2", 2000)))
                 .append(Outbox.query("DISCARD ALL"));
         all.writeTo(socket.getOutputStream());
         Caller c = new Caller(socket);
@@ -62,10 +63,25 @@
     void everyOutcomeOfAHostIsToldApart() throws Exception {
         start();
         Caller c = caller();
-        for (Manner manner : List.of(Manner.MISS, Manner.BEHIND, Manner.ERROR, Manner.FULL, Manner.RESET,
-                Manner.CUT, Manner.GARBAGE, Manner.TWO_ROWS, Manner.HUGE, Manner.UNKNOWN, Manner.SILENT,
-                Manner.NO_DESCRIPTION, Manner.TWO_COLUMNS, Manner.INNER_LENGTH, Manner.ERROR_BEHIND_ROW,
-                Manner.HALF_AN_ERROR, Manner.ODD_TAG, Manner.STALL)) {
+        for (Manner manner : List.of(
+                Manner.MISS,
+                Manner.BEHIND,
+                Manner.ERROR,
+                Manner.FULL,
+                Manner.RESET,
+                Manner.CUT,
+                Manner.GARBAGE,
+                Manner.TWO_ROWS,
+                Manner.HUGE,
+                Manner.UNKNOWN,
+                Manner.SILENT,
+                Manner.NO_DESCRIPTION,
+                Manner.TWO_COLUMNS,
+                Manner.INNER_LENGTH,
+                Manner.ERROR_BEHIND_ROW,
+                Manner.HALF_AN_ERROR,
+                Manner.ODD_TAG,
+                Manner.STALL)) {
             a.manner = manner;
             b.manner = manner;
             int before = a.queries.size() + b.queries.size();
@@ -126,8 +142,10 @@
             b.value = new byte[] {(byte) i};
             say(c.ask(read("t" + i, 1500)));
         }
-        assertThat(trace.toString()).isEqualTo(java.util.stream.IntStream.rangeClosed(1, 20)
-                .mapToObj(i -> "T D:%02x C:SELECT 1 Z\n".formatted(i)).collect(Collectors.joining()));
+        assertThat(trace.toString())
+                .isEqualTo(java.util.stream.IntStream.rangeClosed(1, 20)
+                        .mapToObj(i -> "T D:%02x C:SELECT 1 Z\n".formatted(i))
+                        .collect(Collectors.joining()));
     }
 
     @Test
@@ -139,8 +157,7 @@
         Outbox.query(read("same", 2000)).writeTo(first.out);
         await(() -> b.queries.size() == 1);
         say(second.ask(read("same", 2000)), first.answer(), second.ask(read("same", 2000)));
-        assertThat(trace.toString())
-                .isEqualTo("E:22023 Z\nT D:00ff27 C:SELECT 1 Z\nT D:00ff27 C:SELECT 1 Z\n");
+        assertThat(trace.toString()).isEqualTo("E:22023 Z\nT D:00ff27 C:SELECT 1 Z\nT D:00ff27 C:SELECT 1 Z\n");
     }
 
     /** Each is told within three seconds, and the usual clients don't notice. */
@@ -164,8 +181,8 @@
             assertThat(usual.ask(read("u" + i, 2000))).isEqualTo("T D:00ff27 C:SELECT 1 Z");
         }
         for (Caller each : bad) {
-            assertThat(each.rest()).isIn("E:08P01 closed", "R S S S S K Z E:08P01 closed", "closed",
-                    "R S S S S K Z closed");
+            assertThat(each.rest())
+                    .isIn("E:08P01 closed", "R S S S S K Z E:08P01 closed", "closed", "R S S S S K Z closed");
         }
         assertThat(System.nanoTime() - from).isLessThan(3_000_000_000L);
         assertThat(usual.ask(read("end", 2000))).isEqualTo("T D:00ff27 C:SELECT 1 Z");
