--- a/src/test/java/beaconladder/serve/ServeLifeIT.java
+++ b/src/test/java/beaconladder/serve/ServeLifeIT.java
@@ -67,13 +67,17 @@
             idle.add(caller());
             TimeUnit.MILLISECONDS.sleep(15);
         }
-        say("the newest of 30 " + idle.get(29).ask(""), "the oldest " + idle.get(0).answer());
+        say(
+                "the newest of 30 " + idle.get(29).ask(""),
+                "the oldest " + idle.get(0).answer());
         b.delayMillis = 1500;
         a.delayMillis = 1500;
         List<Caller> busy = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
             Caller c = new Caller(keep(new Socket(InetAddress.getLoopbackAddress(), router.port)));
-            Outbox.startup("app", "shop").append(Outbox.query(read("b" + i, 3000))).writeTo(c.out);
+            Outbox.startup("app", "shop")
+                    .append(Outbox.query(read("b" + i, 3000)))
+                    .writeTo(c.out);
             busy.add(c);
         }
         List<String> ends = new ArrayList<>();
@@ -82,8 +86,10 @@
             ends.add(first.startsWith("E") ? first : c.answer());
         }
         assertThat(ends)
-                .allMatch(e -> List.of("T D:00ff27 C:SELECT 1 Z", "E:53300 Z", "E:53300 closed").contains(e))
-                .contains("E:53300 closed").contains("T D:00ff27 C:SELECT 1 Z");
+                .allMatch(e -> List.of("T D:00ff27 C:SELECT 1 Z", "E:53300 Z", "E:53300 closed")
+                        .contains(e))
+                .contains("E:53300 closed")
+                .contains("T D:00ff27 C:SELECT 1 Z");
         assertThat(trace.toString()).isEqualTo("the newest of 30 I Z\nthe oldest closed\n");
     }
 
@@ -117,11 +123,12 @@
         start();
         Caller c = caller();
         say("at first " + c.ask(read("r1", 1500)));
-        for (String bad : List.of("HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\n{}",
-                "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"version\":", "nonsense\r\n\r\n",
+        for (String bad : List.of(
+                "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\n{}",
+                "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"version\":",
+                "nonsense\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"version",
-                "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n"
-                + "{\"version\":99,\"full\":true,\"servers\":[7]}")) {
+                "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + "{\"version\":99,\"full\":true,\"servers\":[7]}")) {
             int calls = discovery.calls.get();
             discovery.garbage = bad;
             await(() -> discovery.calls.get() >= calls + 2);
@@ -141,9 +148,10 @@
         int atD = d.queries.size();
         say("moved " + c.ask(read("r6", 1500)) + (d.queries.size() == atD ? "" : " at the old address"));
         assertThat(old).isLessThanOrEqualTo(atB);
-        assertThat(trace.toString()).isEqualTo("at first T D:00ff27 C:SELECT 1 Z\n"
-                + "after nonsense T D:00ff27 C:SELECT 1 Z\n".repeat(5)
-                + "draining T D:00ff27 C:SELECT 1 Z\nmoved T D:00ff27 C:SELECT 1 Z\n");
+        assertThat(trace.toString())
+                .isEqualTo("at first T D:00ff27 C:SELECT 1 Z\n"
+                        + "after nonsense T D:00ff27 C:SELECT 1 Z\n".repeat(5)
+                        + "draining T D:00ff27 C:SELECT 1 Z\nmoved T D:00ff27 C:SELECT 1 Z\n");
     }
 
     @Test
@@ -163,12 +171,18 @@
             assertThat(System.nanoTime() - from).isLessThan(3_000_000_000L);
             int calls = before.calls.get();
             before.close();
-            for (String bad : List.of("", "{",
+            for (String bad : List.of(
+                    "",
+                    "{",
                     config(router.port).replace("\"discovery\":\"127", "\"d\":\"1"),
                     config(router.port).replace("\"role\":\"leader\"}", "\"state\":\"Asleep\"}"))) {
                 router.reload(bad);
                 long told = ++faults;
-                await(() -> router.log().lines().filter(l -> l.contains("not reloaded")).count() == told);
+                await(() -> router.log()
+                                .lines()
+                                .filter(l -> l.contains("not reloaded"))
+                                .count()
+                        == told);
             }
             assertThat(before.calls.get()).isEqualTo(calls);
             say(c.ask(read("after" + i, 1500)));
@@ -228,14 +242,21 @@
     void whatCannotStartSaysWhyInOneLineAndExitsWithOne() throws Exception {
         ServerSocket taken = keep(new ServerSocket(0, 5, InetAddress.getLoopbackAddress()));
         String config = config(taken.getLocalPort());
-        for (String text : List.of("", "{", "[]",
+        for (String text : List.of(
+                "",
+                "{",
+                "[]",
                 config.replace("127.0.0.1:" + taken.getLocalPort(), "nowhere"),
-                config.replace("\"seed\":\"1f\"", "\"seed\":\"dice\""), config)) {
+                config.replace("\"seed\":\"1f\"", "\"seed\":\"dice\""),
+                config)) {
             Program program = keep(new Program(folder, text, taken.getLocalPort()));
             assertThat(program.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
             say(program.process.exitValue() + " "
-                    + program.log().replaceAll("(?s)/\\S*config\\d*.json", "FILE")
-                    .lines().filter(l -> !l.contains(" INFO ")).collect(Collectors.joining("; ")));
+                    + program.log()
+                            .replaceAll("(?s)/\\S*config\\d*.json", "FILE")
+                            .lines()
+                            .filter(l -> !l.contains(" INFO "))
+                            .collect(Collectors.joining("; ")));
         }
         assertThat(trace.toString()).isEqualTo("""
                 1 beaconladder: bad JSON at character 0: the text ends where a value belongs
--- a/src/test/java/beaconladder/serve/ServedProgram.java
+++ b/src/test/java/beaconladder/serve/ServedProgram.java
@@ -23,13 +23,13 @@
 /** Starts the packaged program as operators do and talks to it over sockets, between stand-ins. */
 @Timeout(60)
 abstract class ServedProgram {
-    private static final String READ =
-            "SELECT doc FROM items WHERE id = 'k' /* id=%s,c=any,t=acme,d=%d,cluster=1 */";
+    private static final String READ = "SELECT doc FROM items WHERE id = 'k' /* id=%s,c=any,t=acme,d=%d,cluster=1 */";
     private static final String WRITE = "INSERT INTO items (id, doc) VALUES ('k', '\\x9f03') RETURNING doc "
             + "/* id=%s,c=write,t=acme,d=%d,cluster=1 */";
 
     @TempDir
     Path folder;
+
     final List<AutoCloseable> open = new ArrayList<>();
     final StringBuilder trace = new StringBuilder();
     int sockets = 1024;
@@ -77,7 +77,9 @@
     }
 
     static void await(BooleanSupplier done) {
-        Awaitility.await().atMost(Duration.ofSeconds(15)).pollInterval(Duration.ofMillis(10))
+        Awaitility.await()
+                .atMost(Duration.ofSeconds(15))
+                .pollInterval(Duration.ofMillis(10))
                 .until(done::getAsBoolean);
     }
 
--- a/src/test/java/beaconladder/serve/StatedLiteralTest.java
+++ b/src/test/java/beaconladder/serve/StatedLiteralTest.java
@@ -48,16 +48,25 @@
         assertThat(stated.asks()).isTrue();
         assertThat(stated.drainGraceMillis()).isEqualTo(3_000);
         assertThat(stated.askEveryMillis()).isEqualTo(4_000);
-        assertThat(stated.known()).containsExactly(new Watch.Entry("s-1",
-                new InetSocketAddress("10.0.0.4", 5432), "a", 7, Watch.State.READY, true, 12));
+        assertThat(stated.known())
+                .containsExactly(new Watch.Entry(
+                        "s-1", new InetSocketAddress("10.0.0.4", 5432), "a", 7, Watch.State.READY, true, 12));
     }
 
     @Test
     void whatIsNotStatedHasItsDefault() throws Exception {
-        Stated stated = Stated.of((Map<?, ?>) Json.read(
-                "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"7\"}"));
-        assertThat(stated).isEqualTo(new Stated("null", new InetSocketAddress("127.0.0.1", 1),
-                new InetSocketAddress("127.0.0.1", 2), 7, Map.of(), 192, 1024, List.of()));
+        Stated stated = Stated.of(
+                (Map<?, ?>) Json.read("{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"7\"}"));
+        assertThat(stated)
+                .isEqualTo(new Stated(
+                        "null",
+                        new InetSocketAddress("127.0.0.1", 1),
+                        new InetSocketAddress("127.0.0.1", 2),
+                        7,
+                        Map.of(),
+                        192,
+                        1024,
+                        List.of()));
         assertThat(stated.asks()).isFalse();
         assertThat(stated.drainGraceMillis()).isEqualTo(2_000);
         assertThat(stated.askEveryMillis()).isEqualTo(10_000);
@@ -76,13 +85,25 @@
     @Test
     void everyKeyOfATypeIsRead() throws Exception {
         List<TxnType> types = TxnType.read(settings());
-        assertThat(types).extracting(TxnType::read).containsExactly(TxnType.Read.ANY, TxnType.Read.BOUNDED,
-                TxnType.Read.SESSION, TxnType.Read.WRITE, TxnType.Read.CURRENT);
-        assertThat(types).extracting(TxnType::effect).containsExactly(TxnType.Effect.REPEATABLE,
-                TxnType.Effect.REFERENCED, TxnType.Effect.REFERENCED, TxnType.Effect.REFERENCED,
-                TxnType.Effect.ONCE_ONLY);
-        assertThat(types.subList(1, 4)).extracting(TxnType::scope).containsExactly(TxnType.Scope.ALL,
-                TxnType.Scope.ZONE, TxnType.Scope.GROUP);
+        assertThat(types)
+                .extracting(TxnType::read)
+                .containsExactly(
+                        TxnType.Read.ANY,
+                        TxnType.Read.BOUNDED,
+                        TxnType.Read.SESSION,
+                        TxnType.Read.WRITE,
+                        TxnType.Read.CURRENT);
+        assertThat(types)
+                .extracting(TxnType::effect)
+                .containsExactly(
+                        TxnType.Effect.REPEATABLE,
+                        TxnType.Effect.REFERENCED,
+                        TxnType.Effect.REFERENCED,
+                        TxnType.Effect.REFERENCED,
+                        TxnType.Effect.ONCE_ONLY);
+        assertThat(types.subList(1, 4))
+                .extracting(TxnType::scope)
+                .containsExactly(TxnType.Scope.ALL, TxnType.Scope.ZONE, TxnType.Scope.GROUP);
         assertThat(types.get(0).expiry()).isEqualTo(500_000_000L);
         assertThat(types.get(0).sla()).isEqualTo(300_000_000L);
         assertThat(types.get(0).value()).isEqualTo(2.5);
--- a/src/test/java/beaconladder/serve/SystemCallsIT.java
+++ b/src/test/java/beaconladder/serve/SystemCallsIT.java
@@ -30,9 +30,12 @@
         plan = new FaultPlan(folder.resolve("plan"));
         String shim = FaultShim.build(folder).library().toString();
         int port = Program.freePort();
-        router = keep(new Program(folder, config(port), port, "export LD_PRELOAD=" + shim
-                + " FAULT_SHIM_PLAN="
-                + plan.file() + "; ")).ready();
+        router = keep(new Program(
+                        folder,
+                        config(port),
+                        port,
+                        "export LD_PRELOAD=" + shim + " FAULT_SHIM_PLAN=" + plan.file() + "; "))
+                .ready();
     }
 
     /** Seen in the soak: idle clients were closed a hundred times a second, and could not come back. */
@@ -59,7 +62,9 @@
         plan.clear();
         assertThat(late.answer()).isEqualTo("R S S S S K Z");
         for (int i = 0; i < 5; i++) {
-            assertThat(ask(idle.get(i), read("j" + i, 900))).as("idle client " + i).startsWith("T D:");
+            assertThat(ask(idle.get(i), read("j" + i, 900)))
+                    .as("idle client " + i)
+                    .startsWith("T D:");
         }
         assertThat(longest).as("ms, the longest answer meanwhile").isLessThan(100);
     }
@@ -94,7 +99,8 @@
             assertThat(answers).allMatch(answer -> answer.startsWith("T D:") || answer.startsWith("E:53300"));
         }
         assertThat(answers).hasSize(288);
-        assertThat(answers.stream().filter(answer -> answer.startsWith("T D:")).count()).isGreaterThan(144);
+        assertThat(answers.stream().filter(answer -> answer.startsWith("T D:")).count())
+                .isGreaterThan(144);
         assertThat(router.log()).doesNotContain("Exception in thread");
     }
 
@@ -128,13 +134,15 @@
         plan.set(Field.CONNECT_ERRNO, ENETUNREACH);
         plan.set(Field.CONNECT_PER_MILLE, ALWAYS);
         for (int i = 0; i < 6; i++) {
-            assertThat(ask(c, i % 2 == 0 ? read("f" + i, 200) : write("f" + i, 200))).startsWith("E:53300");
+            assertThat(ask(c, i % 2 == 0 ? read("f" + i, 200) : write("f" + i, 200)))
+                    .startsWith("E:53300");
         }
         plan.clear();
         List<Long> times = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             long from = System.nanoTime();
-            assertThat(ask(c, i % 2 == 0 ? read("g" + i, 900) : write("g" + i, 900))).startsWith("T D:");
+            assertThat(ask(c, i % 2 == 0 ? read("g" + i, 900) : write("g" + i, 900)))
+                    .startsWith("T D:");
             times.add((System.nanoTime() - from) / 1_000_000);
         }
         assertThat(times).as("ms of each answer once the network is well").allMatch(ms -> ms < 60);
--- a/src/test/java/beaconladder/store/RecordsFaultTest.java
+++ b/src/test/java/beaconladder/store/RecordsFaultTest.java
@@ -26,12 +26,10 @@
     @TempDir
     Path folder;
 
-    /**
-     * Appends the numbers from 0 on, again and again the one that failed, and says each once it is written.
-     */
+    /** Appends the numbers from 0 on, again and again the one that failed, and says each once it is written. */
     public static void main(String[] args) throws IOException, InterruptedException {
         try (Records records = Records.open(Path.of(args[0]))) {
-            for (int i = 0;;) {
+            for (int i = 0; ; ) {
                 try {
                     records.append(String.valueOf(i).getBytes(StandardCharsets.UTF_8));
                     System.out.println("written " + i++);
@@ -48,12 +46,16 @@
         FaultPlan plan = new FaultPlan(folder.resolve("plan"));
         Path store = Files.createDirectory(folder.resolve("store"));
         Path out = folder.resolve("out");
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(),
-                "-cp", System.getProperty("java.class.path"), RecordsFaultTest.class.getName(),
+        ProcessBuilder builder = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        RecordsFaultTest.class.getName(),
                         store.toString())
-                .redirectErrorStream(true).redirectOutput(out.toFile());
-        builder.environment().put("LD_PRELOAD", FaultShim.build(folder).library().toString());
+                .redirectErrorStream(true)
+                .redirectOutput(out.toFile());
+        builder.environment()
+                .put("LD_PRELOAD", FaultShim.build(folder).library().toString());
         builder.environment().put("FAULT_SHIM_PLAN", plan.file().toString());
         builder.environment().put("FAULT_SHIM_FOLDER", store.toString());
         Process process = builder.start();
@@ -75,8 +77,7 @@
         List<Integer> said = numbers(Files.readString(out));
         List<Integer> found = new ArrayList<>();
         try (Records records = Records.open(store)) {
-            records.found().forEach(each -> found.add(Integer.parseInt(new String(each,
-                    StandardCharsets.UTF_8))));
+            records.found().forEach(each -> found.add(Integer.parseInt(new String(each, StandardCharsets.UTF_8))));
         }
         assertThat(found).containsAll(said);
         // One whose append failed may be there as well, and is written again then.
@@ -85,9 +86,11 @@
     }
 
     private static List<Integer> numbers(String text) {
-        return text.substring(0, text.lastIndexOf('\n') + 1).lines().filter(line ->
-                line.startsWith("written "))
-                .map(line -> Integer.parseInt(line.substring("written ".length()))).toList();
+        return text.substring(0, text.lastIndexOf('\n') + 1)
+                .lines()
+                .filter(line -> line.startsWith("written "))
+                .map(line -> Integer.parseInt(line.substring("written ".length())))
+                .toList();
     }
 
     private static void awaitMore(Path out, String word, int more) throws IOException {
@@ -96,6 +99,9 @@
     }
 
     private static long count(Path out, String word) throws IOException {
-        return Files.readString(out).lines().filter(line -> line.startsWith(word)).count();
+        return Files.readString(out)
+                .lines()
+                .filter(line -> line.startsWith(word))
+                .count();
     }
 }
--- a/src/test/java/beaconladder/store/RecordsTest.java
+++ b/src/test/java/beaconladder/store/RecordsTest.java
@@ -21,7 +21,7 @@
     /** For the test of kills: appends records and says each once it is written. */
     public static void main(String[] args) throws IOException {
         try (Records records = Records.open(Path.of(args[0]))) {
-            for (int i = records.found().size();; i++) {
+            for (int i = records.found().size(); ; i++) {
                 if (i % 25 == 24) {
                     List<byte[]> all = new ArrayList<>();
                     for (int n = 0; n <= i; n++) {
@@ -45,11 +45,16 @@
         int before = 0;
         Path out = folder.resolve("said");
         for (int round = 0; round < 8; round++) {
-            Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                    .toString(),
-                    "-cp", System.getProperty("java.class.path"), RecordsTest.class.getName(),
+            Process process = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            RecordsTest.class.getName(),
                             folder.toString())
-                    .redirectError(ProcessBuilder.Redirect.INHERIT).redirectOutput(out.toFile()).start();
+                    .redirectError(ProcessBuilder.Redirect.INHERIT)
+                    .redirectOutput(out.toFile())
+                    .start();
             while (said(out) < before + 3 + 5 * round) {
                 Thread.sleep(1);
             }
@@ -94,7 +99,9 @@
                 System.arraycopy(after, 0, image, 0, cut);
                 Files.write(torn.resolve("records.mv"), image);
                 try (Records records = Records.open(torn)) {
-                    assertThat(records.found().size()).as("record %d, cut at %d", i, cut).isBetween(i, i + 1);
+                    assertThat(records.found().size())
+                            .as("record %d, cut at %d", i, cut)
+                            .isBetween(i, i + 1);
                     assertThat(records.found().get(i - 1)).isEqualTo(text(i - 1));
                 }
             }
@@ -116,7 +123,8 @@
             at = text.indexOf("will be spoilt", at + 1);
         }
         Files.write(file, bytes);
-        assertThatThrownBy(() -> Records.open(folder).close()).isInstanceOf(IOException.class)
+        assertThatThrownBy(() -> Records.open(folder).close())
+                .isInstanceOf(IOException.class)
                 .hasMessageContaining("damaged");
     }
 
@@ -124,7 +132,8 @@
     void twoProcessesCannotHaveTheSameRecords() throws Exception {
         try (Records records = Records.open(folder)) {
             records.append(new byte[] {1});
-            assertThatThrownBy(() -> Records.open(folder)).isInstanceOf(IOException.class)
+            assertThatThrownBy(() -> Records.open(folder))
+                    .isInstanceOf(IOException.class)
                     .hasMessageContaining("in use");
         }
     }
