--- a/src/main/java/beaconladder/app/CellsCommand.java
+++ b/src/main/java/beaconladder/app/CellsCommand.java
@@ -1,10 +1,10 @@
 package beaconladder.app;
 
-import beaconladder.cells.Planner;
-import beaconladder.keep.Keeper;
+import beaconladder.cells.PlacementPlanner;
+import beaconladder.coordinator.Coordinator;
+import beaconladder.discovery.HttpFetcher;
+import beaconladder.discovery.JsonReader;
 import beaconladder.plan.Plan;
-import beaconladder.roster.HttpGet;
-import beaconladder.roster.Json;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.util.List;
@@ -48,7 +48,7 @@
         if (plan == null) {
             return 1;
         }
-        Keeper keeper = new Keeper(file.file(), plan);
+        Coordinator keeper = new Coordinator(file.file(), plan);
         hangups.run(keeper::reload);
         Runtime.getRuntime().addShutdownHook(new Thread(keeper::close));
         new CountDownLatch(1).await();
@@ -118,9 +118,9 @@
         if (seconds < 1 || seconds > 3600 || most < 0) {
             throw new ParameterException(spec.commandLine(), "--seconds is 1 to 3600, --moves 0 or more");
         }
-        Planner.Problem problem = Planner.problem(plan);
-        Planner.Proposal proposal =
-                Planner.propose(lost == null ? problem : Planner.without(problem, lost), most, seconds, seed);
+        PlacementPlanner.Problem problem = PlacementPlanner.problem(plan);
+        PlacementPlanner.Proposal proposal = PlacementPlanner.propose(
+                lost == null ? problem : PlacementPlanner.without(problem, lost), most, seconds, seed);
         PrintWriter out = spec.commandLine().getOut();
         proposal.moves().forEach(move -> out.println("(move " + move.tenant() + " " + move.to() + ")"));
         out.println("; " + proposal.says());
@@ -197,14 +197,14 @@
 
     private static Map<?, ?> call(Plan plan, String path) throws IOException {
         try {
-            Object answer = Json.read(new HttpGet(plan.keeper().at(), true).get(path, CALL_MILLIS));
+            Object answer = JsonReader.read(new HttpFetcher(plan.keeper().at(), true).get(path, CALL_MILLIS));
             if (answer instanceof Map<?, ?> map) {
                 if (map.get("error") != null) {
                     throw new IOException(String.valueOf(map.get("error")));
                 }
                 return map;
             }
-        } catch (Json.Fault e) {
+        } catch (JsonReader.Fault e) {
             throw new IOException("the keeper's answer can't be read: " + e.getMessage());
         } catch (java.net.ConnectException e) {
             throw new IOException("no keeper answers at " + plan.keeper().at());
--- a/src/main/java/beaconladder/app/CheckCommand.java
+++ b/src/main/java/beaconladder/app/CheckCommand.java
@@ -1,7 +1,7 @@
 package beaconladder.app;
 
-import beaconladder.plan.Fault;
 import beaconladder.plan.Plan;
+import beaconladder.plan.PlanError;
 import beaconladder.plan.PlanReader;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -48,7 +48,7 @@
     /** Reads a plan; null where it has mistakes, which are told. */
     static Plan plan(Path file, CommandLine line) {
         PlanReader.Result read = PlanReader.read(file);
-        for (Fault fault : read.faults()) {
+        for (PlanError fault : read.faults()) {
             line.getErr().println(fault);
         }
         return read.plan();
--- a/src/main/java/beaconladder/app/DrillCommand.java
+++ b/src/main/java/beaconladder/app/DrillCommand.java
@@ -1,7 +1,7 @@
 package beaconladder.app;
 
-import beaconladder.drill.Drill;
-import beaconladder.drill.WireException;
+import beaconladder.simulation.SimulatorSession;
+import beaconladder.simulation.WireException;
 import java.io.BufferedOutputStream;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
@@ -24,7 +24,7 @@
 
     static int drill() {
         try (OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
-            new Drill(new FileInputStream(FileDescriptor.in), out).run();
+            new SimulatorSession(new FileInputStream(FileDescriptor.in), out).run();
             return 0;
         } catch (WireException e) {
             System.err.println("beaconladder: " + e.getMessage());
--- a/src/main/java/beaconladder/app/FedRouter.java
+++ b/src/main/java/beaconladder/app/FedRouter.java
@@ -1,12 +1,12 @@
 package beaconladder.app;
 
+import beaconladder.discovery.EndpointWatch;
 import beaconladder.feed.Applier;
-import beaconladder.feed.FeedText;
+import beaconladder.feed.FeedJson;
 import beaconladder.feed.Proposal;
-import beaconladder.feed.State;
 import beaconladder.feed.Subscriber;
-import beaconladder.roster.Watch;
-import beaconladder.serve.Serve;
+import beaconladder.feed.VersionedState;
+import beaconladder.server.RouterServer;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -44,8 +44,8 @@
     private final String name;
     private final long life = System.currentTimeMillis();
     private final Subscriber subscriber;
-    private State inForce = State.none();
-    private Serve router;
+    private VersionedState inForce = VersionedState.none();
+    private RouterServer router;
 
     /** Reads what is on its disk; the router does not exist before it is asked for. */
     FedRouter(Path file, Path plan, List<String> relays, Path folder, Path journal) throws IOException {
@@ -65,7 +65,7 @@
         Map<String, InetSocketAddress> all = new TreeMap<>();
         for (String each : relays) {
             int equals = each.indexOf('=');
-            InetSocketAddress address = Watch.address(each.substring(equals + 1));
+            InetSocketAddress address = EndpointWatch.address(each.substring(equals + 1));
             if (equals < 1
                     || !Proposal.isName(each.substring(0, equals))
                     || address == null
@@ -77,8 +77,8 @@
     }
 
     /** The router, from what was in force when it ended, or what the feed tells first. */
-    synchronized Serve router() throws IOException, InterruptedException {
-        State kept = subscriber.kept();
+    synchronized RouterServer router() throws IOException, InterruptedException {
+        VersionedState kept = subscriber.kept();
         overlay(kept, "router");
         Thread thread = new Thread(null, subscriber, "subscriber", STACK);
         thread.setDaemon(true);
@@ -87,7 +87,7 @@
                 kept.version() == 0 && inForce.version() == 0 && System.nanoTime() < until; ) {
             wait(20);
         }
-        router = new Serve(folder.resolve("router.json"), plan == null ? null : folder.resolve("router.plan"));
+        router = new RouterServer(folder.resolve("router.json"), plan == null ? null : folder.resolve("router.plan"));
         return router;
     }
 
@@ -102,13 +102,13 @@
     }
 
     @Override
-    public synchronized void check(State next) throws IOException {
+    public synchronized void check(VersionedState next) throws IOException {
         overlay(next, "next");
-        Serve.check(folder.resolve("next.json"), plan == null ? null : folder.resolve("next.plan"));
+        RouterServer.check(folder.resolve("next.json"), plan == null ? null : folder.resolve("next.plan"));
     }
 
     @Override
-    public synchronized void apply(State next) throws IOException {
+    public synchronized void apply(VersionedState next) throws IOException {
         overlay(next, "router");
         if (router != null && !router.reload()) {
             overlay(inForce.version() == 0 ? subscriber.kept() : inForce, "router");
@@ -129,11 +129,11 @@
     }
 
     /** Lays a state over copies of the operators' file and plan. */
-    private void overlay(State state, String as) throws IOException {
+    private void overlay(VersionedState state, String as) throws IOException {
         ObjectNode stated = object(file);
         String over = state.entries().get("router.json");
         if (over != null) {
-            ObjectNode parts = FeedText.read(over, ObjectNode.class);
+            ObjectNode parts = FeedJson.read(over, ObjectNode.class);
             for (Map.Entry<String, JsonNode> part : parts.properties()) {
                 if (!PARTS.contains(part.getKey())) {
                     throw new IOException("router.json names '" + part.getKey() + "', which is not the feed's");
@@ -141,7 +141,7 @@
                 stated.set(part.getKey(), part.getValue());
             }
         }
-        write(FeedText.text(stated), as + ".json");
+        write(FeedJson.text(stated), as + ".json");
         if (plan != null) {
             String text = state.entries().get("plan");
             write(text == null ? Files.readString(plan) : text, as + ".plan");
@@ -149,7 +149,7 @@
     }
 
     private static ObjectNode object(Path file) throws IOException {
-        return FeedText.read(Files.readString(file), ObjectNode.class);
+        return FeedJson.read(Files.readString(file), ObjectNode.class);
     }
 
     private void write(String text, String name) throws IOException {
--- a/src/main/java/beaconladder/app/FeedCommand.java
+++ b/src/main/java/beaconladder/app/FeedCommand.java
@@ -1,15 +1,15 @@
 package beaconladder.app;
 
+import beaconladder.discovery.EndpointWatch;
+import beaconladder.discovery.JsonReader;
+import beaconladder.feed.CommitResult;
 import beaconladder.feed.Proposal;
 import beaconladder.feed.Proposer;
 import beaconladder.feed.Relay;
-import beaconladder.feed.Reports;
-import beaconladder.feed.State;
-import beaconladder.feed.Written;
+import beaconladder.feed.RelayReports;
+import beaconladder.feed.VersionedState;
 import beaconladder.plan.Plan;
 import beaconladder.plan.PlanReader;
-import beaconladder.roster.Json;
-import beaconladder.roster.Watch;
 import com.sun.management.UnixOperatingSystemMXBean;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -100,7 +100,7 @@
         }
     }
 
-    private int told(Written written, long against) throws Wrong {
+    private int told(CommitResult written, long against) throws Wrong {
         switch (written.outcome()) {
             case WRITTEN -> {
                 spec.commandLine().getOut().printf("version %d, digest %s%n", written.version(), written.digest());
@@ -110,7 +110,7 @@
                 throw new Wrong(
                         "out of turn: made against version " + against + ", but the newest is " + written.version());
             default ->
-                throw new Wrong("too large: with it, all documents would be over " + State.LARGEST
+                throw new Wrong("too large: with it, all documents would be over " + VersionedState.LARGEST
                         + " characters, or too many");
         }
     }
@@ -119,9 +119,9 @@
     private static String text(String name, Path file) throws Wrong {
         String text;
         try {
-            if (Files.size(file) > 4L * State.LARGEST) {
-                throw new Wrong(
-                        file + " is too large: all documents together have at most " + State.LARGEST + " characters");
+            if (Files.size(file) > 4L * VersionedState.LARGEST) {
+                throw new Wrong(file + " is too large: all documents together have at most " + VersionedState.LARGEST
+                        + " characters");
             }
             text = Files.readString(file);
         } catch (CharacterCodingException e) {
@@ -137,8 +137,8 @@
         }
         if (name.endsWith(".json")) {
             try {
-                Json.read(text);
-            } catch (Json.Fault e) {
+                JsonReader.read(text);
+            } catch (JsonReader.Fault e) {
                 throw new Wrong(file + ": " + e.getMessage());
             }
         }
@@ -150,7 +150,7 @@
             mixinStandardHelpOptions = true,
             description = "Show the newest version and with how many routers it is in force.")
     int status(@Mixin CheckCommand.PlanOption file) throws IOException {
-        Reports.Sum sum;
+        RelayReports.Sum sum;
         try {
             sum = new Proposer(grantors(file), CALL_MILLIS).status();
         } catch (Wrong e) {
@@ -205,7 +205,7 @@
             if (!Proposal.isName(name)) {
                 throw new Wrong("'" + name + "' is no name of a relay");
             }
-            InetSocketAddress address = Watch.address(at);
+            InetSocketAddress address = EndpointWatch.address(at);
             if (address == null) {
                 throw new Wrong("'" + at + "' is no address with a port");
             }
--- a/src/main/java/beaconladder/app/LabCommand.java
+++ b/src/main/java/beaconladder/app/LabCommand.java
@@ -1,15 +1,15 @@
 package beaconladder.app;
 
-import beaconladder.lab.CellSizes;
-import beaconladder.lab.CellsRehearsal;
-import beaconladder.lab.CellsRehearsal.Fault;
-import beaconladder.lab.CellsRehearsal.Size;
-import beaconladder.lab.Demo;
-import beaconladder.lab.LeaseHolder;
-import beaconladder.lab.LeaseRehearsal;
-import beaconladder.lab.RestartRehearsal;
+import beaconladder.discovery.EndpointWatch;
 import beaconladder.plan.Plan;
-import beaconladder.roster.Watch;
+import beaconladder.testbed.CellSizes;
+import beaconladder.testbed.CellsScenario;
+import beaconladder.testbed.CellsScenario.Fault;
+import beaconladder.testbed.CellsScenario.Size;
+import beaconladder.testbed.Demo;
+import beaconladder.testbed.LeaseHolder;
+import beaconladder.testbed.LeaseScenario;
+import beaconladder.testbed.RestartScenario;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -89,7 +89,7 @@
             return named(Fault.values());
         }
         List<Fault> from = faults == null ? List.of(Fault.values()) : faults;
-        return new CellsRehearsal(
+        return new CellsScenario(
                                 small ? Size.SMALL : Size.FULL,
                                 seed,
                                 spec.commandLine().getOut())
@@ -106,14 +106,14 @@
             @Option(names = "--seed", defaultValue = "1", description = "Same seed, same script.") long seed,
             @Option(names = "--count", defaultValue = "4", description = "How many faults.") int count,
             @Option(names = "--faults", split = ",", paramLabel = "FAULT", description = "Draw from these only.")
-                    List<LeaseRehearsal.Fault> faults,
+                    List<LeaseScenario.Fault> faults,
             @Option(names = "--list", description = "Name the faults.") boolean list)
             throws IOException, InterruptedException {
         if (list) {
-            return named(LeaseRehearsal.Fault.values());
+            return named(LeaseScenario.Fault.values());
         }
-        return new LeaseRehearsal(seed, spec.commandLine().getOut())
-                        .play(faults == null ? List.of(LeaseRehearsal.Fault.values()) : faults, count)
+        return new LeaseScenario(seed, spec.commandLine().getOut())
+                        .play(faults == null ? List.of(LeaseScenario.Fault.values()) : faults, count)
                 ? 0
                 : 1;
     }
@@ -126,17 +126,17 @@
             @Option(names = "--seed", defaultValue = "1", description = "Same seed, same script.") long seed,
             @Option(names = "--routers", defaultValue = "20") int routers,
             @Option(names = "--faults", split = ",", paramLabel = "FAULT", description = "Draw from these only.")
-                    List<RestartRehearsal.Fault> faults,
+                    List<RestartScenario.Fault> faults,
             @Option(names = "--list", description = "Name the faults.") boolean list)
             throws IOException, InterruptedException {
         if (list) {
-            return named(RestartRehearsal.Fault.values());
+            return named(RestartScenario.Fault.values());
         }
         if (routers < 1 || routers > 200) {
             throw new ParameterException(spec.commandLine(), "1 to 200 routers");
         }
-        return new RestartRehearsal(seed, routers, spec.commandLine().getOut())
-                        .play(faults == null ? List.of(RestartRehearsal.Fault.values()) : faults)
+        return new RestartScenario(seed, routers, spec.commandLine().getOut())
+                        .play(faults == null ? List.of(RestartScenario.Fault.values()) : faults)
                 ? 0
                 : 1;
     }
@@ -164,7 +164,8 @@
         if (plan == null || plan.leases() == null) {
             return 1;
         }
-        LeaseHolder.run(plan, name, task, resources.stream().map(Watch::address).toList(), clock, gossip);
+        LeaseHolder.run(
+                plan, name, task, resources.stream().map(EndpointWatch::address).toList(), clock, gossip);
         return 0;
     }
 }
--- a/src/main/java/beaconladder/app/LabFeedCommand.java
+++ b/src/main/java/beaconladder/app/LabFeedCommand.java
@@ -1,9 +1,9 @@
 package beaconladder.app;
 
-import beaconladder.lab.FeedFault;
-import beaconladder.lab.FeedRehearsal;
-import beaconladder.lab.FeedRouters;
-import beaconladder.roster.Watch;
+import beaconladder.discovery.EndpointWatch;
+import beaconladder.testbed.FeedFault;
+import beaconladder.testbed.FeedRouters;
+import beaconladder.testbed.FeedScenario;
 import com.sun.management.UnixOperatingSystemMXBean;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -94,9 +94,9 @@
             return wrong("grantors need Apache Ratis: -cp 'target/beaconladder.jar:target/grantors/*' "
                     + "beaconladder.app.Main instead of -jar");
         }
-        return new FeedRehearsal(
+        return new FeedScenario(
                                 seed,
-                                FeedRehearsal.Size.of(relays, routers, every, steady),
+                                FeedScenario.Size.of(relays, routers, every, steady),
                                 spec.commandLine().getOut())
                         .play(faults == null ? List.of(FeedFault.values()) : faults, count)
                 ? 0
@@ -140,7 +140,9 @@
         public Integer call() throws IOException, InterruptedException {
             Map<String, InetSocketAddress> all = new TreeMap<>();
             for (String each : relays) {
-                all.put(each.substring(0, each.indexOf('=')), Watch.address(each.substring(each.indexOf('=') + 1)));
+                all.put(
+                        each.substring(0, each.indexOf('=')),
+                        EndpointWatch.address(each.substring(each.indexOf('=') + 1)));
             }
             FeedRouters.run(prefix, from, count, all, journal);
             return 0;
--- a/src/main/java/beaconladder/app/LabSoakCommand.java
+++ b/src/main/java/beaconladder/app/LabSoakCommand.java
@@ -1,8 +1,8 @@
 package beaconladder.app;
 
-import beaconladder.lab.soak.Soak;
-import beaconladder.lab.soak.SoakPlan;
-import beaconladder.lab.soak.Trouble;
+import beaconladder.testbed.soak.FaultKind;
+import beaconladder.testbed.soak.Soak;
+import beaconladder.testbed.soak.SoakPlan;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.List;
@@ -52,7 +52,7 @@
     private boolean asks;
 
     @Option(names = "--troubles", split = ",", paramLabel = "TROUBLE", description = "Draw from these only.")
-    private List<Trouble> troubles;
+    private List<FaultKind> troubles;
 
     @Option(names = "--list", description = "Name the troubles.")
     private boolean list;
@@ -62,7 +62,7 @@
         if (list) {
             spec.commandLine()
                     .getOut()
-                    .println(Arrays.stream(Trouble.values())
+                    .println(Arrays.stream(FaultKind.values())
                             .map(trouble -> trouble.name().toLowerCase(Locale.ROOT))
                             .collect(Collectors.joining("\n")));
             return 0;
@@ -72,7 +72,7 @@
                     spec.commandLine(),
                     "1 to " + MOST_ROUTERS + " routers, a round at least, up to " + MOST_QUIET + " s of quiet");
         }
-        List<Trouble> from = troubles == null ? List.of(Trouble.values()) : troubles;
+        List<FaultKind> from = troubles == null ? List.of(FaultKind.values()) : troubles;
         return new Soak(
                                 new SoakPlan(seed, routers, rounds, quiet, asks, from),
                                 spec.commandLine().getOut())
--- a/src/main/java/beaconladder/app/LeaseCommand.java
+++ b/src/main/java/beaconladder/app/LeaseCommand.java
@@ -1,11 +1,11 @@
 package beaconladder.app;
 
-import beaconladder.grant.Doors;
-import beaconladder.grant.Grantor;
-import beaconladder.grant.WallClock;
-import beaconladder.lease.Answer;
-import beaconladder.lease.Ask;
-import beaconladder.lease.Grants;
+import beaconladder.lease.LeaseRequest;
+import beaconladder.lease.LeaseResponse;
+import beaconladder.lease.LeaseTable;
+import beaconladder.lease.server.AnchoredClock;
+import beaconladder.lease.server.LeaseClient;
+import beaconladder.lease.server.LeaseServer;
 import beaconladder.plan.Plan;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -51,9 +51,9 @@
         if (plan == null) {
             return 1;
         }
-        Grantor grantor;
+        LeaseServer grantor;
         try {
-            grantor = new Grantor(plan.leases(), name, new WallClock(clock));
+            grantor = new LeaseServer(plan.leases(), name, new AnchoredClock(clock));
         } catch (NoClassDefFoundError e) {
             throw new IOException(
                     "a grantor needs Apache Ratis: start it with -cp "
@@ -71,13 +71,13 @@
         if (plan == null) {
             return 1;
         }
-        try (Doors doors = doors(plan)) {
-            Grants all = doors.status();
+        try (LeaseClient doors = doors(plan)) {
+            LeaseTable all = doors.status();
             if (all == null) {
                 throw new IOException("no grantor answers with a leader; is a quorum of them up?");
             }
             PrintWriter out = spec.commandLine().getOut();
-            long now = new WallClock().getAsLong();
+            long now = new AnchoredClock().getAsLong();
             all.leases()
                     .values()
                     .forEach(lease -> out.printf(
@@ -111,10 +111,11 @@
         if (plan == null) {
             return 1;
         }
-        try (Doors doors = doors(plan)) {
-            Answer answer = null;
+        try (LeaseClient doors = doors(plan)) {
+            LeaseResponse answer = null;
             for (int i = 0; answer == null && i < plan.leases().grantors().size(); i++) {
-                answer = doors.ask(Ask.handOver(task, heir, plan.leases().length()));
+                answer = doors.ask(
+                        LeaseRequest.handOver(task, heir, plan.leases().length()));
             }
             if (answer == null) {
                 throw new IOException("no grantor answers with a leader; is a quorum of them up?");
@@ -130,8 +131,9 @@
         return 0;
     }
 
-    private static Doors doors(Plan plan) {
-        return new Doors(plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0, CALL_MILLIS);
+    private static LeaseClient doors(Plan plan) {
+        return new LeaseClient(
+                plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0, CALL_MILLIS);
     }
 
     private Plan stated(CheckCommand.PlanOption file) throws IOException {
--- a/src/main/java/beaconladder/app/MembersCommand.java
+++ b/src/main/java/beaconladder/app/MembersCommand.java
@@ -1,7 +1,7 @@
 package beaconladder.app;
 
-import beaconladder.grant.Doors;
-import beaconladder.members.View;
+import beaconladder.lease.server.LeaseClient;
+import beaconladder.membership.MembershipView;
 import beaconladder.plan.Plan;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -37,9 +37,9 @@
         if (plan.leases() == null) {
             throw new IOException(file.file() + " states no leases, and so no grantors to ask");
         }
-        try (Doors doors = new Doors(
+        try (LeaseClient doors = new LeaseClient(
                 plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0, CALL_MILLIS)) {
-            View view = doors.members();
+            MembershipView view = doors.members();
             if (view == null) {
                 throw new IOException("no grantor answers that takes part in the fleet's membership");
             }
--- a/src/main/java/beaconladder/app/ScaleCommand.java
+++ b/src/main/java/beaconladder/app/ScaleCommand.java
@@ -1,6 +1,6 @@
 package beaconladder.app;
 
-import beaconladder.lab.scale.Scale;
+import beaconladder.testbed.scale.Scale;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.EnumSet;
--- a/src/main/java/beaconladder/app/ServeCommand.java
+++ b/src/main/java/beaconladder/app/ServeCommand.java
@@ -1,6 +1,6 @@
 package beaconladder.app;
 
-import beaconladder.serve.Serve;
+import beaconladder.server.RouterServer;
 import java.io.IOException;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
@@ -59,7 +59,7 @@
                 throw new IOException("BALANCER_CONFIG names no file");
             }
             FedRouter fed = feed == null ? null : feed.of(Path.of(file));
-            Serve router = fed == null ? new Serve(Path.of(file), plan) : fed.router();
+            RouterServer router = fed == null ? new RouterServer(Path.of(file), plan) : fed.router();
             hangups.run(fed == null ? router::reload : fed::reload);
             ends = new Thread(() -> {
                 try {
--- a/src/main/java/beaconladder/cells/Pass.java
+++ b/src/main/java/beaconladder/cells/AdmissionPermit.java
@@ -1,7 +1,7 @@
 package beaconladder.cells;
 
 /** A txn's leave to be in hand, with what it holds of its cell until its end. */
-public final class Pass {
+public final class AdmissionPermit {
     final String tenant;
     final int cell;
     final int group;
@@ -12,7 +12,8 @@
     final long expiry;
     long floor = Long.MIN_VALUE;
 
-    Pass(String tenant, int cell, int group, int slot, boolean write, long bytes, long arrived, long expiry) {
+    AdmissionPermit(
+            String tenant, int cell, int group, int slot, boolean write, long bytes, long arrived, long expiry) {
         this.tenant = tenant;
         this.cell = cell;
         this.group = group;
--- a/src/main/java/beaconladder/cells/Gate.java
+++ b/src/main/java/beaconladder/cells/CellAdmission.java
@@ -1,10 +1,10 @@
 package beaconladder.cells;
 
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Word;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
 import beaconladder.plan.Plan;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Request;
 import java.net.InetAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
  * Before a txn comes to the decisions: which cell it belongs to, whether there is room for it there, and whether it may
  * go now; and, until its end, whether it may still go. Pure: the time and all events come in.
  */
-public final class Gate {
+public final class CellAdmission {
     /** All machines read one clock, give or take; a lease is over for its holder this much early. */
     static final long CLOCKS = 20_000_000L;
     /** A txn waits for the end of a fence up to half of its time, as a decline after that helps no client. */
@@ -43,7 +43,7 @@
      * @param reason for DECLINE and REFUSE, for people
      * @param comeBack for DECLINE: how long the client should stay away; 0 says nothing
      */
-    public record Answer(Kind kind, Pass pass, long until, String reason, long comeBack) {
+    public record Answer(Kind kind, AdmissionPermit pass, long until, String reason, long comeBack) {
         private static Answer decline(String reason, long comeBack) {
             return new Answer(Kind.DECLINE, null, 0, reason, comeBack);
         }
@@ -68,27 +68,27 @@
 
     private final String router;
     private final Room room;
-    private Territory territory;
+    private StaticPlacement territory;
     private boolean kept;
     private List<Integer> served = List.of();
-    private Placement placement = Placement.NONE;
+    private PlacementTable placement = PlacementTable.NONE;
     private boolean sameBasis;
-    private Shares txns;
-    private Shares connections;
-    private Shares bytes;
-    private final Map<Txn, Pass> passes = new IdentityHashMap<>();
+    private CellQuotas txns;
+    private CellQuotas connections;
+    private CellQuotas bytes;
+    private final Map<Request, AdmissionPermit> passes = new IdentityHashMap<>();
     private final Map<String, Integer> writes = new HashMap<>();
     private final Map<String, long[]> commits = new LinkedHashMap<>();
     private final Deque<Lingering> lingering = new ArrayDeque<>();
 
-    public Gate(String router, Territory territory, Room room) {
+    public CellAdmission(String router, StaticPlacement territory, Room room) {
         this.router = router;
         this.room = room;
         plan(territory);
     }
 
     /** Another plan counts from now on, one to which there is no objection; txns in hand keep what they hold. */
-    public void plan(Territory next) {
+    public void plan(StaticPlacement next) {
         territory = next;
         kept = next.plan().keeper() != null;
         List<String> names = next.plan().serves().get(router);
@@ -96,9 +96,9 @@
         double[] shares =
                 next.plan().cells().stream().mapToDouble(Plan.Cell::share).toArray();
         if (txns == null) {
-            txns = new Shares(room.txns(), shares);
-            connections = new Shares(room.connections(), shares);
-            bytes = new Shares(room.bytes(), shares);
+            txns = new CellQuotas(room.txns(), shares);
+            connections = new CellQuotas(room.connections(), shares);
+            bytes = new CellQuotas(room.bytes(), shares);
         } else {
             List.of(txns, connections, bytes).forEach(each -> each.reshare(shares));
         }
@@ -106,7 +106,7 @@
     }
 
     /** What was wrong with another plan while a keeper decides, or null: it may be taken. */
-    public String objection(Territory next) {
+    public String objection(StaticPlacement next) {
         if (next.cells() != territory.cells()) {
             return "cells were added or removed; that needs a restart";
         }
@@ -153,7 +153,7 @@
             long expiry,
             long now) {
         Plan.Tenant stated = territory.tenant(tenant);
-        Seat seat = placement.seats().get(tenant);
+        TenantPlacement seat = placement.seats().get(tenant);
         if (!territory.admits(tenant, from)) {
             return new Answer(Kind.REFUSE, null, 0, "clients at this address don't speak for " + tenant, 0);
         }
@@ -176,14 +176,14 @@
                     "this router does not serve cell " + territory.cell(cell).name(), 0);
         }
         double share = territory.share(tenant);
-        Shares.Answer taken = txns.take(cell, tenant, share, 1, value, now);
-        if (taken == Shares.Answer.TAKEN) {
+        CellQuotas.Answer taken = txns.take(cell, tenant, share, 1, value, now);
+        if (taken == CellQuotas.Answer.TAKEN) {
             taken = bytes.take(cell, tenant, share, size, value, now);
-            if (taken != Shares.Answer.TAKEN) {
+            if (taken != CellQuotas.Answer.TAKEN) {
                 txns.give(cell, tenant, 1);
             }
         }
-        if (taken != Shares.Answer.TAKEN) {
+        if (taken != CellQuotas.Answer.TAKEN) {
             return Answer.decline(
                     switch (taken) {
                         case TENANT_FULL -> tenant + " holds its share";
@@ -193,19 +193,19 @@
                     COME_BACK);
         }
         int to = territory.groupIn(cell, group);
-        Pass pass = new Pass(tenant, cell, to, territory.slot(to), write, size, arrived, expiry);
+        AdmissionPermit pass = new AdmissionPermit(tenant, cell, to, territory.slot(to), write, size, arrived, expiry);
         return again(pass, now);
     }
 
     /** One that was held asks again; its pass is given back where it is declined. */
-    public Answer again(Pass pass, long now) {
+    public Answer again(AdmissionPermit pass, long now) {
         if (stands(pass, now)) {
-            Seat seat = placement.seats().get(pass.tenant);
+            TenantPlacement seat = placement.seats().get(pass.tenant);
             pass.floor = seat == null ? Long.MIN_VALUE : seat.floor(pass.slot);
             return new Answer(Kind.ADMIT, pass, 0, null, 0);
         }
         long until = pass.arrived + (pass.expiry - pass.arrived) / WAIT_PART;
-        Seat seat = placement.seats().get(pass.tenant);
+        TenantPlacement seat = placement.seats().get(pass.tenant);
         boolean here = seat != null && territory.place(seat.cell()) == pass.cell;
         if (now < until && here) {
             return new Answer(Kind.HOLD, pass, until, null, 0);
@@ -221,7 +221,7 @@
     }
 
     /** The txn is in hand. */
-    public void bind(Txn txn, Pass pass) {
+    public void bind(Request txn, AdmissionPermit pass) {
         txn.floor = pass.floor;
         passes.put(txn, pass);
         if (pass.write) {
@@ -230,32 +230,32 @@
     }
 
     /** Whether this txn may still go where it was let in; asked right before its bytes go, too. */
-    public boolean stands(Txn txn, long now) {
-        Pass pass = passes.get(txn);
+    public boolean stands(Request txn, long now) {
+        AdmissionPermit pass = passes.get(txn);
         return pass == null || stands(pass, now);
     }
 
-    private boolean stands(Pass pass, long now) {
+    private boolean stands(AdmissionPermit pass, long now) {
         Plan.Tenant stated = territory.tenant(pass.tenant);
         if (!kept || stated != null && stated.fixed()) {
             return true;
         }
-        Seat seat = placement.seats().get(pass.tenant);
+        TenantPlacement seat = placement.seats().get(pass.tenant);
         return now < placement.until() - CLOCKS
                 && (seat == null
                         || territory.place(seat.cell()) == pass.cell && (pass.write ? seat.writes() : seat.reads()));
     }
 
     /** A submission has ended. What may yet run counts as in hand until its client's time is over. */
-    public void ended(Submission s, Outcome outcome, Word answer, long now) {
-        Pass pass = passes.get(s.txn);
+    public void ended(Attempt s, Outcome outcome, Word answer, long now) {
+        AdmissionPermit pass = passes.get(s.txn);
         if (pass == null || !pass.write || !kept) {
             return;
         }
         if (outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED || outcome == Outcome.RESET) {
             linger(pass);
         }
-        Seat seat = placement.seats().get(pass.tenant);
+        TenantPlacement seat = placement.seats().get(pass.tenant);
         if (outcome == Outcome.COMMITTED && seat != null && seat.moving()) {
             long[] newest = commits.computeIfAbsent(
                     pass.tenant,
@@ -265,8 +265,8 @@
     }
 
     /** The txn has had its final answer, and its client may have what it holds. */
-    public void ended(Txn txn) {
-        Pass pass = passes.remove(txn);
+    public void ended(Request txn) {
+        AdmissionPermit pass = passes.remove(txn);
         if (pass != null) {
             if (pass.write) {
                 writes.computeIfPresent(pass.tenant, (t, n) -> n == 1 ? null : n - 1);
@@ -279,16 +279,16 @@
         }
     }
 
-    private void linger(Pass pass) {
+    private void linger(AdmissionPermit pass) {
         lingering.add(new Lingering(pass.tenant, pass.expiry + CLOCKS));
     }
 
     /** The client of a txn that was held has left. */
-    public void left(Pass pass) {
+    public void left(AdmissionPermit pass) {
         giveBack(pass);
     }
 
-    private void giveBack(Pass pass) {
+    private void giveBack(AdmissionPermit pass) {
         txns.give(pass.cell, pass.tenant, 1);
         bytes.give(pass.cell, pass.tenant, pass.bytes);
     }
@@ -296,11 +296,12 @@
     // ---- Clients' connections -----------------------------------------------------------------------------
 
     /** A client has shown by this txn whose it is: whether there is room for its connection. */
-    public boolean connected(Pass pass, long now) {
-        return connections.take(pass.cell, pass.tenant, territory.share(pass.tenant), 1, 1, now) == Shares.Answer.TAKEN;
+    public boolean connected(AdmissionPermit pass, long now) {
+        return connections.take(pass.cell, pass.tenant, territory.share(pass.tenant), 1, 1, now)
+                == CellQuotas.Answer.TAKEN;
     }
 
-    public void disconnected(Pass pass) {
+    public void disconnected(AdmissionPermit pass) {
         connections.give(pass.cell, pass.tenant, 1);
     }
 
@@ -312,7 +313,7 @@
     // ---- The keeper's word --------------------------------------------------------------------------------
 
     /** What the keeper says; an older word changes nothing. Returns the groups whose txns to look at again. */
-    public List<Integer> placed(Placement next) {
+    public List<Integer> placed(PlacementTable next) {
         if (next.version() < placement.version()
                 || next.version() == placement.version() && next.until() <= placement.until()) {
             return List.of();
@@ -320,7 +321,7 @@
         List<Integer> changed = new ArrayList<>();
         if (next.version() > placement.version()) {
             next.seats().forEach((tenant, seat) -> {
-                Seat before = placement.seats().get(tenant);
+                TenantPlacement before = placement.seats().get(tenant);
                 if (before != null && !before.equals(seat)) {
                     changed.addAll(
                             territory.cell(territory.place(before.cell())).groups());
@@ -330,19 +331,19 @@
         placement = next;
         sameBasis = territory.basis().equals(next.basis());
         commits.keySet().removeIf(tenant -> {
-            Seat seat = next.seats().get(tenant);
+            TenantPlacement seat = next.seats().get(tenant);
             return seat == null || !seat.moving();
         });
         return changed;
     }
 
-    public Placement placement() {
+    public PlacementTable placement() {
         return placement;
     }
 
     /** Whether a tenant is being moved, so that the keeper waits for word. */
     public boolean moving() {
-        return placement.seats().values().stream().anyMatch(Seat::moving);
+        return placement.seats().values().stream().anyMatch(TenantPlacement::moving);
     }
 
     /** What the keeper is told of the tenants that are being moved. */
@@ -374,7 +375,7 @@
         return txns.used(cell);
     }
 
-    public Territory territory() {
+    public StaticPlacement territory() {
         return territory;
     }
 }
--- a/src/main/java/beaconladder/cells/Shares.java
+++ b/src/main/java/beaconladder/cells/CellQuotas.java
@@ -8,7 +8,7 @@
  * own; what cells have not used lately is lent to others, and is theirs again as soon as they ask, from a part that is
  * never lent, while the loans end with the txns that hold them. Inside a cell the same goes for its tenants.
  */
-public final class Shares {
+public final class CellQuotas {
     /**
      * A quarter of what a cell or a tenant does not use is kept back from loans, so that it is never refused its first.
      */
@@ -71,7 +71,7 @@
      * @param capacity how much there is
      * @param shares of each cell, from 0 to 1, together not over 1
      */
-    public Shares(long capacity, double... shares) {
+    public CellQuotas(long capacity, double... shares) {
         this.capacity = capacity;
         this.shares = shares.clone();
         this.cells = new Holder[shares.length];
--- a/src/main/java/beaconladder/cells/Confined.java
+++ b/src/main/java/beaconladder/cells/CellRouter.java
@@ -1,36 +1,36 @@
 package beaconladder.cells;
 
-import beaconladder.api.Router;
-import beaconladder.api.SendCheck;
-import beaconladder.api.Verdict;
-import beaconladder.api.Within;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
+import beaconladder.routing.api.DelegatingRouter;
+import beaconladder.routing.api.DispatchCheck;
+import beaconladder.routing.api.Router;
+import beaconladder.routing.api.RoutingDecision;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Request;
 
 /**
  * The decisions within cells: each question is asked of the module as ever, unless the txn may no longer go where it
  * was let in; then it is displaced before anything more is sent for it.
  */
-public final class Confined extends Within {
-    private final Gate gate;
+public final class CellRouter extends DelegatingRouter {
+    private final CellAdmission gate;
 
-    public Confined(Router inner, Gate gate) {
+    public CellRouter(Router inner, CellAdmission gate) {
         super(inner);
         this.gate = gate;
     }
 
     @Override
-    public Verdict place(Txn txn, long now) {
+    public RoutingDecision place(Request txn, long now) {
         return gate.stands(txn, now) ? inner.place(txn, now) : inner.displaced(txn, now);
     }
 
     @Override
-    public SendCheck mayGo(Submission submission, long now) {
-        return gate.stands(submission.txn, now) ? inner.mayGo(submission, now) : SendCheck.NOT_ADMITTED;
+    public DispatchCheck mayGo(Attempt submission, long now) {
+        return gate.stands(submission.txn, now) ? inner.mayGo(submission, now) : DispatchCheck.NOT_ADMITTED;
     }
 
     @Override
-    public Verdict after(Submission s, Outcome outcome, boolean settled, Word answer, Word report, long now) {
+    public RoutingDecision after(Attempt s, Outcome outcome, boolean settled, Word answer, Word report, long now) {
         gate.ended(s, outcome, answer, now);
         if (settled || s.txn.ended || gate.stands(s.txn, now)) {
             return inner.after(s, outcome, settled, answer, report, now);
--- a/src/main/java/beaconladder/cells/Sight.java
+++ b/src/main/java/beaconladder/cells/MigrationObservation.java
@@ -13,9 +13,10 @@
  * @param landed the target's own position
  * @param copied how far the tenant's copied log has come at each ready member of the new group
  */
-public record Sight(long askedAt, String source, long position, String target, long landed, List<Long> copied) {
-    public static final Sight NOTHING =
-            new Sight(Long.MIN_VALUE, null, Long.MIN_VALUE, null, Long.MIN_VALUE, List.of());
+public record MigrationObservation(
+        long askedAt, String source, long position, String target, long landed, List<Long> copied) {
+    public static final MigrationObservation NOTHING =
+            new MigrationObservation(Long.MIN_VALUE, null, Long.MIN_VALUE, null, Long.MIN_VALUE, List.of());
 
     /** The copied position that every ready member of the new group has reached, or Long.MIN_VALUE. */
     long copiedByAll() {
--- a/src/main/java/beaconladder/cells/Step.java
+++ b/src/main/java/beaconladder/cells/MigrationStep.java
@@ -17,7 +17,7 @@
  * @param sources for COPYING: by slot the primary that is copied from
  * @param why for PROPOSED who asked, for UNDONE the reason, for ROUTER which run of it this is
  */
-public record Step(
+public record MigrationStep(
         Kind kind,
         String tenant,
         String from,
@@ -43,7 +43,7 @@
         ROUTER
     }
 
-    static Step of(Kind kind, String tenant, String from, String to, long at, String why) {
-        return new Step(kind, tenant, from, to, at, List.of(), List.of(), List.of(), why);
+    static MigrationStep of(Kind kind, String tenant, String from, String to, long at, String why) {
+        return new MigrationStep(kind, tenant, from, to, at, List.of(), List.of(), List.of(), why);
     }
 }
--- a/src/main/java/beaconladder/cells/Planner.java
+++ b/src/main/java/beaconladder/cells/PlacementPlanner.java
@@ -23,7 +23,7 @@
  * Proposes who should live where and the moves to get there: loads balanced, value at risk balanced, chosen tenants
  * apart, room for the loss of any one cell, as few moves as that takes. A proposal, and no more: the keeper moves.
  */
-public final class Planner {
+public final class PlacementPlanner {
     /** Loads are reckoned in thousandths of a cell's fair part, so that the solver has small whole numbers. */
     private static final int SCALE = 1_000;
     /** A move must lower the peak by more than a hundredth of a fair part to be worth its fence. */
@@ -42,7 +42,7 @@
     /** Beyond this many tenants the small ones are left where they are: the large ones decide the peak. */
     private static final int MOST_TENANTS = 160;
 
-    private Planner() {}
+    private PlacementPlanner() {}
 
     /**
      * The problem in numbers.
--- a/src/main/java/beaconladder/cells/Placement.java
+++ b/src/main/java/beaconladder/cells/PlacementTable.java
@@ -7,15 +7,15 @@
  *
  * @param version grows with each change
  * @param until a router may act on it until then, in nanoseconds on the clock that all machines read
- * @param basis of the keeper's plan, see {@link Territory#basis}
+ * @param basis of the keeper's plan, see {@link StaticPlacement#basis}
  * @param seats by tenant
  */
-public record Placement(long version, long until, String basis, Map<String, Seat> seats) {
+public record PlacementTable(long version, long until, String basis, Map<String, TenantPlacement> seats) {
     /** Before a keeper has spoken: nothing may be acted on but what never moves. */
-    public static final Placement NONE = new Placement(0, 0, "", Map.of());
+    public static final PlacementTable NONE = new PlacementTable(0, 0, "", Map.of());
 
     /** The same for longer. */
-    public Placement extended(long to) {
-        return new Placement(version, Math.max(until, to), basis, seats);
+    public PlacementTable extended(long to) {
+        return new PlacementTable(version, Math.max(until, to), basis, seats);
     }
 }
--- a/src/main/java/beaconladder/cells/Territory.java
+++ b/src/main/java/beaconladder/cells/StaticPlacement.java
@@ -15,7 +15,7 @@
  * Who lives where by the plan alone: stated tenants where it says, the others by a stable hash over a few cells each
  * (shuffle sharding), so that two tenants seldom share all of their cells and a new cell moves few.
  */
-public final class Territory {
+public final class StaticPlacement {
     /** Cells of tenants that were asked for last; a thousand of them are some hundred kilobytes. */
     private static final int REMEMBERED = 1_024;
 
@@ -36,7 +36,7 @@
         }
     };
 
-    public Territory(Plan plan) {
+    public StaticPlacement(Plan plan) {
         this.plan = plan;
         this.cells = plan.cells();
         this.seeds = new long[cells.size()];
--- a/src/main/java/beaconladder/cells/Moves.java
+++ b/src/main/java/beaconladder/cells/TenantMigrations.java
@@ -1,7 +1,7 @@
 package beaconladder.cells;
 
-import beaconladder.cells.Gate.Busy;
-import beaconladder.cells.Step.Kind;
+import beaconladder.cells.CellAdmission.Busy;
+import beaconladder.cells.MigrationStep.Kind;
 import beaconladder.plan.Plan;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -26,7 +26,7 @@
  *   <li>SWITCHED to DONE: every router has heard.
  * </ol>
  */
-public final class Moves {
+public final class TenantMigrations {
     /** What is left to copy when the fence goes up is waited for by writes: a tenth of the shortest SLA times. */
     private static final long NEAR = 100_000_000L;
     /** A snapshot takes the place of so many records. */
@@ -47,7 +47,7 @@
         private List<String> sources = List.of();
         private List<Long> fences = List.of();
         private long quietAt = Long.MIN_VALUE;
-        private Sight[] sights;
+        private MigrationObservation[] sights;
         private String undo;
 
         Move(String tenant, String from, String to, long at) {
@@ -74,11 +74,11 @@
     /** A move as people are told of it. */
     public record Shown(String tenant, String from, String to, String state, long since, String waitsFor) {}
 
-    private Territory territory;
-    private final Map<String, Seat> seats = new LinkedHashMap<>();
+    private StaticPlacement territory;
+    private final Map<String, TenantPlacement> seats = new LinkedHashMap<>();
     private final Map<String, Move> moves = new LinkedHashMap<>();
     private final Map<String, Seen> routers = new LinkedHashMap<>();
-    private final List<Step> ended = new ArrayList<>();
+    private final List<MigrationStep> ended = new ArrayList<>();
     private long version;
     private int records;
     /** The longest lease that was ever granted; no grant of before now ends later than this from now on. */
@@ -89,7 +89,7 @@
     private final long copy;
     private final long fence;
 
-    public Moves(Territory territory) {
+    public TenantMigrations(StaticPlacement territory) {
         Plan.Keeper keeper = territory.plan().keeper();
         this.territory = territory;
         lease = keeper.lease();
@@ -99,7 +99,7 @@
     }
 
     /** Another plan counts; who lives where stays as the records have it. */
-    public void plan(Territory next) {
+    public void plan(StaticPlacement next) {
         territory = next;
     }
 
@@ -113,17 +113,17 @@
     // ---- What is due --------------------------------------------------------------------------------------
 
     /** The next step that is due, or null; it is to be written and taken, then asked for the next. */
-    public Step due(long now) {
+    public MigrationStep due(long now) {
         if (longest < lease) {
-            return Step.of(Kind.LEASE, "", null, null, lease, null);
+            return MigrationStep.of(Kind.LEASE, "", null, null, lease, null);
         }
         for (Plan.Tenant tenant : territory.plan().tenants()) {
             if (!seats.containsKey(tenant.name()) && !tenant.fixed()) {
-                return Step.of(Kind.SEATED, tenant.name(), tenant.cell(), tenant.cell(), now, null);
+                return MigrationStep.of(Kind.SEATED, tenant.name(), tenant.cell(), tenant.cell(), now, null);
             }
         }
         for (Move move : moves.values()) {
-            Step step = due(move, now);
+            MigrationStep step = due(move, now);
             if (step != null) {
                 return step;
             }
@@ -131,14 +131,14 @@
         return null;
     }
 
-    private Step due(Move move, long now) {
+    private MigrationStep due(Move move, long now) {
         if (move.undo != null && move.state.compareTo(Kind.SWITCHED) < 0) {
             return undone(move, move.undo, now);
         }
         return switch (move.state) {
             case PROPOSED ->
                 all(move, s -> s.source() != null && s.target() != null)
-                        ? new Step(
+                        ? new MigrationStep(
                                 Kind.COPYING,
                                 move.tenant,
                                 move.from,
@@ -153,19 +153,21 @@
             case FENCED -> fenced(move, now);
             case SEALED -> sealed(move, now);
             case SWITCHED ->
-                heard(move.version, now) ? Step.of(Kind.DONE, move.tenant, move.from, move.to, now, null) : null;
+                heard(move.version, now)
+                        ? MigrationStep.of(Kind.DONE, move.tenant, move.from, move.to, now, null)
+                        : null;
             default -> null;
         };
     }
 
-    private Step copying(Move move, long now) {
+    private MigrationStep copying(Move move, long now) {
         if (now > move.proposedAt + copy) {
             return undone(move, "the copy was not close enough in time", now);
         }
         if (!sameSources(move)) {
             // The new primary's log may lack the end of the old one's: what was copied is not a part of it.
             return all(move, s -> s.source() != null)
-                    ? new Step(
+                    ? new MigrationStep(
                             Kind.COPYING,
                             move.tenant,
                             move.from,
@@ -185,11 +187,11 @@
                         && s.copiedByAll() != Long.MIN_VALUE
                         && s.copiedByAll() >= s.position() - NEAR);
         return near && heard(move.version, now)
-                ? Step.of(Kind.FENCED, move.tenant, move.from, move.to, now, null)
+                ? MigrationStep.of(Kind.FENCED, move.tenant, move.from, move.to, now, null)
                 : null;
     }
 
-    private Step fenced(Move move, long now) {
+    private MigrationStep fenced(Move move, long now) {
         if (now > move.fencedAt + fence) {
             return undone(move, "the fence had to go: " + waitsFor(move, now), now);
         }
@@ -215,11 +217,12 @@
             move.fences = List.copyOf(positions);
         }
         return copied(move, move.quietAt)
-                ? new Step(Kind.SEALED, move.tenant, move.from, move.to, now, move.fences, List.of(), List.of(), null)
+                ? new MigrationStep(
+                        Kind.SEALED, move.tenant, move.from, move.to, now, move.fences, List.of(), List.of(), null)
                 : null;
     }
 
-    private Step sealed(Move move, long now) {
+    private MigrationStep sealed(Move move, long now) {
         if (now > move.fencedAt + fence) {
             return undone(move, "the fence had to go: " + waitsFor(move, now), now);
         }
@@ -227,16 +230,17 @@
             return null;
         }
         List<Long> floors = new ArrayList<>();
-        for (Sight sight : move.sights) {
+        for (MigrationObservation sight : move.sights) {
             floors.add(sight.landed());
         }
-        return new Step(Kind.SWITCHED, move.tenant, move.from, move.to, now, move.fences, floors, List.of(), null);
+        return new MigrationStep(
+                Kind.SWITCHED, move.tenant, move.from, move.to, now, move.fences, floors, List.of(), null);
     }
 
     /** Every ready member of the new groups has shown, asked after this time, all up to the fences. */
     private boolean copied(Move move, long since) {
         for (int slot = 0; slot < move.sights.length; slot++) {
-            Sight sight = move.sights[slot];
+            MigrationObservation sight = move.sights[slot];
             if (sight.askedAt() <= since
                     || sight.target() == null
                     || sight.landed() == Long.MIN_VALUE
@@ -247,16 +251,16 @@
         return true;
     }
 
-    private Step undone(Move move, String why, long now) {
-        return Step.of(Kind.UNDONE, move.tenant, move.from, move.to, now, why);
+    private MigrationStep undone(Move move, String why, long now) {
+        return MigrationStep.of(Kind.UNDONE, move.tenant, move.from, move.to, now, why);
     }
 
     private interface Test {
-        boolean holds(Sight sight);
+        boolean holds(MigrationObservation sight);
     }
 
     private static boolean all(Move move, Test test) {
-        for (Sight sight : move.sights) {
+        for (MigrationObservation sight : move.sights) {
             if (!test.holds(sight)) {
                 return false;
             }
@@ -266,7 +270,7 @@
 
     private static List<String> sources(Move move) {
         List<String> sources = new ArrayList<>();
-        for (Sight sight : move.sights) {
+        for (MigrationObservation sight : move.sights) {
             sources.add(sight.source());
         }
         return sources;
@@ -285,14 +289,14 @@
     /** Whether no router acts on an older word than this. */
     private boolean heard(long version, long now) {
         return routers.values().stream()
-                .allMatch(router -> router.version >= version || now > router.lease + Gate.CLOCKS);
+                .allMatch(router -> router.version >= version || now > router.lease + CellAdmission.CLOCKS);
     }
 
     /** Whether no write of the tenant is in hand anywhere, or may yet run. */
     private boolean quiet(Move move, long now) {
         return routers.values().stream().allMatch(router -> {
             if (router.version < move.version) {
-                return now > router.lease + expiry + Gate.CLOCKS;
+                return now > router.lease + expiry + CellAdmission.CLOCKS;
             }
             Busy busy = router.busy.get(move.tenant);
             return busy != null && busy.writes() == 0 && now > router.earlier;
@@ -313,7 +317,7 @@
     // ---- Steps that are written ---------------------------------------------------------------------------
 
     /** Takes a step whose record is written. */
-    public void take(Step step) {
+    public void take(MigrationStep step) {
         records++;
         Move move = moves.get(step.tenant());
         switch (step.kind()) {
@@ -321,14 +325,14 @@
             case VERSION -> version = Math.max(version, step.at());
             case ROUTER -> joined(step);
             case SEATED -> {
-                seats.put(step.tenant(), new Seat(step.to(), true, true, false, step.floors()));
+                seats.put(step.tenant(), new TenantPlacement(step.to(), true, true, false, step.floors()));
                 version++;
             }
             case PROPOSED -> {
                 Move next = new Move(step.tenant(), step.from(), step.to(), step.at());
-                next.sights = new Sight
+                next.sights = new MigrationObservation
                         [territory.cell(territory.place(step.from())).groups().size()];
-                java.util.Arrays.fill(next.sights, Sight.NOTHING);
+                java.util.Arrays.fill(next.sights, MigrationObservation.NOTHING);
                 moves.put(step.tenant(), next);
                 enter(next, Kind.PROPOSED, step.at());
             }
@@ -345,14 +349,14 @@
                 seat(move, step, false, false);
             }
             case SWITCHED -> {
-                seats.put(step.tenant(), new Seat(step.to(), true, true, false, step.floors()));
+                seats.put(step.tenant(), new TenantPlacement(step.to(), true, true, false, step.floors()));
                 version++;
                 enter(move, Kind.SWITCHED, step.at());
             }
             case DONE -> end(step);
             case UNDONE -> {
-                Seat seat = seats.get(step.tenant());
-                seats.put(step.tenant(), new Seat(step.from(), true, true, false, seat.floors()));
+                TenantPlacement seat = seats.get(step.tenant());
+                seats.put(step.tenant(), new TenantPlacement(step.from(), true, true, false, seat.floors()));
                 version++;
                 end(step);
             }
@@ -360,7 +364,7 @@
     }
 
     /** Of a run of before, what it had sent may run for as long as its clients wait. */
-    private void joined(Step step) {
+    private void joined(MigrationStep step) {
         Seen seen = routers.computeIfAbsent(step.tenant(), name -> new Seen());
         if (seen.incarnation != null) {
             seen.earlier = Math.max(seen.earlier, step.at() + expiry);
@@ -370,10 +374,10 @@
         seen.busy = Map.of();
     }
 
-    private void seat(Move move, Step step, boolean writes, boolean reads) {
+    private void seat(Move move, MigrationStep step, boolean writes, boolean reads) {
         seats.put(
                 step.tenant(),
-                new Seat(
+                new TenantPlacement(
                         step.from(),
                         writes,
                         reads,
@@ -389,7 +393,7 @@
         move.version = version;
     }
 
-    private void end(Step step) {
+    private void end(MigrationStep step) {
         moves.remove(step.tenant());
         ended.add(step);
         if (ended.size() > 1_000) {
@@ -400,10 +404,10 @@
     // ---- What is heard ------------------------------------------------------------------------------------
 
     /** The step that proposes this move. What speaks against it is the message of the exception. */
-    public Step propose(String tenant, String to, String who, long now) {
+    public MigrationStep propose(String tenant, String to, String who, long now) {
         Plan.Tenant stated = territory.tenant(tenant);
         Move under = moves.get(tenant);
-        Seat seat = seats.get(tenant);
+        TenantPlacement seat = seats.get(tenant);
         String against = stated == null
                 ? "no tenant '" + tenant + "' is stated in the plan"
                 : stated.fixed()
@@ -425,7 +429,7 @@
         if (against != null) {
             throw new IllegalArgumentException(against);
         }
-        return Step.of(Kind.PROPOSED, tenant, seat.cell(), to, now, who);
+        return MigrationStep.of(Kind.PROPOSED, tenant, seat.cell(), to, now, who);
     }
 
     private int slots(String cell) {
@@ -450,11 +454,11 @@
      *
      * @param incarnation differs between two runs of a router of the same name
      */
-    public Step joins(String router, String incarnation, long now) {
+    public MigrationStep joins(String router, String incarnation, long now) {
         Seen seen = routers.get(router);
         return seen != null && incarnation.equals(seen.incarnation)
                 ? null
-                : Step.of(Kind.ROUTER, router, null, null, now, incarnation);
+                : MigrationStep.of(Kind.ROUTER, router, null, null, now, incarnation);
     }
 
     /**
@@ -462,7 +466,7 @@
      *
      * @param acts the version of the placement that it acts on
      */
-    public Placement heard(String router, long acts, List<Busy> busy, long now) {
+    public PlacementTable heard(String router, long acts, List<Busy> busy, long now) {
         Seen seen = routers.get(router);
         seen.version = Math.max(seen.version, Math.min(acts, version));
         Map<String, Busy> by = new LinkedHashMap<>();
@@ -470,11 +474,11 @@
         seen.busy = by;
         seen.heardAt = now;
         seen.lease = Math.max(seen.lease, now + lease);
-        return new Placement(version, now + lease, territory.basis(), seats);
+        return new PlacementTable(version, now + lease, territory.basis(), seats);
     }
 
     /** What the hosts of one slot of a move have said. */
-    public void seen(String tenant, int slot, Sight sight) {
+    public void seen(String tenant, int slot, MigrationObservation sight) {
         Move move = moves.get(tenant);
         if (move != null && slot < move.sights.length) {
             move.sights[slot] = sight;
@@ -510,7 +514,7 @@
     }
 
     /** The groups of a move's two cells, for what has to be said when it ends. */
-    public List<Errand> errands(Step step) {
+    public List<Errand> errands(MigrationStep step) {
         List<Errand> errands = new ArrayList<>();
         List<Integer> from = territory.cell(territory.place(step.from())).groups();
         List<Integer> to = territory.cell(territory.place(step.to())).groups();
@@ -524,7 +528,7 @@
         return version;
     }
 
-    public Map<String, Seat> seats() {
+    public Map<String, TenantPlacement> seats() {
         return seats;
     }
 
@@ -542,14 +546,14 @@
     }
 
     /** The last moves that have ended. */
-    public List<Step> ended() {
+    public List<MigrationStep> ended() {
         return List.copyOf(ended);
     }
 
     private String waitsFor(Move move, long now) {
         List<String> late = new ArrayList<>();
         routers.forEach((name, router) -> {
-            if (router.version < move.version && now <= router.lease + Gate.CLOCKS) {
+            if (router.version < move.version && now <= router.lease + CellAdmission.CLOCKS) {
                 late.add(name);
             }
         });
@@ -576,16 +580,17 @@
      * The steps that lead from nothing to this state, to take the place of all records, or null: not yet, or not while
      * a move is under way.
      */
-    public List<Step> snapshot(long now) {
+    public List<MigrationStep> snapshot(long now) {
         if (records < RECORDS || !moves.isEmpty()) {
             return null;
         }
-        List<Step> steps = new ArrayList<>();
-        steps.add(Step.of(Kind.LEASE, "", null, null, longest, null));
-        routers.forEach((name, seen) -> steps.add(Step.of(Kind.ROUTER, name, null, null, now, seen.incarnation)));
-        seats.forEach((tenant, seat) -> steps.add(new Step(
+        List<MigrationStep> steps = new ArrayList<>();
+        steps.add(MigrationStep.of(Kind.LEASE, "", null, null, longest, null));
+        routers.forEach(
+                (name, seen) -> steps.add(MigrationStep.of(Kind.ROUTER, name, null, null, now, seen.incarnation)));
+        seats.forEach((tenant, seat) -> steps.add(new MigrationStep(
                 Kind.SEATED, tenant, seat.cell(), seat.cell(), now, List.of(), seat.floors(), List.of(), null)));
-        steps.add(Step.of(Kind.VERSION, "", null, null, version, null));
+        steps.add(MigrationStep.of(Kind.VERSION, "", null, null, version, null));
         records = steps.size();
         return steps;
     }
--- a/src/main/java/beaconladder/cells/Seat.java
+++ b/src/main/java/beaconladder/cells/TenantPlacement.java
@@ -12,7 +12,7 @@
  * @param floors for each slot the position that a member must have reached to have all that was copied into this cell,
  *     in nanoseconds; empty for a tenant that was never moved
  */
-public record Seat(String cell, boolean writes, boolean reads, boolean moving, List<Long> floors) {
+public record TenantPlacement(String cell, boolean writes, boolean reads, boolean moving, List<Long> floors) {
     /** The floor of this slot, or Long.MIN_VALUE. */
     long floor(int slot) {
         return slot < floors.size() ? floors.get(slot) : Long.MIN_VALUE;
--- a/src/main/java/beaconladder/closing/Closed.java
+++ b/src/main/java/beaconladder/closing/Closed.java
@@ -1,9 +1,9 @@
 package beaconladder.closing;
 
-import beaconladder.api.Router;
-import beaconladder.api.Verdict;
-import beaconladder.api.Within;
-import beaconladder.fleet.Txn;
+import beaconladder.routing.api.DelegatingRouter;
+import beaconladder.routing.api.Router;
+import beaconladder.routing.api.RoutingDecision;
+import beaconladder.routing.state.Request;
 import java.time.Instant;
 import java.util.function.Supplier;
 
@@ -11,7 +11,7 @@
  * The decisions under closes: a read that comes after a close has the close as the least log position that it must see.
  * The module holds it and sends it as any other read with a target; nothing else is decided here.
  */
-public final class Closed extends Within {
+public final class Closed extends DelegatingRouter {
     private static final long SECOND = 1_000_000_000L;
 
     private final Supplier<Calendar> calendar;
@@ -45,14 +45,14 @@
         return at.getEpochSecond() * SECOND + at.getNano();
     }
 
-    private void bind(Txn txn) {
+    private void bind(Request txn) {
         if (!txn.type.read().atPrimary()) {
             txn.floor = Math.max(txn.floor, floor(txn.arrived));
         }
     }
 
     @Override
-    public Verdict place(Txn txn, long now) {
+    public RoutingDecision place(Request txn, long now) {
         bind(txn);
         return inner.place(txn, now);
     }
--- a/src/main/java/beaconladder/keep/Keeper.java
+++ b/src/main/java/beaconladder/coordinator/Coordinator.java
@@ -1,17 +1,17 @@
-package beaconladder.keep;
+package beaconladder.coordinator;
 
-import beaconladder.cells.Gate.Busy;
-import beaconladder.cells.Moves;
-import beaconladder.cells.Moves.Errand;
-import beaconladder.cells.Placement;
-import beaconladder.cells.Sight;
-import beaconladder.cells.Step;
-import beaconladder.cells.Step.Kind;
-import beaconladder.cells.Territory;
+import beaconladder.cells.CellAdmission.Busy;
+import beaconladder.cells.MigrationObservation;
+import beaconladder.cells.MigrationStep;
+import beaconladder.cells.MigrationStep.Kind;
+import beaconladder.cells.PlacementTable;
+import beaconladder.cells.StaticPlacement;
+import beaconladder.cells.TenantMigrations;
+import beaconladder.cells.TenantMigrations.Errand;
+import beaconladder.discovery.EndpointWatch;
 import beaconladder.plan.Plan;
 import beaconladder.plan.PlanReader;
-import beaconladder.roster.Watch;
-import beaconladder.store.Records;
+import beaconladder.storage.DurableRecords;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.sun.net.httpserver.HttpExchange;
@@ -32,20 +32,20 @@
 
 /**
  * The keeper on sockets: grants leases to routers, carries moves out step by step, answers operators. All decisions are
- * {@link Moves}'; a step is on the disk before it is taken.
+ * {@link TenantMigrations}'; a step is on the disk before it is taken.
  */
-public final class Keeper implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Keeper.class);
+public final class Coordinator implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(Coordinator.class);
     /** While a tenant is moved, hosts are asked so often. */
     private static final int LOOK_MILLIS = 20;
 
     private static final int LONGEST_WAIT_MILLIS = 30_000;
 
     private final Path file;
-    private final Records records;
-    private final Moves moves;
-    private final Hosts hosts = new Hosts();
-    private final Watch watch;
+    private final DurableRecords records;
+    private final TenantMigrations moves;
+    private final HostQueries hosts = new HostQueries();
+    private final EndpointWatch watch;
     private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "keeper");
@@ -54,7 +54,7 @@
     });
     private final Thread loop = new Thread(this::run, "moves");
     /** Ends of moves whose hosts are still to be told; for the loop. */
-    private final List<Step> ends = new ArrayList<>();
+    private final List<MigrationStep> ends = new ArrayList<>();
 
     private volatile boolean closed;
 
@@ -63,16 +63,16 @@
      *
      * @throws IOException where its address is taken, its records are in use or damaged
      */
-    public Keeper(Path file, Plan plan) throws IOException {
+    public Coordinator(Path file, Plan plan) throws IOException {
         this.file = file;
         if (plan.keeper() == null) {
             throw new IOException(file + " states no keeper");
         }
-        records = Records.open(Path.of(plan.keeper().store()));
-        moves = new Moves(new Territory(plan));
+        records = DurableRecords.open(Path.of(plan.keeper().store()));
+        moves = new TenantMigrations(new StaticPlacement(plan));
         try {
             for (byte[] record : records.found()) {
-                moves.take(Wire.read(record, Step.class));
+                moves.take(CoordinatorProtocol.read(record, MigrationStep.class));
             }
             moves.recovered(now());
             server = HttpServer.create(plan.keeper().at(), 512);
@@ -84,7 +84,7 @@
                 "{} records, {} moves under way",
                 records.found().size(),
                 moves.shown(now()).size());
-        watch = new Watch(plan.keeper().discovery(), hosts);
+        watch = new EndpointWatch(plan.keeper().discovery(), hosts);
         server.setExecutor(threads);
         server.createContext("/v1/placement", exchange -> answer(exchange, this::placement));
         server.createContext("/v1/cells", exchange -> answer(exchange, this::cells));
@@ -115,7 +115,7 @@
             return;
         }
         synchronized (this) {
-            moves.plan(new Territory(read.plan()));
+            moves.plan(new StaticPlacement(read.plan()));
         }
         propose(read.plan());
         LOG.info("reloaded {}", file);
@@ -147,14 +147,14 @@
                 synchronized (this) {
                     settle(now());
                     errands = moves.errands();
-                    for (Step end : ends) {
+                    for (MigrationStep end : ends) {
                         moves.errands(end).forEach(errand -> over.put(errand, end.kind() == Kind.UNDONE));
                     }
                     ends.clear();
                 }
                 over.forEach(hosts::end);
                 for (Errand errand : errands) {
-                    Sight sight = hosts.look(errand, now());
+                    MigrationObservation sight = hosts.look(errand, now());
                     synchronized (this) {
                         moves.seen(errand.tenant(), errand.slot(), sight);
                     }
@@ -173,16 +173,16 @@
 
     /** Takes all steps that are due, each once it is written. */
     private void settle(long now) throws IOException {
-        for (Step step = moves.due(now); step != null; step = moves.due(now)) {
+        for (MigrationStep step = moves.due(now); step != null; step = moves.due(now)) {
             write(step);
         }
-        List<Step> snapshot = moves.snapshot(now);
+        List<MigrationStep> snapshot = moves.snapshot(now);
         if (snapshot != null) {
-            records.replace(snapshot.stream().map(Keeper::bytes).toList());
+            records.replace(snapshot.stream().map(Coordinator::bytes).toList());
         }
     }
 
-    private void write(Step step) throws IOException {
+    private void write(MigrationStep step) throws IOException {
         records.append(bytes(step));
         moves.take(step);
         if (step.kind() == Kind.DONE || step.kind() == Kind.UNDONE) {
@@ -199,8 +199,8 @@
         notifyAll();
     }
 
-    private static byte[] bytes(Step step) {
-        return Wire.text(step).getBytes(StandardCharsets.UTF_8);
+    private static byte[] bytes(MigrationStep step) {
+        return CoordinatorProtocol.text(step).getBytes(StandardCharsets.UTF_8);
     }
 
     // ---- Answers ------------------------------------------------------------------------------------------
@@ -224,15 +224,15 @@
             body = handler.answer(asked);
         } catch (IllegalArgumentException e) {
             status = 400;
-            body = Wire.text(Wire.object().put("error", e.getMessage()));
+            body = CoordinatorProtocol.text(CoordinatorProtocol.object().put("error", e.getMessage()));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             status = 503;
-            body = Wire.text(Wire.object().put("error", "the keeper ends"));
+            body = CoordinatorProtocol.text(CoordinatorProtocol.object().put("error", "the keeper ends"));
         } catch (IOException | RuntimeException e) {
             LOG.error("a call failed", e);
             status = 500;
-            body = Wire.text(Wire.object().put("error", e.toString()));
+            body = CoordinatorProtocol.text(CoordinatorProtocol.object().put("error", e.toString()));
         }
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         try (exchange) {
@@ -248,8 +248,8 @@
         String run = need(asked, "run");
         long acts = Long.parseLong(need(asked, "version"));
         long wait = Math.min(LONGEST_WAIT_MILLIS, Long.parseLong(asked.getOrDefault("wait", "0")));
-        List<Busy> busy = Wire.busy(asked.getOrDefault("busy", ""));
-        Step joins = moves.joins(router, run, now());
+        List<Busy> busy = CoordinatorProtocol.busy(asked.getOrDefault("busy", ""));
+        MigrationStep joins = moves.joins(router, run, now());
         if (joins != null) {
             write(joins);
         }
@@ -258,8 +258,8 @@
         while (!closed && moves.version() <= acts && System.nanoTime() < until) {
             wait(Math.max(1, (until - System.nanoTime()) / 1_000_000));
         }
-        Placement placement = moves.heard(router, acts, busy, now());
-        return Wire.text(placement, placement.version() != acts);
+        PlacementTable placement = moves.heard(router, acts, busy, now());
+        return CoordinatorProtocol.text(placement, placement.version() != acts);
     }
 
     private static String need(Map<String, String> asked, String name) {
@@ -271,7 +271,7 @@
     }
 
     private synchronized String cells(Map<String, String> asked) {
-        ObjectNode all = Wire.object();
+        ObjectNode all = CoordinatorProtocol.object();
         all.put("version", moves.version());
         ObjectNode seats = all.putObject("seats");
         moves.seats().forEach((tenant, seat) -> seats.put(tenant, seat.cell()));
@@ -295,18 +295,18 @@
                         .put("state", step.kind().name().toLowerCase(java.util.Locale.ROOT))
                         .put("at_ms", step.at() / 1_000_000)
                         .put("why", step.why()));
-        return Wire.text(all);
+        return CoordinatorProtocol.text(all);
     }
 
     private synchronized String move(Map<String, String> asked) throws IOException {
         write(moves.propose(need(asked, "tenant"), need(asked, "to"), "an operator", now()));
-        return Wire.text(Wire.object().put("proposed", asked.get("tenant")));
+        return CoordinatorProtocol.text(CoordinatorProtocol.object().put("proposed", asked.get("tenant")));
     }
 
     private synchronized String undo(Map<String, String> asked) throws IOException {
         moves.undo(need(asked, "tenant"), "an operator");
         settle(now());
-        return Wire.text(Wire.object().put("undone", asked.get("tenant")));
+        return CoordinatorProtocol.text(CoordinatorProtocol.object().put("undone", asked.get("tenant")));
     }
 
     @Override
--- a/src/main/java/beaconladder/keep/Wire.java
+++ b/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
@@ -1,7 +1,7 @@
-package beaconladder.keep;
+package beaconladder.coordinator;
 
-import beaconladder.cells.Gate.Busy;
-import beaconladder.cells.Placement;
+import beaconladder.cells.CellAdmission.Busy;
+import beaconladder.cells.PlacementTable;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,14 +10,14 @@
 import java.util.List;
 
 /** What a keeper and its routers say to each other, as text; docs/cells.md has the form. */
-final class Wire {
+final class CoordinatorProtocol {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long MS = 1_000_000;
 
-    private Wire() {}
+    private CoordinatorProtocol() {}
 
     /** A placement; the seats are left out for who has them. */
-    static String text(Placement placement, boolean withSeats) {
+    static String text(PlacementTable placement, boolean withSeats) {
         ObjectNode all = MAPPER.createObjectNode();
         all.put("version", placement.version())
                 .put("until_ms", placement.until() / MS)
--- a/src/main/java/beaconladder/keep/Hosts.java
+++ b/src/main/java/beaconladder/coordinator/HostQueries.java
@@ -1,9 +1,9 @@
-package beaconladder.keep;
+package beaconladder.coordinator;
 
-import beaconladder.cells.Moves.Errand;
-import beaconladder.cells.Sight;
+import beaconladder.cells.MigrationObservation;
+import beaconladder.cells.TenantMigrations.Errand;
+import beaconladder.discovery.EndpointWatch;
 import beaconladder.pg.Decimal;
-import beaconladder.roster.Watch;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,15 +20,15 @@
 import org.slf4j.LoggerFactory;
 
 /** Asks hosts for roles and positions, and has new cells' primaries copy; it decides nothing. */
-final class Hosts implements Watch.Listener, AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Hosts.class);
+final class HostQueries implements EndpointWatch.Listener, AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(HostQueries.class);
     /** Hosts answer within milliseconds or are in trouble; a move then waits and asks again. */
     private static final int ASK_MILLIS = 400;
 
     private static final String REPORT = "SHOW server_load";
 
-    private final Map<String, Watch.Entry> entries = new LinkedHashMap<>();
-    private final Map<String, Asking> lines = new ConcurrentHashMap<>();
+    private final Map<String, EndpointWatch.Entry> entries = new LinkedHashMap<>();
+    private final Map<String, HostQuery> lines = new ConcurrentHashMap<>();
     private final Map<String, String> fed = new HashMap<>();
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "asks");
@@ -37,12 +37,12 @@
     });
 
     @Override
-    public synchronized void listed(boolean whole, List<Watch.Entry> news) {
+    public synchronized void listed(boolean whole, List<EndpointWatch.Entry> news) {
         if (whole) {
             entries.clear();
         }
-        for (Watch.Entry entry : news) {
-            if (entry.state() == Watch.State.GONE) {
+        for (EndpointWatch.Entry entry : news) {
+            if (entry.state() == EndpointWatch.State.GONE) {
                 entries.remove(entry.id());
             } else {
                 entries.put(entry.id(), entry);
@@ -50,22 +50,22 @@
         }
     }
 
-    private synchronized List<Watch.Entry> members(int group) {
+    private synchronized List<EndpointWatch.Entry> members(int group) {
         return entries.values().stream().filter(entry -> entry.group() == group).toList();
     }
 
     /** What one host says: of itself, and, where asked, how far the tenant's copy has come there. */
-    private record Said(Watch.Entry host, boolean primary, long position, long copied) {}
+    private record Said(EndpointWatch.Entry host, boolean primary, long position, long copied) {}
 
     /** Asks both groups of a slot; who does not answer is not in it. */
-    Sight look(Errand errand, long now) {
-        List<Watch.Entry> targets = members(errand.target());
+    MigrationObservation look(Errand errand, long now) {
+        List<EndpointWatch.Entry> targets = members(errand.target());
         List<Callable<Said>> questions = new ArrayList<>();
-        for (Watch.Entry host : members(errand.source())) {
+        for (EndpointWatch.Entry host : members(errand.source())) {
             questions.add(() -> ask(host, null));
         }
         int sources = questions.size();
-        for (Watch.Entry host : targets) {
+        for (EndpointWatch.Entry host : targets) {
             questions.add(() -> ask(host, errand.tenant()));
         }
         List<Said> said = all(questions);
@@ -81,14 +81,14 @@
         List<Long> copied = new ArrayList<>();
         for (int i = 0; i < targets.size(); i++) {
             // A member that is listed as ready may become primary: it has to show that it has the copy.
-            if (targets.get(i).state() == Watch.State.READY) {
+            if (targets.get(i).state() == EndpointWatch.State.READY) {
                 copied.add(
                         answered.get(i) == null
                                 ? Long.MIN_VALUE
                                 : answered.get(i).copied());
             }
         }
-        return new Sight(
+        return new MigrationObservation(
                 now,
                 source.size() == 1 ? source.get(0).host().id() : null,
                 source.size() == 1 ? source.get(0).position() : Long.MIN_VALUE,
@@ -98,7 +98,7 @@
     }
 
     /** Tells the target's primary to copy from this source; again whenever one of the two is another. */
-    private void feed(Errand errand, Watch.Entry source, Watch.Entry target) {
+    private void feed(Errand errand, EndpointWatch.Entry source, EndpointWatch.Entry target) {
         String key = errand.tenant() + "/" + errand.slot();
         String pair = source.id() + ">" + target.id();
         if (pair.equals(fed.get(key))) {
@@ -114,12 +114,12 @@
     /** Ends the copying of a move that has ended; what was copied is dropped where the tenant stays away. */
     void end(Errand errand, boolean drop) {
         fed.remove(errand.tenant() + "/" + errand.slot());
-        for (Watch.Entry host : members(errand.target())) {
+        for (EndpointWatch.Entry host : members(errand.target())) {
             tell(host, errand.tenant() + (drop ? " drop" : " off"), () -> {});
         }
     }
 
-    private void tell(Watch.Entry host, String what, Runnable done) {
+    private void tell(EndpointWatch.Entry host, String what, Runnable done) {
         try {
             line(host).ask("SET beaconladder.feed = '" + what + "'", ASK_MILLIS);
             done.run();
@@ -129,10 +129,10 @@
         }
     }
 
-    private Said ask(Watch.Entry host, String tenant) throws IOException {
+    private Said ask(EndpointWatch.Entry host, String tenant) throws IOException {
         try {
-            Asking line = line(host);
-            Asking.Answer report = line.ask(REPORT, ASK_MILLIS);
+            HostQuery line = line(host);
+            HostQuery.Answer report = line.ask(REPORT, ASK_MILLIS);
             Map<String, String> fields = new HashMap<>();
             for (String pair : String.valueOf(report.cell()).split(",")) {
                 int equals = pair.indexOf('=');
@@ -155,11 +155,11 @@
         }
     }
 
-    private Asking line(Watch.Entry host) throws IOException {
-        Asking line = lines.get(host.id());
+    private HostQuery line(EndpointWatch.Entry host) throws IOException {
+        HostQuery line = lines.get(host.id());
         if (line == null) {
-            line = new Asking(host.address(), ASK_MILLIS);
-            Asking before = lines.put(host.id(), line);
+            line = new HostQuery(host.address(), ASK_MILLIS);
+            HostQuery before = lines.put(host.id(), line);
             if (before != null) {
                 before.close();
             }
@@ -167,8 +167,8 @@
         return line;
     }
 
-    private void drop(Watch.Entry host) {
-        Asking line = lines.remove(host.id());
+    private void drop(EndpointWatch.Entry host) {
+        HostQuery line = lines.remove(host.id());
         if (line != null) {
             line.close();
         }
@@ -196,6 +196,6 @@
     @Override
     public void close() {
         threads.shutdownNow();
-        lines.values().forEach(Asking::close);
+        lines.values().forEach(HostQuery::close);
     }
 }
--- a/src/main/java/beaconladder/keep/Asking.java
+++ b/src/main/java/beaconladder/coordinator/HostQuery.java
@@ -1,9 +1,9 @@
-package beaconladder.keep;
+package beaconladder.coordinator;
 
-import beaconladder.pg.Inbox;
-import beaconladder.pg.Inbox.Got;
-import beaconladder.pg.Outbox;
-import beaconladder.pg.Room;
+import beaconladder.pg.MemoryLimit;
+import beaconladder.pg.MessageReader;
+import beaconladder.pg.MessageReader.Got;
+import beaconladder.pg.MessageWriter;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -11,21 +11,21 @@
 import java.util.Map;
 
 /** A keeper's connection to one host: one question at a time, each with its time. */
-final class Asking implements AutoCloseable {
-    private static final Room ROOM = new Room(4 << 20);
+final class HostQuery implements AutoCloseable {
+    private static final MemoryLimit ROOM = new MemoryLimit(4 << 20);
 
     /** An answer: the first cell of its first row, or null, and what the host said of itself. */
     record Answer(String cell, Map<String, String> said) {}
 
     private final Socket socket = new Socket();
-    private final Inbox in;
+    private final MessageReader in;
 
-    Asking(InetSocketAddress address, int millis) throws IOException {
+    HostQuery(InetSocketAddress address, int millis) throws IOException {
         try {
             socket.setTcpNoDelay(true);
             socket.connect(address, millis);
-            in = new Inbox(socket, ROOM);
-            Outbox.startup("keeper", "shop").writeTo(socket.getOutputStream());
+            in = new MessageReader(socket, ROOM);
+            MessageWriter.startup("keeper", "shop").writeTo(socket.getOutputStream());
             answer(millis);
         } catch (IOException | RuntimeException e) {
             socket.close();
@@ -35,7 +35,7 @@
 
     /** Asks; an error of the host is an exception, as is anything that can't be read. */
     Answer ask(String query, int millis) throws IOException {
-        Outbox.query(query).writeTo(socket.getOutputStream());
+        MessageWriter.query(query).writeTo(socket.getOutputStream());
         return answer(millis);
     }
 
@@ -60,7 +60,7 @@
                     if (!in.isRowOfOne()) {
                         throw new IOException("a row that is not of one column");
                     }
-                    Outbox row = new Outbox();
+                    MessageWriter row = new MessageWriter();
                     in.copyTo(row);
                     cell = row.cell();
                 }
--- a/src/main/java/beaconladder/roster/Schedule.java
+++ b/src/main/java/beaconladder/discovery/DiscoverySchedule.java
@@ -1,7 +1,7 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 /** When discovery is asked next, and how long each call may take: of a pushed list, or of one asked for. */
-interface Schedule {
+interface DiscoverySchedule {
     /** The protocol's figure: what could be reached counts as told so long after discovery had it. */
     int TOLD_MILLIS = 6_000;
     /** With tries of over half the time in which news count, those behind a snapshot come too late. */
--- a/src/main/java/beaconladder/roster/ListReader.java
+++ b/src/main/java/beaconladder/discovery/EndpointListReader.java
@@ -1,4 +1,4 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -15,7 +15,7 @@
  * Reads a list of hosts as discovery sends it, entry by entry from its bytes; nothing but the entries is held. Whole or
  * not at all: one entry that can't be read makes all of it void.
  */
-final class ListReader {
+final class EndpointListReader {
     /** Over three times the 5,800 hosts that are in sight; entries hold some 200 bytes each. */
     static final int MOST_ENTRIES = 20_000;
 
@@ -29,26 +29,26 @@
     }
 
     /** An answer of discovery: the whole list, or what has changed up to this version. */
-    record News(long version, boolean whole, List<Watch.Entry> entries) {}
+    record News(long version, boolean whole, List<EndpointWatch.Entry> entries) {}
 
-    private ListReader() {}
+    private EndpointListReader() {}
 
     /** The news in these bytes, read up to their end. */
-    static News read(InputStream in) throws IOException, Json.Fault {
-        try (JsonParser json = Json.parser(in)) {
+    static News read(InputStream in) throws IOException, JsonReader.Fault {
+        try (JsonParser json = JsonReader.parser(in)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
                 throw new Unfit("no list of hosts");
             }
             BigDecimal version = null;
             boolean whole = false;
-            List<Watch.Entry> entries = null;
+            List<EndpointWatch.Entry> entries = null;
             while (json.nextToken() != JsonToken.END_OBJECT) {
                 String name = json.currentName();
                 if (json.nextToken() == JsonToken.START_ARRAY && name.equals("servers")) {
                     entries = entries(json);
                     continue;
                 }
-                Object value = Json.value(json);
+                Object value = JsonReader.value(json);
                 if (name.equals("version")) {
                     version = value instanceof BigDecimal number ? number : null;
                 } else if (name.equals("full")) {
@@ -67,40 +67,40 @@
             }
             return new News(version.longValue(), whole, entries);
         } catch (JsonProcessingException e) {
-            throw Json.fault(e);
+            throw JsonReader.fault(e);
         }
     }
 
-    private static List<Watch.Entry> entries(JsonParser json) throws IOException, Json.Fault {
-        List<Watch.Entry> entries = new ArrayList<>();
+    private static List<EndpointWatch.Entry> entries(JsonParser json) throws IOException, JsonReader.Fault {
+        List<EndpointWatch.Entry> entries = new ArrayList<>();
         while (json.nextToken() != JsonToken.END_ARRAY) {
             if (entries.size() == MOST_ENTRIES) {
                 throw new Unfit("a list of more than " + MOST_ENTRIES + " hosts");
             }
-            entries.add(entry(Json.value(json)));
+            entries.add(entry(JsonReader.value(json)));
         }
         return entries;
     }
 
     /** An entry as JSON has it. */
-    static Watch.Entry entry(Object value) throws IOException {
+    static EndpointWatch.Entry entry(Object value) throws IOException {
         if (!(value instanceof Map<?, ?> e)
                 || !(e.get("id") instanceof String id)
                 || !(e.get("cell") instanceof BigDecimal cell)) {
             throw new Unfit("an entry without id or group");
         }
-        Watch.State state = switch (String.valueOf(e.get("state"))) {
-            case "Ready" -> Watch.State.READY;
-            case "Terminating" -> Watch.State.DRAINING;
-            case "Gone" -> Watch.State.GONE;
+        EndpointWatch.State state = switch (String.valueOf(e.get("state"))) {
+            case "Ready" -> EndpointWatch.State.READY;
+            case "Terminating" -> EndpointWatch.State.DRAINING;
+            case "Gone" -> EndpointWatch.State.GONE;
             default -> throw new Unfit("an unknown state " + e.get("state"));
         };
-        InetSocketAddress address = e.get("addr") instanceof String a ? Watch.address(a) : null;
-        if (address == null && state != Watch.State.GONE) {
+        InetSocketAddress address = e.get("addr") instanceof String a ? EndpointWatch.address(a) : null;
+        if (address == null && state != EndpointWatch.State.GONE) {
             throw new Unfit("no address of " + id);
         }
         long launched = e.get("started_ms") instanceof BigDecimal started ? started.longValue() : 0;
-        return new Watch.Entry(
+        return new EndpointWatch.Entry(
                 id,
                 address,
                 String.valueOf(e.get("zone")),
--- a/src/main/java/beaconladder/roster/Watch.java
+++ b/src/main/java/beaconladder/discovery/EndpointWatch.java
@@ -1,4 +1,4 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Keeps the watch on discovery: the whole list first, then what changes, for as long as the program runs. */
-public final class Watch implements Runnable {
-    private static final Logger LOG = LoggerFactory.getLogger(Watch.class);
+public final class EndpointWatch implements Runnable {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
 
     /** One host as discovery lists it. */
     public record Entry(
@@ -39,17 +39,17 @@
     }
 
     private final Listener listener;
-    private final Schedule schedule;
+    private final DiscoverySchedule schedule;
     /** The calls to the present address; those to an earlier one are ended. */
-    private volatile HttpGet http;
+    private volatile HttpFetcher http;
 
     private final long madeAt = System.nanoTime();
     private volatile boolean answered;
     private volatile boolean stopped;
 
     /** One for who has no fleet beside it and no rule on drains. */
-    public Watch(InetSocketAddress discovery, Listener listener) {
-        this(discovery, CallSchedule.TOLD_MILLIS, 0, listener);
+    public EndpointWatch(InetSocketAddress discovery, Listener listener) {
+        this(discovery, WatchSchedule.TOLD_MILLIS, 0, listener);
     }
 
     /**
@@ -58,12 +58,12 @@
      * @param graceMillis how long after it counts as told a drain may still be unheeded
      * @param seed for the moments at which it asks
      */
-    public Watch(InetSocketAddress discovery, long graceMillis, long seed, Listener listener) {
-        this(discovery, new CallSchedule(graceMillis, seed), listener);
+    public EndpointWatch(InetSocketAddress discovery, long graceMillis, long seed, Listener listener) {
+        this(discovery, new WatchSchedule(graceMillis, seed), listener);
     }
 
-    private Watch(InetSocketAddress discovery, Schedule schedule, Listener listener) {
-        this.http = new HttpGet(discovery);
+    private EndpointWatch(InetSocketAddress discovery, DiscoverySchedule schedule, Listener listener) {
+        this.http = new HttpFetcher(discovery);
         this.listener = listener;
         this.schedule = schedule;
     }
@@ -74,15 +74,15 @@
      * @param everyMillis how often the rules want to be asked by who has no watch
      * @param seed for the moments at which it asks
      */
-    public static Watch asking(InetSocketAddress discovery, long everyMillis, long seed, Listener listener) {
-        return new Watch(discovery, new AskedSchedule(everyMillis, seed), listener);
+    public static EndpointWatch asking(InetSocketAddress discovery, long everyMillis, long seed, Listener listener) {
+        return new EndpointWatch(discovery, new PollSchedule(everyMillis, seed), listener);
     }
 
     /** Discovery is to be asked at this address from now on, for the whole list first. */
     public synchronized void moveTo(InetSocketAddress discovery) {
-        HttpGet before = http;
+        HttpFetcher before = http;
         if (!before.address().equals(discovery)) {
-            http = new HttpGet(discovery);
+            http = new HttpFetcher(discovery);
             before.end();
             notifyAll();
         }
@@ -90,7 +90,7 @@
 
     @Override
     public void run() {
-        HttpGet asked = null;
+        HttpFetcher asked = null;
         // What was last heard; changes since then can be asked for. A watch goes on behind an answer.
         long version = -1;
         boolean goesOn = false;
@@ -103,14 +103,14 @@
                 goesOn = false;
                 schedule.moved();
             }
-            Schedule.Call call = schedule.call(goesOn);
+            DiscoverySchedule.Call call = schedule.call(goesOn);
             long from = System.nanoTime();
             try {
-                ListReader.News news = asked.get(
+                EndpointListReader.News news = asked.get(
                         version < 0 ? "/v1/servers" : "/v1/servers?index=" + version + "&wait=" + call.waits(),
                         call.all(),
                         call.tail(),
-                        ListReader::read);
+                        EndpointListReader::read);
                 if (asked != http) {
                     continue;
                 }
@@ -122,7 +122,7 @@
                     troubles.clear();
                 }
                 rest(asked, schedule.answered(call, System.nanoTime() - from, version != before));
-            } catch (IOException | Json.Fault e) {
+            } catch (IOException | JsonReader.Fault e) {
                 if (asked != http) {
                     continue;
                 }
@@ -135,11 +135,13 @@
                 }
                 if (e instanceof SocketTimeoutException) {
                     rest(asked, schedule.silent(call));
-                } else if (e instanceof HttpGet.Status status && status.passing()) {
+                } else if (e instanceof HttpFetcher.Status status && status.passing()) {
                     rest(asked, schedule.refused(call));
                 } else {
                     // What can't be read, or does not fit what is held, is asked for whole.
-                    version = e instanceof ListReader.Unfit || e instanceof Json.Fault || e instanceof HttpGet.Status
+                    version = e instanceof EndpointListReader.Unfit
+                                    || e instanceof JsonReader.Fault
+                                    || e instanceof HttpFetcher.Status
                             ? -1
                             : version;
                     rest(asked, schedule.failed());
@@ -156,7 +158,7 @@
 
     /** Whether discovery has not answered yet, and still has some of its time to, from when this was made. */
     public boolean mayStillTell() {
-        return !answered && System.nanoTime() - madeAt < CallSchedule.START_MILLIS * 1_000_000L;
+        return !answered && System.nanoTime() - madeAt < WatchSchedule.START_MILLIS * 1_000_000L;
     }
 
     public synchronized void stop() {
@@ -165,7 +167,7 @@
     }
 
     /** Rests so long, unless there is another address to ask than this one. */
-    private synchronized void rest(HttpGet asked, int millis) {
+    private synchronized void rest(HttpFetcher asked, int millis) {
         long until = System.nanoTime() + millis * 1_000_000L;
         try {
             for (long left = until - System.nanoTime();
@@ -179,13 +181,13 @@
     }
 
     /** Tells the news since that version, or since ever; returns their version. */
-    private long take(ListReader.News news, long since) throws IOException {
+    private long take(EndpointListReader.News news, long since) throws IOException {
         // One that goes back is of a discovery that began anew, and knows nothing of what we hold; nor can
         // there be changes without a newer version.
         if (!news.whole()
                 && (news.version() < since
                         || news.version() == since && !news.entries().isEmpty())) {
-            throw new ListReader.Unfit("changes up to version " + news.version() + " since " + since);
+            throw new EndpointListReader.Unfit("changes up to version " + news.version() + " since " + since);
         }
         if (news.whole() || !news.entries().isEmpty()) {
             listener.listed(news.whole(), news.entries());
@@ -201,7 +203,7 @@
         }
         List<Entry> entries = new ArrayList<>();
         for (Object each : list) {
-            entries.add(ListReader.entry(each));
+            entries.add(EndpointListReader.entry(each));
         }
         return entries;
     }
--- a/src/main/java/beaconladder/roster/HttpGet.java
+++ b/src/main/java/beaconladder/discovery/HttpFetcher.java
@@ -1,4 +1,4 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import java.io.FilterInputStream;
 import java.io.IOException;
@@ -21,7 +21,7 @@
  * GET over HTTP/1.1 to one address, on one connection that is kept for as long as it can be. Framing is that of Apache
  * HttpCore; what is bounded here is the whole call, however its bytes drip.
  */
-public final class HttpGet {
+public final class HttpFetcher {
     /** What is taken into memory at once; a body is refused beyond it. */
     private static final int LONGEST_BODY = 4 << 20;
     /** What is read as it comes: 5,800 hosts at a kilobyte each, and twice as many; 200 to 600 are usual. */
@@ -57,12 +57,12 @@
     private volatile Line line;
     private volatile boolean ended;
 
-    public HttpGet(InetSocketAddress address) {
+    public HttpFetcher(InetSocketAddress address) {
         this(address, false);
     }
 
     /** One that takes the body of a 400 answer as well, for those who tell mistakes in it. */
-    public HttpGet(InetSocketAddress address, boolean mistakes) {
+    public HttpFetcher(InetSocketAddress address, boolean mistakes) {
         this.address = address;
         this.mistakes = mistakes;
     }
@@ -79,7 +79,7 @@
 
     /** Reads a body as it comes, up to its end. */
     interface Reader<T> {
-        T read(InputStream body) throws IOException, Json.Fault;
+        T read(InputStream body) throws IOException, JsonReader.Fault;
     }
 
     /**
@@ -95,8 +95,8 @@
     /** The same, with so many milliseconds from the answer's first byte to its last. */
     public String get(String path, int millis, int tail) throws IOException {
         try {
-            return get(path, millis, tail, HttpGet::text);
-        } catch (Json.Fault e) {
+            return get(path, millis, tail, HttpFetcher::text);
+        } catch (JsonReader.Fault e) {
             throw new IOException(e);
         }
     }
@@ -106,7 +106,7 @@
      *
      * @param tail milliseconds from the answer's first byte to its last
      */
-    <T> T get(String path, int millis, int tail, Reader<T> reader) throws IOException, Json.Fault {
+    <T> T get(String path, int millis, int tail, Reader<T> reader) throws IOException, JsonReader.Fault {
         long until = System.nanoTime() + millis * 1_000_000L;
         boolean keep = false;
         try {
--- a/src/main/java/beaconladder/roster/Json.java
+++ b/src/main/java/beaconladder/discovery/JsonReader.java
@@ -1,4 +1,4 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -15,7 +15,7 @@
 import java.util.Map;
 
 /** Reads JSON into maps, lists, texts, exact numbers, truths and null, by Jackson's streaming parser. */
-public final class Json {
+public final class JsonReader {
 
     /** Text that is no JSON; the message names the place. */
     public static final class Fault extends Exception {
@@ -40,7 +40,7 @@
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
-    private Json() {}
+    private JsonReader() {}
 
     public static Object read(String text) throws Fault {
         try (JsonParser json = FACTORY.createParser(text)) {
@@ -132,7 +132,9 @@
                     flatten(name + "." + i, list.get(i), into);
                 }
             } else {
-                into.put(name, String.join(",", list.stream().map(Json::plain).toList()));
+                into.put(
+                        name,
+                        String.join(",", list.stream().map(JsonReader::plain).toList()));
             }
         } else if (value != null) {
             into.put(name, plain(value));
--- a/src/main/java/beaconladder/roster/AskedSchedule.java
+++ b/src/main/java/beaconladder/discovery/PollSchedule.java
@@ -1,4 +1,4 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import java.util.SplittableRandom;
 
@@ -8,7 +8,7 @@
  * each time, by chance, and its watches get longer; while nobody is refused a silent watch is found before its news
  * count.
  */
-final class AskedSchedule implements Schedule {
+final class PollSchedule implements DiscoverySchedule {
     /** A silent watch that should have ended so soon, and a call behind it, are over before news count. */
     private static final int WAIT_MILLIS = 3_000;
     /** The protocol's bound. */
@@ -52,7 +52,7 @@
      *
      * @param everyMillis how often the rules want to be asked by who has no watch
      */
-    AskedSchedule(long everyMillis, long seed) {
+    PollSchedule(long everyMillis, long seed) {
         chance = new SplittableRandom(seed);
         period = (int) Math.max(WAIT_MILLIS, Math.min(everyMillis, LONGEST_WAIT_MILLIS));
         longest = Math.min(LONGEST_WAIT_MILLIS, LONG * period);
--- a/src/main/java/beaconladder/roster/CallSchedule.java
+++ b/src/main/java/beaconladder/discovery/WatchSchedule.java
@@ -1,4 +1,4 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import java.util.SplittableRandom;
 
@@ -7,7 +7,7 @@
  * told {@link #TOLD_MILLIS} later whatever became of the calls; and at the return of a discovery that was down it may
  * count at once, so that what is left then is the grace of drains.
  */
-final class CallSchedule implements Schedule {
+final class WatchSchedule implements DiscoverySchedule {
     /** What a call says that it may wait: what nobody could get does not count until 2 s behind that. */
     static final int SAID_MILLIS = 20_000;
     /**
@@ -48,7 +48,7 @@
     private int silences;
     private int rest;
 
-    CallSchedule(long graceMillis, long seed) {
+    WatchSchedule(long graceMillis, long seed) {
         chance = new SplittableRandom(seed);
         // With a longer grace, what counts is the silence.
         grace = (int) Math.min(graceMillis, TOLD_MILLIS / 3);
--- a/src/main/java/beaconladder/feed/Ack.java
+++ b/src/main/java/beaconladder/feed/Acknowledgement.java
@@ -8,4 +8,4 @@
  * @param refused a newer one that it refused, or 0
  * @param counts whether no other relay, and no earlier life of it, can still be counted
  */
-record Ack(String router, long life, long inForce, long refused, boolean counts) {}
+record Acknowledgement(String router, long life, long inForce, long refused, boolean counts) {}
--- a/src/main/java/beaconladder/feed/Tally.java
+++ b/src/main/java/beaconladder/feed/AcknowledgementSummary.java
@@ -14,7 +14,7 @@
  * leader counts a relay for {@link #REPORTED} after its last report, and a router's word to another relay, or of
  * another life, counts only {@link #MOVED} later, which is more than both together.
  */
-final class Tally {
+final class AcknowledgementSummary {
     /** Three polls at rest. */
     static final long SILENT = 3_000_000_000L;
     /** Four reports at rest. */
@@ -34,7 +34,7 @@
     private final Map<String, Word> words = new HashMap<>();
 
     /** A router's word; one of an earlier life of it, or of one too many, counts for nothing. */
-    synchronized void heard(Ack ack, long now) {
+    synchronized void heard(Acknowledgement ack, long now) {
         Word before = words.get(ack.router());
         if (!ack.counts() || before != null && before.life() > ack.life() || before == null && words.size() >= MOST) {
             return;
@@ -43,7 +43,7 @@
     }
 
     /** The sums as of now. */
-    synchronized Report report(long version, long lagMillis, long now) {
+    synchronized RelayReport report(long version, long lagMillis, long now) {
         words.values().removeIf(word -> now - word.at() > FORGOTTEN);
         TreeMap<Long, int[]> counts = new TreeMap<>(java.util.Comparator.reverseOrder());
         int silent = 0;
@@ -57,15 +57,15 @@
                 counts.computeIfAbsent(word.refused(), v -> new int[2])[1]++;
             }
         }
-        List<Report.Count> told = new ArrayList<>();
+        List<RelayReport.Count> told = new ArrayList<>();
         int older = 0;
         for (Map.Entry<Long, int[]> each : counts.entrySet()) {
             if (told.size() < TOLD) {
-                told.add(new Report.Count(each.getKey(), each.getValue()[0], each.getValue()[1]));
+                told.add(new RelayReport.Count(each.getKey(), each.getValue()[0], each.getValue()[1]));
             } else {
                 older += each.getValue()[0];
             }
         }
-        return new Report(version, lagMillis, told, older, silent);
+        return new RelayReport(version, lagMillis, told, older, silent);
     }
 }
--- a/src/main/java/beaconladder/feed/Applier.java
+++ b/src/main/java/beaconladder/feed/Applier.java
@@ -9,12 +9,12 @@
      *
      * @throws IOException what is wrong with it; then it is refused
      */
-    void check(State next) throws IOException;
+    void check(VersionedState next) throws IOException;
 
     /**
      * Puts it in force. It was checked, and is on the disk already.
      *
      * @throws IOException what is wrong with it after all; then all is as before, and it is refused
      */
-    void apply(State next) throws IOException;
+    void apply(VersionedState next) throws IOException;
 }
--- a/src/main/java/beaconladder/feed/Taking.java
+++ b/src/main/java/beaconladder/feed/ApplyResult.java
@@ -3,20 +3,20 @@
 import java.io.IOException;
 
 /** What a router makes of what it is told. */
-interface Taking {
+interface ApplyResult {
     /** The router's: whole or not at all, one version after the other, never back. */
-    Taking WHOLE = new Taking() {
+    ApplyResult WHOLE = new ApplyResult() {
         @Override
-        public long since(State held) {
+        public long since(VersionedState held) {
             return held.version();
         }
 
         @Override
-        public State take(State held, Update told) throws IOException {
+        public VersionedState take(VersionedState held, Update told) throws IOException {
             if (told.version() < held.version()) {
                 return held;
             }
-            State next = held;
+            VersionedState next = held;
             if (told.base() != null && told.version() > held.version()) {
                 next = told.base().checked();
             } else {
@@ -31,12 +31,12 @@
     };
 
     /** Since which version the router asks. */
-    long since(State held);
+    long since(VersionedState held);
 
     /**
      * The state that it holds from now on.
      *
      * @throws IOException where what was told does not fit; then nothing of it counts
      */
-    State take(State held, Update told) throws IOException;
+    VersionedState take(VersionedState held, Update told) throws IOException;
 }
--- a/src/main/java/beaconladder/feed/Written.java
+++ b/src/main/java/beaconladder/feed/CommitResult.java
@@ -8,7 +8,7 @@
  * @param version the newest one after it
  * @param digest of that version
  */
-public record Written(
+public record CommitResult(
         @JsonProperty(required = true) Outcome outcome,
         @JsonProperty(required = true) long version,
         @JsonProperty(required = true) String digest) {
--- a/src/main/java/beaconladder/feed/FeedText.java
+++ b/src/main/java/beaconladder/feed/FeedJson.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 
 /** Everything of the feed as JSON. What is read is whole in its form; the callers check its contents. */
-public final class FeedText {
+public final class FeedJson {
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
@@ -16,7 +16,7 @@
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
-    private FeedText() {}
+    private FeedJson() {}
 
     /** A value as text, in one line. */
     public static String text(Object value) {
--- a/src/main/java/beaconladder/feed/LogDoor.java
+++ b/src/main/java/beaconladder/feed/LogEndpoint.java
@@ -10,16 +10,16 @@
  * The feed's part of a grantor's door. The leader alone answers, from what the log has applied: relays hear of nothing
  * that could be lost again, and hand in their sums where {@code feed status} asks for them.
  */
-public final class LogDoor {
+public final class LogEndpoint {
     /** A state of the largest size, each character escaped, and its frame. */
-    private static final int LONGEST_BODY = 8 * State.LARGEST;
+    private static final int LONGEST_BODY = 8 * VersionedState.LARGEST;
 
     private static final long LONGEST_WAIT = 5_000;
 
     /** The log behind the door. */
     public interface Log {
         /** What it has applied. */
-        Board board();
+        VersionNotifier board();
 
         /** Whether it is the leader's, as far as that is known here. */
         boolean leads();
@@ -29,7 +29,7 @@
          *
          * @throws IOException where no quorum takes it in time; whether it is written is then not known
          */
-        Written write(Proposal proposal) throws IOException;
+        CommitResult write(Proposal proposal) throws IOException;
     }
 
     /** What can be answered. */
@@ -47,10 +47,10 @@
     }
 
     private final Log log;
-    private final Reports reports = new Reports();
+    private final RelayReports reports = new RelayReports();
 
     /** Adds its paths to a door. */
-    public LogDoor(HttpServer door, Log log) {
+    public LogEndpoint(HttpServer door, Log log) {
         this.log = log;
         door.createContext("/v1/feed", exchange -> answer(exchange, "/v1/feed", this::since));
         door.createContext("/v1/feed/status", exchange -> answer(exchange, "/v1/feed/status", this::status));
@@ -58,7 +58,7 @@
     }
 
     private Update since(HttpExchange exchange) throws IOException, Away, InterruptedException {
-        Query query = new Query(exchange.getRequestURI().getRawQuery());
+        QueryString query = new QueryString(exchange.getRequestURI().getRawQuery());
         long since = query.number("since", Long.MAX_VALUE);
         long wait = query.number("wait", LONGEST_WAIT);
         leads();
@@ -68,19 +68,21 @@
                 throw new IOException("a report that is not whole");
             }
             reports.heard(
-                    relay, FeedText.read(query.text("report"), Report.class).checked(), System.nanoTime());
+                    relay,
+                    FeedJson.read(query.text("report"), RelayReport.class).checked(),
+                    System.nanoTime());
         }
-        History now = log.board().after(since, wait);
+        VersionHistory now = log.board().after(since, wait);
         leads();
         return now.since(since, query.is("whole"));
     }
 
-    private Reports.Sum status(HttpExchange exchange) throws Away {
+    private RelayReports.Sum status(HttpExchange exchange) throws Away {
         leads();
         return reports.sum(log.board().now().newest(), System.nanoTime());
     }
 
-    private Written propose(HttpExchange exchange) throws IOException, Away {
+    private CommitResult propose(HttpExchange exchange) throws IOException, Away {
         if (!exchange.getRequestMethod().equals("POST")) {
             throw new IOException("a proposal is posted");
         }
@@ -88,7 +90,7 @@
         if (body.length > LONGEST_BODY) {
             throw new IOException("a proposal of more than " + LONGEST_BODY + " bytes");
         }
-        Proposal proposal = FeedText.read(new String(body, StandardCharsets.UTF_8), Proposal.class)
+        Proposal proposal = FeedJson.read(new String(body, StandardCharsets.UTF_8), Proposal.class)
                 .checked();
         try {
             return log.write(proposal);
@@ -111,13 +113,13 @@
                 if (!exchange.getRequestURI().getPath().equals(path)) {
                     throw new IOException("no such path");
                 }
-                body = FeedText.text(answer.of(exchange));
+                body = FeedJson.text(answer.of(exchange));
             } catch (Away | InterruptedException e) {
                 code = 503;
-                body = FeedText.text(Map.of("error", String.valueOf(e.getMessage())));
+                body = FeedJson.text(Map.of("error", String.valueOf(e.getMessage())));
             } catch (IOException e) {
                 code = 400;
-                body = FeedText.text(Map.of("error", String.valueOf(e.getMessage())));
+                body = FeedJson.text(Map.of("error", String.valueOf(e.getMessage())));
             }
             byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
             exchange.getResponseHeaders().set("Content-Type", "application/json");
--- a/src/main/java/beaconladder/feed/Follower.java
+++ b/src/main/java/beaconladder/feed/LogFollower.java
@@ -1,6 +1,6 @@
 package beaconladder.feed;
 
-import beaconladder.roster.HttpGet;
+import beaconladder.discovery.HttpFetcher;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URLEncoder;
@@ -15,8 +15,8 @@
  * A relay's task that follows the log: long GETs at the grantors, one after the other until the leader answers. With
  * each it hands in the sums of its routers' acknowledgements.
  */
-final class Follower implements Runnable, AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Follower.class);
+final class LogFollower implements Runnable, AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(LogFollower.class);
     /** So old is what a relay knows at rest; each relay asks twice a second then. */
     static final int WAIT_MILLIS = 500;
     /** A leader that says nothing for so long beyond that may be dead: the others are asked. */
@@ -36,10 +36,10 @@
     private static final long NEVER = 1_000_000_000_000L;
 
     private final String name;
-    private final List<HttpGet> doors;
-    private final Board board;
-    private final Tally tally;
-    private final Disk disk;
+    private final List<HttpFetcher> doors;
+    private final VersionNotifier board;
+    private final AcknowledgementSummary tally;
+    private final StateStore disk;
     private final SplittableRandom chance = new SplittableRandom();
     private int at;
     private boolean whole;
@@ -48,9 +48,14 @@
     private volatile boolean known;
     private volatile boolean closed;
 
-    Follower(String name, List<InetSocketAddress> grantors, Board board, Tally tally, Disk disk) {
+    LogFollower(
+            String name,
+            List<InetSocketAddress> grantors,
+            VersionNotifier board,
+            AcknowledgementSummary tally,
+            StateStore disk) {
         this.name = name;
-        this.doors = grantors.stream().map(HttpGet::new).toList();
+        this.doors = grantors.stream().map(HttpFetcher::new).toList();
         this.board = board;
         this.tally = tally;
         this.disk = disk;
@@ -96,17 +101,17 @@
     }
 
     private boolean poll() throws IOException {
-        History before = board.now();
-        Report report = tally.report(before.newest().version(), lagMillis(), System.nanoTime());
+        VersionHistory before = board.now();
+        RelayReport report = tally.report(before.newest().version(), lagMillis(), System.nanoTime());
         String text = doors.get(at)
                 .get(
                         "/v1/feed?since=" + before.newest().version() + "&wait="
                                 + WAIT_MILLIS + (whole ? "&whole=1" : "") + "&relay=" + name + "&report="
-                                + URLEncoder.encode(FeedText.text(report), StandardCharsets.UTF_8),
+                                + URLEncoder.encode(FeedJson.text(report), StandardCharsets.UTF_8),
                         WAIT_MILLIS + SLACK_MILLIS,
                         SLACK_MILLIS);
-        Update told = FeedText.read(text, Update.class);
-        History next;
+        Update told = FeedJson.read(text, Update.class);
+        VersionHistory next;
         try {
             next = before.heard(told);
             whole = false;
@@ -144,6 +149,6 @@
     @Override
     public void close() {
         closed = true;
-        doors.forEach(HttpGet::end);
+        doors.forEach(HttpFetcher::end);
     }
 }
--- a/src/main/java/beaconladder/feed/Proposal.java
+++ b/src/main/java/beaconladder/feed/Proposal.java
@@ -59,9 +59,9 @@
         if (against < 0 || set.isEmpty() && remove.isEmpty()) {
             throw new IOException(against < 0 ? "made against a version below nought" : "nothing is changed");
         }
-        if (set.size() + remove.size() > State.MOST_ENTRIES || size(set) > State.LARGEST) {
-            throw new IOException(
-                    "a change of more than " + State.LARGEST + " characters or " + State.MOST_ENTRIES + " entries");
+        if (set.size() + remove.size() > VersionedState.MOST_ENTRIES || size(set) > VersionedState.LARGEST) {
+            throw new IOException("a change of more than " + VersionedState.LARGEST + " characters or "
+                    + VersionedState.MOST_ENTRIES + " entries");
         }
         return this;
     }
--- a/src/main/java/beaconladder/feed/Proposer.java
+++ b/src/main/java/beaconladder/feed/Proposer.java
@@ -40,22 +40,22 @@
      * @throws Wrong where it can't be right
      * @throws IOException where no grantor answers with a quorum; it may be written or not
      */
-    public Written propose(Proposal proposal) throws IOException {
-        String body = FeedText.text(proposal);
-        return FeedText.read(
+    public CommitResult propose(Proposal proposal) throws IOException {
+        String body = FeedJson.text(proposal);
+        return FeedJson.read(
                 any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/propose"))
                         .POST(HttpRequest.BodyPublishers.ofString(body))),
-                Written.class);
+                CommitResult.class);
     }
 
     /** The sums as the leader has them. */
-    public Reports.Sum status() throws IOException {
-        return FeedText.read(any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/status"))), Reports.Sum.class);
+    public RelayReports.Sum status() throws IOException {
+        return FeedJson.read(any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/status"))), RelayReports.Sum.class);
     }
 
     /** What one that holds this version lacks, as the leader has it. */
     public Update since(long version) throws IOException {
-        return FeedText.read(
+        return FeedJson.read(
                 any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed?wait=0&since=" + version))), Update.class);
     }
 
@@ -94,7 +94,7 @@
 
     private static String error(String body) {
         try {
-            return FeedText.read(body, com.fasterxml.jackson.databind.JsonNode.class)
+            return FeedJson.read(body, com.fasterxml.jackson.databind.JsonNode.class)
                     .path("error")
                     .asText(body);
         } catch (IOException e) {
--- a/src/main/java/beaconladder/feed/Query.java
+++ b/src/main/java/beaconladder/feed/QueryString.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /** The part of a request behind its question mark. */
-final class Query {
+final class QueryString {
     private final Map<String, String> values = new HashMap<>();
 
-    Query(String raw) throws IOException {
+    QueryString(String raw) throws IOException {
         if (raw == null || raw.isEmpty()) {
             return;
         }
--- a/src/main/java/beaconladder/feed/Relay.java
+++ b/src/main/java/beaconladder/feed/Relay.java
@@ -19,10 +19,10 @@
     /** Answers kept for who asks since the same version; after a burst there are a few. */
     private static final int MOST_ANSWERS = 32;
 
-    private final Board board = new Board();
-    private final Tally tally = new Tally();
-    private final Follower follower;
-    private final RelayDoor door;
+    private final VersionNotifier board = new VersionNotifier();
+    private final AcknowledgementSummary tally = new AcknowledgementSummary();
+    private final LogFollower follower;
+    private final RelayServer door;
     /**
      * The bodies of answers as of one newest version, by the version that they go on from. They say that the relay lags
      * by nothing, as it did when the version came; they are used while it knows that to be newest.
@@ -55,11 +55,11 @@
      */
     public Relay(String name, InetSocketAddress at, List<InetSocketAddress> grantors, Path store, int most)
             throws IOException {
-        Disk disk = new Disk(store);
-        board.show(History.of(disk.kept().state()));
-        follower = new Follower(name, grantors, board, tally, disk);
+        StateStore disk = new StateStore(store);
+        board.show(VersionHistory.of(disk.kept().state()));
+        follower = new LogFollower(name, grantors, board, tally, disk);
         try {
-            door = new RelayDoor(at, most, (path, query) -> answer(name, path, query));
+            door = new RelayServer(at, most, (path, query) -> answer(name, path, query));
         } catch (IOException e) {
             disk.close();
             throw e;
@@ -80,10 +80,10 @@
         return door.at();
     }
 
-    private byte[] answer(String name, String path, Query query) throws IOException, InterruptedException {
+    private byte[] answer(String name, String path, QueryString query) throws IOException, InterruptedException {
         if (path.equals("/v1/relay")) {
-            State newest = board.now().newest();
-            return bytes(FeedText.text(new Status(
+            VersionedState newest = board.now().newest();
+            return bytes(FeedJson.text(new Status(
                     name,
                     newest.version(),
                     newest.digest(),
@@ -103,7 +103,7 @@
         }
         long since = query.number("since", Long.MAX_VALUE);
         tally.heard(
-                new Ack(
+                new Acknowledgement(
                         query.text("name"),
                         query.number("life", Long.MAX_VALUE),
                         query.number("force", Long.MAX_VALUE),
@@ -113,15 +113,15 @@
         long wait = query.number("wait", LONGEST_WAIT);
         // Who hears from here that the log is away looks elsewhere, and must not wait for that.
         boolean tells = follower.lagMillis() <= Subscriber.STALE_MILLIS || query.is("patient");
-        History now = board.after(since, tells ? wait : 0);
+        VersionHistory now = board.after(since, tells ? wait : 0);
         return body(now, since, query.is("whole"));
     }
 
-    private byte[] body(History now, long since, boolean whole) {
+    private byte[] body(VersionHistory now, long since, boolean whole) {
         long newest = now.newest().version();
         long lag = follower.lagMillis();
-        if (whole || since >= newest || lag > Follower.FRESH_MILLIS) {
-            return bytes(FeedText.text(now.since(since, whole).lagging(lag)));
+        if (whole || since >= newest || lag > LogFollower.FRESH_MILLIS) {
+            return bytes(FeedJson.text(now.since(since, whole).lagging(lag)));
         }
         synchronized (bodies) {
             if (bodiesOf != newest || bodies.size() >= MOST_ANSWERS) {
@@ -132,7 +132,7 @@
             if (body == null) {
                 Update told = now.since(since, false);
                 bases += told.base() == null ? 0 : 1;
-                body = bytes(FeedText.text(told));
+                body = bytes(FeedJson.text(told));
                 bodies.put(since, body);
             }
             return body;
--- a/src/main/java/beaconladder/feed/Report.java
+++ b/src/main/java/beaconladder/feed/RelayReport.java
@@ -13,7 +13,7 @@
  * @param older routers with an older one in force
  * @param silent routers that spoke within the last minute and don't now; some may speak to another relay
  */
-public record Report(
+public record RelayReport(
         @JsonProperty(required = true) long version,
         @JsonProperty(required = true) long lagMillis,
         @JsonProperty(required = true) List<Count> counts,
@@ -29,11 +29,11 @@
             @JsonProperty(required = true) int refused) {}
 
     /** Copies, so that nobody changes it later. */
-    public Report {
+    public RelayReport {
         counts = List.copyOf(counts);
     }
 
-    Report checked() throws IOException {
+    RelayReport checked() throws IOException {
         if (version < 0
                 || older < 0
                 || silent < 0
--- a/src/main/java/beaconladder/feed/Reports.java
+++ b/src/main/java/beaconladder/feed/RelayReports.java
@@ -8,17 +8,17 @@
 import java.util.TreeMap;
 
 /** The relays' sums at the log's leader; nothing of it is in the log. Times are nanoseconds of one clock. */
-public final class Reports {
+public final class RelayReports {
     /** Eight machines are set aside; a name that is made up again and again is to fill nothing. */
     private static final int MOST = 64;
 
-    private record Entry(Report report, long at) {}
+    private record Entry(RelayReport report, long at) {}
 
     /** A relay as the leader sees it. */
     public record Seen(
             @JsonProperty(required = true) String relay,
             @JsonProperty(required = true) long agoMillis,
-            @JsonProperty(required = true) Report report) {}
+            @JsonProperty(required = true) RelayReport report) {}
 
     /** The whole fleet in a few numbers. */
     public record Sum(
@@ -26,7 +26,7 @@
             @JsonProperty(required = true) String digest,
             @JsonProperty(required = true) int entries,
             @JsonProperty(required = true) int size,
-            @JsonProperty(required = true) List<Report.Count> counts,
+            @JsonProperty(required = true) List<RelayReport.Count> counts,
             @JsonProperty(required = true) int older,
             @JsonProperty(required = true) int silent,
             @JsonProperty(required = true) List<Seen> relays) {}
@@ -34,23 +34,23 @@
     private final Map<String, Entry> entries = new TreeMap<>();
 
     /** A relay's newest sums. */
-    synchronized void heard(String relay, Report report, long now) {
-        entries.values().removeIf(each -> now - each.at() > Tally.REPORTED);
+    synchronized void heard(String relay, RelayReport report, long now) {
+        entries.values().removeIf(each -> now - each.at() > AcknowledgementSummary.REPORTED);
         if (entries.containsKey(relay) || entries.size() < MOST) {
             entries.put(relay, new Entry(report, now));
         }
     }
 
     /** All of them together, as of now. */
-    synchronized Sum sum(State newest, long now) {
-        entries.values().removeIf(each -> now - each.at() > Tally.REPORTED);
+    synchronized Sum sum(VersionedState newest, long now) {
+        entries.values().removeIf(each -> now - each.at() > AcknowledgementSummary.REPORTED);
         TreeMap<Long, int[]> counts = new TreeMap<>(Comparator.reverseOrder());
         int older = 0;
         int silent = 0;
         List<Seen> relays = new ArrayList<>();
         for (Map.Entry<String, Entry> each : entries.entrySet()) {
-            Report report = each.getValue().report();
-            for (Report.Count count : report.counts()) {
+            RelayReport report = each.getValue().report();
+            for (RelayReport.Count count : report.counts()) {
                 int[] sums = counts.computeIfAbsent(count.version(), v -> new int[2]);
                 sums[0] += count.applied();
                 sums[1] += count.refused();
@@ -59,8 +59,8 @@
             silent += report.silent();
             relays.add(new Seen(each.getKey(), (now - each.getValue().at()) / 1_000_000, report));
         }
-        List<Report.Count> all = counts.entrySet().stream()
-                .map(each -> new Report.Count(each.getKey(), each.getValue()[0], each.getValue()[1]))
+        List<RelayReport.Count> all = counts.entrySet().stream()
+                .map(each -> new RelayReport.Count(each.getKey(), each.getValue()[0], each.getValue()[1]))
                 .toList();
         return new Sum(
                 newest.version(), newest.digest(), newest.entries().size(), newest.size(), all, older, silent, relays);
--- a/src/main/java/beaconladder/feed/Links.java
+++ b/src/main/java/beaconladder/feed/RelaySelector.java
@@ -1,6 +1,6 @@
 package beaconladder.feed;
 
-import beaconladder.roster.HttpGet;
+import beaconladder.discovery.HttpFetcher;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -12,11 +12,11 @@
  * their order while neither answers. One connection at a time. Where two that answer hear nothing, it stays with the
  * first of them: the log is away, and going round would help nobody.
  */
-final class Links implements AutoCloseable {
+final class RelaySelector implements AutoCloseable {
     private final List<String> order;
     private final Map<String, InetSocketAddress> addresses;
     private final SplittableRandom chance;
-    private HttpGet open;
+    private HttpFetcher open;
     private int openTo = -1;
     private int at;
     private int firstStale = -1;
@@ -25,13 +25,13 @@
 
     private boolean settled;
     private long backAt;
-    /** The relay that may count this router, and from when on; see {@link Tally}. */
+    /** The relay that may count this router, and from when on; see {@link AcknowledgementSummary}. */
     private int home = -1;
 
     private long countsFrom;
     private boolean closed;
 
-    Links(String router, Map<String, InetSocketAddress> relays, SplittableRandom chance) {
+    RelaySelector(String router, Map<String, InetSocketAddress> relays, SplittableRandom chance) {
         this.order = Rendezvous.order(router, relays.keySet());
         this.addresses = Map.copyOf(relays);
         this.chance = chance;
@@ -58,13 +58,13 @@
     }
 
     /** The connection to the relay whose turn it is. */
-    synchronized HttpGet use() throws IOException {
+    synchronized HttpFetcher use() throws IOException {
         if (closed) {
             throw new IOException("closed");
         }
         if (openTo != at) {
             hangUp();
-            open = new HttpGet(addresses.get(order.get(at)));
+            open = new HttpFetcher(addresses.get(order.get(at)));
             openTo = at;
         }
         return open;
@@ -130,7 +130,7 @@
         firstStale = -1;
         if (home != relay) {
             home = relay;
-            countsFrom = System.nanoTime() + Tally.MOVED;
+            countsFrom = System.nanoTime() + AcknowledgementSummary.MOVED;
         }
     }
 
--- a/src/main/java/beaconladder/feed/RelayDoor.java
+++ b/src/main/java/beaconladder/feed/RelayServer.java
@@ -21,7 +21,7 @@
  * Where a relay answers routers: a task for each connection, no more of them than stated, each with one request and one
  * answer at a time. Nothing is queued for a router that does not read.
  */
-final class RelayDoor implements AutoCloseable {
+final class RelayServer implements AutoCloseable {
     /** What a poll takes, many times over; some kilobytes a connection are most of what a relay holds. */
     private static final Http1Config FRAMES = Http1Config.custom()
             .setBufferSize(1024)
@@ -38,7 +38,7 @@
     /** What is said to a request. */
     interface Answering {
         /** The body; an exception is a request that is not whole. */
-        byte[] answer(String path, Query query) throws IOException, InterruptedException;
+        byte[] answer(String path, QueryString query) throws IOException, InterruptedException;
     }
 
     /** A connection, and since when an answer is on its way over it, or 0. */
@@ -61,7 +61,7 @@
     final AtomicLong answers = new AtomicLong();
     final AtomicLong refused = new AtomicLong();
 
-    RelayDoor(InetSocketAddress at, int most, Answering answering) throws IOException {
+    RelayServer(InetSocketAddress at, int most, Answering answering) throws IOException {
         this.answering = answering;
         this.most = most;
         door.setReuseAddress(true);
@@ -146,10 +146,11 @@
         byte[] body;
         try {
             body = answering.answer(
-                    mark < 0 ? path : path.substring(0, mark), new Query(mark < 0 ? null : path.substring(mark + 1)));
+                    mark < 0 ? path : path.substring(0, mark),
+                    new QueryString(mark < 0 ? null : path.substring(mark + 1)));
         } catch (IOException e) {
             code = 400;
-            body = FeedText.text(java.util.Map.of("error", String.valueOf(e.getMessage())))
+            body = FeedJson.text(java.util.Map.of("error", String.valueOf(e.getMessage())))
                     .getBytes(java.nio.charset.StandardCharsets.UTF_8);
         }
         ClassicHttpResponse response = new BasicClassicHttpResponse(code);
@@ -196,6 +197,6 @@
         } catch (IOException e) {
             // It is gone either way.
         }
-        open.forEach(RelayDoor::close);
+        open.forEach(RelayServer::close);
     }
 }
--- a/src/main/java/beaconladder/feed/Disk.java
+++ b/src/main/java/beaconladder/feed/StateStore.java
@@ -1,6 +1,6 @@
 package beaconladder.feed;
 
-import beaconladder.store.Records;
+import beaconladder.storage.DurableRecords;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -10,11 +10,11 @@
 import org.slf4j.LoggerFactory;
 
 /** The newest state on the own disk, for a start with no relay there; without a folder it keeps nothing. */
-public final class Disk implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Disk.class);
+public final class StateStore implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
 
-    private final Records records;
-    private Kept kept = new Kept(State.none(), 0);
+    private final DurableRecords records;
+    private Kept kept = new Kept(VersionedState.none(), 0);
     /** What has to be in the place of what is kept, as a version was refused behind its write. */
     private Kept owed;
 
@@ -24,16 +24,16 @@
      * @param heard Unix milliseconds when the state was known to be the newest
      */
     record Kept(
-            @JsonProperty(required = true) State state,
+            @JsonProperty(required = true) VersionedState state,
             @JsonProperty(required = true) long heard) {}
 
     /** Opens a folder, or none where it is null; a damaged one is an exception that names it. */
-    public Disk(Path folder) throws IOException {
-        records = folder == null ? null : Records.open(folder);
+    public StateStore(Path folder) throws IOException {
+        records = folder == null ? null : DurableRecords.open(folder);
         if (records != null && !records.found().isEmpty()) {
             byte[] last = records.found().get(records.found().size() - 1);
             try {
-                kept = FeedText.read(new String(last, StandardCharsets.UTF_8), Kept.class);
+                kept = FeedJson.read(new String(last, StandardCharsets.UTF_8), Kept.class);
                 kept.state().checked();
             } catch (IOException e) {
                 records.close();
@@ -48,10 +48,10 @@
     }
 
     /** Keeps it in the place of the one before; it is there once this returns. */
-    void keep(State state, long heard) throws IOException {
+    void keep(VersionedState state, long heard) throws IOException {
         Kept next = new Kept(state, heard);
         if (records != null) {
-            records.replace(List.of(FeedText.text(next).getBytes(StandardCharsets.UTF_8)));
+            records.replace(List.of(FeedJson.text(next).getBytes(StandardCharsets.UTF_8)));
         }
         kept = next;
         owed = null;
--- a/src/main/java/beaconladder/feed/Subscriber.java
+++ b/src/main/java/beaconladder/feed/Subscriber.java
@@ -1,6 +1,6 @@
 package beaconladder.feed;
 
-import beaconladder.roster.HttpGet;
+import beaconladder.discovery.HttpFetcher;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -37,14 +37,14 @@
     /** From a relay that is not the first back to the first: 3 to 9 s. */
     private static final long BACK_MILLIS = 6_000;
 
-    private final Links links;
+    private final RelaySelector links;
     private final String name;
     private final long life;
     private final Applier applier;
-    private final Taking taking;
-    private final Disk disk;
+    private final ApplyResult taking;
+    private final StateStore disk;
     private final SplittableRandom chance;
-    private State held;
+    private VersionedState held;
     private long inForce;
     private long refused;
     private boolean whole;
@@ -64,20 +64,25 @@
      */
     public Subscriber(String name, long life, Map<String, InetSocketAddress> relays, Path store, Applier applier)
             throws IOException {
-        this(name, life, relays, store, applier, Taking.WHOLE);
+        this(name, life, relays, store, applier, ApplyResult.WHOLE);
     }
 
     Subscriber(
-            String name, long life, Map<String, InetSocketAddress> relays, Path store, Applier applier, Taking taking)
+            String name,
+            long life,
+            Map<String, InetSocketAddress> relays,
+            Path store,
+            Applier applier,
+            ApplyResult taking)
             throws IOException {
         this.name = name;
         this.life = life;
         this.applier = applier;
         this.taking = taking;
-        disk = new Disk(store);
+        disk = new StateStore(store);
         held = disk.kept().state();
         chance = new SplittableRandom(life ^ name.hashCode());
-        links = new Links(name, relays, chance);
+        links = new RelaySelector(name, relays, chance);
     }
 
     /** The version in force; 0 for none. */
@@ -86,7 +91,7 @@
     }
 
     /** What was in force when this router ended, to start with; nothing at a first start. */
-    public State kept() {
+    public VersionedState kept() {
         return disk.kept().state();
     }
 
@@ -122,7 +127,7 @@
     private void poll() throws IOException {
         disk.settle();
         int wait = links.quick() ? 0 : WAIT_MILLIS;
-        HttpGet relay = links.use();
+        HttpFetcher relay = links.use();
         String text = relay.get(
                 "/v1/feed?since=" + taking.since(held) + "&wait=" + wait + "&name=" + name
                         + "&life=" + life + "&force=" + inForce + "&refused=" + refused
@@ -137,7 +142,7 @@
         if (closed) {
             return;
         }
-        Update told = FeedText.read(text, Update.class);
+        Update told = FeedJson.read(text, Update.class);
         long before = held.version();
         try {
             if (!take(taking.take(held, told))) {
@@ -165,11 +170,11 @@
     }
 
     /** Puts a version in force, or refuses it; false where it could not be written yet. */
-    private synchronized boolean take(State next) {
+    private synchronized boolean take(VersionedState next) {
         if (next.version() == refused || next.version() == held.version() && inForce == held.version()) {
             return true;
         }
-        Disk.Kept before = disk.kept();
+        StateStore.Kept before = disk.kept();
         try {
             applier.check(next);
         } catch (IOException e) {
@@ -201,7 +206,7 @@
         return true;
     }
 
-    private void refuse(State next, IOException why) {
+    private void refuse(VersionedState next, IOException why) {
         LOG.warn("{}: version {} is refused, {} stays in force: {}", name, next.version(), inForce, why.getMessage());
         refused = next.version();
         held = next;
--- a/src/main/java/beaconladder/feed/Update.java
+++ b/src/main/java/beaconladder/feed/Update.java
@@ -16,7 +16,7 @@
         @JsonProperty(required = true) long version,
         @JsonProperty(required = true) String digest,
         @JsonProperty(required = true) long lagMillis,
-        State base,
+        VersionedState base,
         @JsonProperty(required = true) List<Change> changes) {
     /** Copies, so that nobody changes it later. */
     public Update {
--- a/src/main/java/beaconladder/feed/History.java
+++ b/src/main/java/beaconladder/feed/VersionHistory.java
@@ -11,28 +11,28 @@
  *
  * @param changes the last ones, oldest first, the last of them leading to the newest state
  */
-public record History(
-        @JsonProperty(required = true) State newest,
+public record VersionHistory(
+        @JsonProperty(required = true) VersionedState newest,
         @JsonProperty(required = true) List<Change> changes) {
     /** At 8,700 changes a day this is most of an hour; who has been away for longer gets the base. */
     static final int MOST_CHANGES = 256;
 
     /** A history after a proposal, and what became of that. */
-    public record Applied(History next, Written written) {}
+    public record Applied(VersionHistory next, CommitResult written) {}
 
     /** Copies, so that nobody changes it later. */
-    public History {
+    public VersionHistory {
         changes = List.copyOf(changes);
     }
 
     /** Nothing yet. */
-    public static History none() {
-        return of(State.none());
+    public static VersionHistory none() {
+        return of(VersionedState.none());
     }
 
     /** One that knows of no version before. */
-    static History of(State state) {
-        return new History(state, List.of());
+    static VersionHistory of(VersionedState state) {
+        return new VersionHistory(state, List.of());
     }
 
     /** The history with this proposal applied; all replicas come to the same. */
@@ -42,30 +42,30 @@
                     .anyMatch(each -> each.version() == proposal.against() + 1
                             && each.set().equals(proposal.set())
                             && each.remove().equals(proposal.remove()));
-            return applied(this, again ? Written.Outcome.WRITTEN : Written.Outcome.OUT_OF_TURN);
+            return applied(this, again ? CommitResult.Outcome.WRITTEN : CommitResult.Outcome.OUT_OF_TURN);
         }
-        State next = newest.after(proposal);
-        if (next.size() > State.LARGEST || next.entries().size() > State.MOST_ENTRIES) {
-            return applied(this, Written.Outcome.TOO_LARGE);
+        VersionedState next = newest.after(proposal);
+        if (next.size() > VersionedState.LARGEST || next.entries().size() > VersionedState.MOST_ENTRIES) {
+            return applied(this, CommitResult.Outcome.TOO_LARGE);
         }
         return applied(
                 with(next, List.of(new Change(next.version(), proposal.set(), proposal.remove(), next.digest()))),
-                Written.Outcome.WRITTEN);
+                CommitResult.Outcome.WRITTEN);
     }
 
-    private static Applied applied(History next, Written.Outcome outcome) {
-        return new Applied(next, new Written(outcome, next.newest.version(), next.newest.digest()));
+    private static Applied applied(VersionHistory next, CommitResult.Outcome outcome) {
+        return new Applied(next, new CommitResult(outcome, next.newest.version(), next.newest.digest()));
     }
 
     /** Changes are kept up to a count, and while all of them take no more than a state may. */
-    private History with(State next, List<Change> more) {
+    private VersionHistory with(VersionedState next, List<Change> more) {
         List<Change> all = new ArrayList<>(changes);
         all.addAll(more);
         int size = all.stream().mapToInt(Change::size).sum();
-        while (all.size() > MOST_CHANGES || size > State.LARGEST) {
+        while (all.size() > MOST_CHANGES || size > VersionedState.LARGEST) {
             size -= all.remove(0).size();
         }
-        return new History(next, all);
+        return new VersionHistory(next, all);
     }
 
     /** What one that holds this version lacks: nothing, the changes since, or the base where that is less. */
@@ -86,9 +86,9 @@
      * @return this one where nothing newer was told
      * @throws IOException where it does not fit, and nothing of it counts
      */
-    History heard(Update told) throws IOException {
+    VersionHistory heard(Update told) throws IOException {
         if (told.base() != null) {
-            State base = told.base().checked();
+            VersionedState base = told.base().checked();
             return base.version() > newest.version() ? of(base) : this;
         }
         List<Change> more = told.changes().stream()
@@ -98,7 +98,7 @@
     }
 
     /** Nothing that was read back is believed before this has looked at it. */
-    public History checked() throws IOException {
+    public VersionHistory checked() throws IOException {
         newest.checked();
         long version = newest.version() - changes.size();
         for (Change each : changes) {
--- a/src/main/java/beaconladder/feed/Board.java
+++ b/src/main/java/beaconladder/feed/VersionNotifier.java
@@ -1,16 +1,16 @@
 package beaconladder.feed;
 
 /** Where the newest history hangs out; those who wait for a newer one are woken. */
-public final class Board {
-    private History history = History.none();
+public final class VersionNotifier {
+    private VersionHistory history = VersionHistory.none();
 
     /** What hangs there now. */
-    public synchronized History now() {
+    public synchronized VersionHistory now() {
         return history;
     }
 
     /** Hangs out another one. */
-    public synchronized void show(History next) {
+    public synchronized void show(VersionHistory next) {
         history = next;
         notifyAll();
     }
@@ -21,7 +21,7 @@
     }
 
     /** What hangs there once it is newer than this version, after so long at the latest, or after a wake. */
-    public synchronized History after(long version, long millis) throws InterruptedException {
+    public synchronized VersionHistory after(long version, long millis) throws InterruptedException {
         if (history.newest().version() <= version && millis > 0) {
             wait(millis);
         }
--- a/src/main/java/beaconladder/feed/State.java
+++ b/src/main/java/beaconladder/feed/VersionedState.java
@@ -16,7 +16,7 @@
  * What is to be in force, whole: settings and plans as texts by name. The log alone gives versions, one after the other
  * from 1; a version has one digest, over it and all texts.
  */
-public record State(
+public record VersionedState(
         @JsonProperty(required = true) long version,
         @JsonProperty(required = true) SortedMap<String, String> entries,
         @JsonProperty(required = true) String digest) {
@@ -29,19 +29,19 @@
     static final int MOST_ENTRIES = 256;
 
     /** Copies, so that nobody changes it later. */
-    public State {
+    public VersionedState {
         entries = Collections.unmodifiableSortedMap(new TreeMap<>(entries));
     }
 
     /** Nothing yet. */
-    public static State none() {
+    public static VersionedState none() {
         return of(0, Map.of());
     }
 
     /** A state with its digest. */
-    static State of(long version, Map<String, String> entries) {
+    static VersionedState of(long version, Map<String, String> entries) {
         TreeMap<String, String> sorted = new TreeMap<>(entries);
-        return new State(version, sorted, digest(version, sorted));
+        return new VersionedState(version, sorted, digest(version, sorted));
     }
 
     private static String digest(long version, SortedMap<String, String> entries) {
@@ -63,7 +63,7 @@
     }
 
     /** Nothing from outside is believed before this has looked at it. */
-    State checked() throws IOException {
+    VersionedState checked() throws IOException {
         if (version < 0) {
             throw new IOException("a version below nought");
         }
@@ -71,14 +71,14 @@
         return bounded().withDigest(digest(version, entries));
     }
 
-    private State bounded() throws IOException {
+    private VersionedState bounded() throws IOException {
         if (entries.size() > MOST_ENTRIES || size() > LARGEST) {
             throw new IOException("a state of more than " + LARGEST + " characters or " + MOST_ENTRIES + " entries");
         }
         return this;
     }
 
-    private State withDigest(String wanted) throws IOException {
+    private VersionedState withDigest(String wanted) throws IOException {
         if (!wanted.equals(digest)) {
             throw new IOException("version " + version + " does not have the digest that came with it");
         }
@@ -86,7 +86,7 @@
     }
 
     /** The next one, by what a log has written. */
-    State after(Proposal proposal) {
+    VersionedState after(Proposal proposal) {
         TreeMap<String, String> next = new TreeMap<>(entries);
         next.putAll(proposal.set());
         next.keySet().removeAll(proposal.remove());
@@ -97,7 +97,7 @@
      * A later one, by changes from outside: those beyond this one have to follow on it without a gap, and come to the
      * digest of the last. Digests between are not looked at: no state is there that has them.
      */
-    State after(List<Change> changes) throws IOException {
+    VersionedState after(List<Change> changes) throws IOException {
         TreeMap<String, String> next = new TreeMap<>(entries);
         long at = version;
         for (Change change : changes) {
@@ -113,7 +113,7 @@
         }
         return at == version
                 ? this
-                : new State(at, next, digest(at, next))
+                : new VersionedState(at, next, digest(at, next))
                         .bounded()
                         .withDigest(changes.get(changes.size() - 1).digest());
     }
--- a/src/main/java/beaconladder/invariants/Invariants.java
+++ b/src/main/java/beaconladder/invariants/Invariants.java
@@ -1,11 +1,11 @@
 package beaconladder.invariants;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.SlowStartTicket;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType;
-import beaconladder.fleet.TxnType.Effect;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass;
+import beaconladder.routing.state.RequestClass.Effect;
+import beaconladder.routing.state.SlowStartTicket;
 
 /** The checks of each rule, with the slack that the protocol gives; under the lock of the decisions. */
 public final class Invariants {
@@ -39,8 +39,8 @@
 
     /** The bytes of an attempt have gone. */
     public void sent(SentAttempt sent) {
-        Submission attempt = sent.attempt();
-        Txn txn = attempt.txn;
+        Attempt attempt = sent.attempt();
+        Request txn = attempt.txn;
         Host host = attempt.host;
         if (host.state != Host.State.READY && sent.began() > host.stateSince + drainGrace + SLACK) {
             add(
@@ -64,8 +64,8 @@
     }
 
     private void checkRepeat(SentAttempt sent) {
-        Txn txn = sent.attempt().txn;
-        Submission ran = txn.mayHaveRunBefore(sent.attempt());
+        Request txn = sent.attempt().txn;
+        Attempt ran = txn.mayHaveRunBefore(sent.attempt());
         if (ran == null || ran.number > sent.attempt().number) {
             return;
         }
@@ -78,11 +78,11 @@
     }
 
     /** The client is told that this has not run and may be tried again. */
-    public void refused(Txn txn) {
-        Submission ran = txn.mayHaveRun();
+    public void refused(Request txn) {
+        Attempt ran = txn.mayHaveRun();
         boolean harmless = ran == null
                 || txn.type.effect() == Effect.REPEATABLE
-                || txn.type.effect() == Effect.REFERENCED && txn.type.scope() == TxnType.Scope.ALL;
+                || txn.type.effect() == Effect.REFERENCED && txn.type.scope() == RequestClass.Scope.ALL;
         if (!harmless) {
             violations.add(
                     Rule.REPEATING, "request " + txn.number + " refused though it may have run at host " + ran.host.id);
@@ -90,7 +90,7 @@
     }
 
     /** A request is still in flight; whether its answer is too late, which is counted once. */
-    public boolean overdue(Txn txn, long now) {
+    public boolean overdue(Request txn, long now) {
         if (txn.ended || now <= txn.expiry + LATE_ANSWER) {
             return false;
         }
@@ -115,7 +115,7 @@
         }
     }
 
-    private void add(Rule rule, Submission attempt, String what) {
+    private void add(Rule rule, Attempt attempt, String what) {
         violations.add(
                 rule,
                 "request " + attempt.txn.number + " attempt " + attempt.number + " at host " + attempt.host.id + ": "
--- a/src/main/java/beaconladder/invariants/SentAttempt.java
+++ b/src/main/java/beaconladder/invariants/SentAttempt.java
@@ -1,6 +1,6 @@
 package beaconladder.invariants;
 
-import beaconladder.fleet.Submission;
+import beaconladder.routing.state.Attempt;
 
 /**
  * An attempt whose bytes have gone to a host.
@@ -10,4 +10,4 @@
  * @param ended after its last byte
  * @param passedTime how long the host was told that the router will wait, in nanoseconds
  */
-public record SentAttempt(Submission attempt, long began, long ended, long passedTime) {}
+public record SentAttempt(Attempt attempt, long began, long ended, long passedTime) {}
--- a/src/main/java/beaconladder/lease/Note.java
+++ b/src/main/java/beaconladder/lease/FencedRecord.java
@@ -9,4 +9,4 @@
  * @param at how many notes the writer has seen of the task: one that has missed any writes nothing
  * @param fresh whether the notes before it are of no more use
  */
-public record Note(String task, String holder, long token, int at, boolean fresh, String text) {}
+public record FencedRecord(String task, String holder, long token, int at, boolean fresh, String text) {}
--- a/src/main/java/beaconladder/lease/Notes.java
+++ b/src/main/java/beaconladder/lease/FencedRecords.java
@@ -13,7 +13,7 @@
  * @param tasks the texts of each task, oldest first
  * @param begun how many notes of a task were dropped as of no more use
  */
-public record Notes(Map<String, List<String>> tasks, Map<String, Integer> begun) {
+public record FencedRecords(Map<String, List<String>> tasks, Map<String, Integer> begun) {
     /** More than the notes of any one change; a writer that goes on and on is stopped before the disk is full. */
     static final int MOST = 1_000;
 
@@ -30,7 +30,7 @@
     }
 
     /** The state after a note, and what became of it. */
-    public record Applied(Notes next, Kept kept) {}
+    public record Applied(FencedRecords next, Kept kept) {}
 
     /** What a reader sees of a task. */
     public record Seen(int begun, List<String> texts) {
@@ -41,8 +41,8 @@
     }
 
     /** No note yet. */
-    public static Notes none() {
-        return new Notes(Map.of(), Map.of());
+    public static FencedRecords none() {
+        return new FencedRecords(Map.of(), Map.of());
     }
 
     /** The notes of a task. */
@@ -51,7 +51,7 @@
     }
 
     /** The state with this note applied, beside the leases as they are at that place of the log. */
-    public Applied apply(Note note, Grants grants) {
+    public Applied apply(FencedRecord note, LeaseTable grants) {
         Seen seen = seen(note.task());
         if (note.token() != 0 || !note.holder().isEmpty()) {
             Lease lease = grants.leases().get(note.task());
@@ -74,6 +74,6 @@
         all.put(note.task(), List.copyOf(texts));
         Map<String, Integer> from = new TreeMap<>(begun);
         from.put(note.task(), seen.size() + 1 - texts.size());
-        return new Applied(new Notes(Map.copyOf(all), Map.copyOf(from)), Kept.WRITTEN);
+        return new Applied(new FencedRecords(Map.copyOf(all), Map.copyOf(from)), Kept.WRITTEN);
     }
 }
--- a/src/main/java/beaconladder/lease/Fence.java
+++ b/src/main/java/beaconladder/lease/FencingGuard.java
@@ -8,7 +8,7 @@
  *
  * @param highest the highest token seen
  */
-public record Fence(long highest) {
+public record FencingGuard(long highest) {
     /** What becomes of an act. */
     public enum Verdict {
         /** It may be done. */
@@ -20,11 +20,11 @@
     }
 
     /** The state after an act, and whether it may be done. */
-    public record Admission(Fence next, Verdict verdict) {}
+    public record Admission(FencingGuard next, Verdict verdict) {}
 
     /** Nothing seen yet. */
-    public static Fence open() {
-        return new Fence(0);
+    public static FencingGuard open() {
+        return new FencingGuard(0);
     }
 
     /** Judges an act that carries this token and the time until which its holder may act. */
@@ -32,6 +32,6 @@
         if (token < highest) {
             return new Admission(this, Verdict.LOWER);
         }
-        return new Admission(new Fence(token), now >= until ? Verdict.OVER : Verdict.ADMITTED);
+        return new Admission(new FencingGuard(token), now >= until ? Verdict.OVER : Verdict.ADMITTED);
     }
 }
--- a/src/main/java/beaconladder/lease/Lease.java
+++ b/src/main/java/beaconladder/lease/Lease.java
@@ -24,7 +24,14 @@
 
     Lease held(String by, long withToken, long until) {
         return new Lease(
-                task, by, withToken, until, gaveUp, gaveUpNumber, Ask.name(by).equals(heir) ? "" : heir, heirUntil);
+                task,
+                by,
+                withToken,
+                until,
+                gaveUp,
+                gaveUpNumber,
+                LeaseRequest.name(by).equals(heir) ? "" : heir,
+                heirUntil);
     }
 
     Lease free(long number) {
--- a/src/main/java/beaconladder/lease/Grant.java
+++ b/src/main/java/beaconladder/lease/LeaseGrant.java
@@ -7,4 +7,4 @@
  * @param token the fencing token: higher than that of every earlier grant of the task to a process
  * @param expiry from when on it may be given to another, once the clock bound has passed too
  */
-public record Grant(String task, String holder, long token, long expiry) {}
+public record LeaseGrant(String task, String holder, long token, long expiry) {}
--- a/src/main/java/beaconladder/lease/Tenure.java
+++ b/src/main/java/beaconladder/lease/LeaseHolderState.java
@@ -17,7 +17,7 @@
  * @param askAt when to ask next
  * @param seen the newest time that this process's clock has shown
  */
-public record Tenure(
+public record LeaseHolderState(
         String task,
         String holder,
         long length,
@@ -47,11 +47,11 @@
     private static final long NONE = Long.MAX_VALUE;
 
     /** The state after an event, and what is to be asked of the grantor, or null. */
-    public record Step(Tenure next, Ask ask) {}
+    public record Step(LeaseHolderState next, LeaseRequest ask) {}
 
     /** A process that wants nothing yet. */
-    public static Tenure of(String task, String holder, long length, long bound) {
-        return new Tenure(
+    public static LeaseHolderState of(String task, String holder, long length, long bound) {
+        return new LeaseHolderState(
                 task,
                 holder,
                 length,
@@ -68,10 +68,11 @@
     }
 
     /** From here on the task is wanted, until a release. */
-    public Tenure want(long now) {
+    public LeaseHolderState want(long now) {
         return wanted
                 ? this
-                : new Tenure(task, holder, length, bound, state, true, number, NONE, 0, token, until, now, seen);
+                : new LeaseHolderState(
+                        task, holder, length, bound, state, true, number, NONE, 0, token, until, now, seen);
     }
 
     /** Whether it may act now, by this process's clock. */
@@ -92,7 +93,7 @@
     public Step at(long now) {
         // A clock that goes back would lengthen the lease by as much.
         boolean back = now < seen;
-        Tenure here = holds() && (now >= until || back) ? expired(token, now) : seen(now);
+        LeaseHolderState here = holds() && (now >= until || back) ? expired(token, now) : seen(now);
         if (!wanted || now < here.askAt && !back) {
             return new Step(here, null);
         }
@@ -100,7 +101,7 @@
         // that. One too
         // old to bring a lease of use is given up, and with it what is said to it.
         boolean anew = here.sentNumber == NONE || back || now - here.sentAt > length / 2;
-        Tenure asked = new Tenure(
+        LeaseHolderState asked = new LeaseHolderState(
                 task,
                 holder,
                 length,
@@ -114,11 +115,11 @@
                 here.until,
                 now + Math.max(1, length / AGAIN),
                 now);
-        return new Step(asked, Ask.take(task, holder, number + 1, here.holds() ? token : 0, length));
+        return new Step(asked, LeaseRequest.take(task, holder, number + 1, here.holds() ? token : 0, length));
     }
 
     /** What the grantor answered. */
-    public Step heard(Answer answer, long now) {
+    public Step heard(LeaseResponse answer, long now) {
         Step timed = at(now);
         if (!wanted || !answer.task().equals(task) || answer.number() < sentNumber) {
             return timed;
@@ -128,7 +129,7 @@
             case HANDED_OVER ->
                 new Step(
                         gone(number + 1, State.RELEASED, now + length + 2 * bound, now),
-                        Ask.release(task, holder, number + 1, 0));
+                        LeaseRequest.release(task, holder, number + 1, 0));
             // Said to one that holds it, too: then the clocks are further off than the bound, and it stops.
             case HELD ->
                 new Step(
@@ -142,13 +143,13 @@
         };
     }
 
-    private Step granted(Grant grant, Step timed, long now) {
+    private Step granted(LeaseGrant grant, Step timed, long now) {
         if (!grant.holder().equals(holder) || grant.token() < token) {
             return timed;
         }
         // Twice over: by the grantor's expiry, and by this clock alone, which no offset can lengthen.
         long end = Math.min(grant.expiry(), sentAt + length) - bound;
-        Tenure here = timed.next();
+        LeaseHolderState here = timed.next();
         if (grant.token() == token && here.holds()) {
             end = Math.max(end, here.until);
         }
@@ -156,7 +157,7 @@
             return new Step(here.expired(grant.token(), now), timed.ask());
         }
         return new Step(
-                new Tenure(
+                new LeaseHolderState(
                         task,
                         holder,
                         length,
@@ -175,9 +176,9 @@
 
     /** Gives it up: nothing may be done for it from here on. */
     public Step release(long now) {
-        Tenure next = gone(number + 1, State.RELEASED, now, now);
+        LeaseHolderState next = gone(number + 1, State.RELEASED, now, now);
         return new Step(
-                new Tenure(
+                new LeaseHolderState(
                         task,
                         holder,
                         length,
@@ -191,16 +192,16 @@
                         next.until,
                         NONE,
                         next.seen),
-                state == State.RELEASED && !wanted ? null : Ask.release(task, holder, number + 1, 0));
+                state == State.RELEASED && !wanted ? null : LeaseRequest.release(task, holder, number + 1, 0));
     }
 
-    private Tenure expired(long withToken, long now) {
-        return new Tenure(
+    private LeaseHolderState expired(long withToken, long now) {
+        return new LeaseHolderState(
                 task, holder, length, bound, State.EXPIRED, wanted, number, NONE, 0, withToken, now, now, now);
     }
 
-    private Tenure gone(long nextNumber, State next, long nextAskAt, long now) {
-        return new Tenure(
+    private LeaseHolderState gone(long nextNumber, State next, long nextAskAt, long now) {
+        return new LeaseHolderState(
                 task,
                 holder,
                 length,
@@ -216,8 +217,8 @@
                 now);
     }
 
-    private Tenure seen(long now) {
-        return new Tenure(
+    private LeaseHolderState seen(long now) {
+        return new LeaseHolderState(
                 task, holder, length, bound, state, wanted, number, sentNumber, sentAt, token, until, askAt, now);
     }
 }
--- a/src/main/java/beaconladder/lease/Ask.java
+++ b/src/main/java/beaconladder/lease/LeaseRequest.java
@@ -9,7 +9,7 @@
  * @param length for a take, how long the lease is to be, in nanoseconds
  * @param heir for a hand-over, the name of the process that is to hold the task next
  */
-public record Ask(Kind kind, String task, String holder, long number, long token, long length, String heir) {
+public record LeaseRequest(Kind kind, String task, String holder, long number, long token, long length, String heir) {
     /** Take it or hold it longer; give it up; have it given to another. */
     public enum Kind {
         TAKE,
@@ -17,17 +17,17 @@
         HAND_OVER
     }
 
-    static Ask take(String task, String holder, long number, long token, long length) {
-        return new Ask(Kind.TAKE, task, holder, number, token, length, "");
+    static LeaseRequest take(String task, String holder, long number, long token, long length) {
+        return new LeaseRequest(Kind.TAKE, task, holder, number, token, length, "");
     }
 
-    static Ask release(String task, String holder, long number, long token) {
-        return new Ask(Kind.RELEASE, task, holder, number, token, 0, "");
+    static LeaseRequest release(String task, String holder, long number, long token) {
+        return new LeaseRequest(Kind.RELEASE, task, holder, number, token, 0, "");
     }
 
     /** An operator's word that the task is to pass to the process of this name. */
-    public static Ask handOver(String task, String heir, long length) {
-        return new Ask(Kind.HAND_OVER, task, "", 0, 0, length, heir);
+    public static LeaseRequest handOver(String task, String heir, long length) {
+        return new LeaseRequest(Kind.HAND_OVER, task, "", 0, 0, length, heir);
     }
 
     /** The name of a holder, without its incarnation. */
--- a/src/main/java/beaconladder/lease/Answer.java
+++ b/src/main/java/beaconladder/lease/LeaseResponse.java
@@ -8,7 +8,7 @@
  * @param holder who else holds it, or an empty text
  * @param free so long until it may be free, in nanoseconds
  */
-public record Answer(String task, long number, Why why, Grant grant, String holder, long free) {
+public record LeaseResponse(String task, long number, Why why, LeaseGrant grant, String holder, long free) {
     /** Why the answer is as it is. */
     public enum Why {
         /** The asker holds the task. */
--- a/src/main/java/beaconladder/lease/Grants.java
+++ b/src/main/java/beaconladder/lease/LeaseTable.java
@@ -15,18 +15,18 @@
  * @param clock the newest stamp; a leader whose clock is behind that of the one before it takes no time back
  * @param leases by task
  */
-public record Grants(long clock, Map<String, Lease> leases) {
+public record LeaseTable(long clock, Map<String, Lease> leases) {
     /** The state after an ask, and what is said to the asker. */
-    public record Applied(Grants next, Answer answer) {}
+    public record Applied(LeaseTable next, LeaseResponse answer) {}
 
     /** No lease yet. */
-    public static Grants none() {
-        return new Grants(Long.MIN_VALUE, Map.of());
+    public static LeaseTable none() {
+        return new LeaseTable(Long.MIN_VALUE, Map.of());
     }
 
     /** The state with this ask applied, stamped by the leader with its clock and the clock bound. */
-    public Applied apply(Ask ask, long stamp, long bound) {
-        Grants now = new Grants(Math.max(clock, stamp), leases);
+    public Applied apply(LeaseRequest ask, long stamp, long bound) {
+        LeaseTable now = new LeaseTable(Math.max(clock, stamp), leases);
         Lease lease = leases.getOrDefault(ask.task(), Lease.none(ask.task()));
         return switch (ask.kind()) {
             case TAKE -> now.take(ask, lease, bound);
@@ -35,14 +35,14 @@
         };
     }
 
-    private Applied take(Ask ask, Lease lease, long bound) {
+    private Applied take(LeaseRequest ask, Lease lease, long bound) {
         if (ask.holder().equals(lease.gaveUp()) && ask.number() < lease.gaveUpNumber()) {
-            return refused(ask, Answer.Why.OVERTAKEN, lease, 0);
+            return refused(ask, LeaseResponse.Why.OVERTAKEN, lease, 0);
         }
         boolean mine = ask.holder().equals(lease.holder());
         boolean passesOn = !lease.heir().isEmpty()
                 && clock <= lease.heirUntil()
-                && !Ask.name(ask.holder()).equals(lease.heir());
+                && !LeaseRequest.name(ask.holder()).equals(lease.heir());
         if (mine && clock <= lease.expiry()) {
             // One that asks without its token has not heard of its grant, or has stopped for want of an
             // answer:
@@ -50,15 +50,15 @@
             long expiry =
                     ask.token() == lease.token() ? Math.max(lease.expiry(), clock + ask.length()) : lease.expiry();
             return passesOn
-                    ? refused(ask, Answer.Why.HANDED_OVER, lease, 0)
+                    ? refused(ask, LeaseResponse.Why.HANDED_OVER, lease, 0)
                     : granted(ask, lease.held(ask.holder(), lease.token(), expiry));
         }
         // Another one may act until its expiry by its own clock, which may be behind by the bound.
         if (!mine && !lease.free() && clock <= lease.expiry() + bound) {
-            return refused(ask, Answer.Why.HELD, lease, lease.expiry() + bound - clock);
+            return refused(ask, LeaseResponse.Why.HELD, lease, lease.expiry() + bound - clock);
         }
         if (passesOn) {
-            return refused(ask, Answer.Why.HELD, lease, lease.heirUntil() - clock);
+            return refused(ask, LeaseResponse.Why.HELD, lease, lease.heirUntil() - clock);
         }
         // The same process after its expiry gets a new token too: what it sent under the old one may come
         // late.
@@ -66,47 +66,48 @@
     }
 
     /** A token of 0 stands for whatever its holder holds: it gave up before it heard of a grant. */
-    private Applied release(Ask ask, Lease lease) {
+    private Applied release(LeaseRequest ask, Lease lease) {
         boolean held = ask.holder().equals(lease.holder()) && (ask.token() == 0 || ask.token() == lease.token());
         // Remembered also where nothing is held: the take that it gives up may come behind it.
         return new Applied(
                 with(held ? lease.free(ask.number()) : lease.gaveUp(ask.holder(), ask.number())),
-                new Answer(
+                new LeaseResponse(
                         ask.task(),
                         ask.number(),
-                        held ? Answer.Why.DONE : Answer.Why.NOT_HELD,
+                        held ? LeaseResponse.Why.DONE : LeaseResponse.Why.NOT_HELD,
                         null,
                         held ? "" : lease.holder(),
                         0));
     }
 
     /** Kept for the heir until the holder's time is over, and then for as long as a lease is. */
-    private Applied handOver(Ask ask, Lease lease, long bound) {
+    private Applied handOver(LeaseRequest ask, Lease lease, long bound) {
         long from = lease.free() ? clock : Math.max(clock, lease.expiry() + bound);
         return new Applied(
                 with(lease.keptFor(ask.heir(), from + ask.length())),
-                new Answer(ask.task(), ask.number(), Answer.Why.DONE, null, lease.holder(), from - clock));
+                new LeaseResponse(
+                        ask.task(), ask.number(), LeaseResponse.Why.DONE, null, lease.holder(), from - clock));
     }
 
-    private Applied granted(Ask ask, Lease lease) {
+    private Applied granted(LeaseRequest ask, Lease lease) {
         return new Applied(
                 with(lease),
-                new Answer(
+                new LeaseResponse(
                         ask.task(),
                         ask.number(),
-                        Answer.Why.GRANTED,
-                        new Grant(ask.task(), ask.holder(), lease.token(), lease.expiry()),
+                        LeaseResponse.Why.GRANTED,
+                        new LeaseGrant(ask.task(), ask.holder(), lease.token(), lease.expiry()),
                         "",
                         0));
     }
 
-    private Applied refused(Ask ask, Answer.Why why, Lease lease, long wait) {
-        return new Applied(this, new Answer(ask.task(), ask.number(), why, null, lease.holder(), wait));
+    private Applied refused(LeaseRequest ask, LeaseResponse.Why why, Lease lease, long wait) {
+        return new Applied(this, new LeaseResponse(ask.task(), ask.number(), why, null, lease.holder(), wait));
     }
 
-    private Grants with(Lease lease) {
+    private LeaseTable with(Lease lease) {
         Map<String, Lease> all = new TreeMap<>(leases);
         all.put(lease.task(), lease);
-        return new Grants(clock, Map.copyOf(all));
+        return new LeaseTable(clock, Map.copyOf(all));
     }
 }
--- a/src/main/java/beaconladder/grant/WallClock.java
+++ b/src/main/java/beaconladder/lease/server/AnchoredClock.java
@@ -1,4 +1,4 @@
-package beaconladder.grant;
+package beaconladder.lease.server;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -11,7 +11,7 @@
  * real time, whatever is done to the wall clock meanwhile. In a rehearsal off by what a file says, so that clocks can
  * be set apart on one machine.
  */
-public final class WallClock implements LongSupplier {
+public final class AnchoredClock implements LongSupplier {
     private static final long READ_NANOS = 10_000_000;
 
     private final Path offsetMillis;
@@ -20,12 +20,12 @@
     private long offset;
 
     /** The machine's own. */
-    public WallClock() {
+    public AnchoredClock() {
         this(null);
     }
 
     /** One that is off by the milliseconds that this file holds; null for none. */
-    public WallClock(Path offsetMillis) {
+    public AnchoredClock(Path offsetMillis) {
         this.offsetMillis = offsetMillis;
     }
 
--- a/src/main/java/beaconladder/grant/FeedLog.java
+++ b/src/main/java/beaconladder/lease/server/FeedEndpoint.java
@@ -1,10 +1,10 @@
-package beaconladder.grant;
+package beaconladder.lease.server;
 
-import beaconladder.feed.Board;
-import beaconladder.feed.FeedText;
-import beaconladder.feed.LogDoor;
+import beaconladder.feed.CommitResult;
+import beaconladder.feed.FeedJson;
+import beaconladder.feed.LogEndpoint;
 import beaconladder.feed.Proposal;
-import beaconladder.feed.Written;
+import beaconladder.feed.VersionNotifier;
 import java.io.IOException;
 import org.apache.ratis.client.RaftClient;
 import org.apache.ratis.protocol.Message;
@@ -16,9 +16,10 @@
  * The feed's log is the grantors'. A leader that is one no longer and does not know it yet answers from what was
  * applied before: that is older, and never wrong.
  */
-record FeedLog(GrantLog log, RaftServer server, RaftGroupId group, RaftClient client) implements LogDoor.Log {
+record FeedEndpoint(LeaseStateMachine log, RaftServer server, RaftGroupId group, RaftClient client)
+        implements LogEndpoint.Log {
     @Override
-    public Board board() {
+    public VersionNotifier board() {
         return log.feed();
     }
 
@@ -32,11 +33,11 @@
     }
 
     @Override
-    public Written write(Proposal proposal) throws IOException {
-        RaftClientReply reply = client.io().send(Message.valueOf(GrantLog.FEED + FeedText.text(proposal)));
+    public CommitResult write(Proposal proposal) throws IOException {
+        RaftClientReply reply = client.io().send(Message.valueOf(LeaseStateMachine.FEED + FeedJson.text(proposal)));
         if (!reply.isSuccess()) {
             throw new IOException(String.valueOf(reply.getException()));
         }
-        return FeedText.read(reply.getMessage().getContent().toStringUtf8(), Written.class);
+        return FeedJson.read(reply.getMessage().getContent().toStringUtf8(), CommitResult.class);
     }
 }
--- a/src/main/java/beaconladder/grant/Doors.java
+++ b/src/main/java/beaconladder/lease/server/LeaseClient.java
@@ -1,10 +1,10 @@
-package beaconladder.grant;
+package beaconladder.lease.server;
 
-import beaconladder.lease.Answer;
-import beaconladder.lease.Ask;
-import beaconladder.lease.Grants;
-import beaconladder.members.View;
-import beaconladder.roster.HttpGet;
+import beaconladder.discovery.HttpFetcher;
+import beaconladder.lease.LeaseRequest;
+import beaconladder.lease.LeaseResponse;
+import beaconladder.lease.LeaseTable;
+import beaconladder.membership.MembershipView;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URLEncoder;
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /** The grantors as those see them who ask: one door after the other, until one answers. */
-public final class Doors implements AutoCloseable {
-    private final List<HttpGet> doors;
+public final class LeaseClient implements AutoCloseable {
+    private final List<HttpFetcher> doors;
     private final int millis;
     private int at;
 
@@ -22,29 +22,29 @@
      *
      * @param first which of them is tried first, so that those who ask are spread
      */
-    public Doors(List<InetSocketAddress> all, int first, int millis) {
-        this.doors = all.stream().map(HttpGet::new).toList();
+    public LeaseClient(List<InetSocketAddress> all, int first, int millis) {
+        this.doors = all.stream().map(HttpFetcher::new).toList();
         this.at = Math.floorMod(first, doors.size());
         this.millis = millis;
     }
 
     /** The answer, or null: this door gave none in time, and the next one is tried the next time. */
-    public synchronized Answer ask(Ask ask) {
-        String text = get("/v1/lease?ask=" + URLEncoder.encode(GrantText.text(ask), StandardCharsets.UTF_8));
+    public synchronized LeaseResponse ask(LeaseRequest ask) {
+        String text = get("/v1/lease?ask=" + URLEncoder.encode(LeaseJson.text(ask), StandardCharsets.UTF_8));
         try {
-            return text == null ? null : GrantText.answer(text);
+            return text == null ? null : LeaseJson.answer(text);
         } catch (IOException e) {
             return null;
         }
     }
 
     /** All leases as a leader that is one has them, from whichever door answers; null where none does. */
-    public synchronized Grants status() {
+    public synchronized LeaseTable status() {
         for (int i = 0; i < doors.size(); i++) {
             String text = get("/v1/leases");
             try {
                 if (text != null) {
-                    return GrantText.grants(text);
+                    return LeaseJson.grants(text);
                 }
             } catch (IOException e) {
                 at = (at + 1) % doors.size();
@@ -54,12 +54,12 @@
     }
 
     /** The fleet as some grantor knows it, or null: none answers, or none takes part in it. */
-    public synchronized View members() {
+    public synchronized MembershipView members() {
         for (int i = 0; i < doors.size(); i++) {
             String text = get("/v1/members");
             try {
                 if (text != null) {
-                    return GrantText.read(text, View.class);
+                    return LeaseJson.read(text, MembershipView.class);
                 }
             } catch (IOException e) {
                 at = (at + 1) % doors.size();
@@ -79,6 +79,6 @@
 
     @Override
     public void close() {
-        doors.forEach(HttpGet::end);
+        doors.forEach(HttpFetcher::end);
     }
 }
--- a/src/main/java/beaconladder/grant/GrantText.java
+++ b/src/main/java/beaconladder/lease/server/LeaseJson.java
@@ -1,9 +1,9 @@
-package beaconladder.grant;
+package beaconladder.lease.server;
 
-import beaconladder.lease.Answer;
-import beaconladder.lease.Ask;
-import beaconladder.lease.Grants;
 import beaconladder.lease.Lease;
+import beaconladder.lease.LeaseRequest;
+import beaconladder.lease.LeaseResponse;
+import beaconladder.lease.LeaseTable;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /** Asks, answers and the grantor's state as JSON, checked whole before any of it counts. */
-final class GrantText {
+final class LeaseJson {
     private static final ObjectMapper MAPPER = new ObjectMapper()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
@@ -20,9 +20,9 @@
     private static final long LONGEST = 86_400_000_000_000L;
 
     /** An ask as the log has it: with the leader's clock and the clock bound that it was applied with. */
-    record Entry(Ask ask, long stamp, long bound) {}
+    record Entry(LeaseRequest ask, long stamp, long bound) {}
 
-    private GrantText() {}
+    private LeaseJson() {}
 
     static String text(Object value) {
         try {
@@ -40,12 +40,12 @@
         return value;
     }
 
-    static Answer answer(String text) throws IOException {
-        Answer answer = read(text, Answer.class);
+    static LeaseResponse answer(String text) throws IOException {
+        LeaseResponse answer = read(text, LeaseResponse.class);
         if (answer.task() == null
                 || answer.why() == null
                 || answer.holder() == null
-                || answer.why() == Answer.Why.GRANTED
+                || answer.why() == LeaseResponse.Why.GRANTED
                         && (answer.grant() == null
                                 || answer.grant().holder() == null
                                 || !answer.task().equals(answer.grant().task()))) {
@@ -55,9 +55,9 @@
     }
 
     /** An ask from outside. */
-    static Ask ask(String text) throws IOException {
-        Ask ask = read(text, Ask.class);
-        boolean handsOver = ask.kind() == Ask.Kind.HAND_OVER;
+    static LeaseRequest ask(String text) throws IOException {
+        LeaseRequest ask = read(text, LeaseRequest.class);
+        boolean handsOver = ask.kind() == LeaseRequest.Kind.HAND_OVER;
         if (ask.kind() == null
                 || ask.task() == null
                 || !ask.task().matches(NAME)
@@ -67,14 +67,14 @@
                 || handsOver && !ask.heir().matches(NAME)
                 || ask.length() < 0
                 || ask.length() > LONGEST
-                || ask.kind() != Ask.Kind.RELEASE && ask.length() == 0) {
+                || ask.kind() != LeaseRequest.Kind.RELEASE && ask.length() == 0) {
             throw new IOException("an ask that is not whole");
         }
         return ask;
     }
 
-    static Grants grants(String text) throws IOException {
-        Grants grants = read(text, Grants.class);
+    static LeaseTable grants(String text) throws IOException {
+        LeaseTable grants = read(text, LeaseTable.class);
         if (grants.leases() == null) {
             throw new IOException("a state that is not whole");
         }
--- a/src/main/java/beaconladder/grant/Grantor.java
+++ b/src/main/java/beaconladder/lease/server/LeaseServer.java
@@ -1,8 +1,8 @@
-package beaconladder.grant;
+package beaconladder.lease.server;
 
-import beaconladder.feed.LogDoor;
-import beaconladder.gossip.Gossip;
-import beaconladder.lease.Ask;
+import beaconladder.feed.LogEndpoint;
+import beaconladder.lease.LeaseRequest;
+import beaconladder.membership.transport.GossipService;
 import beaconladder.plan.Plan;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
@@ -39,8 +39,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One of the three or five processes that grant leases together; any of them takes asks, and the leader decides. */
-public final class Grantor implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Grantor.class);
+public final class LeaseServer implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaseServer.class);
     /** All grantors of an installation are of one group; its number means nothing. */
     private static final RaftGroupId GROUP =
             RaftGroupId.valueOf(java.util.UUID.fromString("b7a2c0de-0000-4000-8000-000000000001"));
@@ -58,7 +58,7 @@
     private final RaftClient client;
     private final HttpServer door;
     /** Its place in the fleet, or null. */
-    private final Gossip gossip;
+    private final GossipService gossip;
 
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "grantor");
@@ -72,7 +72,7 @@
      * @param clock Unix time in nanoseconds
      * @throws IOException where an address is taken, or its folder is in use or damaged
      */
-    public Grantor(Plan.Leases plan, String name, LongSupplier clock) throws IOException {
+    public LeaseServer(Plan.Leases plan, String name, LongSupplier clock) throws IOException {
         Plan.Grantor self = plan.grantor(name);
         if (self == null) {
             throw new IOException("no grantor '" + name + "' is stated");
@@ -88,7 +88,7 @@
         boolean first = !Files.isDirectory(folder.resolve(GROUP.getUuid().toString()));
         Files.createDirectories(folder);
         RaftProperties properties = properties(plan, self, folder);
-        GrantLog log = new GrantLog(clock, plan.bound());
+        LeaseStateMachine log = new LeaseStateMachine(clock, plan.bound());
         server = RaftServer.newBuilder()
                 .setServerId(peers.get(plan.grantors().indexOf(self)).getId())
                 .setGroup(group)
@@ -111,18 +111,18 @@
         door.createContext("/v1/leases", this::status);
         door.createContext("/v1/leader", this::leader);
         door.createContext("/v1/members", this::members);
-        new LogDoor(door, new FeedLog(log, server, GROUP, client));
+        new LogEndpoint(door, new FeedEndpoint(log, server, GROUP, client));
         door.start();
         LOG.info("grantor {} answers at {}, {} of them at {}", name, self.at(), peers.size(), self.raft());
     }
 
     /** Grantors are the seeds of the fleet's membership. */
-    private static Gossip gossip(Plan.Leases plan, Plan.Grantor self) throws IOException {
+    private static GossipService gossip(Plan.Leases plan, Plan.Grantor self) throws IOException {
         if (self.gossip() == null) {
             return null;
         }
         int port = Integer.parseInt(self.gossip().substring(self.gossip().lastIndexOf(':') + 1));
-        Gossip gossip = new Gossip(
+        GossipService gossip = new GossipService(
                 self.name(), new InetSocketAddress(self.at().getAddress(), port), self.gossip(), plan.seeds());
         Thread thread = new Thread(gossip, "gossip");
         thread.setDaemon(true);
@@ -160,15 +160,15 @@
 
     private void ask(HttpExchange exchange) throws IOException {
         String text = asked(exchange);
-        Ask ask;
+        LeaseRequest ask;
         try {
-            ask = GrantText.ask(text);
+            ask = LeaseJson.ask(text);
         } catch (IOException e) {
             reply(exchange, 400, "{\"error\":\"an ask that is not whole\"}");
             return;
         }
         try {
-            reply(exchange, client.io().send(Message.valueOf(GrantText.text(ask))));
+            reply(exchange, client.io().send(Message.valueOf(LeaseJson.text(ask))));
         } catch (IOException e) {
             away(exchange, e);
         }
@@ -192,7 +192,7 @@
         if (gossip == null) {
             reply(exchange, 400, "{\"error\":\"no gossip is stated for this grantor\"}");
         } else {
-            reply(exchange, 200, GrantText.text(gossip.view()));
+            reply(exchange, 200, LeaseJson.text(gossip.view()));
         }
     }
 
--- a/src/main/java/beaconladder/grant/Holding.java
+++ b/src/main/java/beaconladder/lease/server/LeaseSession.java
@@ -1,26 +1,28 @@
-package beaconladder.grant;
+package beaconladder.lease.server;
 
-import beaconladder.lease.Answer;
-import beaconladder.lease.Tenure;
+import beaconladder.lease.LeaseHolderState;
+import beaconladder.lease.LeaseResponse;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A process's hold on a task: a thread that asks for it, holds it and gives it up, as {@link Tenure} says. */
-public final class Holding implements Runnable, AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Holding.class);
+/**
+ * A process's hold on a task: a thread that asks for it, holds it and gives it up, as {@link LeaseHolderState} says.
+ */
+public final class LeaseSession implements Runnable, AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaseSession.class);
     /** So long at the most between two looks at the clock. */
     private static final long LOOK_MILLIS = 20;
 
-    private final Doors doors;
+    private final LeaseClient doors;
     private final LongSupplier clock;
-    private Tenure tenure;
+    private LeaseHolderState tenure;
     private volatile boolean closed;
 
     /** What an act carries: the token, and until when it may be sent, in Unix nanoseconds. */
     public record Permit(long token, long until) {}
 
-    public Holding(Tenure tenure, Doors doors, LongSupplier clock) {
+    public LeaseSession(LeaseHolderState tenure, LeaseClient doors, LongSupplier clock) {
         this.doors = doors;
         this.clock = clock;
         this.tenure = tenure.want(clock.getAsLong());
@@ -31,19 +33,19 @@
         return tenure.mayAct(clock.getAsLong()) ? new Permit(tenure.token(), tenure.until()) : null;
     }
 
-    public synchronized Tenure tenure() {
+    public synchronized LeaseHolderState tenure() {
         return tenure;
     }
 
     @Override
     public void run() {
         while (!closed) {
-            Tenure.Step step = take(tenure().at(clock.getAsLong()));
+            LeaseHolderState.Step step = take(tenure().at(clock.getAsLong()));
             if (step.ask() != null) {
-                Answer answer = doors.ask(step.ask());
+                LeaseResponse answer = doors.ask(step.ask());
                 if (answer != null && !closed) {
                     // A release that an answer asks for is sent once; its answer brings nothing.
-                    Tenure.Step heard = take(tenure().heard(answer, clock.getAsLong()));
+                    LeaseHolderState.Step heard = take(tenure().heard(answer, clock.getAsLong()));
                     if (heard.ask() != null) {
                         doors.ask(heard.ask());
                     }
@@ -57,7 +59,7 @@
         }
     }
 
-    private synchronized Tenure.Step take(Tenure.Step step) {
+    private synchronized LeaseHolderState.Step take(LeaseHolderState.Step step) {
         if (step.next().state() != tenure.state()) {
             LOG.info(
                     "{} of {} is {}, token {}",
@@ -74,7 +76,7 @@
     @Override
     public void close() {
         closed = true;
-        Tenure.Step step = take(tenure().release(clock.getAsLong()));
+        LeaseHolderState.Step step = take(tenure().release(clock.getAsLong()));
         if (step.ask() != null) {
             doors.ask(step.ask());
         }
