--- a/src/main/java/beaconladder/grant/GrantLog.java
+++ b/src/main/java/beaconladder/lease/server/LeaseStateMachine.java
@@ -1,10 +1,10 @@
-package beaconladder.grant;
+package beaconladder.lease.server;
 
-import beaconladder.feed.Board;
-import beaconladder.feed.FeedText;
-import beaconladder.feed.History;
+import beaconladder.feed.FeedJson;
 import beaconladder.feed.Proposal;
-import beaconladder.lease.Grants;
+import beaconladder.feed.VersionHistory;
+import beaconladder.feed.VersionNotifier;
+import beaconladder.lease.LeaseTable;
 import java.io.File;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -33,21 +33,21 @@
 import org.apache.ratis.util.MD5FileUtil;
 
 /**
- * {@link Grants} and the feed's {@link History} under Apache Ratis: the leader stamps each ask with its clock, all
- * replicas apply it alike.
+ * {@link LeaseTable} and the feed's {@link VersionHistory} under Apache Ratis: the leader stamps each ask with its
+ * clock, all replicas apply it alike.
  */
-final class GrantLog extends BaseStateMachine {
+final class LeaseStateMachine extends BaseStateMachine {
     /** Before a message, an entry, a line of a snapshot that is the feed's; those of leases begin with {. */
     static final String FEED = "feed ";
 
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     private final LongSupplier clock;
     private final long bound;
-    private Grants grants = Grants.none();
+    private LeaseTable grants = LeaseTable.none();
     /** What the feed has, as applied; those who follow it wait there. */
-    private final Board feed = new Board();
+    private final VersionNotifier feed = new VersionNotifier();
 
-    GrantLog(LongSupplier clock, long bound) {
+    LeaseStateMachine(LongSupplier clock, long bound) {
         this.clock = clock;
         this.bound = bound;
     }
@@ -76,9 +76,9 @@
         String text = request.getMessage().getContent().toStringUtf8();
         String entry;
         if (text.startsWith(FEED)) {
-            entry = FEED + FeedText.text(proposal(text).checked());
+            entry = FEED + FeedJson.text(proposal(text).checked());
         } else {
-            entry = GrantText.text(new GrantText.Entry(GrantText.ask(text), clock.getAsLong(), bound));
+            entry = LeaseJson.text(new LeaseJson.Entry(LeaseJson.ask(text), clock.getAsLong(), bound));
         }
         return TransactionContext.newBuilder()
                 .setStateMachine(this)
@@ -96,18 +96,18 @@
             if (text.startsWith(FEED)) {
                 Proposal proposal = proposal(text);
                 synchronized (this) {
-                    History.Applied applied = feed.now().apply(proposal);
+                    VersionHistory.Applied applied = feed.now().apply(proposal);
                     feed.show(applied.next());
                     updateLastAppliedTermIndex(logged.getTerm(), logged.getIndex());
-                    return CompletableFuture.completedFuture(Message.valueOf(FeedText.text(applied.written())));
+                    return CompletableFuture.completedFuture(Message.valueOf(FeedJson.text(applied.written())));
                 }
             }
-            GrantText.Entry entry = GrantText.read(text, GrantText.Entry.class);
+            LeaseJson.Entry entry = LeaseJson.read(text, LeaseJson.Entry.class);
             synchronized (this) {
-                Grants.Applied applied = grants.apply(entry.ask(), entry.stamp(), entry.bound());
+                LeaseTable.Applied applied = grants.apply(entry.ask(), entry.stamp(), entry.bound());
                 grants = applied.next();
                 updateLastAppliedTermIndex(logged.getTerm(), logged.getIndex());
-                return CompletableFuture.completedFuture(Message.valueOf(GrantText.text(applied.answer())));
+                return CompletableFuture.completedFuture(Message.valueOf(LeaseJson.text(applied.answer())));
             }
         } catch (IOException | RuntimeException e) {
             return CompletableFuture.failedFuture(e);
@@ -115,17 +115,17 @@
     }
 
     private static Proposal proposal(String text) throws IOException {
-        return FeedText.read(text.substring(FEED.length()), Proposal.class);
+        return FeedJson.read(text.substring(FEED.length()), Proposal.class);
     }
 
     /** The feed as this replica has applied it. */
-    Board feed() {
+    VersionNotifier feed() {
         return feed;
     }
 
     @Override
     public synchronized CompletableFuture<Message> query(Message asked) {
-        return CompletableFuture.completedFuture(Message.valueOf(GrantText.text(grants)));
+        return CompletableFuture.completedFuture(Message.valueOf(LeaseJson.text(grants)));
     }
 
     @Override
@@ -150,20 +150,20 @@
 
     /** The leases in the first line, as ever; what came later has a line and a word of its own. */
     synchronized String snapshot() {
-        return GrantText.text(grants) + '\n' + FEED + FeedText.text(feed.now()) + '\n';
+        return LeaseJson.text(grants) + '\n' + FEED + FeedJson.text(feed.now()) + '\n';
     }
 
     /** Reads a snapshot, also of a program that knew of leases alone. */
     synchronized void read(String snapshot) throws IOException {
         List<String> lines = snapshot.lines().toList();
-        Grants read = GrantText.grants(lines.isEmpty() ? "" : lines.get(0));
-        History history = History.none();
+        LeaseTable read = LeaseJson.grants(lines.isEmpty() ? "" : lines.get(0));
+        VersionHistory history = VersionHistory.none();
         for (String line : lines.subList(1, lines.size())) {
             if (!line.startsWith(FEED)) {
                 throw new IOException("a snapshot of a program that knows of more than this one");
             }
-            history =
-                    FeedText.read(line.substring(FEED.length()), History.class).checked();
+            history = FeedJson.read(line.substring(FEED.length()), VersionHistory.class)
+                    .checked();
         }
         grants = read;
         feed.show(history);
--- a/src/main/java/beaconladder/members/Member.java
+++ b/src/main/java/beaconladder/membership/Member.java
@@ -1,4 +1,4 @@
-package beaconladder.members;
+package beaconladder.membership;
 
 /**
  * What is known of a process. Of two words about one process the later one counts: the higher incarnation, and within
--- a/src/main/java/beaconladder/members/View.java
+++ b/src/main/java/beaconladder/membership/MembershipView.java
@@ -1,4 +1,4 @@
-package beaconladder.members;
+package beaconladder.membership;
 
 import java.util.List;
 
@@ -9,4 +9,4 @@
  * @param age how long ago this process last heard from any other, in nanoseconds; Long.MAX_VALUE for never
  * @param present who takes part, this process too, by name
  */
-public record View(long version, long age, List<Member> present) {}
+public record MembershipView(long version, long age, List<Member> present) {}
--- a/src/main/java/beaconladder/members/Message.java
+++ b/src/main/java/beaconladder/membership/Message.java
@@ -1,4 +1,4 @@
-package beaconladder.members;
+package beaconladder.membership;
 
 import java.util.List;
 
--- a/src/main/java/beaconladder/members/Swim.java
+++ b/src/main/java/beaconladder/membership/SwimProtocol.java
@@ -1,7 +1,7 @@
-package beaconladder.members;
+package beaconladder.membership;
 
-import beaconladder.members.Member.State;
-import beaconladder.members.Message.Kind;
+import beaconladder.membership.Member.State;
+import beaconladder.membership.Message.Kind;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
@@ -24,7 +24,7 @@
  * <p>Of Lifeguard: a process that hears little waits longer before it blames others (local health); a suspicion lasts
  * the shorter the more others share it; who is probed while suspected is told so.
  */
-public final class Swim {
+public final class SwimProtocol {
     private static final long MS = 1_000_000L;
     /** The paper's period is a second or more; answers on one network come within milliseconds. */
     private static final long PERIOD = 500 * MS;
@@ -96,19 +96,20 @@
      *
      * @param incarnation higher than at any earlier start of this name, such as the time
      */
-    public Swim(String name, String address, long incarnation, Collection<String> seeds, long seed) {
+    public SwimProtocol(String name, String address, long incarnation, Collection<String> seeds, long seed) {
         self = new Member(name, address, incarnation, State.ALIVE);
         this.seeds = seeds.stream().filter(each -> !each.equals(address)).toList();
         chance = new SplittableRandom(seed);
     }
 
     /** Who is there, as known now. */
-    public View view(long now) {
+    public MembershipView view(long now) {
         List<Member> present = new ArrayList<>();
         present.add(self);
         known.values().stream().map(each -> each.member).filter(Member::present).forEach(present::add);
         present.sort(Comparator.comparing(Member::name));
-        return new View(version, heardAt == Long.MIN_VALUE ? Long.MAX_VALUE : now - heardAt, List.copyOf(present));
+        return new MembershipView(
+                version, heardAt == Long.MIN_VALUE ? Long.MAX_VALUE : now - heardAt, List.copyOf(present));
     }
 
     /** What is known of the process of this name, or null. */
@@ -141,8 +142,8 @@
     // ---- Time ---------------------------------------------------------------------------------------------
 
     /** What time alone brings. */
-    public List<Send> at(long now) {
-        List<Send> sends = new ArrayList<>();
+    public List<OutgoingMessage> at(long now) {
+        List<OutgoingMessage> sends = new ArrayList<>();
         for (Iterator<Carried> all = carried.values().iterator(); all.hasNext(); ) {
             Carried each = all.next();
             if (now >= each.sayNoAt()) {
@@ -173,7 +174,7 @@
     }
 
     /** News are told to somebody each period, however long this process waits between its probes. */
-    private void spread(List<Send> sends) {
+    private void spread(List<OutgoingMessage> sends) {
         List<Member> others = new ArrayList<>();
         boolean fresh = false;
         for (Known each : known.values()) {
@@ -192,7 +193,7 @@
         return (int) Math.ceil(2 * SPREAD * Math.log10(known.size() + 2));
     }
 
-    private void askOthers(List<Send> sends) {
+    private void askOthers(List<OutgoingMessage> sends) {
         probe.asked = true;
         List<Member> others = new ArrayList<>();
         for (Known each : known.values()) {
@@ -217,7 +218,7 @@
         probe = null;
     }
 
-    private void begin(long now, List<Send> sends) {
+    private void begin(long now, List<OutgoingMessage> sends) {
         nextPeriod = now + PERIOD * (1 + health);
         if (probe != null) {
             return;
@@ -259,7 +260,7 @@
      * Now and then one that is dead, or a seed, is told of this process: two halves that have been cut off from each
      * other, each of which holds the other for dead, find together again.
      */
-    private void lonely(List<Send> sends) {
+    private void lonely(List<OutgoingMessage> sends) {
         List<String> addresses = new ArrayList<>(seeds);
         known.values().stream()
                 .filter(each -> each.member.state() == State.DEAD)
@@ -292,8 +293,8 @@
     // ---- Messages -----------------------------------------------------------------------------------------
 
     /** What a message brings; one that makes no sense is passed over. */
-    public List<Send> heard(Message message, long now) {
-        List<Send> sends = new ArrayList<>();
+    public List<OutgoingMessage> heard(Message message, long now) {
+        List<OutgoingMessage> sends = new ArrayList<>();
         Member from = message.from();
         if (from.name().equals(self.name()) && from.incarnation() <= self.incarnation()) {
             return sends;
@@ -335,10 +336,10 @@
         return sends;
     }
 
-    private void answered(Message message, List<Send> sends) {
+    private void answered(Message message, List<OutgoingMessage> sends) {
         Carried one = carried.remove(message.number());
         if (one != null) {
-            sends.add(new Send(
+            sends.add(new OutgoingMessage(
                     one.forAddress(), new Message(Kind.ANSWER, message.from(), one.itsNumber(), "", news(null))));
         } else if (probe != null
                 && probe.number == message.number()
@@ -349,10 +350,10 @@
     }
 
     /** A newcomer is told of all, a message for some of them each. */
-    private void introduce(String address, List<Send> sends) {
+    private void introduce(String address, List<OutgoingMessage> sends) {
         List<Member> all = known.values().stream().map(each -> each.member).toList();
         for (int i = 0; i < all.size(); i += MOST_NEWS) {
-            sends.add(new Send(
+            sends.add(new OutgoingMessage(
                     address,
                     new Message(
                             Kind.NO_ANSWER,
@@ -364,10 +365,10 @@
     }
 
     /** Leaves: others need not find it dead. The messages are to be sent before the process ends. */
-    public List<Send> leave() {
+    public List<OutgoingMessage> leave() {
         self = self.as(State.LEFT);
         version++;
-        List<Send> sends = new ArrayList<>();
+        List<OutgoingMessage> sends = new ArrayList<>();
         known.values().stream()
                 .filter(each -> each.member.present())
                 .limit(4L * OTHERS)
@@ -414,8 +415,8 @@
         version++;
     }
 
-    private Send send(String address, Kind kind, long of, String target, Member first) {
-        return new Send(address, new Message(kind, self, of, target, news(first)));
+    private OutgoingMessage send(String address, Kind kind, long of, String target, Member first) {
+        return new OutgoingMessage(address, new Message(kind, self, of, target, news(first)));
     }
 
     /** Those told least often first, each so often until it is old. */
--- a/src/main/java/beaconladder/members/package-info.java
+++ b/src/main/java/beaconladder/membership/package-info.java
@@ -3,4 +3,4 @@
  * Currey, 2018). Messages and the time come in, messages to send go out. docs/members.md tells what was kept and
  * changed.
  */
-package beaconladder.members;
+package beaconladder.membership;
--- a/src/main/java/beaconladder/gossip/GossipText.java
+++ b/src/main/java/beaconladder/membership/transport/GossipJson.java
@@ -1,7 +1,7 @@
-package beaconladder.gossip;
+package beaconladder.membership.transport;
 
-import beaconladder.members.Member;
-import beaconladder.members.Message;
+import beaconladder.membership.Member;
+import beaconladder.membership.Message;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** Messages between members as datagrams of JSON, checked whole before any of it counts. */
-final class GossipText {
+final class GossipJson {
     private static final ObjectMapper MAPPER = new ObjectMapper()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
@@ -18,7 +18,7 @@
     /** Ten words and the sender's: what is longer is no message of ours. */
     private static final int MOST_NEWS = 16;
 
-    private GossipText() {}
+    private GossipJson() {}
 
     static byte[] bytes(Message message) {
         try {
@@ -37,7 +37,7 @@
                 || !whole(message.from())
                 || message.news() == null
                 || message.news().size() > MOST_NEWS
-                || !message.news().stream().allMatch(GossipText::whole)) {
+                || !message.news().stream().allMatch(GossipJson::whole)) {
             throw new IOException("a message that is not whole");
         }
         return message;
--- a/src/main/java/beaconladder/gossip/Gossip.java
+++ b/src/main/java/beaconladder/membership/transport/GossipService.java
@@ -1,9 +1,9 @@
-package beaconladder.gossip;
+package beaconladder.membership.transport;
 
-import beaconladder.members.Message;
-import beaconladder.members.Send;
-import beaconladder.members.Swim;
-import beaconladder.members.View;
+import beaconladder.membership.MembershipView;
+import beaconladder.membership.Message;
+import beaconladder.membership.OutgoingMessage;
+import beaconladder.membership.SwimProtocol;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -15,13 +15,13 @@
 import org.slf4j.LoggerFactory;
 
 /** A process's place in the fleet: one thread, one datagram socket. */
-public final class Gossip implements Runnable, AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Gossip.class);
+public final class GossipService implements Runnable, AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(GossipService.class);
     private static final int LONGEST = 8 * 1024;
     private static final int LOOK_MILLIS = 50;
 
     private final DatagramSocket socket;
-    private final Swim swim;
+    private final SwimProtocol swim;
     private volatile boolean closed;
 
     /**
@@ -31,14 +31,15 @@
      * @param known the host and port under which the others reach it
      * @param seeds where others may be
      */
-    public Gossip(String name, InetSocketAddress at, String known, Collection<String> seeds) throws IOException {
+    public GossipService(String name, InetSocketAddress at, String known, Collection<String> seeds) throws IOException {
         socket = new DatagramSocket(at);
         // A later life counts over an earlier one.
-        swim = new Swim(name, known, System.currentTimeMillis(), seeds, name.hashCode() * 31L + System.nanoTime());
+        swim = new SwimProtocol(
+                name, known, System.currentTimeMillis(), seeds, name.hashCode() * 31L + System.nanoTime());
     }
 
     /** Who is there, as known here now. */
-    public View view() {
+    public MembershipView view() {
         synchronized (swim) {
             return swim.view(System.nanoTime());
         }
@@ -50,14 +51,14 @@
         long told = -1;
         while (!closed) {
             try {
-                List<Send> sends;
+                List<OutgoingMessage> sends;
                 long wake;
                 synchronized (swim) {
                     sends = swim.at(System.nanoTime());
                     wake = swim.wake();
                 }
                 send(sends);
-                View view = view();
+                MembershipView view = view();
                 if (view.version() != told) {
                     told = view.version();
                     LOG.info(
@@ -65,14 +66,14 @@
                             told,
                             view.present().stream()
                                     .map(each -> each.name()
-                                            + (each.state() == beaconladder.members.Member.State.SUSPECT ? "?" : ""))
+                                            + (each.state() == beaconladder.membership.Member.State.SUSPECT ? "?" : ""))
                                     .toList());
                 }
                 long left = (wake - System.nanoTime()) / 1_000_000;
                 socket.setSoTimeout((int) Math.max(1, Math.min(LOOK_MILLIS, left)));
                 packet.setLength(LONGEST);
                 socket.receive(packet);
-                Message message = GossipText.read(packet.getData(), packet.getLength());
+                Message message = GossipJson.read(packet.getData(), packet.getLength());
                 synchronized (swim) {
                     sends = swim.heard(message, System.nanoTime());
                 }
@@ -87,10 +88,10 @@
         }
     }
 
-    private void send(List<Send> sends) {
-        for (Send each : sends) {
+    private void send(List<OutgoingMessage> sends) {
+        for (OutgoingMessage each : sends) {
             int colon = each.address().lastIndexOf(':');
-            byte[] bytes = GossipText.bytes(each.message());
+            byte[] bytes = GossipJson.bytes(each.message());
             try {
                 InetSocketAddress to = new InetSocketAddress(
                         each.address().substring(0, colon),
--- a/src/main/java/beaconladder/gossip/package-info.java
+++ b/src/main/java/beaconladder/membership/transport/package-info.java
@@ -1,2 +1,2 @@
 /** Members on sockets: datagrams and a clock for {@link beaconladder.members.Swim}, which decides all. */
-package beaconladder.gossip;
+package beaconladder.membership.transport;
--- a/src/main/java/beaconladder/pg/Room.java
+++ b/src/main/java/beaconladder/pg/MemoryLimit.java
@@ -3,16 +3,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** The memory that all connections together may take for messages larger than usual. */
-public final class Room {
+public final class MemoryLimit {
     private final AtomicLong left;
-    private final Room whole;
+    private final MemoryLimit whole;
 
-    public Room(long bytes) {
+    public MemoryLimit(long bytes) {
         this(bytes, null);
     }
 
     /** A part of a whole: what is taken here is taken there, too. */
-    public Room(long bytes, Room whole) {
+    public MemoryLimit(long bytes, MemoryLimit whole) {
         this.left = new AtomicLong(bytes);
         this.whole = whole;
     }
--- a/src/main/java/beaconladder/pg/Inbox.java
+++ b/src/main/java/beaconladder/pg/MessageReader.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 
 /** The messages that come in on one connection: one buffer, growing as bytes come, compacted in place. */
-public final class Inbox extends Message {
+public final class MessageReader extends MessageView {
 
     /** What became of a wait for a message. */
     public enum Got {
@@ -32,7 +32,7 @@
 
     private final Socket socket;
     private final InputStream in;
-    private Room room;
+    private MemoryLimit room;
     /** Whether there was no space for what the channel may have. */
     private boolean refused;
     /** How many bytes the message that is coming in needs, as far as that is known. */
@@ -44,7 +44,7 @@
     private int to;
 
     /** One that is fed; it waits for nothing. */
-    public Inbox(Room room) {
+    public MessageReader(MemoryLimit room) {
         super(USUAL);
         this.socket = null;
         this.in = null;
@@ -52,7 +52,7 @@
     }
 
     /** One that reads from a socket and waits. */
-    public Inbox(Socket socket, Room room) throws IOException {
+    public MessageReader(Socket socket, MemoryLimit room) throws IOException {
         super(USUAL);
         this.socket = socket;
         this.room = room;
@@ -209,7 +209,7 @@
     }
 
     /** Large messages count here from now on; for one that is on its way, from the next one on. */
-    public void charge(Room to) {
+    public void charge(MemoryLimit to) {
         if (buffer.length == USUAL) {
             room = to;
         }
@@ -226,7 +226,7 @@
     }
 
     /** The current message as it came, type and length included. */
-    public void copyTo(Outbox out) {
+    public void copyTo(MessageWriter out) {
         out.raw(buffer, from, end - from);
     }
 }
--- a/src/main/java/beaconladder/pg/Message.java
+++ b/src/main/java/beaconladder/pg/MessageView.java
@@ -5,13 +5,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** The message that stands in a buffer, and what can be read of it. */
-class Message {
+class MessageView {
     byte[] buffer;
     char type;
     int at;
     int end;
 
-    Message(int size) {
+    MessageView(int size) {
         buffer = new byte[size];
     }
 
--- a/src/main/java/beaconladder/pg/Outbox.java
+++ b/src/main/java/beaconladder/pg/MessageWriter.java
@@ -7,24 +7,24 @@
 import java.util.Arrays;
 
 /** Messages on their way out, built one behind the other. */
-public final class Outbox {
+public final class MessageWriter {
     private byte[] buffer = new byte[256];
     private int size;
 
-    public Outbox raw(byte[] bytes, int at, int length) {
+    public MessageWriter raw(byte[] bytes, int at, int length) {
         room(length);
         System.arraycopy(bytes, at, buffer, size, length);
         size += length;
         return this;
     }
 
-    public Outbox append(Outbox other) {
+    public MessageWriter append(MessageWriter other) {
         return raw(other.buffer, 0, other.size);
     }
 
     /** What a client says first. */
-    public static Outbox startup(String user, String database) {
-        Outbox out = new Outbox();
+    public static MessageWriter startup(String user, String database) {
+        MessageWriter out = new MessageWriter();
         int at = out.begin((char) 0);
         out.int32(3 << 16)
                 .text("user")
@@ -35,44 +35,44 @@
         return out.end(at);
     }
 
-    public static Outbox query(String statement) {
-        Outbox out = new Outbox();
+    public static MessageWriter query(String statement) {
+        MessageWriter out = new MessageWriter();
         int at = out.begin('Q');
         return out.text(statement).end(at);
     }
 
-    public Outbox authenticationOk() {
+    public MessageWriter authenticationOk() {
         int at = begin('R');
         return int32(0).end(at);
     }
 
-    public Outbox parameterStatus(String name, String value) {
+    public MessageWriter parameterStatus(String name, String value) {
         int at = begin('S');
         return text(name).text(value).end(at);
     }
 
-    public Outbox backendKey(int process, int secret) {
+    public MessageWriter backendKey(int process, int secret) {
         int at = begin('K');
         return int32(process).int32(secret).end(at);
     }
 
-    public Outbox ready() {
+    public MessageWriter ready() {
         int at = begin('Z');
         return int8('I').end(at);
     }
 
-    public Outbox emptyQuery() {
+    public MessageWriter emptyQuery() {
         int at = begin('I');
         return end(at);
     }
 
-    public Outbox commandComplete(String tag) {
+    public MessageWriter commandComplete(String tag) {
         int at = begin('C');
         return text(tag).end(at);
     }
 
     /** An error; the detail may be null. */
-    public Outbox error(String severity, String code, String message, String detail) {
+    public MessageWriter error(String severity, String code, String message, String detail) {
         int at = begin('E');
         int8('S')
                 .text(severity)
@@ -89,7 +89,7 @@
     }
 
     /** The version that is spoken here, and the options that are not known. */
-    public Outbox negotiateVersion(String... unknown) {
+    public MessageWriter negotiateVersion(String... unknown) {
         int at = begin('v');
         int32(3 << 16).int32(unknown.length);
         for (String option : unknown) {
@@ -99,7 +99,7 @@
     }
 
     /** A row description and a row of one column, in text. */
-    public Outbox row(String column, byte[] value) {
+    public MessageWriter row(String column, byte[] value) {
         int at = begin('T');
         int8(0).int8(1)
                 .text(column)
@@ -152,25 +152,25 @@
         return at;
     }
 
-    private Outbox end(int at) {
+    private MessageWriter end(int at) {
         ByteBuffer.wrap(buffer).putInt(at, size - at);
         return this;
     }
 
-    private Outbox int8(int value) {
+    private MessageWriter int8(int value) {
         room(1);
         buffer[size++] = (byte) value;
         return this;
     }
 
-    private Outbox int32(int value) {
+    private MessageWriter int32(int value) {
         room(4);
         ByteBuffer.wrap(buffer).putInt(size, value);
         size += 4;
         return this;
     }
 
-    private Outbox text(String value) {
+    private MessageWriter text(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
         return raw(bytes, 0, bytes.length).int8(0);
     }
--- a/src/main/java/beaconladder/plan/Fault.java
+++ b/src/main/java/beaconladder/plan/PlanError.java
@@ -6,7 +6,7 @@
  * @param line from 1
  * @param column from 1
  */
-public record Fault(String file, int line, int column, String mistake) {
+public record PlanError(String file, int line, int column, String mistake) {
     @Override
     public String toString() {
         return file + ":" + line + ":" + column + ": " + mistake;
--- a/src/main/java/beaconladder/plan/PlanReader.java
+++ b/src/main/java/beaconladder/plan/PlanReader.java
@@ -29,16 +29,16 @@
     private static final long MS = 1_000_000;
 
     /** The plan, or null and what is wrong. */
-    public record Result(Plan plan, List<Fault> faults) {}
+    public record Result(Plan plan, List<PlanError> faults) {}
 
     private final String file;
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<PlanError> faults = new ArrayList<>();
     private final List<Plan.Cell> cells = new ArrayList<>();
     private final List<Plan.Tenant> tenants = new ArrayList<>();
     private final Map<String, List<String>> serves = new LinkedHashMap<>();
     private final List<Plan.Relocation> moves = new ArrayList<>();
     /** Where each thing stands, for the checks across lists. */
-    private final Map<Object, Node> places = new HashMap<>();
+    private final Map<Object, SyntaxNode> places = new HashMap<>();
 
     private final Set<String> unshared = new HashSet<>();
     private Plan.Others others;
@@ -54,19 +54,19 @@
     public static Result read(Path path) {
         try {
             if (Files.size(path) > LONGEST) {
-                return new Result(null, List.of(new Fault(path.toString(), 1, 1, "too long for a plan")));
+                return new Result(null, List.of(new PlanError(path.toString(), 1, 1, "too long for a plan")));
             }
             return read(path.toString(), Files.readString(path));
         } catch (CharacterCodingException e) {
-            return new Result(null, List.of(new Fault(path.toString(), 1, 1, "the file is not UTF-8")));
+            return new Result(null, List.of(new PlanError(path.toString(), 1, 1, "the file is not UTF-8")));
         } catch (IOException e) {
-            return new Result(null, List.of(new Fault(path.toString(), 1, 1, "can't be read: " + e)));
+            return new Result(null, List.of(new PlanError(path.toString(), 1, 1, "can't be read: " + e)));
         }
     }
 
     public static Result read(String file, String content) {
         PlanReader reader = new PlanReader(file);
-        for (Node list : Node.read(file, content, reader.faults)) {
+        for (SyntaxNode list : SyntaxNode.read(file, content, reader.faults)) {
             reader.top(list);
         }
         if (reader.faults.isEmpty()) {
@@ -94,7 +94,7 @@
         return new Result(plan, List.copyOf(reader.faults));
     }
 
-    private void top(Node list) {
+    private void top(SyntaxNode list) {
         switch (String.valueOf(list.head())) {
             case "cell" -> cell(list);
             case "tenant" -> tenant(list);
@@ -112,13 +112,13 @@
         }
     }
 
-    private void cell(Node list) {
+    private void cell(SyntaxNode list) {
         String name = name(list);
         List<Integer> groups = new ArrayList<>();
         double share = -1;
-        for (Node item : parts(list, 2, "groups", "share")) {
+        for (SyntaxNode item : parts(list, 2, "groups", "share")) {
             if (item.head().equals("groups")) {
-                for (Node number : item.rest()) {
+                for (SyntaxNode number : item.rest()) {
                     Integer group = group(number);
                     if (group != null && places.putIfAbsent(group, number) != null) {
                         fault(
@@ -144,7 +144,7 @@
         }
     }
 
-    private Integer group(Node number) {
+    private Integer group(SyntaxNode number) {
         if (number.isList() || !number.text().matches("[0-9]{1,9}")) {
             fault(number, "the number of a group belongs here");
             return null;
@@ -152,7 +152,7 @@
         return Integer.valueOf(number.text());
     }
 
-    private void tenant(Node list) {
+    private void tenant(SyntaxNode list) {
         String name = name(list);
         String cell = null;
         double share = 1;
@@ -161,7 +161,7 @@
         double load = 1;
         double value = 1;
         boolean fixed = false;
-        for (Node item : parts(list, 2, "cell", "share", "networks", "apart-from", "load", "value", "fixed")) {
+        for (SyntaxNode item : parts(list, 2, "cell", "share", "networks", "apart-from", "load", "value", "fixed")) {
             switch (item.head()) {
                 case "cell" -> {
                     cell = word(only(item));
@@ -188,7 +188,7 @@
         }
     }
 
-    private void network(String tenant, Node node, List<IPAddress> into) {
+    private void network(String tenant, SyntaxNode node, List<IPAddress> into) {
         try {
             IPAddress address = new IPAddressString(word(node)).toAddress();
             if (address == null || address.isPrefixed() && !address.isPrefixBlock()) {
@@ -202,10 +202,10 @@
         }
     }
 
-    private void others(Node list) {
+    private void others(SyntaxNode list) {
         double share = 0.1;
         int spread = 1;
-        for (Node item : parts(list, 1, "spread", "share")) {
+        for (SyntaxNode item : parts(list, 1, "spread", "share")) {
             if (item.head().equals("share")) {
                 share = share(only(item));
             } else {
@@ -220,9 +220,9 @@
         others = new Plan.Others(spread, share);
     }
 
-    private void router(Node list) {
+    private void router(SyntaxNode list) {
         String name = name(list);
-        for (Node item : parts(list, 2, "serves")) {
+        for (SyntaxNode item : parts(list, 2, "serves")) {
             List<String> names = new ArrayList<>();
             item.rest().forEach(cell -> {
                 names.add(word(cell));
@@ -232,13 +232,13 @@
         }
     }
 
-    private void keeper(Node list) {
+    private void keeper(SyntaxNode list) {
         InetSocketAddress at = null;
         InetSocketAddress discovery = null;
         String store = null;
         Map<String, Long> times = new HashMap<>(
                 Map.of("lease", 2_000 * MS, "expiry", 3_000 * MS, "copy", 600_000 * MS, "fence", 10_000 * MS));
-        for (Node item : parts(list, 1, "at", "discovery", "store", "lease", "expiry", "copy", "fence")) {
+        for (SyntaxNode item : parts(list, 1, "at", "discovery", "store", "lease", "expiry", "copy", "fence")) {
             switch (item.head()) {
                 case "at" -> at = address(only(item));
                 case "discovery" -> discovery = address(only(item));
@@ -279,11 +279,11 @@
                 at, discovery, store, times.get("lease"), times.get("expiry"), times.get("copy"), times.get("fence"));
     }
 
-    private void leases(Node list) {
+    private void leases(SyntaxNode list) {
         long length = 5_000 * MS;
         long bound = 100 * MS;
         long disk = 64 << 20;
-        for (Node item : parts(list, 1, "length", "clock", "disk")) {
+        for (SyntaxNode item : parts(list, 1, "length", "clock", "disk")) {
             switch (item.head()) {
                 case "length" -> length = (long) measure(only(item), TIMES, "a time such as 5s");
                 case "clock" -> bound = (long) measure(only(item), TIMES, "a time such as 100ms");
@@ -306,13 +306,13 @@
         leases = new Plan.Leases(length, bound, disk, List.of());
     }
 
-    private void grantor(Node list) {
+    private void grantor(SyntaxNode list) {
         String name = name(list);
         String raft = null;
         InetSocketAddress at = null;
         String store = null;
         String gossip = null;
-        for (Node item : parts(list, 2, "raft", "at", "store", "gossip")) {
+        for (SyntaxNode item : parts(list, 2, "raft", "at", "store", "gossip")) {
             switch (item.head()) {
                 case "raft" -> raft = hostAndPort(only(item));
                 case "gossip" -> gossip = hostAndPort(only(item));
@@ -328,7 +328,7 @@
         }
     }
 
-    private String hostAndPort(Node node) {
+    private String hostAndPort(SyntaxNode node) {
         String text = word(node);
         if (!text.matches("[A-Za-z0-9.-]{1,255}:[0-9]{1,5}")
                 || Integer.parseInt(text.substring(text.indexOf(':') + 1)) > 65_535) {
@@ -347,7 +347,7 @@
         }
     }
 
-    private InetSocketAddress address(Node node) {
+    private InetSocketAddress address(SyntaxNode node) {
         Matcher form =
                 Pattern.compile("([0-9.]+|\\[[0-9a-fA-F:.]+\\]):([0-9]{1,5})").matcher(word(node));
         if (form.matches() && Integer.parseInt(form.group(2)) <= 65_535) {
@@ -360,8 +360,8 @@
         return new InetSocketAddress(0);
     }
 
-    private void move(Node list) {
-        List<Node> rest = list.rest();
+    private void move(SyntaxNode list) {
+        List<SyntaxNode> rest = list.rest();
         if (rest.size() != 2) {
             fault(list, "a move is (move TENANT CELL)");
             return;
@@ -424,7 +424,7 @@
         }
         Set<String> moved = new HashSet<>();
         for (Plan.Relocation move : moves) {
-            Node place = places.get(move);
+            SyntaxNode place = places.get(move);
             Plan.Tenant tenant = byName.get(move.tenant());
             if (tenant == null) {
                 fault(place, "no tenant '" + move.tenant() + "' is stated" + nearest(move.tenant(), byName.keySet()));
@@ -490,20 +490,20 @@
 
     // ---- Words and measures -------------------------------------------------------------------------------
 
-    private void fault(Node at, String mistake) {
-        faults.add(new Fault(file, at == null ? 1 : at.line(), at == null ? 1 : at.column(), mistake));
+    private void fault(SyntaxNode at, String mistake) {
+        faults.add(new PlanError(file, at == null ? 1 : at.line(), at == null ? 1 : at.column(), mistake));
     }
 
-    private boolean unique(Node list, String kind, String name) {
-        Node before = places.putIfAbsent(kind + " " + name, list);
+    private boolean unique(SyntaxNode list, String kind, String name) {
+        SyntaxNode before = places.putIfAbsent(kind + " " + name, list);
         if (before != null) {
             fault(list, kind + " " + name + " is stated already, at line " + before.line());
         }
         return before == null;
     }
 
-    private String name(Node list) {
-        Node name = list.items().size() > 1 ? list.items().get(1) : list;
+    private String name(SyntaxNode list) {
+        SyntaxNode name = list.items().size() > 1 ? list.items().get(1) : list;
         if (name.isList() || !name.text().matches("[A-Za-z0-9_.-]{1,64}")) {
             fault(name, "the name of a " + list.head() + " belongs here: letters, digits, _ . -");
             return "?";
@@ -512,10 +512,10 @@
     }
 
     /** The lists behind the name, each with one of these heads and at most once. */
-    private List<Node> parts(Node list, int from, String... heads) {
-        List<Node> good = new ArrayList<>();
+    private List<SyntaxNode> parts(SyntaxNode list, int from, String... heads) {
+        List<SyntaxNode> good = new ArrayList<>();
         Set<String> seen = new HashSet<>();
-        for (Node item : list.items()
+        for (SyntaxNode item : list.items()
                 .subList(Math.min(from, list.items().size()), list.items().size())) {
             String head = String.valueOf(item.head());
             if (!List.of(heads).contains(head)) {
@@ -532,15 +532,15 @@
         return good;
     }
 
-    private Node only(Node item) {
+    private SyntaxNode only(SyntaxNode item) {
         if (item.items().size() != 2) {
             fault(item, "(" + item.head() + " ...) takes one value");
-            return new Node(item.line(), item.column(), "", false, List.of());
+            return new SyntaxNode(item.line(), item.column(), "", false, List.of());
         }
         return item.items().get(1);
     }
 
-    private String word(Node node) {
+    private String word(SyntaxNode node) {
         if (node.isList() || node.text().isEmpty()) {
             fault(node, "a word belongs here");
             return "?";
@@ -548,7 +548,7 @@
         return node.text();
     }
 
-    private double share(Node node) {
+    private double share(SyntaxNode node) {
         double share = measure(node, Map.of("%", 0.01), "a share such as 25%");
         if (share > 1 || share == 0) {
             fault(node, "a share lies above 0% and up to 100%");
@@ -556,7 +556,7 @@
         return Math.max(0, share);
     }
 
-    private double measure(Node node, Map<String, Double> units, String expected) {
+    private double measure(SyntaxNode node, Map<String, Double> units, String expected) {
         Matcher form = MEASURE.matcher(node.isList() ? "" : node.text());
         Double unit = form.matches() ? units.get(form.group(2)) : null;
         if (unit == null) {
--- a/src/main/java/beaconladder/plan/Node.java
+++ b/src/main/java/beaconladder/plan/SyntaxNode.java
@@ -15,17 +15,17 @@
  * @param text of a word or a quoted text; null for a list
  * @param items of a list
  */
-record Node(int line, int column, String text, boolean quoted, List<Node> items) {
+record SyntaxNode(int line, int column, String text, boolean quoted, List<SyntaxNode> items) {
     /** Deeper than any plan needs, and shallow enough for the parser's recursion. */
     private static final int DEEPEST = 64;
 
     /** The lists of a file; what is wrong with their form is added to the faults. */
-    static List<Node> read(String file, String content, List<Fault> faults) {
+    static List<SyntaxNode> read(String file, String content, List<PlanError> faults) {
         int depth = 0;
         for (int i = 0; i < content.length(); i++) {
             depth += content.charAt(i) == '(' ? 1 : content.charAt(i) == ')' ? -1 : 0;
             if (depth > DEEPEST) {
-                faults.add(new Fault(file, 1, 1, "lists are nested deeper than " + DEEPEST));
+                faults.add(new PlanError(file, 1, 1, "lists are nested deeper than " + DEEPEST));
                 return List.of();
             }
         }
@@ -38,7 +38,7 @@
                     int column,
                     String message,
                     RecognitionException e) {
-                faults.add(new Fault(file, line, column + 1, plain(symbol, message)));
+                faults.add(new PlanError(file, line, column + 1, plain(symbol, message)));
             }
         };
         ExpressionsLexer lexer = new ExpressionsLexer(CharStreams.fromString(content));
@@ -48,7 +48,7 @@
         parser.removeErrorListeners();
         parser.addErrorListener(listener);
         ExpressionsParser.FileContext tree = parser.file();
-        List<Node> lists = new ArrayList<>();
+        List<SyntaxNode> lists = new ArrayList<>();
         if (faults.isEmpty()) {
             tree.list().forEach(list -> lists.add(list(list)));
         }
@@ -68,8 +68,8 @@
                 : "a character that belongs to nothing: " + message;
     }
 
-    private static Node list(ExpressionsParser.ListContext context) {
-        List<Node> items = new ArrayList<>();
+    private static SyntaxNode list(ExpressionsParser.ListContext context) {
+        List<SyntaxNode> items = new ArrayList<>();
         for (ExpressionsParser.ItemContext item : context.item()) {
             if (item.list() != null) {
                 items.add(list(item.list()));
@@ -77,7 +77,7 @@
                 Token token = item.getStart();
                 boolean quoted = item.text() != null;
                 String text = token.getText();
-                items.add(new Node(
+                items.add(new SyntaxNode(
                         token.getLine(),
                         token.getCharPositionInLine() + 1,
                         quoted ? text.substring(1, text.length() - 1) : text,
@@ -86,7 +86,7 @@
             }
         }
         Token open = context.getStart();
-        return new Node(open.getLine(), open.getCharPositionInLine() + 1, null, false, items);
+        return new SyntaxNode(open.getLine(), open.getCharPositionInLine() + 1, null, false, items);
     }
 
     boolean isList() {
@@ -99,7 +99,7 @@
     }
 
     /** The items behind the head. */
-    List<Node> rest() {
+    List<SyntaxNode> rest() {
         return items.isEmpty() ? items : items.subList(1, items.size());
     }
 }
--- a/src/main/java/beaconladder/ClusterClock.java
+++ b/src/main/java/beaconladder/routing/ClusterClock.java
@@ -1,8 +1,8 @@
-package beaconladder;
+package beaconladder.routing;
 
-import static beaconladder.fleet.Traffic.MS;
+import static beaconladder.routing.state.TrafficStatistics.MS;
 
-import beaconladder.fleet.Host;
+import beaconladder.routing.state.Host;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/beaconladder/HostRoom.java
+++ b/src/main/java/beaconladder/routing/ConcurrencyLimit.java
@@ -1,14 +1,14 @@
-package beaconladder;
+package beaconladder.routing;
 
-import static beaconladder.fleet.Traffic.MS;
+import static beaconladder.routing.state.TrafficStatistics.MS;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Traffic;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType.Read;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass.Read;
+import beaconladder.routing.state.TrafficStatistics;
 
 /** Whether a host has room for one more txn. */
-record HostRoom(Traffic traffic, Health health, Times times) {
+record ConcurrencyLimit(TrafficStatistics traffic, OutlierDetector health, DeadlinePolicy times) {
     boolean farBehind(Host host) {
         return host.lag > 2 * traffic.tightest;
     }
@@ -17,7 +17,7 @@
      * Whether this host would answer one more txn in time: its recent times, scaled by the submissions of this router
      * out there now against those out there then.
      */
-    boolean roomFor(Host host, Txn txn, long now) {
+    boolean roomFor(Host host, Request txn, long now) {
         // Work that was abandoned may still be done there, but not for ever.
         host.abandoned.removeIf(old -> now > old.txn.expiry);
         int n = host.out.size() + host.abandoned.size();
@@ -79,7 +79,7 @@
      * time to expect at its load, by the last answers and the loads they met. Holding a txn back saves no time, only
      * work for nothing, so the time may be most of what is left.
      */
-    private boolean roomByReport(Host host, Txn txn, boolean crowds, long left, long now) {
+    private boolean roomByReport(Host host, Request txn, boolean crowds, long left, long now) {
         double load = host.load();
         // Two in hand wait for no core.
         if (load < 2) {
--- a/src/main/java/beaconladder/Times.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -1,16 +1,16 @@
-package beaconladder;
+package beaconladder.routing;
 
-import static beaconladder.fleet.Traffic.MS;
-import static beaconladder.fleet.Traffic.UNBOUND;
+import static beaconladder.routing.state.TrafficStatistics.MS;
+import static beaconladder.routing.state.TrafficStatistics.UNBOUND;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Samples;
-import beaconladder.fleet.Traffic;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType.Effect;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass.Effect;
+import beaconladder.routing.state.SampleWindow;
+import beaconladder.routing.state.TrafficStatistics;
 
 /** How long what is worth: when a txn is in time, is released, is given up. */
-record Times(Traffic traffic, Health health) {
+record DeadlinePolicy(TrafficStatistics traffic, OutlierDetector health) {
     /** An older answer tells of a load that may be gone. */
     private static final long RECENT = 3_000 * MS;
     /**
@@ -29,9 +29,9 @@
      * their repeats, what isn't marked is a first try; where they don't, budgets under the SLA time that are more
      * frequent than repeats scatter are of clients that come with little time.
      */
-    long slaEnd(Txn txn) {
+    long slaEnd(Request txn) {
         long budget = txn.expiry - txn.arrived;
-        Samples budgets = txn.type.budgets();
+        SampleWindow budgets = txn.type.budgets();
         budgets.add(budget, 0, txn.arrived);
         // Eight samples tell a cluster from scatter; arrivals are read once a tick, so equal budgets spread
         // by one.
@@ -52,7 +52,7 @@
      * The time within which an answer is of use: the SLA time, or, where many clients leave sooner, what they have
      * lately waited.
      */
-    double aim(Txn txn, long now) {
+    double aim(Request txn, long now) {
         long since = now - 10_000 * MS;
         // A client now and then leaves on any day; three of ten in ten seconds are a habit.
         return traffic.patience.since(since) >= Math.max(2, 0.3 * traffic.fates.since(since))
@@ -66,7 +66,7 @@
      * before its last use at the latest, where slower replicas set that use before the primary's answer: a release
      * after it would never come.
      */
-    long release(Txn txn) {
+    long release(Request txn) {
         Host primary = txn.group.primary;
         long answer = primary == null || txn.group.times.size() == 0 ? 0 : health.usual(primary) * 3 / 2;
         return Math.min(Math.min(txn.expiry - txn.type.sla(), txn.slaEnd - answer), lastUse(txn) - round());
@@ -77,7 +77,7 @@
      * answer that earns a quarter or less is no reason to send, since a fresh txn earns more by the same work. Guards
      * against overload fed by work for nothing.
      */
-    long lastUse(Txn txn) {
+    long lastUse(Request txn) {
         if (txn.type.effect() == Effect.ONCE_ONLY) {
             return lastSafeUse(txn);
         }
@@ -90,7 +90,7 @@
      * the primary's newest answer counts too, where it is recent: a host that has just become slow shows in no quantile
      * yet. The answer has to be here by the last moment, not by the expiry.
      */
-    private long lastSafeUse(Txn txn) {
+    private long lastSafeUse(Request txn) {
         Host primary = txn.group.primary;
         boolean recent = primary != null && primary.newestAnswerAt >= txn.arrived - RECENT;
         long answer = Math.max(recent ? primary.newestAnswerTook : 0, txn.group.times.quantile(0.4));
@@ -104,7 +104,7 @@
      * client may try again: an outage of T so far ends within r with chance r / (T + r), and at under three in ten a
      * late answer isn't worth it. Harm: an outage's end finds fewer of them here.
      */
-    boolean hopeless(Txn txn, long now) {
+    boolean hopeless(Request txn, long now) {
         Host primary = txn.group.primary;
         boolean lost = primary == null || !primary.met || health.doubtful(primary, now);
         long since = primary == null ? txn.group.lostAt : primary.lastHeard;
@@ -116,12 +116,12 @@
                 && now - since > 2.3 * (lastUse(txn) - now);
     }
 
-    private long half(Txn txn) {
+    private long half(Request txn) {
         return (txn.arrived + lastMoment(txn)) / 2;
     }
 
     /** Late answers that earn nothing are not waited for. */
-    long timeout(Txn txn, long now) {
+    long timeout(Request txn, long now) {
         boolean late = txn.type.late() > 0 || txn.type.effect() != Effect.REPEATABLE;
         return (late ? lastMoment(txn) : Math.min(txn.slaEnd, lastMoment(txn))) - now;
     }
@@ -136,17 +136,17 @@
     }
 
     /** Two ticks (10 ms) before the expiry: on a busy core timers and threads were seen 7 ms late at most. */
-    private long lastMoment(Txn txn) {
+    private long lastMoment(Request txn) {
         return txn.expiry - 2 * round();
     }
 
-    long nextLook(Txn txn, long now) {
+    long nextLook(Request txn, long now) {
         long look = lastUse(txn);
         for (long moment : new long[] {release(txn), half(txn)}) {
             look = now < moment ? Math.min(look, moment) : look;
         }
         // Draws for doubtful hosts and the budget of cold ones change with time alone.
-        long soon = txn.want == Txn.Want.NOTHING ? 100 * MS : Health.MUTE;
+        long soon = txn.want == Request.Want.NOTHING ? 100 * MS : OutlierDetector.MUTE;
         return Math.max(now + 5 * MS, Math.min(look, now + soon));
     }
 }
--- /dev/null
+++ b/src/main/java/beaconladder/routing/DispatchGuard.java
@@ -0,0 +1,39 @@
+package beaconladder.routing;
+
+import beaconladder.routing.api.DispatchCheck;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+
+/**
+ * The one guard of each send. Between the decision and the bytes lie a connection (250 ms) or a wait for a descriptor
+ * (up to the expiry), so that all that a decision rests on is looked at again.
+ */
+record DispatchGuard(RetryGuard repeats, ReadPositions targets) {
+    DispatchCheck check(Attempt attempt, long now) {
+        Request txn = attempt.txn;
+        Host host = attempt.host;
+        if (txn.ended) {
+            return DispatchCheck.REQUEST_ENDED;
+        }
+        if (now >= txn.expiry) {
+            return DispatchCheck.EXPIRED;
+        }
+        if (host.state != Host.State.READY) {
+            return DispatchCheck.HOST_LEAVING;
+        }
+        if (host.launched != attempt.hostLaunched) {
+            return DispatchCheck.HOST_RESTARTED;
+        }
+        if (!repeats.allows(txn, attempt, now)) {
+            return DispatchCheck.MAY_HAVE_RUN;
+        }
+        if (host == host.group.primary) {
+            return DispatchCheck.ALLOWED;
+        }
+        if (txn.type.read().atPrimary()) {
+            return DispatchCheck.NOT_PRIMARY;
+        }
+        return host.position >= targets.target(txn, now) ? DispatchCheck.ALLOWED : DispatchCheck.POSITION_BEHIND;
+    }
+}
--- a/src/main/java/beaconladder/Probing.java
+++ b/src/main/java/beaconladder/routing/HealthCheckScheduler.java
@@ -1,29 +1,29 @@
-package beaconladder;
+package beaconladder.routing;
 
-import static beaconladder.fleet.Traffic.MS;
-import static beaconladder.fleet.Traffic.NEVER;
-import static beaconladder.fleet.Traffic.UNBOUND;
+import static beaconladder.routing.state.TrafficStatistics.MS;
+import static beaconladder.routing.state.TrafficStatistics.NEVER;
+import static beaconladder.routing.state.TrafficStatistics.UNBOUND;
 
-import beaconladder.fleet.Agenda;
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Traffic;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType.Read;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass.Read;
+import beaconladder.routing.state.TrafficStatistics;
+import beaconladder.routing.state.WakeupQueue;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /** Which members are asked for the sake of held txns, and when. */
-record Probing(
-        Traffic traffic,
+record HealthCheckScheduler(
+        TrafficStatistics traffic,
         ClusterClock clock,
-        Health health,
-        Targets targets,
-        Choice choice,
-        Worth worth,
-        Agenda agenda,
+        OutlierDetector health,
+        ReadPositions targets,
+        ReplicaSelector choice,
+        PriorityWeights worth,
+        WakeupQueue agenda,
         SplittableRandom chance) {
     /**
      * Members to ask, each for the sake of a held txn that pays for it: for one that needs the primary the member taken
@@ -36,8 +36,8 @@
         agenda.probe = NEVER;
         for (Group group : agenda.holding()) {
             int due = -1;
-            for (Txn txn : group.held) {
-                if (txn.want == Txn.Want.NOTHING || !choice.mayAsk(txn)) {
+            for (Request txn : group.held) {
+                if (txn.want == Request.Want.NOTHING || !choice.mayAsk(txn)) {
                     continue;
                 }
                 long from = askFrom(txn);
@@ -73,20 +73,20 @@
     }
 
     /** When this txn may ask again: its first two probes at once, the rest an SLA time for all. */
-    private long askFrom(Txn txn) {
+    private long askFrom(Request txn) {
         if (txn.asked >= 2) {
             return txn.askedAt + txn.type.sla() / worth.budget(txn);
         }
         // Before a healthy replica's report can show the session's write there is nothing to learn.
         return txn.type.read() != Read.SESSION || txn.target == UNBOUND || traffic.stale.size() < 4
                 ? txn.arrived
-                : clock.moment(txn.target) + Math.min(Health.YOUNG, traffic.stale.quantile(0.5));
+                : clock.moment(txn.target) + Math.min(OutlierDetector.YOUNG, traffic.stale.quantile(0.5));
     }
 
-    private List<Host> candidates(Txn txn, long now) {
+    private List<Host> candidates(Request txn, long now) {
         List<Host> of = new ArrayList<>();
         Group group = txn.group;
-        boolean toPrimary = txn.want == Txn.Want.PRIMARY;
+        boolean toPrimary = txn.want == Request.Want.PRIMARY;
         if (toPrimary
                 && group.primary != null
                 && group.primary.state == Host.State.READY
@@ -99,7 +99,7 @@
                     && !host.probeOut
                     && (toPrimary || host != group.primary)
                     // One that has just spoken has told what it can, but for a position not there yet.
-                    && (host.saidAt < Math.max(now - Health.YOUNG, toPrimary ? group.lostAt : UNBOUND)
+                    && (host.saidAt < Math.max(now - OutlierDetector.YOUNG, toPrimary ? group.lostAt : UNBOUND)
                             || !toPrimary && host.position < targets.target(txn, now))) {
                 of.add(host);
             }
@@ -114,10 +114,10 @@
     }
 
     /** How long a member is left alone after a probe: longer after failures, and while it must be behind. */
-    private long every(Host host, Txn txn, long now) {
+    private long every(Host host, Request txn, long now) {
         long failed = host.ends.since(host.lastHeard) - host.ends.sumSince(host.lastHeard);
         long target = targets.target(txn, now);
-        long lacks = txn.want == Txn.Want.PRIMARY || host.position == UNBOUND || target == UNBOUND
+        long lacks = txn.want == Request.Want.PRIMARY || host.position == UNBOUND || target == UNBOUND
                 ? 0
                 : (target - host.position) / 2;
         return Math.max(Math.min(2_000 * MS, 100 * MS << Math.min(5, failed)), Math.min(1_000 * MS, lacks));
--- a/src/main/java/beaconladder/HostRecord.java
+++ b/src/main/java/beaconladder/routing/HostStateTracker.java
@@ -1,23 +1,29 @@
-package beaconladder;
+package beaconladder.routing;
 
-import static beaconladder.fleet.Traffic.MS;
-import static beaconladder.fleet.Traffic.UNBOUND;
+import static beaconladder.routing.state.TrafficStatistics.MS;
+import static beaconladder.routing.state.TrafficStatistics.UNBOUND;
 
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Role;
-import beaconladder.api.Router.Word;
-import beaconladder.fleet.Agenda;
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Traffic;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType.Effect;
-import beaconladder.fleet.TxnType.Read;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass.Effect;
+import beaconladder.routing.state.RequestClass.Read;
+import beaconladder.routing.state.TrafficStatistics;
+import beaconladder.routing.state.WakeupQueue;
 import java.util.Set;
 
 /** What is known of positions, roles and states. */
-record HostRecord(Traffic traffic, ClusterClock clock, Health health, Targets targets, Agenda agenda, Set<Host> idle) {
+record HostStateTracker(
+        TrafficStatistics traffic,
+        ClusterClock clock,
+        OutlierDetector health,
+        ReadPositions targets,
+        WakeupQueue agenda,
+        Set<Host> idle) {
     /** An answer without a position that can be; a report with one field that can't be says nothing at all. */
     private Word believed(Host host, Word word, boolean direct, long now) {
         if (word.position() == Word.NONE || clock.believes(host, word.position(), now)) {
@@ -130,7 +136,7 @@
     }
 
     /** A submission has ended: what that tells of its host, and of the writes of its session. */
-    void ended(Submission s, Outcome outcome, Word said, Word reported, long now) {
+    void ended(Attempt s, Outcome outcome, Word said, Word reported, long now) {
         Host host = s.host;
         Word answer = believed(host, said, true, now);
         Word report = believed(host, reported, false, now);
@@ -182,7 +188,7 @@
             }
             host.marks.add(well, 0, now);
         }
-        Txn txn = s.txn;
+        Request txn = s.txn;
         // The commit of a referenced write may be that of an earlier try, before it was sent here.
         boolean present = answer.role() == Role.PRIMARY
                 && (txn.type.read() != Read.WRITE || txn.type.effect() == Effect.ONCE_ONLY);
--- a/src/main/java/beaconladder/Health.java
+++ b/src/main/java/beaconladder/routing/OutlierDetector.java
@@ -1,14 +1,14 @@
-package beaconladder;
+package beaconladder.routing;
 
-import static beaconladder.fleet.Traffic.MS;
+import static beaconladder.routing.state.TrafficStatistics.MS;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Traffic;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.TrafficStatistics;
 import java.util.SplittableRandom;
 
 /** Whether a host is well, as far as this router can tell. */
-record Health(Traffic traffic, SplittableRandom chance) {
+record OutlierDetector(TrafficStatistics traffic, SplittableRandom chance) {
     /** Reports are up to a quarter second old when they come; what was said before that is history. */
     static final long YOUNG = 300 * MS;
     /** A probe answers within a few milliseconds and a tick; a member that took longer is passed over. */
@@ -30,7 +30,7 @@
         long since = now - 20_000 * MS;
         int good = (int) host.marks.sumSince(since);
         int bad = host.marks.since(since) - good;
-        for (Submission s : host.out) {
+        for (Attempt s : host.out) {
             bad += now - s.sent > s.txn.type.sla() ? 1 : 0;
         }
         double rarely = (1 + traffic.mixed.sumSince(since)) / (10.0 + traffic.mixed.since(since));
@@ -86,7 +86,7 @@
         return chance.nextDouble() < success(host, now);
     }
 
-    void learn(Submission s, long now) {
+    void learn(Attempt s, long now) {
         if (s.holds >= 0 && s.sent - s.saidAt <= YOUNG) {
             traffic.paces.add(now - s.sent, Math.round(s.holds), now);
         }
--- a/src/main/java/beaconladder/Worth.java
+++ b/src/main/java/beaconladder/routing/PriorityWeights.java
@@ -1,12 +1,12 @@
-package beaconladder;
+package beaconladder.routing;
 
-import beaconladder.fleet.Traffic;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass;
+import beaconladder.routing.state.TrafficStatistics;
 
 /** What txns and questions are worth, by the prices and the goal that are stated. */
-record Worth(Traffic traffic) {
-    int budget(Txn txn) {
+record PriorityWeights(TrafficStatistics traffic) {
+    int budget(Request txn) {
         double pays = 0.15 * txn.type.value() / (fee("fees.probe") * traffic.meanValue());
         return (int) Math.max(1, Math.min(1_000, pays));
     }
@@ -33,7 +33,7 @@
                 .mapToDouble(type -> type.served().mean())
                 .min()
                 .orElse(1);
-        for (TxnType type : traffic.types) {
+        for (RequestClass type : traffic.types) {
             double part = Math.max(0.05, traffic.mix.count(type.place()) * type.value() / asked);
             // Within a tenth of the worst a type may be the worst one soon: samples of 64 are as rough as
             // that.
@@ -48,7 +48,7 @@
     }
 
     /** What an answer would still earn. */
-    double of(Txn txn, long now) {
+    double of(Request txn, long now) {
         return now < txn.slaEnd ? txn.type.value() : txn.type.value() * txn.type.late();
     }
 
--- a/src/main/java/beaconladder/Targets.java
+++ b/src/main/java/beaconladder/routing/ReadPositions.java
@@ -1,17 +1,18 @@
-package beaconladder;
+package beaconladder.routing;
 
-import static beaconladder.fleet.Traffic.MS;
-import static beaconladder.fleet.Traffic.UNBOUND;
+import static beaconladder.routing.state.TrafficStatistics.MS;
+import static beaconladder.routing.state.TrafficStatistics.UNBOUND;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Session;
-import beaconladder.fleet.Traffic;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType.Read;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass.Read;
+import beaconladder.routing.state.Session;
+import beaconladder.routing.state.TrafficStatistics;
 import java.util.LinkedHashMap;
 
 /** The log position that a read needs, and who is known to have it. */
-record Targets(Traffic traffic, ClusterClock clock, SlowStart slowStart, LinkedHashMap<Long, Session> sessions) {
+record ReadPositions(
+        TrafficStatistics traffic, ClusterClock clock, SlowStart slowStart, LinkedHashMap<Long, Session> sessions) {
     /** Half of the 100 ms after which an answer counts as known, arrived or not; the rest is for the way. */
     private static final long KNOWN = 50 * MS;
 
@@ -28,13 +29,13 @@
     }
 
     /** A cold member without a ticket can't take it: waiting for one would hold the read past its time. */
-    boolean anyFresh(Txn txn, long now) {
+    boolean anyFresh(Request txn, long now) {
         long target = target(txn, now);
         return txn.group.members.stream().anyMatch(host -> fresh(host, target) && slowStart.allows(host, now));
     }
 
     /** The position that a replica must have reached now. Rule 5: a bound is judged at the send. */
-    long target(Txn txn, long now) {
+    long target(Request txn, long now) {
         return switch (txn.type.read()) {
             case BOUNDED -> Math.max(txn.floor, clock.latest(now) - txn.type.bound());
             case SESSION -> Math.max(txn.floor, Math.max(txn.target, sessionTarget(txn, now)));
@@ -46,7 +47,7 @@
      * What the session's writes have committed as far as this router counts as knowing it: a write that is still out
      * may have been answered, and the answer lost on its way.
      */
-    long sessionTarget(Txn txn, long now) {
+    long sessionTarget(Request txn, long now) {
         if (!"router".equals(traffic.start.get("family_info.session_marks"))) {
             return txn.written;
         }
@@ -60,7 +61,7 @@
     }
 
     /** It goes out now. */
-    void sent(Txn txn) {
+    void sent(Request txn) {
         if (txn.type.read() == Read.WRITE) {
             remember(txn, UNBOUND);
             sessions.computeIfPresent(txn.session, (key, session) -> session.with(txn));
@@ -68,7 +69,7 @@
     }
 
     /** What this write may have committed at the most. */
-    void remember(Txn txn, long commit) {
+    void remember(Request txn, long commit) {
         if (txn.session == 0 || !"router".equals(traffic.start.get("family_info.session_marks"))) {
             return;
         }
--- a/src/main/java/beaconladder/Choice.java
+++ b/src/main/java/beaconladder/routing/ReplicaSelector.java
@@ -1,25 +1,25 @@
-package beaconladder;
+package beaconladder.routing;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Traffic;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType.Read;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass.Read;
+import beaconladder.routing.state.TrafficStatistics;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /** Which host gets a txn now. */
-record Choice(
-        Traffic traffic,
-        Health health,
+record ReplicaSelector(
+        TrafficStatistics traffic,
+        OutlierDetector health,
         SlowStart slowStart,
-        Times times,
-        HostRoom room,
-        Targets targets,
-        Worth worth,
+        DeadlinePolicy times,
+        ConcurrencyLimit room,
+        ReadPositions targets,
+        PriorityWeights worth,
         SplittableRandom chance) {
     /** The host that gets this txn now, or null: it waits. */
-    Host choose(Txn txn, long now) {
+    Host choose(Request txn, long now) {
         if (txn.type.read().atPrimary()) {
             return primaryFor(txn, now);
         }
@@ -31,7 +31,7 @@
     }
 
     /** The design's two-choice pick among the replicas known to meet the target. */
-    private Host replicaFor(Txn txn, long now) {
+    private Host replicaFor(Request txn, long now) {
         long target = targets.target(txn, now);
         List<Host> fit = new ArrayList<>();
         for (Host host : txn.group.members) {
@@ -45,12 +45,12 @@
         }
         if (mayAsk(txn)) {
             if (fit.isEmpty()) {
-                txn.want = Txn.Want.MEMBER;
+                txn.want = Request.Want.MEMBER;
             } else if (worth.worthAsking()) {
                 List<Host> young = new ArrayList<>(fit);
                 young.removeIf(host -> !health.informed(host, now));
                 if (young.size() < 2 && answerDue(txn, txn.asked < 2 || young.isEmpty(), now)) {
-                    txn.want = Txn.Want.MEMBER;
+                    txn.want = Request.Want.MEMBER;
                     return null;
                 }
                 fit = young.isEmpty() ? fit : young;
@@ -79,12 +79,14 @@
     }
 
     /** Whether an answer to a probe is under way, or, if more may be asked, a member is there to ask. */
-    private boolean answerDue(Txn txn, boolean more, long now) {
+    private boolean answerDue(Request txn, boolean more, long now) {
         for (Host host : txn.group.members) {
             if (host.state == Host.State.READY
                     && host != txn.group.primary
                     && !health.informed(host, now)
-                    && (host.probeOut ? !health.mute(host, now) : more && now >= host.probeSent + Health.YOUNG / 3)) {
+                    && (host.probeOut
+                            ? !health.mute(host, now)
+                            : more && now >= host.probeSent + OutlierDetector.YOUNG / 3)) {
                 return true;
             }
         }
@@ -92,23 +94,23 @@
     }
 
     /** A held txn pays for as many probes as a seventh of its value buys, one at the least. */
-    boolean mayAsk(Txn txn) {
+    boolean mayAsk(Request txn) {
         return txn.out() == 0 && txn.asked < worth.budget(txn) && traffic.probesAllowed();
     }
 
-    private Host primaryFor(Txn txn, long now) {
+    private Host primaryFor(Request txn, long now) {
         Host primary = txn.group.primary;
         if (primary == null
                 || primary.state != Host.State.READY
                 || !primary.met && traffic.probesAllowed()
                 || !health.trusted(primary, now)) {
-            txn.want = mayAsk(txn) ? Txn.Want.PRIMARY : Txn.Want.NOTHING;
+            txn.want = mayAsk(txn) ? Request.Want.PRIMARY : Request.Want.NOTHING;
             return null;
         }
         // An answer not heard may have denied it, and counts as known; a write learns that by a miss.
         boolean denied = txn.type.read() != Read.WRITE && targets.mayHaveDenied(primary);
         if (denied || !health.informed(primary, now) && mayAsk(txn) && worth.worthAsking()) {
-            txn.want = mayAsk(txn) ? Txn.Want.PRIMARY : Txn.Want.NOTHING;
+            txn.want = mayAsk(txn) ? Request.Want.PRIMARY : Request.Want.NOTHING;
             return null;
         }
         if (txn.outAt(primary) || !room.roomFor(primary, txn, now)) {
--- a/src/main/java/beaconladder/Logic.java
+++ b/src/main/java/beaconladder/routing/RoutingPolicy.java
@@ -1,21 +1,21 @@
-package beaconladder;
-
-import static beaconladder.fleet.Traffic.MS;
-
-import beaconladder.api.Pause;
-import beaconladder.api.Router;
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Word;
-import beaconladder.api.SendCheck;
-import beaconladder.api.Verdict;
-import beaconladder.fleet.Agenda;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.SlowStartTicket;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Traffic;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType;
-import beaconladder.fleet.TxnType.Effect;
+package beaconladder.routing;
+
+import static beaconladder.routing.state.TrafficStatistics.MS;
+
+import beaconladder.routing.api.DispatchCheck;
+import beaconladder.routing.api.NextWakeup;
+import beaconladder.routing.api.Router;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.RoutingDecision;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass;
+import beaconladder.routing.state.RequestClass.Effect;
+import beaconladder.routing.state.SlowStartTicket;
+import beaconladder.routing.state.TrafficStatistics;
+import beaconladder.routing.state.WakeupQueue;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -34,42 +34,42 @@
  * told, ask {@link #pause}: probe the members it names, {@link #place} the txns it names, repeat until it names none,
  * and come back at its time or with the next news.
  */
-public final class Logic implements Router {
+public final class RoutingPolicy implements Router {
     /** A lack on this machine meets all hosts alike, and ends within milliseconds or not soon. */
     private static final long LOCAL_FAULT_REST = 20 * MS;
 
-    private final Agenda agenda = new Agenda();
+    private final WakeupQueue agenda = new WakeupQueue();
     /** Hosts with connections that this router will hardly use again soon. */
     private final Set<Host> idle = new LinkedHashSet<>();
 
-    private final Traffic traffic;
-    private final Health health;
+    private final TrafficStatistics traffic;
+    private final OutlierDetector health;
     private final SlowStart slowStart;
-    private final Times times;
-    private final Targets targets;
-    private final Choice choice;
-    private final Worth worth;
-    private final Ends ends;
-    private final Probing probing;
-    private final HostRecord record;
-    private final RepeatGuard repeats = new RepeatGuard();
-    private final SendGuard sends;
-
-    public Logic(long seed, Map<String, String> start) {
+    private final DeadlinePolicy times;
+    private final ReadPositions targets;
+    private final ReplicaSelector choice;
+    private final PriorityWeights worth;
+    private final RetryPolicy ends;
+    private final HealthCheckScheduler probing;
+    private final HostStateTracker record;
+    private final RetryGuard repeats = new RetryGuard();
+    private final DispatchGuard sends;
+
+    public RoutingPolicy(long seed, Map<String, String> start) {
         SplittableRandom chance = new SplittableRandom(seed);
-        traffic = new Traffic(start);
-        health = new Health(traffic, chance);
+        traffic = new TrafficStatistics(start);
+        health = new OutlierDetector(traffic, chance);
         ClusterClock clock = new ClusterClock();
         slowStart = new SlowStart(traffic, clock, chance);
-        times = new Times(traffic, health);
-        targets = new Targets(traffic, clock, slowStart, new LinkedHashMap<>(64, 0.75f, true));
-        worth = new Worth(traffic);
-        ends = new Ends(traffic);
-        HostRoom room = new HostRoom(traffic, health, times);
-        choice = new Choice(traffic, health, slowStart, times, room, targets, worth, chance);
-        probing = new Probing(traffic, clock, health, targets, choice, worth, agenda, chance);
-        record = new HostRecord(traffic, clock, health, targets, agenda, idle);
-        sends = new SendGuard(repeats, targets);
+        times = new DeadlinePolicy(traffic, health);
+        targets = new ReadPositions(traffic, clock, slowStart, new LinkedHashMap<>(64, 0.75f, true));
+        worth = new PriorityWeights(traffic);
+        ends = new RetryPolicy(traffic);
+        ConcurrencyLimit room = new ConcurrencyLimit(traffic, health, times);
+        choice = new ReplicaSelector(traffic, health, slowStart, times, room, targets, worth, chance);
+        probing = new HealthCheckScheduler(traffic, clock, health, targets, choice, worth, agenda, chance);
+        record = new HostStateTracker(traffic, clock, health, targets, agenda, idle);
+        sends = new DispatchGuard(repeats, targets);
     }
 
     @Override
@@ -88,12 +88,12 @@
     }
 
     @Override
-    public TxnType type(int place) {
+    public RequestClass type(int place) {
         return traffic.types.get(place);
     }
 
     @Override
-    public Verdict place(Txn txn, long now) {
+    public RoutingDecision place(Request txn, long now) {
         if (!txn.known) {
             txn.known = true;
             txn.target = targets.sessionTarget(txn, now);
@@ -103,8 +103,8 @@
             slowStart.drawTickets(txn.group, now);
         }
         agenda.drop(txn);
-        Verdict verdict = decide(txn, now);
-        if (verdict.step() == Verdict.Step.SEND) {
+        RoutingDecision verdict = decide(txn, now);
+        if (verdict.step() == RoutingDecision.Step.SEND) {
             verdict.host().sentAt = now;
             boolean spent = verdict.host().tickets.pollFirst() != null;
             targets.sent(txn);
@@ -116,61 +116,61 @@
         return verdict;
     }
 
-    private Verdict decide(Txn txn, long now) {
+    private RoutingDecision decide(Request txn, long now) {
         int out = txn.out();
         if (!repeats.allows(txn, null, now)) {
-            return out > 0 ? Verdict.waiting() : Verdict.rollBack(Verdict.Reason.MAY_HAVE_RUN);
+            return out > 0 ? RoutingDecision.waiting() : RoutingDecision.rollBack(RoutingDecision.Reason.MAY_HAVE_RUN);
         }
         if (out > 0) {
             return copy(txn, now);
         }
-        Verdict.Reason end = txn.submissions.size() - txn.localFaults >= ends.mostSubmissions(txn)
-                ? Verdict.Reason.ATTEMPTS_USED
+        RoutingDecision.Reason end = txn.submissions.size() - txn.localFaults >= ends.mostSubmissions(txn)
+                ? RoutingDecision.Reason.ATTEMPTS_USED
                 : now >= times.lastUse(txn)
-                        ? Verdict.Reason.NO_TIME
-                        : times.hopeless(txn, now) ? Verdict.Reason.PRIMARY_LOST : Verdict.Reason.NONE;
-        if (end != Verdict.Reason.NONE) {
+                        ? RoutingDecision.Reason.NO_TIME
+                        : times.hopeless(txn, now) ? RoutingDecision.Reason.PRIMARY_LOST : RoutingDecision.Reason.NONE;
+        if (end != RoutingDecision.Reason.NONE) {
             return ends.giveUp(txn, end, now);
         }
-        txn.want = Txn.Want.NOTHING;
+        txn.want = Request.Want.NOTHING;
         if (now < txn.retryAt) {
             agenda.hold(txn);
             agenda.schedule(txn, txn.retryAt);
-            return Verdict.waiting();
+            return RoutingDecision.waiting();
         }
         Host host = choice.choose(txn, now);
         if (host != null) {
-            return Verdict.send(host, times.timeout(txn, now));
+            return RoutingDecision.send(host, times.timeout(txn, now));
         }
         agenda.hold(txn);
         agenda.schedule(txn, times.nextLook(txn, now));
-        return Verdict.waiting();
+        return RoutingDecision.waiting();
     }
 
     /** A repeatable txn that is out at hosts gone silent gets a second copy elsewhere. */
-    private Verdict copy(Txn txn, long now) {
+    private RoutingDecision copy(Request txn, long now) {
         if (txn.type.effect() != Effect.REPEATABLE
                 || !traffic.says("limits.second_copies")
                 || txn.submissions.size() >= ends.mostSubmissions(txn)
                 || now >= times.lastUse(txn)) {
-            return Verdict.waiting();
+            return RoutingDecision.waiting();
         }
-        for (Submission s : txn.submissions) {
+        for (Attempt s : txn.submissions) {
             if (!s.ended && !health.doubtful(s.host, now)) {
                 agenda.schedule(txn, now + health.usual(s.host));
-                return Verdict.waiting();
+                return RoutingDecision.waiting();
             }
         }
         Host host = choice.choose(txn, now);
         if (host != null) {
-            return Verdict.send(host, times.timeout(txn, now));
+            return RoutingDecision.send(host, times.timeout(txn, now));
         }
         agenda.schedule(txn, now + 50 * MS);
-        return Verdict.waiting();
+        return RoutingDecision.waiting();
     }
 
     @Override
-    public SendCheck mayGo(Submission s, long now) {
+    public DispatchCheck mayGo(Attempt s, long now) {
         return sends.check(s, now);
     }
 
@@ -186,64 +186,64 @@
     }
 
     @Override
-    public Verdict after(Submission s, Outcome outcome, boolean settled, Word answer, Word report, long now) {
+    public RoutingDecision after(Attempt s, Outcome outcome, boolean settled, Word answer, Word report, long now) {
         record.ended(s, outcome, answer, report, now);
-        Txn txn = s.txn;
+        Request txn = s.txn;
         if (outcome == Outcome.LOCAL_FAULT) {
             txn.localFaults++;
             txn.retryAt = now + LOCAL_FAULT_REST;
         }
         if (txn.ended) {
-            return Verdict.waiting();
+            return RoutingDecision.waiting();
         }
         if (settled) {
             agenda.drop(txn);
             traffic.served(txn, outcome == Outcome.COMMITTED && now <= txn.slaEnd);
             slowStart.ended(s, outcome == Outcome.COMMITTED, now);
-            return Verdict.done(ends.othersOut(txn));
+            return RoutingDecision.done(ends.othersOut(txn));
         }
         return place(txn, now);
     }
 
     @Override
-    public Verdict left(Txn txn, long now) {
+    public RoutingDecision left(Request txn, long now) {
         agenda.drop(txn);
         traffic.patience.add((now - txn.arrived) * 1_000 / txn.type.sla(), 0, now);
         traffic.failed(txn, now);
         // Work for a client that has gone keeps the next one waiting.
-        return Verdict.done(ends.othersOut(txn));
+        return RoutingDecision.done(ends.othersOut(txn));
     }
 
     /** What may have run is waited for, as rule 2 has it, and never sent again: it would run in two places. */
     @Override
-    public Verdict displaced(Txn txn, long now) {
+    public RoutingDecision displaced(Request txn, long now) {
         agenda.drop(txn);
-        Submission ran = txn.mayHaveRun();
+        Attempt ran = txn.mayHaveRun();
         if (txn.out() > 0) {
-            return Verdict.waiting();
+            return RoutingDecision.waiting();
         }
         traffic.served(txn, false);
         traffic.failed(txn, now);
         return ran == null || txn.type.effect() == Effect.REPEATABLE
-                ? Verdict.decline(0, Verdict.Reason.NOT_ADMITTED)
-                : Verdict.rollBack(Verdict.Reason.NOT_ADMITTED);
+                ? RoutingDecision.decline(0, RoutingDecision.Reason.NOT_ADMITTED)
+                : RoutingDecision.rollBack(RoutingDecision.Reason.NOT_ADMITTED);
     }
 
     @Override
-    public Pause pause(long now) {
-        Set<Txn> again = agenda.due(now);
+    public NextWakeup pause(long now) {
+        Set<Request> again = agenda.due(now);
         agenda.changed().forEach(group -> again.addAll(group.held));
-        List<Txn> order = new ArrayList<>(again);
+        List<Request> order = new ArrayList<>(again);
         double[] weights = order.size() < 2 ? new double[0] : worth.weights();
         // Of equal worth the one with most time left goes first: with more work than room, the oldest first
         // would have each txn served when it is nearly too late, and many when it is.
-        order.sort(Comparator.<Txn>comparingDouble(t -> -worth.of(t, now) * weights[t.type.place()])
+        order.sort(Comparator.<Request>comparingDouble(t -> -worth.of(t, now) * weights[t.type.place()])
                 .thenComparingLong(t -> -t.slaEnd)
                 .thenComparingLong(t -> t.number));
         List<Host> probes = probing.probes(now);
         List<Host> close = new ArrayList<>(idle);
         idle.clear();
         close.removeIf(host -> !host.out.isEmpty());
-        return new Pause(agenda.next(), probes, order, close);
+        return new NextWakeup(agenda.next(), probes, order, close);
     }
 }
--- a/src/main/java/beaconladder/SlowStart.java
+++ b/src/main/java/beaconladder/routing/SlowStart.java
@@ -1,17 +1,17 @@
-package beaconladder;
+package beaconladder.routing;
 
-import static beaconladder.fleet.Traffic.MS;
+import static beaconladder.routing.state.TrafficStatistics.MS;
 
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Samples;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Traffic;
-import beaconladder.fleet.Txn;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.SampleWindow;
+import beaconladder.routing.state.TrafficStatistics;
 import java.util.SplittableRandom;
 
 /** What a host that has just started may be sent, over all routers. */
-record SlowStart(Traffic traffic, ClusterClock clock, SplittableRandom chance) {
+record SlowStart(TrafficStatistics traffic, ClusterClock clock, SplittableRandom chance) {
     private static final long RECENT = 10_000 * MS;
     /** Two fifths of the stated multiple leave room for chance and for tickets of two windows. */
     private static final double SAFE = 0.4;
@@ -42,7 +42,7 @@
      * chance raised by how many come in for each of them: over all, the same number of tickets. What waited for a lost
      * primary draws as if all needed it, so that its return meets no burst.
      */
-    void drawForPrimary(Txn txn, Host primary, long now) {
+    void drawForPrimary(Request txn, Host primary, long now) {
         if (txn.drew || !cold(primary, now)) {
             return;
         }
@@ -72,7 +72,7 @@
     }
 
     /** A submission has brought its txn to an end: what that tells of the work that members bear. */
-    void ended(Submission s, boolean committed, long now) {
+    void ended(Attempt s, boolean committed, long now) {
         if (!committed) {
             traffic.failed(s.txn, now);
             return;
@@ -94,7 +94,7 @@
      * members that were there when it ended: most of them may be gone, or cold, by now. Without such news a member's
      * part of all.
      */
-    private static double memberPart(Group group, Samples bore, long now) {
+    private static double memberPart(Group group, SampleWindow bore, long now) {
         long since = now - RECENT;
         double news = (double) bore.sumSince(since) / Group.WHOLE;
         return (news + 1.0 / Math.max(1, group.ready())) / (bore.since(since) + 1);
@@ -112,7 +112,7 @@
             return safe * memberPart(group, group.borne, now);
         }
         long since = now - RECENT;
-        Samples commits = group.committedWarm;
+        SampleWindow commits = group.committedWarm;
         double bears = (commits.sumSince(since) + 1.0) / (commits.since(since) + 1) / warm;
         return Math.min(safe * bears, MOST * multiple * memberPart(group, group.borneWarm, now));
     }
--- a/src/main/java/beaconladder/api/Rounds.java
+++ b/src/main/java/beaconladder/routing/api/DecisionLoop.java
@@ -1,24 +1,24 @@
-package beaconladder.api;
+package beaconladder.routing.api;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
 
 /** Carries out what the module answers, in the same rounds at every door: the drill and the sockets. */
-public final class Rounds {
+public final class DecisionLoop {
 
     /** What a door does with an answer of the module; it decides nothing. */
     public interface Door {
-        void send(Submission submission, long timeout);
+        void send(Attempt submission, long timeout);
 
-        void cancel(Submission submission);
+        void cancel(Attempt submission);
 
-        void decline(Txn txn, long comeBack, Verdict.Reason reason);
+        void decline(Request txn, long comeBack, RoutingDecision.Reason reason);
 
-        void rollBack(Txn txn, Verdict.Reason reason);
+        void rollBack(Request txn, RoutingDecision.Reason reason);
 
         /** The txn has had its final answer. */
-        void ended(Txn txn);
+        void ended(Request txn);
 
         void probe(Host host);
 
@@ -28,20 +28,20 @@
     private final Router router;
     private final Door door;
 
-    public Rounds(Router router, Door door) {
+    public DecisionLoop(Router router, Door door) {
         this.router = router;
         this.door = door;
     }
 
     /** Carries out one verdict. */
-    public void act(Txn txn, Verdict verdict, long now) {
-        for (Submission s : verdict.cancel()) {
+    public void act(Request txn, RoutingDecision verdict, long now) {
+        for (Attempt s : verdict.cancel()) {
             door.cancel(s);
         }
         switch (verdict.step()) {
             case SEND -> {
                 Host host = verdict.host();
-                Submission s = new Submission(
+                Attempt s = new Attempt(
                         txn,
                         txn.submissions.size(),
                         host,
@@ -68,13 +68,13 @@
     /** All known at this time has been told: asks about the txns due; returns when to come again. */
     public long settle(long now) {
         while (true) {
-            Pause pause = router.pause(now);
+            NextWakeup pause = router.pause(now);
             pause.probe().forEach(door::probe);
             pause.close().forEach(door::close);
             if (pause.again().isEmpty()) {
                 return pause.until();
             }
-            for (Txn txn : pause.again()) {
+            for (Request txn : pause.again()) {
                 if (!txn.ended) {
                     act(txn, router.place(txn, now), now);
                 }
@@ -82,7 +82,7 @@
         }
     }
 
-    private void end(Txn txn) {
+    private void end(Request txn) {
         txn.ended = true;
         door.ended(txn);
     }
--- a/src/main/java/beaconladder/api/Within.java
+++ b/src/main/java/beaconladder/routing/api/DelegatingRouter.java
@@ -1,30 +1,30 @@
-package beaconladder.api;
+package beaconladder.routing.api;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass;
 
 /** Decisions within bounds: each question goes on to another router's, but for those that a bound changes. */
-public abstract class Within implements Router {
+public abstract class DelegatingRouter implements Router {
     protected final Router inner;
 
-    protected Within(Router inner) {
+    protected DelegatingRouter(Router inner) {
         this.inner = inner;
     }
 
     @Override
-    public TxnType type(int place) {
+    public RequestClass type(int place) {
         return inner.type(place);
     }
 
     @Override
-    public Verdict place(Txn txn, long now) {
+    public RoutingDecision place(Request txn, long now) {
         return inner.place(txn, now);
     }
 
     @Override
-    public SendCheck mayGo(Submission submission, long now) {
+    public DispatchCheck mayGo(Attempt submission, long now) {
         return inner.mayGo(submission, now);
     }
 
@@ -39,12 +39,12 @@
     }
 
     @Override
-    public Verdict after(Submission s, Outcome outcome, boolean settled, Word answer, Word report, long now) {
+    public RoutingDecision after(Attempt s, Outcome outcome, boolean settled, Word answer, Word report, long now) {
         return inner.after(s, outcome, settled, answer, report, now);
     }
 
     @Override
-    public Pause pause(long now) {
+    public NextWakeup pause(long now) {
         return inner.pause(now);
     }
 
@@ -64,12 +64,12 @@
     }
 
     @Override
-    public Verdict left(Txn txn, long now) {
+    public RoutingDecision left(Request txn, long now) {
         return inner.left(txn, now);
     }
 
     @Override
-    public Verdict displaced(Txn txn, long now) {
+    public RoutingDecision displaced(Request txn, long now) {
         return inner.displaced(txn, now);
     }
 }
--- a/src/main/java/beaconladder/api/SendCheck.java
+++ b/src/main/java/beaconladder/routing/api/DispatchCheck.java
@@ -1,7 +1,7 @@
-package beaconladder.api;
+package beaconladder.routing.api;
 
 /** Whether an attempt that was decided may still go, and if not, why; judged right before its bytes. */
-public enum SendCheck {
+public enum DispatchCheck {
     ALLOWED,
     /** The request has its final answer, or its client has gone. */
     REQUEST_ENDED,
--- a/src/main/java/beaconladder/api/Pause.java
+++ b/src/main/java/beaconladder/routing/api/NextWakeup.java
@@ -1,7 +1,7 @@
-package beaconladder.api;
+package beaconladder.routing.api;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Txn;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
 import java.util.List;
 
 /**
@@ -12,6 +12,6 @@
  * @param close the members whose idle connections to close now
  * @param again the txns to ask about again now, in this order; afterwards ask for a new pause
  */
-public record Pause(long until, List<Host> probe, List<Txn> again, List<Host> close) {
+public record NextWakeup(long until, List<Host> probe, List<Request> again, List<Host> close) {
     public static final long OPEN = Long.MAX_VALUE;
 }
--- a/src/main/java/beaconladder/api/Router.java
+++ b/src/main/java/beaconladder/routing/api/Router.java
@@ -1,9 +1,9 @@
-package beaconladder.api;
+package beaconladder.routing.api;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass;
 
 /**
  * The decisions of one router, asked like a client library: three questions and a few plain notices.
@@ -58,13 +58,13 @@
     }
 
     /** The txn type at this place of the list handed over at start. */
-    TxnType type(int place);
+    RequestClass type(int place);
 
     /** First question: where to send this txn, now; or not yet, or never. */
-    Verdict place(Txn txn, long now);
+    RoutingDecision place(Request txn, long now);
 
     /** Whether this submission may still go: asked right before its bytes, as connecting takes time. */
-    SendCheck mayGo(Submission submission, long now);
+    DispatchCheck mayGo(Attempt submission, long now);
 
     /** How long a host is told that its answer is waited for, where so much is left of the attempt's time. */
     long toldTime(long left);
@@ -78,10 +78,10 @@
      * @param answer what the answer itself says (exact when it was given)
      * @param report a report that came along, of some age
      */
-    Verdict after(Submission submission, Outcome outcome, boolean settled, Word answer, Word report, long now);
+    RoutingDecision after(Attempt submission, Outcome outcome, boolean settled, Word answer, Word report, long now);
 
     /** Third question: how long to wait; names the members to probe and the txns to ask about again. */
-    Pause pause(long now);
+    NextWakeup pause(long now);
 
     /** The roster lists a host (or no longer does: then its state is gone). */
     void listed(Host host, boolean leader, Host.State state, long launched, long now);
@@ -93,11 +93,11 @@
     void probed(Host host, Outcome outcome, Word report, long now);
 
     /** The client of this txn has left: the verdict names what to call off. */
-    Verdict left(Txn txn, long now);
+    RoutingDecision left(Request txn, long now);
 
     /**
      * This txn may no longer go where it was let in (its tenant has moved, or the leave has run out): the verdict ends
      * it, or waits for what is out. Nothing more is sent for it.
      */
-    Verdict displaced(Txn txn, long now);
+    RoutingDecision displaced(Request txn, long now);
 }
--- a/src/main/java/beaconladder/api/Verdict.java
+++ b/src/main/java/beaconladder/routing/api/RoutingDecision.java
@@ -1,8 +1,8 @@
-package beaconladder.api;
+package beaconladder.routing.api;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.SlowStartTicket;
-import beaconladder.fleet.Submission;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.SlowStartTicket;
 import java.util.List;
 
 /**
@@ -16,12 +16,12 @@
  * @param ticket for {@link Step#SEND}: what the host's slow start asked for
  * @param reason for {@link Step#DECLINE} and {@link Step#ROLL_BACK}: why there is no commit
  */
-public record Verdict(
+public record RoutingDecision(
         Step step,
         Host host,
         long timeout,
         long comeBack,
-        List<Submission> cancel,
+        List<Attempt> cancel,
         SlowStartTicket ticket,
         Reason reason) {
 
@@ -44,34 +44,34 @@
         DONE
     }
 
-    private static final Verdict WAITING = end(Step.WAIT, 0, List.of(), Reason.NONE);
+    private static final RoutingDecision WAITING = end(Step.WAIT, 0, List.of(), Reason.NONE);
 
-    public static Verdict send(Host host, long timeout) {
-        return new Verdict(Step.SEND, host, timeout, 0, List.of(), SlowStartTicket.NOT_NEEDED, Reason.NONE);
+    public static RoutingDecision send(Host host, long timeout) {
+        return new RoutingDecision(Step.SEND, host, timeout, 0, List.of(), SlowStartTicket.NOT_NEEDED, Reason.NONE);
     }
 
-    public static Verdict waiting() {
+    public static RoutingDecision waiting() {
         return WAITING;
     }
 
     /** The same send, with what its host's slow start asked for. */
-    public Verdict with(SlowStartTicket now) {
-        return new Verdict(step, host, timeout, comeBack, cancel, now, reason);
+    public RoutingDecision with(SlowStartTicket now) {
+        return new RoutingDecision(step, host, timeout, comeBack, cancel, now, reason);
     }
 
-    public static Verdict decline(long comeBack, Reason reason) {
+    public static RoutingDecision decline(long comeBack, Reason reason) {
         return end(Step.DECLINE, comeBack, List.of(), reason);
     }
 
-    public static Verdict rollBack(Reason reason) {
+    public static RoutingDecision rollBack(Reason reason) {
         return end(Step.ROLL_BACK, 0, List.of(), reason);
     }
 
-    public static Verdict done(List<Submission> cancel) {
+    public static RoutingDecision done(List<Attempt> cancel) {
         return end(Step.DONE, 0, cancel, Reason.NONE);
     }
 
-    private static Verdict end(Step step, long comeBack, List<Submission> cancel, Reason reason) {
-        return new Verdict(step, null, 0, comeBack, cancel, SlowStartTicket.NOT_NEEDED, reason);
+    private static RoutingDecision end(Step step, long comeBack, List<Attempt> cancel, Reason reason) {
+        return new RoutingDecision(step, null, 0, comeBack, cancel, SlowStartTicket.NOT_NEEDED, reason);
     }
 }
--- a/src/main/java/beaconladder/fleet/Submission.java
+++ b/src/main/java/beaconladder/routing/state/Attempt.java
@@ -1,8 +1,8 @@
-package beaconladder.fleet;
+package beaconladder.routing.state;
 
 /** One sending of a txn to a host. */
-public final class Submission {
-    public final Txn txn;
+public final class Attempt {
+    public final Request txn;
     public final int number;
     public final Host host;
     public final long sent;
@@ -21,11 +21,11 @@
     /** Whether its outcome proves that it never ran. */
     public boolean neverRan;
 
-    public Submission(Txn txn, int number, Host host, long sent, int beside) {
+    public Attempt(Request txn, int number, Host host, long sent, int beside) {
         this(txn, number, host, sent, beside, SlowStartTicket.NOT_NEEDED);
     }
 
-    public Submission(Txn txn, int number, Host host, long sent, int beside, SlowStartTicket ticket) {
+    public Attempt(Request txn, int number, Host host, long sent, int beside, SlowStartTicket ticket) {
         this.txn = txn;
         this.number = number;
         this.host = host;
--- a/src/main/java/beaconladder/fleet/Group.java
+++ b/src/main/java/beaconladder/routing/state/Group.java
@@ -1,4 +1,4 @@
-package beaconladder.fleet;
+package beaconladder.routing.state;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -23,7 +23,7 @@
     /** The member that the roster last named as primary. */
     public Host namedByRoster;
     /** Txns that wait at this router. */
-    public final Set<Txn> held = new LinkedHashSet<>();
+    public final Set<Request> held = new LinkedHashSet<>();
     /** Whether anything has changed for them since they were last looked at. */
     public boolean changed;
     /** Whether that was since the last look at any group. */
@@ -36,15 +36,15 @@
      * What one member bore of each of this router's recent txns of the group, and one warm member: a commit is the work
      * of all members that were there then, by equal parts; what did not commit nobody bore.
      */
-    public final Samples borne = new Samples(32);
+    public final SampleWindow borne = new SampleWindow(32);
 
-    public final Samples borneWarm = new Samples(32);
+    public final SampleWindow borneWarm = new SampleWindow(32);
     /** Of the same txns: 1 for a commit at a warm member. */
-    public final Samples committedWarm = new Samples(32);
+    public final SampleWindow committedWarm = new SampleWindow(32);
     /** The txns that came in here lately: 0 for each, 1 once it needed the primary while that was cold. */
-    public final Samples comes = new Samples(64);
+    public final SampleWindow comes = new SampleWindow(64);
     /** Times of recent answers from all members. */
-    public final Samples times = new Samples(48);
+    public final SampleWindow times = new SampleWindow(48);
 
     public Group(int number) {
         this.number = number;
@@ -70,7 +70,7 @@
 
     /** Whether a write waits here. */
     public boolean holdsWrite() {
-        return held.stream().anyMatch(t -> t.type.read() == TxnType.Read.WRITE);
+        return held.stream().anyMatch(t -> t.type.read() == RequestClass.Read.WRITE);
     }
 
     /** Its primary is none any more. */
--- a/src/main/java/beaconladder/fleet/Host.java
+++ b/src/main/java/beaconladder/routing/state/Host.java
@@ -1,4 +1,4 @@
-package beaconladder.fleet;
+package beaconladder.routing.state;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -52,23 +52,23 @@
     public long drawn;
 
     /** Submissions out, oldest first. */
-    public final Set<Submission> out = new LinkedHashSet<>();
+    public final Set<Attempt> out = new LinkedHashSet<>();
     /** Submissions that are waited for no longer and may still be in work there, oldest first. */
-    public final List<Submission> abandoned = new ArrayList<>();
+    public final List<Attempt> abandoned = new ArrayList<>();
     /** Times of recent answers, each with the submissions that were out here when it was sent. */
-    public final Samples times = new Samples(16);
+    public final SampleWindow times = new SampleWindow(16);
     /** How long the newest committed answer took, and when it came. */
     public long newestAnswerTook;
 
     public long newestAnswerAt = Long.MIN_VALUE;
     /** Recent ends: 1 for an answer, 0 for none. */
-    public final Samples ends = new Samples(16);
+    public final SampleWindow ends = new SampleWindow(16);
     /** When each of the sends that a cold host may still get was granted, oldest first. */
     public final ArrayDeque<Long> tickets = new ArrayDeque<>();
 
     public long sentAt = -(1L << 60);
     /** How the last submissions ended: 1 for an answer, 0 for none or a full queue. */
-    public final Samples marks = new Samples(16);
+    public final SampleWindow marks = new SampleWindow(16);
 
     public Host(int id, Group group, int zone) {
         this.id = id;
@@ -84,7 +84,7 @@
     /** How many of the submissions out were sent at or after this time. */
     public int sentSince(long time) {
         int n = 0;
-        for (Submission s : out) {
+        for (Attempt s : out) {
             n += s.sent >= time ? 1 : 0;
         }
         return n;
@@ -93,7 +93,7 @@
     /** How long the submissions out have waited since it last spoke, added up. */
     public long waited(long now) {
         long sum = 0;
-        for (Submission s : out) {
+        for (Attempt s : out) {
             sum += now - Math.max(s.sent, lastHeard);
         }
         return sum;
--- a/src/main/java/beaconladder/fleet/Txn.java
+++ b/src/main/java/beaconladder/routing/state/Request.java
@@ -1,10 +1,10 @@
-package beaconladder.fleet;
+package beaconladder.routing.state;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** A client's txn in the hands of one router. */
-public final class Txn {
+public final class Request {
 
     /** What a held txn may need to learn before it can go. */
     public enum Want {
@@ -14,7 +14,7 @@
     }
 
     public final long id;
-    public final TxnType type;
+    public final RequestClass type;
     public final Group group;
     /** The session's key; 0 for none. */
     public final long session;
@@ -28,7 +28,7 @@
     /** Which txn of this router it is, counted from the start. */
     public final long number;
 
-    public final List<Submission> submissions = new ArrayList<>();
+    public final List<Attempt> submissions = new ArrayList<>();
     /** The log position that its session needs; Long.MIN_VALUE for none. */
     public long target = Long.MIN_VALUE;
     /** The log position below which a member lacks what was copied to it; Long.MIN_VALUE for none. */
@@ -55,9 +55,9 @@
     /** When it is to be looked at again. */
     public long look = Long.MAX_VALUE;
 
-    public Txn(
+    public Request(
             long id,
-            TxnType type,
+            RequestClass type,
             Group group,
             long session,
             long written,
@@ -81,7 +81,7 @@
     /** How many submissions are still out. */
     public int out() {
         int n = 0;
-        for (Submission s : submissions) {
+        for (Attempt s : submissions) {
             if (!s.ended) {
                 n++;
             }
@@ -95,13 +95,13 @@
     }
 
     /** The first submission that may have run, or null. */
-    public Submission mayHaveRun() {
+    public Attempt mayHaveRun() {
         return mayHaveRunBefore(null);
     }
 
     /** The first submission but this one that may have run, or null. */
-    public Submission mayHaveRunBefore(Submission next) {
-        for (Submission s : submissions) {
+    public Attempt mayHaveRunBefore(Attempt next) {
+        for (Attempt s : submissions) {
             if (s != next && !s.neverRan) {
                 return s;
             }
--- a/src/main/java/beaconladder/fleet/TxnType.java
+++ b/src/main/java/beaconladder/routing/state/RequestClass.java
@@ -1,4 +1,4 @@
-package beaconladder.fleet;
+package beaconladder.routing.state;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +13,7 @@
  * @param budgets the budgets that the last txns of this type brought
  * @param served how the last txns of this type ended: 1 for an answer in time
  */
-public record TxnType(
+public record RequestClass(
         int place,
         Read read,
         long bound,
@@ -24,8 +24,8 @@
         long expiry,
         double value,
         double late,
-        Samples budgets,
-        Samples served) {
+        SampleWindow budgets,
+        SampleWindow served) {
 
     /** What data a txn type needs. */
     public enum Read {
@@ -60,8 +60,8 @@
         GROUP
     }
 
-    public static List<TxnType> read(Map<String, String> start) {
-        List<TxnType> types = new ArrayList<>();
+    public static List<RequestClass> read(Map<String, String> start) {
+        List<RequestClass> types = new ArrayList<>();
         int count = Integer.parseInt(start.getOrDefault("request_classes.count", "0"));
         String[] reads = start.getOrDefault("family_info.freshness", "").split(",");
         String[] bounds = start.getOrDefault("family_info.oldest_data_us", "").split(",");
@@ -88,7 +88,7 @@
             long expiry = nanos(start.getOrDefault(at + "give_up_us", "1000000"));
             String stated = start.get(at + "goal_time_us");
             long sla = stated == null ? expiry : nanos(stated);
-            types.add(new TxnType(
+            types.add(new RequestClass(
                     i,
                     read,
                     bound,
@@ -99,8 +99,8 @@
                     expiry,
                     Double.parseDouble(start.getOrDefault(at + "points", "1")),
                     Double.parseDouble(start.getOrDefault(at + "late_share", "0")),
-                    new Samples(32),
-                    new Samples(64)));
+                    new SampleWindow(32),
+                    new SampleWindow(64)));
         }
         return List.copyOf(types);
     }
--- a/src/main/java/beaconladder/fleet/TypeMix.java
+++ b/src/main/java/beaconladder/routing/state/RequestClassMix.java
@@ -1,13 +1,13 @@
-package beaconladder.fleet;
+package beaconladder.routing.state;
 
 /** Of which types the txns were that came last, counted as they come. */
-public final class TypeMix {
+public final class RequestClassMix {
     private final int[] places;
     private final int[] counts;
     private int size;
     private int next;
 
-    TypeMix(int keep, int types) {
+    RequestClassMix(int keep, int types) {
         places = new int[keep];
         counts = new int[types];
     }
--- a/src/main/java/beaconladder/fleet/Samples.java
+++ b/src/main/java/beaconladder/routing/state/SampleWindow.java
@@ -1,9 +1,9 @@
-package beaconladder.fleet;
+package beaconladder.routing.state;
 
 import java.util.Arrays;
 
 /** The last few measurements, each with the time it was taken and a second figure that goes with it. */
-public final class Samples {
+public final class SampleWindow {
     private final long[] values;
     private final long[] beside;
     private final long[] at;
@@ -14,7 +14,7 @@
 
     private long quantile;
 
-    public Samples(int keep) {
+    public SampleWindow(int keep) {
         values = new long[keep];
         beside = new long[keep];
         at = new long[keep];
--- a/src/main/java/beaconladder/fleet/Session.java
+++ b/src/main/java/beaconladder/routing/state/Session.java
@@ -1,4 +1,4 @@
-package beaconladder.fleet;
+package beaconladder.routing.state;
 
 import java.util.LinkedHashSet;
 import java.util.Set;
@@ -8,12 +8,12 @@
     /** The newest position that one of its writes may have committed at, of those that are over. */
     public long commit = Long.MIN_VALUE;
     /** Its writes that may be out. */
-    public final Set<Txn> writes = new LinkedHashSet<>();
+    public final Set<Request> writes = new LinkedHashSet<>();
 
     public Group group;
 
     /** This session, with one more write that goes out. */
-    public Session with(Txn write) {
+    public Session with(Request write) {
         writes.add(write);
         return this;
     }
--- a/src/main/java/beaconladder/fleet/Traffic.java
+++ b/src/main/java/beaconladder/routing/state/TrafficStatistics.java
@@ -1,12 +1,12 @@
-package beaconladder.fleet;
+package beaconladder.routing.state;
 
-import beaconladder.fleet.TxnType.Read;
+import beaconladder.routing.state.RequestClass.Read;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** What this router is told at start, and what came here and ended lately. */
-public final class Traffic {
+public final class TrafficStatistics {
     public static final long MS = 1_000_000L;
     public static final long NEVER = Long.MAX_VALUE;
     public static final long UNBOUND = Long.MIN_VALUE;
@@ -15,35 +15,35 @@
     /** Those settings that are numbers, read once: they are asked for at every event. */
     private final Map<String, Double> numbers = new HashMap<>();
 
-    public final List<TxnType> types;
+    public final List<RequestClass> types;
     public final double topValue;
     /** The tightest bound of a txn type; a second where none is stated. */
     public final long tightest;
     /** The types of the txns that came last. */
-    public final TypeMix mix;
+    public final RequestClassMix mix;
     /** Their value; less than 0 while it is to be added up anew. */
     private double asked = -1;
     /** Times of the last answers, each with what its host had said that it held when it was sent. */
-    public final Samples paces = new Samples(48);
+    public final SampleWindow paces = new SampleWindow(48);
     /** How old the positions of replicas were when they last came with a probe. */
-    public final Samples stale = new Samples(32);
+    public final SampleWindow stale = new SampleWindow(32);
     /** How long the last clients that left had waited, in thousandths of their SLA time. */
-    public final Samples patience = new Samples(16);
+    public final SampleWindow patience = new SampleWindow(16);
     /** How the last submissions ended at hosts that had lately answered: 1 for no good answer. */
-    public final Samples mixed = new Samples(48);
+    public final SampleWindow mixed = new SampleWindow(48);
     /** How the last txns ended: 1 for a commit. */
-    public final Samples fates = new Samples(32);
+    public final SampleWindow fates = new SampleWindow(32);
 
-    public Traffic(Map<String, String> start) {
+    public TrafficStatistics(Map<String, String> start) {
         this.start = start;
-        this.types = TxnType.read(start);
-        this.mix = new TypeMix(256, types.size());
+        this.types = RequestClass.read(start);
+        this.mix = new RequestClassMix(256, types.size());
         this.tightest = types.stream()
                 .filter(t -> t.read() == Read.BOUNDED)
-                .mapToLong(TxnType::bound)
+                .mapToLong(RequestClass::bound)
                 .min()
                 .orElse(1_000 * MS);
-        this.topValue = types.stream().mapToDouble(TxnType::value).max().orElse(1);
+        this.topValue = types.stream().mapToDouble(RequestClass::value).max().orElse(1);
     }
 
     /** Allowed unless the settings say no; there, members are trusted without one. */
@@ -62,7 +62,7 @@
     }
 
     /** One more has come. */
-    public void comes(TxnType type) {
+    public void comes(RequestClass type) {
         mix.add(type.place());
         asked = -1;
     }
@@ -90,14 +90,14 @@
     }
 
     /** A txn whose SLA time had not ended when it came has ended, in time or not. */
-    public void served(Txn txn, boolean inTime) {
+    public void served(Request txn, boolean inTime) {
         if (txn.arrived < txn.slaEnd) {
             txn.type.served().add(inTime ? 1 : 0, 0, txn.arrived);
         }
     }
 
     /** A txn has ended without a commit. */
-    public void failed(Txn txn, long now) {
+    public void failed(Request txn, long now) {
         fates.add(0, 0, now);
         txn.group.borne.add(0, 0, now);
         txn.group.borneWarm.add(0, 0, now);
@@ -110,7 +110,7 @@
      * @param members how many members were there to bear it
      * @param warmMembers how many of them were warm, if a warm one did, else 0
      */
-    public void committed(Txn txn, int members, int warmMembers, long now) {
+    public void committed(Request txn, int members, int warmMembers, long now) {
         fates.add(1, 0, now);
         txn.group.borne.add(Group.WHOLE / Math.max(1, members), 0, now);
         txn.group.borneWarm.add(warmMembers == 0 ? 0 : Group.WHOLE / warmMembers, 0, now);
--- a/src/main/java/beaconladder/fleet/Agenda.java
+++ b/src/main/java/beaconladder/routing/state/WakeupQueue.java
@@ -1,4 +1,4 @@
-package beaconladder.fleet;
+package beaconladder.routing.state;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -13,9 +13,9 @@
  * looked at. That are those with txns on hold: a look at every group at each event would cost the more the larger the
  * fleet is, and find nothing in the others.
  */
-public final class Agenda {
-    private final TreeSet<Txn> looks =
-            new TreeSet<>(Comparator.<Txn>comparingLong(t -> t.look).thenComparingLong(t -> t.number));
+public final class WakeupQueue {
+    private final TreeSet<Request> looks =
+            new TreeSet<>(Comparator.<Request>comparingLong(t -> t.look).thenComparingLong(t -> t.number));
     /** Listed groups with txns on hold, in the order in which groups were first listed. */
     private final TreeSet<Group> holding = new TreeSet<>(Comparator.comparingInt(group -> group.place));
     /** Groups of which something has changed since the last look. */
@@ -44,7 +44,7 @@
     }
 
     /** This txn waits. */
-    public void hold(Txn txn) {
+    public void hold(Request txn) {
         Group group = txn.group;
         if (group.held.isEmpty()) {
             // No look clears the mark of a group without txns on hold, but for those touched since.
@@ -78,14 +78,14 @@
         return changed;
     }
 
-    public void schedule(Txn txn, long look) {
+    public void schedule(Request txn, long look) {
         looks.remove(txn);
         txn.look = look;
         looks.add(txn);
     }
 
     /** It is held no longer and looked at no more. */
-    public void drop(Txn txn) {
+    public void drop(Request txn) {
         looks.remove(txn);
         txn.look = Long.MAX_VALUE;
         if (txn.group.held.remove(txn) && txn.group.held.isEmpty()) {
@@ -94,10 +94,10 @@
     }
 
     /** Takes out those that are due by now, in their order. */
-    public Set<Txn> due(long now) {
-        Set<Txn> due = new LinkedHashSet<>();
+    public Set<Request> due(long now) {
+        Set<Request> due = new LinkedHashSet<>();
         while (!looks.isEmpty() && looks.first().look <= now) {
-            Txn txn = looks.pollFirst();
+            Request txn = looks.pollFirst();
             txn.look = Long.MAX_VALUE;
             due.add(txn);
         }
--- a/src/main/java/beaconladder/serve/Admission.java
+++ b/src/main/java/beaconladder/server/Admission.java
@@ -1,8 +1,8 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.cells.Gate;
-import beaconladder.cells.Pass;
-import beaconladder.pg.Outbox;
+import beaconladder.cells.AdmissionPermit;
+import beaconladder.cells.CellAdmission;
+import beaconladder.pg.MessageWriter;
 import java.util.function.BooleanSupplier;
 
 /** Where there are cells: gets a client's txns leave, and counts its connection as one of its tenant's. */
@@ -14,24 +14,25 @@
      * @param told what the client is to be told where there is none
      * @param last whether its connection ends with that
      */
-    record Answer(Pass pass, Outbox told, boolean last) {}
+    record Answer(AdmissionPermit pass, MessageWriter told, boolean last) {}
 
-    private final Desk desk;
-    private final Wire wire;
-    private final Ahead ahead;
+    private final RequestDispatcher desk;
+    private final ClientChannel wire;
+    private final PipelineQueue ahead;
     /** The leave by which the connection counts among those of a tenant, or null. */
-    private Pass counted;
+    private AdmissionPermit counted;
 
-    Admission(Desk desk, Wire wire, Ahead ahead) {
+    Admission(RequestDispatcher desk, ClientChannel wire, PipelineQueue ahead) {
         this.desk = desk;
         this.wire = wire;
         this.ahead = ahead;
     }
 
     /** Asks for leave, and waits for it as long as the client stays. */
-    Answer enter(Asked asked, int size, long arrived, long expiry, BooleanSupplier gone) throws InterruptedException {
+    Answer enter(ParsedQuery asked, int size, long arrived, long expiry, BooleanSupplier gone)
+            throws InterruptedException {
         String tenant = asked.statement().value("t");
-        Gate.Answer leave = desk.cells()
+        CellAdmission.Answer leave = desk.cells()
                 .enter(
                         tenant == null ? "" : tenant,
                         asked.statement().session(),
@@ -44,14 +45,14 @@
                         expiry,
                         gone);
         if (leave == null) {
-            return new Answer(null, new Outbox(), false);
+            return new Answer(null, new MessageWriter(), false);
         }
         switch (leave.kind()) {
             case DECLINE -> {
-                return new Answer(null, Asked.declined(leave.reason(), leave.comeBack()), false);
+                return new Answer(null, ParsedQuery.declined(leave.reason(), leave.comeBack()), false);
             }
             case REFUSE -> {
-                return new Answer(null, Asked.error("22023", leave.reason()), false);
+                return new Answer(null, ParsedQuery.error("22023", leave.reason()), false);
             }
             default -> {
                 if (joined(leave.pass())) {
@@ -60,7 +61,7 @@
                 desk.cells().leave(leave.pass());
                 return new Answer(
                         null,
-                        new Outbox()
+                        new MessageWriter()
                                 .error("FATAL", "53300", "too many connections of this tenant; it has not run", null),
                         true);
             }
@@ -68,7 +69,7 @@
     }
 
     /** The first txn shows whose connection this is; false when its tenant may not have one more. */
-    private boolean joined(Pass pass) {
+    private boolean joined(AdmissionPermit pass) {
         if (counted() != null || ahead.over()) {
             return true;
         }
@@ -86,13 +87,13 @@
     }
 
     /** The leave by which the connection counts, or null. */
-    synchronized Pass counted() {
+    synchronized AdmissionPermit counted() {
         return counted;
     }
 
     /** The connection is over. */
     void left() {
-        Pass connection;
+        AdmissionPermit connection;
         synchronized (this) {
             connection = counted;
             counted = null;
--- a/src/main/java/beaconladder/serve/AttemptEvents.java
+++ b/src/main/java/beaconladder/server/AttemptEvents.java
@@ -1,28 +1,34 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.api.Rounds;
-import beaconladder.api.Router;
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Word;
-import beaconladder.api.SendCheck;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
 import beaconladder.invariants.SentAttempt;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.routing.api.DecisionLoop;
+import beaconladder.routing.api.DispatchCheck;
+import beaconladder.routing.api.Router;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
 import java.util.concurrent.locks.ReentrantLock;
 
 /** What exchanges with hosts ask and tell: whether an attempt may go, that it went, how it ended. */
 final class AttemptEvents {
-    private final Desk desk;
+    private final RequestDispatcher desk;
     private final ReentrantLock lock;
     private final Router router;
-    private final Rounds rounds;
-    private final Orders orders;
-    private final Trace trace;
+    private final DecisionLoop rounds;
+    private final PendingActions orders;
+    private final EventTrace trace;
     private final Monitor monitor;
 
     AttemptEvents(
-            Desk desk, ReentrantLock lock, Router router, Rounds rounds, Orders orders, Trace trace, Monitor monitor) {
+            RequestDispatcher desk,
+            ReentrantLock lock,
+            Router router,
+            DecisionLoop rounds,
+            PendingActions orders,
+            EventTrace trace,
+            Monitor monitor) {
         this.desk = desk;
         this.lock = lock;
         this.router = router;
@@ -33,10 +39,10 @@
     }
 
     /** Whether this attempt may still go; asked right before its bytes. */
-    boolean mayGo(Submission attempt) {
+    boolean mayGo(Attempt attempt) {
         lock.lock();
         try {
-            SendCheck check = router.mayGo(attempt, desk.now());
+            DispatchCheck check = router.mayGo(attempt, desk.now());
             if (!check.allowed()) {
                 monitor.counters().add("held_back", check);
                 trace.heldBack(attempt, check, desk.now());
@@ -62,7 +68,7 @@
         }
     }
 
-    void ended(Submission attempt, Outcome outcome, Word answer, Word report, Outbox messages) {
+    void ended(Attempt attempt, Outcome outcome, Word answer, Word report, MessageWriter messages) {
         desk.tell(now -> {
             if (attempt.ended) {
                 return;
@@ -70,10 +76,10 @@
             trace.ended(attempt, outcome, now);
             monitor.counters().add(attempt.number == 0 ? "first_attempt" : "retry", outcome);
             boolean settled = attempt.txn.ended || outcome == Outcome.COMMITTED;
-            Hand hand = orders.of(attempt.txn);
+            InFlightRequest hand = orders.of(attempt.txn);
             rounds.act(attempt.txn, router.after(attempt, outcome, settled, answer, report, now), now);
             if (hand != null && outcome == Outcome.COMMITTED) {
-                hand.tell(new Hand.Order(Hand.Kind.COMMITTED, attempt, 0, messages));
+                hand.tell(new InFlightRequest.Order(InFlightRequest.Kind.COMMITTED, attempt, 0, messages));
             }
         });
     }
--- a/src/main/java/beaconladder/serve/CellDesk.java
+++ b/src/main/java/beaconladder/server/CellDispatcher.java
@@ -1,10 +1,10 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.cells.Gate;
-import beaconladder.cells.Pass;
-import beaconladder.cells.Placement;
-import beaconladder.cells.Territory;
-import beaconladder.fleet.Group;
+import beaconladder.cells.AdmissionPermit;
+import beaconladder.cells.CellAdmission;
+import beaconladder.cells.PlacementTable;
+import beaconladder.cells.StaticPlacement;
+import beaconladder.routing.state.Group;
 import java.net.InetAddress;
 import java.util.List;
 import java.util.concurrent.locks.Condition;
@@ -12,16 +12,16 @@
 import java.util.function.BooleanSupplier;
 
 /** What a router that has cells is asked beside the txns; under the desk's lock, by its clock. */
-final class CellDesk {
+final class CellDispatcher {
     /** A txn that is held looks so often whether its client is still there. */
     private static final long LOOK_NANOS = 50_000_000;
 
-    private final Desk desk;
-    private final Gate gate;
+    private final RequestDispatcher desk;
+    private final CellAdmission gate;
     private final ReentrantLock lock;
     private final Condition placed;
 
-    CellDesk(Desk desk, Gate gate, ReentrantLock lock) {
+    CellDispatcher(RequestDispatcher desk, CellAdmission gate, ReentrantLock lock) {
         this.desk = desk;
         this.gate = gate;
         this.lock = lock;
@@ -29,7 +29,7 @@
     }
 
     /** Asks for leave for a txn; waits while it is held, as long as its client stays. */
-    Gate.Answer enter(
+    CellAdmission.Answer enter(
             String tenant,
             long key,
             int named,
@@ -43,9 +43,9 @@
             throws InterruptedException {
         lock.lock();
         try {
-            Gate.Answer answer =
+            CellAdmission.Answer answer =
                     gate.admit(tenant, key, named, write, desk.value(type), size, from, arrived, expiry, desk.now());
-            while (answer.kind() == Gate.Kind.HOLD) {
+            while (answer.kind() == CellAdmission.Kind.HOLD) {
                 if (gone.getAsBoolean()) {
                     gate.left(answer.pass());
                     return null;
@@ -65,7 +65,7 @@
     }
 
     /** A txn that had leave is not taken in hand after all. */
-    void leave(Pass pass) {
+    void leave(AdmissionPermit pass) {
         lock.lock();
         try {
             gate.left(pass);
@@ -75,7 +75,7 @@
     }
 
     /** Whether there is room for one more connection of this tenant. */
-    boolean connected(Pass pass) {
+    boolean connected(AdmissionPermit pass) {
         lock.lock();
         try {
             return gate.connected(pass, desk.now());
@@ -84,7 +84,7 @@
         }
     }
 
-    void disconnected(Pass pass) {
+    void disconnected(AdmissionPermit pass) {
         lock.lock();
         try {
             gate.disconnected(pass);
@@ -94,7 +94,7 @@
     }
 
     /** Whether the cell of this leave holds more connections than its own. */
-    boolean borrows(Pass pass) {
+    boolean borrows(AdmissionPermit pass) {
         lock.lock();
         try {
             return gate.borrowsConnections(pass.cell());
@@ -103,7 +103,7 @@
         }
     }
 
-    Placement placement() {
+    PlacementTable placement() {
         lock.lock();
         try {
             return gate.placement();
@@ -112,7 +112,7 @@
         }
     }
 
-    List<Gate.Busy> busy() {
+    List<CellAdmission.Busy> busy() {
         lock.lock();
         try {
             return gate.busy(desk.now());
@@ -122,7 +122,7 @@
     }
 
     /** The keeper's word. */
-    void placed(Placement placement) {
+    void placed(PlacementTable placement) {
         desk.tell(now -> {
             for (int number : gate.placed(placement)) {
                 Group group = desk.group(number);
@@ -135,7 +135,7 @@
     }
 
     /** Another plan; what speaks against it, or null when it counts. */
-    String plan(Territory next) {
+    String plan(StaticPlacement next) {
         lock.lock();
         try {
             String objection = gate.objection(next);
--- a/src/main/java/beaconladder/serve/ClientAcceptor.java
+++ b/src/main/java/beaconladder/server/ClientAcceptor.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -22,8 +22,8 @@
 
     private final Selector selector;
     private final ServerSocketChannel listener;
-    private final Descriptors descriptors;
-    private final Crowd crowd;
+    private final DescriptorLimit descriptors;
+    private final ConnectionTable crowd;
     private final Monitor monitor;
     private final Consumer<SocketChannel> taker;
     /** Whether clients wait in the listener's queue, for a descriptor or for the end of a rest. */
@@ -36,8 +36,8 @@
     ClientAcceptor(
             Selector selector,
             InetSocketAddress address,
-            Descriptors descriptors,
-            Crowd crowd,
+            DescriptorLimit descriptors,
+            ConnectionTable crowd,
             Monitor monitor,
             Consumer<SocketChannel> taker)
             throws IOException {
@@ -69,10 +69,10 @@
             queued = false;
             while (listener.isOpen()) {
                 crowd.makeRoomFor(descriptors.held());
-                queued = !descriptors.take(Descriptors.Use.CLIENT);
+                queued = !descriptors.take(DescriptorLimit.Use.CLIENT);
                 SocketChannel channel = queued ? null : listener.accept();
                 if (channel == null) {
-                    descriptors.give(Descriptors.Use.CLIENT, queued ? 0 : 1);
+                    descriptors.give(DescriptorLimit.Use.CLIENT, queued ? 0 : 1);
                     break;
                 }
                 failures = 0;
@@ -80,7 +80,7 @@
             }
             watch(!queued);
         } catch (IOException e) {
-            descriptors.give(Descriptors.Use.CLIENT, 1);
+            descriptors.give(DescriptorLimit.Use.CLIENT, 1);
             failed(e);
         }
     }
@@ -93,7 +93,7 @@
         failures++;
         againAt = System.nanoTime() + REST_NANOS;
         queued = listener.isOpen();
-        monitor.counters().add("network", NetworkFault.ACCEPT);
+        monitor.counters().add("network", LocalNetworkFault.ACCEPT);
         if (failures == 1) {
             LOG.warn("no client can be taken in, tried again: {}", cause.toString());
         }
--- a/src/main/java/beaconladder/serve/Wire.java
+++ b/src/main/java/beaconladder/server/ClientChannel.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -7,7 +7,7 @@
 import java.nio.channels.SocketChannel;
 
 /** A client's connection, which never makes its user wait: it reads and writes what can be done at once. */
-interface Wire extends ByteChannel {
+interface ClientChannel extends ByteChannel {
     /** Ends what is written; the other side may still write. */
     void endWriting() throws IOException;
 
@@ -17,7 +17,7 @@
     }
 
     /** Over a socket. */
-    record Real(SocketChannel channel) implements Wire {
+    record Real(SocketChannel channel) implements ClientChannel {
         @Override
         public int read(ByteBuffer into) throws IOException {
             return channel.read(into);
--- a/src/main/java/beaconladder/serve/Client.java
+++ b/src/main/java/beaconladder/server/ClientConnection.java
@@ -1,14 +1,14 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.cells.Pass;
-import beaconladder.pg.Inbox;
+import beaconladder.cells.AdmissionPermit;
+import beaconladder.pg.MessageReader;
 import java.io.IOException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** A client's connection as its reader sees it: messages come in, it is told to go, it leaves. */
-final class Client {
-    private static final Logger LOG = LoggerFactory.getLogger(Client.class);
+final class ClientConnection {
+    private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
     /** A startup message is due so long after the connection, and the rest of a message after its first byte. */
     private static final long OPENING = 2_000_000_000L;
     /** So much is read of a client after its end was told, so that it sees the message. */
@@ -18,12 +18,12 @@
     /** What a client still sends after its end was told is read so long. */
     static final long LINGER = 500_000_000L;
 
-    private final Clients clients;
-    private final Desk desk;
-    private final Wire wire;
-    private final Inbox in;
-    private final Ahead ahead = new Ahead();
-    private final ClientTask task;
+    private final ClientServer clients;
+    private final RequestDispatcher desk;
+    private final ClientChannel wire;
+    private final MessageReader in;
+    private final PipelineQueue ahead = new PipelineQueue();
+    private final RequestTask task;
     private final ClientReader reader;
     private int wasted;
     /** Whether the last look at it was taken: no txn is taken in but the rest of a query that has begun. */
@@ -43,17 +43,17 @@
     /** When its end was told, or 0. */
     private volatile long endedAt;
 
-    Client(Clients clients, Desk desk, Lines lines, Wire wire) {
+    ClientConnection(ClientServer clients, RequestDispatcher desk, ServerConnectionPool lines, ClientChannel wire) {
         this.clients = clients;
         this.desk = desk;
         this.wire = wire;
         this.key = clients.crowd().newKey();
-        this.in = new Inbox(clients.room());
-        this.task = new ClientTask(this, clients, desk, lines, ahead);
+        this.in = new MessageReader(clients.room());
+        this.task = new RequestTask(this, clients, desk, lines, ahead);
         this.reader = new ClientReader(this, clients, desk, in, ahead, task);
     }
 
-    Wire wire() {
+    ClientChannel wire() {
         return wire;
     }
 
@@ -93,14 +93,14 @@
 
     /** Whether its tenant's cell holds more connections than its own. */
     boolean borrows() {
-        Pass of = task.counted();
+        AdmissionPermit of = task.counted();
         return of != null && desk.cells().borrows(of);
     }
 
     /** Takes in what is there and does what it says; false when the connection is over. */
     boolean readable() {
         try {
-            Pass tenant = charged || !desk.confined() ? null : task.counted();
+            AdmissionPermit tenant = charged || !desk.confined() ? null : task.counted();
             if (tenant != null) {
                 in.charge(clients.room(tenant.cell()));
                 charged = true;
@@ -170,7 +170,7 @@
         close();
         int unanswered = ahead.unanswered();
         desk.monitor().counters().add("closed", cause);
-        Trace.closed(key, cause, unanswered, in.unread());
+        EventTrace.closed(key, cause, unanswered, in.unread());
         if (!cause.byClient()) {
             desk.monitor().invariants().closed(cause.name(), unanswered);
         }
@@ -199,7 +199,7 @@
         }
         try {
             if (ended == 0 && !reader.greeted() && now - usedAt > OPENING) {
-                reader.greet(Greeting.fatal("08P01", "no startup message in time"));
+                reader.greet(StartupResponse.fatal("08P01", "no startup message in time"));
             } else if (ended == 0 && in.begunAt() != 0 && now - in.begunAt() > OPENING) {
                 reader.sendAway("a message whose rest did not come in time");
             }
--- a/src/main/java/beaconladder/serve/ClientReader.java
+++ b/src/main/java/beaconladder/server/ClientReader.java
@@ -1,24 +1,30 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.pg.Inbox;
-import beaconladder.pg.Inbox.Got;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageReader;
+import beaconladder.pg.MessageReader.Got;
+import beaconladder.pg.MessageWriter;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
 /** What a client's messages say, one after the other; for the one thread that reads for all clients. */
 final class ClientReader {
-    private final Client client;
-    private final Clients clients;
-    private final Desk desk;
-    private final Wire wire;
-    private final Inbox in;
-    private final Ahead ahead;
-    private final ClientTask task;
+    private final ClientConnection client;
+    private final ClientServer clients;
+    private final RequestDispatcher desk;
+    private final ClientChannel wire;
+    private final MessageReader in;
+    private final PipelineQueue ahead;
+    private final RequestTask task;
     private boolean greeted;
     private boolean skipping;
 
-    ClientReader(Client client, Clients clients, Desk desk, Inbox in, Ahead ahead, ClientTask task) {
+    ClientReader(
+            ClientConnection client,
+            ClientServer clients,
+            RequestDispatcher desk,
+            MessageReader in,
+            PipelineQueue ahead,
+            RequestTask task) {
         this.client = client;
         this.clients = clients;
         this.desk = desk;
@@ -51,29 +57,29 @@
                                     ? "a long message while there is no room for more of them"
                                     : "a message of impossible length");
                 } else {
-                    greet(Greeting.fatal("08P01", "a startup message of impossible length"));
+                    greet(StartupResponse.fatal("08P01", "a startup message of impossible length"));
                 }
             } else if (greeted) {
                 client.used();
                 message();
             } else {
-                greet(Greeting.of(in, clients.crowd().full(), client.key()));
+                greet(StartupResponse.of(in, clients.crowd().full(), client.key()));
             }
         }
     }
 
-    void greet(Greeting greeting) throws IOException {
-        if (greeting.kind() == Greeting.Kind.CANCEL) {
+    void greet(StartupResponse greeting) throws IOException {
+        if (greeting.kind() == StartupResponse.Kind.CANCEL) {
             clients.crowd().cancel(greeting.key());
             client.leave(CloseCause.CANCEL_REQUEST);
             return;
         }
-        greeted = greeting.kind() == Greeting.Kind.GREETED;
+        greeted = greeting.kind() == StartupResponse.Kind.GREETED;
         if (greeted) {
             client.used();
         }
         sendNow(greeting.answer());
-        if (greeting.kind() == Greeting.Kind.FATAL) {
+        if (greeting.kind() == StartupResponse.Kind.FATAL) {
             wire.endWriting();
             client.told();
         }
@@ -88,45 +94,46 @@
                     return;
                 } else if (client.tooLate()) {
                     // It came after the last look: declined in its turn, and sent nowhere.
-                    refused(DoorRefusal.DRAINING);
-                    add(new Ahead.Work(Asked.error("57P03", "this router ends; it has not run"), false));
+                    refused(QueryRejection.DRAINING);
+                    add(new PipelineQueue.Work(ParsedQuery.error("57P03", "this router ends; it has not run"), false));
                 } else {
-                    add(new Ahead.Work(in.onlyText(), client.cameAt()));
+                    add(new PipelineQueue.Work(in.onlyText(), client.cameAt()));
                 }
             }
             case 'X' -> client.leave(CloseCause.CLIENT_TERMINATED);
             case 'P', 'B', 'D', 'E', 'C', 'F', 'H', 'd', 'c', 'f' -> {
                 if (!skipping) {
                     skipping = true;
-                    add(new Ahead.Work(
-                            new Outbox().error("ERROR", "0A000", "only simple queries are spoken here", null), false));
+                    add(new PipelineQueue.Work(
+                            new MessageWriter().error("ERROR", "0A000", "only simple queries are spoken here", null),
+                            false));
                 }
             }
             case 'S' -> {
                 skipping = false;
-                add(new Ahead.Work(new Outbox().ready(), false));
+                add(new PipelineQueue.Work(new MessageWriter().ready(), false));
             }
             default -> sendAway("a message of an unknown type");
         }
     }
 
-    private void refused(DoorRefusal why) {
+    private void refused(QueryRejection why) {
         desk.monitor().counters().add("door", why);
-        Trace.door("refused: " + why);
+        EventTrace.door("refused: " + why);
     }
 
     void sendAway(String cause) throws IOException {
-        add(new Ahead.Work(new Outbox().error("FATAL", "08P01", cause, null), true));
+        add(new PipelineQueue.Work(new MessageWriter().error("FATAL", "08P01", cause, null), true));
         client.told();
     }
 
-    private void add(Ahead.Work next) throws IOException {
+    private void add(PipelineQueue.Work next) throws IOException {
         switch (ahead.add(next)) {
             case START_TASK -> {
                 if (!clients.execute(task) && ahead.abandon(next)) {
                     // No thread is left to see a txn through: it is declined before it is taken in hand.
-                    refused(DoorRefusal.NO_THREAD);
-                    sendNow(Asked.error("53300", "declined, as too many txns are in hand; it has not run"));
+                    refused(QueryRejection.NO_THREAD);
+                    sendNow(ParsedQuery.error("53300", "declined, as too many txns are in hand; it has not run"));
                 }
             }
             case WRITE_NOW -> {
@@ -141,7 +148,7 @@
     }
 
     /** Writes a short message without waiting; who lets even that pile up is sent away. */
-    private void sendNow(Outbox out) throws IOException {
+    private void sendNow(MessageWriter out) throws IOException {
         ByteBuffer bytes = out.bytes();
         wire.write(bytes);
         if (bytes.hasRemaining()) {
--- a/src/main/java/beaconladder/serve/Clients.java
+++ b/src/main/java/beaconladder/server/ClientServer.java
@@ -1,6 +1,6 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.pg.Room;
+import beaconladder.pg.MemoryLimit;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -14,35 +14,42 @@
 import org.slf4j.LoggerFactory;
 
 /** Takes clients in, within the descriptors there are. */
-final class Clients implements Runnable {
-    private static final Logger LOG = LoggerFactory.getLogger(Clients.class);
+final class ClientServer implements Runnable {
+    private static final Logger LOG = LoggerFactory.getLogger(ClientServer.class);
     private static final int SWEEP_MILLIS = 50;
 
-    private final Desk desk;
-    private final Lines lines;
-    private final Threads threads;
-    private final Room room;
+    private final RequestDispatcher desk;
+    private final ServerConnectionPool lines;
+    private final ThreadLimit threads;
+    private final MemoryLimit room;
     /** Of it, what the clients of each cell may take for large messages; empty where there are no cells. */
-    private final List<Room> rooms;
+    private final List<MemoryLimit> rooms;
 
-    private final Descriptors descriptors;
-    private final Crowd crowd;
-    private final Queue<Client> resumed = new ConcurrentLinkedQueue<>();
+    private final DescriptorLimit descriptors;
+    private final ConnectionTable crowd;
+    private final Queue<ClientConnection> resumed = new ConcurrentLinkedQueue<>();
     private Selector selector;
     private ClientAcceptor acceptor;
     /** Closed since the last selection began: the selector holds their descriptors until the next one. */
     private int closing;
     /** The planned end that has come, or null. */
-    private volatile Drain draining;
-
-    Clients(Desk desk, Lines lines, Threads threads, Room room, List<Room> rooms, Descriptors descriptors, int stated) {
+    private volatile GracefulShutdown draining;
+
+    ClientServer(
+            RequestDispatcher desk,
+            ServerConnectionPool lines,
+            ThreadLimit threads,
+            MemoryLimit room,
+            List<MemoryLimit> rooms,
+            DescriptorLimit descriptors,
+            int stated) {
         this.desk = desk;
         this.lines = lines;
         this.threads = threads;
         this.room = room;
         this.rooms = rooms;
         this.descriptors = descriptors;
-        this.crowd = new Crowd(lines, descriptors, stated);
+        this.crowd = new ConnectionTable(lines, descriptors, stated);
     }
 
     void listen(InetSocketAddress address) throws IOException {
@@ -62,7 +69,7 @@
                 try {
                     selector.select(this::ready, SWEEP_MILLIS);
                 } finally {
-                    descriptors.give(Descriptors.Use.CLIENT, closed);
+                    descriptors.give(DescriptorLimit.Use.CLIENT, closed);
                 }
                 acceptor.acceptQueued();
                 resume();
@@ -82,7 +89,7 @@
             } catch (IOException | RuntimeException | Error e) {
                 LOG.error("reading for clients goes on after a fault", e);
                 crowd.makeRoom();
-                Crowd.pause();
+                ConnectionTable.pause();
             }
         }
         finishCloses();
@@ -101,7 +108,7 @@
     }
 
     private void resume() {
-        for (Client client = resumed.poll(); client != null; client = resumed.poll()) {
+        for (ClientConnection client = resumed.poll(); client != null; client = resumed.poll()) {
             if (crowd.all().contains(client) && client.resume()) {
                 interest(client);
                 if (draining != null) {
@@ -115,7 +122,7 @@
         if (!key.isValid()) {
             return;
         }
-        if (key.attachment() instanceof Client client) {
+        if (key.attachment() instanceof ClientConnection client) {
             if (client.readable()) {
                 interest(client);
             }
@@ -124,15 +131,15 @@
         }
     }
 
-    private void interest(Client client) {
-        SelectionKey key = ((Wire.Real) client.wire()).channel().keyFor(selector);
+    private void interest(ClientConnection client) {
+        SelectionKey key = ((ClientChannel.Real) client.wire()).channel().keyFor(selector);
         if (key != null && key.isValid()) {
             key.interestOps(client.reads() ? SelectionKey.OP_READ : 0);
         }
     }
 
     private void take(SocketChannel channel) {
-        Client client = new Client(this, desk, lines, new Wire.Real(channel));
+        ClientConnection client = new ClientConnection(this, desk, lines, new ClientChannel.Real(channel));
         crowd.all().add(client);
         try {
             channel.configureBlocking(false);
@@ -145,7 +152,7 @@
     }
 
     /** A client's task has room again for what the client wrote ahead. */
-    void resume(Client client) {
+    void resume(ClientConnection client) {
         resumed.add(client);
         if (selector != null) {
             selector.wakeup();
@@ -154,7 +161,7 @@
 
     private void sweep(long now) {
         crowd.thin(!rooms.isEmpty());
-        for (Client client : crowd.all()) {
+        for (ClientConnection client : crowd.all()) {
             if (client.sweep(now)) {
                 interest(client);
                 crowd.thin(client, now);
@@ -165,15 +172,15 @@
         }
     }
 
-    Crowd crowd() {
+    ConnectionTable crowd() {
         return crowd;
     }
 
-    Room room() {
+    MemoryLimit room() {
         return room;
     }
 
-    Room room(int cell) {
+    MemoryLimit room(int cell) {
         return rooms.get(cell);
     }
 
@@ -187,19 +194,19 @@
     }
 
     /** For the reader alone, once the client's connection is closed. */
-    void gone(Client client) {
+    void gone(ClientConnection client) {
         if (crowd.all().remove(client)) {
             closing++;
         }
     }
 
     /** The planned end that has come, or null. */
-    Drain draining() {
+    GracefulShutdown draining() {
         return draining;
     }
 
     /** Takes no more clients in, and ends each connection once nothing is in hand on it. */
-    void drain(Drain drain) {
+    void drain(GracefulShutdown drain) {
         draining = drain;
         selector.wakeup();
     }
--- a/src/main/java/beaconladder/serve/CloseCause.java
+++ b/src/main/java/beaconladder/server/CloseCause.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 /** Why a client's connection ends. */
 enum CloseCause {
--- a/src/main/java/beaconladder/serve/Crowd.java
+++ b/src/main/java/beaconladder/server/ConnectionTable.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import java.util.Comparator;
 import java.util.Set;
@@ -7,20 +7,20 @@
 import java.util.function.Predicate;
 
 /** The clients that are here, and who of them goes first where room is short. */
-final class Crowd {
+final class ConnectionTable {
     /** Who was busy so lately may have a query on its way. */
     private static final long LATELY = 100_000_000;
     /** Clients that come back do so within a second or two; past that a connection is mostly left behind. */
     private static final long LONG_IDLE = 2_500_000_000L;
 
-    private final Lines lines;
+    private final ServerConnectionPool lines;
     private final int most;
     /** Clients hold at most a third of the descriptors for their txns. */
     private final int share;
     /** So many connections may be held by those who have asked for nothing yet that is served here. */
     private final int mostStrangers;
 
-    private final Set<Client> all = ConcurrentHashMap.newKeySet();
+    private final Set<ClientConnection> all = ConcurrentHashMap.newKeySet();
     /** Decides nothing, so it needs no seed that is told; each process has other keys. */
     private final SplittableRandom keys = new SplittableRandom(System.nanoTime());
 
@@ -29,7 +29,7 @@
      *
      * @param stated the descriptors that the settings allow to the whole program
      */
-    Crowd(Lines lines, Descriptors descriptors, int stated) {
+    ConnectionTable(ServerConnectionPool lines, DescriptorLimit descriptors, int stated) {
         this.lines = lines;
         this.most = descriptors.most();
         this.share = stated / 3;
@@ -38,7 +38,7 @@
 
     /** Somebody asks to cancel what is in hand on the connection of this key. */
     void cancel(long key) {
-        all.stream().filter(client -> client.key() == key).forEach(Client::cancel);
+        all.stream().filter(client -> client.key() == key).forEach(ClientConnection::cancel);
     }
 
     /** A key for one more; for several threads. */
@@ -46,7 +46,7 @@
         return keys.nextLong();
     }
 
-    Set<Client> all() {
+    Set<ClientConnection> all() {
         return all;
     }
 
@@ -67,10 +67,10 @@
         }
     }
 
-    private boolean closeOldest(Predicate<Client> of) {
+    private boolean closeOldest(Predicate<ClientConnection> of) {
         long lately = System.nanoTime() - LATELY;
         // Their tasks go on meanwhile: what is sorted by must not change under the sort.
-        record Aged(Client client, long usedAt) {}
+        record Aged(ClientConnection client, long usedAt) {}
 
         return all.stream()
                 .filter(of)
@@ -85,7 +85,8 @@
     boolean full() {
         int held = all.size() + lines.open();
         // Those who have been told to go still hold theirs for a moment, beside those that are served.
-        return held > most && held - all.stream().filter(Client::ending).count() > most;
+        return held > most
+                && held - all.stream().filter(ClientConnection::ending).count() > most;
     }
 
     /**
@@ -99,13 +100,14 @@
                         .filter(client -> client.known() && !client.ending())
                         .count()
                 - share / 2;
-        while (crowd-- > 0 && (cells && closeOldest(Client::borrows) || closeOldest(Client::known))) {
+        while (crowd-- > 0
+                && (cells && closeOldest(ClientConnection::borrows) || closeOldest(ClientConnection::known))) {
             continue;
         }
     }
 
     /** Ends one that has lain idle long, while there are many. */
-    void thin(Client client, long now) {
+    void thin(ClientConnection client, long now) {
         if (all.size() > most / 8 && client.usedAt() < now - LONG_IDLE) {
             client.closeIfIdle(now - LONG_IDLE);
         }
--- a/src/main/java/beaconladder/serve/Descriptors.java
+++ b/src/main/java/beaconladder/server/DescriptorLimit.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 /**
  * The one owner of the descriptors that the settings allow: whoever opens a connection has taken its descriptor here
@@ -6,7 +6,7 @@
  * files", whatever comes at once: clients wait in the listener's queue, and txns for a connection to a host. It holds
  * no socket and reads no clock but to wait.
  */
-final class Descriptors {
+final class DescriptorLimit {
     /** What a descriptor is held for. */
     enum Use {
         CLIENT,
@@ -28,7 +28,7 @@
     private final int[] held = new int[Use.values().length];
 
     /** So many as the settings allow to the whole program. */
-    Descriptors(int stated) {
+    DescriptorLimit(int stated) {
         whole = Math.max(4, stated - OWN);
         most = Math.max(1, stated - OWN - GUESTS);
         // Neither use can lock the other out: without a client there is no txn, without a host no answer.
--- a/src/main/java/beaconladder/serve/HostList.java
+++ b/src/main/java/beaconladder/server/EndpointList.java
@@ -1,9 +1,9 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.api.Router;
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.roster.Watch;
+import beaconladder.discovery.EndpointWatch;
+import beaconladder.routing.api.Router;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -15,9 +15,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** The hosts as discovery lists them, by its names; under the desk's lock but for groups and addresses. */
-final class HostList {
+final class EndpointList {
     private final Router router;
-    private final Trace trace;
+    private final EventTrace trace;
     private final List<String> zones;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     /** Those of them that are gone and not yet let go, so that a sweep does not walk the whole list. */
@@ -28,7 +28,7 @@
     /** How many hosts have been named; each has a number of its own. */
     private int numbered;
 
-    HostList(Router router, Trace trace, String zones) {
+    EndpointList(Router router, EventTrace trace, String zones) {
         this.router = router;
         this.trace = trace;
         this.zones = Arrays.asList(zones.split(","));
@@ -57,11 +57,11 @@
     }
 
     /** Discovery's news; returns the hosts whose idle connections are of no use any more. */
-    List<Host> listed(boolean whole, List<Watch.Entry> entries, long now) {
+    List<Host> listed(boolean whole, List<EndpointWatch.Entry> entries, long now) {
         List<Host> moved = new ArrayList<>();
         Set<Host> named = new HashSet<>();
-        for (Watch.Entry e : entries) {
-            if (e.state() == Watch.State.GONE && !hosts.containsKey(e.id())) {
+        for (EndpointWatch.Entry e : entries) {
+            if (e.state() == EndpointWatch.State.GONE && !hosts.containsKey(e.id())) {
                 continue;
             }
             Group group = groups.computeIfAbsent(e.group(), Group::new);
--- a/src/main/java/beaconladder/serve/Trace.java
+++ b/src/main/java/beaconladder/server/EventTrace.java
@@ -1,10 +1,10 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.SendCheck;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
+import beaconladder.routing.api.DispatchCheck;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -18,13 +18,13 @@
  *
  * <p>Switch it on with {@code -Dorg.slf4j.simpleLogger.log.beaconladder.trace=debug} in the command line.
  */
-final class Trace {
+final class EventTrace {
     private static final Logger LOG = LoggerFactory.getLogger("beaconladder.trace");
 
     private final boolean on = LOG.isDebugEnabled();
     private final List<String> lines = new ArrayList<>();
     /** The client's id of each txn in hand. */
-    private final Map<Txn, String> ids = new java.util.HashMap<>();
+    private final Map<Request, String> ids = new java.util.HashMap<>();
     /** Discovery's id of each host. */
     private final Map<Host, String> names = new java.util.HashMap<>();
 
@@ -49,7 +49,7 @@
         }
     }
 
-    void taken(Txn txn, String id, long now) {
+    void taken(Request txn, String id, long now) {
         if (on) {
             ids.put(txn, id);
             add("take " + id + " type=" + txn.type.place() + " group=" + txn.group.number + " budget="
@@ -58,7 +58,7 @@
         }
     }
 
-    void sent(Submission s, long timeout) {
+    void sent(Attempt s, long timeout) {
         if (on) {
             Host host = s.host;
             add("send " + id(s.txn) + " n=" + s.number + " host=" + name(host) + " " + role(host) + " at="
@@ -69,14 +69,14 @@
         }
     }
 
-    void ended(Submission s, Outcome outcome, long now) {
+    void ended(Attempt s, Outcome outcome, long now) {
         if (on) {
             add("end " + id(s.txn) + " n=" + s.number + " host=" + name(s.host) + " " + outcome + " took="
                     + ms(now - s.sent));
         }
     }
 
-    void heldBack(Submission s, SendCheck check, long now) {
+    void heldBack(Attempt s, DispatchCheck check, long now) {
         if (on) {
             add("held back " + id(s.txn) + " n=" + s.number + " host=" + name(s.host) + " " + check
                     + " after="
@@ -96,14 +96,14 @@
         }
     }
 
-    void finished(Txn txn, String how, long now) {
+    void finished(Request txn, String how, long now) {
         if (on) {
             add(how + " " + id(txn) + " at=" + ms(now - txn.arrived) + " left=" + ms(txn.expiry - now) + " subs="
                     + txn.submissions.size() + " want=" + txn.want + " asked=" + txn.asked);
         }
     }
 
-    void gone(Txn txn) {
+    void gone(Request txn) {
         if (on) {
             ids.remove(txn);
         }
@@ -149,7 +149,7 @@
         lines.add(line);
     }
 
-    private String id(Txn txn) {
+    private String id(Request txn) {
         return ids.getOrDefault(txn, "#" + txn.number);
     }
 
--- a/src/main/java/beaconladder/serve/Ending.java
+++ b/src/main/java/beaconladder/server/ExchangeResult.java
@@ -1,10 +1,10 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Role;
-import beaconladder.api.Router.Word;
 import beaconladder.pg.Decimal;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.api.Router.Word;
 
 /**
  * How an exchange with a host ended, and how far it had come.
@@ -19,7 +19,7 @@
  * @param messages the answer as it came
  * @param reusable whether the connection stands for the next
  */
-record Ending(
+record ExchangeResult(
         Reach reach,
         String code,
         boolean row,
@@ -27,7 +27,7 @@
         Role role,
         long position,
         String load,
-        Outbox messages,
+        MessageWriter messages,
         boolean reusable) {
 
     /** The code of an answer that gives none; for the module it is an error of a host that can be reached. */
@@ -41,18 +41,18 @@
         ANSWER_BEGUN
     }
 
-    static Ending early(Reach reach) {
+    static ExchangeResult early(Reach reach) {
         return broken(reach, false);
     }
 
     /** It broke off, or was given up waiting, with no whole answer; what had come is not believed. */
-    static Ending broken(Reach reach, boolean timedOut) {
-        return new Ending(reach, null, false, timedOut, Role.UNKNOWN, Word.NONE, null, null, false);
+    static ExchangeResult broken(Reach reach, boolean timedOut) {
+        return new ExchangeResult(reach, null, false, timedOut, Role.UNKNOWN, Word.NONE, null, null, false);
     }
 
     /** An answer that can't be read: it may have run, and nothing that it said counts. */
-    static Ending spoilt() {
-        return new Ending(Reach.ANSWER_BEGUN, SPOILT, false, false, Role.UNKNOWN, Word.NONE, null, null, false);
+    static ExchangeResult spoilt() {
+        return new ExchangeResult(Reach.ANSWER_BEGUN, SPOILT, false, false, Role.UNKNOWN, Word.NONE, null, null, false);
     }
 
     /** The outcome in the module's words. */
--- a/src/main/java/beaconladder/serve/Drain.java
+++ b/src/main/java/beaconladder/server/GracefulShutdown.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 /**
  * The planned end of a router. Others learn of it within the notice; until then all goes on. Then one last look is
@@ -7,7 +7,7 @@
  * @param told when the end was asked for, in nanoseconds
  * @param longest the longest that a txn may be in hand, in nanoseconds
  */
-record Drain(long told, long longest) {
+record GracefulShutdown(long told, long longest) {
     /** Those who hand out connections learn of an end so much later at the most; the protocol's figure. */
     static final long NOTICE = 700_000_000L;
     /** The protocol counts the longest deadline as no shorter than this when it says when a kill may come. */
--- a/src/main/java/beaconladder/serve/HostCall.java
+++ b/src/main/java/beaconladder/server/HostExchange.java
@@ -1,30 +1,30 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Word;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
 import beaconladder.invariants.SentAttempt;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
 import beaconladder.pg.Statement;
-import beaconladder.serve.Ending.Reach;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.server.ExchangeResult.Reach;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** A use of a connection, which can be called off. */
-final class HostCall implements Runnable {
-    private static final Logger LOG = LoggerFactory.getLogger(HostCall.class);
+final class HostExchange implements Runnable {
+    private static final Logger LOG = LoggerFactory.getLogger(HostExchange.class);
 
-    private final Lines lines;
-    private final Desk desk;
+    private final ServerConnectionPool lines;
+    private final RequestDispatcher desk;
     private final Host host;
-    private final Submission submission;
+    private final Attempt submission;
     private final Statement statement;
     private final long until;
     /** What it uses, until it has given it back. */
-    private Line line;
+    private ServerConnection line;
 
     private boolean cancelled;
     /** Whether the query may have reached the host, in part or whole. */
@@ -38,7 +38,13 @@
      * @param submission what is sent, or null for a probe
      * @param until a nanoTime by which it has to be over
      */
-    HostCall(Lines lines, Desk desk, Host host, Submission submission, Statement statement, long until) {
+    HostExchange(
+            ServerConnectionPool lines,
+            RequestDispatcher desk,
+            Host host,
+            Attempt submission,
+            Statement statement,
+            long until) {
         this.lines = lines;
         this.desk = desk;
         this.host = host;
@@ -50,7 +56,7 @@
     @Override
     public void run() {
         lines.begun(this);
-        Ending ending = Ending.early(Reach.NOT_CONNECTED);
+        ExchangeResult ending = ExchangeResult.early(Reach.NOT_CONNECTED);
         boolean moot = false;
         try {
             boolean connected = connect();
@@ -62,7 +68,7 @@
         } catch (RuntimeException | Error e) {
             // Whatever it is, the txn has to have its end, and what was written may have run.
             LOG.error("an exchange with a host ends by a fault of this program", e);
-            ending = Ending.early(begun ? Reach.WRITTEN : Reach.NOT_CONNECTED);
+            ending = ExchangeResult.early(begun ? Reach.WRITTEN : Reach.NOT_CONNECTED);
         }
         lines.over(this);
         boolean calledOff = finish(line != null && (moot ? line.greeted() : ending.reusable()));
@@ -73,14 +79,14 @@
         }
     }
 
-    private void tellProbe(Ending ending) {
+    private void tellProbe(ExchangeResult ending) {
         Word report = lines.probeReports() && ending.row()
-                ? Ending.report(ending.messages().cell())
+                ? ExchangeResult.report(ending.messages().cell())
                 : ending.report();
         desk.attempts().probed(host, localFault ? Outcome.LOCAL_FAULT : ending.outcome(), report);
     }
 
-    private void tellAttempt(Ending ending, boolean moot, boolean calledOff) {
+    private void tellAttempt(ExchangeResult ending, boolean moot, boolean calledOff) {
         Outcome outcome = localFault ? Outcome.LOCAL_FAULT : ending.outcome();
         if (moot || calledOff && (outcome == Outcome.UNREACHABLE || outcome == Outcome.LOCAL_FAULT)) {
             outcome = Outcome.MOOT;
@@ -90,17 +96,19 @@
         desk.attempts().ended(submission, outcome, ending.word(), ending.report(), ending.messages());
     }
 
-    private Ending exchange() {
+    private ExchangeResult exchange() {
         if (submission == null) {
             begun = true;
-            return line.send(Outbox.query(lines.probeQuery())) ? line.receive(until) : Ending.early(Reach.PART_WRITTEN);
+            return line.send(MessageWriter.query(lines.probeQuery()))
+                    ? line.receive(until)
+                    : ExchangeResult.early(Reach.PART_WRITTEN);
         }
         long began = desk.now();
         long millis = Math.max(1, desk.attempts().toldTime(until - System.nanoTime()) / 1_000_000);
-        Outbox query = Outbox.query(statement.waiting(millis));
+        MessageWriter query = MessageWriter.query(statement.waiting(millis));
         begun = true;
         if (!line.send(query)) {
-            return Ending.early(Reach.PART_WRITTEN);
+            return ExchangeResult.early(Reach.PART_WRITTEN);
         }
         // Read before the check, which waits for the lock of the decisions.
         long ended = desk.now();
@@ -112,7 +120,7 @@
     private boolean connect() {
         InetSocketAddress address = desk.address(host);
         while (address != null) {
-            Line next = lines.idle().take(host, System.nanoTime() - desk.keepIdle());
+            ServerConnection next = lines.idle().take(host, System.nanoTime() - desk.keepIdle());
             boolean fresh = next == null;
             if (fresh) {
                 try {
@@ -131,8 +139,10 @@
                 }
             }
             if (fresh) {
-                Line.Opening opening = next.open(Math.min(until, System.nanoTime() + lines.dialNanos()));
-                return opening == Line.Opening.LOCAL_FAULT ? localFault() : opening == Line.Opening.OPEN;
+                ServerConnection.Opening opening = next.open(Math.min(until, System.nanoTime() + lines.dialNanos()));
+                return opening == ServerConnection.Opening.LOCAL_FAULT
+                        ? localFault()
+                        : opening == ServerConnection.Opening.OPEN;
             }
             if (next.address.equals(address) && next.alive()) {
                 return true;
@@ -151,11 +161,11 @@
     /** This machine has no connection to give now: false. */
     private boolean localFault() {
         localFault = true;
-        desk.monitor().counters().add("network", NetworkFault.CONNECT);
+        desk.monitor().counters().add("network", LocalNetworkFault.CONNECT);
         return false;
     }
 
-    Submission submission() {
+    Attempt submission() {
         return submission;
     }
 
--- a/src/main/java/beaconladder/serve/IdleLines.java
+++ b/src/main/java/beaconladder/server/IdleConnections.java
@@ -1,6 +1,6 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.fleet.Host;
+import beaconladder.routing.state.Host;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -9,23 +9,23 @@
 import java.util.Map;
 
 /** The connections to hosts that wait for their next use, the newest first. */
-final class IdleLines {
+final class IdleConnections {
     /** What a host writes behind its answer came within a millisecond; a connection in wait costs nothing. */
     private static final long RESTED = 3_000_000;
 
-    private final Descriptors descriptors;
-    private final Map<Host, Deque<Line>> idle = new HashMap<>();
+    private final DescriptorLimit descriptors;
+    private final Map<Host, Deque<ServerConnection>> idle = new HashMap<>();
 
-    IdleLines(Descriptors descriptors) {
+    IdleConnections(DescriptorLimit descriptors) {
         this.descriptors = descriptors;
     }
 
     /** Closes the connection that has lain idle longest; false when none is idle. */
     boolean closeOldest() {
-        Line oldest = null;
+        ServerConnection oldest = null;
         synchronized (idle) {
-            Deque<Line> from = null;
-            for (Deque<Line> of : idle.values()) {
+            Deque<ServerConnection> from = null;
+            for (Deque<ServerConnection> of : idle.values()) {
                 if (!of.isEmpty() && (oldest == null || of.peekLast().usedAt < oldest.usedAt)) {
                     oldest = of.peekLast();
                     from = of;
@@ -42,11 +42,11 @@
     }
 
     /** The newest that has rested and was in use since then; a second copy of an answer has shown itself. */
-    Line take(Host host, long oldest) {
+    ServerConnection take(Host host, long oldest) {
         long now = System.nanoTime();
         synchronized (idle) {
-            Deque<Line> of = idle.get(host);
-            for (Line line : of == null ? List.<Line>of() : of) {
+            Deque<ServerConnection> of = idle.get(host);
+            for (ServerConnection line : of == null ? List.<ServerConnection>of() : of) {
                 if (line.usedAt < oldest) {
                     break;
                 }
@@ -59,7 +59,7 @@
         return null;
     }
 
-    void giveBack(Host host, Line line) {
+    void giveBack(Host host, ServerConnection line) {
         synchronized (idle) {
             if (host.state == Host.State.READY) {
                 idle.computeIfAbsent(host, h -> new ArrayDeque<>()).addFirst(line);
@@ -71,7 +71,7 @@
 
     /** Closes all of this host. */
     void close(Host host) {
-        Deque<Line> all;
+        Deque<ServerConnection> all;
         synchronized (idle) {
             all = idle.remove(host);
         }
@@ -82,7 +82,7 @@
 
     /** Closes those not in use since then. */
     void sweep(long oldest) {
-        List<Line> old = new ArrayList<>();
+        List<ServerConnection> old = new ArrayList<>();
         synchronized (idle) {
             idle.values().forEach(of -> of.removeIf(line -> line.usedAt < oldest && old.add(line)));
         }
@@ -90,8 +90,8 @@
     }
 
     /** Closes one that is idle or was in use, and gives its descriptor back. */
-    void close(Line line) {
+    void close(ServerConnection line) {
         line.release();
-        descriptors.give(Descriptors.Use.HOST, 1);
+        descriptors.give(DescriptorLimit.Use.HOST, 1);
     }
 }
--- a/src/main/java/beaconladder/serve/Hand.java
+++ b/src/main/java/beaconladder/server/InFlightRequest.java
@@ -1,13 +1,13 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
 import beaconladder.pg.Statement;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Request;
 import java.util.ArrayDeque;
 
 /** A txn in hand: what the desk tells the task that sees it through. */
-final class Hand {
+final class InFlightRequest {
 
     /** What there is to do. */
     enum Kind {
@@ -25,15 +25,15 @@
      * @param nanos for SEND when it is to be over, for DECLINED how long the client should stay away
      * @param answer for COMMITTED: the host's messages
      */
-    record Order(Kind kind, Submission submission, long nanos, Outbox answer) {}
+    record Order(Kind kind, Attempt submission, long nanos, MessageWriter answer) {}
 
-    final Txn txn;
+    final Request txn;
     final Statement statement;
     private final ArrayDeque<Order> orders = new ArrayDeque<>();
     /** Whether the task is out with a submission, and can't start another. */
     private boolean away;
 
-    Hand(Txn txn, Statement statement) {
+    InFlightRequest(Request txn, Statement statement) {
         this.txn = txn;
         this.statement = statement;
     }
--- a/src/main/java/beaconladder/serve/NetworkFault.java
+++ b/src/main/java/beaconladder/server/LocalNetworkFault.java
@@ -1,7 +1,7 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 /** Calls of the operating system that failed on this machine, whoever was at the other end. */
-enum NetworkFault {
+enum LocalNetworkFault {
     ACCEPT,
     CONNECT
 }
--- a/src/main/java/beaconladder/serve/Monitor.java
+++ b/src/main/java/beaconladder/server/Monitor.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import beaconladder.invariants.Invariants;
 import beaconladder.invariants.Violations;
--- a/src/main/java/beaconladder/serve/Asked.java
+++ b/src/main/java/beaconladder/server/ParsedQuery.java
@@ -1,9 +1,9 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.api.Router.Word;
-import beaconladder.fleet.Group;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
 import beaconladder.pg.Statement;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.state.Group;
 import java.util.Locale;
 
 /**
@@ -15,21 +15,28 @@
  * @param written the position that the read must see, or Word.NONE
  * @param budget how long the client waits, in nanoseconds
  */
-record Asked(
-        Outbox answer, Statement statement, String id, int type, int cluster, Group group, long written, long budget) {
+record ParsedQuery(
+        MessageWriter answer,
+        Statement statement,
+        String id,
+        int type,
+        int cluster,
+        Group group,
+        long written,
+        long budget) {
     /** Ids are short, and no client waits ten minutes; what is beyond is no id and no deadline. */
     private static final int LONGEST_ID = 128;
 
     private static final int LONGEST_MILLIS = 600_000;
 
-    static Asked read(String query, Statement statement, Desk desk) {
+    static ParsedQuery read(String query, Statement statement, RequestDispatcher desk) {
         String plain = query.strip();
         String first = firstWord(plain);
         if (plain.isEmpty() || plain.equals(";")) {
-            return only(new Outbox().emptyQuery().ready());
+            return only(new MessageWriter().emptyQuery().ready());
         }
         if (first.equals("SET") || first.equals("RESET") || first.equals("DISCARD")) {
-            return only(new Outbox().commandComplete(first).ready());
+            return only(new MessageWriter().commandComplete(first).ready());
         }
         String fault = statement.fault();
         if (fault != null) {
@@ -42,7 +49,7 @@
         Group group = named ? desk.group((int) cluster) : null;
         long budget = number(statement.value("d"));
         String after = statement.value("after");
-        long written = after == null ? Word.NONE : Ending.nanos(after, 6);
+        long written = after == null ? Word.NONE : ExchangeResult.nanos(after, 6);
         String wrong = id == null || id.isEmpty() || id.length() > LONGEST_ID
                 ? "id"
                 : type == null
@@ -58,16 +65,16 @@
                             ? error("42601", "the comment lacks " + wrong)
                             : error("22023", "the comment has an impossible " + wrong));
         }
-        return new Asked(null, statement, id, type, (int) cluster, group, written, budget * 1_000_000);
+        return new ParsedQuery(null, statement, id, type, (int) cluster, group, written, budget * 1_000_000);
     }
 
-    static Outbox error(String code, String message) {
-        return new Outbox().error("ERROR", code, message, null).ready();
+    static MessageWriter error(String code, String message) {
+        return new MessageWriter().error("ERROR", code, message, null).ready();
     }
 
     /** A decline for this reason, with when to come back, in nanoseconds, where that is known. */
-    static Outbox declined(String reason, long comeBack) {
-        return new Outbox()
+    static MessageWriter declined(String reason, long comeBack) {
+        return new MessageWriter()
                 .error(
                         "ERROR",
                         "53300",
@@ -76,8 +83,8 @@
                 .ready();
     }
 
-    private static Asked only(Outbox answer) {
-        return new Asked(answer, null, null, 0, 0, null, 0, 0);
+    private static ParsedQuery only(MessageWriter answer) {
+        return new ParsedQuery(answer, null, null, 0, 0, null, 0, 0);
     }
 
     private static String firstWord(String text) {
--- a/src/main/java/beaconladder/serve/Orders.java
+++ b/src/main/java/beaconladder/server/PendingActions.java
@@ -1,11 +1,11 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.api.Rounds;
-import beaconladder.api.Verdict;
-import beaconladder.cells.Gate;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
+import beaconladder.cells.CellAdmission;
+import beaconladder.routing.api.DecisionLoop;
+import beaconladder.routing.api.RoutingDecision;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -15,31 +15,31 @@
 import java.util.function.Consumer;
 
 /** What the rounds ask for, under the desk's lock: told to the txns' tasks, or kept until it is free. */
-final class Orders implements Rounds.Door {
-    private final Desk desk;
-    private final Gate gate;
-    private final Trace trace;
+final class PendingActions implements DecisionLoop.Door {
+    private final RequestDispatcher desk;
+    private final CellAdmission gate;
+    private final EventTrace trace;
     private final Monitor monitor;
     /** Those whose missing answer was counted. */
-    private final Set<Txn> overdue = new HashSet<>();
+    private final Set<Request> overdue = new HashSet<>();
     /** The txns in hand. */
-    private final Map<Txn, Hand> hands = new HashMap<>();
+    private final Map<Request, InFlightRequest> hands = new HashMap<>();
     /** What is to be done on sockets once the lock is free. */
-    private final List<Consumer<Errands>> errands = new ArrayList<>();
+    private final List<Consumer<HostActions>> errands = new ArrayList<>();
 
-    Orders(Desk desk, Gate gate, Trace trace, Monitor monitor) {
+    PendingActions(RequestDispatcher desk, CellAdmission gate, EventTrace trace, Monitor monitor) {
         this.monitor = monitor;
         this.desk = desk;
         this.gate = gate;
         this.trace = trace;
     }
 
-    void add(Hand hand) {
+    void add(InFlightRequest hand) {
         hands.put(hand.txn, hand);
     }
 
     /** The hand of this txn, or null. */
-    Hand of(Txn txn) {
+    InFlightRequest of(Request txn) {
         return hands.get(txn);
     }
 
@@ -49,7 +49,7 @@
 
     /** Counts those whose time has gone by without an answer. */
     void checkOverdue(long now) {
-        for (Txn txn : hands.keySet()) {
+        for (Request txn : hands.keySet()) {
             if (!overdue.contains(txn) && monitor.invariants().overdue(txn, now)) {
                 overdue.add(txn);
             }
@@ -57,47 +57,47 @@
     }
 
     /** Hands over what is to be done on sockets. */
-    List<Consumer<Errands>> errands() {
+    List<Consumer<HostActions>> errands() {
         if (errands.isEmpty()) {
             return List.of();
         }
-        List<Consumer<Errands>> then = List.copyOf(errands);
+        List<Consumer<HostActions>> then = List.copyOf(errands);
         errands.clear();
         return then;
     }
 
     @Override
-    public void send(Submission s, long timeout) {
-        Hand hand = hands.get(s.txn);
+    public void send(Attempt s, long timeout) {
+        InFlightRequest hand = hands.get(s.txn);
         trace.sent(s, timeout);
-        Hand.Order order = new Hand.Order(Hand.Kind.SEND, s, s.sent + timeout, null);
+        InFlightRequest.Order order = new InFlightRequest.Order(InFlightRequest.Kind.SEND, s, s.sent + timeout, null);
         if (!hand.tell(order)) {
             errands.add(to -> to.start(hand, order));
         }
     }
 
     @Override
-    public void cancel(Submission s) {
+    public void cancel(Attempt s) {
         errands.add(to -> to.cancel(s));
     }
 
     @Override
-    public void decline(Txn txn, long comeBack, Verdict.Reason reason) {
+    public void decline(Request txn, long comeBack, RoutingDecision.Reason reason) {
         trace.finished(txn, "decline " + reason, desk.now());
         monitor.counters().add("refused", reason);
         monitor.invariants().refused(txn);
-        hands.get(txn).tell(new Hand.Order(Hand.Kind.DECLINED, null, comeBack, null));
+        hands.get(txn).tell(new InFlightRequest.Order(InFlightRequest.Kind.DECLINED, null, comeBack, null));
     }
 
     @Override
-    public void rollBack(Txn txn, Verdict.Reason reason) {
+    public void rollBack(Request txn, RoutingDecision.Reason reason) {
         trace.finished(txn, "rollback " + reason, desk.now());
         monitor.counters().add("rolled_back", reason);
-        hands.get(txn).tell(new Hand.Order(Hand.Kind.ROLLED_BACK, null, 0, null));
+        hands.get(txn).tell(new InFlightRequest.Order(InFlightRequest.Kind.ROLLED_BACK, null, 0, null));
     }
 
     @Override
-    public void ended(Txn txn) {
+    public void ended(Request txn) {
         trace.finished(txn, "over", desk.now());
         trace.gone(txn);
         hands.remove(txn);
--- a/src/main/java/beaconladder/serve/Ahead.java
+++ b/src/main/java/beaconladder/server/PipelineQueue.java
@@ -1,7 +1,7 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.pg.Inbox;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageReader;
+import beaconladder.pg.MessageWriter;
 import beaconladder.pg.Statement;
 import java.util.ArrayDeque;
 import java.util.List;
@@ -10,11 +10,11 @@
  * What one client wrote ahead, between the reader that takes it in, the tasks that see it through side by side, and
  * whoever of them writes the answers out, in the order in which the queries came.
  */
-final class Ahead {
+final class PipelineQueue {
     /** So many queries written ahead are read; further ones wait in the socket. */
     private static final int MOST = 64;
     /** And no more of them than a query of the longest kind takes. */
-    private static final int MOST_CHARS = Inbox.BOUND / 2;
+    private static final int MOST_CHARS = MessageReader.BOUND / 2;
     /** So many of one client are in hand at once: a quarter of the fewest threads that there ever are. */
     private static final int AT_ONCE = 16;
 
@@ -23,10 +23,10 @@
         private final String query;
         private long begins;
         private Statement statement;
-        private Hand hand;
+        private InFlightRequest hand;
         private boolean begun;
         private boolean cancelled;
-        private Outbox answer;
+        private MessageWriter answer;
         private boolean last;
 
         /** A query whose last byte came at this moment. */
@@ -36,7 +36,7 @@
         }
 
         /** Messages for the client; with the last of them its connection ends. */
-        Work(Outbox messages, boolean last) {
+        Work(MessageWriter messages, boolean last) {
             this(null, 0);
             this.answer = messages;
             this.begun = true;
@@ -52,7 +52,7 @@
             return begins;
         }
 
-        Outbox answer() {
+        MessageWriter answer() {
             return answer;
         }
 
@@ -68,11 +68,11 @@
             return statement;
         }
 
-        synchronized Hand hand() {
+        synchronized InFlightRequest hand() {
             return hand;
         }
 
-        synchronized void hand(Hand now) {
+        synchronized void hand(InFlightRequest now) {
             hand = now;
         }
 
@@ -169,7 +169,7 @@
     }
 
     /** Its answer is known at this moment; what had to wait for it has its time from here on. */
-    synchronized void answered(Work done, ClientTask.Reply reply, long now) {
+    synchronized void answered(Work done, RequestTask.Reply reply, long now) {
         done.answer = reply.messages();
         done.last = reply.last();
         work.stream().filter(each -> !each.begun && each.ordered(done)).forEach(each -> each.begins = now);
--- a/src/main/java/beaconladder/serve/Placements.java
+++ b/src/main/java/beaconladder/server/PlacementWatcher.java
@@ -1,10 +1,10 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.cells.Gate.Busy;
-import beaconladder.cells.Placement;
-import beaconladder.cells.Seat;
-import beaconladder.roster.HttpGet;
-import beaconladder.roster.Json;
+import beaconladder.cells.CellAdmission.Busy;
+import beaconladder.cells.PlacementTable;
+import beaconladder.cells.TenantPlacement;
+import beaconladder.discovery.HttpFetcher;
+import beaconladder.discovery.JsonReader;
 import java.io.IOException;
 import java.math.BigDecimal;
 import java.net.InetSocketAddress;
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Keeps the desk's placement up to date by the keeper's word, and tells the keeper what is acted on here. */
-final class Placements implements Runnable {
-    private static final Logger LOG = LoggerFactory.getLogger(Placements.class);
+final class PlacementWatcher implements Runnable {
+    private static final Logger LOG = LoggerFactory.getLogger(PlacementWatcher.class);
     private static final long MS = 1_000_000;
     /** So often a lease is renewed before its end, so that one lost call does no harm. */
     private static final int RENEWALS = 3;
@@ -28,12 +28,12 @@
     private static final int LATE_MILLIS = 500;
     private static final int RETRY_MILLIS = 50;
 
-    private final HttpGet http;
-    private final Desk desk;
+    private final HttpFetcher http;
+    private final RequestDispatcher desk;
     private final String router;
     private final String run;
     private final long waitMillis;
-    private Map<String, Seat> seats = Map.of();
+    private Map<String, TenantPlacement> seats = Map.of();
     private volatile boolean stopped;
 
     /**
@@ -41,8 +41,8 @@
      *
      * @param run differs between two runs of this router
      */
-    Placements(InetSocketAddress keeper, long lease, String router, String run, Desk desk) {
-        this.http = new HttpGet(keeper);
+    PlacementWatcher(InetSocketAddress keeper, long lease, String router, String run, RequestDispatcher desk) {
+        this.http = new HttpFetcher(keeper);
         this.desk = desk;
         this.router = router;
         this.run = run;
@@ -59,7 +59,7 @@
                     LOG.info("the keeper answers again");
                     trouble = null;
                 }
-            } catch (IOException | Json.Fault e) {
+            } catch (IOException | JsonReader.Fault e) {
                 if (!String.valueOf(e.getMessage()).equals(trouble)) {
                     trouble = String.valueOf(e.getMessage());
                     LOG.warn("keeper: {}; the placement counts until its lease is over", trouble);
@@ -73,7 +73,7 @@
         http.end();
     }
 
-    private void ask() throws IOException, Json.Fault {
+    private void ask() throws IOException, JsonReader.Fault {
         List<Busy> busy = desk.cells().busy();
         long version = desk.cells().placement().version();
         long wait = busy.isEmpty() ? waitMillis : MOVING_MILLIS;
@@ -91,14 +91,14 @@
         desk.cells().placed(read(body));
     }
 
-    private Placement read(String body) throws IOException, Json.Fault {
-        if (!(Json.read(body) instanceof Map<?, ?> told)
+    private PlacementTable read(String body) throws IOException, JsonReader.Fault {
+        if (!(JsonReader.read(body) instanceof Map<?, ?> told)
                 || !(told.get("version") instanceof BigDecimal version)
                 || !(told.get("until_ms") instanceof BigDecimal until)
                 || !(told.get("basis") instanceof String basis)) {
             throw new IOException("no placement");
         }
-        Map<String, Seat> next = seats;
+        Map<String, TenantPlacement> next = seats;
         if (told.get("seats") instanceof List<?> list) {
             next = new HashMap<>();
             for (Object each : list) {
@@ -114,7 +114,7 @@
                 }
                 next.put(
                         tenant,
-                        new Seat(
+                        new TenantPlacement(
                                 cell,
                                 Boolean.TRUE.equals(seat.get("writes")),
                                 Boolean.TRUE.equals(seat.get("reads")),
@@ -126,7 +126,7 @@
             throw new IOException("a new version without its seats");
         }
         seats = next;
-        return new Placement(version.longValue(), until.longValue() * MS, basis, next);
+        return new PlacementTable(version.longValue(), until.longValue() * MS, basis, next);
     }
 
     void stop() {
--- a/src/main/java/beaconladder/serve/DoorRefusal.java
+++ b/src/main/java/beaconladder/server/QueryRejection.java
@@ -1,7 +1,7 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 /** Why a query is answered before the decisions have it. */
-enum DoorRefusal {
+enum QueryRejection {
     NO_THREAD,
     NO_TIME,
     DRAINING,
