--- a/src/main/java/beaconladder/serve/Desk.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -1,17 +1,17 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.Logic;
-import beaconladder.api.Rounds;
-import beaconladder.api.Router;
-import beaconladder.cells.Confined;
-import beaconladder.cells.Gate;
-import beaconladder.cells.Pass;
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType;
+import beaconladder.cells.AdmissionPermit;
+import beaconladder.cells.CellAdmission;
+import beaconladder.cells.CellRouter;
+import beaconladder.discovery.EndpointWatch;
 import beaconladder.pg.Statement;
-import beaconladder.roster.Watch;
+import beaconladder.routing.RoutingPolicy;
+import beaconladder.routing.api.DecisionLoop;
+import beaconladder.routing.api.Router;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -28,46 +28,46 @@
  * Holds the module, its one lock and its one clock. Each event is told under the lock, then the rounds are played; what
  * has to be done on sockets is done by others, or here once the lock is free.
  */
-final class Desk implements Watch.Listener {
-    private static final Logger LOG = LoggerFactory.getLogger(Desk.class);
+final class RequestDispatcher implements EndpointWatch.Listener {
+    private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
 
     private final ReentrantLock lock = new ReentrantLock();
-    private final Timer timer = new Timer(this, lock);
+    private final WakeupTimer timer = new WakeupTimer(this, lock);
     private final Router router;
-    private final Rounds rounds;
+    private final DecisionLoop rounds;
     /** Which cell a txn belongs to and whether it may go there; both null where there are no cells. */
-    private final Gate gate;
+    private final CellAdmission gate;
 
-    private final CellDesk cells;
-    private final Orders orders;
+    private final CellDispatcher cells;
+    private final PendingActions orders;
     private final Monitor monitor;
     private final AttemptEvents attempts;
     private final Set<String> ids = new HashSet<>();
-    private final HostList list;
-    private final Places places;
+    private final EndpointList list;
+    private final SettingIndex places;
     private final long anchor = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
-    private volatile Errands lines;
-    private final Trace trace = new Trace();
+    private volatile HostActions lines;
+    private final EventTrace trace = new EventTrace();
     private long taken;
 
-    Desk(long seed, Map<String, String> start, Gate gate) {
+    RequestDispatcher(long seed, Map<String, String> start, CellAdmission gate) {
         this(seed, start, gate, new Monitor(start));
     }
 
-    Desk(long seed, Map<String, String> start, Gate gate, Monitor monitor) {
+    RequestDispatcher(long seed, Map<String, String> start, CellAdmission gate, Monitor monitor) {
         this.gate = gate;
         this.monitor = monitor;
-        router = gate == null ? new Logic(seed, start) : new Confined(new Logic(seed, start), gate);
-        orders = new Orders(this, gate, trace, monitor);
-        rounds = new Rounds(router, orders);
-        list = new HostList(router, trace, start.getOrDefault("zones", ""));
-        cells = gate == null ? null : new CellDesk(this, gate, lock);
-        places = new Places(start);
+        router = gate == null ? new RoutingPolicy(seed, start) : new CellRouter(new RoutingPolicy(seed, start), gate);
+        orders = new PendingActions(this, gate, trace, monitor);
+        rounds = new DecisionLoop(router, orders);
+        list = new EndpointList(router, trace, start.getOrDefault("zones", ""));
+        cells = gate == null ? null : new CellDispatcher(this, gate, lock);
+        places = new SettingIndex(start);
         attempts = new AttemptEvents(this, lock, router, rounds, orders, trace, monitor);
         trace.settings(start);
     }
 
-    void errands(Errands to) {
+    void errands(HostActions to) {
         lines = to;
     }
 
@@ -90,13 +90,13 @@
         return attempts;
     }
 
-    Places places() {
+    SettingIndex places() {
         return places;
     }
 
     /** Whether txns of this type write. */
     boolean writes(int type) {
-        return router.type(type).read() == TxnType.Read.WRITE;
+        return router.type(type).read() == RequestClass.Read.WRITE;
     }
 
     double value(int type) {
@@ -133,7 +133,7 @@
     }
 
     /** What there is to ask where there are cells; null where there are none. */
-    CellDesk cells() {
+    CellDispatcher cells() {
         return cells;
     }
 
@@ -146,16 +146,23 @@
      * Takes a txn in, with its leave where there are cells: its task is told through the hand what to do, and releases
      * its id at the end. Null where another txn of this id is in hand.
      */
-    Hand take(
-            String id, int type, Group group, Statement statement, long written, long arrived, long expiry, Pass pass) {
+    InFlightRequest take(
+            String id,
+            int type,
+            Group group,
+            Statement statement,
+            long written,
+            long arrived,
+            long expiry,
+            AdmissionPermit pass) {
         lock.lock();
-        Hand hand;
+        InFlightRequest hand;
         try {
             if (!ids.add(id)) {
                 return null;
             }
-            hand = new Hand(
-                    new Txn(
+            hand = new InFlightRequest(
+                    new Request(
                             taken,
                             router.type(type),
                             group,
@@ -190,19 +197,19 @@
     }
 
     /** The client of this txn has left. */
-    void left(Hand hand) {
+    void left(InFlightRequest hand) {
         tell(now -> {
             hand.txn.leftAt = Math.min(hand.txn.leftAt, now);
             if (!hand.txn.ended) {
                 trace.finished(hand.txn, "left", now);
                 rounds.act(hand.txn, router.left(hand.txn, now), now);
-                hand.tell(new Hand.Order(Hand.Kind.LEFT, null, 0, null));
+                hand.tell(new InFlightRequest.Order(InFlightRequest.Kind.LEFT, null, 0, null));
             }
         });
     }
 
     @Override
-    public void listed(boolean whole, List<Watch.Entry> entries) {
+    public void listed(boolean whole, List<EndpointWatch.Entry> entries) {
         List<Host> moved = new ArrayList<>();
         tell(now -> moved.addAll(list.listed(whole, entries, now)));
         if (lines != null) {
@@ -222,7 +229,7 @@
     }
 
     void tell(LongConsumer news) {
-        List<Consumer<Errands>> then;
+        List<Consumer<HostActions>> then;
         List<String> traced;
         lock.lock();
         try {
@@ -239,7 +246,7 @@
     }
 
     /** One that fails keeps no other from being done. */
-    private void run(Consumer<Errands> errand) {
+    private void run(Consumer<HostActions> errand) {
         try {
             errand.accept(lines);
         } catch (RuntimeException | Error e) {
--- a/src/main/java/beaconladder/serve/ClientTask.java
+++ b/src/main/java/beaconladder/server/RequestTask.java
@@ -1,8 +1,8 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.cells.Pass;
-import beaconladder.fleet.Group;
-import beaconladder.pg.Outbox;
+import beaconladder.cells.AdmissionPermit;
+import beaconladder.pg.MessageWriter;
+import beaconladder.routing.state.Group;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.List;
@@ -16,26 +16,31 @@
  * so side by side for a client that writes ahead, since the time of each query runs from its own last byte; whoever has
  * the answer that is next writes it.
  */
-final class ClientTask implements Runnable {
-    private static final Logger LOG = LoggerFactory.getLogger(ClientTask.class);
+final class RequestTask implements Runnable {
+    private static final Logger LOG = LoggerFactory.getLogger(RequestTask.class);
     /** A client that takes in nothing of what is written to it for so long is given up. */
     private static final long STUCK = 5_000_000_000L;
 
-    private static final Supplier<Outbox> CANCELLED =
-            () -> Asked.error("57014", "cancelled at the client's request; it may have run");
+    private static final Supplier<MessageWriter> CANCELLED =
+            () -> ParsedQuery.error("57014", "cancelled at the client's request; it may have run");
 
     /** The final answer to a query; with the last one its connection ends. */
-    record Reply(Outbox messages, boolean last) {}
-
-    private final Client client;
-    private final Clients clients;
-    private final Desk desk;
-    private final Lines lines;
-    private final Wire wire;
-    private final Ahead ahead;
+    record Reply(MessageWriter messages, boolean last) {}
+
+    private final ClientConnection client;
+    private final ClientServer clients;
+    private final RequestDispatcher desk;
+    private final ServerConnectionPool lines;
+    private final ClientChannel wire;
+    private final PipelineQueue ahead;
     private final Admission admission;
 
-    ClientTask(Client client, Clients clients, Desk desk, Lines lines, Ahead ahead) {
+    RequestTask(
+            ClientConnection client,
+            ClientServer clients,
+            RequestDispatcher desk,
+            ServerConnectionPool lines,
+            PipelineQueue ahead) {
         this.client = client;
         this.clients = clients;
         this.desk = desk;
@@ -47,13 +52,13 @@
 
     @Override
     public void run() {
-        for (Ahead.Work next = ahead.next(atOnce()); next != null; next = ahead.next(atOnce())) {
+        for (PipelineQueue.Work next = ahead.next(atOnce()); next != null; next = ahead.next(atOnce())) {
             try {
                 more();
                 ahead.answered(
                         next,
                         next.query() == null
-                                ? new Reply(Asked.error("22021", "a query that is not UTF-8"), false)
+                                ? new Reply(ParsedQuery.error("22021", "a query that is not UTF-8"), false)
                                 : answer(next),
                         desk.now());
                 more();
@@ -94,7 +99,7 @@
 
     /** Writes the answers that are due, unless another task is at it. */
     private void writeOut() throws IOException, InterruptedException {
-        for (Ahead.Work first = ahead.toWrite(); first != null; first = ahead.toWrite()) {
+        for (PipelineQueue.Work first = ahead.toWrite(); first != null; first = ahead.toWrite()) {
             send(first.answer());
             client.used();
             if (first.last()) {
@@ -110,16 +115,16 @@
     }
 
     /** The life of one txn. */
-    private Reply answer(Ahead.Work work) throws InterruptedException {
+    private Reply answer(PipelineQueue.Work work) throws InterruptedException {
         BooleanSupplier gone = () -> ahead.over() || work.cancelled();
-        Asked asked = Asked.read(work.query(), work.statement(), desk);
+        ParsedQuery asked = ParsedQuery.read(work.query(), work.statement(), desk);
         if (asked.answer() != null) {
             return new Reply(asked.answer(), false);
         }
         client.known(true);
         long arrived = work.begins();
         long budget = Math.min(asked.budget(), desk.longest());
-        Drain drain = clients.draining();
+        GracefulShutdown drain = clients.draining();
         long expiry = drain == null
                 ? arrived + budget
                 : drain.expiry(
@@ -127,31 +132,31 @@
                         budget,
                         desk.writes(asked.type()) || asked.statement().writes());
         if (expiry <= desk.now()) {
-            refused(DoorRefusal.NO_TIME);
-            return new Reply(Asked.error("57P03", "no time is left for it here; it has not run"), false);
+            refused(QueryRejection.NO_TIME);
+            return new Reply(ParsedQuery.error("57P03", "no time is left for it here; it has not run"), false);
         }
         Group group = asked.group();
-        Pass pass = null;
+        AdmissionPermit pass = null;
         if (desk.confined()) {
             Admission.Answer leave = admission.enter(asked, work.query().length(), arrived, expiry, gone);
             pass = leave.pass();
             group = pass == null ? null : desk.group(pass.group());
             if (pass == null) {
-                refused(DoorRefusal.NOT_ADMITTED);
+                refused(QueryRejection.NOT_ADMITTED);
                 return new Reply(work.cancelled() ? CANCELLED.get() : leave.told(), leave.last());
             } else if (group == null) {
                 desk.cells().leave(pass);
-                return new Reply(Asked.declined("no host of the cell is known", 0), false);
+                return new Reply(ParsedQuery.declined("no host of the cell is known", 0), false);
             }
         }
-        Hand taken =
+        InFlightRequest taken =
                 desk.take(asked.id(), asked.type(), group, asked.statement(), asked.written(), arrived, expiry, pass);
         if (taken == null) {
             if (pass != null) {
                 desk.cells().leave(pass);
             }
-            refused(DoorRefusal.DUPLICATE_ID);
-            return new Reply(Asked.error("22023", "the id of a txn that is in hand"), false);
+            refused(QueryRejection.DUPLICATE_ID);
+            return new Reply(ParsedQuery.error("22023", "the id of a txn that is in hand"), false);
         }
         work.hand(taken);
         if (gone.getAsBoolean()) {
@@ -165,14 +170,14 @@
         }
     }
 
-    private void refused(DoorRefusal why) {
+    private void refused(QueryRejection why) {
         desk.monitor().counters().add("door", why);
-        Trace.door("refused: " + why);
+        EventTrace.door("refused: " + why);
     }
 
     /** The client wants no answer any more to what is in hand; what was written ahead behind it stays. */
     void cancel() {
-        Ahead.Work current = ahead.current();
+        PipelineQueue.Work current = ahead.current();
         if (current != null) {
             current.cancel();
             left(List.of(current));
@@ -180,20 +185,20 @@
     }
 
     /** The leave by which the connection counts, or null. */
-    Pass counted() {
+    AdmissionPermit counted() {
         return admission.counted();
     }
 
     /** The client has gone: what was in hand for it ends, once nothing more can come of it. */
     void left() {
-        List<Ahead.Work> all = ahead.end();
+        List<PipelineQueue.Work> all = ahead.end();
         admission.left();
         left(all);
     }
 
-    private void left(List<Ahead.Work> all) {
-        for (Ahead.Work each : all) {
-            Hand current = each.hand();
+    private void left(List<PipelineQueue.Work> all) {
+        for (PipelineQueue.Work each : all) {
+            InFlightRequest current = each.hand();
             if (current != null) {
                 desk.left(current);
             }
@@ -201,9 +206,9 @@
     }
 
     /** Does what the desk tells until the txn has its end; returns the final answer. */
-    private Outbox finish(Ahead.Work work, Hand taken) throws InterruptedException {
+    private MessageWriter finish(PipelineQueue.Work work, InFlightRequest taken) throws InterruptedException {
         while (true) {
-            Hand.Order order = taken.take();
+            InFlightRequest.Order order = taken.take();
             switch (order.kind()) {
                 case SEND -> lines.send(order, taken.statement);
                 case COMMITTED -> {
@@ -211,22 +216,22 @@
                 }
                 case DECLINED -> {
                     String detail = order.nanos() > 0 ? String.valueOf(order.nanos() / 1_000_000) : null;
-                    return new Outbox()
+                    return new MessageWriter()
                             .error("ERROR", "53300", "declined; it has not run, try again", detail)
                             .ready();
                 }
                 case ROLLED_BACK -> {
-                    return Asked.error("40003", "rolled back; it may have run");
+                    return ParsedQuery.error("40003", "rolled back; it may have run");
                 }
                 case LEFT -> {
-                    return work.cancelled() ? CANCELLED.get() : new Outbox();
+                    return work.cancelled() ? CANCELLED.get() : new MessageWriter();
                 }
             }
         }
     }
 
     /** Writes all of it, and waits for who takes it in slowly. */
-    private void send(Outbox out) throws IOException, InterruptedException {
+    private void send(MessageWriter out) throws IOException, InterruptedException {
         ByteBuffer bytes = out.bytes();
         long moved = System.nanoTime();
         while (bytes.hasRemaining()) {
--- a/src/main/java/beaconladder/serve/Stated.java
+++ b/src/main/java/beaconladder/server/RouterConfiguration.java
@@ -1,8 +1,8 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.Logic;
-import beaconladder.roster.Json;
-import beaconladder.roster.Watch;
+import beaconladder.discovery.EndpointWatch;
+import beaconladder.discovery.JsonReader;
+import beaconladder.routing.RoutingPolicy;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -18,7 +18,7 @@
  * @param descriptors how many may be held
  * @param known the hosts as last listed; it may be out of date, or empty
  */
-record Stated(
+record RouterConfiguration(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -26,7 +26,7 @@
         Map<String, String> start,
         int memoryMb,
         int descriptors,
-        List<Watch.Entry> known) {
+        List<EndpointWatch.Entry> known) {
     /** A thousand hosts are a hundred kilobytes; a file beyond this is no configuration. */
     private static final long LONGEST = 4 << 20;
 
@@ -54,21 +54,21 @@
     }
 
     /** Reads the file; what is wrong with it is the message of the exception. */
-    static Stated read(Path file) throws IOException {
+    static RouterConfiguration read(Path file) throws IOException {
         if (Files.size(file) > LONGEST) {
             throw new IOException(file + " is too long for a configuration");
         }
         try {
-            if (!(Json.read(Files.readString(file)) instanceof Map<?, ?> stated)) {
+            if (!(JsonReader.read(Files.readString(file)) instanceof Map<?, ?> stated)) {
                 throw new IOException("no JSON object in " + file);
             }
             return of(stated);
-        } catch (Json.Fault e) {
+        } catch (JsonReader.Fault e) {
             throw new IOException(e.getMessage());
         }
     }
 
-    static Stated of(Map<?, ?> stated) throws IOException {
+    static RouterConfiguration of(Map<?, ?> stated) throws IOException {
         InetSocketAddress listen = address(stated, "listen");
         InetSocketAddress discovery = address(stated, "discovery");
         Map<String, String> limits = flat(stated, "limits");
@@ -79,12 +79,13 @@
         } catch (NumberFormatException e) {
             throw new IOException("the seed is no hexadecimal number");
         }
-        List<Watch.Entry> known = stated.get("known") instanceof Map<?, ?> list ? Watch.entries(list) : List.of();
+        List<EndpointWatch.Entry> known =
+                stated.get("known") instanceof Map<?, ?> list ? EndpointWatch.entries(list) : List.of();
         try {
-            new Logic(seed, start);
+            new RoutingPolicy(seed, start);
             drainGraceMillis(start);
             askEveryMillis(start);
-            return new Stated(
+            return new RouterConfiguration(
                     String.valueOf(stated.get("name")),
                     listen,
                     discovery,
@@ -100,12 +101,12 @@
 
     private static Map<String, String> flat(Map<?, ?> stated, String name) {
         Map<String, String> flat = new LinkedHashMap<>();
-        Json.flatten("", stated.get(name) instanceof Map<?, ?> map ? map : Map.of(), flat);
+        JsonReader.flatten("", stated.get(name) instanceof Map<?, ?> map ? map : Map.of(), flat);
         return flat;
     }
 
     private static InetSocketAddress address(Map<?, ?> stated, String name) throws IOException {
-        InetSocketAddress address = Watch.address(String.valueOf(stated.get(name)));
+        InetSocketAddress address = EndpointWatch.address(String.valueOf(stated.get(name)));
         if (address == null || address.getPort() == 0) {
             throw new IOException("'" + name + "' is no address with a port");
         }
--- a/src/main/java/beaconladder/serve/Serve.java
+++ b/src/main/java/beaconladder/server/RouterServer.java
@@ -1,12 +1,12 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.cells.Gate;
-import beaconladder.cells.Territory;
-import beaconladder.pg.Room;
-import beaconladder.plan.Fault;
+import beaconladder.cells.CellAdmission;
+import beaconladder.cells.StaticPlacement;
+import beaconladder.discovery.EndpointWatch;
+import beaconladder.pg.MemoryLimit;
 import beaconladder.plan.Plan;
+import beaconladder.plan.PlanError;
 import beaconladder.plan.PlanReader;
-import beaconladder.roster.Watch;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /** A router on sockets: start it with what the operators state, and drain it at the end. */
-public final class Serve {
-    private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
+public final class RouterServer {
+    private static final Logger LOG = LoggerFactory.getLogger(RouterServer.class);
     private static final int SWEEP_MILLIS = 100;
     /** Time for answers that lie in sockets to reach their clients before the program ends. */
     private static final int LAST_MILLIS = 100;
@@ -27,16 +27,16 @@
     private static final int LARGE_SHARE = 6;
 
     private final Path file;
-    private final Stated stated;
-    private final Threads threads;
-    private final Desk desk;
-    private final Lines lines;
-    private final Clients clients;
-    private final Watch watch;
+    private final RouterConfiguration stated;
+    private final ThreadLimit threads;
+    private final RequestDispatcher desk;
+    private final ServerConnectionPool lines;
+    private final ClientServer clients;
+    private final EndpointWatch watch;
     /** The operators' plan, or null: there are no cells. */
     private final Path plan;
     /** The keeper's word, or null: there is no keeper. */
-    private final Placements placements;
+    private final PlacementWatcher placements;
     /** The longest that a txn can be in hand. */
     private final long longest;
     /** Shortly after its process began: the virtual machine takes some tenths of a second before. */
@@ -54,27 +54,27 @@
      * @param file name, listen, discovery, seed, limits, known and settings as JSON
      * @param plan cells and who lives in them, or null for none
      */
-    public Serve(Path file, Path plan) throws IOException {
+    public RouterServer(Path file, Path plan) throws IOException {
         this.file = file;
         this.plan = plan;
-        stated = Stated.read(file);
-        threads = new Threads(stated.memoryMb());
+        stated = RouterConfiguration.read(file);
+        threads = new ThreadLimit(stated.memoryMb());
         long bytes = Runtime.getRuntime().maxMemory() / LARGE_SHARE;
-        Room room = new Room(bytes);
-        Territory territory = plan == null ? null : territory(plan);
-        desk = new Desk(
+        MemoryLimit room = new MemoryLimit(bytes);
+        StaticPlacement territory = plan == null ? null : territory(plan);
+        desk = new RequestDispatcher(
                 stated.seed(),
                 stated.start(),
                 territory == null
                         ? null
-                        : new Gate(
+                        : new CellAdmission(
                                 stated.name(),
                                 territory,
-                                Gate.Room.of(threads.most(), stated.descriptors() / 3, bytes)));
-        Descriptors descriptors = new Descriptors(stated.descriptors());
-        lines = new Lines(desk, stated.start(), threads, room, descriptors, Line::new);
+                                CellAdmission.Room.of(threads.most(), stated.descriptors() / 3, bytes)));
+        DescriptorLimit descriptors = new DescriptorLimit(stated.descriptors());
+        lines = new ServerConnectionPool(desk, stated.start(), threads, room, descriptors, ServerConnection::new);
         desk.errands(lines);
-        clients = new Clients(
+        clients = new ClientServer(
                 desk,
                 lines,
                 threads,
@@ -82,13 +82,13 @@
                 territory == null
                         ? List.of()
                         : territory.plan().cells().stream()
-                                .map(cell -> new Room((long) (cell.share() * bytes), room))
+                                .map(cell -> new MemoryLimit((long) (cell.share() * bytes), room))
                                 .toList(),
                 descriptors,
                 stated.descriptors());
         watch = stated.asks()
-                ? Watch.asking(stated.discovery(), stated.askEveryMillis(), stated.seed(), desk)
-                : new Watch(stated.discovery(), stated.drainGraceMillis(), stated.seed(), desk);
+                ? EndpointWatch.asking(stated.discovery(), stated.askEveryMillis(), stated.seed(), desk)
+                : new EndpointWatch(stated.discovery(), stated.drainGraceMillis(), stated.seed(), desk);
         if (!stated.known().isEmpty()) {
             desk.listed(true, stated.known());
         }
@@ -104,7 +104,7 @@
         }
         placements = keeper == null
                 ? null
-                : new Placements(
+                : new PlacementWatcher(
                         keeper.at(),
                         keeper.lease(),
                         stated.name(),
@@ -113,12 +113,13 @@
                         desk);
     }
 
-    private static Territory territory(Path plan) throws IOException {
+    private static StaticPlacement territory(Path plan) throws IOException {
         PlanReader.Result read = PlanReader.read(plan);
         if (read.plan() == null) {
-            throw new IOException(read.faults().stream().map(Fault::toString).collect(Collectors.joining("\n")));
+            throw new IOException(
+                    read.faults().stream().map(PlanError::toString).collect(Collectors.joining("\n")));
         }
-        return new Territory(read.plan());
+        return new StaticPlacement(read.plan());
     }
 
     /** Listens once it knows hosts, unless its end has been asked for; returns then. */
@@ -147,7 +148,7 @@
 
     /** Looks at a file, and a plan or null, as a start would; what is wrong is the exception's message. */
     public static void check(Path file, Path plan) throws IOException {
-        Stated.read(file);
+        RouterConfiguration.read(file);
         if (plan != null) {
             territory(plan);
         }
@@ -161,7 +162,7 @@
      */
     public synchronized boolean reload() {
         try {
-            Stated next = Stated.read(file);
+            RouterConfiguration next = RouterConfiguration.read(file);
             List<String> waits = new ArrayList<>();
             waits.addAll(next.listen().equals(stated.listen()) ? List.of() : List.of("listen"));
             waits.addAll(next.start().equals(stated.start()) ? List.of() : List.of("settings"));
@@ -212,10 +213,10 @@
             }
         }
         LOG.info("draining with {} clients and {} connections to hosts", clients.count(), lines.open());
-        Drain drain = new Drain(desk.now(), longest);
-        TimeUnit.NANOSECONDS.sleep(Drain.NOTICE);
+        GracefulShutdown drain = new GracefulShutdown(desk.now(), longest);
+        TimeUnit.NANOSECONDS.sleep(GracefulShutdown.NOTICE);
         clients.drain(drain);
-        while (clients.count() > 0 && desk.now() < drain.end() + Client.LINGER) {
+        while (clients.count() > 0 && desk.now() < drain.end() + ClientConnection.LINGER) {
             Thread.sleep(5);
         }
         Thread.sleep(LAST_MILLIS);
--- a/src/main/java/beaconladder/serve/Line.java
+++ b/src/main/java/beaconladder/server/ServerConnection.java
@@ -1,12 +1,12 @@
-package beaconladder.serve;
-
-import beaconladder.api.Router.Role;
-import beaconladder.api.Router.Word;
-import beaconladder.pg.Inbox;
-import beaconladder.pg.Inbox.Got;
-import beaconladder.pg.Outbox;
-import beaconladder.pg.Room;
-import beaconladder.serve.Ending.Reach;
+package beaconladder.server;
+
+import beaconladder.pg.MemoryLimit;
+import beaconladder.pg.MessageReader;
+import beaconladder.pg.MessageReader.Got;
+import beaconladder.pg.MessageWriter;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.server.ExchangeResult.Reach;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
@@ -18,25 +18,25 @@
 import java.util.Set;
 
 /** A connection to a host: one exchange at a time. */
-final class Line {
+final class ServerConnection {
     /** Hosts write an answer in one go; one that has begun and takes longer has broken off. */
     private static final long WHOLE = 150_000_000;
     /** All of an answer: its value, and as much again for all that goes with it. */
-    private static final int MOST = 2 * Inbox.BOUND;
+    private static final int MOST = 2 * MessageReader.BOUND;
     /** What a statement of one row ends with. */
     private static final Set<String> TAGS = Set.of("SELECT 1", "INSERT 0 1", "SHOW");
 
     private final Socket socket;
     private final SocketChannel channel;
-    private final Room room;
-    private Inbox in;
+    private final MemoryLimit room;
+    private MessageReader in;
     private boolean greeted;
     /** When it was last used, on System.nanoTime's clock. */
     long usedAt = System.nanoTime();
 
     final InetSocketAddress address;
 
-    Line(InetSocketAddress address, Room room) throws IOException {
+    ServerConnection(InetSocketAddress address, MemoryLimit room) throws IOException {
         this.address = address;
         this.room = room;
         this.channel = SocketChannel.open();
@@ -44,7 +44,7 @@
     }
 
     /** On a socket that is no channel's; it is never found to have been closed while it lay idle. */
-    Line(InetSocketAddress address, Room room, Socket socket) {
+    ServerConnection(InetSocketAddress address, MemoryLimit room, Socket socket) {
         this.address = address;
         this.room = room;
         this.socket = socket;
@@ -78,8 +78,8 @@
 
     private boolean greet(long until) {
         try {
-            in = new Inbox(socket, room);
-            write(Outbox.startup("app", "shop"));
+            in = new MessageReader(socket, room);
+            write(MessageWriter.startup("app", "shop"));
             while (true) {
                 if (in.next(until, WHOLE) != Got.MESSAGE) {
                     return false;
@@ -129,7 +129,7 @@
     }
 
     /** Sends a query; false where its last byte did not go. */
-    boolean send(Outbox query) {
+    boolean send(MessageWriter query) {
         try {
             write(query);
             return true;
@@ -139,8 +139,8 @@
     }
 
     /** Waits for all of the answer, until this nanoTime. */
-    Ending receive(long until) {
-        Ending ending = answer(until);
+    ExchangeResult receive(long until) {
+        ExchangeResult ending = answer(until);
         usedAt = System.nanoTime();
         return ending;
     }
@@ -149,9 +149,9 @@
      * The answer, judged whole: a description of one column, one row, a tag, or an error; then ready. Any other order,
      * count or length makes it spoilt, and then nothing that it said counts.
      */
-    private Ending answer(long until) {
+    private ExchangeResult answer(long until) {
         Reach reach = Reach.WRITTEN;
-        Outbox messages = new Outbox();
+        MessageWriter messages = new MessageWriter();
         Role role = Role.UNKNOWN;
         long position = Word.NONE;
         String load = null;
@@ -165,10 +165,10 @@
             if (got != Got.MESSAGE) {
                 if (got == Got.CLOSED) {
                     // A whole error may be a host's last word.
-                    return new Ending(reach, code, false, false, role, position, load, null, false);
+                    return new ExchangeResult(reach, code, false, false, role, position, load, null, false);
                 }
                 boolean silent = got == Got.TIMED_OUT && reach == Reach.WRITTEN && !in.more();
-                return silent || got == Got.CUT ? Ending.broken(reach, silent) : Ending.spoilt();
+                return silent || got == Got.CUT ? ExchangeResult.broken(reach, silent) : ExchangeResult.spoilt();
             }
             if (reach == Reach.WRITTEN) {
                 reach = Reach.ANSWER_BEGUN;
@@ -188,7 +188,7 @@
                         default -> false;
                     };
             if (!good) {
-                return Ending.spoilt();
+                return ExchangeResult.spoilt();
             }
             switch (type) {
                 case 'S' -> {
@@ -198,7 +198,7 @@
                             role = value.equals("leader")
                                     ? Role.PRIMARY
                                     : value.equals("follower") ? Role.REPLICA : Role.UNKNOWN;
-                        case "replay_position" -> position = Ending.nanos(value, 6);
+                        case "replay_position" -> position = ExchangeResult.nanos(value, 6);
                         case "server_load" -> load = value;
                         default -> {}
                     }
@@ -212,11 +212,12 @@
                     due = 'Z';
                     // After a fatal error no more comes.
                     if (!"ERROR".equals(in.errorField('S'))) {
-                        return new Ending(reach, code, false, false, role, position, load, null, false);
+                        return new ExchangeResult(reach, code, false, false, role, position, load, null, false);
                     }
                 }
                 case 'Z' -> {
-                    return new Ending(reach, code, code == null, false, role, position, load, messages, !in.more());
+                    return new ExchangeResult(
+                            reach, code, code == null, false, role, position, load, messages, !in.more());
                 }
                 default -> {}
             }
@@ -239,7 +240,7 @@
         }
     }
 
-    private void write(Outbox out) throws IOException {
+    private void write(MessageWriter out) throws IOException {
         out.writeTo(socket.getOutputStream());
     }
 }
--- a/src/main/java/beaconladder/serve/Lines.java
+++ b/src/main/java/beaconladder/server/ServerConnectionPool.java
@@ -1,11 +1,11 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Word;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.pg.Room;
+import beaconladder.pg.MemoryLimit;
 import beaconladder.pg.Statement;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -13,29 +13,29 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** The connections to hosts: those in use, a thread each, and those that wait for the next use. */
-final class Lines implements Errands {
-    private final Desk desk;
+final class ServerConnectionPool implements HostActions {
+    private final RequestDispatcher desk;
     private final TaskStarter threads;
-    private final Room room;
+    private final MemoryLimit room;
     private final long dialNanos;
     private final String probeQuery;
     private final boolean probeReports;
     private final boolean cancels;
     private final Opener opener;
-    private final IdleLines idle;
-    private final Set<HostCall> calls = ConcurrentHashMap.newKeySet();
-    private final Descriptors descriptors;
+    private final IdleConnections idle;
+    private final Set<HostExchange> calls = ConcurrentHashMap.newKeySet();
+    private final DescriptorLimit descriptors;
 
-    Lines(
-            Desk desk,
+    ServerConnectionPool(
+            RequestDispatcher desk,
             Map<String, String> start,
             TaskStarter threads,
-            Room room,
-            Descriptors descriptors,
+            MemoryLimit room,
+            DescriptorLimit descriptors,
             Opener opener) {
         this.desk = desk;
         this.descriptors = descriptors;
-        this.idle = new IdleLines(descriptors);
+        this.idle = new IdleConnections(descriptors);
         this.opener = opener;
         this.cancels = "true".equals(start.get("limits.cancel"));
         this.room = room;
@@ -48,34 +48,34 @@
 
     /** Makes a connection that is not yet open. */
     interface Opener {
-        Line line(InetSocketAddress address, Room room) throws IOException;
+        ServerConnection line(InetSocketAddress address, MemoryLimit room) throws IOException;
     }
 
     /** Descriptors held. */
     int open() {
-        return descriptors.held(Descriptors.Use.HOST);
+        return descriptors.held(DescriptorLimit.Use.HOST);
     }
 
     /** Makes a connection that is not yet open, within this moment (a nanoTime); null where there is no descriptor. */
-    Line make(InetSocketAddress address, long until) throws IOException {
-        boolean taken = descriptors.take(Descriptors.Use.HOST)
-                || idle.closeOldest() && descriptors.take(Descriptors.Use.HOST)
-                || descriptors.take(Descriptors.Use.HOST, until);
+    ServerConnection make(InetSocketAddress address, long until) throws IOException {
+        boolean taken = descriptors.take(DescriptorLimit.Use.HOST)
+                || idle.closeOldest() && descriptors.take(DescriptorLimit.Use.HOST)
+                || descriptors.take(DescriptorLimit.Use.HOST, until);
         if (!taken) {
             return null;
         }
         boolean made = false;
         try {
-            Line line = opener.line(address, room);
+            ServerConnection line = opener.line(address, room);
             made = true;
             return line;
         } finally {
-            descriptors.give(Descriptors.Use.HOST, made ? 0 : 1);
+            descriptors.give(DescriptorLimit.Use.HOST, made ? 0 : 1);
         }
     }
 
     /** The connections that wait for their next use. */
-    IdleLines idle() {
+    IdleConnections idle() {
         return idle;
     }
 
@@ -94,17 +94,17 @@
     }
 
     /** This call can be called off from now on. */
-    void begun(HostCall call) {
+    void begun(HostExchange call) {
         calls.add(call);
     }
 
-    void over(HostCall call) {
+    void over(HostExchange call) {
         calls.remove(call);
     }
 
     /** Sees a submission through on the caller's thread; what became of it is told to the desk. */
-    void send(Hand.Order order, Statement statement) {
-        HostCall call = new HostCall(
+    void send(InFlightRequest.Order order, Statement statement) {
+        HostExchange call = new HostExchange(
                 this, desk, order.submission().host, order.submission(), statement, desk.nanoTime(order.nanos()));
         // The answer of a copy must not wait for one that can't be called off, unless there is no thread for
         // it.
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void start(Hand hand, Hand.Order order) {
+    public void start(InFlightRequest hand, InFlightRequest.Order order) {
         if (!threads.tryExecute(() -> send(order, hand.statement))) {
             desk.attempts().ended(order.submission(), Outcome.MOOT, Word.SILENT, Word.SILENT, null);
         }
@@ -122,8 +122,8 @@
 
     /** One whose call has not begun yet finds its txn at an end before it writes anything. */
     @Override
-    public void cancel(Submission submission) {
-        for (HostCall call : calls) {
+    public void cancel(Attempt submission) {
+        for (HostExchange call : calls) {
             if (call.submission() == submission) {
                 call.cancel();
             }
@@ -132,7 +132,7 @@
 
     @Override
     public void probe(Host host) {
-        if (!threads.tryExecute(new HostCall(this, desk, host, null, null, System.nanoTime() + dialNanos))) {
+        if (!threads.tryExecute(new HostExchange(this, desk, host, null, null, System.nanoTime() + dialNanos))) {
             desk.attempts().probed(host, Outcome.MOOT, Word.SILENT);
         }
     }
@@ -146,7 +146,7 @@
     void sweep() {
         long now = System.nanoTime();
         idle.sweep(now - desk.keepIdle());
-        for (HostCall call : calls) {
+        for (HostExchange call : calls) {
             // A call ends itself by its time-outs; only one stuck in a write gets here.
             if (now - call.until() > 100_000_000) {
                 call.cancel();
--- a/src/main/java/beaconladder/serve/Places.java
+++ b/src/main/java/beaconladder/server/SettingIndex.java
@@ -1,14 +1,14 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** Which place a txn type or a tenant has in the settings, by its name. */
-final class Places {
+final class SettingIndex {
     private final Map<String, Integer> types;
     private final Map<String, Integer> tenants;
 
-    Places(Map<String, String> start) {
+    SettingIndex(Map<String, String> start) {
         types = places(start, "request_classes");
         tenants = places(start, "parties");
     }
--- a/src/main/java/beaconladder/serve/Greeting.java
+++ b/src/main/java/beaconladder/server/StartupResponse.java
@@ -1,7 +1,7 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.pg.Inbox;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageReader;
+import beaconladder.pg.MessageWriter;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -12,7 +12,7 @@
  * @param kind what it means for the connection
  * @param key for CANCEL the key that it names
  */
-record Greeting(Outbox answer, Kind kind, long key) {
+record StartupResponse(MessageWriter answer, Kind kind, long key) {
     /** Whether the client is greeted, asks again, has to go, or cancels what another has in hand. */
     enum Kind {
         GREETED,
@@ -21,7 +21,7 @@
         CANCEL
     }
 
-    Greeting(Outbox answer, Kind kind) {
+    StartupResponse(MessageWriter answer, Kind kind) {
         this(answer, kind, 0);
     }
 
@@ -35,13 +35,13 @@
      *
      * @param key what the client has to name to cancel a query on this connection
      */
-    static Greeting of(Inbox in, boolean full, long key) {
+    static StartupResponse of(MessageReader in, boolean full, long key) {
         int length = in.end() - in.at();
         int version = length < 4 ? 0 : in.int32(in.at());
         if (version == SSL || version == GSSENC) {
-            return new Greeting(new Outbox().raw(new byte[] {'N'}, 0, 1), Kind.AGAIN);
+            return new StartupResponse(new MessageWriter().raw(new byte[] {'N'}, 0, 1), Kind.AGAIN);
         } else if (version == CANCEL) {
-            return new Greeting(
+            return new StartupResponse(
                     null,
                     Kind.CANCEL,
                     length == 12 ? (long) in.int32(in.at() + 4) << 32 | in.int32(in.at() + 8) & 0xffffffffL : 0);
@@ -51,15 +51,15 @@
         } else if (length < 5 || in.int8(in.end() - 1) != 0) {
             return fatal("08P01", "a startup message without its end");
         } else if (full) {
-            Trace.door("refused: no descriptor");
+            EventTrace.door("refused: no descriptor");
             return fatal("53300", "too many connections");
         }
-        Outbox out = new Outbox();
+        MessageWriter out = new MessageWriter();
         String[] unknown = unknownOptions(in);
         if (version != VERSION_3 || unknown.length > 0) {
             out.negotiateVersion(unknown);
         }
-        return new Greeting(
+        return new StartupResponse(
                 out.authenticationOk()
                         .parameterStatus("server_version", "15.0")
                         .parameterStatus("client_encoding", "UTF8")
@@ -70,12 +70,12 @@
                 Kind.GREETED);
     }
 
-    static Greeting fatal(String code, String message) {
-        return new Greeting(new Outbox().error("FATAL", code, message, null), Kind.FATAL);
+    static StartupResponse fatal(String code, String message) {
+        return new StartupResponse(new MessageWriter().error("FATAL", code, message, null), Kind.FATAL);
     }
 
     /** The options of the protocol that the client asks for; none is known here. */
-    private static String[] unknownOptions(Inbox in) {
+    private static String[] unknownOptions(MessageReader in) {
         List<String> unknown = new ArrayList<>();
         for (int at = in.at() + 4; at < in.end() && in.int8(at) != 0; ) {
             String name = in.text(at);
--- a/src/main/java/beaconladder/serve/TaskStarter.java
+++ b/src/main/java/beaconladder/server/TaskStarter.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 /** Runs tasks on threads of their own. */
 interface TaskStarter {
--- a/src/main/java/beaconladder/serve/Threads.java
+++ b/src/main/java/beaconladder/server/ThreadLimit.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.SynchronousQueue;
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The router's threads, and how many more of them its memory has room for. */
-final class Threads implements TaskStarter {
-    private static final Logger LOG = LoggerFactory.getLogger(Threads.class);
+final class ThreadLimit implements TaskStarter {
+    private static final Logger LOG = LoggerFactory.getLogger(ThreadLimit.class);
     /** The deepest calls here take some ten kilobytes; the JVM touches eighty more below them. */
     private static final long STACK = 256 * 1024;
     /** A thread with its connection was measured at 95 KB resident, 72 of them stack. */
@@ -28,7 +28,7 @@
             0, Integer.MAX_VALUE, KEPT_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), this::make);
     private final int most;
 
-    Threads(int memoryMb) {
+    ThreadLimit(int memoryMb) {
         most = Math.max(FEWEST, (memoryMb - PROGRAM_MB) * 1024 / THREAD_KB);
     }
 
--- a/src/main/java/beaconladder/serve/Timer.java
+++ b/src/main/java/beaconladder/server/WakeupTimer.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
@@ -6,18 +6,18 @@
 import org.slf4j.LoggerFactory;
 
 /** Sleeps until the desk's rounds are due by themselves, and has them played then. */
-final class Timer implements Runnable {
-    private static final Logger LOG = LoggerFactory.getLogger(Timer.class);
+final class WakeupTimer implements Runnable {
+    private static final Logger LOG = LoggerFactory.getLogger(WakeupTimer.class);
     /** It rests at least so long between two looks, so that it can't spin. */
     private static final long SHORTEST_REST_MILLIS = 1;
 
-    private final Desk desk;
+    private final RequestDispatcher desk;
     private final ReentrantLock lock;
     private final Condition sooner;
     private long until = Long.MAX_VALUE;
     private volatile boolean stopped;
 
-    Timer(Desk desk, ReentrantLock lock) {
+    WakeupTimer(RequestDispatcher desk, ReentrantLock lock) {
         this.desk = desk;
         this.lock = lock;
         this.sooner = lock.newCondition();
--- a/src/main/java/beaconladder/serve/WarmUp.java
+++ b/src/main/java/beaconladder/server/WarmUp.java
@@ -1,9 +1,9 @@
-package beaconladder.serve;
+package beaconladder.server;
 
+import beaconladder.discovery.EndpointWatch;
 import beaconladder.invariants.Violations;
-import beaconladder.pg.Outbox;
-import beaconladder.pg.Room;
-import beaconladder.roster.Watch;
+import beaconladder.pg.MemoryLimit;
+import beaconladder.pg.MessageWriter;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -27,9 +27,9 @@
 
     private WarmUp() {}
 
-    static void run(Stated stated, Threads threads) throws InterruptedException {
-        Room room = new Room(1 << 20);
-        Desk desk = new Desk(
+    static void run(RouterConfiguration stated, ThreadLimit threads) throws InterruptedException {
+        MemoryLimit room = new MemoryLimit(1 << 20);
+        RequestDispatcher desk = new RequestDispatcher(
                 1,
                 stated.start(),
                 null,
@@ -37,23 +37,26 @@
                 new Monitor(stated.start(), Violations.unlogged()));
         InetSocketAddress nowhere = new InetSocketAddress("127.0.0.1", 1);
         InetSocketAddress primary = new InetSocketAddress("127.0.0.1", 2);
-        Descriptors descriptors = new Descriptors(stated.descriptors());
-        Lines lines = new Lines(
+        DescriptorLimit descriptors = new DescriptorLimit(stated.descriptors());
+        ServerConnectionPool lines = new ServerConnectionPool(
                 desk,
                 stated.start(),
                 threads,
                 room,
                 descriptors,
-                (address, of) -> new Line(
-                        address, of, new Tape(new byte[0], written -> host(written, address.equals(primary)))));
+                (address, of) -> new ServerConnection(
+                        address,
+                        of,
+                        new InMemoryChannel(new byte[0], written -> host(written, address.equals(primary)))));
         desk.errands(lines);
         desk.listed(
                 true,
                 List.of(
-                        new Watch.Entry("a", primary, "", 0, Watch.State.READY, true, 0),
-                        new Watch.Entry("b", nowhere, "", 0, Watch.State.READY, false, 0),
-                        new Watch.Entry("c", nowhere, "", 0, Watch.State.READY, false, 0)));
-        Clients clients = new Clients(desk, lines, threads, room, List.of(), descriptors, stated.descriptors());
+                        new EndpointWatch.Entry("a", primary, "", 0, EndpointWatch.State.READY, true, 0),
+                        new EndpointWatch.Entry("b", nowhere, "", 0, EndpointWatch.State.READY, false, 0),
+                        new EndpointWatch.Entry("c", nowhere, "", 0, EndpointWatch.State.READY, false, 0)));
+        ClientServer clients =
+                new ClientServer(desk, lines, threads, room, List.of(), descriptors, stated.descriptors());
         List<String> types = new ArrayList<>();
         for (String name; (name = stated.start().get("request_classes." + types.size() + ".name")) != null; ) {
             types.add(name);
@@ -66,11 +69,11 @@
         AtomicInteger left = new AtomicInteger(TXNS);
         CountDownLatch done = new CountDownLatch(CLIENTS);
         for (int i = 0; i < CLIENTS; i++) {
-            ClientTape tape = new ClientTape(bytes(Outbox.startup("app", "shop")), written -> {
+            ClientTape tape = new ClientTape(bytes(MessageWriter.startup("app", "shop")), written -> {
                 int n = left.decrementAndGet();
-                return n < 0 ? null : bytes(Outbox.query(query(desk, types, n)));
+                return n < 0 ? null : bytes(MessageWriter.query(query(desk, types, n)));
             });
-            Client client = new Client(clients, desk, lines, tape);
+            ClientConnection client = new ClientConnection(clients, desk, lines, tape);
             boolean started = threads.tryExecute(() -> {
                 try {
                     while (client.readable()) {
@@ -90,7 +93,7 @@
         timer.interrupt();
     }
 
-    private static String query(Desk desk, List<String> types, int n) {
+    private static String query(RequestDispatcher desk, List<String> types, int n) {
         int type = n % types.size();
         String comment = " /* id=" + n + ",c=" + types.get(type) + ",t=t,d=900,cluster=0,after="
                 + (desk.now() / 1_000_000 - 50) + " */";
@@ -102,12 +105,12 @@
     /** What a host says to this: the startup message, a probe, or a statement. */
     private static byte[] host(byte[] written, boolean primary) {
         if (written[0] != 'Q') {
-            return bytes(new Outbox().authenticationOk().ready());
+            return bytes(new MessageWriter().authenticationOk().ready());
         }
         long millis = System.currentTimeMillis();
         String load = "x0=" + millis / 1_000 + ",x1=" + (primary ? 1 : 0) + ",inflight=1";
         boolean probe = written.length < 32;
-        return bytes(new Outbox()
+        return bytes(new MessageWriter()
                 .parameterStatus("node_role", primary ? "leader" : "follower")
                 .parameterStatus("replay_position", String.valueOf(millis))
                 .parameterStatus("server_load", load)
@@ -116,14 +119,14 @@
                 .ready());
     }
 
-    private static byte[] bytes(Outbox out) {
+    private static byte[] bytes(MessageWriter out) {
         byte[] bytes = new byte[out.size()];
         out.bytes().get(bytes);
         return bytes;
     }
 
     /** A client in memory, which answers each write of the router's with its next query. */
-    private static final class ClientTape implements Wire {
+    private static final class ClientTape implements ClientChannel {
         private final UnaryOperator<byte[]> answer;
         private ByteBuffer next;
 
--- a/src/main/java/beaconladder/drill/Reader.java
+++ b/src/main/java/beaconladder/simulation/BatchReader.java
@@ -1,4 +1,4 @@
-package beaconladder.drill;
+package beaconladder.simulation;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** Reads batches, big-endian, and the fields of the records in them. */
-final class Reader {
+final class BatchReader {
     private static final int HEADER = 16;
 
     private final InputStream in;
@@ -19,7 +19,7 @@
     private long records;
     private long clock;
 
-    Reader(InputStream in) {
+    BatchReader(InputStream in) {
         this.in = in;
     }
 
--- a/src/main/java/beaconladder/drill/Reply.java
+++ b/src/main/java/beaconladder/simulation/BatchWriter.java
@@ -1,4 +1,4 @@
-package beaconladder.drill;
+package beaconladder.simulation;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 
 /** Writes one reply: the actions, grouped by instance. */
-final class Reply {
+final class BatchWriter {
     private static final int HEADER = 8;
 
     private ByteBuffer bytes = ByteBuffer.allocate(1 << 16).position(HEADER);
--- a/src/main/java/beaconladder/drill/Instance.java
+++ b/src/main/java/beaconladder/simulation/SimulatedRouter.java
@@ -1,16 +1,16 @@
-package beaconladder.drill;
+package beaconladder.simulation;
 
-import beaconladder.Logic;
-import beaconladder.api.Rounds;
-import beaconladder.api.Router;
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Role;
-import beaconladder.api.Router.Word;
-import beaconladder.api.Verdict;
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
+import beaconladder.routing.RoutingPolicy;
+import beaconladder.routing.api.DecisionLoop;
+import beaconladder.routing.api.Router;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.RoutingDecision;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -20,18 +20,18 @@
 import java.util.Set;
 
 /** One instance on the wire: keeps its txns in hand and its timer, and passes questions and answers. */
-final class Instance implements Rounds.Door {
+final class SimulatedRouter implements DecisionLoop.Door {
     private static final long LONGEST_TIMER_MICROS = 71L * 60 * 1_000_000;
 
     final long number;
     boolean touched;
 
-    private final Reply reply;
+    private final BatchWriter reply;
     private Router router;
-    private Rounds rounds;
+    private DecisionLoop rounds;
     private Map<Integer, Host> hosts = Map.of();
     private Map<Integer, Group> groups = Map.of();
-    private Map<Long, Txn> txns = Map.of();
+    private Map<Long, Request> txns = Map.of();
     private long zeroMicros;
     private int positionField;
     private int primaryField;
@@ -41,7 +41,7 @@
     private long timerHandle;
     private long timerAt;
 
-    Instance(long number, Reply reply) {
+    SimulatedRouter(long number, BatchWriter reply) {
         this.number = number;
         this.reply = reply;
     }
@@ -66,8 +66,8 @@
         asks = "ask".equals(start.get("discovery"));
         taken = 0;
         timerAt = Long.MAX_VALUE;
-        router = new Logic(seed, start);
-        rounds = new Rounds(router, this);
+        router = new RoutingPolicy(seed, start);
+        rounds = new DecisionLoop(router, this);
         if (asks) {
             reply.tail();
         }
@@ -80,13 +80,13 @@
         txns = Map.of();
     }
 
-    void view(boolean whole, List<Drill.Entry> entries, long clock) {
+    void view(boolean whole, List<SimulatorSession.Entry> entries, long clock) {
         if (router == null) {
             return;
         }
         guard(() -> {
             Set<Integer> named = new HashSet<>();
-            for (Drill.Entry e : entries) {
+            for (SimulatorSession.Entry e : entries) {
                 named.add(e.host());
                 Group group = groups.computeIfAbsent(e.group(), Group::new);
                 Host host = hosts.computeIfAbsent(e.host(), id -> new Host(id, group, e.zone()));
@@ -133,7 +133,7 @@
                     ? now - Math.max(1, (long) (Math.nextDown(sinceWriteMillis) * 1e6))
                     : Word.NONE;
             Group of = groups.computeIfAbsent(group, Group::new);
-            Txn txn = new Txn(
+            Request txn = new Request(
                     call,
                     router.type(type),
                     of,
@@ -150,7 +150,7 @@
     }
 
     void done(long call, int copy, int reason, boolean settled, long note, float[] pressure, long clock) {
-        Submission submission = find(call, copy);
+        Attempt submission = find(call, copy);
         if (submission == null || submission.ended) {
             return;
         }
@@ -162,7 +162,7 @@
                             note % 4 == 1 ? Role.PRIMARY : note % 4 == 2 ? Role.REPLICA : Role.UNKNOWN,
                             note / 4 == 0 ? Word.NONE : zeroMicros * 1_000 + note / 4 * 1_000_000,
                             -1);
-            Txn txn = submission.txn;
+            Request txn = submission.txn;
             rounds.act(txn, router.after(submission, outcome(reason), settled, answer, word(pressure), now), now);
             if (txn.ended && txn.out() == 0) {
                 txns.remove(call);
@@ -178,7 +178,7 @@
     }
 
     void left(long call, long clock) {
-        Txn txn = txns.get(call);
+        Request txn = txns.get(call);
         if (txn != null && !txn.ended) {
             guard(() -> {
                 rounds.act(txn, router.left(txn, clock * 1_000), clock * 1_000);
@@ -209,27 +209,27 @@
     }
 
     @Override
-    public void send(Submission s, long timeout) {
+    public void send(Attempt s, long timeout) {
         reply.issue(s.txn.id, s.host.id, Math.max(1, timeout / 1_000));
     }
 
     @Override
-    public void cancel(Submission s) {
+    public void cancel(Attempt s) {
         reply.dropAttempt(s.txn.id, s.number);
     }
 
     @Override
-    public void decline(Txn txn, long comeBack, Verdict.Reason reason) {
+    public void decline(Request txn, long comeBack, RoutingDecision.Reason reason) {
         reply.sayNo(txn.id, comeBack / 1_000);
     }
 
     @Override
-    public void rollBack(Txn txn, Verdict.Reason reason) {
+    public void rollBack(Request txn, RoutingDecision.Reason reason) {
         reply.fail(txn.id);
     }
 
     @Override
-    public void ended(Txn txn) {
+    public void ended(Request txn) {
         if (txn.out() == 0) {
             txns.remove(txn.id);
         }
@@ -245,8 +245,8 @@
         reply.hangUp(host.id);
     }
 
-    private Submission find(long call, int copy) {
-        Txn txn = txns.get(call);
+    private Attempt find(long call, int copy) {
+        Request txn = txns.get(call);
         return txn == null || copy >= txn.submissions.size() ? null : txn.submissions.get(copy);
     }
 
--- a/src/main/java/beaconladder/drill/Drill.java
+++ b/src/main/java/beaconladder/simulation/SimulatorSession.java
@@ -1,4 +1,4 @@
-package beaconladder.drill;
+package beaconladder.simulation;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -8,22 +8,22 @@
 import java.util.TreeMap;
 
 /** Plays the simulator's wire: reads batches, hands each event to its instance, writes one reply a batch. */
-public final class Drill {
+public final class SimulatorSession {
 
     /** An entry of a numbered list of hosts. */
     record Entry(boolean leader, int host, int zone, int group, int state, long launchedMicros) {}
 
     private static final int ENTRY_BYTES = 25;
 
-    private final Reader in;
+    private final BatchReader in;
     private final OutputStream out;
-    private final Reply reply = new Reply();
+    private final BatchWriter reply = new BatchWriter();
     private final List<List<Entry>> lists = new ArrayList<>();
-    private final TreeMap<Long, Instance> instances = new TreeMap<>();
-    private final List<Instance> touched = new ArrayList<>();
+    private final TreeMap<Long, SimulatedRouter> instances = new TreeMap<>();
+    private final List<SimulatedRouter> touched = new ArrayList<>();
 
-    public Drill(InputStream in, OutputStream out) {
-        this.in = new Reader(in);
+    public SimulatorSession(InputStream in, OutputStream out) {
+        this.in = new BatchReader(in);
         this.out = out;
         for (int i = 0; i < 16; i++) {
             lists.add(List.of());
@@ -34,13 +34,13 @@
     public void run() throws IOException, WireException {
         while (in.next()) {
             long clock = in.clock();
-            Instance instance = null;
+            SimulatedRouter instance = null;
             for (long i = 0; i < in.records(); i++) {
                 long position = in.position();
                 int code = in.u16();
                 if (code == 1110) {
                     long number = in.u32();
-                    instance = instances.computeIfAbsent(number, n -> new Instance(n, reply));
+                    instance = instances.computeIfAbsent(number, n -> new SimulatedRouter(n, reply));
                     touch(instance);
                 } else if (code == 1100) {
                     readList(position);
@@ -54,7 +54,7 @@
                 throw new WireException(
                         in.position(), in.left() + " bytes after the last of " + in.records() + " records");
             }
-            for (Instance each : touched) {
+            for (SimulatedRouter each : touched) {
                 each.touched = false;
                 reply.at(each.number);
                 each.settle(clock);
@@ -64,7 +64,7 @@
         }
     }
 
-    private void touch(Instance instance) {
+    private void touch(SimulatedRouter instance) {
         if (!instance.touched) {
             instance.touched = true;
             touched.add(instance);
@@ -92,7 +92,7 @@
         lists.set(number, entries);
     }
 
-    private void event(long position, int code, Instance to, long clock) throws WireException {
+    private void event(long position, int code, SimulatedRouter to, long clock) throws WireException {
         switch (code) {
             case 1000 -> {
                 long seed = in.u64();
--- a/src/main/java/beaconladder/drill/WireException.java
+++ b/src/main/java/beaconladder/simulation/WireException.java
@@ -1,4 +1,4 @@
-package beaconladder.drill;
+package beaconladder.simulation;
 
 /** Input that is not as the wire prescribes; the message names the byte position and the cause. */
 public final class WireException extends Exception {
--- a/src/main/java/beaconladder/store/Records.java
+++ b/src/main/java/beaconladder/storage/DurableRecords.java
@@ -1,4 +1,4 @@
-package beaconladder.store;
+package beaconladder.storage;
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.io.IOException;
@@ -16,7 +16,7 @@
  * and one whose append did not return is there whole or not at all. Kept by H2's MVStore; each record carries a hash of
  * its own, as pages do not.
  */
-public final class Records implements AutoCloseable {
+public final class DurableRecords implements AutoCloseable {
     private static final String FILE = "records.mv";
     private static final int HASH = Long.BYTES;
 
@@ -29,7 +29,7 @@
     private long next;
     private boolean closed;
 
-    private Records(Path file) {
+    private DurableRecords(Path file) {
         this.file = file;
     }
 
@@ -39,9 +39,9 @@
      * @throws IOException where the folder can't be used, another process has it open, or a record is damaged; the
      *     message says which
      */
-    public static Records open(Path folder) throws IOException {
+    public static DurableRecords open(Path folder) throws IOException {
         Files.createDirectories(folder);
-        Records records = new Records(folder.resolve(FILE));
+        DurableRecords records = new DurableRecords(folder.resolve(FILE));
         records.openStore();
         try {
             for (Long number : records.map.keyList()) {
--- a/src/main/java/beaconladder/lab/Capacity.java
+++ b/src/main/java/beaconladder/testbed/Capacity.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 /**
  * What a service bears: so many lines a second, each call its lines and some more. Calls wait in turn, also those that
@@ -37,7 +37,7 @@
             }
             busyUntil = until;
         }
-        Tasks.sleep((int) Math.max(0, (until - System.nanoTime()) / 1_000_000));
+        StandInThreads.sleep((int) Math.max(0, (until - System.nanoTime()) / 1_000_000));
         return true;
     }
 
--- a/src/main/java/beaconladder/lab/CellSizes.java
+++ b/src/main/java/beaconladder/testbed/CellSizes.java
@@ -1,10 +1,10 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.cells.Gate;
-import beaconladder.cells.Placement;
-import beaconladder.cells.Planner;
-import beaconladder.cells.Seat;
-import beaconladder.cells.Territory;
+import beaconladder.cells.CellAdmission;
+import beaconladder.cells.PlacementPlanner;
+import beaconladder.cells.PlacementTable;
+import beaconladder.cells.StaticPlacement;
+import beaconladder.cells.TenantPlacement;
 import beaconladder.plan.PlanReader;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -63,28 +63,28 @@
         return text + "(others (spread 2) (share 10%))";
     }
 
-    private static Territory territory(String text) {
+    private static StaticPlacement territory(String text) {
         PlanReader.Result read = PlanReader.read("made", text);
         if (read.plan() == null) {
             throw new IllegalStateException(read.faults().get(0).toString());
         }
-        return new Territory(read.plan());
+        return new StaticPlacement(read.plan());
     }
 
     private static void decision(ObjectNode figures, int tenants, int cells, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         long before = System.nanoTime();
-        Territory territory = territory(
+        StaticPlacement territory = territory(
                 plan(tenants, cells, true, chance) + "(keeper (at 127.0.0.1:1) (discovery 127.0.0.1:2) (store \"x\"))");
         figures.put("plan_read_ms", (System.nanoTime() - before) / MS);
-        Gate gate = new Gate("n0", territory, new Gate.Room(10_000, 10_000, 1L << 30));
-        Map<String, Seat> seats = new HashMap<>();
+        CellAdmission gate = new CellAdmission("n0", territory, new CellAdmission.Room(10_000, 10_000, 1L << 30));
+        Map<String, TenantPlacement> seats = new HashMap<>();
         String[] names = new String[tenants];
         for (int i = 0; i < tenants; i++) {
             names[i] = "t" + i;
-            seats.put(names[i], new Seat("c" + chance.nextInt(cells), true, true, false, List.of()));
+            seats.put(names[i], new TenantPlacement("c" + chance.nextInt(cells), true, true, false, List.of()));
         }
-        gate.placed(new Placement(1, Long.MAX_VALUE / 2, territory.basis(), seats));
+        gate.placed(new PlacementTable(1, Long.MAX_VALUE / 2, territory.basis(), seats));
         com.sun.management.ThreadMXBean memory = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         for (String kind : List.of("stated", "spread")) {
             for (int round = 0; round < 2; round++) {
@@ -93,7 +93,7 @@
                 for (int i = 0; i < ROUNDS; i++) {
                     int n = chance.nextInt(tenants);
                     String tenant = kind.equals("stated") ? names[n] : names[n].substring(1);
-                    Gate.Answer answer =
+                    CellAdmission.Answer answer =
                             gate.admit(tenant, i, n % cells, i % 4 == 0, 1, 100, null, from, from + MS, from);
                     if (answer.pass() != null) {
                         gate.left(answer.pass());
@@ -108,9 +108,9 @@
     /** Who shares all of its cells, or any, with one bad tenant; who is served by one bad router. */
     private static void touched(ObjectNode figures, int tenants, int cells, int routers, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        Territory spread = territory(plan(tenants, cells, false, chance));
-        Territory plain = territory(plan(tenants, cells, false, chance).replace("(spread 2)", "(spread 1)"));
-        Territory joined = territory(plan(tenants, cells, false, chance) + "(cell joins (groups " + cells + "))");
+        StaticPlacement spread = territory(plan(tenants, cells, false, chance));
+        StaticPlacement plain = territory(plan(tenants, cells, false, chance).replace("(spread 2)", "(spread 1)"));
+        StaticPlacement joined = territory(plan(tenants, cells, false, chance) + "(cell joins (groups " + cells + "))");
         long all = 0;
         long any = 0;
         long one = 0;
@@ -150,7 +150,7 @@
     }
 
     /** Routers serve eight cells each, in turn: the share of tenants with any cell at one of them, on average. */
-    private static double bySome(Territory spread, int tenants, int cells, int routers) {
+    private static double bySome(StaticPlacement spread, int tenants, int cells, int routers) {
         long touched = 0;
         for (int router = 0; router < routers; router++) {
             int from = router * SERVED % cells;
@@ -165,13 +165,13 @@
     }
 
     private static void planned(ObjectNode figures, int tenants, int cells, int seconds, long seed) {
-        Planner.Problem problem =
-                Planner.problem(PlanReader.read("made", plan(tenants, cells, true, new SplittableRandom(seed)))
+        PlacementPlanner.Problem problem =
+                PlacementPlanner.problem(PlanReader.read("made", plan(tenants, cells, true, new SplittableRandom(seed)))
                         .plan());
         long from = System.nanoTime();
-        int greedy = Planner.cost(problem, Planner.greedy(problem, 100));
+        int greedy = PlacementPlanner.cost(problem, PlacementPlanner.greedy(problem, 100));
         long middle = System.nanoTime();
-        Planner.Proposal proposal = Planner.propose(problem, 100, seconds, seed);
+        PlacementPlanner.Proposal proposal = PlacementPlanner.propose(problem, 100, seconds, seed);
         long end = System.nanoTime();
         figures.putObject("planner")
                 .put("tenants", tenants)
--- a/src/main/java/beaconladder/lab/CellsRehearsal.java
+++ b/src/main/java/beaconladder/testbed/CellsScenario.java
@@ -1,7 +1,7 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.lab.Judge.Asked;
-import beaconladder.lab.Judge.End;
+import beaconladder.testbed.InvariantChecker.Asked;
+import beaconladder.testbed.InvariantChecker.End;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -24,7 +24,7 @@
  * The rehearsal of cells: usual clients at several routers, a flood in one cell, and moves that are interrupted by a
  * script drawn from the seed; judged by what clients and hosts saw.
  */
-public final class CellsRehearsal {
+public final class CellsScenario {
     /** What may happen to a move. */
     public enum Fault {
         NONE,
@@ -79,16 +79,16 @@
     private final long seed;
     private final PrintWriter out;
     private final SplittableRandom chance;
-    private final Judge judge = new Judge();
+    private final InvariantChecker judge = new InvariantChecker();
     private final List<Long> fences = new ArrayList<>();
     private final List<Long> recoveries = new ArrayList<>();
     private final Map<String, Integer> ends = new TreeMap<>();
     private final Map<String, Integer> hit = new TreeMap<>();
-    private final List<Judge.Broken> broken = new ArrayList<>();
-    private Installation installation;
+    private final List<InvariantChecker.Broken> broken = new ArrayList<>();
+    private TestDeployment installation;
     private int[] homes;
 
-    public CellsRehearsal(Size size, long seed, PrintWriter out) {
+    public CellsScenario(Size size, long seed, PrintWriter out) {
         this.size = size;
         this.seed = seed;
         this.out = out;
@@ -111,7 +111,7 @@
                 .put("cells", size.cells())
                 .put("tenants", size.tenants())
                 .put("routers", size.routers());
-        try (Installation all = new Installation(folder, size.cells(), 1, 3, size.routers(), 15, tenants())) {
+        try (TestDeployment all = new TestDeployment(folder, size.cells(), 1, 3, size.routers(), 15, tenants())) {
             installation = all;
             List<String> names = new ArrayList<>();
             homes = new int[size.tenants()];
@@ -121,7 +121,7 @@
                 homes[i] = i % size.cells();
                 groups[i] = homes[i];
             }
-            try (Load load = new Load(
+            try (ClientLoad load = new ClientLoad(
                     judge, all, names, homes, groups, "k", size.clients(), size.restMillis(), chance.nextLong())) {
                 load.await(1_500);
                 if (withFlood) {
@@ -152,7 +152,7 @@
 
     /** The last tenth are not stated: their keys are spread. */
     private String name(int i) {
-        return i >= size.tenants() * 9 / 10 ? Judge.SPREAD + i : "t" + i;
+        return i >= size.tenants() * 9 / 10 ? InvariantChecker.SPREAD + i : "t" + i;
     }
 
     private String tenants() {
@@ -189,7 +189,7 @@
 
     private void flood(ObjectNode figures) throws InterruptedException {
         Flood.Kind kind = Flood.Kind.values()[chance.nextInt(Flood.Kind.values().length)];
-        boolean[] others = Judge.all(size.cells());
+        boolean[] others = InvariantChecker.all(size.cells());
         others[0] = false;
         boolean[] own = new boolean[size.cells()];
         own[0] = true;
@@ -229,7 +229,7 @@
                 "flood %s: other cells %.4f to %.4f, its own %.3f to %.3f%n",
                 kind, without, with, judge.service(from, middle, own), judge.service(middle, to, own));
         if (without - with > FLOOD_LIMIT) {
-            broken.add(new Judge.Broken("a flood cost other cells service", 1, without + " to " + with));
+            broken.add(new InvariantChecker.Broken("a flood cost other cells service", 1, without + " to " + with));
         }
         Thread.sleep(500);
     }
@@ -243,7 +243,7 @@
     /** A move, with sessions of its tenant that write and read without rest, at one router and another. */
     private void move(Planned step) throws IOException, InterruptedException {
         int home = Integer.parseInt(step.tenant().substring(1)) % size.cells();
-        try (Load busy = new Load(
+        try (ClientLoad busy = new ClientLoad(
                 judge,
                 installation,
                 List.of(step.tenant()),
@@ -296,7 +296,7 @@
             if (!done && (over || STATES.indexOf(state) >= STATES.indexOf(step.at()))) {
                 done = true;
                 at = state;
-                befalls = Tasks.spawn(() -> befall(step, source, target));
+                befalls = StandInThreads.spawn(() -> befall(step, source, target));
             }
             if (over) {
                 break;
@@ -318,7 +318,7 @@
                 1,
                 Integer::sum);
         String lives = installation.cellOf(step.tenant());
-        String why = Installation.ended(installation.keeper("/v1/cells"), step.tenant(), "why");
+        String why = TestDeployment.ended(installation.keeper("/v1/cells"), step.tenant(), "why");
         out.printf(
                 "move %s %s to %s, %s%s: %s%s, fence %d ms, %d ms in all%n",
                 step.tenant(),
@@ -331,9 +331,9 @@
                 fenced == 0 ? 0 : opened - fenced,
                 System.currentTimeMillis() - proposed);
         if (!state.equals("done") && !state.equals("undone")) {
-            broken.add(new Judge.Broken("a move did not end", 1, step + " stands at " + state));
+            broken.add(new InvariantChecker.Broken("a move did not end", 1, step + " stands at " + state));
         } else if (!lives.equals(state.equals("done") ? step.to() : from)) {
-            broken.add(new Judge.Broken("a move ended where it should not", 1, step + " lives in " + lives));
+            broken.add(new InvariantChecker.Broken("a move ended where it should not", 1, step + " lives in " + lives));
         }
         Thread.sleep(300);
     }
@@ -355,14 +355,14 @@
                 case STALL_ROUTER -> {
                     installation.troubled(router, true);
                     installation.routers.get(router).signal("STOP");
-                    Thread.sleep(Installation.LEASE_MILLIS + 1_600);
+                    Thread.sleep(TestDeployment.LEASE_MILLIS + 1_600);
                     installation.routers.get(router).signal("CONT");
                     Thread.sleep(200);
                     installation.troubled(router, false);
                 }
                 case CUT_ROUTER -> {
                     installation.relays.get(router).cut();
-                    Thread.sleep(Installation.LEASE_MILLIS + HEAL_MILLIS);
+                    Thread.sleep(TestDeployment.LEASE_MILLIS + HEAL_MILLIS);
                     installation.relays.get(router).mend();
                 }
                 case SOURCE_FAILS -> fail(source, false);
@@ -378,12 +378,12 @@
                 }
                 case RELOAD -> {
                     installation.keeper.signal("HUP");
-                    for (Programs.Program each : installation.routers) {
+                    for (ChildProcesses.Program each : installation.routers) {
                         each.signal("HUP");
                     }
                 }
                 case DRAIN -> {
-                    Member draining = installation.ground.replica(source);
+                    ReplicatedHost draining = installation.ground.replica(source);
                     installation.ground.list(draining.id, "Terminating");
                 }
                 default -> {}
@@ -405,7 +405,7 @@
     private void refused(String path, String what) throws IOException {
         try {
             installation.keeper(path);
-            broken.add(new Judge.Broken(what + " of one tenant at a time was taken", 1, path));
+            broken.add(new InvariantChecker.Broken(what + " of one tenant at a time was taken", 1, path));
         } catch (IllegalStateException e) {
             // As it should be.
         }
@@ -424,7 +424,7 @@
 
     /** The primary of a group dies; another takes over, and it comes back as a replica. */
     private void fail(int group, boolean losesTail) throws IOException, InterruptedException {
-        Member old = installation.ground.primary(group);
+        ReplicatedHost old = installation.ground.primary(group);
         if (losesTail) {
             installation.ground.members(group).forEach(m -> m.deaf = true);
             Thread.sleep(250);
@@ -457,7 +457,7 @@
         figures.put("median_ms", times.length == 0 ? 0 : times[times.length / 2]);
         figures.put(
                 "declined_by_moves",
-                judge.asked.stream().filter(CellsRehearsal::byMove).count());
+                judge.asked.stream().filter(CellsScenario::byMove).count());
         figures.put("double_runs", count("a once-only txn ran twice"))
                 .put("stale_reads", count("a stale read"))
                 .put("wrong_cell", count("a write in the wrong cell"))
@@ -482,7 +482,7 @@
                 .put("service_most", Arrays.stream(service).max().orElse(1));
         figures.put("machine_busy_ms", judge.busyMillis());
         figures.put("seconds", millis / 1_000).put("held", broken.isEmpty());
-        for (Judge.Broken each : broken) {
+        for (InvariantChecker.Broken each : broken) {
             out.printf("BROKEN: %s, %d times: %s%n", each.rule(), each.times(), each.example());
         }
         out.println(figures);
@@ -496,7 +496,7 @@
     private int count(String rule) {
         return broken.stream()
                 .filter(b -> b.rule().equals(rule))
-                .mapToInt(Judge.Broken::times)
+                .mapToInt(InvariantChecker.Broken::times)
                 .sum();
     }
 }
--- a/src/main/java/beaconladder/lab/ChangeLog.java
+++ b/src/main/java/beaconladder/testbed/ChangeLog.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/beaconladder/lab/Programs.java
+++ b/src/main/java/beaconladder/testbed/ChildProcesses.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Programs of this project, started as operators start them; only what was started here is ended here. */
-public final class Programs implements AutoCloseable {
+public final class ChildProcesses implements AutoCloseable {
     /** As in deploy/balancer.toml. */
     private static final List<String> FLAGS =
             List.of("-XX:-UsePerfData", "-Xmx64m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
@@ -101,7 +101,7 @@
     private final Path folder;
     private final List<Program> all = new ArrayList<>();
 
-    public Programs(Path folder) {
+    public ChildProcesses(Path folder) {
         this.folder = folder;
     }
 
--- a/src/main/java/beaconladder/lab/Load.java
+++ b/src/main/java/beaconladder/testbed/ClientLoad.java
@@ -1,8 +1,8 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.lab.Judge.Asked;
-import beaconladder.lab.Judge.End;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.InvariantChecker.Asked;
+import beaconladder.testbed.InvariantChecker.End;
 import java.io.DataInputStream;
 import java.io.EOFException;
 import java.io.IOException;
@@ -18,7 +18,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Usual clients: sessions that write and read what they wrote, at any router; each keeps its own truth. */
-final class Load implements AutoCloseable {
+final class ClientLoad implements AutoCloseable {
     static final int BUDGET_MILLIS = 1_000;
     static final int BOUND_MILLIS = 500;
     /** A client counts on an answer so long after its time at the latest; then none comes. */
@@ -81,12 +81,12 @@
             socket.setTcpNoDelay(true);
             in = new DataInputStream(socket.getInputStream());
             socket.setSoTimeout(3_000);
-            Outbox.startup("app", "shop").writeTo(socket.getOutputStream());
+            MessageWriter.startup("app", "shop").writeTo(socket.getOutputStream());
             answer();
         }
 
         void send(String query) throws IOException {
-            Outbox.query(query).writeTo(socket.getOutputStream());
+            MessageWriter.query(query).writeTo(socket.getOutputStream());
         }
 
         /** Reads up to the next ready; false at the end of the connection. */
@@ -138,7 +138,7 @@
         }
     }
 
-    private final Judge judge;
+    private final InvariantChecker judge;
     private final Doors doors;
     private final String keys;
     private final AtomicLong ids = new AtomicLong();
@@ -153,8 +153,8 @@
      * @param clients threads, each with sessions of its own
      * @param restMillis between two txns of a client, on average
      */
-    Load(
-            Judge judge,
+    ClientLoad(
+            InvariantChecker judge,
             Doors doors,
             List<String> tenants,
             int[] homes,
@@ -177,14 +177,14 @@
                 own.add(new Session(tenants.get(t), keys + i, homes[t], groups[t]));
             }
             SplittableRandom mine = chance.split();
-            threads.add(Tasks.spawn(() -> live(own, mine, restMillis)));
+            threads.add(StandInThreads.spawn(() -> live(own, mine, restMillis)));
         }
     }
 
     private void live(List<Session> sessions, SplittableRandom chance, int restMillis) {
         Line line = null;
         while (!stopped) {
-            Tasks.sleep(chance.nextInt(2 * restMillis + 1));
+            StandInThreads.sleep(chance.nextInt(2 * restMillis + 1));
             Session session = sessions.get(chance.nextInt(sessions.size()));
             int dice = chance.nextInt(100);
             // A session's read comes soon after its write, and often at another router.
@@ -214,7 +214,7 @@
             try {
                 return new Line(doors.port(router), router);
             } catch (IOException e) {
-                Tasks.sleep(chance.nextInt(20));
+                StandInThreads.sleep(chance.nextInt(20));
             }
         }
         return null;
@@ -317,14 +317,14 @@
 
     /** Lets it run on by itself for so long. */
     void await(long millis) {
-        Tasks.sleep(millis);
+        StandInThreads.sleep(millis);
     }
 
     @Override
     public void close() {
         stopped = true;
         for (Thread thread : threads) {
-            Tasks.join(thread, 5_000);
+            StandInThreads.join(thread, 5_000);
         }
     }
 }
--- a/src/main/java/beaconladder/lab/DatagramRelay.java
+++ b/src/main/java/beaconladder/testbed/DatagramRelay.java
@@ -1,6 +1,6 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.lab.FaultRelay.Weather;
+import beaconladder.testbed.FaultRelay.Weather;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -29,7 +29,7 @@
         this.door = new DatagramSocket(at);
         this.to = to;
         this.chance = new SplittableRandom(seed);
-        Tasks.spawn(() -> {
+        StandInThreads.spawn(() -> {
             DatagramPacket packet = new DatagramPacket(new byte[LONGEST], LONGEST);
             while (true) {
                 packet.setLength(LONGEST);
--- a/src/main/java/beaconladder/lab/Demo.java
+++ b/src/main/java/beaconladder/testbed/Demo.java
@@ -1,6 +1,6 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.lab.Judge.End;
+import beaconladder.testbed.InvariantChecker.End;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -21,8 +21,8 @@
             """;
 
     private final PrintWriter out;
-    private final Judge judge = new Judge();
-    private Installation all;
+    private final InvariantChecker judge = new InvariantChecker();
+    private TestDeployment all;
     private int ran;
 
     public Demo(PrintWriter out) {
@@ -32,8 +32,8 @@
     /** Starts the same and stays, with a usual load, until it is ended: for whoever wants to move a tenant by hand. */
     public void stay() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("up");
-        try (Installation started = new Installation(folder, 2, 1, 3, 2, 8, TENANTS);
-                Load load = load(started)) {
+        try (TestDeployment started = new TestDeployment(folder, 2, 1, 3, 2, 8, TENANTS);
+                ClientLoad load = load(started)) {
             Runtime.getRuntime().addShutdownHook(new Thread(started.programs::close));
             all = started;
             out.println("two routers at 127.0.0.1:" + started.port(0) + " and 127.0.0.1:" + started.port(1)
@@ -48,8 +48,8 @@
         }
     }
 
-    private Load load(Installation at) {
-        return new Load(
+    private ClientLoad load(TestDeployment at) {
+        return new ClientLoad(
                 judge,
                 at,
                 List.of("acme", "beta", "corp", "dune"),
@@ -67,27 +67,27 @@
         out.println("Two cells (c0: group 0, c1: group 1) of one primary and two replicas each, two routers,"
                 + " a"
                 + " keeper;\nall of them on loopback, the hosts played by stand-ins.");
-        try (Installation started = new Installation(folder, 2, 1, 3, 2, 8, TENANTS)) {
+        try (TestDeployment started = new TestDeployment(folder, 2, 1, 3, 2, 8, TENANTS)) {
             all = started;
-            try (Load load = load(started)) {
+            try (ClientLoad load = load(started)) {
                 load.await(300);
                 seconds(2, "usual load");
                 all.ground.list(all.ground.replica(0).id, "Terminating");
                 seconds(2, all.ground.replica(0).id + ", a replica, drains: reads go elsewhere at once");
                 all.keeper("/v1/move?tenant=acme&to=c1");
                 seconds(2, "tenant acme moves from c0 to c1, from group 0 to group 1");
-                Member primary = all.ground.primary(1);
+                ReplicatedHost primary = all.ground.primary(1);
                 primary.crash();
                 seconds(1, primary.id + ", the primary of c1, dies: writes there wait or are declined");
-                Member next = all.ground.failOver(1);
+                ReplicatedHost next = all.ground.failOver(1);
                 seconds(2, next.id + " takes over");
                 primary.restart();
                 seconds(2, primary.id + " comes back as a replica");
             }
             Thread.sleep(300);
-            List<Judge.Broken> broken = judge.broken(all.ground, group -> group);
+            List<InvariantChecker.Broken> broken = judge.broken(all.ground, group -> group);
             Map<End, Long> ends = judge.asked.stream()
-                    .collect(Collectors.groupingBy(Judge.Asked::end, TreeMap::new, Collectors.counting()));
+                    .collect(Collectors.groupingBy(InvariantChecker.Asked::end, TreeMap::new, Collectors.counting()));
             out.printf(
                     "%n%d txns: %s%n",
                     judge.asked.size(),
@@ -98,7 +98,7 @@
                                             .toLowerCase(java.util.Locale.ROOT)
                                             .replace('_', ' '))
                             .collect(Collectors.joining(", ")));
-            boolean[] every = Judge.all(2);
+            boolean[] every = InvariantChecker.all(2);
             out.printf(
                     "half of the answers within %d ms, 99 of 100 within %d ms%n",
                     judge.quantile(0.5, 0, Long.MAX_VALUE, every), judge.quantile(0.99, 0, Long.MAX_VALUE, every));
@@ -122,13 +122,13 @@
             long from = System.currentTimeMillis();
             int before = ran;
             Thread.sleep(SECOND);
-            List<Ground.Ran> now = List.copyOf(all.ground.ran);
+            List<HostFleet.Ran> now = List.copyOf(all.ground.ran);
             ran = now.size();
             Map<String, Long> hosts = now.subList(Math.min(before, ran), ran).stream()
-                    .collect(Collectors.groupingBy(Ground.Ran::host, TreeMap::new, Collectors.counting()));
+                    .collect(Collectors.groupingBy(HostFleet.Ran::host, TreeMap::new, Collectors.counting()));
             Map<End, Long> ends = judge.asked.stream()
                     .filter(t -> t.answered() >= from)
-                    .collect(Collectors.groupingBy(Judge.Asked::end, TreeMap::new, Collectors.counting()));
+                    .collect(Collectors.groupingBy(InvariantChecker.Asked::end, TreeMap::new, Collectors.counting()));
             out.printf("  %s   ran at %s%n", ends, hosts);
             out.flush();
         }
--- a/src/main/java/beaconladder/lab/DiscoveryStandIn.java
+++ b/src/main/java/beaconladder/testbed/DiscoveryStandIn.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -52,10 +52,10 @@
     private ChangeLog log = new ChangeLog();
 
     public DiscoveryStandIn() throws IOException {
-        Tasks.spawn(() -> {
+        StandInThreads.spawn(() -> {
             while (true) {
                 Socket socket = door.accept();
-                Tasks.spawn(() -> serve(socket));
+                StandInThreads.spawn(() -> serve(socket));
             }
         });
     }
@@ -99,7 +99,7 @@
                     continue;
                 }
                 String body = body(path);
-                Tasks.sleep(lateMillis);
+                StandInThreads.sleep(lateMillis);
                 String bad = garbage;
                 byte[] answer = (bad != null
                                 ? bad
@@ -121,14 +121,14 @@
             case DRIP -> {
                 for (byte b : answer) {
                     out.write(b);
-                    Tasks.sleep(DRIP_MILLIS);
+                    StandInThreads.sleep(DRIP_MILLIS);
                 }
             }
             case RESET -> {
                 String text = new String(answer, StandardCharsets.US_ASCII);
                 out.write(text.replaceFirst("\r\nContent-Length: \\d+", "").getBytes(StandardCharsets.US_ASCII));
                 // What was written is read first, then the reset is met.
-                Tasks.sleep(DRIP_MILLIS);
+                StandInThreads.sleep(DRIP_MILLIS);
                 socket.setSoLinger(true, 0);
                 socket.close();
             }
--- a/src/main/java/beaconladder/lab/FaultRelay.java
+++ b/src/main/java/beaconladder/testbed/FaultRelay.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -48,11 +48,11 @@
         door.setReuseAddress(true);
         // A region's routers come at once; with a shorter queue some would wait for TCP's next try, a second.
         door.bind(at, 1024);
-        Tasks.spawn(() -> {
+        StandInThreads.spawn(() -> {
             while (true) {
                 Socket in = door.accept();
                 open.add(in);
-                Tasks.spawn(() -> {
+                StandInThreads.spawn(() -> {
                     try {
                         if (messages) {
                             answerAll(in);
@@ -103,7 +103,7 @@
         out.connect(to, ANSWER_MILLIS);
         in.setTcpNoDelay(true);
         out.setTcpNoDelay(true);
-        Tasks.spawn(() -> {
+        StandInThreads.spawn(() -> {
             try {
                 copy(out, in, false);
             } finally {
@@ -143,16 +143,16 @@
             }
             if (draw(1_000) < now.doubles()) {
                 int later = draw(now.keepsMillis() + 1) + now.keepsMillis();
-                Tasks.spawn(() -> {
-                    Tasks.sleep(later);
+                StandInThreads.spawn(() -> {
+                    StandInThreads.sleep(later);
                     pass(true);
                     ask(message);
                 });
             }
-            Tasks.sleep(draw(now.keepsMillis() + 1));
+            StandInThreads.sleep(draw(now.keepsMillis() + 1));
             pass(true);
             byte[] answer = ask(message);
-            Tasks.sleep(draw(now.keepsMillis() + 1));
+            StandInThreads.sleep(draw(now.keepsMillis() + 1));
             pass(false);
             in.getOutputStream().write(answer);
         }
--- a/src/main/java/beaconladder/lab/FeedJudge.java
+++ b/src/main/java/beaconladder/testbed/FeedChecker.java
@@ -1,6 +1,6 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.lab.FeedWriter.Logged;
+import beaconladder.testbed.FeedWriter.Logged;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 
 /** Judges the feed by what routers wrote when they put a version in force, and by what the log answered. */
-final class FeedJudge {
+final class FeedChecker {
     /** More lines of one kind tell nothing new. */
     private static final int MOST_LINES = 5;
 
@@ -44,7 +44,7 @@
     private int late;
     private int never;
 
-    FeedJudge(List<Logged> log, List<Applied> journal, List<Outage> outages) {
+    FeedChecker(List<Logged> log, List<Applied> journal, List<Outage> outages) {
         this.log = log;
         this.outages = outages;
         byRouter = journal.stream()
@@ -59,7 +59,7 @@
     }
 
     /** Versions never go back, and each has the contents that the log has. */
-    FeedJudge contents() {
+    FeedChecker contents() {
         Map<Long, String> digests = new HashMap<>();
         log.forEach(each -> digests.put(each.version(), each.digest()));
         byRouter.forEach((router, all) -> {
@@ -87,7 +87,7 @@
      * @param all nanoseconds in which it has to be in force at all of them
      * @param times takes each time
      */
-    FeedJudge inForce(
+    FeedChecker inForce(
             List<String> routers, int share, long first, long all, LongConsumer times, Predicate<Logged> judged) {
         Map<Long, Long> firsts = new HashMap<>();
         byRouter.values()
--- a/src/main/java/beaconladder/lab/FeedFault.java
+++ b/src/main/java/beaconladder/testbed/FeedFault.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 /** What may happen in the feed's rehearsal. */
 public enum FeedFault {
--- a/src/main/java/beaconladder/lab/FeedFaults.java
+++ b/src/main/java/beaconladder/testbed/FeedFaults.java
@@ -1,10 +1,10 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import beaconladder.feed.Relay;
-import beaconladder.lab.FaultRelay.Weather;
-import beaconladder.lab.FeedJudge.Applied;
-import beaconladder.lab.FeedJudge.Outage;
-import beaconladder.lab.Programs.Program;
+import beaconladder.testbed.ChildProcesses.Program;
+import beaconladder.testbed.FaultRelay.Weather;
+import beaconladder.testbed.FeedChecker.Applied;
+import beaconladder.testbed.FeedChecker.Outage;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -30,7 +30,7 @@
     private final List<Outage> outages;
     private final List<String> broken;
     private final SplittableRandom chance;
-    private final FeedRehearsal.Size size;
+    private final FeedScenario.Size size;
     private final int lasts;
 
     FeedFaults(
@@ -40,7 +40,7 @@
             List<Outage> outages,
             List<String> broken,
             SplittableRandom chance,
-            FeedRehearsal.Size size) {
+            FeedScenario.Size size) {
         this.fleet = fleet;
         this.writer = writer;
         this.folder = folder;
@@ -52,7 +52,7 @@
     }
 
     void play(FeedFault fault) throws IOException, InterruptedException {
-        String phase = FeedRehearsal.name(fault);
+        String phase = FeedScenario.name(fault);
         int relay = chance.nextInt(fleet.relays.size());
         int real = chance.nextInt(FeedFleet.REAL);
         int leader = fleet.leader();
@@ -81,12 +81,12 @@
             case OLD_RELAY -> old(phase, relay);
             case KILL_LEADER -> {
                 burst(phase, burst / 4);
-                Thread kill = Tasks.spawn(() -> {
-                    Tasks.sleep(20);
+                Thread kill = StandInThreads.spawn(() -> {
+                    StandInThreads.sleep(20);
                     fleet.grantors.get(leader).kill();
                 });
                 burst(phase, burst / 4);
-                Tasks.join(kill, lasts);
+                StandInThreads.join(kill, lasts);
                 fleet.grantors.get(leader).start();
                 changes(phase, lasts / 2);
             }
--- a/src/main/java/beaconladder/lab/FeedFigures.java
+++ b/src/main/java/beaconladder/testbed/FeedFigures.java
@@ -1,7 +1,7 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import beaconladder.feed.Relay;
-import beaconladder.lab.Programs.Program;
+import beaconladder.testbed.ChildProcesses.Program;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/beaconladder/lab/FeedFleet.java
+++ b/src/main/java/beaconladder/testbed/FeedFleet.java
@@ -1,9 +1,9 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.feed.FeedText;
+import beaconladder.discovery.HttpFetcher;
+import beaconladder.feed.FeedJson;
 import beaconladder.feed.Relay;
-import beaconladder.lab.Programs.Program;
-import beaconladder.roster.HttpGet;
+import beaconladder.testbed.ChildProcesses.Program;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -37,7 +37,7 @@
     private final List<InetSocketAddress> relayAddresses = new ArrayList<>();
     private final Path folder;
     private final int routers;
-    private final Programs programs;
+    private final ChildProcesses programs;
     private final DiscoveryStandIn discovery = new DiscoveryStandIn();
     private final long seed;
     private int ports;
@@ -46,7 +46,7 @@
         this.folder = folder;
         this.seed = seed;
         this.routers = routers;
-        programs = new Programs(folder);
+        programs = new ChildProcesses(folder);
         discovery.list(true, HOST);
         int[] raft = new int[GRANTORS];
         for (int i = 0; i < GRANTORS; i++) {
@@ -239,7 +239,7 @@
             String text = get(at, "/v1/relay");
             try {
                 if (text != null) {
-                    all.add(FeedText.read(text, Relay.Status.class));
+                    all.add(FeedJson.read(text, Relay.Status.class));
                 }
             } catch (IOException e) {
                 throw new IllegalStateException(e);
@@ -260,7 +260,7 @@
     }
 
     private static String get(InetSocketAddress at, String path) {
-        HttpGet http = new HttpGet(at);
+        HttpFetcher http = new HttpFetcher(at);
         try {
             return http.get(path, 1_000);
         } catch (IOException e) {
--- a/src/main/java/beaconladder/lab/FeedLinks.java
+++ b/src/main/java/beaconladder/testbed/FeedLinks.java
@@ -1,6 +1,6 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.lab.FaultRelay.Weather;
+import beaconladder.testbed.FaultRelay.Weather;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/main/java/beaconladder/lab/FeedRouters.java
+++ b/src/main/java/beaconladder/testbed/FeedRouters.java
@@ -1,8 +1,8 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import beaconladder.feed.Applier;
-import beaconladder.feed.State;
 import beaconladder.feed.Subscriber;
+import beaconladder.feed.VersionedState;
 import java.io.BufferedWriter;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -35,14 +35,14 @@
     /** Writes what a router puts in force; a document named {@code refuse} that names it is refused. */
     private record Journal(String router, long life, BufferedWriter out) implements Applier {
         @Override
-        public void check(State next) throws IOException {
+        public void check(VersionedState next) throws IOException {
             if (router.equals(next.entries().get("refuse"))) {
                 throw new IOException("the document says so");
             }
         }
 
         @Override
-        public void apply(State next) throws IOException {
+        public void apply(VersionedState next) throws IOException {
             String line =
                     "A " + unix() + ' ' + router + ' ' + life + ' ' + next.version() + ' ' + next.reckoned() + '\n';
             synchronized (out) {
--- a/src/main/java/beaconladder/lab/FeedRehearsal.java
+++ b/src/main/java/beaconladder/testbed/FeedScenario.java
@@ -1,10 +1,10 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import beaconladder.feed.Relay;
 import beaconladder.feed.Update;
-import beaconladder.lab.FeedJudge.Applied;
-import beaconladder.lab.FeedJudge.Outage;
-import beaconladder.lab.FeedWriter.Logged;
+import beaconladder.testbed.FeedChecker.Applied;
+import beaconladder.testbed.FeedChecker.Outage;
+import beaconladder.testbed.FeedWriter.Logged;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -25,7 +25,7 @@
  * The rehearsal of the feed: grantors, relays and routers under changes and a fault script drawn from the seed, judged
  * by what routers wrote when they put a version in force, and by the log.
  */
-public final class FeedRehearsal {
+public final class FeedScenario {
     /**
      * What is played.
      *
@@ -69,7 +69,7 @@
     private FeedWriter writer;
     private FeedFaults faults;
 
-    public FeedRehearsal(long seed, Size size, PrintWriter out) {
+    public FeedScenario(long seed, Size size, PrintWriter out) {
         this.seed = seed;
         this.size = size;
         this.out = out;
@@ -89,7 +89,7 @@
         }
         figures.put("rehearsal", "feed")
                 .put("seed", seed)
-                .put("script", script.stream().map(FeedRehearsal::name).collect(Collectors.joining(",")));
+                .put("script", script.stream().map(FeedScenario::name).collect(Collectors.joining(",")));
         figures.put("relays", size.relays())
                 .put("routers_hollow", size.routers())
                 .put("routers_real", FeedFleet.REAL);
@@ -202,7 +202,7 @@
         }
         List<Applied> applied =
                 journal.stream().map(Applied::of).filter(Objects::nonNull).toList();
-        FeedJudge judge = new FeedJudge(log, applied, outages).contents();
+        FeedChecker judge = new FeedChecker(log, applied, outages).contents();
         ObjectNode times = figures.putObject("in_force_ms");
         for (String phase : new TreeSet<>(log.stream().map(Logged::phase).toList())) {
             Histogram histogram = new Histogram(DIGITS);
--- a/src/main/java/beaconladder/lab/FeedWriter.java
+++ b/src/main/java/beaconladder/testbed/FeedWriter.java
@@ -1,8 +1,8 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
+import beaconladder.feed.CommitResult;
 import beaconladder.feed.Proposal;
 import beaconladder.feed.Proposer;
-import beaconladder.feed.Written;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -75,8 +75,8 @@
         long from = FeedRouters.unix();
         while (true) {
             try {
-                Written written = proposer.propose(proposal);
-                if (written.outcome() != Written.Outcome.WRITTEN || written.version() != version + 1) {
+                CommitResult written = proposer.propose(proposal);
+                if (written.outcome() != CommitResult.Outcome.WRITTEN || written.version() != version + 1) {
                     throw new IllegalStateException("the log says " + written + " after version " + version);
                 }
                 version++;
--- a/src/main/java/beaconladder/lab/Flood.java
+++ b/src/main/java/beaconladder/testbed/Flood.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -27,18 +27,18 @@
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean stopped;
 
-    Flood(Load.Doors doors, Kind kind, String tenant, int group, int perSecond) {
+    Flood(ClientLoad.Doors doors, Kind kind, String tenant, int group, int perSecond) {
         int count = kind == Kind.ONE_CONNECTION ? 1 : THREADS;
         long gapNanos = 1_000_000_000L * count / perSecond;
         for (int i = 0; i < count; i++) {
             int router = i % doors.count();
-            threads.add(Tasks.spawn(() -> {
-                Load.Line line = null;
+            threads.add(StandInThreads.spawn(() -> {
+                ClientLoad.Line line = null;
                 long next = System.nanoTime();
                 while (!stopped) {
                     try {
                         if (line == null) {
-                            line = new Load.Line(doors.port(router), router);
+                            line = new ClientLoad.Line(doors.port(router), router);
                         }
                         int batch = kind == Kind.ONE_CONNECTION ? AHEAD : 1;
                         next += batch * gapNanos;
@@ -62,7 +62,7 @@
                     }
                     long left = next - System.nanoTime();
                     if (left > 0) {
-                        Tasks.sleep(left / 1_000_000);
+                        StandInThreads.sleep(left / 1_000_000);
                     } else {
                         next = System.nanoTime();
                     }
@@ -77,7 +77,7 @@
     private String query(Kind kind, String tenant, int group) {
         long n = ids.incrementAndGet();
         boolean write = kind == Kind.WRITES || kind == Kind.LARGE || kind != Kind.READS && n % 2 == 0;
-        String query = Load.query(
+        String query = ClientLoad.query(
                 "f" + Long.toHexString(n),
                 write ? "write" : "any",
                 tenant,
@@ -85,7 +85,7 @@
                 group,
                 n,
                 0,
-                Load.BUDGET_MILLIS);
+                ClientLoad.BUDGET_MILLIS);
         return kind != Kind.LARGE ? query : query.replace("') RETURNING", "00".repeat(LARGE_BYTES) + "') RETURNING");
     }
 
@@ -101,7 +101,7 @@
     public void close() {
         stopped = true;
         for (Thread thread : threads) {
-            Tasks.join(thread, 3_000);
+            StandInThreads.join(thread, 3_000);
         }
     }
 }
--- a/src/main/java/beaconladder/lab/Ground.java
+++ b/src/main/java/beaconladder/testbed/HostFleet.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -11,16 +11,16 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /** The hosts of a rehearsal, group by group, and discovery that lists them; keeps what the hosts saw. */
-final class Ground implements AutoCloseable {
+final class HostFleet implements AutoCloseable {
     /** A txn ran at a host. */
     record Ran(String id, String tenant, String key, boolean write, long version, int group, String host, long at) {}
 
     /** A txn reached a host; for the check of drains. */
     record Reached(String host, String id, long at) {}
 
-    private final Map<Integer, List<Member>> groups = new LinkedHashMap<>();
+    private final Map<Integer, List<ReplicatedHost>> groups = new LinkedHashMap<>();
     private final Map<String, String> states = new LinkedHashMap<>();
-    private final Map<Integer, Member> primaries = new ConcurrentHashMap<>();
+    private final Map<Integer, ReplicatedHost> primaries = new ConcurrentHashMap<>();
     final DiscoveryStandIn discovery = new DiscoveryStandIn();
     final Queue<Ran> ran = new ConcurrentLinkedQueue<>();
     final Queue<Reached> reached = new ConcurrentLinkedQueue<>();
@@ -29,11 +29,11 @@
     /** When discovery listed a host as draining. */
     final Map<String, Long> draining = new ConcurrentHashMap<>();
 
-    Ground(int groupCount, int members, int lagMillis) throws IOException {
+    HostFleet(int groupCount, int members, int lagMillis) throws IOException {
         for (int group = 0; group < groupCount; group++) {
-            List<Member> of = new ArrayList<>();
+            List<ReplicatedHost> of = new ArrayList<>();
             for (int i = 0; i < members; i++) {
-                of.add(new Member(this, group, "h" + group + "-" + i, i == 0, lagMillis + i));
+                of.add(new ReplicatedHost(this, group, "h" + group + "-" + i, i == 0, lagMillis + i));
             }
             groups.put(group, of);
             primaries.put(group, of.get(0));
@@ -42,23 +42,23 @@
         list();
     }
 
-    List<Member> members(int group) {
+    List<ReplicatedHost> members(int group) {
         return groups.get(group);
     }
 
     /** The member that takes writes; it may be down. */
-    Member primary(int group) {
+    ReplicatedHost primary(int group) {
         return primaries.get(group);
     }
 
-    Member replica(int group) {
+    ReplicatedHost replica(int group) {
         return groups.get(group).stream()
                 .filter(m -> m != primary(group))
                 .findFirst()
                 .orElseThrow();
     }
 
-    Member at(int port) {
+    ReplicatedHost at(int port) {
         return groups.values().stream()
                 .flatMap(List::stream)
                 .filter(m -> m.port() == port)
@@ -88,10 +88,10 @@
      * Another member becomes primary: the one that has received most of the log, so that no write that was answered is
      * lost where writes wait for a replica. The others go on from its log.
      */
-    synchronized Member failOver(int group) {
-        Member old = primary(group);
-        Member next = null;
-        for (Member member : members(group)) {
+    synchronized ReplicatedHost failOver(int group) {
+        ReplicatedHost old = primary(group);
+        ReplicatedHost next = null;
+        for (ReplicatedHost member : members(group)) {
             if (member != old && member.alive() && (next == null || member.received() > next.received())) {
                 next = member;
             }
@@ -100,7 +100,7 @@
             old.follow();
             next.lead(old);
             primaries.put(group, next);
-            for (Member member : members(group)) {
+            for (ReplicatedHost member : members(group)) {
                 if (member != next) {
                     member.cutTo(next);
                 }
@@ -112,8 +112,8 @@
     @Override
     public void close() throws IOException {
         discovery.close();
-        for (List<Member> of : groups.values()) {
-            for (Member member : of) {
+        for (List<ReplicatedHost> of : groups.values()) {
+            for (ReplicatedHost member : of) {
                 member.close();
             }
         }
--- a/src/main/java/beaconladder/lab/HostStandIn.java
+++ b/src/main/java/beaconladder/testbed/HostStandIn.java
@@ -1,6 +1,6 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
 import java.io.DataInputStream;
 import java.io.EOFException;
 import java.io.IOException;
@@ -64,11 +64,11 @@
     }
 
     private void listen(ServerSocket at) {
-        Tasks.spawn(() -> {
+        StandInThreads.spawn(() -> {
             while (!vanished) {
                 Socket socket = at.accept();
                 sockets.add(socket);
-                Tasks.spawn(() -> {
+                StandInThreads.spawn(() -> {
                     try {
                         serve(socket);
                     } finally {
@@ -141,36 +141,36 @@
         try (socket) {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             in.readFully(new byte[in.readInt() - 4]);
-            Tasks.sleep(greetMillis);
+            StandInThreads.sleep(greetMillis);
             if (vanished) {
-                Tasks.sleep(60_000);
+                StandInThreads.sleep(60_000);
             }
-            new Outbox().authenticationOk().ready().writeTo(socket.getOutputStream());
+            new MessageWriter().authenticationOk().ready().writeTo(socket.getOutputStream());
             while (in.readUnsignedByte() == 'Q') {
                 byte[] body = new byte[in.readInt() - 4];
                 in.readFully(body);
                 String text = new String(body, 0, body.length - 1, StandardCharsets.UTF_8);
                 if (vanished) {
-                    Tasks.sleep(60_000);
+                    StandInThreads.sleep(60_000);
                 }
                 halt();
                 if (text.equals("SELECT 1") || text.equals("SHOW server_load")) {
                     byte[] cell =
                             text.equals("SELECT 1") ? new byte[] {'1'} : load().getBytes(StandardCharsets.US_ASCII);
-                    new Outbox()
+                    new MessageWriter()
                             .row("x", cell)
                             .commandComplete("SELECT 1")
                             .ready()
                             .writeTo(socket.getOutputStream());
                     continue;
                 }
-                Outbox errand = errand(text);
+                MessageWriter errand = errand(text);
                 if (errand != null) {
                     errand.writeTo(socket.getOutputStream());
                     continue;
                 }
                 saw(text);
-                Tasks.sleep(delayMillis);
+                StandInThreads.sleep(delayMillis);
                 if (!answer(socket, text) || closesAfterAnswer) {
                     return;
                 }
@@ -195,12 +195,12 @@
     }
 
     /** The answer to what is no txn, or null: it is one. */
-    protected Outbox errand(String text) {
+    protected MessageWriter errand(String text) {
         return null;
     }
 
     /** Runs a txn; the answer up to its ready, or null: it is lost. */
-    protected Outbox run(String text) {
+    protected MessageWriter run(String text) {
         return said().row("doc", value).commandComplete("SELECT 1");
     }
 
@@ -208,7 +208,7 @@
         OutputStream out = socket.getOutputStream();
         switch (manner) {
             case ANSWER -> {
-                Outbox answer = run(text);
+                MessageWriter answer = run(text);
                 if (answer == null) {
                     return false;
                 }
@@ -235,8 +235,8 @@
                         .array());
             case UNKNOWN -> out.write(new byte[] {'G', 0, 0, 0, 4});
             case NO_DESCRIPTION -> {
-                byte[] row = new byte[new Outbox().row("doc", value).size() - 28];
-                new Outbox().row("doc", value).bytes().get(28, row);
+                byte[] row = new byte[new MessageWriter().row("doc", value).size() - 28];
+                new MessageWriter().row("doc", value).bytes().get(28, row);
                 said().raw(row, 0, row.length)
                         .commandComplete("SELECT 1")
                         .ready()
@@ -244,7 +244,7 @@
             }
             case TWO_COLUMNS -> out.write(new byte[] {'T', 0, 0, 0, 6, 0, 2});
             case INNER_LENGTH -> {
-                Outbox row = said().row("doc", value);
+                MessageWriter row = said().row("doc", value);
                 row.bytes().put(row.size() - value.length - 1, (byte) (value.length - 1));
                 row.commandComplete("SELECT 1").ready().writeTo(out);
             }
@@ -276,8 +276,8 @@
         return manner != Manner.CUT && manner != Manner.RESET;
     }
 
-    protected Outbox said() {
-        return new Outbox()
+    protected MessageWriter said() {
+        return new MessageWriter()
                 .parameterStatus("node_role", role)
                 .parameterStatus("replay_position", String.valueOf(position()))
                 .parameterStatus("server_load", load());
--- a/src/main/java/beaconladder/lab/Judge.java
+++ b/src/main/java/beaconladder/testbed/InvariantChecker.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -13,7 +13,7 @@
 import java.util.function.IntUnaryOperator;
 
 /** Judges a rehearsal by what clients and hosts saw; the routers and the keeper are not asked. */
-final class Judge {
+final class InvariantChecker {
     /** How a txn ended for its client. */
     enum End {
         COMMITTED,
@@ -77,11 +77,11 @@
     /** When this very program came late, with how much: what is late then is not held against a router. */
     private final Queue<long[]> busy = new ConcurrentLinkedQueue<>();
 
-    Judge() {
-        Tasks.spawn(() -> {
+    InvariantChecker() {
+        StandInThreads.spawn(() -> {
             long last = System.currentTimeMillis();
             while (true) {
-                Tasks.sleep(TICK_MILLIS);
+                StandInThreads.sleep(TICK_MILLIS);
                 long now = System.currentTimeMillis();
                 if (now - last > TICK_MILLIS + BUSY_MILLIS) {
                     busy.add(new long[] {last, now});
@@ -101,9 +101,9 @@
     }
 
     /** Every rule that was broken. */
-    List<Broken> broken(Ground ground, IntUnaryOperator cellOfGroup) {
+    List<Broken> broken(HostFleet ground, IntUnaryOperator cellOfGroup) {
         Map<String, List<String>> found = new LinkedHashMap<>();
-        Map<String, List<Ground.Ran>> runs = new HashMap<>();
+        Map<String, List<HostFleet.Ran>> runs = new HashMap<>();
         ground.ran.forEach(r -> {
             if (r.write()) {
                 runs.computeIfAbsent(r.id(), id -> new ArrayList<>()).add(r);
@@ -161,16 +161,16 @@
     }
 
     /** Whether what was read is a write whose client was never told, and that ran after the one that is missed. */
-    private static boolean overtaken(Asked read, Map<String, Asked> unknown, Map<String, List<Ground.Ran>> runs) {
+    private static boolean overtaken(Asked read, Map<String, Asked> unknown, Map<String, List<HostFleet.Ran>> runs) {
         Asked late = unknown.get(read.tenant() + "/" + read.key() + "/" + read.version());
-        List<Ground.Ran> missed = runs.get(read.leastBy());
+        List<HostFleet.Ran> missed = runs.get(read.leastBy());
         return late != null
                 && missed != null
                 && runs.getOrDefault(late.id(), List.of()).stream()
                         .anyMatch(run -> run.at() >= missed.get(0).at());
     }
 
-    private static void judge(Asked txn, List<Ground.Ran> runs, Map<String, List<String>> found) {
+    private static void judge(Asked txn, List<HostFleet.Ran> runs, Map<String, List<String>> found) {
         if (txn.type().equals("write") && runs.size() > 1) {
             add(found, "a once-only txn ran twice", txn + " ran " + runs);
         }
@@ -180,7 +180,7 @@
         if (txn.end() == End.COMMITTED && runs.isEmpty()) {
             add(found, "a committed txn never ran", txn.toString());
         }
-        if (runs.stream().map(Ground.Ran::group).distinct().count() > 1) {
+        if (runs.stream().map(HostFleet.Ran::group).distinct().count() > 1) {
             add(found, "a txn ran in two groups", txn + " ran " + runs);
         }
     }
@@ -191,8 +191,8 @@
     }
 
     /** Once a tenant's write has run in a cell, none runs in the cell before; no rehearsal moves a tenant back. */
-    private static void twoCells(Ground ground, IntUnaryOperator cellOfGroup, Map<String, List<String>> found) {
-        Map<String, List<Ground.Ran>> writes = new HashMap<>();
+    private static void twoCells(HostFleet ground, IntUnaryOperator cellOfGroup, Map<String, List<String>> found) {
+        Map<String, List<HostFleet.Ran>> writes = new HashMap<>();
         ground.ran.forEach(r -> {
             if (r.write()) {
                 writes.computeIfAbsent(resident(r.tenant(), r.key()), t -> new ArrayList<>())
@@ -203,7 +203,7 @@
             all.sort((a, b) -> Long.compare(a.at(), b.at()));
             Set<Integer> left = new HashSet<>();
             int cell = -1;
-            for (Ground.Ran run : all) {
+            for (HostFleet.Ran run : all) {
                 int at = cellOfGroup.applyAsInt(run.group());
                 if (at != cell && cell >= 0) {
                     left.add(cell);
@@ -216,8 +216,8 @@
         });
     }
 
-    private static void drains(Ground ground, Map<String, List<String>> found) {
-        for (Ground.Reached reached : ground.reached) {
+    private static void drains(HostFleet ground, Map<String, List<String>> found) {
+        for (HostFleet.Reached reached : ground.reached) {
             Long since = ground.draining.get(reached.host());
             if (since != null && reached.at() > since + GRACE_MILLIS) {
                 add(found, "new work at a draining host", reached.toString());
@@ -226,10 +226,10 @@
     }
 
     /** Where each tenant's writes ran last, its committed writes are there, but for those a failover dropped. */
-    private void lost(Ground ground, Map<String, List<String>> found) {
+    private void lost(HostFleet ground, Map<String, List<String>> found) {
         Map<String, Integer> home = new HashMap<>();
         Map<String, Long> at = new HashMap<>();
-        for (Ground.Ran run : ground.ran) {
+        for (HostFleet.Ran run : ground.ran) {
             String of = resident(run.tenant(), run.key());
             if (run.write() && run.at() >= at.getOrDefault(of, Long.MIN_VALUE)) {
                 at.put(of, run.at());
@@ -244,7 +244,7 @@
         }
         newest.values().forEach(txn -> {
             Integer group = home.get(resident(txn.tenant(), txn.key()));
-            Member primary = group == null ? null : ground.primary(group);
+            ReplicatedHost primary = group == null ? null : ground.primary(group);
             if (primary != null && primary.alive() && primary.version(txn.tenant(), txn.key()) < txn.version()) {
                 add(
                         found,
--- a/src/main/java/beaconladder/lab/LeaseJudge.java
+++ b/src/main/java/beaconladder/testbed/LeaseChecker.java
@@ -1,7 +1,7 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.lab.SharedStandIn.Act;
-import beaconladder.lease.Fence;
+import beaconladder.lease.FencingGuard;
+import beaconladder.testbed.SharedStandIn.Act;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /** Whether holders ever acted at once, judged by what the resources saw alone. */
-final class LeaseJudge {
-    private LeaseJudge() {}
+final class LeaseChecker {
+    private LeaseChecker() {}
 
     /**
      * What was broken, a line each.
@@ -22,7 +22,7 @@
     static List<String> broken(List<Act> acts, long unixZero, long bound, boolean withTimes) {
         List<String> broken = new ArrayList<>();
         List<Act> done = acts.stream()
-                .filter(act -> act.verdict() == Fence.Verdict.ADMITTED)
+                .filter(act -> act.verdict() == FencingGuard.Verdict.ADMITTED)
                 .sorted(Comparator.comparingLong(Act::at))
                 .toList();
         Map<Integer, Act> last = new HashMap<>();
--- a/src/main/java/beaconladder/lab/LeaseHolder.java
+++ b/src/main/java/beaconladder/testbed/LeaseHolder.java
@@ -1,12 +1,12 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.gossip.Gossip;
-import beaconladder.grant.Doors;
-import beaconladder.grant.Holding;
-import beaconladder.grant.WallClock;
-import beaconladder.lease.Tenure;
+import beaconladder.discovery.HttpFetcher;
+import beaconladder.lease.LeaseHolderState;
+import beaconladder.lease.server.AnchoredClock;
+import beaconladder.lease.server.LeaseClient;
+import beaconladder.lease.server.LeaseSession;
+import beaconladder.membership.transport.GossipService;
 import beaconladder.plan.Plan;
-import beaconladder.roster.HttpGet;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -25,19 +25,21 @@
     public static void run(
             Plan plan, String name, String task, List<InetSocketAddress> resources, Path clockFile, String gossipAt)
             throws IOException, InterruptedException {
-        WallClock clock = new WallClock(clockFile);
+        AnchoredClock clock = new AnchoredClock(clockFile);
         Plan.Leases leases = plan.leases();
         // A life of its own: what an earlier one of this name held is not this one's.
         String holder = name + "#" + System.currentTimeMillis();
-        Doors doors = new Doors(leases.grantors().stream().map(Plan.Grantor::at).toList(), name.hashCode(), (int)
-                (leases.length() / 4_000_000));
-        Holding holding = new Holding(Tenure.of(task, holder, leases.length(), leases.bound()), doors, clock);
+        LeaseClient doors =
+                new LeaseClient(leases.grantors().stream().map(Plan.Grantor::at).toList(), name.hashCode(), (int)
+                        (leases.length() / 4_000_000));
+        LeaseSession holding =
+                new LeaseSession(LeaseHolderState.of(task, holder, leases.length(), leases.bound()), doors, clock);
         Thread loop = new Thread(holding, "holding");
         loop.setDaemon(true);
         loop.start();
         Runtime.getRuntime().addShutdownHook(new Thread(holding::close));
         if (gossipAt != null) {
-            Gossip gossip = new Gossip(
+            GossipService gossip = new GossipService(
                     name,
                     new InetSocketAddress("127.0.0.1", Integer.parseInt(gossipAt.substring(gossipAt.indexOf(':') + 1))),
                     gossipAt,
@@ -46,10 +48,10 @@
             talk.setDaemon(true);
             talk.start();
         }
-        List<HttpGet> to = resources.stream().map(HttpGet::new).toList();
+        List<HttpFetcher> to = resources.stream().map(HttpFetcher::new).toList();
         SplittableRandom chance = new SplittableRandom(name.hashCode());
         while (true) {
-            Holding.Permit permit = holding.permit();
+            LeaseSession.Permit permit = holding.permit();
             Thread.sleep(chance.nextInt(WORK_MILLIS));
             if (permit == null) {
                 continue;
--- a/src/main/java/beaconladder/lab/LeaseRehearsal.java
+++ b/src/main/java/beaconladder/testbed/LeaseScenario.java
@@ -1,10 +1,10 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.lab.FaultRelay.Weather;
-import beaconladder.lab.Programs.Program;
-import beaconladder.lab.SharedStandIn.Act;
-import beaconladder.lease.Fence;
-import beaconladder.roster.HttpGet;
+import beaconladder.discovery.HttpFetcher;
+import beaconladder.lease.FencingGuard;
+import beaconladder.testbed.ChildProcesses.Program;
+import beaconladder.testbed.FaultRelay.Weather;
+import beaconladder.testbed.SharedStandIn.Act;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -28,7 +28,7 @@
  * The rehearsal of leases: grantors and holders, each a process of its own, with a relay between every two, under a
  * fault script drawn from the seed; judged by what the shared resources saw.
  */
-public final class LeaseRehearsal {
+public final class LeaseScenario {
     /** What may happen. */
     public enum Fault {
         /** The holder is stopped for one and a half times its lease, and goes on. */
@@ -103,7 +103,7 @@
     private int ports;
     private boolean beyond;
 
-    public LeaseRehearsal(long seed, PrintWriter out) {
+    public LeaseScenario(long seed, PrintWriter out) {
         this.seed = seed;
         this.chance = new SplittableRandom(seed);
         this.out = out;
@@ -122,7 +122,7 @@
         List<Fault> script = Stream.generate(() -> from.get(chance.nextInt(from.size())))
                 .limit(count)
                 .toList();
-        try (Programs programs = new Programs(folder)) {
+        try (ChildProcesses programs = new ChildProcesses(folder)) {
             set(programs);
             try {
                 if (!acted(System.nanoTime(), READY_MILLIS, 0)) {
@@ -161,7 +161,7 @@
             resources.forEach(SharedStandIn::close);
         }
         List<Act> acts = acts();
-        broken.addAll(LeaseJudge.broken(acts, unixZero, BOUND_MILLIS * MS, !beyond));
+        broken.addAll(LeaseChecker.broken(acts, unixZero, BOUND_MILLIS * MS, !beyond));
         broken.forEach(line -> out.println("BROKEN " + line));
         if (!broken.isEmpty()) {
             out.println("logs are in " + folder);
@@ -175,20 +175,22 @@
         ObjectNode all = new ObjectMapper().createObjectNode();
         all.put("rehearsal", "lease")
                 .put("seed", seed)
-                .put("script", script.stream().map(LeaseRehearsal::name).collect(Collectors.joining(",")));
+                .put("script", script.stream().map(LeaseScenario::name).collect(Collectors.joining(",")));
         all.put(
                 "acts",
                 acts.stream()
-                        .filter(act -> act.verdict() == Fence.Verdict.ADMITTED)
+                        .filter(act -> act.verdict() == FencingGuard.Verdict.ADMITTED)
                         .count());
         all.put(
                 "refused_lower",
                 acts.stream()
-                        .filter(act -> act.verdict() == Fence.Verdict.LOWER)
+                        .filter(act -> act.verdict() == FencingGuard.Verdict.LOWER)
                         .count());
         all.put(
                 "refused_over",
-                acts.stream().filter(act -> act.verdict() == Fence.Verdict.OVER).count());
+                acts.stream()
+                        .filter(act -> act.verdict() == FencingGuard.Verdict.OVER)
+                        .count());
         all.put("tokens", acts.stream().mapToLong(Act::token).distinct().count());
         ObjectNode times = all.putObject("takeover_ms");
         takeovers.forEach((fault, each) ->
@@ -221,7 +223,7 @@
         return 20_000 + (int) Math.floorMod(seed, 100L) * 100 + ports++;
     }
 
-    private void set(Programs programs) throws IOException {
+    private void set(ChildProcesses programs) throws IOException {
         for (int i = 0; i < resourceOffsets.length; i++) {
             int number = i;
             LongSupplier clock = () -> {
@@ -458,7 +460,7 @@
         }
         long token = newest == null ? 0 : newest.token();
         acts().stream()
-                .filter(act -> act.token() > token && act.verdict() == Fence.Verdict.ADMITTED)
+                .filter(act -> act.token() > token && act.verdict() == FencingGuard.Verdict.ADMITTED)
                 .mapToLong(Act::at)
                 .min()
                 .ifPresent(at ->
@@ -549,7 +551,7 @@
                     return;
                 }
                 Thread.sleep(50);
-                HttpGet http = new HttpGet(door);
+                HttpFetcher http = new HttpFetcher(door);
                 try {
                     view = http.get("/v1/members", 2_000);
                     there = view.split("\"name\"").length - 1;
@@ -574,7 +576,7 @@
     private String get(String path) throws IOException {
         IOException last = new IOException("no grantor");
         for (InetSocketAddress door : doors) {
-            HttpGet http = new HttpGet(door);
+            HttpFetcher http = new HttpFetcher(door);
             try {
                 return http.get(path, 2_000);
             } catch (IOException e) {
@@ -597,7 +599,7 @@
 
     private Act newest() {
         return acts().stream()
-                .filter(act -> act.verdict() == Fence.Verdict.ADMITTED)
+                .filter(act -> act.verdict() == FencingGuard.Verdict.ADMITTED)
                 .max((a, b) -> Long.compare(a.token(), b.token()))
                 .orElse(null);
     }
@@ -607,8 +609,9 @@
         long until = since + millis * MS;
         while (System.nanoTime() < until) {
             if (acts().stream()
-                    .anyMatch(act ->
-                            act.verdict() == Fence.Verdict.ADMITTED && act.at() >= since && act.token() >= token)) {
+                    .anyMatch(act -> act.verdict() == FencingGuard.Verdict.ADMITTED
+                            && act.at() >= since
+                            && act.token() >= token)) {
                 return true;
             }
             Thread.sleep(10);
--- a/src/main/java/beaconladder/lab/Writers.java
+++ b/src/main/java/beaconladder/testbed/PipeliningClients.java
@@ -1,6 +1,6 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -20,7 +20,7 @@
  * Clients that write ahead, and what they saw. What they wrote is answered, or its connection is reset with it unread;
  * nothing else is good enough, but where the router was killed.
  */
-public final class Writers {
+public final class PipeliningClients {
     private static final String GREETED = "R S S S S K Z";
     /** Update that there is no room, or that the router ends; neither has run. */
     private static final Set<String> DECLINED = Set.of("E:53300 Z", "E:53300 closed", "E:57P03 Z");
@@ -45,7 +45,7 @@
      *
      * @param kills whether the router at this port has been killed by now
      */
-    public Writers(List<HostStandIn> hosts, IntPredicate kills) {
+    public PipeliningClients(List<HostStandIn> hosts, IntPredicate kills) {
         this.hosts = hosts;
         this.kills = kills;
     }
@@ -55,9 +55,9 @@
             throws IOException, InterruptedException {
         List<String> left = queries(name, size, chance);
         while (!left.isEmpty()) {
-            try (Caller caller = new Caller(new Socket(InetAddress.getLoopbackAddress(), port))) {
-                Outbox out = Outbox.startup("app", "shop");
-                left.forEach(query -> out.append(Outbox.query(query)));
+            try (TestClient caller = new TestClient(new Socket(InetAddress.getLoopbackAddress(), port))) {
+                MessageWriter out = MessageWriter.startup("app", "shop");
+                left.forEach(query -> out.append(MessageWriter.query(query)));
                 write(caller, out);
                 String greeting = caller.answer();
                 if (greeting.equals("E:53300 closed")) {
@@ -89,10 +89,10 @@
     }
 
     /** Sends these on an open connection; false when it has ended, with what has no answer yet unread. */
-    public boolean ask(int port, Caller caller, String name, int size, SplittableRandom chance) throws IOException {
+    public boolean ask(int port, TestClient caller, String name, int size, SplittableRandom chance) throws IOException {
         List<String> left = queries(name, size, chance);
-        Outbox out = new Outbox();
-        left.forEach(query -> out.append(Outbox.query(query)));
+        MessageWriter out = new MessageWriter();
+        left.forEach(query -> out.append(MessageWriter.query(query)));
         write(caller, out);
         return answers(port, caller, left);
     }
@@ -103,14 +103,14 @@
      */
     public void stream(int port, String name, int ahead, SplittableRandom chance, Over over)
             throws IOException, InterruptedException {
-        Caller caller = open(port);
+        TestClient caller = open(port);
         if (caller == null) {
             return;
         }
         try (caller) {
             List<String> left = queries(name, ahead, chance);
-            Outbox first = new Outbox();
-            left.forEach(query -> first.append(Outbox.query(query)));
+            MessageWriter first = new MessageWriter();
+            left.forEach(query -> first.append(MessageWriter.query(query)));
             write(caller, first);
             for (int i = ahead; !left.isEmpty(); i++) {
                 if (!answer(port, caller, left)) {
@@ -118,13 +118,13 @@
                 }
                 if (!over.over()) {
                     left.add(query(name + "-" + i, chance));
-                    write(caller, Outbox.query(left.get(left.size() - 1)));
+                    write(caller, MessageWriter.query(left.get(left.size() - 1)));
                 }
             }
         }
     }
 
-    private boolean answers(int port, Caller caller, List<String> left) throws IOException {
+    private boolean answers(int port, TestClient caller, List<String> left) throws IOException {
         while (!left.isEmpty()) {
             if (!answer(port, caller, left)) {
                 return false;
@@ -134,7 +134,7 @@
     }
 
     /** Takes the next answer; false at the end of the connection, with what can't be sent again taken out. */
-    private boolean answer(int port, Caller caller, List<String> left) throws IOException {
+    private boolean answer(int port, TestClient caller, List<String> left) throws IOException {
         String answer;
         try {
             answer = caller.answer();
@@ -181,10 +181,10 @@
     }
 
     /** An open connection, or null: there was no room, or nobody there. */
-    public Caller open(int port) throws IOException, InterruptedException {
+    public TestClient open(int port) throws IOException, InterruptedException {
         try {
-            Caller caller = new Caller(new Socket(InetAddress.getLoopbackAddress(), port));
-            write(caller, Outbox.startup("app", "shop"));
+            TestClient caller = new TestClient(new Socket(InetAddress.getLoopbackAddress(), port));
+            write(caller, MessageWriter.startup("app", "shop"));
             String greeting = caller.answer();
             if (greeting.equals(GREETED)) {
                 return caller;
@@ -200,7 +200,7 @@
         return null;
     }
 
-    private static void write(Caller caller, Outbox out) throws IOException {
+    private static void write(TestClient caller, MessageWriter out) throws IOException {
         try {
             out.writeTo(caller.out);
         } catch (SocketException e) {
--- a/src/main/java/beaconladder/lab/Relay.java
+++ b/src/main/java/beaconladder/testbed/Relay.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -16,7 +16,7 @@
 
     Relay(int to) throws IOException {
         this.to = to;
-        Tasks.spawn(() -> {
+        StandInThreads.spawn(() -> {
             while (true) {
                 Socket in = door.accept();
                 if (cut) {
@@ -26,8 +26,8 @@
                 try {
                     Socket out = new Socket(InetAddress.getLoopbackAddress(), to);
                     open.addAll(List.of(in, out));
-                    Tasks.spawn(() -> pass(in, out));
-                    Tasks.spawn(() -> pass(out, in));
+                    StandInThreads.spawn(() -> pass(in, out));
+                    StandInThreads.spawn(() -> pass(out, in));
                 } catch (IOException e) {
                     in.close();
                 }
--- a/src/main/java/beaconladder/lab/Member.java
+++ b/src/main/java/beaconladder/testbed/ReplicatedHost.java
@@ -1,6 +1,6 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
 import beaconladder.pg.Statement;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -20,7 +20,7 @@
  * A host with data: a log of writes, a primary that appends to it, replicas that apply it a little later, and a feed by
  * which a primary copies one tenant's writes from a host of another group.
  */
-final class Member extends HostStandIn {
+final class ReplicatedHost extends HostStandIn {
     private static final Pattern KEY =
             Pattern.compile("(?:id = |VALUES \\()'([^']*)'(?:, '\\\\x([0-9a-f]*)')?.*", Pattern.DOTALL);
     private static final Pattern FEED =
@@ -41,7 +41,7 @@
     private record Received(long due, int length, long asOf) {}
 
     final String id;
-    private final Ground ground;
+    private final HostFleet ground;
     private final int group;
     private final int lagMillis;
     private final List<Entry> log = new ArrayList<>();
@@ -75,16 +75,16 @@
         }
     }
 
-    Member(Ground ground, int group, String id, boolean primary, int lagMillis) throws IOException {
+    ReplicatedHost(HostFleet ground, int group, String id, boolean primary, int lagMillis) throws IOException {
         super(primary ? "leader" : "follower");
         this.ground = ground;
         this.group = group;
         this.id = id;
         this.primary = primary;
         this.lagMillis = lagMillis;
-        Tasks.spawn(() -> {
+        StandInThreads.spawn(() -> {
             while (true) {
-                Tasks.sleep(PULL_MILLIS);
+                StandInThreads.sleep(PULL_MILLIS);
                 if (alive && !hung) {
                     work();
                 }
@@ -108,7 +108,7 @@
     // ---- The log ------------------------------------------------------------------------------------------
 
     private void work() {
-        Member leader = ground.primary(group);
+        ReplicatedHost leader = ground.primary(group);
         if (leader == null) {
             return;
         }
@@ -125,7 +125,7 @@
         return feeds.isEmpty() ? Map.of() : Map.copyOf(feeds);
     }
 
-    private void pull(Member leader) {
+    private void pull(ReplicatedHost leader) {
         int length = 0;
         long at = 0;
         if (leader.alive && !leader.hung && !deaf) {
@@ -150,7 +150,7 @@
     }
 
     /** Applies the leader's log up to this length; only it appends, and entries don't change. */
-    private void take(Member leader, int length) {
+    private void take(ReplicatedHost leader, int length) {
         while (log.size() < length) {
             Entry entry;
             synchronized (leader.log) {
@@ -192,7 +192,7 @@
     }
 
     /** Becomes primary with all that it has received from the old one. */
-    void lead(Member old) {
+    void lead(ReplicatedHost old) {
         synchronized (this) {
             for (Received next : pipe) {
                 take(old, next.length());
@@ -204,7 +204,7 @@
     }
 
     /** Goes on from another primary's log: what goes beyond it is dropped. */
-    void cutTo(Member leader) {
+    void cutTo(ReplicatedHost leader) {
         List<Entry> theirs;
         synchronized (leader.log) {
             theirs = List.copyOf(leader.log);
@@ -254,7 +254,7 @@
 
     /** Copies what the source has beyond what was taken, then says how far that is. */
     private void copy(String tenant, Feed feed) {
-        Member source = ground.at(feed.source);
+        ReplicatedHost source = ground.at(feed.source);
         if (source == null || !source.alive || source.hung) {
             return;
         }
@@ -279,7 +279,7 @@
     }
 
     @Override
-    protected Outbox errand(String text) {
+    protected MessageWriter errand(String text) {
         Matcher feed = FEED.matcher(text);
         if (feed.matches()) {
             synchronized (this) {
@@ -294,7 +294,7 @@
                     }
                 }
             }
-            return new Outbox().commandComplete("SET").ready();
+            return new MessageWriter().commandComplete("SET").ready();
         }
         Matcher copied = COPIED.matcher(text);
         if (copied.matches()) {
@@ -302,7 +302,7 @@
             synchronized (this) {
                 at = copies.get(copied.group(1));
             }
-            return new Outbox()
+            return new MessageWriter()
                     .row("copied", (at == null ? "" : String.valueOf(at)).getBytes(StandardCharsets.US_ASCII))
                     .commandComplete("SELECT 1")
                     .ready();
@@ -315,7 +315,7 @@
     @Override
     protected void halt() {
         while (hung && alive) {
-            Tasks.sleep(5);
+            StandInThreads.sleep(5);
         }
     }
 
@@ -327,15 +327,15 @@
     @Override
     protected void saw(String text) {
         arrived.set(System.currentTimeMillis());
-        ground.reached.add(new Ground.Reached(id, Statement.read(text).value("id"), arrived.get()));
+        ground.reached.add(new HostFleet.Reached(id, Statement.read(text).value("id"), arrived.get()));
     }
 
     @Override
-    protected Outbox run(String text) {
+    protected MessageWriter run(String text) {
         Statement statement = Statement.read(text);
         Matcher form = KEY.matcher(text.substring(text.indexOf('\'') - (statement.writes() ? 8 : 5)));
         if (statement.fault() != null || !form.matches()) {
-            return new Outbox().error("ERROR", "08P01", "no statement of this form", null);
+            return new MessageWriter().error("ERROR", "08P01", "no statement of this form", null);
         }
         if (held.incrementAndGet() > MOST_HELD) {
             held.decrementAndGet();
@@ -344,7 +344,7 @@
         try {
             cores.acquireUninterruptibly();
             try {
-                Tasks.sleep(WORK_MILLIS);
+                StandInThreads.sleep(WORK_MILLIS);
             } finally {
                 cores.release();
             }
@@ -357,9 +357,9 @@
         }
     }
 
-    private Outbox read(Statement statement, String key) {
+    private MessageWriter read(Statement statement, String key) {
         Entry entry;
-        Outbox said;
+        MessageWriter said;
         synchronized (this) {
             entry = data.get(statement.value("t") + "/" + key);
             said = said();
@@ -369,7 +369,7 @@
         return said.row("doc", ByteBuffer.allocate(8).putLong(version).array()).commandComplete("SELECT 1");
     }
 
-    private Outbox write(Statement statement, String key, String hex) {
+    private MessageWriter write(Statement statement, String key, String hex) {
         long version = Long.parseUnsignedLong(hex.substring(0, 16), 16);
         Entry entry;
         int length;
@@ -392,12 +392,12 @@
         while (System.currentTimeMillis() < until
                 && alive
                 && ground.members(group).stream().noneMatch(m -> m != this && m.alive && m.received() >= length)) {
-            Tasks.sleep(1);
+            StandInThreads.sleep(1);
         }
         if (!alive || !primary) {
             return null;
         }
-        return new Outbox()
+        return new MessageWriter()
                 .parameterStatus("node_role", "leader")
                 .parameterStatus("replay_position", String.valueOf(entry.position()))
                 .row("doc", HexFormat.of().parseHex(hex))
@@ -405,7 +405,7 @@
     }
 
     private void ran(Statement statement, String key, boolean write, long version) {
-        ground.ran.add(new Ground.Ran(
+        ground.ran.add(new HostFleet.Ran(
                 statement.value("id"),
                 statement.value("t"),
                 key,
--- a/src/main/java/beaconladder/lab/RestartRehearsal.java
+++ b/src/main/java/beaconladder/testbed/RestartScenario.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -18,7 +18,7 @@
  * Routers restarted a tenth at a time, by SIGTERM and then SIGKILL, while clients go on sending on every connection
  * that stays open. Judged by what clients and hosts saw.
  */
-public final class RestartRehearsal {
+public final class RestartScenario {
     /** What happens to a router that is to end. */
     public enum Fault {
         /** SIGKILL no sooner than the protocol has it: all that was taken has its answer by then. */
@@ -42,7 +42,7 @@
     private static final int SLOW_MILLIS = 1_200;
 
     /** One router, over all its lives. */
-    private record Router(Programs.Program program, int port) {}
+    private record Router(ChildProcesses.Program program, int port) {}
 
     private final long seed;
     private final int count;
@@ -56,10 +56,10 @@
     private final List<Long> starts = Collections.synchronizedList(new ArrayList<>());
     private final Map<Fault, Integer> played = new ConcurrentHashMap<>();
     private DiscoveryStandIn discovery;
-    private Writers writers;
+    private PipeliningClients writers;
     private volatile boolean over;
 
-    public RestartRehearsal(long seed, int routers, PrintWriter out) {
+    public RestartScenario(long seed, int routers, PrintWriter out) {
         this.seed = seed;
         this.count = routers;
         this.out = out;
@@ -69,7 +69,7 @@
     /** Plays it; whether every rule held. */
     public boolean play(List<Fault> from) throws IOException, InterruptedException {
         List<Thread> clients = new ArrayList<>();
-        try (Programs programs = new Programs(Files.createTempDirectory("restarts"))) {
+        try (ChildProcesses programs = new ChildProcesses(Files.createTempDirectory("restarts"))) {
             standUp(programs);
             for (int i = 0; i < 3 * count; i++) {
                 clients.add(client(i, chance.split()));
@@ -80,7 +80,7 @@
             }
             // The clients end before the routers do: what they have out is answered first.
             over = true;
-            clients.forEach(client -> Tasks.join(client, READY_MILLIS));
+            clients.forEach(client -> StandInThreads.join(client, READY_MILLIS));
         } finally {
             over = true;
             for (HostStandIn host : hosts) {
@@ -91,7 +91,7 @@
         return verdict();
     }
 
-    private void standUp(Programs programs) throws IOException {
+    private void standUp(ChildProcesses programs) throws IOException {
         for (String role : List.of("leader", "follower", "follower")) {
             hosts.add(new HostStandIn(role));
         }
@@ -103,10 +103,10 @@
                 hosts.get(1).entry("h1", "Ready"),
                 hosts.get(2).entry("h2", "Ready"));
         discovery.list(true, known);
-        writers = new Writers(hosts, kills::contains);
+        writers = new PipeliningClients(hosts, kills::contains);
         delay(5);
         for (int i = 0; i < count; i++) {
-            int port = Programs.freePort();
+            int port = ChildProcesses.freePort();
             routers.add(new Router(
                     programs.program("n" + i, RouterFile.of("n" + i, port, discovery, 256, 144, known), "serve"),
                     port));
@@ -116,7 +116,7 @@
 
     /** One client in three comes anew each time; the others never leave a connection idle. */
     private Thread client(int n, SplittableRandom own) {
-        return Tasks.spawn(() -> {
+        return StandInThreads.spawn(() -> {
             for (int k = 0; !over; k++) {
                 int port = routers.get(own.nextInt(count)).port();
                 String name = "c" + n + "-" + k;
@@ -137,7 +137,7 @@
         played.merge(fault, of.size(), Integer::sum);
         out.println("wave of " + of.size() + ": " + name(fault));
         out.flush();
-        Tasks.sleep(300);
+        StandInThreads.sleep(300);
         SplittableRandom own = chance.split();
         if (fault == Fault.SLOW_HOSTS) {
             delay(SLOW_MILLIS);
@@ -152,7 +152,7 @@
             if (fault == Fault.TOLD_WHILE_STARTING) {
                 stop(router, Fault.PLANNED, 0);
                 router.program().start();
-                Tasks.sleep(at / 4);
+                StandInThreads.sleep(at / 4);
                 stop(router, fault, 0);
                 start(router);
             }
@@ -166,13 +166,13 @@
         long from = System.nanoTime();
         router.program().signal("TERM");
         if (fault == Fault.KILLED_EARLY) {
-            Tasks.sleep(at);
+            StandInThreads.sleep(at);
             kills.add(router.port());
             router.program().kill();
             return;
         }
         if (fault == Fault.TOLD_TWICE) {
-            Tasks.sleep(Math.min(at, 600));
+            StandInThreads.sleep(Math.min(at, 600));
             router.program().signal("TERM");
         }
         long left = KILL_MILLIS - (System.nanoTime() - from) / 1_000_000;
@@ -191,7 +191,7 @@
         long from = System.nanoTime();
         router.program().start();
         while (System.nanoTime() - from < READY_MILLIS * 1_000_000L) {
-            try (Load.Line line = new Load.Line(router.port(), 0)) {
+            try (ClientLoad.Line line = new ClientLoad.Line(router.port(), 0)) {
                 line.send("");
                 if (line.answer()) {
                     kills.remove(router.port());
@@ -199,7 +199,7 @@
                     return;
                 }
             } catch (IOException e) {
-                Tasks.sleep(10);
+                StandInThreads.sleep(10);
             }
         }
         broken.add("not ready in time\n" + router.program().log());
@@ -212,9 +212,9 @@
     private void all(List<Router> of, Step step) {
         List<Thread> threads = new ArrayList<>();
         for (Router router : of) {
-            threads.add(Tasks.spawn(() -> step.take(router)));
+            threads.add(StandInThreads.spawn(() -> step.take(router)));
         }
-        threads.forEach(thread -> Tasks.join(thread, 4 * READY_MILLIS));
+        threads.forEach(thread -> StandInThreads.join(thread, 4 * READY_MILLIS));
     }
 
     private void delay(int millis) {
--- a/src/main/java/beaconladder/lab/RouterFile.java
+++ b/src/main/java/beaconladder/testbed/RouterFile.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
--- a/src/main/java/beaconladder/lab/SharedStandIn.java
+++ b/src/main/java/beaconladder/testbed/SharedStandIn.java
@@ -1,6 +1,6 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.lease.Fence;
+import beaconladder.lease.FencingGuard;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -16,13 +16,13 @@
 /** A resource that one process of the fleet may act on at a time; it refuses what comes late and notes all it saw. */
 final class SharedStandIn implements AutoCloseable {
     /** What came: when by the true time, from whom, under which token, and whether it was done. */
-    record Act(long at, int resource, String holder, long token, long until, Fence.Verdict verdict) {}
+    record Act(long at, int resource, String holder, long token, long until, FencingGuard.Verdict verdict) {}
 
     private final HttpServer server =
             HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200);
     private final int number;
     private final LongSupplier clock;
-    private final Map<String, Fence> fences = new HashMap<>();
+    private final Map<String, FencingGuard> fences = new HashMap<>();
     private final List<Act> acts = new ArrayList<>();
 
     /** A resource whose own clock this is. */
@@ -54,7 +54,8 @@
     }
 
     private synchronized String act(String task, String holder, long token, long until) {
-        Fence.Admission admission = fences.getOrDefault(task, Fence.open()).admit(token, until, clock.getAsLong());
+        FencingGuard.Admission admission =
+                fences.getOrDefault(task, FencingGuard.open()).admit(token, until, clock.getAsLong());
         fences.put(task, admission.next());
         acts.add(new Act(System.nanoTime(), number, holder, token, until, admission.verdict()));
         return admission.verdict().name();
--- a/src/main/java/beaconladder/lab/Tasks.java
+++ b/src/main/java/beaconladder/testbed/StandInThreads.java
@@ -1,16 +1,16 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 
 /** Threads of stand-ins: they end with the program, and with the connections they serve. */
-public final class Tasks {
+public final class StandInThreads {
     /** Something that ends when its connection does. */
     public interface Task {
         void run() throws IOException, InterruptedException;
     }
 
-    private Tasks() {}
+    private StandInThreads() {}
 
     public static Thread spawn(Task task) {
         Thread thread = new Thread(
--- a/src/main/java/beaconladder/lab/Caller.java
+++ b/src/main/java/beaconladder/testbed/TestClient.java
@@ -1,6 +1,6 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
 import java.io.DataInputStream;
 import java.io.EOFException;
 import java.io.IOException;
@@ -11,7 +11,7 @@
 import java.util.HexFormat;
 
 /** A client on one connection; prints what it gets, a letter a message. */
-public final class Caller implements AutoCloseable {
+public final class TestClient implements AutoCloseable {
     /** A selector lets go of a closed connection within 50 ms; rehearsals stop a program for 200 ms. */
     private static final int RESET_MILLIS = 450;
 
@@ -22,7 +22,7 @@
     /** The text of the last error. */
     public String message = "";
 
-    public Caller(Socket socket) throws IOException {
+    public TestClient(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(15_000);
         out = socket.getOutputStream();
@@ -31,7 +31,7 @@
 
     public String ask(String query) throws IOException {
         try {
-            Outbox.query(query).writeTo(out);
+            MessageWriter.query(query).writeTo(out);
         } catch (SocketException e) {
             return "closed";
         }
@@ -81,7 +81,7 @@
      */
     public boolean reset() throws IOException {
         if (!reset) {
-            Tasks.sleep(RESET_MILLIS);
+            StandInThreads.sleep(RESET_MILLIS);
             try {
                 out.write('S');
             } catch (SocketException e) {
--- a/src/main/java/beaconladder/lab/Installation.java
+++ b/src/main/java/beaconladder/testbed/TestDeployment.java
@@ -1,8 +1,8 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
-import beaconladder.lab.Programs.Program;
-import beaconladder.roster.HttpGet;
-import beaconladder.roster.Json;
+import beaconladder.discovery.HttpFetcher;
+import beaconladder.discovery.JsonReader;
+import beaconladder.testbed.ChildProcesses.Program;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 
 /** Hosts, discovery, a keeper and routers, started and ready to be asked. */
-final class Installation implements AutoCloseable, Load.Doors {
+final class TestDeployment implements AutoCloseable, ClientLoad.Doors {
     private static final String REQUEST_CLASS = """
                 {"name":"%s","effect":"%s","goal_time_us":500000,"give_up_us":1000000,"late_share":0.5,\
                 "key_ttl_us":5000000,"points":%s}""";
@@ -23,13 +23,13 @@
     static final int FENCE_MILLIS = 4_000;
     private static final int READY_MILLIS = 30_000;
 
-    final Ground ground;
-    final Programs programs;
+    final HostFleet ground;
+    final ChildProcesses programs;
     final Program keeper;
     final List<Program> routers = new ArrayList<>();
     final List<Relay> relays = new ArrayList<>();
     final Path plan;
-    private final int keeperPort = Programs.freePort();
+    private final int keeperPort = ChildProcesses.freePort();
     private final List<Integer> ports = new ArrayList<>();
     private final AtomicLongArray trouble;
     private final AtomicLongArray stopped;
@@ -40,11 +40,11 @@
      * @param tenants lines of the plan beside cells and keeper
      * @param membersEach hosts in each group
      */
-    Installation(
+    TestDeployment(
             Path folder, int cells, int groupsEach, int membersEach, int routerCount, int lagMillis, String tenants)
             throws IOException, InterruptedException {
-        ground = new Ground(cells * groupsEach, membersEach, lagMillis);
-        programs = new Programs(folder);
+        ground = new HostFleet(cells * groupsEach, membersEach, lagMillis);
+        programs = new ChildProcesses(folder);
         trouble = new AtomicLongArray(routerCount);
         stopped = new AtomicLongArray(routerCount);
         StringBuilder text = new StringBuilder();
@@ -65,7 +65,7 @@
             relays.add(relay);
             Path own = folder.resolve("router" + i + ".plan");
             Files.writeString(own, text + keeperAt(relay.port(), folder));
-            int port = Programs.freePort();
+            int port = ChildProcesses.freePort();
             ports.add(port);
             Program router = programs.program("n" + i, config("n" + i, port), "serve", "--plan", own.toString());
             routers.add(router);
@@ -81,7 +81,7 @@
         return "(keeper (at 127.0.0.1:" + port + ") (discovery 127.0.0.1:"
                 + ground.discovery.door.getLocalPort()
                 + ") (store \"" + folder.resolve("records") + "\") (lease " + LEASE_MILLIS + "ms) (expiry "
-                + Load.BUDGET_MILLIS + "ms) (copy 8s) (fence " + FENCE_MILLIS + "ms))\n";
+                + ClientLoad.BUDGET_MILLIS + "ms) (copy 8s) (fence " + FENCE_MILLIS + "ms))\n";
     }
 
     private String config(String name, int port) {
@@ -100,14 +100,14 @@
                    "dial_timeout_us":250000,"conn_idle_us":3000000},
                   "load_report":{"fields":["x0","x1","rif"],"how":"inline"},"parties":[{"name":"t0"}],
                   "round_us":5000,"replicas_of_me":1,"zones":["east"],"request_classes":[%s]}}""";
-        return file.formatted(name, port, ground.discovery.door.getLocalPort(), Load.BOUND_MILLIS * 1_000, types);
+        return file.formatted(name, port, ground.discovery.door.getLocalPort(), ClientLoad.BOUND_MILLIS * 1_000, types);
     }
 
     /** Waits until a router answers an empty query. */
     void ready(int router) throws InterruptedException {
         long until = System.currentTimeMillis() + READY_MILLIS;
         while (System.currentTimeMillis() < until) {
-            try (Load.Line line = new Load.Line(ports.get(router), router)) {
+            try (ClientLoad.Line line = new ClientLoad.Line(ports.get(router), router)) {
                 line.send("");
                 if (line.answer()) {
                     return;
@@ -144,14 +144,14 @@
     /** What the keeper answers to an operator; a refusal is the message of the exception. */
     Map<?, ?> keeper(String path) throws IOException {
         try {
-            if (Json.read(new HttpGet(new InetSocketAddress("127.0.0.1", keeperPort), true).get(path, 2_000))
+            if (JsonReader.read(new HttpFetcher(new InetSocketAddress("127.0.0.1", keeperPort), true).get(path, 2_000))
                     instanceof Map<?, ?> answer) {
                 if (answer.get("error") != null) {
                     throw new IllegalStateException(String.valueOf(answer.get("error")));
                 }
                 return answer;
             }
-        } catch (Json.Fault e) {
+        } catch (JsonReader.Fault e) {
             throw new IOException(e.getMessage());
         }
         throw new IOException("no answer that can be read");
--- a/src/main/java/beaconladder/lab/scale/Askers.java
+++ b/src/main/java/beaconladder/testbed/scale/Askers.java
@@ -1,9 +1,9 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.grant.Doors;
-import beaconladder.grant.WallClock;
-import beaconladder.lease.Answer;
-import beaconladder.lease.Tenure;
+import beaconladder.lease.LeaseHolderState;
+import beaconladder.lease.LeaseResponse;
+import beaconladder.lease.server.AnchoredClock;
+import beaconladder.lease.server.LeaseClient;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,8 +21,8 @@
     private static final long SHORTEST_MILLIS = 2;
     private static final long LONGEST_MILLIS = 500;
 
-    private final WallClock clock = new WallClock();
-    private final AtomicReferenceArray<Tenure> tenures;
+    private final AnchoredClock clock = new AnchoredClock();
+    private final AtomicReferenceArray<LeaseHolderState> tenures;
     private final int tasks;
     private final List<Thread> threads = new ArrayList<>();
     private final ConcurrentHistogram times = new ConcurrentHistogram(3);
@@ -37,7 +37,7 @@
         for (int i = 0; i < count; i++) {
             tenures.set(
                     i,
-                    Tenure.of(
+                    LeaseHolderState.of(
                                     name + "-" + i % tasks,
                                     "a" + i + "#1",
                                     Grantors.LENGTH_MILLIS * MS,
@@ -54,13 +54,13 @@
     }
 
     private void ask(int asker, List<InetSocketAddress> at) {
-        try (Doors doors = new Doors(at, asker, (int) Grantors.LENGTH_MILLIS / 4)) {
+        try (LeaseClient doors = new LeaseClient(at, asker, (int) Grantors.LENGTH_MILLIS / 4)) {
             while (!closed) {
-                Tenure.Step step = tenures.get(asker).at(clock.getAsLong());
+                LeaseHolderState.Step step = tenures.get(asker).at(clock.getAsLong());
                 tenures.set(asker, step.next());
                 if (step.ask() != null) {
                     long from = System.nanoTime();
-                    Answer answer = doors.ask(step.ask());
+                    LeaseResponse answer = doors.ask(step.ask());
                     if (answer == null) {
                         unanswered.incrementAndGet();
                     } else {
--- a/src/main/java/beaconladder/lab/scale/Callers.java
+++ b/src/main/java/beaconladder/testbed/scale/Callers.java
@@ -1,7 +1,7 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.lab.Caller;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.TestClient;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -16,7 +16,7 @@
     private static final int THREADS = 16;
     private static final int STACK = 256 * 1024;
 
-    private final List<Caller> callers = new ArrayList<>();
+    private final List<TestClient> callers = new ArrayList<>();
     private final ConcurrentHistogram times = new ConcurrentHistogram(3);
     private final AtomicLong ids = new AtomicLong();
     private final AtomicLong failed = new AtomicLong();
@@ -26,9 +26,9 @@
         for (int i = 0; i < count; i++) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
-            Caller caller = new Caller(socket);
+            TestClient caller = new TestClient(socket);
             callers.add(caller);
-            Outbox.startup("app", "shop").writeTo(caller.out);
+            MessageWriter.startup("app", "shop").writeTo(caller.out);
             caller.answer();
         }
     }
@@ -88,7 +88,7 @@
     }
 
     private interface Task {
-        void run(int first, List<Caller> callers) throws IOException, InterruptedException;
+        void run(int first, List<TestClient> callers) throws IOException, InterruptedException;
     }
 
     private void play(Task task) throws InterruptedException {
@@ -114,7 +114,7 @@
         }
     }
 
-    private boolean ask(Caller caller, int group, boolean write) throws IOException {
+    private boolean ask(TestClient caller, int group, boolean write) throws IOException {
         String id = "s" + Long.toHexString(ids.incrementAndGet());
         String comment = " /* id=" + id + ",c=" + (write ? "write" : "any") + ",t=acme,d=1000,cluster=" + group + " */";
         long from = System.nanoTime();
@@ -132,7 +132,7 @@
 
     @Override
     public void close() throws IOException {
-        for (Caller caller : callers) {
+        for (TestClient caller : callers) {
             caller.close();
         }
     }
--- a/src/main/java/beaconladder/lab/scale/ClientsPart.java
+++ b/src/main/java/beaconladder/testbed/scale/ClientsPart.java
@@ -1,7 +1,7 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.lab.HostStandIn;
-import beaconladder.lab.scale.Slope.Point;
+import beaconladder.testbed.HostStandIn;
+import beaconladder.testbed.scale.Slope.Point;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/beaconladder/lab/scale/Fleet.java
+++ b/src/main/java/beaconladder/testbed/scale/Fleet.java
@@ -1,10 +1,10 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.members.Member;
-import beaconladder.members.Member.State;
-import beaconladder.members.Message;
-import beaconladder.members.Send;
-import beaconladder.members.Swim;
+import beaconladder.membership.Member;
+import beaconladder.membership.Member.State;
+import beaconladder.membership.Message;
+import beaconladder.membership.OutgoingMessage;
+import beaconladder.membership.SwimProtocol;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.ArrayList;
@@ -28,7 +28,7 @@
     private record Event(long at, long number, int to, Message message) {}
 
     private final SplittableRandom chance;
-    private final List<Swim> swims = new ArrayList<>();
+    private final List<SwimProtocol> swims = new ArrayList<>();
     private final long[] wake;
     private final long[] pausedUntil;
     private final boolean[] dead;
@@ -52,7 +52,7 @@
             all.add(new Member(name(i), address(i), 1_700_000_000_000L, State.ALIVE));
         }
         for (int i = 0; i < count; i++) {
-            Swim swim = new Swim(name(i), address(i), 1_700_000_000_000L, List.of(), chance.nextLong());
+            SwimProtocol swim = new SwimProtocol(name(i), address(i), 1_700_000_000_000L, List.of(), chance.nextLong());
             Settled.introduce(swim, all.get((i + 1) % count), all, 0);
             Settled.settle(swim);
             swims.add(swim);
@@ -130,9 +130,9 @@
                 continue;
             }
             long from = System.nanoTime();
-            Swim swim = swims.get(to);
+            SwimProtocol swim = swims.get(to);
             Message message = event.message();
-            List<Send> sends = message == null ? swim.at(now) : swim.heard(message, now);
+            List<OutgoingMessage> sends = message == null ? swim.at(now) : swim.heard(message, now);
             // Other messages bring nothing that comes due earlier.
             boolean look = message == null
                     || message.kind() == Message.Kind.PROBE_FOR
@@ -143,14 +143,14 @@
                 wake[to] = next;
                 push(next, to, null);
             }
-            for (Send send : sends) {
+            for (OutgoingMessage send : sends) {
                 deliver(send);
             }
         }
         now = until;
     }
 
-    private void deliver(Send send) {
+    private void deliver(OutgoingMessage send) {
         messages++;
         bytes += length(send.message());
         push(now + chance.nextLong(FASTEST, SLOWEST), member(send.address()), send.message());
--- a/src/main/java/beaconladder/lab/scale/Grantors.java
+++ b/src/main/java/beaconladder/testbed/scale/Grantors.java
@@ -1,6 +1,6 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.roster.HttpGet;
+import beaconladder.discovery.HttpFetcher;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -86,7 +86,7 @@
     private int leader() {
         int[] votes = new int[COUNT];
         for (int i = 0; i < COUNT; i++) {
-            HttpGet get = new HttpGet(doors.get(i));
+            HttpFetcher get = new HttpFetcher(doors.get(i));
             try {
                 String name = get.get("/v1/leader", PATIENCE_MILLIS).replaceAll(".*\"leader\":\"k?(\\d*)\".*", "$1");
                 if (!name.isEmpty()) {
--- a/src/main/java/beaconladder/lab/scale/HollowPeers.java
+++ b/src/main/java/beaconladder/testbed/scale/HollowPeers.java
@@ -1,9 +1,9 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.members.Member;
-import beaconladder.members.Member.State;
-import beaconladder.members.Message;
-import beaconladder.members.Message.Kind;
+import beaconladder.membership.Member;
+import beaconladder.membership.Member.State;
+import beaconladder.membership.Message;
+import beaconladder.membership.Message.Kind;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/beaconladder/lab/scale/HollowWatches.java
+++ b/src/main/java/beaconladder/testbed/scale/HollowWatches.java
@@ -1,6 +1,6 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.roster.Watch;
+import beaconladder.discovery.EndpointWatch;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -20,13 +20,13 @@
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(arguments[0]));
         int count = Integer.parseInt(arguments[1]);
         for (int i = 0; i < count; i++) {
-            Map<String, Watch.Entry> held = new HashMap<>();
-            Watch watch = new Watch(at, GRACE_MILLIS, i, (whole, entries) -> {
+            Map<String, EndpointWatch.Entry> held = new HashMap<>();
+            EndpointWatch watch = new EndpointWatch(at, GRACE_MILLIS, i, (whole, entries) -> {
                 if (whole) {
                     held.clear();
                 }
                 entries.forEach(entry -> {
-                    if (entry.state() == Watch.State.GONE) {
+                    if (entry.state() == EndpointWatch.State.GONE) {
                         held.remove(entry.id());
                     } else {
                         held.put(entry.id(), entry);
--- a/src/main/java/beaconladder/lab/scale/LeasesPart.java
+++ b/src/main/java/beaconladder/testbed/scale/LeasesPart.java
@@ -1,8 +1,8 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.lab.scale.Slope.Point;
-import beaconladder.lease.Ask;
-import beaconladder.lease.Grants;
+import beaconladder.lease.LeaseRequest;
+import beaconladder.lease.LeaseTable;
+import beaconladder.testbed.scale.Slope.Point;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -58,14 +58,15 @@
 
     /** Microseconds for a renewal among so many tasks; the least of some rounds. */
     private static double apply(int tasks, boolean small) {
-        Grants grants = Grants.none();
+        LeaseTable grants = LeaseTable.none();
         int rounds = small ? 2_000 : 20_000;
         double least = Double.MAX_VALUE;
         long stamp = 0;
         for (int round = 0; round < 6; round++) {
             long from = System.nanoTime();
             for (int i = 0; i < rounds; i++) {
-                Ask ask = new Ask(Ask.Kind.TAKE, "task" + i % tasks, "a" + i % tasks + "#1", i, 0, 1_000, "");
+                LeaseRequest ask = new LeaseRequest(
+                        LeaseRequest.Kind.TAKE, "task" + i % tasks, "a" + i % tasks + "#1", i, 0, 1_000, "");
                 grants = grants.apply(ask, ++stamp, 1).next();
             }
             least = Math.min(least, (System.nanoTime() - from) / 1e3 / rounds);
--- a/src/main/java/beaconladder/lab/scale/ListPart.java
+++ b/src/main/java/beaconladder/testbed/scale/ListPart.java
@@ -1,6 +1,6 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.lab.scale.Slope.Point;
+import beaconladder.testbed.scale.Slope.Point;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/beaconladder/lab/scale/Look.java
+++ b/src/main/java/beaconladder/testbed/scale/Look.java
@@ -1,8 +1,8 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.members.Member;
-import beaconladder.members.Member.State;
-import beaconladder.members.Swim;
+import beaconladder.membership.Member;
+import beaconladder.membership.Member.State;
+import beaconladder.membership.SwimProtocol;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -18,7 +18,7 @@
         for (int i = 0; i < members; i++) {
             all.add(new Member("r" + i, "10.0." + (i >> 8) + "." + (i & 255) + ":7946", 1, State.ALIVE));
         }
-        Swim swim = new Swim("self", "10.9.9.9:7946", 1, List.of(), 1);
+        SwimProtocol swim = new SwimProtocol("self", "10.9.9.9:7946", 1, List.of(), 1);
         Settled.introduce(swim, all.get(0), all, 0);
         Settled.settle(swim);
         swim.at(0);
--- a/src/main/java/beaconladder/lab/scale/Part.java
+++ b/src/main/java/beaconladder/testbed/scale/Part.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
 import java.io.IOException;
 import java.nio.file.Path;
--- a/src/main/java/beaconladder/lab/scale/PositionsHosts.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsHosts.java
@@ -1,7 +1,7 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.api.Router.Role;
-import beaconladder.api.Router.Word;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.api.Router.Word;
 import java.util.SplittableRandom;
 
 /**
--- a/src/main/java/beaconladder/lab/scale/PositionsLoss.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsLoss.java
@@ -1,9 +1,9 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType.Read;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass.Read;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.LinkedHashMap;
@@ -66,14 +66,14 @@
         return at >= lostAt && at < lostAt + WATCHED * SECOND ? (int) ((at - lostAt) / SECOND) : -1;
     }
 
-    private boolean isHit(Txn txn) {
+    private boolean isHit(Request txn) {
         return txn.arrived >= lostAt
                 && txn.arrived < lostAt + PositionsHosts.FAILOVER
                 && truth.lostWith(txn.group.number * PositionsHosts.MEMBERS);
     }
 
     @Override
-    public void came(Txn txn, long now) {
+    public void came(Request txn, long now) {
         mostInHand = Math.max(mostInHand, ++inHand);
         if (second(now) >= 0) {
             came[second(now)]++;
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void sent(Submission s, long now) {
+    public void sent(Attempt s, long now) {
         // One that is sent to a host that is lost is answered by nobody.
         if (!s.txn.type.read().atPrimary() && !truth.leads(s.host.id, now) && !truth.down(s.host.id, now)) {
             stale += truth.position(s.host.id, now) < PositionsSight.target(s.txn, s.txn.target, now) ? 1 : 0;
@@ -92,7 +92,7 @@
     }
 
     @Override
-    public void answered(Txn txn, long now) {
+    public void answered(Request txn, long now) {
         if (now > txn.arrived + txn.type.sla()) {
             return;
         }
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public void ended(Txn txn, long now) {
+    public void ended(Request txn, long now) {
         inHand--;
     }
 
--- a/src/main/java/beaconladder/lab/scale/PositionsPart.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsPart.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/beaconladder/lab/scale/PositionsRouter.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsRouter.java
@@ -1,15 +1,15 @@
-package beaconladder.lab.scale;
-
-import beaconladder.Logic;
-import beaconladder.api.Rounds;
-import beaconladder.api.Router;
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Word;
-import beaconladder.api.Verdict;
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
+package beaconladder.testbed.scale;
+
+import beaconladder.routing.RoutingPolicy;
+import beaconladder.routing.api.DecisionLoop;
+import beaconladder.routing.api.Router;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.RoutingDecision;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -21,7 +21,7 @@
  * One hollow router in virtual time: the real module and its real rounds, as behind the desk (a look after each event),
  * before hollow hosts. There are no sockets, clients, threads or lock.
  */
-final class PositionsRouter implements Rounds.Door {
+final class PositionsRouter implements DecisionLoop.Door {
     static final long MS = PositionsHosts.MS;
     /** Statements a second at one router, the users' figure. */
     static final double RATE = 902;
@@ -48,11 +48,11 @@
     /** Sees what the router does. */
     interface Watcher {
         /** A txn has come in, and the module has not been asked yet. */
-        default void came(Txn txn, long now) {}
+        default void came(Request txn, long now) {}
 
-        default void sent(Submission s, long now) {}
+        default void sent(Attempt s, long now) {}
 
-        default void answered(Txn txn, long now) {}
+        default void answered(Request txn, long now) {}
 
         default void probed(Host host, long now) {}
 
@@ -62,7 +62,7 @@
         default void close(Host host, long now) {}
 
         /** It has had its final answer, whatever that is. */
-        default void ended(Txn txn, long now) {}
+        default void ended(Request txn, long now) {}
     }
 
     private record Event(long at, long number, Runnable run) {}
@@ -74,7 +74,7 @@
     private final List<Double> upTo;
     private final Watcher watcher;
     private final Router logic;
-    private final Rounds rounds;
+    private final DecisionLoop rounds;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
     private long now = ZERO;
@@ -87,8 +87,8 @@
         this.upTo = upTo;
         this.truth = truth;
         this.chance = chance;
-        logic = new Logic(chance.nextLong(), PositionsStart.told(truth.count()));
-        rounds = new Rounds(logic, this);
+        logic = new RoutingPolicy(chance.nextLong(), PositionsStart.told(truth.count()));
+        rounds = new DecisionLoop(logic, this);
         this.watcher = watcher.apply(logic.keepIdle());
         for (int i = 0; i < truth.count(); i++) {
             if (PositionsHosts.isPrimary(i)) {
@@ -135,7 +135,7 @@
         }
         long written =
                 type == SESSION && chance.nextDouble() < FOLLOWS ? now - chance.nextLong(GAP[0], GAP[1]) : Word.NONE;
-        Txn txn = new Txn(
+        Request txn = new Request(
                 taken,
                 logic.type(type),
                 groups.get(chance.nextInt(groups.size())),
@@ -165,7 +165,7 @@
                         .forEach(host -> logic.listed(host, true, Host.State.READY, 0, now)));
     }
 
-    private void over(Submission s, Outcome outcome) {
+    private void over(Attempt s, Outcome outcome) {
         if (s.ended) {
             return;
         }
@@ -187,7 +187,7 @@
     }
 
     @Override
-    public void send(Submission s, long timeout) {
+    public void send(Attempt s, long timeout) {
         watcher.sent(s, now);
         long work = truth.work();
         int host = s.host.id;
@@ -207,7 +207,7 @@
     }
 
     @Override
-    public void cancel(Submission s) {
+    public void cancel(Attempt s) {
         at(now, () -> over(s, Outcome.CANCELLED));
     }
 
@@ -231,13 +231,13 @@
     }
 
     @Override
-    public void decline(Txn txn, long comeBack, Verdict.Reason reason) {}
+    public void decline(Request txn, long comeBack, RoutingDecision.Reason reason) {}
 
     @Override
-    public void rollBack(Txn txn, Verdict.Reason reason) {}
+    public void rollBack(Request txn, RoutingDecision.Reason reason) {}
 
     @Override
-    public void ended(Txn txn) {
+    public void ended(Request txn) {
         watcher.ended(txn, now);
     }
 }
--- a/src/main/java/beaconladder/lab/scale/PositionsSight.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsSight.java
@@ -1,9 +1,9 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType.Read;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass.Read;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void came(Txn txn, long now) {
+    public void came(Request txn, long now) {
         if (now >= nextLook) {
             nextLook = now + LOOK;
             lines.look(now);
@@ -93,7 +93,7 @@
     }
 
     /** The position that a read must see, given that of its session's last write. */
-    static long target(Txn txn, long written, long now) {
+    static long target(Request txn, long written, long now) {
         return switch (txn.type.read()) {
             case BOUNDED -> now - txn.type.bound();
             case SESSION -> written;
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public void sent(Submission s, long now) {
+    public void sent(Attempt s, long now) {
         lines.take(s.host.id, now);
         kept.take(s.host.id, now);
         Kind kind = kinds.get(s.txn.type.read());
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public void ended(Txn txn, long now) {
+    public void ended(Request txn, long now) {
         Kind kind = kinds.get(txn.type.read());
         if (kind != null && txn.submissions.isEmpty()) {
             kind.neverSent++;
--- a/src/main/java/beaconladder/lab/scale/PositionsStart.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsStart.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/beaconladder/lab/scale/RealMember.java
+++ b/src/main/java/beaconladder/testbed/scale/RealMember.java
@@ -1,7 +1,7 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.gossip.Gossip;
-import beaconladder.members.Swim;
+import beaconladder.membership.SwimProtocol;
+import beaconladder.membership.transport.GossipService;
 import java.io.IOException;
 import java.lang.reflect.Field;
 import java.net.InetAddress;
@@ -18,7 +18,7 @@
     public static void main(String[] arguments) throws Exception {
         int port = Integer.parseInt(arguments[0]);
         int others = Integer.parseInt(arguments[2]);
-        Gossip gossip = new Gossip(
+        GossipService gossip = new GossipService(
                 "real",
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 "127.0.0.1:" + port,
@@ -31,9 +31,9 @@
         System.out.println(KNOWS_ALL);
         // From here on it does what one does that has known them for long.
         Thread.sleep(Long.parseLong(arguments[3]));
-        Field swim = Gossip.class.getDeclaredField("swim");
+        Field swim = GossipService.class.getDeclaredField("swim");
         swim.setAccessible(true);
-        Swim inner = (Swim) swim.get(gossip);
+        SwimProtocol inner = (SwimProtocol) swim.get(gossip);
         synchronized (inner) {
             Settled.settle(inner);
         }
--- a/src/main/java/beaconladder/lab/scale/Report.java
+++ b/src/main/java/beaconladder/testbed/scale/Report.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/beaconladder/lab/scale/RouterText.java
+++ b/src/main/java/beaconladder/testbed/scale/RouterText.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
--- a/src/main/java/beaconladder/lab/scale/Settled.java
+++ b/src/main/java/beaconladder/testbed/scale/Settled.java
@@ -1,8 +1,8 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
-import beaconladder.members.Member;
-import beaconladder.members.Message;
-import beaconladder.members.Swim;
+import beaconladder.membership.Member;
+import beaconladder.membership.Message;
+import beaconladder.membership.SwimProtocol;
 import java.lang.reflect.Field;
 import java.util.List;
 import java.util.Map;
@@ -17,7 +17,7 @@
     private Settled() {}
 
     /** Tells it of all these, in messages as a newcomer is told. */
-    static void introduce(Swim swim, Member from, List<Member> all, long now) {
+    static void introduce(SwimProtocol swim, Member from, List<Member> all, long now) {
         for (int i = 0; i < all.size(); i += NEWS) {
             swim.heard(
                     new Message(Message.Kind.NO_ANSWER, from, 0, "", all.subList(i, Math.min(all.size(), i + NEWS))),
@@ -26,9 +26,9 @@
     }
 
     /** Nothing that it knows is news any more. */
-    static void settle(Swim swim) {
+    static void settle(SwimProtocol swim) {
         try {
-            Field known = Swim.class.getDeclaredField("known");
+            Field known = SwimProtocol.class.getDeclaredField("known");
             known.setAccessible(true);
             Field told = null;
             for (Object each : ((Map<?, ?>) known.get(swim)).values()) {
