--- a/src/main/java/beaconladder/lab/soak/Troubles.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultInjector.java
@@ -1,8 +1,8 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
-import beaconladder.lab.DiscoveryStandIn;
-import beaconladder.lab.Tasks;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.DiscoveryStandIn;
+import beaconladder.testbed.StandInThreads;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -11,7 +11,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** Brings each trouble about, and ends it. */
-final class Troubles {
+final class FaultInjector {
     private static final long SECOND = 1_000_000_000L;
     private static final int[] ACCEPT_ERRORS = {103, 23, 24, 105, 4};
     private static final int[] CONNECT_ERRORS = {105, 99, 101, 113, 110};
@@ -23,11 +23,11 @@
     };
 
     private final SoakFleet fleet;
-    private final HostTroubles hosts;
+    private final HostFaultInjector hosts;
 
-    Troubles(SoakFleet fleet) {
+    FaultInjector(SoakFleet fleet) {
         this.fleet = fleet;
-        this.hosts = new HostTroubles(fleet);
+        this.hosts = new HostFaultInjector(fleet);
     }
 
     /** How a trouble is ended; it may take a while. */
@@ -38,9 +38,9 @@
     static final End NOTHING = () -> {};
 
     /** Begins it; what it returns ends it. */
-    End begin(Trouble trouble, int millis, SplittableRandom chance) throws IOException, InterruptedException {
+    End begin(FaultKind trouble, int millis, SplittableRandom chance) throws IOException, InterruptedException {
         return switch (trouble) {
-            case TERMINATE, KILL -> restart(trouble == Trouble.KILL, chance);
+            case TERMINATE, KILL -> restart(trouble == FaultKind.KILL, chance);
             case RELOAD -> reload(chance);
             case PAUSE -> pause(millis, chance);
             case CLOCK_STEP -> stepClock(chance);
@@ -66,7 +66,7 @@
         if (!router.take()) {
             return NOTHING;
         }
-        Thread task = Tasks.spawn(() -> {
+        Thread task = StandInThreads.spawn(() -> {
             try {
                 if (kill) {
                     router.kill();
@@ -78,7 +78,7 @@
                 router.give();
             }
         });
-        return () -> Tasks.join(task, 40_000);
+        return () -> StandInThreads.join(task, 40_000);
     }
 
     private End reload(SplittableRandom chance) throws IOException, InterruptedException {
@@ -89,13 +89,13 @@
         try {
             fleet.moveDiscovery(router);
             if (chance.nextBoolean()) {
-                Tasks.sleep(chance.nextInt(200));
+                StandInThreads.sleep(chance.nextInt(200));
                 fleet.moveDiscovery(router);
             }
             if (chance.nextInt(3) == 0) {
-                Tasks.sleep(50);
+                StandInThreads.sleep(50);
                 router.reload("{\"half\": ");
-                Tasks.sleep(200);
+                StandInThreads.sleep(200);
                 fleet.restoreConfiguration(router);
             }
         } finally {
@@ -107,15 +107,15 @@
     private End pause(int millis, SplittableRandom chance) {
         SoakRouter router = anyRouter(chance);
         SplittableRandom own = chance.split();
-        Thread task = Tasks.spawn(() -> {
+        Thread task = StandInThreads.spawn(() -> {
             for (long until = System.nanoTime() + millis * 1_000_000L; System.nanoTime() < until; ) {
                 router.signal("STOP");
-                Tasks.sleep(20 + own.nextInt(130));
+                StandInThreads.sleep(20 + own.nextInt(130));
                 router.signal("CONT");
-                Tasks.sleep(100 + own.nextInt(300));
+                StandInThreads.sleep(100 + own.nextInt(300));
             }
         });
-        return () -> Tasks.join(task, 10_000);
+        return () -> StandInThreads.join(task, 10_000);
     }
 
     private static long step(SplittableRandom chance) {
@@ -144,7 +144,7 @@
         return () -> router.plan.stepWallClock(-step);
     }
 
-    private End systemCalls(Trouble trouble, SplittableRandom chance) {
+    private End systemCalls(FaultKind trouble, SplittableRandom chance) {
         FaultPlan plan = anyRouter(chance).plan;
         switch (trouble) {
             case ACCEPT_FAILS -> {
@@ -170,13 +170,13 @@
         return plan::clear;
     }
 
-    private End discovery(Trouble trouble, SplittableRandom chance) {
+    private End discovery(FaultKind trouble, SplittableRandom chance) {
         DiscoveryStandIn agent =
                 fleet.discoveries().get(chance.nextInt(fleet.discoveries().size()));
-        agent.manner = trouble == Trouble.DISCOVERY_SILENT
+        agent.manner = trouble == FaultKind.DISCOVERY_SILENT
                 ? DiscoveryStandIn.Manner.SILENT
                 : BREAKS[chance.nextInt(BREAKS.length)];
-        if (trouble == Trouble.DISCOVERY_SILENT) {
+        if (trouble == FaultKind.DISCOVERY_SILENT) {
             agent.cutOff();
         }
         fleet.discoveryTrouble(true);
@@ -190,20 +190,20 @@
     private End crowd(SplittableRandom chance) {
         SoakRouter router = anyRouter(chance);
         List<Socket> idle = new CopyOnWriteArrayList<>();
-        Thread task = Tasks.spawn(() -> {
+        Thread task = StandInThreads.spawn(() -> {
             for (int i = 0; i < SoakConfiguration.DESCRIPTORS; i++) {
                 try {
                     Socket socket = new Socket(InetAddress.getLoopbackAddress(), router.port);
                     idle.add(socket);
-                    Outbox.startup("app", "shop").writeTo(socket.getOutputStream());
+                    MessageWriter.startup("app", "shop").writeTo(socket.getOutputStream());
                 } catch (IOException e) {
                     // It is full, or ends.
-                    Tasks.sleep(1);
+                    StandInThreads.sleep(1);
                 }
             }
         });
         return () -> {
-            Tasks.join(task, 10_000);
+            StandInThreads.join(task, 10_000);
             for (Socket socket : idle) {
                 socket.close();
             }
--- a/src/main/java/beaconladder/lab/soak/Trouble.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultKind.java
@@ -1,7 +1,7 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
 /** What can go wrong in a soak; two or three at a time. */
-public enum Trouble {
+public enum FaultKind {
     /** A router is told to end, and started anew. */
     TERMINATE,
     /** A router is killed, and started anew. */
--- a/src/main/java/beaconladder/lab/soak/FaultPlan.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultPlan.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/main/java/beaconladder/lab/soak/FaultProxy.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultProxy.java
@@ -1,6 +1,6 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
-import beaconladder.lab.Tasks;
+import beaconladder.testbed.StandInThreads;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -29,7 +29,7 @@
 
     FaultProxy(int to) throws IOException {
         this.to = to;
-        Tasks.spawn(() -> {
+        StandInThreads.spawn(() -> {
             while (true) {
                 Socket in = door.accept();
                 if (down) {
@@ -37,7 +37,7 @@
                     continue;
                 }
                 open.add(in);
-                Tasks.spawn(() -> join(in));
+                StandInThreads.spawn(() -> join(in));
             }
         });
     }
@@ -53,7 +53,7 @@
     }
 
     private void join(Socket in) throws IOException {
-        Tasks.sleep(acceptMillis);
+        StandInThreads.sleep(acceptMillis);
         waitWhileSilent();
         Socket out = new Socket();
         open.add(out);
@@ -61,7 +61,7 @@
             out.connect(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), to), 1_000);
             in.setTcpNoDelay(true);
             out.setTcpNoDelay(true);
-            Tasks.spawn(() -> copy(out, in));
+            StandInThreads.spawn(() -> copy(out, in));
             copy(in, out);
         } finally {
             close(in);
@@ -94,7 +94,7 @@
 
     private void waitWhileSilent() {
         while (silent) {
-            Tasks.sleep(LOOK_MILLIS);
+            StandInThreads.sleep(LOOK_MILLIS);
         }
     }
 
--- a/src/main/java/beaconladder/lab/soak/HostTroubles.java
+++ b/src/main/java/beaconladder/testbed/soak/HostFaultInjector.java
@@ -1,12 +1,12 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
-import beaconladder.lab.HostStandIn.Manner;
+import beaconladder.testbed.HostStandIn.Manner;
 import java.io.IOException;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /** Brings the troubles of database hosts about, and ends them. */
-final class HostTroubles {
+final class HostFaultInjector {
     private static final Manner[] SPOILT = {
         Manner.CUT,
         Manner.GARBAGE,
@@ -23,14 +23,14 @@
 
     private final SoakFleet fleet;
 
-    HostTroubles(SoakFleet fleet) {
+    HostFaultInjector(SoakFleet fleet) {
         this.fleet = fleet;
     }
 
     /** Begins one of them; what it returns ends it. */
-    Troubles.End begin(Trouble trouble, SplittableRandom chance) throws IOException {
+    FaultInjector.End begin(FaultKind trouble, SplittableRandom chance) throws IOException {
         return switch (trouble) {
-            case HOST_DRAINS, HOST_CRASHES -> replace(trouble == Trouble.HOST_CRASHES, chance);
+            case HOST_DRAINS, HOST_CRASHES -> replace(trouble == FaultKind.HOST_CRASHES, chance);
             case HOST_HANGS, HOST_SILENT, HOST_FAILS, HOST_SPOILS -> host(trouble, chance);
             case HOST_NETWORK, HOST_IDLE_CLOSE, HOSTS_SLOW, REPLICAS_LAG -> hosts(trouble, chance);
             case PRIMARY_MOVES -> movePrimary(chance);
@@ -42,10 +42,10 @@
         return fleet.hosts().get(chance.nextInt(fleet.hosts().size()));
     }
 
-    private Troubles.End replace(boolean crash, SplittableRandom chance) throws IOException {
+    private FaultInjector.End replace(boolean crash, SplittableRandom chance) throws IOException {
         SoakHost host = anyHost(chance);
         if (!host.state().equals("Ready") || host.leader() && !crash) {
-            return Troubles.NOTHING;
+            return FaultInjector.NOTHING;
         }
         if (crash) {
             host.proxy().silent = false;
@@ -66,7 +66,7 @@
         };
     }
 
-    private Troubles.End host(Trouble trouble, SplittableRandom chance) {
+    private FaultInjector.End host(FaultKind trouble, SplittableRandom chance) {
         SoakHost host = anyHost(chance);
         switch (trouble) {
             case HOST_HANGS -> host.hangs = true;
@@ -85,7 +85,7 @@
         };
     }
 
-    private Troubles.End hosts(Trouble trouble, SplittableRandom chance) {
+    private FaultInjector.End hosts(FaultKind trouble, SplittableRandom chance) {
         List<SoakHost> some =
                 fleet.hosts().stream().filter(host -> chance.nextInt(3) != 0).toList();
         for (SoakHost host : some) {
@@ -102,7 +102,7 @@
         return () -> some.forEach(SoakFleet::calm);
     }
 
-    private Troubles.End movePrimary(SplittableRandom chance) {
+    private FaultInjector.End movePrimary(SplittableRandom chance) {
         int group = 1 + chance.nextInt(Soak.GROUPS);
         List<SoakHost> members =
                 fleet.hosts().stream().filter(host -> host.group == group).toList();
--- a/src/main/java/beaconladder/lab/soak/Request.java
+++ b/src/main/java/beaconladder/testbed/soak/Request.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -39,7 +39,7 @@
     private static final long LONGEST_MILLIS = 2_000;
 
     final String id;
-    final Kind kind;
+    final RequestKind kind;
     /** How long its client waits. */
     final int budgetMillis;
 
@@ -54,7 +54,7 @@
     private String code = "";
     private long endedAt;
 
-    Request(String id, Kind kind, int budgetMillis, int router, int group, int ahead, long sentAt) {
+    Request(String id, RequestKind kind, int budgetMillis, int router, int group, int ahead, long sentAt) {
         this.budgetMillis = budgetMillis;
         this.ahead = ahead;
         this.id = id;
@@ -102,7 +102,7 @@
     /** The statement; its row is to hold its id. */
     String statement(long after) {
         String comment = " /* id=" + id + ",c=" + kind.label + ",t=acme,d=" + budgetMillis + ",cluster=" + group
-                + (kind == Kind.SESSION && after > 0 ? ",after=" + after : "") + " */";
+                + (kind == RequestKind.SESSION && after > 0 ? ",after=" + after : "") + " */";
         return kind.writes()
                 ? "INSERT INTO items (id, doc) VALUES ('" + id + "', '\\x9f03') RETURNING doc" + comment
                 : "SELECT doc FROM items WHERE id = '" + id + "'" + comment;
--- a/src/main/java/beaconladder/lab/soak/Kind.java
+++ b/src/main/java/beaconladder/testbed/soak/RequestKind.java
@@ -1,7 +1,7 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
 /** The kinds of requests, as the settings name them. */
-enum Kind {
+enum RequestKind {
     ANY("any", "loose", "pure", 1_500),
     BOUNDED("fresh", "recent", "pure", 1_500),
     SESSION("own", "own_writes", "pure", 1_500),
@@ -18,7 +18,7 @@
     final String effect;
     final int budgetMillis;
 
-    Kind(String label, String freshness, String effect, int budgetMillis) {
+    RequestKind(String label, String freshness, String effect, int budgetMillis) {
         this.label = label;
         this.freshness = freshness;
         this.effect = effect;
--- a/src/main/java/beaconladder/lab/soak/Soak.java
+++ b/src/main/java/beaconladder/testbed/soak/Soak.java
@@ -1,6 +1,6 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
-import beaconladder.lab.Tasks;
+import beaconladder.testbed.StandInThreads;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -35,7 +35,7 @@
     private final SoakPlan plan;
     private final PrintWriter out;
     private final SplittableRandom chance;
-    private final Map<Trouble, Integer> played = new EnumMap<>(Trouble.class);
+    private final Map<FaultKind, Integer> played = new EnumMap<>(FaultKind.class);
 
     /** One that has not begun. */
     public Soak(SoakPlan plan, PrintWriter out) {
@@ -49,36 +49,36 @@
         Path folder = Files.createTempDirectory("soak");
         try (SoakFleet fleet = new SoakFleet(plan, folder, FaultShim.build(folder), chance.split())) {
             fleet.clients().start(CLIENTS_A_ROUTER * plan.routers(), chance.split());
-            Tasks.sleep(1_000 * plan.quietSeconds());
+            StandInThreads.sleep(1_000 * plan.quietSeconds());
             for (int i = 0; i < plan.rounds(); i++) {
-                round(new Troubles(fleet));
+                round(new FaultInjector(fleet));
             }
-            Tasks.sleep(SETTLE_MILLIS);
+            StandInThreads.sleep(SETTLE_MILLIS);
             long wellFrom = System.nanoTime();
-            Tasks.sleep(SETTLE_MILLIS);
+            StandInThreads.sleep(SETTLE_MILLIS);
             fleet.clients().end();
             fleet.end();
             return verdict(fleet, wellFrom, folder);
         }
     }
 
-    private void round(Troubles troubles) throws IOException, InterruptedException {
-        Set<Trouble> drawn = new HashSet<>();
+    private void round(FaultInjector troubles) throws IOException, InterruptedException {
+        Set<FaultKind> drawn = new HashSet<>();
         for (int i = 2 + chance.nextInt(MOST_AT_ONCE - 1); i > 0; i--) {
             drawn.add(plan.troubles().get(chance.nextInt(plan.troubles().size())));
         }
         out.println("round: " + drawn.stream().map(Soak::name).sorted().collect(Collectors.joining(", ")));
         out.flush();
-        List<Troubles.End> ends = new ArrayList<>();
-        for (Trouble trouble : drawn.stream().sorted().toList()) {
+        List<FaultInjector.End> ends = new ArrayList<>();
+        for (FaultKind trouble : drawn.stream().sorted().toList()) {
             played.merge(trouble, 1, Integer::sum);
             ends.add(troubles.begin(trouble, ROUND_MILLIS, chance));
-            Tasks.sleep(chance.nextInt(400));
+            StandInThreads.sleep(chance.nextInt(400));
         }
-        Tasks.sleep(ROUND_MILLIS);
-        for (Troubles.End end : ends) {
+        StandInThreads.sleep(ROUND_MILLIS);
+        for (FaultInjector.End end : ends) {
             end.run();
-            Tasks.sleep(chance.nextInt(200));
+            StandInThreads.sleep(chance.nextInt(200));
         }
     }
 
--- a/src/main/java/beaconladder/lab/soak/SoakClients.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakClients.java
@@ -1,8 +1,8 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.Tasks;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.StandInThreads;
+import beaconladder.testbed.TestClient;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -51,21 +51,21 @@
     void start(int count, SplittableRandom chance) {
         for (int i = 0; i < count; i++) {
             SplittableRandom own = chance.split();
-            threads.add(Tasks.spawn(() -> live(own)));
+            threads.add(StandInThreads.spawn(() -> live(own)));
         }
     }
 
     /** Ends them once what they have out is answered. */
     void end() {
         over = true;
-        threads.forEach(thread -> Tasks.join(thread, 10_000));
+        threads.forEach(thread -> StandInThreads.join(thread, 10_000));
     }
 
     private void live(SplittableRandom chance) {
         while (!over) {
             SoakRouter router = routers.get(chance.nextInt(routers.size()));
             if (!router.ready()) {
-                Tasks.sleep(5);
+                StandInThreads.sleep(5);
                 continue;
             }
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), router.port)) {
@@ -76,15 +76,15 @@
                     converse(socket, router, chance);
                 }
             } catch (IOException e) {
-                Tasks.sleep(5);
+                StandInThreads.sleep(5);
             }
         }
     }
 
     private void converse(Socket socket, SoakRouter router, SplittableRandom chance) throws IOException {
-        Caller caller = new Caller(socket);
+        TestClient caller = new TestClient(socket);
         socket.setSoTimeout(3_000);
-        Outbox.startup("app", "shop").writeTo(caller.out);
+        MessageWriter.startup("app", "shop").writeTo(caller.out);
         if (!caller.answer().equals(GREETING)) {
             return;
         }
@@ -94,7 +94,7 @@
             int ahead = dice < 15 ? 2 + chance.nextInt(MOST_AHEAD - 1) : 1;
             Deque<Request> out = send(caller, router, ahead, after, chance);
             if (dice >= 92) {
-                Tasks.sleep(chance.nextInt(300));
+                StandInThreads.sleep(chance.nextInt(300));
                 out.forEach(request -> request.ended(Request.End.LEFT, "", System.nanoTime()));
                 socket.close();
                 return;
@@ -105,15 +105,15 @@
                 }
             }
             after = System.currentTimeMillis();
-            Tasks.sleep(chance.nextInt(20) == 0 ? chance.nextInt(4_000) : chance.nextInt(30));
+            StandInThreads.sleep(chance.nextInt(20) == 0 ? chance.nextInt(4_000) : chance.nextInt(30));
         }
     }
 
-    private Deque<Request> send(Caller caller, SoakRouter router, int count, long after, SplittableRandom chance) {
+    private Deque<Request> send(TestClient caller, SoakRouter router, int count, long after, SplittableRandom chance) {
         Deque<Request> out = new ArrayDeque<>();
-        Outbox text = new Outbox();
+        MessageWriter text = new MessageWriter();
         for (int i = 0; i < count; i++) {
-            Kind kind = Kind.values()[chance.nextInt(Kind.values().length)];
+            RequestKind kind = RequestKind.values()[chance.nextInt(RequestKind.values().length)];
             boolean hurried = chance.nextInt(12) == 0;
             Request request = new Request(
                     PREFIX + ids.incrementAndGet(),
@@ -125,7 +125,7 @@
                     System.nanoTime());
             requests.put(request.id, request);
             out.add(request);
-            text.append(Outbox.query(request.statement(after)));
+            text.append(MessageWriter.query(request.statement(after)));
         }
         try {
             text.writeTo(caller.out);
@@ -136,7 +136,7 @@
     }
 
     /** Takes the answer to the first; false at the connection's end, with the others ended too. */
-    private boolean receive(Socket socket, Caller caller, Deque<Request> out) throws IOException {
+    private boolean receive(Socket socket, TestClient caller, Deque<Request> out) throws IOException {
         Request first = out.peek();
         long left = (first.deadline() - System.nanoTime()) / 1_000_000 + PATIENCE_MILLIS;
         socket.setSoTimeout((int) Math.max(1, left));
@@ -182,8 +182,8 @@
 
     /** Sends nonsense, or half of something, and stays; it has to be told or closed in time. */
     private void behaveBadly(Socket socket, SplittableRandom chance) throws IOException {
-        byte[] start = bytes(Outbox.startup("app", "shop"));
-        byte[] query = bytes(Outbox.query("SELECT doc FROM items WHERE id = 'x' /* id=b"
+        byte[] start = bytes(MessageWriter.startup("app", "shop"));
+        byte[] query = bytes(MessageWriter.query("SELECT doc FROM items WHERE id = 'x' /* id=b"
                 + ids.incrementAndGet()
                 + ",c=own,t=acme,d=900,cluster=1,after=1e" + chance.nextInt(99_999_999) + " */"));
         int way = chance.nextInt(5);
@@ -205,7 +205,7 @@
             }
         }
         socket.setSoTimeout(BAD_MILLIS);
-        Caller caller = new Caller(socket);
+        TestClient caller = new TestClient(socket);
         socket.setSoTimeout(BAD_MILLIS);
         String said = "";
         try {
@@ -218,7 +218,7 @@
         }
     }
 
-    private static byte[] bytes(Outbox out) {
+    private static byte[] bytes(MessageWriter out) {
         byte[] bytes = new byte[out.size()];
         out.bytes().get(bytes);
         return bytes;
--- a/src/main/java/beaconladder/lab/soak/SoakConfiguration.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakConfiguration.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
 import java.util.Arrays;
 import java.util.function.Function;
@@ -24,9 +24,9 @@
      * @param known the entries of hosts, joined by commas
      */
     static String of(String name, int port, int discovery, SoakPlan plan, String known) {
-        String classes = Arrays.stream(Kind.values())
+        String classes = Arrays.stream(RequestKind.values())
                 .map(kind -> REQUEST_CLASS.formatted(
-                        kind.label, kind.effect, Kind.MEMORY_MILLIS * 1_000L, kind.budgetMillis * 1_000L))
+                        kind.label, kind.effect, RequestKind.MEMORY_MILLIS * 1_000L, kind.budgetMillis * 1_000L))
                 .collect(Collectors.joining(","));
         String file = """
                 {"name":"%s","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"%x",
@@ -48,7 +48,7 @@
                 DESCRIPTORS,
                 known,
                 quoted(kind -> kind.freshness),
-                Kind.BOUND_MILLIS * 1_000,
+                RequestKind.BOUND_MILLIS * 1_000,
                 GRACE_MILLIS * 1_000,
                 WARM_MILLIS * 1_000,
                 plan.routers(),
@@ -56,8 +56,8 @@
                 classes);
     }
 
-    private static String quoted(Function<Kind, String> of) {
-        return Arrays.stream(Kind.values())
+    private static String quoted(Function<RequestKind, String> of) {
+        return Arrays.stream(RequestKind.values())
                 .map(kind -> "\"" + of.apply(kind) + "\"")
                 .collect(Collectors.joining(","));
     }
--- a/src/main/java/beaconladder/lab/soak/SoakFleet.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakFleet.java
@@ -1,8 +1,8 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
-import beaconladder.lab.DiscoveryStandIn;
-import beaconladder.lab.Programs;
-import beaconladder.lab.Tasks;
+import beaconladder.testbed.ChildProcesses;
+import beaconladder.testbed.DiscoveryStandIn;
+import beaconladder.testbed.StandInThreads;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetAddress;
@@ -30,7 +30,7 @@
     record Span(long from, long to) {}
 
     private final SoakPlan plan;
-    private final Programs programs;
+    private final ChildProcesses programs;
     private final List<SoakRouter> routers = new ArrayList<>();
     private final List<SoakHost> hosts = new ArrayList<>();
     private final List<DiscoveryStandIn> discoveries = new ArrayList<>();
@@ -45,7 +45,7 @@
     /** Stands it up and waits until all routers are ready. */
     SoakFleet(SoakPlan plan, Path folder, FaultShim shim, SplittableRandom chance) throws IOException {
         this.plan = plan;
-        programs = new Programs(folder);
+        programs = new ChildProcesses(folder);
         for (int i = 0; i < Soak.GROUPS * Soak.MEMBERS; i++) {
             hosts.add(new SoakHost(i, 1 + i / Soak.MEMBERS, i % Soak.MEMBERS == 0, requests));
         }
@@ -58,7 +58,7 @@
         for (int i = 0; i < plan.routers(); i++) {
             int port = freePort(chance);
             discoveryOf.put(i, i % 2);
-            Programs.Program program = programs.program("n" + i, configuration(i, port), TRACED, "serve");
+            ChildProcesses.Program program = programs.program("n" + i, configuration(i, port), TRACED, "serve");
             FaultPlan faults = new FaultPlan(folder.resolve("plan" + i));
             program.environment("LD_PRELOAD", shim.library().toString());
             program.environment("FAULT_SHIM_PLAN", faults.file().toString());
@@ -66,8 +66,8 @@
         }
         clients = new SoakClients(routers, requests, broken);
         List<Thread> starts = new ArrayList<>();
-        routers.forEach(router -> starts.add(Tasks.spawn(router::start)));
-        starts.forEach(start -> Tasks.join(start, 40_000));
+        routers.forEach(router -> starts.add(StandInThreads.spawn(router::start)));
+        starts.forEach(start -> StandInThreads.join(start, 40_000));
     }
 
     /** Below the ports that the system gives to connections: one of those would keep a restarted router from it. */
@@ -175,9 +175,9 @@
                 broken.add("router " + router.number + " had ended by itself");
                 continue;
             }
-            ends.add(Tasks.spawn(router::terminate));
+            ends.add(StandInThreads.spawn(router::terminate));
         }
-        ends.forEach(end -> Tasks.join(end, 10_000));
+        ends.forEach(end -> StandInThreads.join(end, 10_000));
     }
 
     @Override
--- a/src/main/java/beaconladder/lab/soak/SoakHost.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakHost.java
@@ -1,8 +1,8 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
-import beaconladder.lab.HostStandIn;
-import beaconladder.lab.Tasks;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.HostStandIn;
+import beaconladder.testbed.StandInThreads;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
@@ -100,7 +100,7 @@
     protected void halt() {
         arrivedAt.set(System.nanoTime());
         while (hangs) {
-            Tasks.sleep(HANG_LOOK_MILLIS);
+            StandInThreads.sleep(HANG_LOOK_MILLIS);
         }
     }
 
@@ -131,7 +131,7 @@
     }
 
     @Override
-    protected Outbox run(String text) {
+    protected MessageWriter run(String text) {
         Request request = requests.get(Statements.value(text, "id"));
         switch (taken.get()) {
             case ERROR -> {
@@ -149,7 +149,7 @@
                 }
                 byte[] row = Statements.value(text, "id").getBytes(StandardCharsets.US_ASCII);
                 String tag = text.startsWith("INSERT") ? "INSERT 0 1" : "SELECT 1";
-                Outbox answer = said().row("doc", row).commandComplete(tag);
+                MessageWriter answer = said().row("doc", row).commandComplete(tag);
                 return taken.get() == Behavior.ANSWERS_TWICE
                         ? answer.ready().append(said().row("doc", row).commandComplete(tag))
                         : answer;
--- a/src/main/java/beaconladder/lab/soak/SoakOracle.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakOracle.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -63,13 +63,13 @@
         answers(request, excused);
         List<Request.Arrival> arrivals = request.arrivals();
         long ran = arrivals.stream().filter(Request.Arrival::ran).count();
-        if (request.kind == Kind.WRITE && ran > 1) {
+        if (request.kind == RequestKind.WRITE && ran > 1) {
             add(Broken.RAN_TWICE, request);
         }
         if (request.kind.writes() && ran > 0 && request.end() == Request.End.REFUSED) {
             add(Broken.REFUSED_THOUGH_RUN, request);
         }
-        if (request.kind == Kind.TOKEN && ran > 1) {
+        if (request.kind == RequestKind.TOKEN && ran > 1) {
             memory(request, arrivals);
         }
         arrivals.forEach(arrival -> arrived(request, arrival));
@@ -101,7 +101,7 @@
                 arrivals.stream().filter(Request.Arrival::ran).findFirst().orElseThrow();
         boolean late = arrivals.stream()
                 .filter(Request.Arrival::ran)
-                .anyMatch(a -> a.at() > first.at() + Kind.MEMORY_MILLIS * MS + TIME_SLACK + WAY);
+                .anyMatch(a -> a.at() > first.at() + RequestKind.MEMORY_MILLIS * MS + TIME_SLACK + WAY);
         if (late) {
             add(Broken.MEMORY_OVER, request);
         }
@@ -125,7 +125,9 @@
             add(Broken.DRAIN, request);
         }
         long age = arrival.wallMillis() - arrival.position();
-        if (request.kind == Kind.BOUNDED && arrival.ran() && age * MS > Kind.BOUND_MILLIS * MS + WAY + PAUSE) {
+        if (request.kind == RequestKind.BOUNDED
+                && arrival.ran()
+                && age * MS > RequestKind.BOUND_MILLIS * MS + WAY + PAUSE) {
             add(Broken.STALE, request);
         }
     }
--- a/src/main/java/beaconladder/lab/soak/SoakPlan.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakPlan.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
 import java.util.List;
 
@@ -12,9 +12,9 @@
  * @param asks whether discovery is one service that is asked, or an agent that is told of changes
  * @param troubles what is drawn from
  */
-public record SoakPlan(long seed, int routers, int rounds, int quietSeconds, boolean asks, List<Trouble> troubles) {
+public record SoakPlan(long seed, int routers, int rounds, int quietSeconds, boolean asks, List<FaultKind> troubles) {
     /** One without a quiet time, of all troubles or those given. */
-    public static SoakPlan of(long seed, int routers, int rounds, List<Trouble> troubles) {
+    public static SoakPlan of(long seed, int routers, int rounds, List<FaultKind> troubles) {
         return new SoakPlan(seed, routers, rounds, 0, false, troubles);
     }
 }
--- a/src/main/java/beaconladder/lab/soak/SoakRouter.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakRouter.java
@@ -1,9 +1,9 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.Programs;
-import beaconladder.lab.Tasks;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.ChildProcesses;
+import beaconladder.testbed.StandInThreads;
+import beaconladder.testbed.TestClient;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -24,7 +24,7 @@
     final int number;
     final int port;
     final FaultPlan plan;
-    private final Programs.Program program;
+    private final ChildProcesses.Program program;
     private final List<String> broken;
     /** When it was killed with requests in hand, System.nanoTime's. */
     private final List<Long> kills = new CopyOnWriteArrayList<>();
@@ -33,7 +33,7 @@
     /** Held by who ends or starts it. */
     private boolean busy;
 
-    SoakRouter(int number, int port, Programs.Program program, FaultPlan plan, List<String> broken) {
+    SoakRouter(int number, int port, ChildProcesses.Program program, FaultPlan plan, List<String> broken) {
         this.number = number;
         this.port = port;
         this.program = program;
@@ -77,16 +77,16 @@
                 broken.add("router " + number + " ended while it started: " + program.exit());
                 return;
             }
-            Tasks.sleep(LOOK_MILLIS);
+            StandInThreads.sleep(LOOK_MILLIS);
         }
         broken.add("router " + number + " was not ready in time");
     }
 
     private boolean answers() {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-                Caller caller = new Caller(socket)) {
+                TestClient caller = new TestClient(socket)) {
             socket.setSoTimeout(1_000);
-            Outbox.startup("app", "shop").append(Outbox.query("")).writeTo(caller.out);
+            MessageWriter.startup("app", "shop").append(MessageWriter.query("")).writeTo(caller.out);
             caller.answer();
             return caller.answer().equals("I Z");
         } catch (IOException e) {
--- a/src/main/java/beaconladder/lab/soak/Statements.java
+++ b/src/main/java/beaconladder/testbed/soak/Statements.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
 /** Reads the comment of a statement that has passed a router. */
 final class Statements {
--- a/src/test/java/beaconladder/cells/SharesTest.java
+++ b/src/test/java/beaconladder/cells/CellQuotasTest.java
@@ -2,16 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.cells.Shares.Answer;
+import beaconladder.cells.CellQuotas.Answer;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class SharesTest {
+class CellQuotasTest {
     private static final long MS = 1_000_000;
 
     @Test
     void aFloodTakesWhatOthersDoNotUseButNeverTheirFirst() {
-        Shares shares = new Shares(100, 0.25, 0.25, 0.25, 0.25);
+        CellQuotas shares = new CellQuotas(100, 0.25, 0.25, 0.25, 0.25);
         int taken = 0;
         while (shares.take(0, "flood", 1, 1, 1, 0) == Answer.TAKEN) {
             taken++;
@@ -27,7 +27,7 @@
 
     @Test
     void loansEndWhenTheLenderComesBack() {
-        Shares shares = new Shares(100, 0.5, 0.5);
+        CellQuotas shares = new CellQuotas(100, 0.5, 0.5);
         for (int i = 0; i < 20; i++) {
             assertThat(shares.take(1, "usual", 1, 1, 1, 0)).isEqualTo(Answer.TAKEN);
         }
@@ -57,7 +57,7 @@
 
     @Test
     void oneOfManyTenantsIsNeverMostOfItsCell() {
-        Shares shares = new Shares(100, 1.0);
+        CellQuotas shares = new CellQuotas(100, 1.0);
         int taken = 0;
         while (shares.take(0, "flood", 0.2, 1, 1, 0) == Answer.TAKEN) {
             taken++;
@@ -70,13 +70,13 @@
 
     @Test
     void theLastPartIsForWhatIsWorthMore() {
-        Shares shares = new Shares(100, 0.5, 0.5);
+        CellQuotas shares = new CellQuotas(100, 0.5, 0.5);
         for (int i = 0; i < 200; i++) {
             if (shares.take(0, "t", 1, 1, 3, 0) == Answer.TAKEN) {
                 shares.give(0, "t", 1);
             }
         }
-        Shares.Answer last = Answer.TAKEN;
+        CellQuotas.Answer last = Answer.TAKEN;
         while (last == Answer.TAKEN) {
             last = shares.take(0, "t", 1, 1, 1, 0);
         }
@@ -88,7 +88,7 @@
     @Test
     void noOrderOfTakingAndGivingLosesAny() {
         SplittableRandom chance = new SplittableRandom(5);
-        Shares shares = new Shares(64, 0.1, 0.2, 0.3, 0.4);
+        CellQuotas shares = new CellQuotas(64, 0.1, 0.2, 0.3, 0.4);
         int[][] held = new int[4][5];
         int all = 0;
         for (int step = 0; step < 200_000; step++) {
--- a/src/test/java/beaconladder/cells/PlannerTest.java
+++ b/src/test/java/beaconladder/cells/PlacementPlannerTest.java
@@ -6,12 +6,13 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-class PlannerTest {
-    private static Planner.Proposal propose(String plan, int most) {
-        return Planner.propose(Planner.problem(PlanReader.read("p", plan).plan()), most, 5, 1);
+class PlacementPlannerTest {
+    private static PlacementPlanner.Proposal propose(String plan, int most) {
+        return PlacementPlanner.propose(
+                PlacementPlanner.problem(PlanReader.read("p", plan).plan()), most, 5, 1);
     }
 
-    private static String moves(Planner.Proposal proposal) {
+    private static String moves(PlacementPlanner.Proposal proposal) {
         return proposal.moves().stream()
                 .map(m -> m.tenant() + ">" + m.to())
                 .sorted()
@@ -27,7 +28,7 @@
                 (tenant b1 (cell b) (load 5txns/s)) (tenant b2 (cell b) (load 3txns/s))
                 (tenant a3 (cell a) (load 1txns/s) (fixed)) (tenant b3 (cell b) (load 1txns/s) (fixed))
                 """;
-        Planner.Proposal proposal = propose(plan, 4);
+        PlacementPlanner.Proposal proposal = propose(plan, 4);
         assertThat(proposal.peakAfter()).isEqualTo(1_000);
         assertThat(proposal.costAfter()).isLessThan(proposal.costBefore());
         assertThat(proposal.moves()).hasSize(2);
@@ -42,13 +43,13 @@
                 (tenant a3 (cell a) (fixed))
                 (tenant b1 (cell b) (load 3txns/s)) (tenant c1 (cell c) (load 3txns/s))
                 """;
-        Planner.Problem lost =
-                Planner.without(Planner.problem(PlanReader.read("p", plan).plan()), "a");
-        Planner.Proposal proposal = Planner.propose(lost, 5, 5, 1);
-        assertThat(proposal.moves()).extracting(Planner.Move::tenant).contains("a1", "a2", "a3");
+        PlacementPlanner.Problem lost = PlacementPlanner.without(
+                PlacementPlanner.problem(PlanReader.read("p", plan).plan()), "a");
+        PlacementPlanner.Proposal proposal = PlacementPlanner.propose(lost, 5, 5, 1);
+        assertThat(proposal.moves()).extracting(PlacementPlanner.Move::tenant).contains("a1", "a2", "a3");
         assertThat(proposal.moves()).noneMatch(m -> m.to().equals("a"));
-        assertThat(Planner.propose(lost, 2, 5, 1).found()).isFalse();
-        assertThat(Planner.propose(lost, 2, 5, 1).says()).startsWith("no proposal");
+        assertThat(PlacementPlanner.propose(lost, 2, 5, 1).found()).isFalse();
+        assertThat(PlacementPlanner.propose(lost, 2, 5, 1).says()).startsWith("no proposal");
     }
 
     @Test
@@ -57,7 +58,7 @@
                 (cell a (groups 0)) (cell b (groups 1)) (cell c (groups 2))
                 (tenant x (cell a) (apart-from y)) (tenant y (cell a)) (tenant z (cell b))
                 """;
-        Planner.Proposal proposal = propose(plan, 3);
+        PlacementPlanner.Proposal proposal = propose(plan, 3);
         assertThat(moves(proposal)).isIn("x>c", "y>c");
         assertThat(proposal.optimal()).isTrue();
         assertThat(proposal.survives()).isTrue();
--- a/src/test/java/beaconladder/cells/MovesTest.java
+++ b/src/test/java/beaconladder/cells/TenantMigrationsTest.java
@@ -3,15 +3,15 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Word;
-import beaconladder.cells.Step.Kind;
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType;
+import beaconladder.cells.MigrationStep.Kind;
 import beaconladder.plan.PlanReader;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The keeper's steps, alone and against routers' gates in a world of virtual time. */
-class MovesTest {
+class TenantMigrationsTest {
     private static final long MS = 1_000_000;
     private static final long START = 1_000_000 * MS;
     private static final String PLAN = """
@@ -31,16 +31,16 @@
               (expiry 300ms) (copy 5s) (fence 1s))
             """;
 
-    private static Territory territory() {
-        return new Territory(PlanReader.read("p", PLAN).plan());
+    private static StaticPlacement territory() {
+        return new StaticPlacement(PlanReader.read("p", PLAN).plan());
     }
 
-    private static Sight sight(long at, String source, long position, String target, long copied) {
-        return new Sight(at, source, position, target, at, List.of(copied, copied + MS));
+    private static MigrationObservation sight(long at, String source, long position, String target, long copied) {
+        return new MigrationObservation(at, source, position, target, at, List.of(copied, copied + MS));
     }
 
-    private static void settle(Moves moves, StringBuilder trace, long now) {
-        for (Step step = moves.due(now); step != null; step = moves.due(now)) {
+    private static void settle(TenantMigrations moves, StringBuilder trace, long now) {
+        for (MigrationStep step = moves.due(now); step != null; step = moves.due(now)) {
             moves.take(step);
             trace.append((now - START) / MS)
                     .append(' ')
@@ -53,7 +53,7 @@
 
     @Test
     void aMoveWaitsForWordForQuietAndForTheCopy() {
-        Moves moves = new Moves(territory());
+        TenantMigrations moves = new TenantMigrations(territory());
         StringBuilder trace = new StringBuilder();
         settle(moves, trace, START);
         moves.take(moves.joins("n0", "1", START));
@@ -61,15 +61,19 @@
         moves.seen("t", 0, sight(START, "s", START, "d", Long.MIN_VALUE));
         settle(moves, trace, START + MS);
         long version = moves.version();
-        moves.heard("n0", version, List.of(new Gate.Busy("t", 2, List.of(0L))), START + 2 * MS);
+        moves.heard("n0", version, List.of(new CellAdmission.Busy("t", 2, List.of(0L))), START + 2 * MS);
         moves.seen("t", 0, sight(START + 10 * MS, "s", START + 10 * MS, "d", START + 9 * MS));
         settle(moves, trace, START + 10 * MS);
         // It has heard of the fence, but two writes are out; later none, and a commit beyond what the source
         // shows.
-        moves.heard("n0", moves.version(), List.of(new Gate.Busy("t", 2, List.of(0L))), START + 20 * MS);
+        moves.heard("n0", moves.version(), List.of(new CellAdmission.Busy("t", 2, List.of(0L))), START + 20 * MS);
         moves.seen("t", 0, sight(START + 25 * MS, "s", START + 25 * MS, "d", START + 25 * MS));
         settle(moves, trace, START + 30 * MS);
-        moves.heard("n0", moves.version(), List.of(new Gate.Busy("t", 0, List.of(START + 50 * MS))), START + 40 * MS);
+        moves.heard(
+                "n0",
+                moves.version(),
+                List.of(new CellAdmission.Busy("t", 0, List.of(START + 50 * MS))),
+                START + 40 * MS);
         settle(moves, trace, START + 41 * MS);
         moves.seen("t", 0, sight(START + 45 * MS, "s", START + 45 * MS, "d", START + 49 * MS));
         settle(moves, trace, START + 46 * MS);
@@ -90,12 +94,13 @@
                 270 SWITCHED t
                 270 DONE t
                 """);
-        assertThat(moves.seats().get("t")).isEqualTo(new Seat("b", true, true, false, List.of(START + 200 * MS)));
+        assertThat(moves.seats().get("t"))
+                .isEqualTo(new TenantPlacement("b", true, true, false, List.of(START + 200 * MS)));
     }
 
     @Test
     void whatSpeaksAgainstAMoveOrAnUndoIsNamed() {
-        Moves moves = new Moves(territory());
+        TenantMigrations moves = new TenantMigrations(territory());
         settle(moves, new StringBuilder(), START);
         StringBuilder said = new StringBuilder();
         for (String[] move : new String[][] {{"x", "b"}, {"f", "b"}, {"t", "c"}, {"t", "a"}}) {
@@ -120,7 +125,7 @@
     @Test
     void aSourceThatFailsInTheFenceOrABoundThatRunsOutUndoes() {
         for (boolean fails : new boolean[] {true, false}) {
-            Moves moves = new Moves(territory());
+            TenantMigrations moves = new TenantMigrations(territory());
             StringBuilder trace = new StringBuilder();
             settle(moves, new StringBuilder(), START);
             moves.take(moves.propose("t", "b", "me", START));
@@ -147,15 +152,15 @@
 
     @Test
     void theRecordsLeadToTheSameStateAndSoDoesTheirSnapshot() {
-        List<Step> records = new ArrayList<>();
-        Moves moves = new Moves(territory());
+        List<MigrationStep> records = new ArrayList<>();
+        TenantMigrations moves = new TenantMigrations(territory());
         for (int round = 0; records.size() < 10_100; round++) {
             long now = START + round * 10_000 * MS;
-            Moves known = moves;
+            TenantMigrations known = moves;
             SplittableRandom chance = new SplittableRandom(round);
             record(moves, records, now);
             String to = moves.seats().get("t").cell().equals("a") ? "b" : "a";
-            Step proposed = moves.propose("t", to, "me", now);
+            MigrationStep proposed = moves.propose("t", to, "me", now);
             records.add(proposed);
             moves.take(proposed);
             for (int i = 1; i < 8; i++) {
@@ -169,20 +174,20 @@
                 }
             }
         }
-        Moves again = new Moves(territory());
+        TenantMigrations again = new TenantMigrations(territory());
         records.forEach(again::take);
         assertThat(again.seats()).isEqualTo(moves.seats());
         assertThat(again.version()).isEqualTo(moves.version());
-        List<Step> snapshot = again.snapshot(START);
-        Moves compact = new Moves(territory());
+        List<MigrationStep> snapshot = again.snapshot(START);
+        TenantMigrations compact = new TenantMigrations(territory());
         snapshot.forEach(compact::take);
         assertThat(snapshot).hasSizeLessThan(10);
         assertThat(compact.seats()).isEqualTo(moves.seats());
         assertThat(compact.version()).isEqualTo(moves.version());
     }
 
-    private static void record(Moves moves, List<Step> records, long now) {
-        for (Step step = moves.due(now); step != null; step = moves.due(now)) {
+    private static void record(TenantMigrations moves, List<MigrationStep> records, long now) {
+        for (MigrationStep step = moves.due(now); step != null; step = moves.due(now)) {
             records.add(step);
             moves.take(step);
         }
@@ -209,11 +214,11 @@
 
     private static final class World {
         private final SplittableRandom chance;
-        private final List<Step> records = new ArrayList<>();
+        private final List<MigrationStep> records = new ArrayList<>();
         private final List<Node> nodes = new ArrayList<>();
         private final List<long[]> ranInA = new ArrayList<>();
         private final List<Long> ranInB = new ArrayList<>();
-        private final TxnType write = TxnType.read(Map.of(
+        private final RequestClass write = RequestClass.read(Map.of(
                         "request_classes.count",
                         "1",
                         "family_info.freshness",
@@ -223,7 +228,7 @@
                         "request_classes.0.give_up_us",
                         "300000"))
                 .get(0);
-        private Moves keeper;
+        private TenantMigrations keeper;
         private long now = START;
         private long copied;
         private String source = "s0";
@@ -233,10 +238,10 @@
         private final class Node {
             private final String name;
             private int run;
-            private Gate gate;
+            private CellAdmission gate;
             private long stalledUntil;
             private final List<Object[]> mail = new ArrayList<>();
-            private final List<Txn> hand = new ArrayList<>();
+            private final List<Request> hand = new ArrayList<>();
 
             Node(String name) {
                 this.name = name;
@@ -246,21 +251,21 @@
             /** What was sent may yet run; the rest is gone. */
             void restart() {
                 run++;
-                gate = new Gate(name, territory(), new Gate.Room(100, 100, 1 << 20));
+                gate = new CellAdmission(name, territory(), new CellAdmission.Room(100, 100, 1 << 20));
                 mail.clear();
                 hand.clear();
             }
         }
 
         /** Bytes on their way to a host, or waiting there: each runs at its time, if that is before its expiry. */
-        private record Flying(long at, long expiry, int cell, Node node, int run, Txn txn) {}
+        private record Flying(long at, long expiry, int cell, Node node, int run, Request txn) {}
 
         private final List<Flying> flying = new ArrayList<>();
 
         World(int seed) {
             this.seed = seed;
             chance = new SplittableRandom(seed);
-            keeper = new Moves(territory());
+            keeper = new TenantMigrations(territory());
             for (int i = 0; i < 3; i++) {
                 nodes.add(new Node("n" + i));
             }
@@ -279,11 +284,14 @@
                 if (sourceUp) {
                     copied = Math.max(copied, now - chance.nextInt(30) * MS);
                 }
-                keeper.seen("t", 0, new Sight(now, sourceUp ? source : null, now, "d", now, List.of(copied)));
+                keeper.seen(
+                        "t",
+                        0,
+                        new MigrationObservation(now, sourceUp ? source : null, now, "d", now, List.of(copied)));
                 take();
                 if (crashes > 0 && chance.nextInt(60) == 0) {
                     crashes--;
-                    keeper = new Moves(territory());
+                    keeper = new TenantMigrations(territory());
                     now += chance.nextInt(400) * MS;
                     records.forEach(keeper::take);
                     keeper.recovered(now);
@@ -306,12 +314,12 @@
         }
 
         private void take() {
-            for (Step step = keeper.due(now); step != null; step = keeper.due(now)) {
+            for (MigrationStep step = keeper.due(now); step != null; step = keeper.due(now)) {
                 write(step);
             }
         }
 
-        private void write(Step step) {
+        private void write(MigrationStep step) {
             records.add(step);
             keeper.take(step);
         }
@@ -328,12 +336,14 @@
                 node.restart();
             }
             if (chance.nextInt(4) == 0) {
-                Step joins = keeper.joins(node.name, String.valueOf(node.run), now);
+                MigrationStep joins = keeper.joins(node.name, String.valueOf(node.run), now);
                 if (joins != null) {
                     write(joins);
                 }
-                Placement word = keeper.heard(node.name, node.gate.placement().version(), node.gate.busy(now), now);
-                Placement copy = new Placement(word.version(), word.until(), word.basis(), Map.copyOf(word.seats()));
+                PlacementTable word =
+                        keeper.heard(node.name, node.gate.placement().version(), node.gate.busy(now), now);
+                PlacementTable copy =
+                        new PlacementTable(word.version(), word.until(), word.basis(), Map.copyOf(word.seats()));
                 if (chance.nextInt(10) > 0) {
                     node.mail.add(new Object[] {now + chance.nextInt(chance.nextInt(20) == 0 ? 400 : 10) * MS, copy});
                 }
@@ -341,27 +351,27 @@
             node.mail.removeIf(each -> {
                 boolean due = (long) each[0] <= now;
                 if (due) {
-                    node.gate.placed((Placement) each[1]);
+                    node.gate.placed((PlacementTable) each[1]);
                 }
                 return due;
             });
             if (chance.nextInt(3) == 0) {
-                Gate.Answer answer = node.gate.admit("t", 1, 0, true, 1, 50, null, now, now + 300 * MS, now);
-                if (answer.kind() == Gate.Kind.ADMIT) {
-                    Txn txn = new Txn(
+                CellAdmission.Answer answer = node.gate.admit("t", 1, 0, true, 1, 50, null, now, now + 300 * MS, now);
+                if (answer.kind() == CellAdmission.Kind.ADMIT) {
+                    Request txn = new Request(
                             now, write, new Group(answer.pass().group()), 1, 0, 0, false, now, now + 300 * MS, now);
                     node.gate.bind(txn, answer.pass());
                     node.hand.add(txn);
-                } else if (answer.kind() == Gate.Kind.HOLD) {
+                } else if (answer.kind() == CellAdmission.Kind.HOLD) {
                     node.gate.left(answer.pass());
                 }
             }
             // Each txn in hand waits a while, is judged, and then goes.
-            for (Txn txn : List.copyOf(node.hand)) {
+            for (Request txn : List.copyOf(node.hand)) {
                 if (chance.nextInt(4) == 0) {
                     node.hand.remove(txn);
                     if (node.gate.stands(txn, now) && now < txn.expiry) {
-                        txn.submissions.add(new Submission(txn, 0, new Host(0, txn.group, 0), now, 1));
+                        txn.submissions.add(new Attempt(txn, 0, new Host(0, txn.group, 0), now, 1));
                         flying.add(new Flying(
                                 now + chance.nextInt(chance.nextInt(5) == 0 ? 350 : 20) * MS,
                                 txn.expiry,
@@ -378,7 +388,7 @@
 
         private void land() {
             flying.removeIf(each -> {
-                Submission s = each.txn().submissions.get(0);
+                Attempt s = each.txn().submissions.get(0);
                 if (!each.txn().ended && each.node().run == each.run() && chance.nextInt(12) == 0) {
                     // Its client leaves: the submission is called off, and may run all the same.
                     each.txn().ended = true;
@@ -411,7 +421,9 @@
                             .ended(
                                     s,
                                     told ? Outcome.COMMITTED : Outcome.RESET,
-                                    told ? new Word(beaconladder.api.Router.Role.PRIMARY, each.at(), -1) : Word.SILENT,
+                                    told
+                                            ? new Word(beaconladder.routing.api.Router.Role.PRIMARY, each.at(), -1)
+                                            : Word.SILENT,
                                     now);
                     each.node().gate.ended(each.txn());
                 }
@@ -420,7 +432,7 @@
         }
 
         private void judge(Map<Kind, Integer> ends) {
-            Step switched = records.stream()
+            MigrationStep switched = records.stream()
                     .filter(s -> s.kind() == Kind.SWITCHED)
                     .findFirst()
                     .orElse(null);
@@ -437,7 +449,7 @@
                         .allMatch(at -> at[0] <= switched.fences().get(0));
             }
             records.stream()
-                    .map(Step::kind)
+                    .map(MigrationStep::kind)
                     .filter(k -> k == Kind.DONE || k == Kind.UNDONE)
                     .forEach(k -> ends.merge(k, 1, Integer::sum));
             assertThat(keeper.shown(now).stream()
--- a/src/test/java/beaconladder/closing/ClosedTest.java
+++ b/src/test/java/beaconladder/closing/ClosedTest.java
@@ -2,14 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.Logic;
-import beaconladder.api.Router;
-import beaconladder.api.Router.Role;
-import beaconladder.api.Router.Word;
-import beaconladder.api.Verdict;
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Txn;
+import beaconladder.routing.RoutingPolicy;
+import beaconladder.routing.api.Router;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.RoutingDecision;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
 import java.time.DayOfWeek;
 import java.time.Duration;
 import java.time.Instant;
@@ -57,7 +57,7 @@
                 "east",
                 "limits.probes",
                 "true"));
-        Router router = new Closed(new Logic(1, start), () -> calendar);
+        Router router = new Closed(new RoutingPolicy(1, start), () -> calendar);
         Group group = new Group(0);
         Host primary = new Host(0, group, 0);
         Host replica = new Host(1, group, 0);
@@ -67,27 +67,27 @@
         router.probed(primary, Router.Outcome.COMMITTED, new Word(Role.PRIMARY, before, 0), before);
         router.probed(replica, Router.Outcome.COMMITTED, new Word(Role.REPLICA, before, 0), before);
 
-        Txn early = read(router, group, 1, before + MS);
+        Request early = read(router, group, 1, before + MS);
         assertThat(sentTo(router.place(early, before + MS))).isSameAs(replica);
-        Txn late = read(router, group, 2, CLOSE_NANOS + MS);
+        Request late = read(router, group, 2, CLOSE_NANOS + MS);
         assertThat(sentTo(router.place(late, CLOSE_NANOS + MS))).isNotSameAs(replica);
         assertThat(late.floor).isEqualTo(CLOSE_NANOS);
         // By a clock that is late by the bound this one came before the close, and did not.
-        Txn near = read(router, group, 3, CLOSE_NANOS - 20 * MS);
+        Request near = read(router, group, 3, CLOSE_NANOS - 20 * MS);
         router.place(near, CLOSE_NANOS - 20 * MS);
         assertThat(near.floor).isEqualTo(CLOSE_NANOS);
         long past = CLOSE_NANOS + 5 * MS;
         router.probed(replica, Router.Outcome.COMMITTED, new Word(Role.REPLICA, past, 0), past + MS);
-        Txn then = read(router, group, 4, past + 2 * MS);
+        Request then = read(router, group, 4, past + 2 * MS);
         assertThat(sentTo(router.place(then, past + 2 * MS))).isSameAs(replica);
     }
 
-    private static Txn read(Router router, Group group, long id, long arrived) {
-        return new Txn(id, router.type(0), group, 0, Word.NONE, -1, false, arrived, arrived + 2_000 * MS, id);
+    private static Request read(Router router, Group group, long id, long arrived) {
+        return new Request(id, router.type(0), group, 0, Word.NONE, -1, false, arrived, arrived + 2_000 * MS, id);
     }
 
     /** The host of the verdict's submission, or null. */
-    private static Host sentTo(Verdict verdict) {
+    private static Host sentTo(RoutingDecision verdict) {
         return verdict.host();
     }
 }
--- a/src/test/java/beaconladder/keep/WireTest.java
+++ b/src/test/java/beaconladder/coordinator/CoordinatorProtocolTest.java
@@ -1,13 +1,13 @@
-package beaconladder.keep;
+package beaconladder.coordinator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beaconladder.cells.Gate.Busy;
-import beaconladder.cells.Placement;
-import beaconladder.cells.Seat;
-import beaconladder.cells.Step;
-import beaconladder.cells.Step.Kind;
+import beaconladder.cells.CellAdmission.Busy;
+import beaconladder.cells.MigrationStep;
+import beaconladder.cells.MigrationStep.Kind;
+import beaconladder.cells.PlacementTable;
+import beaconladder.cells.TenantPlacement;
 import beaconladder.plan.PlanReader;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -22,20 +22,20 @@
 
 /** The texts that are stored and sent, as literals: they stay as they are when names in the code change. */
 @Timeout(60)
-class WireTest {
+class CoordinatorProtocolTest {
     private static final String STEP = """
             {"kind":"SWITCHED","tenant":"t","from":"a","to":"b","at":5,"fences":[1,2],"floors":[3,4],\
             "sources":["s","r"],"why":"me"}""";
 
-    private static Step read(String text) throws IOException {
-        return Wire.read(text.getBytes(StandardCharsets.UTF_8), Step.class);
+    private static MigrationStep read(String text) throws IOException {
+        return CoordinatorProtocol.read(text.getBytes(StandardCharsets.UTF_8), MigrationStep.class);
     }
 
     @Test
     void aStepIsWrittenAndReadUnderTheseNames() throws IOException {
-        Step step =
-                new Step(Kind.SWITCHED, "t", "a", "b", 5, List.of(1L, 2L), List.of(3L, 4L), List.of("s", "r"), "me");
-        assertThat(Wire.text(step)).isEqualTo(STEP);
+        MigrationStep step = new MigrationStep(
+                Kind.SWITCHED, "t", "a", "b", 5, List.of(1L, 2L), List.of(3L, 4L), List.of("s", "r"), "me");
+        assertThat(CoordinatorProtocol.text(step)).isEqualTo(STEP);
         assertThat(read(STEP)).isEqualTo(step);
     }
 
@@ -58,7 +58,7 @@
         for (int i = 0; i < names.length; i++) {
             String text = STEP.replace("SWITCHED", names[i]);
             assertThat(read(text).kind()).isEqualTo(Kind.values()[i]);
-            assertThat(Wire.text(read(text))).isEqualTo(text);
+            assertThat(CoordinatorProtocol.text(read(text))).isEqualTo(text);
         }
     }
 
@@ -70,13 +70,13 @@
 
     @Test
     void aPlacementIsWrittenWithOrWithoutItsSeats() {
-        Map<String, Seat> seats = new LinkedHashMap<>();
-        seats.put("t", new Seat("a", true, false, false, List.of()));
-        seats.put("u", new Seat("b", false, true, true, List.of(3_000_000L, 4_000_001L)));
-        Placement placement = new Placement(7, 1_234_999_999L, "beef", seats);
-        assertThat(Wire.text(placement, false)).isEqualTo("""
+        Map<String, TenantPlacement> seats = new LinkedHashMap<>();
+        seats.put("t", new TenantPlacement("a", true, false, false, List.of()));
+        seats.put("u", new TenantPlacement("b", false, true, true, List.of(3_000_000L, 4_000_001L)));
+        PlacementTable placement = new PlacementTable(7, 1_234_999_999L, "beef", seats);
+        assertThat(CoordinatorProtocol.text(placement, false)).isEqualTo("""
                 {"version":7,"until_ms":1234,"basis":"beef"}""");
-        assertThat(Wire.text(placement, true)).isEqualTo("""
+        assertThat(CoordinatorProtocol.text(placement, true)).isEqualTo("""
                 {"version":7,"until_ms":1234,"basis":"beef","seats":[\
                 {"tenant":"t","cell":"a","writes":true,"reads":false,"moving":false,"floors_ms":[]},\
                 {"tenant":"u","cell":"b","writes":false,"reads":true,"moving":true,"floors_ms":[3,5]}]}""");
@@ -84,9 +84,9 @@
 
     @Test
     void aRoutersWordOfItsWritesIsRead() {
-        assertThat(Wire.busy("t:2:7:8,u:0"))
+        assertThat(CoordinatorProtocol.busy("t:2:7:8,u:0"))
                 .containsExactly(new Busy("t", 2, List.of(7_000_000L, 8_000_000L)), new Busy("u", 0, List.of()));
-        assertThat(Wire.busy("")).isEmpty();
+        assertThat(CoordinatorProtocol.busy("")).isEmpty();
     }
 
     @Test
@@ -95,7 +95,7 @@
         Path file = folder.resolve("plan");
         Files.writeString(file, StoredMovesTest.plan(folder.resolve("store"), port));
         StringBuilder said = new StringBuilder();
-        try (Keeper keeper = new Keeper(file, PlanReader.read(file).plan())) {
+        try (Coordinator keeper = new Coordinator(file, PlanReader.read(file).plan())) {
             assertThat(keeper).isNotNull();
             for (String path : List.of(
                     "placement?router=n0&run=r1&version=0&wait=0&busy=t:1:5",
--- a/src/test/java/beaconladder/keep/StoredMovesTest.java
+++ b/src/test/java/beaconladder/coordinator/StoredMovesTest.java
@@ -1,15 +1,15 @@
-package beaconladder.keep;
+package beaconladder.coordinator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.cells.Gate.Busy;
-import beaconladder.cells.Moves;
-import beaconladder.cells.Sight;
-import beaconladder.cells.Step;
-import beaconladder.cells.Step.Kind;
-import beaconladder.cells.Territory;
+import beaconladder.cells.CellAdmission.Busy;
+import beaconladder.cells.MigrationObservation;
+import beaconladder.cells.MigrationStep;
+import beaconladder.cells.MigrationStep.Kind;
+import beaconladder.cells.StaticPlacement;
+import beaconladder.cells.TenantMigrations;
 import beaconladder.plan.PlanReader;
-import beaconladder.store.Records;
+import beaconladder.storage.DurableRecords;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -62,27 +62,28 @@
                 .body();
     }
 
-    private static Moves moves() {
-        return new Moves(
-                new Territory(PlanReader.read("p", plan(Path.of("x"), 1)).plan()));
+    private static TenantMigrations moves() {
+        return new TenantMigrations(
+                new StaticPlacement(PlanReader.read("p", plan(Path.of("x"), 1)).plan()));
     }
 
-    private static void write(Moves moves, Records records, Step step) throws IOException {
-        records.append(Wire.text(step).getBytes(StandardCharsets.UTF_8));
+    private static void write(TenantMigrations moves, DurableRecords records, MigrationStep step) throws IOException {
+        records.append(CoordinatorProtocol.text(step).getBytes(StandardCharsets.UTF_8));
         moves.take(step);
     }
 
-    private static void settle(Moves moves, Records records, long now) throws IOException {
-        for (Step step = moves.due(now); step != null; step = moves.due(now)) {
+    private static void settle(TenantMigrations moves, DurableRecords records, long now) throws IOException {
+        for (MigrationStep step = moves.due(now); step != null; step = moves.due(now)) {
             write(moves, records, step);
         }
     }
 
     /** Lets all of the move be seen as copied at this time, and takes what is due then. */
-    private static void seen(Moves moves, Records records, String tenant, long now) throws IOException {
+    private static void seen(TenantMigrations moves, DurableRecords records, String tenant, long now)
+            throws IOException {
         moves.heard("n0", moves.version(), List.of(new Busy(tenant, 0, List.of(START + MS))), now);
         settle(moves, records, now);
-        moves.seen(tenant, 0, new Sight(now + MS, "s", now + MS, "d", now + MS, List.of(now + MS)));
+        moves.seen(tenant, 0, new MigrationObservation(now + MS, "s", now + MS, "d", now + MS, List.of(now + MS)));
         settle(moves, records, now + 2 * MS);
     }
 
@@ -92,8 +93,8 @@
      */
     static void generate(Path into) throws IOException {
         Path steps = Files.createTempDirectory("steps");
-        try (Records records = Records.open(steps)) {
-            Moves moves = moves();
+        try (DurableRecords records = DurableRecords.open(steps)) {
+            TenantMigrations moves = moves();
             settle(moves, records, START);
             write(moves, records, moves.joins("n0", "run1", START));
             String[] tenants = {"t", "v", "u"};
@@ -107,11 +108,11 @@
             }
         }
         List<byte[]> all;
-        try (Records records = Records.open(steps)) {
+        try (DurableRecords records = DurableRecords.open(steps)) {
             all = records.found();
         }
         // Each append costs a block of 4 KB; a snapshot first keeps the fixture small.
-        try (Records records = Records.open(into)) {
+        try (DurableRecords records = DurableRecords.open(into)) {
             records.replace(all.subList(0, all.size() - 2));
             for (byte[] record : all.subList(all.size() - 2, all.size())) {
                 records.append(record);
@@ -126,12 +127,12 @@
     }
 
     private static List<String> lines(Path store) throws IOException {
-        try (Records records = Records.open(store)) {
+        try (DurableRecords records = DurableRecords.open(store)) {
             return texts(records);
         }
     }
 
-    private static List<String> texts(Records records) {
+    private static List<String> texts(DurableRecords records) {
         return records.found().stream()
                 .map(record -> new String(record, StandardCharsets.UTF_8))
                 .toList();
@@ -146,7 +147,8 @@
     @Test
     void everyStoredRecordIsWrittenAgainAsItWasRead() throws IOException {
         for (String line : lines(fixture())) {
-            assertThat(Wire.text(Wire.read(line.getBytes(StandardCharsets.UTF_8), Step.class)))
+            assertThat(CoordinatorProtocol.text(
+                            CoordinatorProtocol.read(line.getBytes(StandardCharsets.UTF_8), MigrationStep.class)))
                     .isEqualTo(line);
         }
     }
@@ -155,19 +157,19 @@
     void storedMovesAreFinishedAndTheirStepsAreStored() throws IOException {
         Path store = fixture();
         long now = START + 2_100 * MS;
-        Moves moves = moves();
+        TenantMigrations moves = moves();
         int before;
-        try (Records records = Records.open(store)) {
+        try (DurableRecords records = DurableRecords.open(store)) {
             before = records.found().size();
             for (byte[] record : records.found()) {
-                moves.take(Wire.read(record, Step.class));
+                moves.take(CoordinatorProtocol.read(record, MigrationStep.class));
             }
             moves.recovered(now);
             assertThat(moves.seats().toString()).isEqualTo("""
                     {t=Seat[cell=b, writes=true, reads=true, moving=false, floors=[1767225600041000000]], \
                     u=Seat[cell=b, writes=true, reads=true, moving=false, floors=[1767225602041000000]], \
                     v=Seat[cell=a, writes=false, reads=false, moving=true, floors=[]]}""");
-            assertThat(moves.shown(now).stream().map(Moves.Shown::toString))
+            assertThat(moves.shown(now).stream().map(TenantMigrations.Shown::toString))
                     .containsExactly(
                             "Shown[tenant=v, from=a, to=b, state=sealed, since=1767225601032000000, "
                                     + "waitsFor=word from n0]",
@@ -196,7 +198,7 @@
         Path file = folder.resolve("plan");
         Files.writeString(file, plan(store, port));
         String cells;
-        try (Keeper keeper = new Keeper(file, PlanReader.read(file).plan())) {
+        try (Coordinator keeper = new Coordinator(file, PlanReader.read(file).plan())) {
             assertThat(keeper).isNotNull();
             do {
                 Thread.sleep(20);
--- a/src/test/java/beaconladder/roster/ListLiteralTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointListLiteralTest.java
@@ -1,4 +1,4 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A list of hosts as discovery sends it, and settings as a file has them: literal JSON to values. */
-class ListLiteralTest {
+class EndpointListLiteralTest {
     private static final String LIST = """
             {"version": 42, "full": true, "servers": [
               {"id": "s-1", "addr": "10.0.0.4:5432", "zone": "a", "kind": "m2", "cell": 7, "state": "Ready",
@@ -23,36 +23,43 @@
 
     @Test
     void aListIsItsVersionAndItsHosts() throws Exception {
-        ListReader.News news = ListReader.read(new ByteArrayInputStream(LIST.getBytes(StandardCharsets.UTF_8)));
+        EndpointListReader.News news =
+                EndpointListReader.read(new ByteArrayInputStream(LIST.getBytes(StandardCharsets.UTF_8)));
         assertThat(news.version()).isEqualTo(42);
         assertThat(news.whole()).isTrue();
         assertThat(news.entries())
                 .containsExactly(
-                        new Watch.Entry(
+                        new EndpointWatch.Entry(
                                 "s-1",
                                 new InetSocketAddress("10.0.0.4", 5432),
                                 "a",
                                 7,
-                                Watch.State.READY,
+                                EndpointWatch.State.READY,
                                 true,
                                 1767225600123L),
-                        new Watch.Entry(
-                                "s-2", new InetSocketAddress("10.0.0.5", 5433), "b", 7, Watch.State.DRAINING, false, 0),
-                        new Watch.Entry("s-3", null, "null", 8, Watch.State.GONE, false, 0));
-        assertThat(Watch.entries((Map<?, ?>) Json.read(LIST))).isEqualTo(news.entries());
+                        new EndpointWatch.Entry(
+                                "s-2",
+                                new InetSocketAddress("10.0.0.5", 5433),
+                                "b",
+                                7,
+                                EndpointWatch.State.DRAINING,
+                                false,
+                                0),
+                        new EndpointWatch.Entry("s-3", null, "null", 8, EndpointWatch.State.GONE, false, 0));
+        assertThat(EndpointWatch.entries((Map<?, ?>) JsonReader.read(LIST))).isEqualTo(news.entries());
     }
 
     @Test
     void aListOfChangesIsNotWhole() throws Exception {
         String changes = "{\"servers\":[],\"version\":43}";
-        assertThat(ListReader.read(new ByteArrayInputStream(changes.getBytes(StandardCharsets.UTF_8))))
-                .isEqualTo(new ListReader.News(43, false, List.of()));
+        assertThat(EndpointListReader.read(new ByteArrayInputStream(changes.getBytes(StandardCharsets.UTF_8))))
+                .isEqualTo(new EndpointListReader.News(43, false, List.of()));
     }
 
     @Test
     void settingsAreFlattenedToDottedNames() throws Exception {
         Map<String, String> flat = new LinkedHashMap<>();
-        Json.flatten("", Json.read("""
+        JsonReader.flatten("", JsonReader.read("""
                 {"rules": {"ask_every_us": 2e6, "on": true, "none": null}, "zones": ["a", "b c"],
                  "parties": [{"name": "acme, inc"}, {"name": "beta"}], "hosts": []}
                 """), flat);
--- a/src/test/java/beaconladder/roster/ListReaderTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointListReaderTest.java
@@ -1,4 +1,4 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -22,15 +22,15 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-class ListReaderTest {
+class EndpointListReaderTest {
     private static final ObjectMapper WRITER = new ObjectMapper();
 
     /** Entry by entry, indented or not, a list is what its tree says. */
     @Property(tries = 300, seed = "1")
     void aListIsReadAsItsTreeIs(@ForAll("lists") Map<String, Object> list) throws Exception {
         String text = WRITER.writeValueAsString(list);
-        List<Watch.Entry> entries = Watch.entries((Map<?, ?>) Json.read(text));
-        ListReader.News news = read(text);
+        List<EndpointWatch.Entry> entries = EndpointWatch.entries((Map<?, ?>) JsonReader.read(text));
+        EndpointListReader.News news = read(text);
         assertThat(news.entries()).isEqualTo(entries);
         assertThat(news.whole()).isEqualTo(list.get("full"));
         assertThat(news.version()).isEqualTo(((Number) list.get("version")).longValue());
@@ -43,15 +43,15 @@
     void whatBreaksOffIsNoList(@ForAll("lists") Map<String, Object> list, @ForAll int at) throws Exception {
         String text = WRITER.writeValueAsString(list);
         assertThatThrownBy(() -> read(text.substring(0, Math.floorMod(at, text.length()))))
-                .isInstanceOfAny(Json.Fault.class, ListReader.Unfit.class);
+                .isInstanceOfAny(JsonReader.Fault.class, EndpointListReader.Unfit.class);
     }
 
     /** Any bytes at all are a list or refused, never anything else. */
     @Property(tries = 500, seed = "1")
     void anyBytesAreReadOrRefused(@ForAll byte[] bytes) throws IOException {
         try {
-            ListReader.read(new ByteArrayInputStream(bytes));
-        } catch (Json.Fault | ListReader.Unfit e) {
+            EndpointListReader.read(new ByteArrayInputStream(bytes));
+        } catch (JsonReader.Fault | EndpointListReader.Unfit e) {
             assertThat(e.getMessage()).isNotEmpty();
         } catch (CharConversionException e) {
             // Bytes that are no text in any encoding.
@@ -84,8 +84,8 @@
     /** A body that would fill the memory with entries ends before it does. */
     @Test
     void aListOfTooManyHostsIsRefused() {
-        String some = IntStream.range(0, ListReader.MOST_ENTRIES + 1)
-                .mapToObj(ListReaderTest::entry)
+        String some = IntStream.range(0, EndpointListReader.MOST_ENTRIES + 1)
+                .mapToObj(EndpointListReaderTest::entry)
                 .collect(Collectors.joining(","));
         assertThatThrownBy(() -> read("{\"version\":1,\"servers\":[" + some + "]}"))
                 .hasMessageContaining("more than");
@@ -95,21 +95,23 @@
     @Test
     void fiveThousandEightHundredIndentedHostsFit() throws Exception {
         String text = "{\"version\":1,\"full\":true,\"servers\":["
-                + IntStream.range(0, 5_800).mapToObj(ListReaderTest::entry).collect(Collectors.joining(",")) + "]}";
+                + IntStream.range(0, 5_800)
+                        .mapToObj(EndpointListReaderTest::entry)
+                        .collect(Collectors.joining(",")) + "]}";
         String margin = "\n" + " ".repeat(70) + "\"";
         String indented = text.replace(",\"", "," + margin)
                 .replace("{\"", "{" + margin)
                 .replace(":", " : ")
                 .replace("127.0.0.1 : ", "127.0.0.1:");
-        assertThat(indented.length()).isBetween(4 << 20, HttpGet.LONGEST_STREAM);
+        assertThat(indented.length()).isBetween(4 << 20, HttpFetcher.LONGEST_STREAM);
         assertThat(read(indented).entries()).hasSize(5_800).isEqualTo(read(text).entries());
     }
 
     // ---- Helpers ------------------------------------------------------------------------------------------
 
-    private static ListReader.News read(String text) throws IOException, Json.Fault {
+    private static EndpointListReader.News read(String text) throws IOException, JsonReader.Fault {
         InputStream bytes = new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8));
-        return ListReader.read(bytes);
+        return EndpointListReader.read(bytes);
     }
 
     private static String entry(int i) {
--- a/src/test/java/beaconladder/roster/WatchMovesTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchMovesTest.java
@@ -1,8 +1,8 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.DiscoveryStandIn;
+import beaconladder.testbed.DiscoveryStandIn;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -15,7 +15,7 @@
 
 /** Discovery gets another address while a watch rests, as the one before could not be had. */
 @Timeout(60)
-class WatchMovesTest extends WatchedDiscovery {
+class EndpointWatchMovesTest extends WatchedDiscovery {
     private static final int WATCHES = 8;
 
     @Test
@@ -27,9 +27,9 @@
         DiscoveryStandIn discovery = discovery();
         discovery.list(true, host("Ready"));
         CountDownLatch told = new CountDownLatch(WATCHES);
-        List<Watch> watches = new ArrayList<>();
+        List<EndpointWatch> watches = new ArrayList<>();
         for (int seed = 0; seed < WATCHES; seed++) {
-            watches.add(Watch.asking(nobody, 10_000, seed, (whole, entries) -> told.countDown()));
+            watches.add(EndpointWatch.asking(nobody, 10_000, seed, (whole, entries) -> told.countDown()));
             start(watches.get(seed));
         }
         // Each failure lets them rest longer; by now they do for seconds.
--- a/src/test/java/beaconladder/roster/WatchTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchTest.java
@@ -1,9 +1,9 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.DiscoveryStandIn;
-import beaconladder.lab.DiscoveryStandIn.Manner;
+import beaconladder.testbed.DiscoveryStandIn;
+import beaconladder.testbed.DiscoveryStandIn.Manner;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.time.Duration;
@@ -26,7 +26,7 @@
  * which a call can fail.
  */
 @Timeout(90)
-class WatchTest extends WatchedDiscovery {
+class EndpointWatchTest extends WatchedDiscovery {
     private static final long TOLD = 6_000;
     private static final long SLACK = 50;
     /**
@@ -75,8 +75,8 @@
             discovery.waitMillis = 60_000;
             discovery.list(true, host("Ready"));
             AtomicLong heard = new AtomicLong();
-            start(new Watch(at(discovery), GRACE, 7, (whole, entries) -> {
-                if (entries.get(0).state() == Watch.State.DRAINING) {
+            start(new EndpointWatch(at(discovery), GRACE, 7, (whole, entries) -> {
+                if (entries.get(0).state() == EndpointWatch.State.DRAINING) {
                     heard.compareAndSet(0, System.nanoTime());
                 }
             }));
@@ -105,8 +105,8 @@
         DiscoveryStandIn discovery = discovery();
         discovery.list(true, host("Ready"));
         discovery.lateMillis = 1_500;
-        List<Watch.State> heard = watch(discovery);
-        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(Watch.State.READY));
+        List<EndpointWatch.State> heard = watch(discovery);
+        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(EndpointWatch.State.READY));
     }
 
     @Test
@@ -114,8 +114,9 @@
         DiscoveryStandIn old = discovery();
         old.waitMillis = 60_000;
         old.list(true, host("Ready"));
-        List<Watch.State> heard = new ArrayList<>();
-        Watch watch = new Watch(at(old), GRACE, 7, (whole, entries) -> entries.forEach(e -> heard.add(e.state())));
+        List<EndpointWatch.State> heard = new ArrayList<>();
+        EndpointWatch watch =
+                new EndpointWatch(at(old), GRACE, 7, (whole, entries) -> entries.forEach(e -> heard.add(e.state())));
         start(watch);
         Awaitility.await().until(() -> old.calls.get() >= 2);
         DiscoveryStandIn next = discovery();
@@ -127,7 +128,7 @@
                         .replace("127.0.0.1 :\r\n ", "127.0.0.1:"));
         long from = System.nanoTime();
         watch.moveTo(at(next));
-        Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> heard.contains(Watch.State.DRAINING));
+        Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> heard.contains(EndpointWatch.State.DRAINING));
         assertThat(System.nanoTime() - from).isLessThan(1_000_000_000L);
         int calls = old.calls.get();
         Thread.sleep(300);
@@ -139,7 +140,8 @@
     void aStartWaitsForTheFirstListNoLongerThanItsBound() throws Exception {
         ServerSocket mute = new ServerSocket(0);
         open.add(mute);
-        Watch watch = new Watch(new InetSocketAddress("127.0.0.1", mute.getLocalPort()), GRACE, 7, (whole, all) -> {});
+        EndpointWatch watch = new EndpointWatch(
+                new InetSocketAddress("127.0.0.1", mute.getLocalPort()), GRACE, 7, (whole, all) -> {});
         start(watch);
         long from = System.nanoTime();
         Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> !watch.mayStillTell());
--- a/src/test/java/beaconladder/roster/WatchVersionsTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchVersionsTest.java
@@ -1,8 +1,8 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.DiscoveryStandIn;
+import beaconladder.testbed.DiscoveryStandIn;
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.List;
@@ -12,7 +12,7 @@
 
 /** What a watch lost is asked for from what it has, the whole list only where nothing else fits. */
 @Timeout(90)
-class WatchVersionsTest extends WatchedDiscovery {
+class EndpointWatchVersionsTest extends WatchedDiscovery {
     /** A quiet watch, a broken one and one that fell silent ask for what changed; nothing is sent twice. */
     @Test
     void whatAWatchLostIsAskedForFromTheVersionItHas() throws Exception {
@@ -21,14 +21,14 @@
         String[] hosts = new String[40];
         Arrays.setAll(hosts, i -> host("Ready").replace("s-1", "s-" + (i + 1)));
         discovery.list(true, hosts);
-        List<Watch.State> heard = watch(discovery);
+        List<EndpointWatch.State> heard = watch(discovery);
         Awaitility.await().until(() -> discovery.calls.get() >= 2);
         long first = discovery.bytes.get();
         // Given up quietly, then asked again without a wait.
         Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> discovery.calls.get() >= 4);
         discovery.cutOff();
         discovery.list(false, host("Terminating"));
-        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(Watch.State.DRAINING));
+        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(EndpointWatch.State.DRAINING));
         assertThat(heard).hasSize(hosts.length + 1);
         assertThat(discovery.paths.get(0)).isEqualTo("/v1/servers");
         assertThat(discovery.paths.subList(1, discovery.paths.size()))
@@ -44,10 +44,10 @@
         discovery.list(true, host("Ready"));
         discovery.list(false, host("Ready"));
         discovery.list(false, host("Ready"));
-        List<Watch.State> heard = watch(discovery);
+        List<EndpointWatch.State> heard = watch(discovery);
         Awaitility.await().until(() -> discovery.calls.get() >= 2);
         discovery.restart(host("Terminating"));
-        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(Watch.State.DRAINING));
+        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(EndpointWatch.State.DRAINING));
     }
 
     /** Nonsense may have been news. */
@@ -55,7 +55,7 @@
     void whatCannotBeReadIsAskedForWhole() throws Exception {
         DiscoveryStandIn discovery = discovery();
         discovery.list(true, host("Ready"));
-        List<Watch.State> heard = watch(discovery);
+        List<EndpointWatch.State> heard = watch(discovery);
         Awaitility.await().until(() -> discovery.calls.get() >= 2);
         discovery.garbage = "HTTP/1.1 200 OK\r\nContent-Length: 51\r\n\r\n"
                 + "{\"version\":9,\"full\":false,\"servers\":[{\"id\":\"s-1\"}]}".substring(0, 51);
@@ -64,6 +64,6 @@
                         discovery.paths.stream().filter("/v1/servers"::equals).count() > 1);
         discovery.garbage = null;
         discovery.list(false, host("Terminating"));
-        Awaitility.await().until(() -> heard.contains(Watch.State.DRAINING));
+        Awaitility.await().until(() -> heard.contains(EndpointWatch.State.DRAINING));
     }
 }
--- a/src/test/java/beaconladder/roster/FleetWatchTest.java
+++ b/src/test/java/beaconladder/discovery/FleetWatchTest.java
@@ -1,10 +1,10 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Capacity;
-import beaconladder.lab.DiscoveryStandIn;
-import beaconladder.lab.DiscoveryStandIn.Manner;
+import beaconladder.testbed.Capacity;
+import beaconladder.testbed.DiscoveryStandIn;
+import beaconladder.testbed.DiscoveryStandIn.Manner;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -32,7 +32,7 @@
     private static final Duration HEARD = Duration.ofSeconds(12);
 
     private DiscoveryStandIn discovery;
-    private final List<Watch> watches = new ArrayList<>();
+    private final List<EndpointWatch> watches = new ArrayList<>();
     /** The launch of the first host that each watch heard last. */
     private final List<AtomicInteger> heard = new ArrayList<>();
 
@@ -58,7 +58,7 @@
 
     @AfterEach
     void close() throws Exception {
-        watches.forEach(Watch::stop);
+        watches.forEach(EndpointWatch::stop);
         discovery.close();
     }
 
@@ -98,8 +98,8 @@
 
     // ---- Helpers ------------------------------------------------------------------------------------------
 
-    private Watch watch(InetSocketAddress at, int i, Watch.Listener listener) {
-        return Watch.asking(at, 10_000, 1_000 + i, listener);
+    private EndpointWatch watch(InetSocketAddress at, int i, EndpointWatch.Listener listener) {
+        return EndpointWatch.asking(at, 10_000, 1_000 + i, listener);
     }
 
     private static Capacity capacity() {
@@ -107,7 +107,7 @@
     }
 
     private void startAll() throws Exception {
-        for (Watch each : watches) {
+        for (EndpointWatch each : watches) {
             Thread thread = new Thread(each);
             thread.setDaemon(true);
             thread.start();
--- a/src/test/java/beaconladder/roster/JsonTest.java
+++ b/src/test/java/beaconladder/discovery/JsonReaderTest.java
@@ -1,4 +1,4 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -14,14 +14,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-class JsonTest {
+class JsonReaderTest {
     private static final ObjectMapper WRITER = new ObjectMapper();
 
     /** What another writer wrote, indented or not, is read as it was. */
     @Property(tries = 300, seed = "1")
     void whatIsWrittenIsReadBack(@ForAll("trees") Map<String, Object> tree) throws Exception {
-        assertThat(Json.read(WRITER.writeValueAsString(tree))).isEqualTo(tree);
-        assertThat(Json.read(WRITER.writerWithDefaultPrettyPrinter().writeValueAsString(tree)))
+        assertThat(JsonReader.read(WRITER.writeValueAsString(tree))).isEqualTo(tree);
+        assertThat(JsonReader.read(WRITER.writerWithDefaultPrettyPrinter().writeValueAsString(tree)))
                 .isEqualTo(tree);
     }
 
@@ -29,8 +29,8 @@
     @Property(tries = 300, seed = "1")
     void whatBreaksOffIsNoValue(@ForAll("trees") Map<String, Object> tree, @ForAll int at) throws Exception {
         String text = WRITER.writeValueAsString(tree);
-        assertThatThrownBy(() -> Json.read(text.substring(0, Math.floorMod(at, text.length()))))
-                .isInstanceOf(Json.Fault.class)
+        assertThatThrownBy(() -> JsonReader.read(text.substring(0, Math.floorMod(at, text.length()))))
+                .isInstanceOf(JsonReader.Fault.class)
                 .hasMessageStartingWith("bad JSON at character ");
     }
 
@@ -38,8 +38,8 @@
     @Property(tries = 500, seed = "1")
     void anyTextIsReadOrRefused(@ForAll("texts") String text) {
         try {
-            Json.read(text);
-        } catch (Json.Fault e) {
+            JsonReader.read(text);
+        } catch (JsonReader.Fault e) {
             assertThat(e).hasMessageStartingWith("bad JSON at character ");
         }
     }
@@ -73,7 +73,7 @@
     /** Kept as a list: order counts in what the settings hold. */
     @Property(tries = 20, seed = "1")
     void listsKeepTheirOrder(@ForAll List<Integer> numbers) throws Exception {
-        assertThat(Json.read(numbers.toString()))
+        assertThat(JsonReader.read(numbers.toString()))
                 .isEqualTo(numbers.stream().map(BigDecimal::valueOf).toList());
     }
 }
--- a/src/test/java/beaconladder/roster/AskedScheduleTest.java
+++ b/src/test/java/beaconladder/discovery/PollScheduleTest.java
@@ -1,4 +1,4 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.IntRange;
 
 /** Fleets of schedules in a time of their own, before one discovery that bears so much and no more. */
-class AskedScheduleTest {
+class PollScheduleTest {
     private static final int HOSTS = 40;
     private static final int CALL_LINES = 30;
     private static final int QUEUE_MILLIS = 1_000;
@@ -21,7 +21,7 @@
         private record Event(double at, int router, Runnable what) {}
 
         private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparing(Event::at));
-        private final Schedule[] schedules;
+        private final DiscoverySchedule[] schedules;
         private final boolean[] listed;
         private final boolean[] goesOn;
         private final double lineMillis;
@@ -33,8 +33,8 @@
         private int refused;
 
         /** One call of all for the whole list takes discovery so many seconds. */
-        Fleet(int routers, double allCallSeconds, LongFunction<Schedule> each) {
-            schedules = new Schedule[routers];
+        Fleet(int routers, double allCallSeconds, LongFunction<DiscoverySchedule> each) {
+            schedules = new DiscoverySchedule[routers];
             listed = new boolean[routers];
             goesOn = new boolean[routers];
             lineMillis = allCallSeconds * 1_000 / routers / (HOSTS + CALL_LINES);
@@ -46,7 +46,7 @@
 
         private void call(int i, double at) {
             events.add(new Event(at, i, () -> {
-                Schedule.Call call = schedules[i].call(goesOn[i]);
+                DiscoverySchedule.Call call = schedules[i].call(goesOn[i]);
                 calls++;
                 double cost = (CALL_LINES + (listed[i] ? 0 : HOSTS)) * lineMillis;
                 double served = Math.max(busyUntil, now) + cost;
@@ -97,7 +97,7 @@
             @ForAll @IntRange(max = 1_000) int seed,
             @ForAll @IntRange(min = 20, max = 1_000) int routers,
             @ForAll @IntRange(min = 2, max = 8) int turn) {
-        Fleet fleet = new Fleet(routers, turn, i -> new AskedSchedule(10_000, seed * 100_003L + i));
+        Fleet fleet = new Fleet(routers, turn, i -> new PollSchedule(10_000, seed * 100_003L + i));
         fleet.until(60);
         assertThat(fleet.allHeardAt).isBetween(0.0, 3_000.0 * turn + 6_000);
         fleet.until(120);
@@ -107,7 +107,7 @@
     /** The size of the fleet that is to come. */
     @Property(seed = "1", tries = 2)
     void aFleetOfFourThousandIsNoWorse(@ForAll @IntRange(max = 1_000) int seed) {
-        Fleet fleet = new Fleet(4_100, 5, i -> new AskedSchedule(10_000, seed * 100_003L + i));
+        Fleet fleet = new Fleet(4_100, 5, i -> new PollSchedule(10_000, seed * 100_003L + i));
         fleet.until(60);
         assertThat(fleet.allHeardAt).isBetween(0.0, 21_000.0);
         fleet.until(120);
@@ -117,7 +117,7 @@
     /** Seven times too many for watches that end each three seconds: all are heard, and calls get rarer. */
     @Property(seed = "1", tries = 5)
     void whereCallsAreManyTimesTooManyTheFleetComesOutOfIt(@ForAll @IntRange(max = 1_000) int seed) {
-        Fleet fleet = new Fleet(1_000, 60, i -> new AskedSchedule(10_000, seed * 100_003L + i));
+        Fleet fleet = new Fleet(1_000, 60, i -> new PollSchedule(10_000, seed * 100_003L + i));
         fleet.until(600);
         assertThat(fleet.allHeardAt).isBetween(0.0, 600_000.0);
         fleet.until(900);
@@ -128,7 +128,7 @@
     /** The schedule of a pushed list, in the same place: what the test is able to see. */
     @Property(seed = "1", tries = 5)
     void theScheduleOfAPushedListKeepsDiscoveryDown(@ForAll @IntRange(max = 1_000) int seed) {
-        Fleet fleet = new Fleet(200, 5, i -> new CallSchedule(500, seed * 100_003L + i));
+        Fleet fleet = new Fleet(200, 5, i -> new WatchSchedule(500, seed * 100_003L + i));
         fleet.until(60);
         assertThat(fleet.allHeardAt).isEqualTo(-1);
     }
@@ -137,11 +137,11 @@
     @Property(seed = "1")
     void aSilentWatchIsFoundBeforeItsNewsCount(
             @ForAll @IntRange(max = 1_000) int seed, @ForAll @IntRange(max = 400) int beyond) {
-        AskedSchedule schedule = new AskedSchedule(10_000, seed);
+        PollSchedule schedule = new PollSchedule(10_000, seed);
         schedule.answered(schedule.call(false), beyond * 1_000_000L, true);
-        Schedule.Call watch = schedule.call(true);
+        DiscoverySchedule.Call watch = schedule.call(true);
         int rest = schedule.silent(watch);
-        assertThat(watch.all() + rest + 2 * beyond).isLessThan(Schedule.TOLD_MILLIS);
+        assertThat(watch.all() + rest + 2 * beyond).isLessThan(DiscoverySchedule.TOLD_MILLIS);
         assertThat(schedule.call(false).waits()).isZero();
     }
 
@@ -151,17 +151,17 @@
             @ForAll @IntRange(max = 1_000) int seed,
             @ForAll @IntRange(max = 400) int beyond,
             @ForAll @IntRange(min = 1, max = 5) int refusals) {
-        AskedSchedule schedule = new AskedSchedule(10_000, seed);
+        PollSchedule schedule = new PollSchedule(10_000, seed);
         schedule.answered(schedule.call(false), beyond * 1_000_000L, true);
         schedule.refused(schedule.call(true));
         for (int i = 1; i < refusals; i++) {
             schedule.refused(schedule.call(false));
         }
-        Schedule.Call watch = schedule.call(false);
-        assertThat(watch.all() + schedule.silent(watch) + beyond).isLessThan(Schedule.TOLD_MILLIS);
+        DiscoverySchedule.Call watch = schedule.call(false);
+        assertThat(watch.all() + schedule.silent(watch) + beyond).isLessThan(DiscoverySchedule.TOLD_MILLIS);
         // What a longer one misses counts two seconds after its wait.
         schedule.answered(watch, watch.waits() * 1_000_000L, false);
-        Schedule.Call longer = schedule.call(true);
+        DiscoverySchedule.Call longer = schedule.call(true);
         assertThat(longer.all() + schedule.silent(longer) + beyond).isLessThan(longer.waits() + 2_000);
     }
 
@@ -169,12 +169,12 @@
     @Property(seed = "1")
     void theEndOfAnOutageIsHeardInTime(
             @ForAll @IntRange(max = 1_000) int seed, @ForAll @IntRange(max = 14) int failures) {
-        AskedSchedule schedule = new AskedSchedule(10_000, seed);
+        PollSchedule schedule = new PollSchedule(10_000, seed);
         for (int i = 0; i < failures; i++) {
             schedule.failed();
         }
         int lost = schedule.call(false).all();
-        assertThat(lost + schedule.silent(schedule.call(false))).isLessThanOrEqualTo(Schedule.TOLD_MILLIS);
+        assertThat(lost + schedule.silent(schedule.call(false))).isLessThanOrEqualTo(DiscoverySchedule.TOLD_MILLIS);
     }
 
     /** Who is refused comes again later and later by the mean, and then, without hope, later still. */
@@ -184,7 +184,7 @@
         for (int refusals : new int[] {1, 2, 3, 4, 12, 13, 14}) {
             double sum = 0;
             for (int i = 0; i < 300; i++) {
-                AskedSchedule schedule = new AskedSchedule(10_000, seed * 1_009L + i);
+                PollSchedule schedule = new PollSchedule(10_000, seed * 1_009L + i);
                 int rest = 0;
                 for (int k = 0; k < refusals; k++) {
                     rest = schedule.refused(schedule.call(false));
--- a/src/test/java/beaconladder/roster/CallScheduleTest.java
+++ b/src/test/java/beaconladder/discovery/WatchScheduleTest.java
@@ -1,4 +1,4 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-class CallScheduleTest {
+class WatchScheduleTest {
     private static final int CALLS = 200;
 
     /**
@@ -21,16 +21,16 @@
     void aSilentWatchIsAskedAgainTwiceBeforeItsNewsCount(
             @ForAll @Size(max = 40) List<@IntRange(min = -2, max = 2_400) Integer> before,
             @ForAll @IntRange(min = 100, max = 5_000) int grace) {
-        CallSchedule schedule = new CallSchedule(grace, 1);
+        WatchSchedule schedule = new WatchSchedule(grace, 1);
         int slowest = 0;
         boolean listed = false;
         for (int took : before) {
-            Schedule.Call call = schedule.call(listed);
+            DiscoverySchedule.Call call = schedule.call(listed);
             if (took == -2) {
                 assertThat(schedule.failed()).isBetween(1, 500);
                 listed = false;
             } else if (took == -1 || took > call.all()) {
-                schedule.silent(new Schedule.Call(0, 1, 1));
+                schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
                 listed = false;
             } else {
                 assertThat(schedule.answered(call, took * 1_000_000L, took % 2 == 0))
@@ -43,13 +43,13 @@
             schedule.answered(schedule.call(false), 5_000_000, true);
             slowest = 5;
         }
-        Schedule.Call watch = schedule.call(true);
-        schedule.silent(new Schedule.Call(0, 1, 1));
-        Schedule.Call next = schedule.call(false);
-        schedule.silent(new Schedule.Call(0, 1, 1));
+        DiscoverySchedule.Call watch = schedule.call(true);
+        schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
+        DiscoverySchedule.Call next = schedule.call(false);
+        schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
         // An answer as quick as the last whole list was; one that is slower than a second is heard at once.
         int heard = slowest > 1_000 ? watch.all() + slowest : watch.all() + next.all() + slowest;
-        assertThat(heard).isLessThan(Schedule.TOLD_MILLIS);
+        assertThat(heard).isLessThan(DiscoverySchedule.TOLD_MILLIS);
         assertThat(schedule.call(false).all()).isGreaterThan(slowest);
         // Long said, and given up by the router itself; news have time to come meanwhile.
         assertThat(watch.waits()).isEqualTo(20_000);
@@ -62,14 +62,14 @@
             @ForAll @IntRange(max = 100) int silences,
             @ForAll @IntRange(min = 450, max = 5_000) int grace,
             @ForAll @IntRange(max = 20) int took) {
-        CallSchedule schedule = new CallSchedule(grace, 1);
+        WatchSchedule schedule = new WatchSchedule(grace, 1);
         schedule.answered(schedule.call(false), took * 1_000_000L, true);
         for (int i = 0; i < silences; i++) {
-            schedule.silent(new Schedule.Call(0, 1, 1));
+            schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
         }
         // It returns right after this call was let go unheard.
         int lost = schedule.call(false).all();
-        schedule.silent(new Schedule.Call(0, 1, 1));
+        schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
         assertThat(schedule.call(false).all()).isGreaterThan(took);
         assertThat(lost + took).isLessThanOrEqualTo(grace + 50);
     }
@@ -79,7 +79,7 @@
     void aFleetDoesNotAskAsOne(@ForAll @IntRange(min = 0, max = 1_000_000) int seed) {
         Set<Integer> waits = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            CallSchedule schedule = new CallSchedule(2_000, seed + i);
+            WatchSchedule schedule = new WatchSchedule(2_000, seed + i);
             schedule.answered(schedule.call(false), 5_000_000, true);
             waits.add(schedule.call(true).all() / 50);
         }
@@ -91,16 +91,16 @@
      * one call at a time knows in six seconds what began behind a call's snapshot.
      */
     @Property(seed = "1")
-    void aSlowDiscoveryIsHeard(@ForAll @IntRange(min = 1, max = Schedule.LONGEST_MILLIS) int millis) {
-        CallSchedule schedule = new CallSchedule(2_000, 1);
+    void aSlowDiscoveryIsHeard(@ForAll @IntRange(min = 1, max = DiscoverySchedule.LONGEST_MILLIS) int millis) {
+        WatchSchedule schedule = new WatchSchedule(2_000, 1);
         int heard = 0;
         for (int i = 0; i < CALLS; i++) {
-            Schedule.Call call = schedule.call(false);
+            DiscoverySchedule.Call call = schedule.call(false);
             if (millis <= call.all()) {
                 heard++;
                 schedule.answered(call, millis * 1_000_000L, true);
             } else {
-                schedule.silent(new Schedule.Call(0, 1, 1));
+                schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
             }
         }
         assertThat(heard).isGreaterThan(CALLS - 25);
@@ -109,27 +109,27 @@
     /** One that was quick and has become slow is heard too. */
     @Property(seed = "1")
     void aDiscoveryThatBecomesSlowIsHeard(@ForAll @IntRange(min = 1, max = 2_500) int millis) {
-        CallSchedule schedule = new CallSchedule(2_000, 1);
+        WatchSchedule schedule = new WatchSchedule(2_000, 1);
         schedule.answered(schedule.call(false), 1_000_000, true);
         int spent = schedule.call(true).all();
-        schedule.silent(new Schedule.Call(0, 1, 1));
+        schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
         while (millis > schedule.call(false).all()) {
             spent += schedule.call(false).all();
-            schedule.silent(new Schedule.Call(0, 1, 1));
+            schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
         }
-        assertThat(spent + millis).isLessThan(millis <= 1_500 ? Schedule.TOLD_MILLIS : 90_000);
+        assertThat(spent + millis).isLessThan(millis <= 1_500 ? DiscoverySchedule.TOLD_MILLIS : 90_000);
     }
 
     /** A move forgets how slow the old address was. */
     @Property(seed = "1")
     void aMoveBeginsAnew(@ForAll @IntRange(max = 20) int silences) {
-        CallSchedule schedule = new CallSchedule(2_000, 1);
+        WatchSchedule schedule = new WatchSchedule(2_000, 1);
         for (int i = 0; i < silences; i++) {
-            schedule.silent(new Schedule.Call(0, 1, 1));
+            schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
             schedule.failed();
         }
         schedule.moved();
-        assertThat(schedule.call(false).all()).isEqualTo(CallSchedule.FIRST_MILLIS);
+        assertThat(schedule.call(false).all()).isEqualTo(WatchSchedule.FIRST_MILLIS);
         assertThat(schedule.failed()).isBetween(25, 50);
     }
 }
--- a/src/test/java/beaconladder/roster/WatchedDiscovery.java
+++ b/src/test/java/beaconladder/discovery/WatchedDiscovery.java
@@ -1,6 +1,6 @@
-package beaconladder.roster;
+package beaconladder.discovery;
 
-import beaconladder.lab.DiscoveryStandIn;
+import beaconladder.testbed.DiscoveryStandIn;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,13 +27,14 @@
         return discovery;
     }
 
-    List<Watch.State> watch(DiscoveryStandIn discovery) {
-        List<Watch.State> heard = new CopyOnWriteArrayList<>();
-        start(new Watch(at(discovery), GRACE, 7, (whole, entries) -> entries.forEach(e -> heard.add(e.state()))));
+    List<EndpointWatch.State> watch(DiscoveryStandIn discovery) {
+        List<EndpointWatch.State> heard = new CopyOnWriteArrayList<>();
+        start(new EndpointWatch(
+                at(discovery), GRACE, 7, (whole, entries) -> entries.forEach(e -> heard.add(e.state()))));
         return heard;
     }
 
-    void start(Watch watch) {
+    void start(EndpointWatch watch) {
         Thread thread = new Thread(watch);
         thread.setDaemon(true);
         thread.start();
--- a/src/test/java/beaconladder/feed/FeedDoorsTest.java
+++ b/src/test/java/beaconladder/feed/FeedDoorsTest.java
@@ -141,7 +141,7 @@
 
     @Test
     void aQueryIsReadByNameAndDecoded() throws IOException {
-        Query query = new Query("name=a%2Fb&since=12&whole=1&counts=0");
+        QueryString query = new QueryString("name=a%2Fb&since=12&whole=1&counts=0");
         assertThat(query.text("name")).isEqualTo("a/b");
         assertThat(query.number("since", 12)).isEqualTo(12);
         assertThat(query.is("whole")).isTrue();
--- a/src/test/java/beaconladder/feed/FeedLinksTest.java
+++ b/src/test/java/beaconladder/feed/FeedLinksTest.java
@@ -15,14 +15,14 @@
 class FeedLinksTest {
     private final Map<String, InetSocketAddress> relays = new TreeMap<>();
     private final List<String> order;
-    private final Links links;
+    private final RelaySelector links;
 
     FeedLinksTest() {
         for (int i = 0; i < 4; i++) {
             relays.put("r" + i, new InetSocketAddress("127.0.0.1", 9));
         }
         order = Rendezvous.order("n", relays.keySet());
-        links = new Links("n", relays, new SplittableRandom(1));
+        links = new RelaySelector("n", relays, new SplittableRandom(1));
     }
 
     @Test
@@ -105,7 +105,7 @@
         assertThat(links.use()).isSameAs(links.use());
         links.close();
         assertThatThrownBy(links::use).isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> new Links("n", Map.of(), new SplittableRandom(1)))
+        assertThatThrownBy(() -> new RelaySelector("n", Map.of(), new SplittableRandom(1)))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
--- a/src/test/java/beaconladder/feed/FeedStateTest.java
+++ b/src/test/java/beaconladder/feed/FeedStateTest.java
@@ -13,44 +13,44 @@
 class FeedStateTest {
     @Test
     void aVersionComesOfTheOneBeforeAloneAndHasADigestOfItsOwn() {
-        History one = written(History.none(), Map.of("a", "1"));
+        VersionHistory one = written(VersionHistory.none(), Map.of("a", "1"));
         assertThat(one.newest().version()).isEqualTo(1);
         assertThat(one.newest().entries()).isEqualTo(new TreeMap<>(Map.of("a", "1")));
-        History two = written(one, Map.of("a", "1"));
+        VersionHistory two = written(one, Map.of("a", "1"));
         assertThat(two.newest().digest()).isNotEqualTo(one.newest().digest());
-        assertThat(State.of(2, Map.of("a", "1"))).isEqualTo(two.newest());
+        assertThat(VersionedState.of(2, Map.of("a", "1"))).isEqualTo(two.newest());
         // What stands between a name and its text, and between two documents, counts.
-        assertThat(State.of(1, Map.of("ab", "c")).digest())
-                .isNotEqualTo(State.of(1, Map.of("a", "bc")).digest());
-        assertThat(State.of(1, Map.of("a", "b", "c", "d")).digest())
-                .isNotEqualTo(State.of(1, Map.of("a", "bcd")).digest());
+        assertThat(VersionedState.of(1, Map.of("ab", "c")).digest())
+                .isNotEqualTo(VersionedState.of(1, Map.of("a", "bc")).digest());
+        assertThat(VersionedState.of(1, Map.of("a", "b", "c", "d")).digest())
+                .isNotEqualTo(VersionedState.of(1, Map.of("a", "bcd")).digest());
     }
 
     @Test
     void aProposalOutOfTurnChangesNothingAndOneAskedTwiceIsOneChange() {
-        History one = written(History.none(), Map.of("a", "1"));
+        VersionHistory one = written(VersionHistory.none(), Map.of("a", "1"));
         Proposal late = new Proposal(0, Map.of("a", "2"), List.of());
         assertThat(one.apply(late).next()).isEqualTo(one);
-        assertThat(one.apply(late).written().outcome()).isEqualTo(Written.Outcome.OUT_OF_TURN);
+        assertThat(one.apply(late).written().outcome()).isEqualTo(CommitResult.Outcome.OUT_OF_TURN);
         assertThat(one.apply(late).written().version()).isEqualTo(1);
         assertThat(one.apply(new Proposal(5, Map.of("a", "2"), List.of()))
                         .written()
                         .outcome())
-                .isEqualTo(Written.Outcome.OUT_OF_TURN);
+                .isEqualTo(CommitResult.Outcome.OUT_OF_TURN);
         Proposal again = new Proposal(0, Map.of("a", "1"), List.of());
         assertThat(one.apply(again).next()).isEqualTo(one);
-        assertThat(one.apply(again).written().outcome()).isEqualTo(Written.Outcome.WRITTEN);
+        assertThat(one.apply(again).written().outcome()).isEqualTo(CommitResult.Outcome.WRITTEN);
     }
 
     @Test
     void noProposalLeadsBeyondTheBound() {
-        String half = "x".repeat(State.LARGEST / 2);
-        History one = written(History.none(), Map.of("a", half));
-        History.Applied two = one.apply(new Proposal(1, Map.of("b", half), List.of()));
-        assertThat(two.written().outcome()).isEqualTo(Written.Outcome.TOO_LARGE);
+        String half = "x".repeat(VersionedState.LARGEST / 2);
+        VersionHistory one = written(VersionHistory.none(), Map.of("a", half));
+        VersionHistory.Applied two = one.apply(new Proposal(1, Map.of("b", half), List.of()));
+        assertThat(two.written().outcome()).isEqualTo(CommitResult.Outcome.TOO_LARGE);
         assertThat(two.next()).isEqualTo(one);
-        History.Applied other = one.apply(new Proposal(1, Map.of("b", half), List.of("a")));
-        assertThat(other.written().outcome()).isEqualTo(Written.Outcome.WRITTEN);
+        VersionHistory.Applied other = one.apply(new Proposal(1, Map.of("b", half), List.of("a")));
+        assertThat(other.written().outcome()).isEqualTo(CommitResult.Outcome.WRITTEN);
         assertThat(other.next().newest().entries().keySet()).containsExactly("b");
     }
 
@@ -62,7 +62,7 @@
                 new Proposal(0, Map.of("../a", "1"), List.of()),
                 new Proposal(0, Map.of("a", "1"), List.of("a")),
                 new Proposal(0, Map.of(), List.of("a b")),
-                new Proposal(0, Map.of("a", "x".repeat(State.LARGEST)), List.of()))) {
+                new Proposal(0, Map.of("a", "x".repeat(VersionedState.LARGEST)), List.of()))) {
             assertThatThrownBy(wrong::checked).as(wrong.toString()).isInstanceOf(IOException.class);
         }
         for (String wrong : List.of(
@@ -74,7 +74,7 @@
                 "{\"against\":0,\"set\":{\"a\":\"1\",\"a\":\"2\"},\"remove\":[]}",
                 "{\"against\":0,\"set\":{},\"remove\":[]} {}",
                 "{\"against\":null,\"set\":{},\"remove\":[]}")) {
-            assertThatThrownBy(() -> FeedText.read(wrong, Proposal.class))
+            assertThatThrownBy(() -> FeedJson.read(wrong, Proposal.class))
                     .as(wrong)
                     .isInstanceOf(IOException.class);
         }
@@ -82,7 +82,7 @@
 
     @Test
     void oneThatFollowsIsToldWhatItLacksAndNoMore() throws IOException {
-        History all = History.none();
+        VersionHistory all = VersionHistory.none();
         for (int i = 1; i <= 10; i++) {
             all = written(all, Map.of("a", "some text that takes a little room", "n" + i, "" + i));
         }
@@ -99,16 +99,18 @@
 
     @Test
     void changesBeyondTheCountAreForgottenAndTheBaseIsToldInstead() {
-        History all = History.none();
+        VersionHistory all = VersionHistory.none();
         Map<String, String> large = Map.of("large", "x".repeat(100_000));
         all = written(all, large);
-        for (int i = 0; i < History.MOST_CHANGES + 5; i++) {
+        for (int i = 0; i < VersionHistory.MOST_CHANGES + 5; i++) {
             all = written(all, Map.of("a", "" + i));
         }
-        assertThat(all.changes()).hasSize(History.MOST_CHANGES);
+        assertThat(all.changes()).hasSize(VersionHistory.MOST_CHANGES);
         long newest = all.newest().version();
-        assertThat(all.since(newest - History.MOST_CHANGES, false).base()).isNull();
-        assertThat(all.since(newest - History.MOST_CHANGES - 1, false).base()).isEqualTo(all.newest());
+        assertThat(all.since(newest - VersionHistory.MOST_CHANGES, false).base())
+                .isNull();
+        assertThat(all.since(newest - VersionHistory.MOST_CHANGES - 1, false).base())
+                .isEqualTo(all.newest());
         // Large changes are forgotten sooner.
         for (int i = 0; i < 10; i++) {
             all = written(all, Map.of("large", i + "x".repeat(100_000)));
@@ -118,29 +120,31 @@
 
     @Test
     void aRelayComesToTheSameAsTheLogByBaseAndByChanges() throws IOException {
-        History log = History.none();
-        History relay = History.none();
+        VersionHistory log = VersionHistory.none();
+        VersionHistory relay = VersionHistory.none();
         for (int i = 1; i <= 40; i++) {
             log = written(log, Map.of("n" + i % 7, "text " + i));
             if (i % 3 != 0) {
-                String text = FeedText.text(log.since(relay.newest().version(), false));
-                relay = relay.heard(FeedText.read(text, Update.class));
+                String text = FeedJson.text(log.since(relay.newest().version(), false));
+                relay = relay.heard(FeedJson.read(text, Update.class));
                 assertThat(relay.newest()).isEqualTo(log.newest());
             }
         }
-        History read = FeedText.read(FeedText.text(log), History.class).checked();
+        VersionHistory read =
+                FeedJson.read(FeedJson.text(log), VersionHistory.class).checked();
         assertThat(read).isEqualTo(log);
     }
 
     @Test
     void whatDoesNotFitCountsForNothing() throws IOException {
-        History log = written(
-                written(written(History.none(), Map.of("a", "a longer text than most")), Map.of("b", "2")),
+        VersionHistory log = written(
+                written(written(VersionHistory.none(), Map.of("a", "a longer text than most")), Map.of("b", "2")),
                 Map.of("c", "3"));
         Update two = log.since(1, false);
         assertThat(two.changes()).hasSize(2);
-        State one = log.newest().version() == 3 ? State.of(1, Map.of("a", "a longer text than most")) : null;
-        assertThat(Taking.WHOLE.take(one, two)).isEqualTo(log.newest());
+        VersionedState one =
+                log.newest().version() == 3 ? VersionedState.of(1, Map.of("a", "a longer text than most")) : null;
+        assertThat(ApplyResult.WHOLE.take(one, two)).isEqualTo(log.newest());
         // A gap, another text under the version, another state under it, a digest that was made up.
         Change last = two.changes().get(1);
         for (Update wrong : List.of(
@@ -153,23 +157,24 @@
                         0,
                         null,
                         List.of(two.changes().get(0), new Change(3, Map.of("c", "4"), List.of(), last.digest()))),
-                new Update(3, two.digest(), 0, new State(3, log.newest().entries(), "0"), List.of()),
+                new Update(
+                        3, two.digest(), 0, new VersionedState(3, log.newest().entries(), "0"), List.of()),
                 new Update(3, "0", 0, log.newest(), List.of()),
                 new Update(4, two.digest(), 0, log.newest(), List.of()),
                 new Update(1, "0", 0, null, List.of()))) {
-            assertThatThrownBy(() -> Taking.WHOLE.take(one, wrong))
+            assertThatThrownBy(() -> ApplyResult.WHOLE.take(one, wrong))
                     .as(wrong.toString())
                     .isInstanceOf(IOException.class);
         }
-        assertThatThrownBy(() -> Taking.WHOLE.take(State.of(1, Map.of("a", "other")), two))
+        assertThatThrownBy(() -> ApplyResult.WHOLE.take(VersionedState.of(1, Map.of("a", "other")), two))
                 .isInstanceOf(IOException.class);
     }
 
     @Test
     void nothingOlderIsTaken() throws IOException {
-        History old = written(History.none(), Map.of("a", "1"));
-        History log = written(old, Map.of("a", "2"));
-        assertThat(Taking.WHOLE.take(log.newest(), old.since(0, false))).isEqualTo(log.newest());
+        VersionHistory old = written(VersionHistory.none(), Map.of("a", "1"));
+        VersionHistory log = written(old, Map.of("a", "2"));
+        assertThat(ApplyResult.WHOLE.take(log.newest(), old.since(0, false))).isEqualTo(log.newest());
         assertThat(log.heard(old.since(0, false))).isEqualTo(log);
         assertThat(old.since(2, false).base()).isNull();
     }
@@ -192,9 +197,10 @@
         }
     }
 
-    static History written(History before, Map<String, String> set) {
-        History.Applied applied = before.apply(new Proposal(before.newest().version(), set, List.of()));
-        assertThat(applied.written().outcome()).isEqualTo(Written.Outcome.WRITTEN);
+    static VersionHistory written(VersionHistory before, Map<String, String> set) {
+        VersionHistory.Applied applied =
+                before.apply(new Proposal(before.newest().version(), set, List.of()));
+        assertThat(applied.written().outcome()).isEqualTo(CommitResult.Outcome.WRITTEN);
         return applied.next();
     }
 }
--- a/src/test/java/beaconladder/feed/FeedSubscriberTest.java
+++ b/src/test/java/beaconladder/feed/FeedSubscriberTest.java
@@ -4,6 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 import static org.awaitility.Awaitility.await;
 
+import beaconladder.discovery.HttpFetcher;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -69,24 +70,27 @@
         relay("b", log, null);
         Keeps keeps = new Keeps();
         Subscriber subscriber = subscriber("n", 1, null, keeps);
-        State one = log.set("x", "1");
+        VersionedState one = log.set("x", "1");
         await().atMost(LONG).until(() -> one.equals(keeps.last()));
-        State two = log.set("x", "2");
+        VersionedState two = log.set("x", "2");
         await().atMost(LONG).until(() -> two.equals(keeps.last()));
         assertThat(subscriber.ageMillis()).isLessThan(10_000);
         Proposer proposer = new Proposer(List.of(log.at()), 2_000);
-        await().atMost(LONG).until(() -> proposer.status().counts().equals(List.of(new Report.Count(2, 1, 0))));
+        await().atMost(LONG).until(() -> proposer.status().counts().equals(List.of(new RelayReport.Count(2, 1, 0))));
         assertThat(proposer.status().relays()).hasSize(2);
         // The one before stays in force until a better one comes.
         log.set("bad", "1");
         await().atMost(LONG)
                 .until(() -> proposer.status()
                         .counts()
-                        .equals(List.of(new Report.Count(3, 0, 1), new Report.Count(2, 1, 0))));
+                        .equals(List.of(new RelayReport.Count(3, 0, 1), new RelayReport.Count(2, 1, 0))));
         assertThat(subscriber.version()).isEqualTo(2);
-        Written four = proposer.propose(new Proposal(3, Map.of(), List.of("bad")));
+        CommitResult four = proposer.propose(new Proposal(3, Map.of(), List.of("bad")));
         await().atMost(LONG).until(() -> keeps.last().version() == four.version());
-        assertThat(keeps.applied()).extracting(State::version).endsWith(2L, 4L).doesNotContain(3L);
+        assertThat(keeps.applied())
+                .extracting(VersionedState::version)
+                .endsWith(2L, 4L)
+                .doesNotContain(3L);
     }
 
     @Test
@@ -100,10 +104,10 @@
         Keeps keeps = new Keeps();
         subscriber("n", 1, null, keeps);
         cut.set("x", "1");
-        State one = log.set("x", "1");
+        VersionedState one = log.set("x", "1");
         await().atMost(LONG).until(() -> one.equals(keeps.last()));
         cut.leads(false);
-        State two = log.set("x", "2");
+        VersionedState two = log.set("x", "2");
         await().atMost(LONG).until(() -> two.equals(keeps.last()));
     }
 
@@ -113,7 +117,7 @@
         Relay relay = relay("a", log, null);
         Keeps before = new Keeps();
         Subscriber first = subscriber("n", 1, folder, before);
-        State one = log.set("x", "1");
+        VersionedState one = log.set("x", "1");
         await().atMost(LONG).until(() -> one.equals(before.last()));
         first.close();
         relay.close();
@@ -131,7 +135,7 @@
         LogStandIn log = log();
         String first = Rendezvous.order("n", List.of("a", "b")).get(0);
         Relay old = relay(first, log, folder.resolve("now"));
-        State one = log.set("x", "1");
+        VersionedState one = log.set("x", "1");
         await().atMost(LONG).until(() -> Files.exists(folder.resolve("now")) && kept(old) == 1);
         old.close();
         relays.clear();
@@ -139,7 +143,7 @@
         away.leads(false);
         await().atMost(LONG).ignoreExceptions().until(() -> relay(first, away, folder.resolve("now")), each -> true);
         relay(first.equals("a") ? "b" : "a", log, null);
-        State two = log.set("x", "2");
+        VersionedState two = log.set("x", "2");
         Keeps keeps = new Keeps();
         subscriber("n", 1, null, keeps);
         await().atMost(LONG).until(() -> two.equals(keeps.last()));
@@ -153,9 +157,9 @@
     }
 
     private static Relay.Status status(Relay relay) throws IOException {
-        beaconladder.roster.HttpGet http = new beaconladder.roster.HttpGet(relay.at());
+        HttpFetcher http = new HttpFetcher(relay.at());
         try {
-            return FeedText.read(http.get("/v1/relay", 1_000), Relay.Status.class);
+            return FeedJson.read(http.get("/v1/relay", 1_000), Relay.Status.class);
         } finally {
             http.end();
         }
@@ -168,7 +172,7 @@
         relay("a", log, null);
         Keeps keeps = new Keeps();
         subscriber("n", 1, null, keeps);
-        State one = log.set("x", "1");
+        VersionedState one = log.set("x", "1");
         await().atMost(LONG).until(() -> one.equals(keeps.last()));
         other.set("x", "other");
         log.show(other.history());
@@ -179,10 +183,10 @@
     @Test
     void aRelayThatIsSlowFromLoadIsHeardInTheEnd() throws Exception {
         LogStandIn log = log();
-        State one = log.set("x", "1");
+        VersionedState one = log.set("x", "1");
         HttpServer slow = HttpServer.create(ANY, 10);
         slow.createContext("/v1/feed", exchange -> {
-            byte[] body = FeedText.text(log.history().since(0, true)).getBytes(StandardCharsets.UTF_8);
+            byte[] body = FeedJson.text(log.history().since(0, true)).getBytes(StandardCharsets.UTF_8);
             try (exchange) {
                 TimeUnit.MILLISECONDS.sleep(1_200);
                 exchange.sendResponseHeaders(200, body.length);
@@ -217,7 +221,7 @@
     @Test
     void aRouterThatDoesNotReadIsCutOffAndNothingQueuesForIt() throws Exception {
         LogStandIn log = log();
-        log.set("x", "x".repeat(State.LARGEST / 2));
+        log.set("x", "x".repeat(VersionedState.LARGEST / 2));
         Relay relay = open(new Relay("a", ANY, List.of(log.at()), null, 10));
         await().atMost(LONG).until(() -> kept(relay) == 1);
         Socket slow = open(new Socket());
@@ -230,7 +234,7 @@
         }
         // That of the look itself is one.
         await().atMost(LONG).until(() -> status(relay).connections() == 1);
-        assertThat(status(relay).bytesOut()).isLessThan(50L * State.LARGEST / 2);
+        assertThat(status(relay).bytesOut()).isLessThan(50L * VersionedState.LARGEST / 2);
     }
 
     @Test
@@ -244,7 +248,7 @@
                 "/v1/feed?since=0&wait=0&name=a%2Fb&life=1&force=0&refused=0",
                 "/v1/feed?since=0&since=0",
                 "/v1/other")) {
-            beaconladder.roster.HttpGet http = new beaconladder.roster.HttpGet(relay.at(), true);
+            HttpFetcher http = new HttpFetcher(relay.at(), true);
             assertThat(http.get(wrong, 2_000)).as(wrong).contains("error");
             http.end();
         }
--- a/src/test/java/beaconladder/feed/FeedTallyTest.java
+++ b/src/test/java/beaconladder/feed/FeedTallyTest.java
@@ -13,28 +13,28 @@
 
     @Test
     void theNewestWordOfTheNewestLifeCounts() {
-        Tally tally = new Tally();
-        tally.heard(new Ack("a", 7, 3, 0, true), 0);
-        tally.heard(new Ack("a", 7, 4, 0, true), SECOND);
-        tally.heard(new Ack("b", 1, 4, 5, true), SECOND);
+        AcknowledgementSummary tally = new AcknowledgementSummary();
+        tally.heard(new Acknowledgement("a", 7, 3, 0, true), 0);
+        tally.heard(new Acknowledgement("a", 7, 4, 0, true), SECOND);
+        tally.heard(new Acknowledgement("b", 1, 4, 5, true), SECOND);
         assertThat(tally.report(5, 0, SECOND).counts())
-                .containsExactly(new Report.Count(5, 0, 1), new Report.Count(4, 2, 0));
-        tally.heard(new Ack("a", 8, 5, 0, true), SECOND);
+                .containsExactly(new RelayReport.Count(5, 0, 1), new RelayReport.Count(4, 2, 0));
+        tally.heard(new Acknowledgement("a", 8, 5, 0, true), SECOND);
         // A word of the life before comes late.
-        tally.heard(new Ack("a", 7, 4, 0, true), SECOND);
+        tally.heard(new Acknowledgement("a", 7, 4, 0, true), SECOND);
         assertThat(tally.report(5, 0, SECOND).counts())
-                .containsExactly(new Report.Count(5, 1, 1), new Report.Count(4, 1, 0));
-        tally.heard(new Ack("c", 1, 5, 0, false), SECOND);
+                .containsExactly(new RelayReport.Count(5, 1, 1), new RelayReport.Count(4, 1, 0));
+        tally.heard(new Acknowledgement("c", 1, 5, 0, false), SECOND);
         assertThat(tally.report(5, 0, SECOND).counts().get(0).applied()).isEqualTo(1);
     }
 
     @Test
     void whoIsSilentIsSaidToBeAndThenForgotten() {
-        Tally tally = new Tally();
-        tally.heard(new Ack("a", 1, 3, 0, true), 0);
-        tally.heard(new Ack("b", 1, 3, 0, true), 2 * SECOND);
-        Report report = tally.report(3, 0, 4 * SECOND);
-        assertThat(report.counts()).containsExactly(new Report.Count(3, 1, 0));
+        AcknowledgementSummary tally = new AcknowledgementSummary();
+        tally.heard(new Acknowledgement("a", 1, 3, 0, true), 0);
+        tally.heard(new Acknowledgement("b", 1, 3, 0, true), 2 * SECOND);
+        RelayReport report = tally.report(3, 0, 4 * SECOND);
+        assertThat(report.counts()).containsExactly(new RelayReport.Count(3, 1, 0));
         assertThat(report.silent()).isEqualTo(1);
         assertThat(tally.report(3, 0, 61 * SECOND).silent()).isEqualTo(1);
         assertThat(tally.report(3, 0, 63 * SECOND).silent()).isZero();
@@ -42,54 +42,61 @@
 
     @Test
     void aReportIsTheSameFewNumbersForAThousandRouters() throws IOException {
-        Tally tally = new Tally();
+        AcknowledgementSummary tally = new AcknowledgementSummary();
         for (int i = 0; i < 1_000; i++) {
-            tally.heard(new Ack("n" + i, 1, i % 20, 0, true), 0);
+            tally.heard(new Acknowledgement("n" + i, 1, i % 20, 0, true), 0);
         }
-        Report report = tally.report(20, 0, 0);
+        RelayReport report = tally.report(20, 0, 0);
         assertThat(report.counts()).hasSize(4).allMatch(each -> each.applied() == 50);
         assertThat(report.older()).isEqualTo(800);
-        assertThat(FeedText.text(report).length()).isLessThan(400);
-        assertThat(FeedText.read(FeedText.text(report), Report.class).checked()).isEqualTo(report);
+        assertThat(FeedJson.text(report).length()).isLessThan(400);
+        assertThat(FeedJson.read(FeedJson.text(report), RelayReport.class).checked())
+                .isEqualTo(report);
     }
 
     @Test
     void aRouterThatChangesItsRelayIsCountedOnce() {
         // It spoke to a at 0 last, a reported that at the last moment, and died; b may count it from MOVED.
-        Tally a = new Tally();
-        Tally b = new Tally();
-        Reports leader = new Reports();
-        a.heard(new Ack("n", 1, 3, 0, true), 0);
-        leader.heard("a", a.report(3, 0, Tally.SILENT), Tally.SILENT);
-        b.heard(new Ack("n", 1, 4, 0, false), SECOND);
-        for (long now = SECOND; now < Tally.MOVED; now += SECOND / 10) {
+        AcknowledgementSummary a = new AcknowledgementSummary();
+        AcknowledgementSummary b = new AcknowledgementSummary();
+        RelayReports leader = new RelayReports();
+        a.heard(new Acknowledgement("n", 1, 3, 0, true), 0);
+        leader.heard("a", a.report(3, 0, AcknowledgementSummary.SILENT), AcknowledgementSummary.SILENT);
+        b.heard(new Acknowledgement("n", 1, 4, 0, false), SECOND);
+        for (long now = SECOND; now < AcknowledgementSummary.MOVED; now += SECOND / 10) {
             leader.heard("b", b.report(4, 0, now), now);
             assertThat(counted(leader, now)).isLessThanOrEqualTo(1);
         }
-        b.heard(new Ack("n", 1, 4, 0, true), Tally.MOVED);
-        leader.heard("b", b.report(4, 0, Tally.MOVED), Tally.MOVED);
-        assertThat(leader.sum(State.none(), Tally.MOVED).counts()).containsExactly(new Report.Count(4, 1, 0));
+        b.heard(new Acknowledgement("n", 1, 4, 0, true), AcknowledgementSummary.MOVED);
+        leader.heard("b", b.report(4, 0, AcknowledgementSummary.MOVED), AcknowledgementSummary.MOVED);
+        assertThat(leader.sum(VersionedState.none(), AcknowledgementSummary.MOVED)
+                        .counts())
+                .containsExactly(new RelayReport.Count(4, 1, 0));
     }
 
     @Test
     void theLeaderAddsUpAndForgetsRelaysThatAreSilent() {
-        Reports leader = new Reports();
-        leader.heard("a", new Report(5, 0, List.of(new Report.Count(5, 10, 1), new Report.Count(4, 3, 0)), 2, 1), 0);
-        leader.heard("b", new Report(5, 0, List.of(new Report.Count(5, 20, 0)), 0, 0), SECOND);
-        Reports.Sum sum = leader.sum(State.of(5, Map.of("a", "b")), SECOND);
-        assertThat(sum.counts()).containsExactly(new Report.Count(5, 30, 1), new Report.Count(4, 3, 0));
+        RelayReports leader = new RelayReports();
+        leader.heard(
+                "a",
+                new RelayReport(5, 0, List.of(new RelayReport.Count(5, 10, 1), new RelayReport.Count(4, 3, 0)), 2, 1),
+                0);
+        leader.heard("b", new RelayReport(5, 0, List.of(new RelayReport.Count(5, 20, 0)), 0, 0), SECOND);
+        RelayReports.Sum sum = leader.sum(VersionedState.of(5, Map.of("a", "b")), SECOND);
+        assertThat(sum.counts()).containsExactly(new RelayReport.Count(5, 30, 1), new RelayReport.Count(4, 3, 0));
         assertThat(sum.older()).isEqualTo(2);
-        assertThat(sum.relays()).extracting(Reports.Seen::relay).containsExactly("a", "b");
-        assertThat(counted(leader, Tally.REPORTED + SECOND / 2)).isEqualTo(20);
+        assertThat(sum.relays()).extracting(RelayReports.Seen::relay).containsExactly("a", "b");
+        assertThat(counted(leader, AcknowledgementSummary.REPORTED + SECOND / 2))
+                .isEqualTo(20);
         for (int i = 0; i < 1_000; i++) {
-            leader.heard("x" + i, new Report(5, 0, List.of(), 0, 0), SECOND);
+            leader.heard("x" + i, new RelayReport(5, 0, List.of(), 0, 0), SECOND);
         }
-        assertThat(leader.sum(State.none(), SECOND).relays()).hasSizeLessThan(65);
+        assertThat(leader.sum(VersionedState.none(), SECOND).relays()).hasSizeLessThan(65);
     }
 
-    private static int counted(Reports leader, long now) {
-        return leader.sum(State.none(), now).counts().stream()
-                .mapToInt(Report.Count::applied)
+    private static int counted(RelayReports leader, long now) {
+        return leader.sum(VersionedState.none(), now).counts().stream()
+                .mapToInt(RelayReport.Count::applied)
                 .sum();
     }
 }
--- a/src/test/java/beaconladder/feed/Keeps.java
+++ b/src/test/java/beaconladder/feed/Keeps.java
@@ -6,25 +6,25 @@
 
 /** Keeps what is put in force, and refuses what says so. */
 final class Keeps implements Applier {
-    private final List<State> applied = new CopyOnWriteArrayList<>();
+    private final List<VersionedState> applied = new CopyOnWriteArrayList<>();
 
     @Override
-    public void check(State next) throws IOException {
+    public void check(VersionedState next) throws IOException {
         if (next.entries().containsKey("bad")) {
             throw new IOException("a bad one");
         }
     }
 
     @Override
-    public void apply(State next) {
+    public void apply(VersionedState next) {
         applied.add(next);
     }
 
-    State last() {
+    VersionedState last() {
         return applied.isEmpty() ? null : applied.get(applied.size() - 1);
     }
 
-    List<State> applied() {
+    List<VersionedState> applied() {
         return applied;
     }
 }
--- a/src/test/java/beaconladder/feed/LogStandIn.java
+++ b/src/test/java/beaconladder/feed/LogStandIn.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.Executors;
 
 /** The grantors' log without the grantors: its real door, on a history in memory. */
-public final class LogStandIn implements LogDoor.Log, AutoCloseable {
-    private final Board board = new Board();
+public final class LogStandIn implements LogEndpoint.Log, AutoCloseable {
+    private final VersionNotifier board = new VersionNotifier();
     private final HttpServer door;
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private volatile boolean leads = true;
@@ -19,7 +19,7 @@
     public LogStandIn() throws IOException {
         door = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
         door.setExecutor(threads);
-        new LogDoor(door, this);
+        new LogEndpoint(door, this);
         door.start();
     }
 
@@ -28,19 +28,19 @@
     }
 
     /** What has been written, oldest first, as far as it is kept. */
-    public History history() {
+    public VersionHistory history() {
         return board.now();
     }
 
     /** Sets a document. */
-    public State set(String name, String text) {
-        History.Applied applied =
+    public VersionedState set(String name, String text) {
+        VersionHistory.Applied applied =
                 board.now().apply(new Proposal(board.now().newest().version(), Map.of(name, text), List.of()));
         board.show(applied.next());
         return applied.next().newest();
     }
 
-    void show(History history) {
+    void show(VersionHistory history) {
         board.show(history);
     }
 
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public Board board() {
+    public VersionNotifier board() {
         return board;
     }
 
@@ -59,8 +59,8 @@
     }
 
     @Override
-    public synchronized Written write(Proposal proposal) {
-        History.Applied applied = board.now().apply(proposal);
+    public synchronized CommitResult write(Proposal proposal) {
+        VersionHistory.Applied applied = board.now().apply(proposal);
         board.show(applied.next());
         return applied.written();
     }
--- a/src/test/java/beaconladder/feed/Mutants.java
+++ b/src/test/java/beaconladder/feed/Mutants.java
@@ -18,14 +18,14 @@
     /** Of several changes it takes the last alone. */
     public static Subscriber skips(String name, Map<String, InetSocketAddress> relays, Applier applier)
             throws IOException {
-        return new Subscriber(name, 1, relays, null, applier, new Taking() {
+        return new Subscriber(name, 1, relays, null, applier, new ApplyResult() {
             @Override
-            public long since(State held) {
+            public long since(VersionedState held) {
                 return held.version();
             }
 
             @Override
-            public State take(State held, Update told) {
+            public VersionedState take(VersionedState held, Update told) {
                 if (told.base() != null || told.changes().isEmpty()) {
                     return told.base() == null ? held : told.base();
                 }
@@ -33,7 +33,7 @@
                 TreeMap<String, String> entries = new TreeMap<>(held.entries());
                 entries.putAll(last.set());
                 entries.keySet().removeAll(last.remove());
-                return State.of(last.version(), entries);
+                return VersionedState.of(last.version(), entries);
             }
         });
     }
@@ -41,18 +41,18 @@
     /** It takes whatever base it is told, also one that is older than what it holds. */
     public static Subscriber goesBack(String name, Map<String, InetSocketAddress> relays, Applier applier)
             throws IOException {
-        return new Subscriber(name, 1, relays, null, applier, new Taking() {
+        return new Subscriber(name, 1, relays, null, applier, new ApplyResult() {
             @Override
-            public long since(State held) {
+            public long since(VersionedState held) {
                 return 0;
             }
 
             @Override
-            public State take(State held, Update told) {
+            public VersionedState take(VersionedState held, Update told) {
                 if (told.base() != null) {
                     return told.base();
                 }
-                State next = told.changes().isEmpty() ? held : State.none();
+                VersionedState next = told.changes().isEmpty() ? held : VersionedState.none();
                 for (Change each : told.changes()) {
                     next = next.after(new Proposal(next.version(), each.set(), each.remove()));
                 }
--- a/src/test/java/beaconladder/feed/StoredFeedTest.java
+++ b/src/test/java/beaconladder/feed/StoredFeedTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.awaitility.Awaitility.await;
 
-import beaconladder.roster.HttpGet;
-import beaconladder.store.Records;
+import beaconladder.discovery.HttpFetcher;
+import beaconladder.storage.DurableRecords;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -51,7 +51,7 @@
     }
 
     private static String record(Path folder) throws IOException {
-        try (Records records = Records.open(folder)) {
+        try (DurableRecords records = DurableRecords.open(folder)) {
             assertThat(records.found()).hasSize(1);
             return new String(records.found().get(0), StandardCharsets.UTF_8);
         }
@@ -65,7 +65,7 @@
     }
 
     private static String get(InetSocketAddress at, String path) throws IOException {
-        HttpGet http = new HttpGet(at);
+        HttpFetcher http = new HttpFetcher(at);
         try {
             return http.get(path, 5_000);
         } finally {
@@ -88,8 +88,8 @@
     @Test
     void aDiskReadsTheStoredStateAndKeepsTheNextInItsPlace() throws IOException {
         Path folder = copy("feed-router");
-        try (Disk disk = new Disk(folder)) {
-            State state = disk.kept().state();
+        try (StateStore disk = new StateStore(folder)) {
+            VersionedState state = disk.kept().state();
             assertThat(state.version()).isEqualTo(3);
             assertThat(state.entries())
                     .containsExactly(
@@ -112,7 +112,7 @@
             run(router);
             await().atMost(LONG).until(() -> router.version() == 3);
         }
-        assertThat(FeedText.text(keeps.last())).isEqualTo(STATE);
+        assertThat(FeedJson.text(keeps.last())).isEqualTo(STATE);
     }
 
     @Test
@@ -122,13 +122,13 @@
         try (LogStandIn log = log();
                 Relay relay = new Relay("a", ANY, List.of(log.at()), null, 10);
                 Subscriber router = new Subscriber("n", 2, Map.of("a", relay.at()), folder, keeps)) {
-            assertThat(FeedText.text(router.kept())).isEqualTo(STATE);
+            assertThat(FeedJson.text(router.kept())).isEqualTo(STATE);
             run(router);
             await().atMost(LONG).until(() -> router.version() == 3);
             log.set("plan.us", "pool=c");
             await().atMost(LONG).until(() -> router.version() == 4);
         }
-        assertThat(FeedText.text(keeps.last())).isEqualTo(NEXT_STATE);
+        assertThat(FeedJson.text(keeps.last())).isEqualTo(NEXT_STATE);
         await().atMost(LONG)
                 .ignoreExceptions()
                 .untilAsserted(() -> assertThat(record(folder)).startsWith("{\"state\":" + NEXT_STATE + ",\"heard\":"));
--- a/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
+++ b/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.awaitility.Awaitility.await;
 
-import beaconladder.lab.soak.FaultPlan;
-import beaconladder.lab.soak.FaultPlan.Field;
-import beaconladder.lab.soak.FaultShim;
-import beaconladder.roster.Watch;
+import beaconladder.discovery.EndpointWatch;
+import beaconladder.testbed.soak.FaultPlan;
+import beaconladder.testbed.soak.FaultPlan.Field;
+import beaconladder.testbed.soak.FaultShim;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -45,14 +45,14 @@
     public static void main(String[] args) throws Exception {
         Applier applier = new Applier() {
             @Override
-            public void check(State next) throws IOException {
+            public void check(VersionedState next) throws IOException {
                 if (next.entries().containsKey("bad")) {
                     throw new IOException("a bad one");
                 }
             }
 
             @Override
-            public void apply(State next) throws IOException {
+            public void apply(VersionedState next) throws IOException {
                 if (next.entries().containsKey("late")) {
                     System.out.println("tried " + next.version());
                     pause();
@@ -62,7 +62,7 @@
             }
         };
         try (Subscriber subscriber = new Subscriber(
-                "n", System.nanoTime(), Map.of("a", Watch.address(args[0])), Path.of(args[1]), applier)) {
+                "n", System.nanoTime(), Map.of("a", EndpointWatch.address(args[0])), Path.of(args[1]), applier)) {
             System.out.println("kept " + subscriber.kept().version());
             subscriber.run();
         }
--- a/src/test/java/beaconladder/invariants/InvariantsTest.java
+++ b/src/test/java/beaconladder/invariants/InvariantsTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.SlowStartTicket;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
-import beaconladder.fleet.TxnType;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass;
+import beaconladder.routing.state.SlowStartTicket;
 import java.util.HashMap;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -22,7 +22,7 @@
     private final Group group = new Group(1);
     private final Host host = new Host(1, group, 0);
 
-    private Txn txn(String effect) {
+    private Request txn(String effect) {
         Map<String, String> start = new HashMap<>(Map.of(
                 "request_classes.count",
                 "1",
@@ -30,20 +30,20 @@
                 effect,
                 "request_classes.0.key_ttl_us",
                 "300000"));
-        return new Txn(1, TxnType.read(start).get(0), group, 1, Long.MIN_VALUE, 0, false, 0, SECOND, 1);
+        return new Request(1, RequestClass.read(start).get(0), group, 1, Long.MIN_VALUE, 0, false, 0, SECOND, 1);
     }
 
-    private Submission attempt(Txn txn, long decided, SlowStartTicket ticket) {
-        Submission attempt = new Submission(txn, txn.submissions.size(), host, decided, 1, ticket);
+    private Attempt attempt(Request txn, long decided, SlowStartTicket ticket) {
+        Attempt attempt = new Attempt(txn, txn.submissions.size(), host, decided, 1, ticket);
         txn.submissions.add(attempt);
         return attempt;
     }
 
-    private Submission attempt(Txn txn, long decided) {
+    private Attempt attempt(Request txn, long decided) {
         return attempt(txn, decided, SlowStartTicket.NOT_NEEDED);
     }
 
-    private long sent(Rule rule, Submission attempt, long began, long passed) {
+    private long sent(Rule rule, Attempt attempt, long began, long passed) {
         invariants.sent(new SentAttempt(attempt, began, began + MS, passed));
         assertThat(violations.total()).as("other rules").isEqualTo(violations.count(rule));
         return violations.count(rule);
@@ -59,14 +59,14 @@
     void aSendToAHostThatHasLeftLongerThanTheGrace() {
         host.state = Host.State.DRAINING;
         host.stateSince = 0;
-        Txn txn = txn("pure");
+        Request txn = txn("pure");
         assertThat(sent(Rule.SENDING, attempt(txn, 0), SECOND, MS)).isZero();
         assertThat(sent(Rule.SENDING, attempt(txn, 0), SECOND + 51 * MS, MS)).isEqualTo(1);
     }
 
     @Test
     void aSendAfterTheClientHadGone() {
-        Txn txn = txn("pure");
+        Request txn = txn("pure");
         txn.leftAt = 100 * MS;
         assertThat(sent(Rule.SENDING, attempt(txn, 0), 200 * MS, MS)).isZero();
         assertThat(sent(Rule.SENDING, attempt(txn, 0), 201 * MS, MS)).isEqualTo(1);
@@ -90,8 +90,8 @@
 
     @Test
     void aRepeatOfWhatMayHaveRun() {
-        Txn once = txn("side_effect");
-        Submission first = attempt(once, 0);
+        Request once = txn("side_effect");
+        Attempt first = attempt(once, 0);
         first.neverRan = true;
         assertThat(sent(Rule.REPEATING, attempt(once, MS), MS, MS)).isZero();
         first.neverRan = false;
@@ -100,7 +100,7 @@
 
     @Test
     void aRepeatBehindTheMemoryTime() {
-        Txn referenced = txn("token");
+        Request referenced = txn("token");
         attempt(referenced, 0);
         assertThat(sent(Rule.REPEATING, attempt(referenced, 250 * MS), 299 * MS, MS))
                 .isZero();
@@ -110,10 +110,10 @@
 
     @Test
     void aRefusalOfWhatMayHaveRun() {
-        Txn once = txn("side_effect");
+        Request once = txn("side_effect");
         invariants.refused(once);
         attempt(once, 0);
-        Txn pure = txn("pure");
+        Request pure = txn("pure");
         attempt(pure, 0);
         invariants.refused(pure);
         assertThat(violations.total()).isZero();
@@ -123,7 +123,7 @@
 
     @Test
     void anAnswerThatIsMissingAndAQueryThatIsClosedUnanswered() {
-        Txn txn = txn("pure");
+        Request txn = txn("pure");
         assertThat(invariants.overdue(txn, SECOND + 500 * MS)).isFalse();
         assertThat(invariants.overdue(txn, SECOND + 501 * MS)).isTrue();
         invariants.closed("IDLE", 0);
--- a/src/test/java/beaconladder/lease/NotesTest.java
+++ b/src/test/java/beaconladder/lease/FencedRecordsTest.java
@@ -2,15 +2,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lease.Notes.Kept;
+import beaconladder.lease.FencedRecords.Kept;
 import org.junit.jupiter.api.Test;
 
-class NotesTest {
+class FencedRecordsTest {
     private static final long LENGTH = 1_000;
     private static final long BOUND = 60;
 
-    private Grants grants = Grants.none();
-    private Notes notes = Notes.none();
+    private LeaseTable grants = LeaseTable.none();
+    private FencedRecords notes = FencedRecords.none();
 
     /** Of two who both think that they hold the task, one can write, and nothing is written twice. */
     @Test
@@ -34,29 +34,30 @@
 
     @Test
     void aFreshNoteDropsTheOldOnesAndCountsOn() {
-        for (int i = 0; i < Notes.MOST; i++) {
+        for (int i = 0; i < FencedRecords.MOST; i++) {
             assertThat(write("", 0, i, "n" + i)).isEqualTo(Kept.WRITTEN);
         }
-        assertThat(write("", 0, Notes.MOST, "more")).isEqualTo(Kept.FULL);
-        Notes.Applied fresh = notes.apply(new Note("task", "", 0, Notes.MOST, true, "anew"), grants);
+        assertThat(write("", 0, FencedRecords.MOST, "more")).isEqualTo(Kept.FULL);
+        FencedRecords.Applied fresh =
+                notes.apply(new FencedRecord("task", "", 0, FencedRecords.MOST, true, "anew"), grants);
         assertThat(fresh.kept()).isEqualTo(Kept.WRITTEN);
         notes = fresh.next();
-        assertThat(notes.seen("task")).isEqualTo(new Notes.Seen(Notes.MOST, java.util.List.of("anew")));
-        assertThat(write("", 0, Notes.MOST + 1, "next")).isEqualTo(Kept.WRITTEN);
+        assertThat(notes.seen("task")).isEqualTo(new FencedRecords.Seen(FencedRecords.MOST, java.util.List.of("anew")));
+        assertThat(write("", 0, FencedRecords.MOST + 1, "next")).isEqualTo(Kept.WRITTEN);
         assertThat(notes.seen("other").size()).isZero();
     }
 
     private void take(String holder, long at, long token) {
-        grants = grants.apply(Ask.take("task", holder, 1, token, LENGTH), at, BOUND)
+        grants = grants.apply(LeaseRequest.take("task", holder, 1, token, LENGTH), at, BOUND)
                 .next();
     }
 
     private void clock(long at) {
-        grants = new Grants(Math.max(grants.clock(), at), grants.leases());
+        grants = new LeaseTable(Math.max(grants.clock(), at), grants.leases());
     }
 
     private Kept write(String holder, long token, int at, String text) {
-        Notes.Applied applied = notes.apply(new Note("task", holder, token, at, false, text), grants);
+        FencedRecords.Applied applied = notes.apply(new FencedRecord("task", holder, token, at, false, text), grants);
         notes = applied.next();
         return applied.kept();
     }
--- a/src/test/java/beaconladder/lease/LeaseModelTest.java
+++ b/src/test/java/beaconladder/lease/LeaseModelTest.java
@@ -37,7 +37,7 @@
         }
     }
 
-    private record Mail(int to, Answer answer) {}
+    private record Mail(int to, LeaseResponse answer) {}
 
     private record Act(long token, long until) {}
 
@@ -45,10 +45,10 @@
     private record World(
             long time,
             boolean changed,
-            Grants grants,
-            List<Tenure> tenures,
-            Fence fence,
-            List<Ask> asks,
+            LeaseTable grants,
+            List<LeaseHolderState> tenures,
+            FencingGuard fence,
+            List<LeaseRequest> asks,
             List<Mail> mail,
             List<Act> acts,
             boolean doubled,
@@ -61,7 +61,7 @@
             return new World(time, true, grants, tenures, fence, asks, mail, acts, doubled, done);
         }
 
-        World with(int who, Tenure tenure) {
+        World with(int who, LeaseHolderState tenure) {
             return new World(
                     time,
                     changed,
@@ -75,7 +75,7 @@
                     done);
         }
 
-        World asks(List<Ask> next) {
+        World asks(List<LeaseRequest> next) {
             return new World(time, changed, grants, tenures, fence, next, mail, acts, doubled, done);
         }
 
@@ -83,7 +83,7 @@
             return new World(time, changed, grants, tenures, fence, asks, next, acts, doubled, done);
         }
 
-        World granted(Grants next, boolean twice) {
+        World granted(LeaseTable next, boolean twice) {
             return new World(time, changed, next, tenures, fence, asks, mail, acts, doubled || twice, done);
         }
 
@@ -91,7 +91,7 @@
             return new World(time, changed, grants, tenures, fence, asks, mail, next, doubled, done);
         }
 
-        World landed(Fence next, long token) {
+        World landed(FencingGuard next, long token) {
             return new World(time, changed, grants, tenures, next, asks, mail, acts, doubled, token);
         }
     }
@@ -177,9 +177,9 @@
             World start = new World(
                     0,
                     false,
-                    Grants.none(),
+                    LeaseTable.none(),
                     List.of(tenure(0), tenure(1)),
-                    Fence.open(),
+                    FencingGuard.open(),
                     List.of(),
                     List.of(),
                     List.of(),
@@ -204,8 +204,8 @@
             return broken;
         }
 
-        private Tenure tenure(int who) {
-            return Tenure.of("t", HOLDERS[who], LENGTH, rules.bound()).want(clocks.of(who));
+        private LeaseHolderState tenure(int who) {
+            return LeaseHolderState.of("t", HOLDERS[who], LENGTH, rules.bound()).want(clocks.of(who));
         }
 
         private void judge(World w) {
@@ -222,10 +222,10 @@
                 to.accept(w.led());
             }
             for (int who = 0; who < 2; who++) {
-                Tenure tenure = w.tenures().get(who);
+                LeaseHolderState tenure = w.tenures().get(who);
                 long now = w.time() + clocks.of(who);
                 if (now >= tenure.wake()) {
-                    Tenure.Step step = tenure.at(now);
+                    LeaseHolderState.Step step = tenure.at(now);
                     to.accept(stepped(w, who, step));
                     if (step.ask() != null) {
                         to.accept(answered(w, who, step, now));
@@ -258,9 +258,9 @@
         }
 
         /** Asked, granted or refused, and heard of with nothing in between: what a fast network does. */
-        private World answered(World w, int who, Tenure.Step step, long now) {
-            Grants.Applied applied = w.grants().apply(step.ask(), stamp(w), rules.bound());
-            Tenure.Step heard = step.next().heard(applied.answer(), now);
+        private World answered(World w, int who, LeaseHolderState.Step step, long now) {
+            LeaseTable.Applied applied = w.grants().apply(step.ask(), stamp(w), rules.bound());
+            LeaseHolderState.Step heard = step.next().heard(applied.answer(), now);
             return stepped(w.granted(applied.next(), false), who, heard);
         }
 
@@ -269,8 +269,8 @@
         }
 
         private void ask(World w, int i, Consumer<World> to) {
-            Ask ask = w.asks().get(i);
-            Grants.Applied applied = w.grants().apply(ask, stamp(w), rules.bound());
+            LeaseRequest ask = w.asks().get(i);
+            LeaseTable.Applied applied = w.grants().apply(ask, stamp(w), rules.bound());
             Mail mail = new Mail(ask.holder().equals(HOLDERS[0]) ? 0 : 1, applied.answer());
             List<Mail> all = w.mail().size() < 2 ? plus(w.mail(), mail) : w.mail();
             to.accept(w.granted(applied.next(), false).mail(all).asks(minus(w.asks(), i)));
@@ -281,14 +281,15 @@
         }
 
         /** A full network loses what comes. */
-        private World stepped(World w, int who, Tenure.Step step) {
+        private World stepped(World w, int who, LeaseHolderState.Step step) {
             World next = w.with(who, step.next());
             return step.ask() == null || w.asks().size() >= 2 ? next : next.asks(plus(w.asks(), step.ask()));
         }
 
         private World landed(World rest, Act act) {
-            Fence.Admission admission = rest.fence().admit(act.token(), act.until(), rest.time() + clocks.resource());
-            if (rules.fence() && admission.verdict() != Fence.Verdict.ADMITTED) {
+            FencingGuard.Admission admission =
+                    rest.fence().admit(act.token(), act.until(), rest.time() + clocks.resource());
+            if (rules.fence() && admission.verdict() != FencingGuard.Verdict.ADMITTED) {
                 return rest.landed(admission.next(), rest.done());
             }
             bothActed |= rest.done() > 0 && act.token() > rest.done();
--- a/src/test/java/beaconladder/grant/WallClockTest.java
+++ b/src/test/java/beaconladder/lease/server/AnchoredClockTest.java
@@ -1,9 +1,9 @@
-package beaconladder.grant;
+package beaconladder.lease.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.soak.FaultPlan;
-import beaconladder.lab.soak.FaultShim;
+import beaconladder.testbed.soak.FaultPlan;
+import beaconladder.testbed.soak.FaultShim;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -15,7 +15,7 @@
 
 /** The clock of leases while the wall clock of its process is stepped. */
 @Timeout(60)
-class WallClockTest {
+class AnchoredClockTest {
     private static final long HOUR = 3_600_000_000_000L;
     private static final int LOOKS = 10;
     private static final int REST_MILLIS = 10;
@@ -27,7 +27,7 @@
 
     /** Says again and again what the clock shows. */
     public static void main(String[] args) throws InterruptedException {
-        WallClock clock = new WallClock();
+        AnchoredClock clock = new AnchoredClock();
         while (true) {
             System.out.println(clock.getAsLong());
             Thread.sleep(REST_MILLIS);
@@ -43,7 +43,7 @@
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
-                        WallClockTest.class.getName())
+                        AnchoredClockTest.class.getName())
                 .redirectErrorStream(true)
                 .redirectOutput(out.toFile());
         builder.environment()
--- a/src/test/java/beaconladder/grant/StoredTextTest.java
+++ b/src/test/java/beaconladder/lease/server/LeaseJsonLiteralTest.java
@@ -1,14 +1,14 @@
-package beaconladder.grant;
+package beaconladder.lease.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.feed.FeedText;
+import beaconladder.feed.CommitResult;
+import beaconladder.feed.FeedJson;
 import beaconladder.feed.Proposal;
-import beaconladder.feed.Written;
-import beaconladder.lease.Answer;
-import beaconladder.lease.Ask;
-import beaconladder.lease.Grant;
-import beaconladder.lease.Grants;
+import beaconladder.lease.LeaseGrant;
+import beaconladder.lease.LeaseRequest;
+import beaconladder.lease.LeaseResponse;
+import beaconladder.lease.LeaseTable;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
@@ -30,7 +30,7 @@
  * The exact JSON that the lease servers send to each other and to their clients, and that their log and their snapshots
  * hold. A component or a constant that gets another name in Java must keep its name here.
  */
-class StoredTextTest {
+class LeaseJsonLiteralTest {
     private static final String TAKE = "{\"kind\":\"TAKE\",\"task\":\"t\",\"holder\":\"a#1\",\"number\":2,"
             + "\"token\":3,\"length\":600,\"heir\":\"\"}";
     private static final String RELEASE = "{\"kind\":\"RELEASE\",\"task\":\"t\",\"holder\":\"a#1\","
@@ -45,54 +45,56 @@
             + "\"heir\":\"\",\"heirUntil\":-9223372036854775808}}}";
     private static final String PROPOSAL = "{\"against\":0,\"set\":{\"a.json\":\"{}\"},\"remove\":[\"b\"]}";
 
-    private final GrantLog log = new GrantLog(() -> 1_000, 50);
+    private final LeaseStateMachine log = new LeaseStateMachine(() -> 1_000, 50);
 
     @Test
     void asks() throws IOException {
-        assertAsk(new Ask(Ask.Kind.TAKE, "t", "a#1", 2, 3, 600, ""), TAKE);
-        assertAsk(new Ask(Ask.Kind.RELEASE, "t", "a#1", 4, 3, 0, ""), RELEASE);
-        assertAsk(Ask.handOver("t", "b", 600), HAND_OVER);
-        assertThat(Ask.Kind.values()).hasSize(3);
+        assertAsk(new LeaseRequest(LeaseRequest.Kind.TAKE, "t", "a#1", 2, 3, 600, ""), TAKE);
+        assertAsk(new LeaseRequest(LeaseRequest.Kind.RELEASE, "t", "a#1", 4, 3, 0, ""), RELEASE);
+        assertAsk(LeaseRequest.handOver("t", "b", 600), HAND_OVER);
+        assertThat(LeaseRequest.Kind.values()).hasSize(3);
     }
 
-    private static void assertAsk(Ask ask, String text) throws IOException {
-        assertThat(GrantText.text(ask)).isEqualTo(text);
-        assertThat(GrantText.ask(text)).isEqualTo(ask);
+    private static void assertAsk(LeaseRequest ask, String text) throws IOException {
+        assertThat(LeaseJson.text(ask)).isEqualTo(text);
+        assertThat(LeaseJson.ask(text)).isEqualTo(ask);
     }
 
     @Test
     void anAnswerWithAGrant() throws IOException {
-        Answer granted = new Answer("t", 2, Answer.Why.GRANTED, new Grant("t", "a#1", 1, 1_600), "", 0);
-        assertThat(GrantText.text(granted)).isEqualTo(GRANTED);
-        assertThat(GrantText.answer(GRANTED)).isEqualTo(granted);
+        LeaseResponse granted =
+                new LeaseResponse("t", 2, LeaseResponse.Why.GRANTED, new LeaseGrant("t", "a#1", 1, 1_600), "", 0);
+        assertThat(LeaseJson.text(granted)).isEqualTo(GRANTED);
+        assertThat(LeaseJson.answer(GRANTED)).isEqualTo(granted);
     }
 
     @Test
     void answersWithoutOne() throws IOException {
         List<String> names = List.of("GRANTED", "HELD", "HANDED_OVER", "OVERTAKEN", "DONE", "NOT_HELD");
-        assertThat(Answer.Why.values()).hasSameSizeAs(names);
-        for (Answer.Why why : Answer.Why.values()) {
-            Answer answer = new Answer("t", 2, why, null, "b#9", 650);
+        assertThat(LeaseResponse.Why.values()).hasSameSizeAs(names);
+        for (LeaseResponse.Why why : LeaseResponse.Why.values()) {
+            LeaseResponse answer = new LeaseResponse("t", 2, why, null, "b#9", 650);
             String text = "{\"task\":\"t\",\"number\":2,\"why\":\"" + names.get(why.ordinal())
                     + "\",\"grant\":null,\"holder\":\"b#9\",\"free\":650}";
-            assertThat(GrantText.text(answer)).isEqualTo(text);
-            assertThat(GrantText.read(text, Answer.class)).isEqualTo(answer);
+            assertThat(LeaseJson.text(answer)).isEqualTo(text);
+            assertThat(LeaseJson.read(text, LeaseResponse.class)).isEqualTo(answer);
         }
     }
 
     @Test
     void anEntryOfTheLog() throws IOException {
-        GrantText.Entry entry = new GrantText.Entry(GrantText.ask(TAKE), 1_000, 50);
-        assertThat(GrantText.text(entry)).isEqualTo(ENTRY);
-        assertThat(GrantText.read(ENTRY, GrantText.Entry.class)).isEqualTo(entry);
+        LeaseJson.Entry entry = new LeaseJson.Entry(LeaseJson.ask(TAKE), 1_000, 50);
+        assertThat(LeaseJson.text(entry)).isEqualTo(ENTRY);
+        assertThat(LeaseJson.read(ENTRY, LeaseJson.Entry.class)).isEqualTo(entry);
         assertThat(logged(TAKE)).isEqualTo(ENTRY);
     }
 
     @Test
     void theStateThatIsAskedForAndKept() throws IOException {
-        Grants grants = Grants.none().apply(GrantText.ask(TAKE), 1_000, 50).next();
-        assertThat(GrantText.text(grants)).isEqualTo(LEASES);
-        assertThat(GrantText.grants(LEASES)).isEqualTo(grants);
+        LeaseTable grants =
+                LeaseTable.none().apply(LeaseJson.ask(TAKE), 1_000, 50).next();
+        assertThat(LeaseJson.text(grants)).isEqualTo(LEASES);
+        assertThat(LeaseJson.grants(LEASES)).isEqualTo(grants);
         assertThat(applied(1, ENTRY)).isEqualTo(GRANTED);
         assertThat(log.query(Message.EMPTY).join().getContent().toStringUtf8()).isEqualTo(LEASES);
     }
@@ -100,8 +102,8 @@
     @Test
     void theFeedsMessagesAndEntries() throws IOException {
         Proposal proposal = new Proposal(0, Map.of("a.json", "{}"), List.of("b"));
-        assertThat(FeedText.text(proposal)).isEqualTo(PROPOSAL);
-        assertThat(FeedText.read(PROPOSAL, Proposal.class)).isEqualTo(proposal);
+        assertThat(FeedJson.text(proposal)).isEqualTo(PROPOSAL);
+        assertThat(FeedJson.read(PROPOSAL, Proposal.class)).isEqualTo(proposal);
         assertThat(logged("feed " + PROPOSAL)).isEqualTo("feed " + PROPOSAL);
         String digest = "8cc2910c8901c330e1e3a707274de015";
         assertThat(applied(1, "feed " + PROPOSAL))
@@ -115,13 +117,13 @@
 
     @ParameterizedTest
     @EnumSource
-    void whatBecameOfAProposal(Written.Outcome outcome) throws IOException {
+    void whatBecameOfAProposal(CommitResult.Outcome outcome) throws IOException {
         List<String> names = List.of("WRITTEN", "OUT_OF_TURN", "TOO_LARGE");
-        assertThat(Written.Outcome.values()).hasSameSizeAs(names);
-        Written written = new Written(outcome, 7, "d");
+        assertThat(CommitResult.Outcome.values()).hasSameSizeAs(names);
+        CommitResult written = new CommitResult(outcome, 7, "d");
         String text = "{\"outcome\":\"" + names.get(outcome.ordinal()) + "\",\"version\":7,\"digest\":\"d\"}";
-        assertThat(FeedText.text(written)).isEqualTo(text);
-        assertThat(FeedText.read(text, Written.class)).isEqualTo(written);
+        assertThat(FeedJson.text(written)).isEqualTo(text);
+        assertThat(FeedJson.read(text, CommitResult.class)).isEqualTo(written);
     }
 
     /** What the leader puts into the log for a message. */
--- a/src/test/java/beaconladder/grant/GrantTextTest.java
+++ b/src/test/java/beaconladder/lease/server/LeaseJsonTest.java
@@ -1,25 +1,25 @@
-package beaconladder.grant;
+package beaconladder.lease.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beaconladder.lease.Ask;
-import beaconladder.lease.Grants;
+import beaconladder.lease.LeaseRequest;
+import beaconladder.lease.LeaseTable;
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-class GrantTextTest {
+class LeaseJsonTest {
     private static final String TAKE = "{\"kind\":\"TAKE\",\"task\":\"t\",\"holder\":\"a#1\",\"number\":1,"
             + "\"token\":0,\"length\":600,\"heir\":\"\"}";
 
     @Test
     void whatIsWrittenIsReadAsTheSame() throws IOException {
-        Ask take = GrantText.ask(TAKE);
-        Grants.Applied applied = Grants.none().apply(take, 1_000, 50);
-        assertThat(GrantText.ask(GrantText.text(take))).isEqualTo(take);
-        assertThat(GrantText.answer(GrantText.text(applied.answer()))).isEqualTo(applied.answer());
-        assertThat(GrantText.grants(GrantText.text(applied.next()))).isEqualTo(applied.next());
-        assertThat(GrantText.grants(GrantText.text(Grants.none()))).isEqualTo(Grants.none());
+        LeaseRequest take = LeaseJson.ask(TAKE);
+        LeaseTable.Applied applied = LeaseTable.none().apply(take, 1_000, 50);
+        assertThat(LeaseJson.ask(LeaseJson.text(take))).isEqualTo(take);
+        assertThat(LeaseJson.answer(LeaseJson.text(applied.answer()))).isEqualTo(applied.answer());
+        assertThat(LeaseJson.grants(LeaseJson.text(applied.next()))).isEqualTo(applied.next());
+        assertThat(LeaseJson.grants(LeaseJson.text(LeaseTable.none()))).isEqualTo(LeaseTable.none());
     }
 
     @Test
@@ -41,12 +41,12 @@
             TAKE.replace(",\"heir\":\"\"", ""),
             TAKE.replace("TAKE", "HAND_OVER")
         }) {
-            assertThatThrownBy(() -> GrantText.ask(wrong)).as(wrong).isInstanceOf(IOException.class);
+            assertThatThrownBy(() -> LeaseJson.ask(wrong)).as(wrong).isInstanceOf(IOException.class);
         }
         for (String wrong :
                 new String[] {"", "{}", "null", "{\"clock\":1,\"leases\":null}", "{\"clock\":1,\"leases\":{\"t\":null}}"
                 }) {
-            assertThatThrownBy(() -> GrantText.grants(wrong)).as(wrong).isInstanceOf(IOException.class);
+            assertThatThrownBy(() -> LeaseJson.grants(wrong)).as(wrong).isInstanceOf(IOException.class);
         }
     }
 }
--- a/src/test/java/beaconladder/grant/StoredLogTest.java
+++ b/src/test/java/beaconladder/lease/server/StoredLeaseLogTest.java
@@ -1,4 +1,4 @@
-package beaconladder.grant;
+package beaconladder.lease.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -32,7 +32,7 @@
  * server, with a snapshot and a log that goes on after it. It must open with the same content, and take more.
  * {@link #generate} has written it.
  */
-class StoredLogTest {
+class StoredLeaseLogTest {
     private static final Path FIXTURE = Path.of("src/test/resources/stored/lease-server");
     private static final String GROUP = "b7a2c0de-0000-4000-8000-000000000001";
     private static final String LEASES = "{\"clock\":1700000000000000000,\"leases\":{"
@@ -63,7 +63,7 @@
     @ValueSource(strings = {"none", "snapshot\\.1_18.*", "snapshot\\..*"})
     void aStoreOfAnEarlierBuildIsReadAndGoesOn(String without) throws Exception {
         copy(without);
-        try (Grantor grantor = open(LATER)) {
+        try (LeaseServer grantor = open(LATER)) {
             assertThat(grantor).isNotNull();
             assertThat(get("/v1/leader")).isEqualTo("{\"leader\":\"one\"}");
             assertThat(JSON.readTree(get("/v1/leases"))).isEqualTo(JSON.readTree(LEASES));
@@ -110,7 +110,7 @@
     /** Writes the store into an empty folder; run by hand with the build whose store is to be kept. */
     void generate(Path into) throws Exception {
         folder = into;
-        try (Grantor grantor = open(WRITTEN)) {
+        try (LeaseServer grantor = open(WRITTEN)) {
             assertThat(grantor).isNotNull();
             ask("TAKE", "mover", "a#1", 1, 0, "");
             ask("TAKE", "archive", "b#7", 1, 0, "");
@@ -151,7 +151,7 @@
     }
 
     /** Opens the store, and waits until the server leads. */
-    private Grantor open(long now) throws Exception {
+    private LeaseServer open(long now) throws Exception {
         door = port();
         raft = port();
         Plan.Leases plan = new Plan.Leases(
@@ -164,7 +164,7 @@
                         new InetSocketAddress("127.0.0.1", door),
                         folder.toString(),
                         null)));
-        Grantor grantor = new Grantor(plan, "one", () -> now);
+        LeaseServer grantor = new LeaseServer(plan, "one", () -> now);
         long end = System.nanoTime() + 30_000_000_000L;
         while (get("/v1/feed?since=0&wait=0").contains("error") && System.nanoTime() < end) {
             Thread.sleep(50);
--- a/src/test/java/beaconladder/members/SwimTest.java
+++ b/src/test/java/beaconladder/membership/SwimProtocolTest.java
@@ -1,8 +1,8 @@
-package beaconladder.members;
+package beaconladder.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.members.Member.State;
+import beaconladder.membership.Member.State;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-class SwimTest {
+class SwimProtocolTest {
     private static final long MS = 1_000_000L;
 
     /** In whatever order, how often and through whom words come, all end with the same. */
@@ -134,7 +134,7 @@
     private static final class Fleet {
         private record Due(long at, long order, int to, Message message) {}
 
-        private final List<Swim> all = new ArrayList<>();
+        private final List<SwimProtocol> all = new ArrayList<>();
         private final PriorityQueue<Due> network =
                 new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
         private final SplittableRandom chance;
@@ -149,7 +149,7 @@
         Fleet(int size, long seed) {
             chance = new SplittableRandom(seed);
             for (int i = 0; i < size; i++) {
-                all.add(new Swim("n" + i, String.valueOf(i), i, List.of("0"), chance.nextLong()));
+                all.add(new SwimProtocol("n" + i, String.valueOf(i), i, List.of("0"), chance.nextLong()));
             }
         }
 
@@ -185,8 +185,8 @@
             down.add(i);
         }
 
-        private void send(int from, List<Send> sends) {
-            for (Send each : sends) {
+        private void send(int from, List<OutgoingMessage> sends) {
+            for (OutgoingMessage each : sends) {
                 int to = Integer.parseInt(each.address());
                 boolean cut = cutAt > 0 && from < cutAt != to < cutAt;
                 if (!cut && chance.nextInt(1_000) >= lossPerMille) {
--- a/src/test/java/beaconladder/gossip/GossipWireTest.java
+++ b/src/test/java/beaconladder/membership/transport/GossipJsonLiteralTest.java
@@ -1,9 +1,9 @@
-package beaconladder.gossip;
+package beaconladder.membership.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.members.Member;
-import beaconladder.members.Message;
+import beaconladder.membership.Member;
+import beaconladder.membership.Message;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -16,7 +16,7 @@
  * The datagrams of members as literal JSON, in both directions: members of two releases have to understand each other,
  * so the names on the wire must outlive the names in the code.
  */
-class GossipWireTest {
+class GossipJsonLiteralTest {
     private static final Member FROM = new Member("r1", "10.0.0.4:7301", 1767225600123L, Member.State.ALIVE);
 
     /** A message and its only form on the wire. */
@@ -63,7 +63,7 @@
 
     @Test
     void eachKindOfMessageIsWrittenInItsLiteralForm() {
-        WIRE.forEach((message, text) -> assertThat(new String(GossipText.bytes(message), StandardCharsets.UTF_8))
+        WIRE.forEach((message, text) -> assertThat(new String(GossipJson.bytes(message), StandardCharsets.UTF_8))
                 .isEqualTo(text));
     }
 
@@ -71,7 +71,7 @@
     void eachLiteralFormIsReadAsItsMessage() throws IOException {
         for (Map.Entry<Message, String> each : WIRE.entrySet()) {
             byte[] bytes = each.getValue().getBytes(StandardCharsets.UTF_8);
-            assertThat(GossipText.read(bytes, bytes.length)).isEqualTo(each.getKey());
+            assertThat(GossipJson.read(bytes, bytes.length)).isEqualTo(each.getKey());
         }
     }
 
--- a/src/test/java/beaconladder/gossip/GossipTextTest.java
+++ b/src/test/java/beaconladder/membership/transport/GossipJsonTest.java
@@ -1,27 +1,27 @@
-package beaconladder.gossip;
+package beaconladder.membership.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beaconladder.members.Member;
-import beaconladder.members.Message;
+import beaconladder.membership.Member;
+import beaconladder.membership.Message;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class GossipTextTest {
+class GossipJsonTest {
     private static final Member A = new Member("a", "10.0.0.4:7301", 5, Member.State.ALIVE);
     private static final Member B = new Member("b", "g1:7301", 6, Member.State.SUSPECT);
     private static final Message GOOD = new Message(Message.Kind.PROBE_FOR, A, 7, "b", List.of(A, B));
 
     @Test
     void whatIsWrittenIsReadAsTheSameAndFitsADatagram() throws IOException {
-        byte[] bytes = GossipText.bytes(GOOD);
-        assertThat(GossipText.read(bytes, bytes.length)).isEqualTo(GOOD);
+        byte[] bytes = GossipJson.bytes(GOOD);
+        assertThat(GossipJson.read(bytes, bytes.length)).isEqualTo(GOOD);
         Member longest = new Member("n".repeat(64), "h".repeat(60) + ":65535", Long.MAX_VALUE, Member.State.SUSPECT);
-        assertThat(GossipText.bytes(new Message(
+        assertThat(GossipJson.bytes(new Message(
                         Message.Kind.PROBE_FOR,
                         longest,
                         Long.MAX_VALUE,
@@ -32,7 +32,7 @@
 
     @Test
     void whatIsNotWholeIsPassedOver() {
-        String good = new String(GossipText.bytes(GOOD), StandardCharsets.UTF_8);
+        String good = new String(GossipJson.bytes(GOOD), StandardCharsets.UTF_8);
         for (String wrong : List.of(
                 "",
                 "{}",
@@ -48,12 +48,12 @@
                 good.replaceAll("\"news\":.*]", "\"news\":[null]"),
                 good.replaceAll("\"news\":.*]", "\"news\":null"))) {
             byte[] bytes = wrong.getBytes(StandardCharsets.UTF_8);
-            assertThatThrownBy(() -> GossipText.read(bytes, bytes.length))
+            assertThatThrownBy(() -> GossipJson.read(bytes, bytes.length))
                     .as(wrong)
                     .isInstanceOf(IOException.class);
         }
         Message crowd = new Message(Message.Kind.ANSWER, A, 1, "", Collections.nCopies(17, B));
-        byte[] bytes = GossipText.bytes(crowd);
-        assertThatThrownBy(() -> GossipText.read(bytes, bytes.length)).isInstanceOf(IOException.class);
+        byte[] bytes = GossipJson.bytes(crowd);
+        assertThatThrownBy(() -> GossipJson.read(bytes, bytes.length)).isInstanceOf(IOException.class);
     }
 }
--- a/src/test/java/beaconladder/plan/PlanReaderTest.java
+++ b/src/test/java/beaconladder/plan/PlanReaderTest.java
@@ -112,6 +112,6 @@
     private static String faults(String text) {
         PlanReader.Result read = PlanReader.read("p", text);
         assertThat(read.plan()).isNull();
-        return read.faults().stream().map(Fault::toString).collect(Collectors.joining("\n"));
+        return read.faults().stream().map(PlanError::toString).collect(Collectors.joining("\n"));
     }
 }
--- a/src/test/java/beaconladder/ClusterClockTest.java
+++ b/src/test/java/beaconladder/routing/ClusterClockTest.java
@@ -1,9 +1,9 @@
-package beaconladder;
+package beaconladder.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
 import org.junit.jupiter.api.Test;
 
 /** What a router takes for the hosts' time, from what they say of themselves. */
--- a/src/test/java/beaconladder/ColdFleetRouter.java
+++ b/src/test/java/beaconladder/routing/ColdFleetRouter.java
@@ -1,27 +1,27 @@
-package beaconladder;
-
-import beaconladder.api.Rounds;
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Role;
-import beaconladder.api.Router.Word;
-import beaconladder.api.Verdict;
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
+package beaconladder.routing;
+
+import beaconladder.routing.api.DecisionLoop;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.RoutingDecision;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
 import java.util.ArrayList;
 import java.util.List;
 
 /** One router of a {@link ColdFleet}, with a clock of its own. */
-final class ColdFleetRouter implements Rounds.Door {
+final class ColdFleetRouter implements DecisionLoop.Door {
     private static final long MS = ColdFleet.MS;
 
     private final ColdFleet fleet;
     /** By how much its clock is ahead of the hosts'. */
     private final long ahead;
 
-    private final Logic logic;
-    private final Rounds rounds;
+    private final RoutingPolicy logic;
+    private final DecisionLoop rounds;
     private final Group group = new Group(1);
     private final List<Host> hosts = new ArrayList<>();
     private long until;
@@ -39,8 +39,8 @@
                 "rules.cold_share=" + ColdFleet.LEAST,
                 "rules.warm_within_us=" + ColdFleet.WARM / 1_000,
                 "replicas_of_me=" + count);
-        logic = new Logic(seed, settings.start);
-        rounds = new Rounds(logic, this);
+        logic = new RoutingPolicy(seed, settings.start);
+        rounds = new DecisionLoop(logic, this);
         for (int i = 0; i < ColdFleet.HOSTS; i++) {
             hosts.add(new Host(i, group, 0));
             logic.listed(hosts.get(i), i == 0, Host.State.READY, fleet.launched[i], clock());
@@ -64,7 +64,7 @@
     void comes() {
         // A quarter writes, the rest any reads.
         int type = fleet.chance.nextInt(4) == 0 ? Script.WRITE : Script.ANY;
-        Txn txn = new Txn(
+        Request txn = new Request(
                 txns, logic.type(type), group, 0, Long.MIN_VALUE, 0, false, clock(), clock() + 2_000 * MS, txns++);
         rounds.act(txn, logic.place(txn, clock()), clock());
         until = 0;
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void send(Submission s, long timeout) {
+    public void send(Attempt s, long timeout) {
         until = 0;
         int host = s.host.id;
         long done = fleet.reach(host);
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void cancel(Submission s) {
+    public void cancel(Attempt s) {
         fleet.at(fleet.now + ColdFleet.TICK, () -> {
             if (!s.ended && !killed) {
                 rounds.act(
@@ -126,13 +126,13 @@
     }
 
     @Override
-    public void decline(Txn txn, long comeBack, Verdict.Reason reason) {}
+    public void decline(Request txn, long comeBack, RoutingDecision.Reason reason) {}
 
     @Override
-    public void rollBack(Txn txn, Verdict.Reason reason) {}
+    public void rollBack(Request txn, RoutingDecision.Reason reason) {}
 
     @Override
-    public void ended(Txn txn) {}
+    public void ended(Request txn) {}
 
     @Override
     public void close(Host host) {}
--- a/src/test/java/beaconladder/ColdFleetTest.java
+++ b/src/test/java/beaconladder/routing/ColdFleetTest.java
@@ -1,4 +1,4 @@
-package beaconladder;
+package beaconladder.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/beaconladder/HostHealthTest.java
+++ b/src/test/java/beaconladder/routing/HostHealthTest.java
@@ -1,12 +1,12 @@
-package beaconladder;
+package beaconladder.routing;
 
-import static beaconladder.Script.ANY;
-import static beaconladder.Script.WRITE;
+import static beaconladder.routing.Script.ANY;
+import static beaconladder.routing.Script.WRITE;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Role;
-import beaconladder.fleet.Host;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.state.Host;
 import org.junit.jupiter.api.Test;
 
 /** Whom a router trusts, by what hosts do and say. */
--- a/src/test/java/beaconladder/PrimaryClockTest.java
+++ b/src/test/java/beaconladder/routing/PrimaryClockTest.java
@@ -1,9 +1,9 @@
-package beaconladder;
+package beaconladder.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Role;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Role;
 import org.junit.jupiter.api.Test;
 
 /** A router whose clock is an hour ahead of the hosts' learns it from answers of primaries. */
--- a/src/test/java/beaconladder/RandomEvents.java
+++ b/src/test/java/beaconladder/routing/RandomEvents.java
@@ -1,17 +1,17 @@
-package beaconladder;
-
-import beaconladder.api.Pause;
-import beaconladder.api.Rounds;
-import beaconladder.api.Router;
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Role;
-import beaconladder.api.Router.Word;
-import beaconladder.api.Verdict;
-import beaconladder.api.Within;
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
+package beaconladder.routing;
+
+import beaconladder.routing.api.DecisionLoop;
+import beaconladder.routing.api.DelegatingRouter;
+import beaconladder.routing.api.NextWakeup;
+import beaconladder.routing.api.Router;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.RoutingDecision;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.util.ArrayList;
@@ -24,18 +24,18 @@
  * A script of random events for one module: lists, txns, answers, probes, clients that leave, time. Every decision and
  * the contents of every pause go into a digest, so that two texts of the module can be compared.
  */
-final class RandomEvents implements Rounds.Door {
+final class RandomEvents implements DecisionLoop.Door {
     private static final long MS = 1_000_000L;
     private static final Outcome[] OUTCOMES = Outcome.values();
 
     private final SplittableRandom chance;
     private final MessageDigest digest;
     private final Router logic;
-    private final Rounds rounds;
+    private final DecisionLoop rounds;
     private final List<Group> groups = new ArrayList<>();
     private final List<Host> hosts = new ArrayList<>();
-    private final List<Txn> txns = new ArrayList<>();
-    private final List<Submission> out = new ArrayList<>();
+    private final List<Request> txns = new ArrayList<>();
+    private final List<Attempt> out = new ArrayList<>();
     private final List<Host> asked = new ArrayList<>();
     private long now = 100_000 * MS;
     private long until;
@@ -52,10 +52,10 @@
         Script settings = new Script(
                 "family_info.session_marks=" + (seed % 2 == 0 ? "client" : "router"),
                 "fees.probe=" + (seed % 3 == 0 ? 0.01 : 0.069));
-        logic = new Within(new Logic(seed, settings.start)) {
+        logic = new DelegatingRouter(new RoutingPolicy(seed, settings.start)) {
             @Override
-            public Pause pause(long now) {
-                Pause pause = inner.pause(now);
+            public NextWakeup pause(long now) {
+                NextWakeup pause = inner.pause(now);
                 again += pause.again().size();
                 say("pause " + (pause.until() - RandomEvents.this.now) + " " + ids(pause.probe())
                         + pause.again().stream().map(t -> " " + t.number).collect(Collectors.joining()) + " "
@@ -63,7 +63,7 @@
                 return pause;
             }
         };
-        rounds = new Rounds(logic, this);
+        rounds = new DecisionLoop(logic, this);
         for (int i = 0; i < groups; i++) {
             this.groups.add(new Group(i));
         }
@@ -94,7 +94,7 @@
             Host host = asked.remove(chance.nextInt(asked.size()));
             logic.probed(host, chance.nextInt(4) > 0 ? Outcome.COMMITTED : Outcome.UNREACHABLE, word(), now);
         } else if (kind < 94 && !txns.isEmpty()) {
-            Txn txn = txns.get(chance.nextInt(txns.size()));
+            Request txn = txns.get(chance.nextInt(txns.size()));
             if (!txn.ended) {
                 rounds.act(txn, chance.nextBoolean() ? logic.left(txn, now) : logic.displaced(txn, now), now);
             }
@@ -128,7 +128,7 @@
         Group group = groups.get(chance.nextInt(groups.size()));
         int type = chance.nextInt(6);
         long written = chance.nextBoolean() ? now - chance.nextLong(900 * MS) : Long.MIN_VALUE;
-        Txn txn = new Txn(
+        Request txn = new Request(
                 taken,
                 logic.type(type),
                 group,
@@ -146,7 +146,7 @@
         rounds.act(txn, logic.place(txn, now), now);
     }
 
-    private void end(Submission s) {
+    private void end(Attempt s) {
         if (!s.ended) {
             Outcome outcome = chance.nextInt(3) > 0 ? Outcome.COMMITTED : OUTCOMES[chance.nextInt(OUTCOMES.length)];
             boolean settled = s.txn.ended || outcome == Outcome.COMMITTED;
@@ -177,29 +177,29 @@
     }
 
     @Override
-    public void send(Submission s, long timeout) {
+    public void send(Attempt s, long timeout) {
         sends++;
         out.add(s);
         say("send " + s.txn.number + " to " + s.host.id + " for " + timeout);
     }
 
     @Override
-    public void cancel(Submission s) {
+    public void cancel(Attempt s) {
         say("cancel " + s.txn.number + " at " + s.host.id);
     }
 
     @Override
-    public void decline(Txn txn, long comeBack, Verdict.Reason reason) {
+    public void decline(Request txn, long comeBack, RoutingDecision.Reason reason) {
         say("decline " + txn.number + " " + comeBack);
     }
 
     @Override
-    public void rollBack(Txn txn, Verdict.Reason reason) {
+    public void rollBack(Request txn, RoutingDecision.Reason reason) {
         say("roll back " + txn.number);
     }
 
     @Override
-    public void ended(Txn txn) {
+    public void ended(Request txn) {
         say("ended " + txn.number);
     }
 
--- a/src/test/java/beaconladder/RepeatTest.java
+++ b/src/test/java/beaconladder/routing/RepeatTest.java
@@ -1,14 +1,14 @@
-package beaconladder;
+package beaconladder.routing;
 
-import static beaconladder.Script.ANY;
-import static beaconladder.Script.BOUNDED;
-import static beaconladder.Script.REFERENCED;
-import static beaconladder.Script.WRITE;
+import static beaconladder.routing.Script.ANY;
+import static beaconladder.routing.Script.BOUNDED;
+import static beaconladder.routing.Script.REFERENCED;
+import static beaconladder.routing.Script.WRITE;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Role;
-import beaconladder.fleet.Host;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.state.Host;
 import org.junit.jupiter.api.Test;
 
 /** When a request is sent again, refused or given up, and whether an attempt still stands. */
--- a/src/test/java/beaconladder/Script.java
+++ b/src/test/java/beaconladder/routing/Script.java
@@ -1,14 +1,14 @@
-package beaconladder;
+package beaconladder.routing;
 
-import beaconladder.api.Pause;
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Role;
-import beaconladder.api.Router.Word;
-import beaconladder.api.Verdict;
-import beaconladder.fleet.Group;
-import beaconladder.fleet.Host;
-import beaconladder.fleet.Submission;
-import beaconladder.fleet.Txn;
+import beaconladder.routing.api.NextWakeup;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.RoutingDecision;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -29,9 +29,9 @@
     final Map<String, String> start = ScriptSettings.usual();
     private final Group group = new Group(1);
     private final Map<String, Host> hosts = new LinkedHashMap<>();
-    private final Map<Integer, Txn> txns = new HashMap<>();
+    private final Map<Integer, Request> txns = new HashMap<>();
     private final StringBuilder trace = new StringBuilder();
-    private Logic logic;
+    private RoutingPolicy logic;
     private long now = ZERO;
     private boolean showsClosing;
     private boolean showsTimes;
@@ -40,7 +40,7 @@
         for (String s : settings) {
             start.put(s.substring(0, s.indexOf('=')), s.substring(s.indexOf('=') + 1));
         }
-        logic = new Logic(7, start);
+        logic = new RoutingPolicy(7, start);
     }
 
     /** A group of a (primary by the roster), b and c, all met, replicas at the present. */
@@ -81,7 +81,7 @@
     }
 
     Script ask(int id, int type, long sinceWriteMillis, long budgetMillis) {
-        Txn txn = new Txn(
+        Request txn = new Request(
                 id,
                 logic.type(type),
                 group,
@@ -100,8 +100,8 @@
 
     /** The newest submission of this txn ends; a position in milliseconds goes with an answer. */
     Script end(int id, Outcome outcome, Role role, long positionMillis) {
-        Submission s = null;
-        for (Submission each : txns.get(id).submissions) {
+        Attempt s = null;
+        for (Attempt each : txns.get(id).submissions) {
             s = each.ended ? s : each;
         }
         return end(s, outcome, role, positionMillis, Role.UNKNOWN, 0);
@@ -118,8 +118,7 @@
                 reportedMillis);
     }
 
-    private Script end(
-            Submission s, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
+    private Script end(Attempt s, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
         say("end " + s.txn.id + "@" + (char) s.host.id + " " + outcome.name().toLowerCase(java.util.Locale.ROOT));
         act(
                 s.txn,
@@ -140,7 +139,7 @@
 
     /** Of this txn's submissions, those out at the named host time out and those elsewhere are committed. */
     Script silent(String name, int id) {
-        for (Submission s : java.util.List.copyOf(txns.get(id).submissions)) {
+        for (Attempt s : java.util.List.copyOf(txns.get(id).submissions)) {
             if (!s.ended) {
                 boolean lost = s.host == hosts.get(name);
                 end(
@@ -194,7 +193,7 @@
 
     /** The newest submission of this txn has its connection: whether it still stands. */
     Script stands(int id) {
-        Submission s = txns.get(id).submissions.get(txns.get(id).submissions.size() - 1);
+        Attempt s = txns.get(id).submissions.get(txns.get(id).submissions.size() - 1);
         say("stands " + id + "@" + (char) s.host.id + " " + logic.mayGo(s, now).allowed());
         return this;
     }
@@ -217,7 +216,7 @@
 
     private long settle() {
         while (true) {
-            Pause pause = logic.pause(now);
+            NextWakeup pause = logic.pause(now);
             for (Host host : pause.probe()) {
                 say("probe " + (char) host.id);
             }
@@ -227,7 +226,7 @@
             if (pause.again().isEmpty()) {
                 return pause.until() <= now ? now + MS : pause.until();
             }
-            for (Txn txn : pause.again()) {
+            for (Request txn : pause.again()) {
                 if (!txn.ended) {
                     act(txn, logic.place(txn, now));
                 }
@@ -235,13 +234,13 @@
         }
     }
 
-    private void act(Txn txn, Verdict verdict) {
-        for (Submission s : verdict.cancel()) {
+    private void act(Request txn, RoutingDecision verdict) {
+        for (Attempt s : verdict.cancel()) {
             say("  cancel " + txn.id + "@" + (char) s.host.id);
         }
         switch (verdict.step()) {
             case SEND -> {
-                Submission s = new Submission(
+                Attempt s = new Attempt(
                         txn,
                         txn.submissions.size(),
                         verdict.host(),
--- a/src/test/java/beaconladder/ScriptSettings.java
+++ b/src/test/java/beaconladder/routing/ScriptSettings.java
@@ -1,4 +1,4 @@
-package beaconladder;
+package beaconladder.routing;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
