--- a/src/test/java/beaconladder/StaleReadTest.java
+++ b/src/test/java/beaconladder/routing/StaleReadTest.java
@@ -1,15 +1,15 @@
-package beaconladder;
+package beaconladder.routing;
 
-import static beaconladder.Script.ANY;
-import static beaconladder.Script.BOUNDED;
-import static beaconladder.Script.CURRENT;
-import static beaconladder.Script.SESSION;
-import static beaconladder.Script.WRITE;
+import static beaconladder.routing.Script.ANY;
+import static beaconladder.routing.Script.BOUNDED;
+import static beaconladder.routing.Script.CURRENT;
+import static beaconladder.routing.Script.SESSION;
+import static beaconladder.routing.Script.WRITE;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.api.Router.Outcome;
-import beaconladder.api.Router.Role;
-import beaconladder.fleet.Host.State;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.state.Host.State;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/beaconladder/fleet/AgendaTest.java
+++ b/src/test/java/beaconladder/routing/state/WakeupQueueTest.java
@@ -1,4 +1,4 @@
-package beaconladder.fleet;
+package beaconladder.routing.state;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,14 +10,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class AgendaTest {
-    private final Agenda agenda = new Agenda();
-    private final TxnType type =
-            TxnType.read(Map.of("request_classes.count", "1")).get(0);
+class WakeupQueueTest {
+    private final WakeupQueue agenda = new WakeupQueue();
+    private final RequestClass type =
+            RequestClass.read(Map.of("request_classes.count", "1")).get(0);
     private long taken;
 
-    private Txn txn(Group group) {
-        return new Txn(taken, type, group, 0, 0, 0, false, 0, 0, taken++);
+    private Request txn(Group group) {
+        return new Request(taken, type, group, 0, 0, 0, false, 0, 0, taken++);
     }
 
     @Test
@@ -61,7 +61,7 @@
         }
         Set<Group> listed = new LinkedHashSet<>();
         Set<Group> marked = new LinkedHashSet<>();
-        List<Txn> held = new ArrayList<>();
+        List<Request> held = new ArrayList<>();
         int named = 0;
         for (int i = 0; i < 50_000; i++) {
             Group group = groups.get(chance.nextInt(groups.size()));
@@ -73,7 +73,7 @@
                 agenda.change(group);
                 marked.add(group);
             } else if (kind < 6) {
-                Txn txn = txn(group);
+                Request txn = txn(group);
                 agenda.hold(txn);
                 held.add(txn);
             } else if (kind < 8 && !held.isEmpty()) {
--- a/src/test/java/beaconladder/serve/ClientTest.java
+++ b/src/test/java/beaconladder/server/ClientConnectionTest.java
@@ -1,9 +1,9 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.pg.Outbox;
-import beaconladder.pg.Room;
+import beaconladder.pg.MemoryLimit;
+import beaconladder.pg.MessageWriter;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class ClientTest {
+class ClientConnectionTest {
     /**
      * On a part of a core the reader may stand still between any two steps. Wherever a query comes in while an idle
      * client is ended, it is either answered, or stays unread in the socket, which the operating system tells the
@@ -21,17 +21,18 @@
     void aQueryThatComesWhileAnIdleClientIsEndedIsAnsweredOrStaysUnread() throws Exception {
         Map<String, String> start = new LinkedHashMap<>(
                 Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east"));
-        Desk desk = new Desk(1, start, null);
-        Threads threads = new Threads(192);
-        Room room = new Room(1 << 20);
-        Descriptors descriptors = new Descriptors(128);
-        Lines lines = new Lines(desk, start, threads, room, descriptors, Line::new);
-        Clients clients = new Clients(desk, lines, threads, room, List.of(), descriptors, 128);
+        RequestDispatcher desk = new RequestDispatcher(1, start, null);
+        ThreadLimit threads = new ThreadLimit(192);
+        MemoryLimit room = new MemoryLimit(1 << 20);
+        DescriptorLimit descriptors = new DescriptorLimit(128);
+        ServerConnectionPool lines =
+                new ServerConnectionPool(desk, start, threads, room, descriptors, ServerConnection::new);
+        ClientServer clients = new ClientServer(desk, lines, threads, room, List.of(), descriptors, 128);
         StringBuilder trace = new StringBuilder();
         // The startup message is the first read; two looks come before the close; the third is never taken.
         for (int read = 2; read <= 4; read++) {
             Late wire = new Late(read);
-            Client client = new Client(clients, desk, lines, wire);
+            ClientConnection client = new ClientConnection(clients, desk, lines, wire);
             client.readable();
             wire.clear();
             boolean ended = client.closeIfIdle(Long.MAX_VALUE);
@@ -53,7 +54,7 @@
     }
 
     /** A client whose query comes right before the reader's read of this number, or its close. */
-    private static final class Late implements Wire {
+    private static final class Late implements ClientChannel {
         private final int at;
         private int reads;
         private int unread;
@@ -68,8 +69,8 @@
         public synchronized int read(ByteBuffer into) {
             reads++;
             byte[] bytes = reads == 1
-                    ? bytes(Outbox.startup("app", "shop"))
-                    : reads == at ? bytes(Outbox.query("")) : new byte[0];
+                    ? bytes(MessageWriter.startup("app", "shop"))
+                    : reads == at ? bytes(MessageWriter.query("")) : new byte[0];
             into.put(bytes);
             return bytes.length;
         }
@@ -105,12 +106,12 @@
         @Override
         public synchronized void close() {
             if (!closed && reads < at) {
-                unread = Outbox.query("").size();
+                unread = MessageWriter.query("").size();
             }
             closed = true;
         }
 
-        private static byte[] bytes(Outbox out) {
+        private static byte[] bytes(MessageWriter out) {
             byte[] bytes = new byte[out.size()];
             out.bytes().get(bytes);
             return bytes;
--- a/src/test/java/beaconladder/serve/ClockIT.java
+++ b/src/test/java/beaconladder/server/ClockIT.java
@@ -1,10 +1,10 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.soak.FaultPlan;
-import beaconladder.lab.soak.FaultShim;
+import beaconladder.testbed.TestClient;
+import beaconladder.testbed.soak.FaultPlan;
+import beaconladder.testbed.soak.FaultShim;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -35,7 +35,7 @@
     }
 
     /** Reads within a bound of 500 ms, and writes, which tell the time as well. */
-    private void ask(Caller c, String name, int count) throws InterruptedException {
+    private void ask(TestClient c, String name, int count) throws InterruptedException {
         for (int i = 0; i < count; i++) {
             assertThat(ask(c, fresh(name + i))).as(name + i).startsWith("T D:");
             assertThat(ask(c, write(name + "w" + i, 1_500))).as(name + "w" + i).startsWith("T D:");
@@ -47,7 +47,7 @@
     @Test
     void aClockThatWasBehindAtTheStartAndIsPutRightMakesNoReadStale() throws Exception {
         start(-HOUR);
-        Caller c = caller();
+        TestClient c = caller();
         for (int i = 0; i < 5; i++) {
             ask(c, fresh("behind" + i));
             ask(c, write("behindw" + i, 1_500));
@@ -69,7 +69,7 @@
     void aClockThatIsWrongFromTheStartKeepsReplicasInUse() throws Exception {
         for (long offset : new long[] {-HOUR, HOUR}) {
             start(offset);
-            Caller c = caller();
+            TestClient c = caller();
             // A primary that was never met gets no read; that is another matter.
             ask(c, write("meet" + offset, 1_500));
             ask(c, "first" + offset, LOOKS / 2);
@@ -86,7 +86,7 @@
     @Test
     void aClockThatIsSteppedWhileItRunsChangesNothing() throws Exception {
         start(0);
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, "first", 5);
         for (long step : new long[] {-HOUR, 2 * HOUR, -HOUR - 5_000_000_000L}) {
             plan.stepWallClock(step);
--- a/src/test/java/beaconladder/serve/DescriptorsTest.java
+++ b/src/test/java/beaconladder/server/DescriptorLimitTest.java
@@ -1,15 +1,15 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.serve.Descriptors.Use;
+import beaconladder.server.DescriptorLimit.Use;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class DescriptorsTest {
+class DescriptorLimitTest {
     @Test
     void neitherUseCanLockTheOtherOutAndTheProgramsOwnStayFree() {
-        Descriptors of = new Descriptors(128);
+        DescriptorLimit of = new DescriptorLimit(128);
         StringBuilder trace = new StringBuilder();
         trace.append(of.most())
                 .append(' ')
@@ -27,7 +27,7 @@
     void overAnyHistoryNoMoreAreHeldThanThereAreAndEachUseGetsItsPart() {
         SplittableRandom chance = new SplittableRandom(7);
         for (int stated : new int[] {1, 40, 64, 76, 128, 256, 1024}) {
-            Descriptors of = new Descriptors(stated);
+            DescriptorLimit of = new DescriptorLimit(stated);
             int whole = Math.max(4, stated - 32);
             for (int i = 0; i < 20_000; i++) {
                 Use use = Use.values()[chance.nextInt(2)];
@@ -47,7 +47,7 @@
 
     @Test
     void whoWaitsGetsOneThatIsGivenBackAndNoneAfterItsTime() throws Exception {
-        Descriptors of = new Descriptors(36);
+        DescriptorLimit of = new DescriptorLimit(36);
         takeAll(of, Use.HOST);
         long from = System.nanoTime();
         assertThat(of.take(Use.HOST, from + 60_000_000)).isFalse();
@@ -65,7 +65,7 @@
         giver.join();
     }
 
-    private static int takeAll(Descriptors of, Use use) {
+    private static int takeAll(DescriptorLimit of, Use use) {
         int n = 0;
         while (of.take(use)) {
             n++;
--- a/src/test/java/beaconladder/serve/DiscoveryIT.java
+++ b/src/test/java/beaconladder/server/DiscoveryIT.java
@@ -1,13 +1,13 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.DiscoveryStandIn;
-import beaconladder.lab.DiscoveryStandIn.Manner;
-import beaconladder.lab.HostStandIn;
-import beaconladder.lab.RouterFile;
-import beaconladder.lab.Writers;
+import beaconladder.testbed.DiscoveryStandIn;
+import beaconladder.testbed.DiscoveryStandIn.Manner;
+import beaconladder.testbed.HostStandIn;
+import beaconladder.testbed.PipeliningClients;
+import beaconladder.testbed.RouterFile;
+import beaconladder.testbed.TestClient;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -41,7 +41,7 @@
 
     private final List<AutoCloseable> open = new ArrayList<>();
     private final List<Thread> clients = new ArrayList<>();
-    private Writers writers;
+    private PipeliningClients writers;
     private volatile boolean over;
     private HostStandIn leader;
     private HostStandIn stays;
@@ -52,7 +52,7 @@
         leader = keep(new HostStandIn("leader"));
         stays = keep(new HostStandIn("follower"));
         goes = keep(new HostStandIn("follower"));
-        writers = new Writers(List.of(leader, stays, goes), port -> false);
+        writers = new PipeliningClients(List.of(leader, stays, goes), port -> false);
     }
 
     @AfterEach
@@ -166,7 +166,7 @@
     private void load(String name, Program router) {
         Thread client = new Thread(() -> {
             SplittableRandom chance = new SplittableRandom(name.hashCode());
-            try (Caller caller = writers.open(router.port)) {
+            try (TestClient caller = writers.open(router.port)) {
                 for (int k = 0; !over; k++) {
                     writers.ask(router.port, caller, name + "-" + k, 1, chance);
                     TimeUnit.MILLISECONDS.sleep(10);
--- a/src/test/java/beaconladder/serve/FaultySocket.java
+++ b/src/test/java/beaconladder/server/FaultySocket.java
@@ -1,6 +1,6 @@
-package beaconladder.serve;
+package beaconladder.server;
 
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -20,7 +20,7 @@
     FaultySocket(Throwable fault, AtomicInteger queries) {
         this.fault = fault;
         this.queries = queries;
-        Outbox out = new Outbox().authenticationOk().ready();
+        MessageWriter out = new MessageWriter().authenticationOk().ready();
         greeting = new byte[out.size()];
         out.bytes().get(greeting);
     }
--- a/src/test/java/beaconladder/serve/FullHouseIT.java
+++ b/src/test/java/beaconladder/server/FullHouseIT.java
@@ -1,12 +1,12 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.DiscoveryStandIn;
-import beaconladder.lab.DiscoveryStandIn.Manner;
-import beaconladder.lab.HostStandIn;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.DiscoveryStandIn;
+import beaconladder.testbed.DiscoveryStandIn.Manner;
+import beaconladder.testbed.HostStandIn;
+import beaconladder.testbed.TestClient;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -28,7 +28,7 @@
         int port = Program.freePort();
         router = keep(new Program(folder, config(port), port, "ulimit -n " + LIMIT + "; "))
                 .ready();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         discovery.manner = Manner.SILENT;
         discovery.cutOff();
@@ -63,7 +63,7 @@
         while (idle.size() < IDLE) {
             Socket socket = keep(new Socket(InetAddress.getLoopbackAddress(), router.port));
             idle.add(socket);
-            Outbox.startup("app", "shop").writeTo(socket.getOutputStream());
+            MessageWriter.startup("app", "shop").writeTo(socket.getOutputStream());
         }
     }
 
@@ -86,9 +86,9 @@
         long until = System.nanoTime() + millis * 1_000_000;
         for (int i = 0; host.queries.isEmpty(); i++) {
             assertThat(System.nanoTime()).as(router.log()).isLessThan(until);
-            try (Caller one = new Caller(new Socket(InetAddress.getLoopbackAddress(), router.port))) {
-                Outbox.startup("app", "shop")
-                        .append(Outbox.query(read("h" + host.port() + "-" + i, 1500)))
+            try (TestClient one = new TestClient(new Socket(InetAddress.getLoopbackAddress(), router.port))) {
+                MessageWriter.startup("app", "shop")
+                        .append(MessageWriter.query(read("h" + host.port() + "-" + i, 1500)))
                         .writeTo(one.out);
                 one.answer();
                 one.answer();
--- a/src/test/java/beaconladder/serve/GoneClientsIT.java
+++ b/src/test/java/beaconladder/server/GoneClientsIT.java
@@ -1,11 +1,11 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.HostStandIn;
-import beaconladder.lab.HostStandIn.Manner;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.HostStandIn;
+import beaconladder.testbed.HostStandIn.Manner;
+import beaconladder.testbed.TestClient;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -30,7 +30,7 @@
     @Test
     void nothingIsSentOnOfAPipelineThatIsFullOnceItsClientHasGone() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         a.delayMillis = 400;
         b.delayMillis = 400;
@@ -46,11 +46,11 @@
     @Test
     void nothingIsSentOnOfAClientThatGoesInTheMiddleOfAMessage() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         a.delayMillis = 300;
         b.delayMillis = 300;
-        Outbox all = pipeline("h", 5);
+        MessageWriter all = pipeline("h", 5);
         all.writeTo(c.out);
         c.out.write(new byte[] {'Q', 0, 0, 1, 0, 'S', 'E'});
         await(() -> seen("h").size() >= 1);
@@ -62,7 +62,7 @@
     @Test
     void nothingIsSentOnOfAClientThatGoesBehindADrainsLastLook() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         a.delayMillis = 400;
         b.delayMillis = 400;
@@ -79,7 +79,7 @@
     @Test
     void whatComesBehindADrainsLastLookIsDeclinedInItsTurn() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         a.delayMillis = 500;
         b.delayMillis = 500;
@@ -97,7 +97,7 @@
     @Test
     void nothingIsSentOverAConnectionThatComesUpOnceTheClientHasGone() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         a.closesAfterAnswer = true;
         b.closesAfterAnswer = true;
         for (int i = 0; i < 4; i++) {
@@ -105,7 +105,7 @@
         }
         a.greetMillis = 200;
         b.greetMillis = 200;
-        Outbox.query(read("g1", 2000)).writeTo(c.out);
+        MessageWriter.query(read("g1", 2000)).writeTo(c.out);
         TimeUnit.MILLISECONDS.sleep(20);
         c.close();
         nothingAfter(System.currentTimeMillis(), "g", 1_000);
@@ -115,17 +115,17 @@
     @Test
     void nothingIsSentOnOfManyThatGoAtOnceWhileTheyWait() throws Exception {
         start();
-        Caller first = caller();
+        TestClient first = caller();
         ask(first, write("warm", 2000));
         a.manner = Manner.MISS;
-        List<Caller> all = new ArrayList<>();
+        List<TestClient> all = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             all.add(caller());
-            Outbox.query(write("m" + i + "x", 2000)).writeTo(all.get(i).out);
+            MessageWriter.query(write("m" + i + "x", 2000)).writeTo(all.get(i).out);
         }
         await(() -> !seen("m").isEmpty());
         TimeUnit.MILLISECONDS.sleep(100);
-        for (Caller c : all) {
+        for (TestClient c : all) {
             c.close();
         }
         long gone = System.currentTimeMillis();
@@ -140,7 +140,9 @@
         Keyed c = new Keyed();
         a.manner = Manner.SILENT;
         b.manner = Manner.SILENT;
-        Outbox.query(write("c1", 2000)).append(Outbox.query(write("c2", 2000))).writeTo(c.out);
+        MessageWriter.query(write("c1", 2000))
+                .append(MessageWriter.query(write("c2", 2000)))
+                .writeTo(c.out);
         await(() -> !seen("c1").isEmpty());
         cancel(c.process, c.secret + 1);
         TimeUnit.MILLISECONDS.sleep(300);
@@ -158,10 +160,10 @@
 
     // ---- Helpers ------------------------------------------------------------------------------------------
 
-    private static Outbox pipeline(String name, int queries) {
-        Outbox all = new Outbox();
+    private static MessageWriter pipeline(String name, int queries) {
+        MessageWriter all = new MessageWriter();
         for (int i = 0; i < queries; i++) {
-            all.append(Outbox.query(read(name + i + "x", 2000)));
+            all.append(MessageWriter.query(read(name + i + "x", 2000)));
         }
         return all;
     }
@@ -213,12 +215,12 @@
     private final class Keyed {
         private final Socket socket = keep(new Socket(InetAddress.getLoopbackAddress(), router.port));
         private final java.io.OutputStream out = socket.getOutputStream();
-        private final Caller caller;
+        private final TestClient caller;
         private int process;
         private int secret;
 
         Keyed() throws IOException {
-            Outbox.startup("app", "shop").writeTo(out);
+            MessageWriter.startup("app", "shop").writeTo(out);
             DataInputStream in = new DataInputStream(socket.getInputStream());
             ByteArrayOutputStream types = new ByteArrayOutputStream();
             while (!types.toString().endsWith("Z")) {
@@ -230,7 +232,7 @@
                     secret = ByteBuffer.wrap(body).getInt(4);
                 }
             }
-            caller = new Caller(socket);
+            caller = new TestClient(socket);
         }
 
         int waiting() throws IOException {
--- a/src/test/java/beaconladder/serve/DrainTest.java
+++ b/src/test/java/beaconladder/server/GracefulShutdownTest.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,7 +6,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 
-class DrainTest {
+class GracefulShutdownTest {
     private static final long S = 1_000_000_000L;
 
     /** Whatever was taken by the last look has the whole of its time; nothing ends after a kill may come. */
@@ -16,7 +16,7 @@
             @ForAll @LongRange(min = 0, max = 30 * S) long begins,
             @ForAll @LongRange(min = 1, max = 20 * S) long budget) {
         long told = 1_767_225_600L * S;
-        Drain drain = new Drain(told, longest);
+        GracefulShutdown drain = new GracefulShutdown(told, longest);
         long kill = told + Math.max(longest, 3 * S) + 700_000_000L;
         assertThat(drain.expiry(told + begins, budget, false)).isLessThanOrEqualTo(kill);
         assertThat(drain.expiry(told + begins, budget, true)).isIn(told + begins, told + begins + budget);
--- a/src/test/java/beaconladder/serve/HardTimesIT.java
+++ b/src/test/java/beaconladder/server/HardTimesIT.java
@@ -1,11 +1,11 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.DiscoveryStandIn;
-import beaconladder.lab.HostStandIn;
-import beaconladder.lab.Writers;
+import beaconladder.testbed.DiscoveryStandIn;
+import beaconladder.testbed.HostStandIn;
+import beaconladder.testbed.PipeliningClients;
+import beaconladder.testbed.TestClient;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -29,7 +29,7 @@
     Path folder;
 
     private final List<AutoCloseable> open = new ArrayList<>();
-    private Writers writers;
+    private PipeliningClients writers;
     private volatile boolean over;
     private HostStandIn a;
     private HostStandIn b;
@@ -39,7 +39,7 @@
     void standIns() throws IOException {
         a = keep(new HostStandIn("leader"));
         b = keep(new HostStandIn("follower"));
-        writers = new Writers(List.of(a, b), port -> false);
+        writers = new PipeliningClients(List.of(a, b), port -> false);
         discovery = keep(new DiscoveryStandIn());
         discovery.list(true, a.entry("a", "Ready"), b.entry("b", "Ready"));
     }
@@ -163,7 +163,7 @@
             clients.add(thread(() -> {
                 SplittableRandom chance = new SplittableRandom(n);
                 for (int k = 0; !over; k++) {
-                    Caller caller = writers.open(program.port);
+                    TestClient caller = writers.open(program.port);
                     if (caller == null) {
                         continue;
                     }
--- a/src/test/java/beaconladder/serve/LastCloseIT.java
+++ b/src/test/java/beaconladder/server/LastCloseIT.java
@@ -1,9 +1,9 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.TestClient;
 import java.net.SocketException;
 import org.junit.jupiter.api.Test;
 
@@ -21,19 +21,19 @@
     @Test
     void aQueryThatCrossesItIsToldByAResetAtOnce() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         a.delayMillis = 1_200;
         b.delayMillis = 1_200;
-        Outbox.query(read("slow", 2_000)).writeTo(c.out);
+        MessageWriter.query(read("slow", 2_000)).writeTo(c.out);
         Thread.sleep(100);
         router.signal("TERM");
         assertThat(c.answer()).startsWith("T D:");
         assertThat(c.answer()).isEqualTo("closed");
-        Outbox.query(read("crosses", 2_000)).writeTo(c.out);
+        MessageWriter.query(read("crosses", 2_000)).writeTo(c.out);
         Thread.sleep(SOON_MILLIS);
         boolean reset = false;
         try {
-            Outbox.query(read("later", 2_000)).writeTo(c.out);
+            MessageWriter.query(read("later", 2_000)).writeTo(c.out);
         } catch (SocketException e) {
             reset = true;
         }
--- a/src/test/java/beaconladder/serve/PartsTest.java
+++ b/src/test/java/beaconladder/server/PartsTest.java
@@ -1,14 +1,14 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 
-import beaconladder.api.Router.Word;
-import beaconladder.pg.Inbox;
-import beaconladder.pg.Room;
+import beaconladder.discovery.EndpointWatch;
+import beaconladder.discovery.JsonReader;
+import beaconladder.pg.MemoryLimit;
+import beaconladder.pg.MessageReader;
 import beaconladder.pg.Statement;
-import beaconladder.roster.Json;
-import beaconladder.roster.Watch;
+import beaconladder.routing.api.Router.Word;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -29,7 +29,7 @@
     @Test
     void nestedSettingsBecomeTheDrillsFlatLines() throws Exception {
         Map<String, String> flat = new LinkedHashMap<>();
-        Json.flatten("", Json.read("""
+        JsonReader.flatten("", JsonReader.read("""
                 {"clients":{"marks_retry":true},"family_info":{"freshness":["recent","update"],
                  "notes":"position in ms, plus 1","position_zero_us":281993321636},
                  "fees":{"probe":0.069,"waste":0.0},"kinds":["std-3c"],
@@ -64,7 +64,7 @@
     void positionsStayExactAndAreRoundedDownOnly() {
         StringBuilder trace = new StringBuilder();
         for (String position : new String[] {"1767225600123", "1767225600123.9999999", "0", "-3", "1e30", "x", ""}) {
-            long nanos = Ending.nanos(position, 6);
+            long nanos = ExchangeResult.nanos(position, 6);
             trace.append(position)
                     .append(" ms: ")
                     .append(nanos == Word.NONE ? "none" : nanos)
@@ -80,7 +80,7 @@
             "nonsense",
             ""
         }) {
-            Word word = Ending.report(load);
+            Word word = ExchangeResult.report(load);
             trace.append(load)
                     .append(": ")
                     .append(word.role())
@@ -125,8 +125,9 @@
             assertTimeoutPreemptively(
                     Duration.ofSeconds(2),
                     () -> {
-                        assertThat(Ending.nanos(number, 6)).isEqualTo(Word.NONE);
-                        assertThat(Ending.report("x0=" + number + ",x1=1")).isEqualTo(Word.SILENT);
+                        assertThat(ExchangeResult.nanos(number, 6)).isEqualTo(Word.NONE);
+                        assertThat(ExchangeResult.report("x0=" + number + ",x1=1"))
+                                .isEqualTo(Word.SILENT);
                     },
                     () -> number.substring(0, Math.min(20, number.length())));
         }
@@ -166,8 +167,8 @@
             "NaN"
         }) {
             try {
-                trace.append(Json.read(text)).append('\n');
-            } catch (Json.Fault e) {
+                trace.append(JsonReader.read(text)).append('\n');
+            } catch (JsonReader.Fault e) {
                 trace.append(e.getMessage().replaceAll("bad JSON at character (\\d+): .+", "$1 "));
             }
         }
@@ -190,8 +191,8 @@
             "7"
         }) {
             try {
-                Map<?, ?> news = (Map<?, ?>) Json.read("{\"servers\":[" + entry + "]}");
-                trace.append(Watch.entries(news)).append('\n');
+                Map<?, ?> news = (Map<?, ?>) JsonReader.read("{\"servers\":[" + entry + "]}");
+                trace.append(EndpointWatch.entries(news)).append('\n');
             } catch (IOException e) {
                 trace.append(e.getMessage()).append('\n');
             }
@@ -214,16 +215,16 @@
     void hostsThatAreGoneAreLetGo() throws Exception {
         Map<String, String> start = new LinkedHashMap<>(
                 Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east"));
-        Desk desk = new Desk(1, start, null);
-        desk.errands(new Lines(
+        RequestDispatcher desk = new RequestDispatcher(1, start, null);
+        desk.errands(new ServerConnectionPool(
                 desk,
                 start,
                 task -> {
                     task.run();
                     return true;
                 },
-                new Room(0),
-                new Descriptors(64),
+                new MemoryLimit(0),
+                new DescriptorLimit(64),
                 (address, room) -> {
                     throw new IOException("nobody there");
                 }));
@@ -232,10 +233,12 @@
             desk.listed(
                     false,
                     List.of(
-                            new Watch.Entry("s" + i, address, "east", i % 2, Watch.State.READY, false, 0),
-                            new Watch.Entry("s" + (i - 5), null, "east", i % 2, Watch.State.GONE, false, 0)));
+                            new EndpointWatch.Entry(
+                                    "s" + i, address, "east", i % 2, EndpointWatch.State.READY, false, 0),
+                            new EndpointWatch.Entry(
+                                    "s" + (i - 5), null, "east", i % 2, EndpointWatch.State.GONE, false, 0)));
             Statement read = Statement.read("SELECT doc FROM items WHERE id = 'k' /* id=1,c=x,d=9 */");
-            Hand hand =
+            InFlightRequest hand =
                     desk.take("t" + i, 0, desk.group(i % 2), read, Word.NONE, desk.now(), desk.now() + 1_000_000, null);
             desk.left(hand);
             desk.release("t" + i);
@@ -247,8 +250,8 @@
     /** At rest a list costs nothing: what looks for hosts that are gone does not walk all others. */
     @Test
     void aSweepCostsNoMoreOfALongList() throws Exception {
-        Desk few = listing(58);
-        Desk many = listing(5_800);
+        RequestDispatcher few = listing(58);
+        RequestDispatcher many = listing(5_800);
         sweeps(few);
         sweeps(many);
         long short58 = Long.MAX_VALUE;
@@ -260,8 +263,8 @@
         assertThat(long5800).isLessThan(10 * short58);
     }
 
-    private static Desk listing(int count) {
-        Desk desk = new Desk(
+    private static RequestDispatcher listing(int count) {
+        RequestDispatcher desk = new RequestDispatcher(
                 1,
                 new LinkedHashMap<>(
                         Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east")),
@@ -270,12 +273,13 @@
         desk.listed(
                 true,
                 IntStream.range(0, count)
-                        .mapToObj(i -> new Watch.Entry("s" + i, address, "east", i / 3, Watch.State.READY, false, 0))
+                        .mapToObj(i -> new EndpointWatch.Entry(
+                                "s" + i, address, "east", i / 3, EndpointWatch.State.READY, false, 0))
                         .toList());
         return desk;
     }
 
-    private static long sweeps(Desk desk) {
+    private static long sweeps(RequestDispatcher desk) {
         long from = System.nanoTime();
         for (int i = 0; i < 300; i++) {
             desk.sweep();
@@ -286,19 +290,19 @@
     /** What a cell's clients take, they take from all, and beyond their part they get nothing. */
     @Test
     void aPartOfTheRoomIsBoundedByItselfAndByTheWhole() throws Exception {
-        Room whole = new Room(8_192);
-        Room part = new Room(2_048, whole);
-        Inbox in = new Inbox(whole);
+        MemoryLimit whole = new MemoryLimit(8_192);
+        MemoryLimit part = new MemoryLimit(2_048, whole);
+        MessageReader in = new MessageReader(whole);
         in.charge(part);
         byte[] message = new byte[6_000];
         message[0] = 'Q';
         message[3] = 0x20;
         ReadableByteChannel channel = Channels.newChannel(new ByteArrayInputStream(message));
-        Inbox.Got got = Inbox.Got.NOTHING;
-        while (got == Inbox.Got.NOTHING && in.feed(channel) > 0) {
+        MessageReader.Got got = MessageReader.Got.NOTHING;
+        while (got == MessageReader.Got.NOTHING && in.feed(channel) > 0) {
             got = in.poll(false);
         }
-        assertThat(got).isEqualTo(Inbox.Got.NO_ROOM);
+        assertThat(got).isEqualTo(MessageReader.Got.NO_ROOM);
         assertThat(part.left()).isZero();
         assertThat(whole.left()).isEqualTo(8_192 - 2_048);
         in.release();
--- a/src/test/java/beaconladder/serve/PipelineIT.java
+++ b/src/test/java/beaconladder/server/PipelineIT.java
@@ -1,9 +1,9 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.TestClient;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
@@ -18,12 +18,12 @@
     @Test
     void readsWrittenAheadAreInHandSideBySide() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         b.delayMillis = 300;
-        Outbox all = new Outbox();
+        MessageWriter all = new MessageWriter();
         for (int i = 0; i < 8; i++) {
-            all.append(Outbox.query(read("s" + i, 1200)));
+            all.append(MessageWriter.query(read("s" + i, 1200)));
         }
         long from = System.nanoTime();
         all.writeTo(c.out);
@@ -38,15 +38,15 @@
     @Test
     void answersGoOutInTheOrderOfTheirQueries() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         b.delayMillis = 600;
-        Outbox.query(read("slow", 2000)).writeTo(c.out);
+        MessageWriter.query(read("slow", 2000)).writeTo(c.out);
         await(() -> b.queries().stream().anyMatch(q -> q.contains("id=slow")));
         b.delayMillis = 0;
-        Outbox.query(read("fast", 2000))
-                .append(Outbox.query("DROP TABLE items"))
-                .append(Outbox.query(""))
+        MessageWriter.query(read("fast", 2000))
+                .append(MessageWriter.query("DROP TABLE items"))
+                .append(MessageWriter.query(""))
                 .writeTo(c.out);
         await(() -> b.queries().stream().anyMatch(q -> q.contains("id=fast")));
         assertThat(c.waiting()).isZero();
@@ -60,13 +60,13 @@
     @Test
     void whatNamesTheSameRowKeepsItsOrderAroundAWrite() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         a.delayMillis = 300;
-        Outbox.query(read("r1", 2000))
-                .append(Outbox.query(write("w2", 2000)))
-                .append(Outbox.query(read("r3", 2000)))
-                .append(Outbox.query(read("other", 2000).replace("'k'", "'another'")))
+        MessageWriter.query(read("r1", 2000))
+                .append(MessageWriter.query(write("w2", 2000)))
+                .append(MessageWriter.query(read("r3", 2000)))
+                .append(MessageWriter.query(read("other", 2000).replace("'k'", "'another'")))
                 .writeTo(c.out);
         await(() -> a.queries().stream().anyMatch(q -> q.contains("id=w2")));
         TimeUnit.MILLISECONDS.sleep(150);
@@ -82,10 +82,12 @@
     @Test
     void aQueryThatHadToWaitForOneBeforeItHasItsWholeTime() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, write("warm", 2000));
         a.delayMillis = 700;
-        Outbox.query(write("w1", 1000)).append(Outbox.query(read("r2", 1000))).writeTo(c.out);
+        MessageWriter.query(write("w1", 1000))
+                .append(MessageWriter.query(read("r2", 1000)))
+                .writeTo(c.out);
         say(c.answer());
         say(c.answer());
         assertThat(trace.toString()).isEqualTo(ROW + "\n" + ROW + "\n");
--- a/src/test/java/beaconladder/serve/AheadTest.java
+++ b/src/test/java/beaconladder/server/PipelineQueueTest.java
@@ -1,24 +1,25 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class AheadTest {
+class PipelineQueueTest {
     private static final int MANY = Integer.MAX_VALUE;
-    private final Ahead ahead = new Ahead();
+    private final PipelineQueue ahead = new PipelineQueue();
 
     @Test
     void oneClientHasSixteenInHandAtTheMost() {
-        List<Ahead.Turn> turns = new ArrayList<>();
+        List<PipelineQueue.Turn> turns = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             turns.add(ahead.add(read("k")));
         }
-        assertThat(turns).startsWith(Ahead.Turn.START_TASK).endsWith(Ahead.Turn.WAITS);
-        assertThat(turns.stream().filter(t -> t == Ahead.Turn.START_TASK)).hasSize(16);
+        assertThat(turns).startsWith(PipelineQueue.Turn.START_TASK).endsWith(PipelineQueue.Turn.WAITS);
+        assertThat(turns.stream().filter(t -> t == PipelineQueue.Turn.START_TASK))
+                .hasSize(16);
         for (int i = 0; i < 16; i++) {
             assertThat(ahead.next(MANY)).isNotNull();
         }
@@ -27,12 +28,12 @@
 
     @Test
     void aWriteWaitsForWhatNamesItsRowAndWhatNamesItsRowForIt() {
-        Ahead.Work r1 = read("k");
-        Ahead.Work w2 = write("k");
-        Ahead.Work r3 = read("k");
-        Ahead.Work w4 = write("other");
-        List<Ahead.Turn> turns = List.of(ahead.add(r1), ahead.add(w2), ahead.add(r3), ahead.add(w4));
-        assertThat(turns.get(0)).isEqualTo(Ahead.Turn.START_TASK);
+        PipelineQueue.Work r1 = read("k");
+        PipelineQueue.Work w2 = write("k");
+        PipelineQueue.Work r3 = read("k");
+        PipelineQueue.Work w4 = write("other");
+        List<PipelineQueue.Turn> turns = List.of(ahead.add(r1), ahead.add(w2), ahead.add(r3), ahead.add(w4));
+        assertThat(turns.get(0)).isEqualTo(PipelineQueue.Turn.START_TASK);
         assertThat(ahead.next(MANY)).isSameAs(r1);
         assertThat(ahead.next(MANY)).isSameAs(w4);
         assertThat(ahead.another(MANY)).isFalse();
@@ -47,13 +48,14 @@
 
     @Test
     void theFirstIsWrittenFirstAndByOneAlone() {
-        Ahead.Work first = read("a");
-        Ahead.Work second = read("b");
+        PipelineQueue.Work first = read("a");
+        PipelineQueue.Work second = read("b");
         ahead.add(first);
         ahead.add(second);
         ahead.next(MANY);
         ahead.next(MANY);
-        assertThat(ahead.add(new Ahead.Work(new Outbox().ready(), false))).isEqualTo(Ahead.Turn.WAITS);
+        assertThat(ahead.add(new PipelineQueue.Work(new MessageWriter().ready(), false)))
+                .isEqualTo(PipelineQueue.Turn.WAITS);
         done(second);
         assertThat(ahead.toWrite()).isNull();
         assertThat(ahead.current()).isSameAs(first);
@@ -72,11 +74,11 @@
 
     @Test
     void whoFindsNoThreadWaitsForTheTasksThereAreAndIsLetGoOfWithoutAny() {
-        Ahead.Work first = read("a");
-        Ahead.Work second = read("b");
-        assertThat(ahead.add(first)).isEqualTo(Ahead.Turn.START_TASK);
+        PipelineQueue.Work first = read("a");
+        PipelineQueue.Work second = read("b");
+        assertThat(ahead.add(first)).isEqualTo(PipelineQueue.Turn.START_TASK);
         assertThat(ahead.next(MANY)).isSameAs(first);
-        assertThat(ahead.add(second)).isEqualTo(Ahead.Turn.START_TASK);
+        assertThat(ahead.add(second)).isEqualTo(PipelineQueue.Turn.START_TASK);
         assertThat(ahead.abandon(second)).isFalse();
         done(first);
         assertThat(ahead.next(MANY)).isSameAs(second);
@@ -86,15 +88,15 @@
         ahead.toWrite();
         ahead.written();
         assertThat(ahead.next(MANY)).isNull();
-        Ahead.Work third = read("c");
-        assertThat(ahead.add(third)).isEqualTo(Ahead.Turn.START_TASK);
+        PipelineQueue.Work third = read("c");
+        assertThat(ahead.add(third)).isEqualTo(PipelineQueue.Turn.START_TASK);
         assertThat(ahead.abandon(third)).isTrue();
         assertThat(ahead.idle()).isTrue();
     }
 
     @Test
     void nothingIsBegunOrWrittenOnceTheClientHasGone() {
-        Ahead.Work first = read("a");
+        PipelineQueue.Work first = read("a");
         ahead.add(first);
         ahead.next(MANY);
         ahead.add(read("b"));
@@ -102,19 +104,20 @@
         done(first);
         assertThat(ahead.toWrite()).isNull();
         assertThat(ahead.next(MANY)).isNull();
-        assertThat(ahead.add(read("c"))).isEqualTo(Ahead.Turn.WAITS);
+        assertThat(ahead.add(read("c"))).isEqualTo(PipelineQueue.Turn.WAITS);
     }
 
-    private void done(Ahead.Work work) {
-        ahead.answered(work, new ClientTask.Reply(new Outbox().ready(), false), 7);
+    private void done(PipelineQueue.Work work) {
+        ahead.answered(work, new RequestTask.Reply(new MessageWriter().ready(), false), 7);
     }
 
-    private static Ahead.Work read(String key) {
-        return new Ahead.Work("SELECT doc FROM items WHERE id = '" + key + "' /* id=1,c=any,d=9,cluster=1 */", 0);
+    private static PipelineQueue.Work read(String key) {
+        return new PipelineQueue.Work(
+                "SELECT doc FROM items WHERE id = '" + key + "' /* id=1,c=any,d=9,cluster=1 */", 0);
     }
 
-    private static Ahead.Work write(String key) {
-        return new Ahead.Work(
+    private static PipelineQueue.Work write(String key) {
+        return new PipelineQueue.Work(
                 "INSERT INTO items (id, doc) VALUES ('" + key + "', '\\x00') RETURNING doc "
                         + "/* id=1,c=write,d=9,cluster=1 */",
                 0);
--- a/src/test/java/beaconladder/serve/PlacementsTest.java
+++ b/src/test/java/beaconladder/server/PlacementWatcherTest.java
@@ -1,12 +1,12 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.cells.Gate;
-import beaconladder.cells.Placement;
-import beaconladder.cells.Seat;
-import beaconladder.cells.Territory;
-import beaconladder.pg.Room;
+import beaconladder.cells.CellAdmission;
+import beaconladder.cells.PlacementTable;
+import beaconladder.cells.StaticPlacement;
+import beaconladder.cells.TenantPlacement;
+import beaconladder.pg.MemoryLimit;
 import beaconladder.plan.PlanReader;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
@@ -24,7 +24,7 @@
 
 /** What a router asks of the keeper and reads in its answer, as literals. */
 @Timeout(60)
-class PlacementsTest {
+class PlacementWatcherTest {
     private static final String ANSWER = """
             {"version":7,"until_ms":1234,"basis":"beef","seats":[\
             {"tenant":"t","cell":"a","writes":true,"reads":false,"moving":false,"floors_ms":[]},\
@@ -33,22 +33,25 @@
     private static final String PLAN =
             "(cell a (groups 0)) (cell b (groups 1)) (tenant t (cell a)) (tenant u (cell b))";
 
-    private static Desk desk() {
+    private static RequestDispatcher desk() {
         Map<String, String> start = new LinkedHashMap<>(
                 Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east"));
-        Desk desk = new Desk(
+        RequestDispatcher desk = new RequestDispatcher(
                 1,
                 start,
-                new Gate("n0", new Territory(PlanReader.read("p", PLAN).plan()), Gate.Room.of(8, 8, 1 << 20)));
-        desk.errands(new Lines(
+                new CellAdmission(
+                        "n0",
+                        new StaticPlacement(PlanReader.read("p", PLAN).plan()),
+                        CellAdmission.Room.of(8, 8, 1 << 20)));
+        desk.errands(new ServerConnectionPool(
                 desk,
                 start,
                 task -> {
                     task.run();
                     return true;
                 },
-                new Room(0),
-                new Descriptors(64),
+                new MemoryLimit(0),
+                new DescriptorLimit(64),
                 (address, room) -> {
                     throw new IOException("nobody there");
                 }));
@@ -67,8 +70,8 @@
             exchange.close();
         });
         keeper.start();
-        Desk desk = desk();
-        Placements placements = new Placements(keeper.getAddress(), 1_000_000_000L, "n0", "r1", desk);
+        RequestDispatcher desk = desk();
+        PlacementWatcher placements = new PlacementWatcher(keeper.getAddress(), 1_000_000_000L, "n0", "r1", desk);
         Thread thread = new Thread(placements, "placements");
         try {
             thread.start();
@@ -82,12 +85,12 @@
             keeper.stop(0);
         }
         assertThat(desk.cells().placement())
-                .isEqualTo(new Placement(
+                .isEqualTo(new PlacementTable(
                         7,
                         1_234_000_000L,
                         "beef",
                         Map.of(
-                                "t", new Seat("a", true, false, false, List.of()),
-                                "u", new Seat("b", false, true, true, List.of(3_000_000L, 5_000_000L)))));
+                                "t", new TenantPlacement("a", true, false, false, List.of()),
+                                "u", new TenantPlacement("b", false, true, true, List.of(3_000_000L, 5_000_000L)))));
     }
 }
--- a/src/test/java/beaconladder/serve/Program.java
+++ b/src/test/java/beaconladder/server/Program.java
@@ -1,11 +1,11 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.DiscoveryStandIn;
-import beaconladder.lab.RouterFile;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.DiscoveryStandIn;
+import beaconladder.testbed.RouterFile;
+import beaconladder.testbed.TestClient;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -61,8 +61,10 @@
                 .pollInterval(Duration.ofMillis(10))
                 .until(() -> {
                     assertThat(process.isAlive()).as(log()).isTrue();
-                    try (Caller caller = new Caller(new Socket(InetAddress.getLoopbackAddress(), port))) {
-                        Outbox.startup("app", "shop").append(Outbox.query("")).writeTo(caller.out);
+                    try (TestClient caller = new TestClient(new Socket(InetAddress.getLoopbackAddress(), port))) {
+                        MessageWriter.startup("app", "shop")
+                                .append(MessageWriter.query(""))
+                                .writeTo(caller.out);
                         caller.answer();
                         return caller.answer().equals("I Z");
                     } catch (IOException e) {
--- a/src/test/java/beaconladder/serve/ReloadIT.java
+++ b/src/test/java/beaconladder/server/ReloadIT.java
@@ -1,4 +1,4 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/beaconladder/serve/StatedLiteralTest.java
+++ b/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
@@ -1,10 +1,10 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.fleet.TxnType;
-import beaconladder.roster.Json;
-import beaconladder.roster.Watch;
+import beaconladder.discovery.EndpointWatch;
+import beaconladder.discovery.JsonReader;
+import beaconladder.routing.state.RequestClass;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The operators' configuration file as a literal: each key and what a router makes of its value. */
-class StatedLiteralTest {
+class RouterConfigurationLiteralTest {
     private static final String FILE = """
             {"name": "router-2", "listen": "127.0.0.1:6432", "discovery": "10.0.0.9:8500",
              "seed": "ff07843b5d3a91c4", "limits": {"memory_mb": 256, "sockets": 2048},
@@ -38,7 +38,7 @@
 
     @Test
     void everyKeyOfTheFileIsRead(@TempDir Path folder) throws IOException {
-        Stated stated = Stated.read(Files.writeString(folder.resolve("file.json"), FILE));
+        RouterConfiguration stated = RouterConfiguration.read(Files.writeString(folder.resolve("file.json"), FILE));
         assertThat(stated.name()).isEqualTo("router-2");
         assertThat(stated.listen()).isEqualTo(new InetSocketAddress("127.0.0.1", 6432));
         assertThat(stated.discovery()).isEqualTo(new InetSocketAddress("10.0.0.9", 8500));
@@ -49,16 +49,16 @@
         assertThat(stated.drainGraceMillis()).isEqualTo(3_000);
         assertThat(stated.askEveryMillis()).isEqualTo(4_000);
         assertThat(stated.known())
-                .containsExactly(new Watch.Entry(
-                        "s-1", new InetSocketAddress("10.0.0.4", 5432), "a", 7, Watch.State.READY, true, 12));
+                .containsExactly(new EndpointWatch.Entry(
+                        "s-1", new InetSocketAddress("10.0.0.4", 5432), "a", 7, EndpointWatch.State.READY, true, 12));
     }
 
     @Test
     void whatIsNotStatedHasItsDefault() throws Exception {
-        Stated stated = Stated.of(
-                (Map<?, ?>) Json.read("{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"7\"}"));
+        RouterConfiguration stated = RouterConfiguration.of((Map<?, ?>)
+                JsonReader.read("{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"7\"}"));
         assertThat(stated)
-                .isEqualTo(new Stated(
+                .isEqualTo(new RouterConfiguration(
                         "null",
                         new InetSocketAddress("127.0.0.1", 1),
                         new InetSocketAddress("127.0.0.1", 2),
@@ -74,7 +74,7 @@
 
     @Test
     void typesAndTenantsHaveThePlacesOfTheirNames() throws Exception {
-        Places places = new Places(settings());
+        SettingIndex places = new SettingIndex(settings());
         assertThat(places.type("browse")).isZero();
         assertThat(places.type("bill")).isEqualTo(4);
         assertThat(places.type("other")).isNull();
@@ -84,26 +84,26 @@
 
     @Test
     void everyKeyOfATypeIsRead() throws Exception {
-        List<TxnType> types = TxnType.read(settings());
+        List<RequestClass> types = RequestClass.read(settings());
         assertThat(types)
-                .extracting(TxnType::read)
+                .extracting(RequestClass::read)
                 .containsExactly(
-                        TxnType.Read.ANY,
-                        TxnType.Read.BOUNDED,
-                        TxnType.Read.SESSION,
-                        TxnType.Read.WRITE,
-                        TxnType.Read.CURRENT);
+                        RequestClass.Read.ANY,
+                        RequestClass.Read.BOUNDED,
+                        RequestClass.Read.SESSION,
+                        RequestClass.Read.WRITE,
+                        RequestClass.Read.CURRENT);
         assertThat(types)
-                .extracting(TxnType::effect)
+                .extracting(RequestClass::effect)
                 .containsExactly(
-                        TxnType.Effect.REPEATABLE,
-                        TxnType.Effect.REFERENCED,
-                        TxnType.Effect.REFERENCED,
-                        TxnType.Effect.REFERENCED,
-                        TxnType.Effect.ONCE_ONLY);
+                        RequestClass.Effect.REPEATABLE,
+                        RequestClass.Effect.REFERENCED,
+                        RequestClass.Effect.REFERENCED,
+                        RequestClass.Effect.REFERENCED,
+                        RequestClass.Effect.ONCE_ONLY);
         assertThat(types.subList(1, 4))
-                .extracting(TxnType::scope)
-                .containsExactly(TxnType.Scope.ALL, TxnType.Scope.ZONE, TxnType.Scope.GROUP);
+                .extracting(RequestClass::scope)
+                .containsExactly(RequestClass.Scope.ALL, RequestClass.Scope.ZONE, RequestClass.Scope.GROUP);
         assertThat(types.get(0).expiry()).isEqualTo(500_000_000L);
         assertThat(types.get(0).sla()).isEqualTo(300_000_000L);
         assertThat(types.get(0).value()).isEqualTo(2.5);
@@ -113,6 +113,6 @@
     }
 
     private static Map<String, String> settings() throws Exception {
-        return Stated.of((Map<?, ?>) Json.read(FILE)).start();
+        return RouterConfiguration.of((Map<?, ?>) JsonReader.read(FILE)).start();
     }
 }
--- a/src/test/java/beaconladder/serve/ServeIT.java
+++ b/src/test/java/beaconladder/server/RouterServerIT.java
@@ -1,11 +1,11 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.HostStandIn;
-import beaconladder.lab.HostStandIn.Manner;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.HostStandIn;
+import beaconladder.testbed.HostStandIn.Manner;
+import beaconladder.testbed.TestClient;
 import java.net.InetAddress;
 import java.net.Socket;
 import java.util.ArrayList;
@@ -17,11 +17,11 @@
 
 /** What clients get: the packaged program between stand-ins, over sockets. */
 @Timeout(60)
-class ServeIT extends ServedProgram {
+class RouterServerIT extends ServedProgram {
     @Test
     void readsGoToTheReplicaAndWritesToThePrimaryWithTheirTextUnchangedAndTheRowAsItCame() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         say(c.ask(read("r1", 1500)), c.ask(write("w1", 1500)), c.ask("SET x = 1"), c.ask(""), c.ask("reset all"));
         say("a " + a.queries(), "b " + b.queries());
         assertThat(trace.toString().replaceAll("d=1[34]\\d\\d", "d=less")).isEqualTo("""
@@ -41,13 +41,13 @@
         start();
         Socket socket = keep(new Socket(InetAddress.getLoopbackAddress(), router.port));
         b.delayMillis = 100;
-        Outbox all = Outbox.startup("app", "shop")
-                .append(Outbox.query(read("r1", 2000)))
-                .append(Outbox.query(""))
-                .append(Outbox.query(read("r2", 2000)))
-                .append(Outbox.query("DISCARD ALL"));
+        MessageWriter all = MessageWriter.startup("app", "shop")
+                .append(MessageWriter.query(read("r1", 2000)))
+                .append(MessageWriter.query(""))
+                .append(MessageWriter.query(read("r2", 2000)))
+                .append(MessageWriter.query("DISCARD ALL"));
         all.writeTo(socket.getOutputStream());
-        Caller c = new Caller(socket);
+        TestClient c = new TestClient(socket);
         say(c.answer(), c.answer(), c.answer(), c.answer(), c.answer());
         assertThat(trace.toString()).isEqualTo("""
                 R S S S S K Z
@@ -62,7 +62,7 @@
     @Test
     void everyOutcomeOfAHostIsToldApart() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         for (Manner manner : List.of(
                 Manner.MISS,
                 Manner.BEHIND,
@@ -119,7 +119,7 @@
     @Test
     void aReadWhoseAnswerIsSpoiltOrBreaksOffGoesAgainInTime() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         HostStandIn d = keep(new HostStandIn("follower"));
         discovery.list(false, d.entry("d", "Ready"));
         await(() -> ask(c, read("warm", 2000)).contains("C:SELECT 1") && !d.queries.isEmpty());
@@ -136,7 +136,7 @@
     @Test
     void whatAHostSendsBehindItsAnswerIsNeverServedToTheNextTxn() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         b.manner = Manner.TWICE;
         for (int i = 1; i <= 20; i++) {
             b.value = new byte[] {(byte) i};
@@ -152,9 +152,9 @@
     void theIdOfATxnInHandIsRefusedAndThatTxnIsUnharmed() throws Exception {
         start();
         b.delayMillis = 300;
-        Caller first = caller();
-        Caller second = caller();
-        Outbox.query(read("same", 2000)).writeTo(first.out);
+        TestClient first = caller();
+        TestClient second = caller();
+        MessageWriter.query(read("same", 2000)).writeTo(first.out);
         await(() -> b.queries.size() == 1);
         say(second.ask(read("same", 2000)), first.answer(), second.ask(read("same", 2000)));
         assertThat(trace.toString()).isEqualTo("E:22023 Z\nT D:00ff27 C:SELECT 1 Z\nT D:00ff27 C:SELECT 1 Z\n");
@@ -165,12 +165,12 @@
     void whoConnectsAndSaysNothingOrHalfAMessageIsToldAndClosed() throws Exception {
         sockets = 200;
         start();
-        Caller usual = caller();
+        TestClient usual = caller();
         ask(usual, read("warm", 2000));
-        List<Caller> bad = new ArrayList<>();
+        List<TestClient> bad = new ArrayList<>();
         long from = System.nanoTime();
         for (int i = 0; i < 120; i++) {
-            Caller each = new Caller(keep(new Socket(InetAddress.getLoopbackAddress(), router.port)));
+            TestClient each = new TestClient(keep(new Socket(InetAddress.getLoopbackAddress(), router.port)));
             if (i % 3 > 0) {
                 each.out.write(HexFormat.of().parseHex("000000"));
             }
@@ -180,7 +180,7 @@
             bad.add(each);
             assertThat(usual.ask(read("u" + i, 2000))).isEqualTo("T D:00ff27 C:SELECT 1 Z");
         }
-        for (Caller each : bad) {
+        for (TestClient each : bad) {
             assertThat(each.rest())
                     .isIn("E:08P01 closed", "R S S S S K Z E:08P01 closed", "closed", "R S S S S K Z closed");
         }
--- a/src/test/java/beaconladder/serve/ServeClientsIT.java
+++ b/src/test/java/beaconladder/server/ServeClientsIT.java
@@ -1,10 +1,10 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.HostStandIn.Manner;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.HostStandIn.Manner;
+import beaconladder.testbed.TestClient;
 import java.net.InetAddress;
 import java.net.Socket;
 import java.net.SocketException;
@@ -23,7 +23,7 @@
     void clientsThatAskOnceAndStayMakeRoomAndWhatCrossesTheirEndIsReset() throws Exception {
         sockets = 120;
         start();
-        List<Caller> stay = new ArrayList<>();
+        List<TestClient> stay = new ArrayList<>();
         int files = router.files();
         for (int i = 0; i < 36; i++) {
             stay.add(caller());
@@ -31,12 +31,12 @@
         }
         TimeUnit.MILLISECONDS.sleep(600);
         assertThat(router.files()).isLessThanOrEqualTo(files + 30);
-        Caller first = stay.get(0);
+        TestClient first = stay.get(0);
         say(first.answer());
-        Outbox.query(read("late", 2000)).writeTo(first.out);
+        MessageWriter.query(read("late", 2000)).writeTo(first.out);
         TimeUnit.MILLISECONDS.sleep(50);
         try {
-            Outbox.query("").writeTo(first.out);
+            MessageWriter.query("").writeTo(first.out);
         } catch (SocketException e) {
             say("reset");
         }
@@ -47,11 +47,11 @@
     @Test
     void queriesWrittenAheadThatTakeLongerTogetherThanOneMayAreAllServed() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         b.delayMillis = 150;
         for (int i = 0; i < 6; i++) {
-            Outbox.query(read("ahead" + i, 450)).writeTo(c.out);
+            MessageWriter.query(read("ahead" + i, 450)).writeTo(c.out);
         }
         for (int i = 0; i < 6; i++) {
             say(c.answer());
@@ -64,11 +64,11 @@
     void aQueryThatComesInPiecesIsServedAlsoNearTheLimit() throws Exception {
         sockets = 76;
         start();
-        Caller slow = new Caller(keep(new Socket(InetAddress.getLoopbackAddress(), router.port)));
-        Outbox.startup("app", "shop").writeTo(slow.out);
+        TestClient slow = new TestClient(keep(new Socket(InetAddress.getLoopbackAddress(), router.port)));
+        MessageWriter.startup("app", "shop").writeTo(slow.out);
         assertThat(slow.answer()).isEqualTo("R S S S S K Z");
         TimeUnit.MILLISECONDS.sleep(200);
-        Outbox query = Outbox.query(write("pieces", 2000).replace("9f03", "9f03".repeat(1500)));
+        MessageWriter query = MessageWriter.query(write("pieces", 2000).replace("9f03", "9f03".repeat(1500)));
         byte[] bytes = new byte[query.size()];
         query.bytes().get(bytes);
         slow.out.write(bytes, 0, 2500);
@@ -82,7 +82,7 @@
     @Test
     void whatCannotBeReadIsRefusedByNameAndNoHostSeesIt() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         String tail = "t=acme,d=480,cluster=1 */";
         String read = "SELECT doc FROM items WHERE id = 'k' ";
         for (String q : List.of(
@@ -138,12 +138,12 @@
     @Test
     void otherOpeningsAndFramesGetWhatTheProtocolGives() throws Exception {
         start();
-        Outbox parse = new Outbox()
+        MessageWriter parse = new MessageWriter()
                 .raw(
                         new byte[] {'P', 0, 0, 0, 8, 0, 0, 0, 0, 'B', 0, 0, 0, 4, 'd', 0, 0, 0, 4, 'S', 0, 0, 0, 4},
                         0,
                         24);
-        Caller c = caller();
+        TestClient c = caller();
         parse.writeTo(c.out);
         say("extended " + c.answer() + ", then " + c.ask(""));
         for (String hex : List.of(
@@ -159,7 +159,7 @@
                 "0000000900030000 00 7a 00000004",
                 "0000000900030000 00 58 00000004")) {
             Socket socket = keep(new Socket(InetAddress.getLoopbackAddress(), router.port));
-            Caller raw = new Caller(socket);
+            TestClient raw = new TestClient(socket);
             raw.out.write(HexFormat.of().parseHex(hex.replace(" ", "")));
             socket.shutdownOutput();
             say(hex + " -> " + raw.rest());
@@ -184,7 +184,7 @@
     @Test
     void theAnswerToATxnWhoseHostIsSilentLeavesBeforeItsExpiry() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, write("warm", 2000));
         a.manner = Manner.SILENT;
         long from = System.nanoTime();
--- a/src/test/java/beaconladder/serve/ServeHostsIT.java
+++ b/src/test/java/beaconladder/server/ServeHostsIT.java
@@ -1,10 +1,10 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.HostStandIn.Manner;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.HostStandIn.Manner;
+import beaconladder.testbed.TestClient;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
@@ -16,7 +16,7 @@
     @Test
     void aConnectionThatItsHostClosedIsNotUsedAndOnceOnlyTxnsAreNotLostToIt() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         a.closesAfterAnswer = true;
         for (int i = 0; i < 5; i++) {
             say(c.ask(write("w" + i, 1500)));
@@ -28,7 +28,7 @@
     @Test
     void aLateAnswerIsNeverTakenForTheNextTxn() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         a.delayMillis = 300;
         b.delayMillis = 300;
@@ -46,22 +46,22 @@
     void aClientThatLeavesHasItsSubmissionCalledOffAndNothingIsSentForItAfterwards() throws Exception {
         start();
         b.manner = Manner.SILENT;
-        Caller c = caller();
-        Outbox.query(read("left", 2000)).writeTo(c.out);
+        TestClient c = caller();
+        MessageWriter.query(read("left", 2000)).writeTo(c.out);
         await(() -> b.queries.size() == 1);
         int before = b.closed.get();
         c.close();
         await(() -> b.closed.get() > before);
         // While a connection is being made, the client leaves: nothing is sent on it.
         b.manner = Manner.ANSWER;
-        Caller next = caller();
+        TestClient next = caller();
         ask(next, read("warm", 2000));
         a.closesAfterAnswer = true;
         await(() -> ask(next, write("shut", 2000)).contains("C:SELECT 1"));
         a.greetMillis = 150;
         int writes = a.queries.size();
-        Caller leaves = caller();
-        Outbox.query(write("never", 2000)).writeTo(leaves.out);
+        TestClient leaves = caller();
+        MessageWriter.query(write("never", 2000)).writeTo(leaves.out);
         TimeUnit.MILLISECONDS.sleep(50);
         leaves.close();
         TimeUnit.MILLISECONDS.sleep(400);
@@ -71,7 +71,7 @@
     @Test
     void aBoundThatRanOutWhileConnectingSendsNothing() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         ask(c, write("warm", 2000));
         // The replica stands still, and its connection has to be made anew, slowly.
@@ -89,7 +89,7 @@
     @Test
     void aSessionsReadWaitsForAReplicaThatHasItsWriteEvenOneCommittedThisVeryMillisecond() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         ask(c, write("warm", 2000));
         b.stoppedAt = System.currentTimeMillis() - 50;
@@ -114,7 +114,7 @@
     @Test
     void aHeldReadLearnsFromAProbeThatAReplicaHasCaughtUp() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         TimeUnit.MILLISECONDS.sleep(700);
         // All that this router has heard is too old for a bounded read now.
@@ -127,17 +127,17 @@
     @Test
     void aHostThatVanishesCostsTimeOutsButNoThreadsOrDescriptors() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         int files = router.files();
         int threads = router.threads();
         b.vanish();
         for (int i = 0; i < 12; i++) {
-            Caller each = caller();
-            Outbox.query(read("v" + i, 900)).writeTo(each.out);
+            TestClient each = caller();
+            MessageWriter.query(read("v" + i, 900)).writeTo(each.out);
         }
         for (AutoCloseable each : List.copyOf(open)) {
-            if (each instanceof Caller caller && caller != c) {
+            if (each instanceof TestClient caller && caller != c) {
                 assertThat(caller.answer()).isIn("T D:00ff27 C:SELECT 1 Z", "E:53300 Z");
                 caller.close();
             }
--- a/src/test/java/beaconladder/serve/ServeLifeIT.java
+++ b/src/test/java/beaconladder/server/ServeLifeIT.java
@@ -1,11 +1,11 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.DiscoveryStandIn;
-import beaconladder.lab.HostStandIn;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.DiscoveryStandIn;
+import beaconladder.testbed.HostStandIn;
+import beaconladder.testbed.TestClient;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -32,9 +32,9 @@
         await(() -> router.files() < 60);
         int files = router.files();
         for (int i = 0; i < 300; i++) {
-            Caller c = caller();
+            TestClient c = caller();
             if (i % 3 == 0) {
-                Outbox.query(read("x" + i, 2000)).writeTo(c.out);
+                MessageWriter.query(read("x" + i, 2000)).writeTo(c.out);
             } else if (i % 3 == 1) {
                 ask(c, read("x" + i, 2000));
             }
@@ -47,12 +47,12 @@
     @Test
     void aSlowReaderHoldsUpNobodyElse() throws Exception {
         start();
-        Caller slow = caller();
+        TestClient slow = caller();
         b.value = new byte[60_000];
         for (int i = 0; i < 200; i++) {
-            Outbox.query(read("slow" + i, 10_000)).writeTo(slow.out);
+            MessageWriter.query(read("slow" + i, 10_000)).writeTo(slow.out);
         }
-        Caller other = caller();
+        TestClient other = caller();
         for (int i = 0; i < 5; i++) {
             assertThat(other.ask(read("r" + i, 2000))).startsWith("T D:0000").endsWith("C:SELECT 1 Z");
         }
@@ -62,7 +62,7 @@
     void nearTheLimitIdleConnectionsGoFirstAndWhoCannotStayIsTold() throws Exception {
         sockets = 76;
         start();
-        List<Caller> idle = new ArrayList<>();
+        List<TestClient> idle = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             idle.add(caller());
             TimeUnit.MILLISECONDS.sleep(15);
@@ -72,16 +72,16 @@
                 "the oldest " + idle.get(0).answer());
         b.delayMillis = 1500;
         a.delayMillis = 1500;
-        List<Caller> busy = new ArrayList<>();
+        List<TestClient> busy = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
-            Caller c = new Caller(keep(new Socket(InetAddress.getLoopbackAddress(), router.port)));
-            Outbox.startup("app", "shop")
-                    .append(Outbox.query(read("b" + i, 3000)))
+            TestClient c = new TestClient(keep(new Socket(InetAddress.getLoopbackAddress(), router.port)));
+            MessageWriter.startup("app", "shop")
+                    .append(MessageWriter.query(read("b" + i, 3000)))
                     .writeTo(c.out);
             busy.add(c);
         }
         List<String> ends = new ArrayList<>();
-        for (Caller c : busy) {
+        for (TestClient c : busy) {
             String first = c.answer();
             ends.add(first.startsWith("E") ? first : c.answer());
         }
@@ -99,17 +99,17 @@
         memory = 1;
         start();
         b.delayMillis = 1000;
-        List<Caller> callers = new ArrayList<>();
+        List<TestClient> callers = new ArrayList<>();
         for (int i = 0; i < 80; i++) {
             callers.add(caller());
         }
-        for (Caller c : callers) {
-            Outbox.query(read("x" + callers.indexOf(c), 2000)).writeTo(c.out);
+        for (TestClient c : callers) {
+            MessageWriter.query(read("x" + callers.indexOf(c), 2000)).writeTo(c.out);
         }
         TimeUnit.MILLISECONDS.sleep(200);
         // Those without a thread have their answer while the others still wait for the host.
         List<String> early = new ArrayList<>();
-        for (Caller c : callers) {
+        for (TestClient c : callers) {
             if (c.waiting() > 0) {
                 early.add(c.answer());
             }
@@ -121,7 +121,7 @@
     @Test
     void theListIsFollowedAndStandsWhileDiscoveryTalksNonsense() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         say("at first " + c.ask(read("r1", 1500)));
         for (String bad : List.of(
                 "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\n{}",
@@ -157,7 +157,7 @@
     @Test
     void aReloadMovesTheWatchAndAFileThatCannotBeReadChangesNothing() throws Exception {
         start();
-        Caller c = caller();
+        TestClient c = caller();
         ask(c, read("warm", 2000));
         long faults = 0;
         for (int i = 0; i < 2; i++) {
@@ -204,7 +204,7 @@
         for (int i = 0; i < 8; i++) {
             int n = i;
             Thread thread = new Thread(() -> {
-                try (Caller c = caller()) {
+                try (TestClient c = caller()) {
                     for (int k = 0; k < 400; k++) {
                         String answer = c.ask(read("l" + n + "-" + k, 2000));
                         if (answer.equals("closed")) {
--- a/src/test/java/beaconladder/serve/ServedProgram.java
+++ b/src/test/java/beaconladder/server/ServedProgram.java
@@ -1,11 +1,11 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.DiscoveryStandIn;
-import beaconladder.lab.HostStandIn;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.DiscoveryStandIn;
+import beaconladder.testbed.HostStandIn;
+import beaconladder.testbed.TestClient;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -62,7 +62,7 @@
         return WRITE.formatted(id, millis);
     }
 
-    static String ask(Caller c, String query) {
+    static String ask(TestClient c, String query) {
         try {
             return c.ask(query);
         } catch (IOException e) {
@@ -90,15 +90,15 @@
 
     void closeCallers() throws IOException {
         for (AutoCloseable each : List.copyOf(open)) {
-            if (each instanceof Caller c) {
+            if (each instanceof TestClient c) {
                 c.close();
             }
         }
     }
 
-    Caller caller() throws IOException {
-        Caller c = keep(new Caller(new Socket(InetAddress.getLoopbackAddress(), router.port)));
-        Outbox.startup("app", "shop").writeTo(c.out);
+    TestClient caller() throws IOException {
+        TestClient c = keep(new TestClient(new Socket(InetAddress.getLoopbackAddress(), router.port)));
+        MessageWriter.startup("app", "shop").writeTo(c.out);
         assertThat(c.answer()).isEqualTo("R S S S S K Z");
         return c;
     }
--- a/src/test/java/beaconladder/serve/LinesTest.java
+++ b/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
@@ -1,12 +1,12 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.api.Router.Word;
-import beaconladder.pg.Outbox;
-import beaconladder.pg.Room;
+import beaconladder.discovery.EndpointWatch;
+import beaconladder.pg.MemoryLimit;
+import beaconladder.pg.MessageWriter;
 import beaconladder.pg.Statement;
-import beaconladder.roster.Watch;
+import beaconladder.routing.api.Router.Word;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -21,7 +21,7 @@
 
 /** What becomes of a once-only write whose exchange with its host ends in a way that nobody foresaw. */
 @Timeout(20)
-class LinesTest {
+class ServerConnectionPoolTest {
     private static final Map<String, String> SETTINGS = new LinkedHashMap<>(Map.of(
             "request_classes.count",
             "1",
@@ -55,12 +55,13 @@
             + "/* id=w1,c=write,t=acme,d=2000,cluster=1 */";
 
     private final AtomicInteger written = new AtomicInteger();
-    private final Desk desk = new Desk(1, SETTINGS, null);
+    private final RequestDispatcher desk = new RequestDispatcher(1, SETTINGS, null);
     private volatile long expiry;
 
     /** Sends a write by connections of this kind until it has its final answer. */
-    private Hand.Order finalAnswer(Lines.Opener opener) throws Exception {
-        Lines lines = new Lines(desk, SETTINGS, new Threads(192), new Room(1 << 20), new Descriptors(128), opener);
+    private InFlightRequest.Order finalAnswer(ServerConnectionPool.Opener opener) throws Exception {
+        ServerConnectionPool lines = new ServerConnectionPool(
+                desk, SETTINGS, new ThreadLimit(192), new MemoryLimit(1 << 20), new DescriptorLimit(128), opener);
         desk.errands(lines);
         desk.listed(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
         Thread timer = new Thread(desk.timer());
@@ -69,9 +70,9 @@
         long now = desk.now();
         expiry = now + BUDGET_MILLIS * 1_000_000L;
         Statement statement = Statement.read(WRITE);
-        Hand hand = desk.take("w1", 0, desk.group(1), statement, Word.NONE, now, expiry, null);
-        for (Hand.Order order = hand.take(); ; order = hand.take()) {
-            if (order.kind() != Hand.Kind.SEND) {
+        InFlightRequest hand = desk.take("w1", 0, desk.group(1), statement, Word.NONE, now, expiry, null);
+        for (InFlightRequest.Order order = hand.take(); ; order = hand.take()) {
+            if (order.kind() != InFlightRequest.Kind.SEND) {
                 desk.stop();
                 return order;
             }
@@ -81,22 +82,22 @@
 
     @Test
     void whatFailsInAnUnforeseenWayBehindTheQueryMayHaveRun() throws Exception {
-        Hand.Order answer = finalAnswer((address, room) -> new Line(
+        InFlightRequest.Order answer = finalAnswer((address, room) -> new ServerConnection(
                 address,
                 room,
                 new FaultySocket(new IllegalStateException("a fault of our own while the answer is read"), written)));
         assertThat(written.get()).as("queries written to a host").isEqualTo(1);
-        assertThat(answer.kind()).isEqualTo(Hand.Kind.ROLLED_BACK);
+        assertThat(answer.kind()).isEqualTo(InFlightRequest.Kind.ROLLED_BACK);
     }
 
     @Test
     void norIsItSentAgainWhereMemoryRanOut() throws Exception {
-        Hand.Order answer = finalAnswer((address, room) -> new Line(
+        InFlightRequest.Order answer = finalAnswer((address, room) -> new ServerConnection(
                 address,
                 room,
                 new FaultySocket(new Error("as where memory runs out while the answer is read"), written)));
         assertThat(written.get()).as("queries written to a host").isEqualTo(1);
-        assertThat(answer.kind()).isEqualTo(Hand.Kind.ROLLED_BACK);
+        assertThat(answer.kind()).isEqualTo(InFlightRequest.Kind.ROLLED_BACK);
     }
 
     /**
@@ -106,29 +107,31 @@
     @Test
     void theTimeThatAHostIsToldHoldsWhereTheWriteIsHeldUp() throws Exception {
         List<Long> excess = new ArrayList<>();
-        Hand.Order answer = finalAnswer((address, room) -> new Line(address, room, new Tape(new byte[0], query -> {
-            if (query[0] == 'Q') {
-                sleep(HOLD_UP_MILLIS + REST_OF_THE_WAY_MILLIS);
-                String text = new String(query, 5, query.length - 6, StandardCharsets.UTF_8);
-                long told = Long.parseLong(Statement.read(text).value("d"));
-                excess.add(told - (expiry - desk.now()) / 1_000_000);
-            }
-            return answer(query, new InetSocketAddress("127.0.0.1", 1));
-        })));
-        assertThat(answer.kind()).isEqualTo(Hand.Kind.COMMITTED);
+        InFlightRequest.Order answer = finalAnswer((address, room) ->
+                new ServerConnection(address, room, new InMemoryChannel(new byte[0], query -> {
+                    if (query[0] == 'Q') {
+                        sleep(HOLD_UP_MILLIS + REST_OF_THE_WAY_MILLIS);
+                        String text = new String(query, 5, query.length - 6, StandardCharsets.UTF_8);
+                        long told = Long.parseLong(Statement.read(text).value("d"));
+                        excess.add(told - (expiry - desk.now()) / 1_000_000);
+                    }
+                    return answer(query, new InetSocketAddress("127.0.0.1", 1));
+                })));
+        assertThat(answer.kind()).isEqualTo(InFlightRequest.Kind.COMMITTED);
         assertThat(excess).singleElement().satisfies(ms -> assertThat(ms).isLessThanOrEqualTo(SLACK_MILLIS));
     }
 
     /** The check of a send takes the lock of the decisions; what it waits for that is no part of the send. */
     @Test
     void aSendThatWaitsForTheLockToBeCheckedIsNotHeldAgainstItself() throws Exception {
-        Hand.Order answer = finalAnswer((address, room) -> new Line(address, room, new Tape(new byte[0], query -> {
-            if (query[0] == 'Q') {
-                holdLock(LOCK_MILLIS);
-            }
-            return answer(query, new InetSocketAddress("127.0.0.1", 1));
-        })));
-        assertThat(answer.kind()).isEqualTo(Hand.Kind.COMMITTED);
+        InFlightRequest.Order answer = finalAnswer((address, room) ->
+                new ServerConnection(address, room, new InMemoryChannel(new byte[0], query -> {
+                    if (query[0] == 'Q') {
+                        holdLock(LOCK_MILLIS);
+                    }
+                    return answer(query, new InetSocketAddress("127.0.0.1", 1));
+                })));
+        assertThat(answer.kind()).isEqualTo(InFlightRequest.Kind.COMMITTED);
         assertThat(desk.monitor().invariants().violations().total()).isZero();
     }
 
@@ -159,27 +162,29 @@
     /** Read in the same paths: a connection found dead, and then none to be had in its place. */
     @Test
     void aConnectionThatIsOfNoUseGivesItsDescriptorBackOnce() throws Exception {
-        Descriptors descriptors = new Descriptors(128);
+        DescriptorLimit descriptors = new DescriptorLimit(128);
         InetSocketAddress moved = new InetSocketAddress("127.0.0.1", 2);
-        Lines lines = new Lines(desk, SETTINGS, new Threads(192), new Room(1 << 20), descriptors, (address, room) -> {
-            if (address.equals(moved)) {
-                throw new IOException("no buffer space available");
-            }
-            return new Line(address, room, new Tape(new byte[0], query -> answer(query, moved)));
-        });
+        ServerConnectionPool lines = new ServerConnectionPool(
+                desk, SETTINGS, new ThreadLimit(192), new MemoryLimit(1 << 20), descriptors, (address, room) -> {
+                    if (address.equals(moved)) {
+                        throw new IOException("no buffer space available");
+                    }
+                    return new ServerConnection(
+                            address, room, new InMemoryChannel(new byte[0], query -> answer(query, moved)));
+                });
         desk.errands(lines);
         desk.listed(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
         Statement statement = Statement.read(WRITE);
         // Connections to a host that was used less are not kept.
         for (int i = 0; i <= USES; i++) {
-            Hand hand = desk.take(
+            InFlightRequest hand = desk.take(
                     "w" + i, 0, desk.group(1), statement, Word.NONE, desk.now(), desk.now() + 100_000_000, null);
             lines.send(hand.take(), statement);
             // An idle connection is used again once it has rested.
             Thread.sleep(10);
             desk.left(hand);
         }
-        assertThat(descriptors.held(Descriptors.Use.HOST)).isZero();
+        assertThat(descriptors.held(DescriptorLimit.Use.HOST)).isZero();
     }
 
     /**
@@ -187,7 +192,7 @@
      * more.
      */
     private byte[] answer(byte[] query, InetSocketAddress moved) {
-        Outbox out = new Outbox();
+        MessageWriter out = new MessageWriter();
         if (query[0] == 'Q') {
             if (written.incrementAndGet() == USES) {
                 desk.listed(false, List.of(entry(moved)));
@@ -201,7 +206,7 @@
         return bytes;
     }
 
-    private static Watch.Entry entry(InetSocketAddress address) {
-        return new Watch.Entry("a", address, "east", 1, Watch.State.READY, true, 0);
+    private static EndpointWatch.Entry entry(InetSocketAddress address) {
+        return new EndpointWatch.Entry("a", address, "east", 1, EndpointWatch.State.READY, true, 0);
     }
 }
--- a/src/test/java/beaconladder/serve/SystemCallsIT.java
+++ b/src/test/java/beaconladder/server/SystemCallsIT.java
@@ -1,12 +1,12 @@
-package beaconladder.serve;
+package beaconladder.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.Caller;
-import beaconladder.lab.soak.FaultPlan;
-import beaconladder.lab.soak.FaultPlan.Field;
-import beaconladder.lab.soak.FaultShim;
-import beaconladder.pg.Outbox;
+import beaconladder.pg.MessageWriter;
+import beaconladder.testbed.TestClient;
+import beaconladder.testbed.soak.FaultPlan;
+import beaconladder.testbed.soak.FaultPlan.Field;
+import beaconladder.testbed.soak.FaultShim;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -41,17 +41,17 @@
     /** Seen in the soak: idle clients were closed a hundred times a second, and could not come back. */
     @Test
     void acceptThatFailsForAWhileClosesNobodyAndHoldsNobodyUp() throws Exception {
-        List<Caller> idle = new ArrayList<>();
+        List<TestClient> idle = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             idle.add(caller());
             assertThat(ask(idle.get(i), read("i" + i, 900))).endsWith("Z");
         }
-        Caller busy = caller();
+        TestClient busy = caller();
         Thread.sleep(200);
         plan.set(Field.ACCEPT_ERRNO, ENFILE);
         plan.set(Field.ACCEPT_PER_MILLE, ALWAYS);
-        Caller late = keep(new Caller(new Socket(InetAddress.getLoopbackAddress(), router.port)));
-        Outbox.startup("app", "shop").writeTo(late.out);
+        TestClient late = keep(new TestClient(new Socket(InetAddress.getLoopbackAddress(), router.port)));
+        MessageWriter.startup("app", "shop").writeTo(late.out);
         long longest = 0;
         for (int i = 0; i < 50; i++) {
             long from = System.nanoTime();
@@ -74,7 +74,7 @@
     void aThreadThatCannotBeStartedLosesNoRequest() throws Exception {
         a.delayMillis = 30;
         b.delayMillis = 30;
-        List<Caller> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             clients.add(impatientCaller());
         }
@@ -83,14 +83,14 @@
             // Threads that are kept for their next use have ended by then.
             Thread.sleep(2_300);
             plan.set(Field.THREAD_PER_MILLE, 500);
-            for (Caller client : clients) {
-                Outbox ahead = new Outbox();
+            for (TestClient client : clients) {
+                MessageWriter ahead = new MessageWriter();
                 for (int i = 0; i < 4; i++) {
-                    ahead.append(Outbox.query(read(clients.indexOf(client) + "-" + round + "-" + i, 900)));
+                    ahead.append(MessageWriter.query(read(clients.indexOf(client) + "-" + round + "-" + i, 900)));
                 }
                 ahead.writeTo(client.out);
             }
-            for (Caller client : clients) {
+            for (TestClient client : clients) {
                 for (int i = 0; i < 4; i++) {
                     answers.add(answer(client));
                 }
@@ -105,16 +105,16 @@
     }
 
     /** One that waits for no answer longer than twice its time. */
-    private Caller impatientCaller() throws IOException {
+    private TestClient impatientCaller() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), router.port);
-        Caller client = keep(new Caller(socket));
+        TestClient client = keep(new TestClient(socket));
         socket.setSoTimeout(1_800);
-        Outbox.startup("app", "shop").writeTo(client.out);
+        MessageWriter.startup("app", "shop").writeTo(client.out);
         assertThat(client.answer()).isEqualTo("R S S S S K Z");
         return client;
     }
 
-    private static String answer(Caller client) {
+    private static String answer(TestClient client) {
         try {
             return client.answer();
         } catch (IOException e) {
@@ -125,7 +125,7 @@
     /** No host has anything to do with it, and all of them would be set aside at once. */
     @Test
     void connectionsThatFailOnThisMachineAreHeldAgainstNoHost() throws Exception {
-        Caller c = caller();
+        TestClient c = caller();
         assertThat(ask(c, read("w", 900))).startsWith("T D:");
         a.closesAfterAnswer = true;
         b.closesAfterAnswer = true;
--- a/src/test/java/beaconladder/drill/DrillTest.java
+++ b/src/test/java/beaconladder/simulation/SimulatorSessionTest.java
@@ -1,16 +1,16 @@
-package beaconladder.drill;
+package beaconladder.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beaconladder.api.Router.Word;
+import beaconladder.routing.api.Router.Word;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-class DrillTest {
+class SimulatorSessionTest {
     private static final String CLOCK = "0000000000805c5a";
     private static final String SETTINGS = """
             family_info.freshness=loose
@@ -51,7 +51,7 @@
     /** The settings name neither prices nor limits nor rules: their defaults serve all the same. */
     @Test
     void aReportThatCannotBeTrueCountsAsNone() {
-        Instance instance = new Instance(0, new Reply());
+        SimulatedRouter instance = new SimulatedRouter(0, new BatchWriter());
         instance.start(7, SETTINGS + "load_report.fields=x0,x1,rif\n", 0);
         StringBuilder trace = new StringBuilder();
         float[][] reports = {
@@ -110,7 +110,7 @@
 
     private static String drill(String hex) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Drill(new ByteArrayInputStream(HexFormat.of().parseHex(hex)), out).run();
+        new SimulatorSession(new ByteArrayInputStream(HexFormat.of().parseHex(hex)), out).run();
         return HexFormat.of().formatHex(out.toByteArray());
     }
 }
--- a/src/test/java/beaconladder/drill/WireTest.java
+++ b/src/test/java/beaconladder/simulation/SimulatorWireTest.java
@@ -1,4 +1,4 @@
-package beaconladder.drill;
+package beaconladder.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 
 /** The fields of a batch and every record of a reply as literal bytes, as the simulator has them. */
-class WireTest {
+class SimulatorWireTest {
     @Test
     void theFieldsOfABatchAreReadBigEndian() throws Exception {
-        Reader in = new Reader(new ByteArrayInputStream(bytes("00000002 0000001a 0000000000805c5a"
+        BatchReader in = new BatchReader(new ByteArrayInputStream(bytes("00000002 0000001a 0000000000805c5a"
                 + "ff 03fc fffffffe ff07843b5d3a91c4 3f800000 0003 613d62 01 02")));
         assertThat(in.next()).isTrue();
         assertThat(in.records()).isEqualTo(2);
@@ -30,7 +30,7 @@
 
     @Test
     void everyActionHasItsCodeAndFields() throws Exception {
-        Reply reply = new Reply();
+        BatchWriter reply = new BatchWriter();
         reply.at(3);
         reply.issue(1, 18, 300_000);
         reply.sayNo(2, 40_000);
@@ -62,7 +62,7 @@
     @Test
     void recordsOfEveryCodeAreReadToTheirEnds() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Drill(
+        new SimulatorSession(
                         new ByteArrayInputStream(bytes("00000007 00000056 0000000000805c5a"
                                 + "0456 00000000"
                                 + "0406 0000000000000001 00 00000012 00000100"
@@ -76,7 +76,7 @@
         assertThat(HexFormat.of().formatHex(out.toByteArray())).isEqualTo("0000000000000000");
     }
 
-    private static String sent(Reply reply) throws Exception {
+    private static String sent(BatchWriter reply) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         reply.send(out);
         return HexFormat.of().formatHex(out.toByteArray());
--- a/src/test/java/beaconladder/store/RecordsFaultTest.java
+++ b/src/test/java/beaconladder/storage/DurableRecordsFaultTest.java
@@ -1,10 +1,10 @@
-package beaconladder.store;
+package beaconladder.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.soak.FaultPlan;
-import beaconladder.lab.soak.FaultPlan.Field;
-import beaconladder.lab.soak.FaultShim;
+import beaconladder.testbed.soak.FaultPlan;
+import beaconladder.testbed.soak.FaultPlan.Field;
+import beaconladder.testbed.soak.FaultShim;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -19,7 +19,7 @@
 
 /** Writes and syncs below a records folder that fail for a while, in a process of its own. */
 @Timeout(120)
-class RecordsFaultTest {
+class DurableRecordsFaultTest {
     private static final int ENOSPC = 28;
     private static final int EIO = 5;
 
@@ -28,7 +28,7 @@
 
     /** Appends the numbers from 0 on, again and again the one that failed, and says each once it is written. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        try (Records records = Records.open(Path.of(args[0]))) {
+        try (DurableRecords records = DurableRecords.open(Path.of(args[0]))) {
             for (int i = 0; ; ) {
                 try {
                     records.append(String.valueOf(i).getBytes(StandardCharsets.UTF_8));
@@ -50,7 +50,7 @@
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
-                        RecordsFaultTest.class.getName(),
+                        DurableRecordsFaultTest.class.getName(),
                         store.toString())
                 .redirectErrorStream(true)
                 .redirectOutput(out.toFile());
@@ -76,7 +76,7 @@
         }
         List<Integer> said = numbers(Files.readString(out));
         List<Integer> found = new ArrayList<>();
-        try (Records records = Records.open(store)) {
+        try (DurableRecords records = DurableRecords.open(store)) {
             records.found().forEach(each -> found.add(Integer.parseInt(new String(each, StandardCharsets.UTF_8))));
         }
         assertThat(found).containsAll(said);
--- a/src/test/java/beaconladder/store/RecordsTest.java
+++ b/src/test/java/beaconladder/storage/DurableRecordsTest.java
@@ -1,4 +1,4 @@
-package beaconladder.store;
+package beaconladder.storage;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 @Timeout(60)
-class RecordsTest {
+class DurableRecordsTest {
     @TempDir
     Path folder;
 
     /** For the test of kills: appends records and says each once it is written. */
     public static void main(String[] args) throws IOException {
-        try (Records records = Records.open(Path.of(args[0]))) {
+        try (DurableRecords records = DurableRecords.open(Path.of(args[0]))) {
             for (int i = records.found().size(); ; i++) {
                 if (i % 25 == 24) {
                     List<byte[]> all = new ArrayList<>();
@@ -50,7 +50,7 @@
                                     .toString(),
                             "-cp",
                             System.getProperty("java.class.path"),
-                            RecordsTest.class.getName(),
+                            DurableRecordsTest.class.getName(),
                             folder.toString())
                     .redirectError(ProcessBuilder.Redirect.INHERIT)
                     .redirectOutput(out.toFile())
@@ -61,7 +61,7 @@
             Thread.sleep(round);
             process.destroyForcibly().onExit().join();
             int said = said(out);
-            try (Records records = Records.open(folder)) {
+            try (DurableRecords records = DurableRecords.open(folder)) {
                 before = records.found().size();
                 assertThat(before).isBetween(said + 1, said + 2);
                 for (int i = 0; i < before; i++) {
@@ -82,7 +82,7 @@
     @Test
     void aWriteThatStopsAtAnyByteLosesNoRecordOfBefore() throws Exception {
         List<byte[]> images = new ArrayList<>();
-        try (Records records = Records.open(folder)) {
+        try (DurableRecords records = DurableRecords.open(folder)) {
             for (int i = 0; i < 24; i++) {
                 records.append(text(i));
                 images.add(Files.readAllBytes(folder.resolve("records.mv")));
@@ -98,7 +98,7 @@
                 System.arraycopy(before, 0, image, 0, before.length);
                 System.arraycopy(after, 0, image, 0, cut);
                 Files.write(torn.resolve("records.mv"), image);
-                try (Records records = Records.open(torn)) {
+                try (DurableRecords records = DurableRecords.open(torn)) {
                     assertThat(records.found().size())
                             .as("record %d, cut at %d", i, cut)
                             .isBetween(i, i + 1);
@@ -110,7 +110,7 @@
 
     @Test
     void aRecordWhoseBytesHaveChangedIsNotTakenForGood() throws Exception {
-        try (Records records = Records.open(folder)) {
+        try (DurableRecords records = DurableRecords.open(folder)) {
             records.append("the record that will be spoilt".getBytes(StandardCharsets.UTF_8));
         }
         Path file = folder.resolve("records.mv");
@@ -123,16 +123,16 @@
             at = text.indexOf("will be spoilt", at + 1);
         }
         Files.write(file, bytes);
-        assertThatThrownBy(() -> Records.open(folder).close())
+        assertThatThrownBy(() -> DurableRecords.open(folder).close())
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining("damaged");
     }
 
     @Test
     void twoProcessesCannotHaveTheSameRecords() throws Exception {
-        try (Records records = Records.open(folder)) {
+        try (DurableRecords records = DurableRecords.open(folder)) {
             records.append(new byte[] {1});
-            assertThatThrownBy(() -> Records.open(folder))
+            assertThatThrownBy(() -> DurableRecords.open(folder))
                     .isInstanceOf(IOException.class)
                     .hasMessageContaining("in use");
         }
--- a/src/test/java/beaconladder/lab/CellsIT.java
+++ b/src/test/java/beaconladder/testbed/CellsIT.java
@@ -1,9 +1,9 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.CellsRehearsal.Fault;
-import beaconladder.lab.CellsRehearsal.Size;
+import beaconladder.testbed.CellsScenario.Fault;
+import beaconladder.testbed.CellsScenario.Size;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -34,7 +34,7 @@
     void aMoveThatIsInterruptedEndsAndEveryRuleHolds(long seed, Fault fault, boolean flood) throws Exception {
         StringWriter said = new StringWriter();
         Size size = new Size(3, 24, 2, 16, 40, 2);
-        boolean held = new CellsRehearsal(size, seed, new PrintWriter(said)).play(List.of(fault), flood);
+        boolean held = new CellsScenario(size, seed, new PrintWriter(said)).play(List.of(fault), flood);
         assertThat(held).as(said.toString()).isTrue();
     }
 
@@ -46,15 +46,16 @@
                 (tenant far (cell c0) (networks 10.0.0.0/8)) (router n0 (serves c0 void))
                 (tenant other (cell c1))
                 """;
-        try (Installation all = new Installation(folder, 2, 1, 2, 1, 5, tenants);
-                Load.Line line = new Load.Line(all.port(0), 0)) {
+        try (TestDeployment all = new TestDeployment(folder, 2, 1, 2, 1, 5, tenants);
+                ClientLoad.Line line = new ClientLoad.Line(all.port(0), 0)) {
             StringBuilder said = new StringBuilder();
             String[][] asks = {
                 {"t", "0"}, {"t", "1"}, {"t", "7"}, {"lost", "99"}, {"far", "0"}, {"nobody", "0"}, {"other", "1"}
             };
             Thread.sleep(300);
             for (String[] ask : asks) {
-                line.send(Load.query("q" + said.length(), "any", ask[0], "k", Integer.parseInt(ask[1]), 0, 0, 900));
+                line.send(
+                        ClientLoad.query("q" + said.length(), "any", ask[0], "k", Integer.parseInt(ask[1]), 0, 0, 900));
                 assertThat(line.answer()).isTrue();
                 said.append(String.join(" ", ask))
                         .append(": ")
@@ -80,7 +81,7 @@
                 Thread.sleep(20);
             }
             assertThat(all.routers.get(0).log()).contains("not reloaded, all stays as it was");
-            line.send(Load.query("after", "any", "t", "k", 0, 0, 0, 900));
+            line.send(ClientLoad.query("after", "any", "t", "k", 0, 0, 0, 900));
             assertThat(line.answer()).isTrue();
             assertThat(line.code()).isNull();
         }
@@ -89,22 +90,22 @@
     /** What would be broken is seen: without this the rehearsal could not fail. */
     @Test
     void theJudgeSeesWhatIsBroken() throws Exception {
-        try (Ground ground = new Ground(2, 1, 5)) {
-            Judge judge = new Judge();
-            ground.ran.add(new Ground.Ran("w1", "t", "k", true, 1, 0, "h0-0", 1));
-            ground.ran.add(new Ground.Ran("w1", "t", "k", true, 1, 0, "h0-0", 2));
-            ground.ran.add(new Ground.Ran("w2", "t", "k", true, 2, 1, "h1-0", 3));
-            ground.ran.add(new Ground.Ran("w3", "t", "k", true, 3, 0, "h0-0", 4));
-            ground.reached.add(new Ground.Reached("h0-0", "w3", 10_000));
+        try (HostFleet ground = new HostFleet(2, 1, 5)) {
+            InvariantChecker judge = new InvariantChecker();
+            ground.ran.add(new HostFleet.Ran("w1", "t", "k", true, 1, 0, "h0-0", 1));
+            ground.ran.add(new HostFleet.Ran("w1", "t", "k", true, 1, 0, "h0-0", 2));
+            ground.ran.add(new HostFleet.Ran("w2", "t", "k", true, 2, 1, "h1-0", 3));
+            ground.ran.add(new HostFleet.Ran("w3", "t", "k", true, 3, 0, "h0-0", 4));
+            ground.reached.add(new HostFleet.Reached("h0-0", "w3", 10_000));
             ground.draining.put("h0-0", 1L);
-            judge.asked.add(asked("w1", "write", Judge.End.COMMITTED, 1, 0, false));
-            judge.asked.add(asked("w2", "write", Judge.End.DECLINED, 2, 0, false));
-            judge.asked.add(asked("w4", "write", Judge.End.COMMITTED, 4, 0, false));
-            judge.asked.add(asked("r1", "own", Judge.End.COMMITTED, 1, 2, false));
-            judge.asked.add(asked("r2", "any", Judge.End.COMMITTED, 9, 0, true));
-            judge.asked.add(asked("r3", "any", Judge.End.NONE, -1, 0, false));
+            judge.asked.add(asked("w1", "write", InvariantChecker.End.COMMITTED, 1, 0, false));
+            judge.asked.add(asked("w2", "write", InvariantChecker.End.DECLINED, 2, 0, false));
+            judge.asked.add(asked("w4", "write", InvariantChecker.End.COMMITTED, 4, 0, false));
+            judge.asked.add(asked("r1", "own", InvariantChecker.End.COMMITTED, 1, 2, false));
+            judge.asked.add(asked("r2", "any", InvariantChecker.End.COMMITTED, 9, 0, true));
+            judge.asked.add(asked("r3", "any", InvariantChecker.End.NONE, -1, 0, false));
             assertThat(judge.broken(ground, group -> group))
-                    .extracting(Judge.Broken::rule)
+                    .extracting(InvariantChecker.Broken::rule)
                     .containsExactlyInAnyOrder(
                             "a once-only txn ran twice",
                             "a declined txn ran",
@@ -119,8 +120,10 @@
         }
     }
 
-    private static Judge.Asked asked(String id, String type, Judge.End end, long version, long least, boolean extra) {
-        return new Judge.Asked(id, "t", "k", type, 0, 0, 1, 2, 1_000, end, version, least, "w1", 4, false, extra, "");
+    private static InvariantChecker.Asked asked(
+            String id, String type, InvariantChecker.End end, long version, long least, boolean extra) {
+        return new InvariantChecker.Asked(
+                id, "t", "k", type, 0, 0, 1, 2, 1_000, end, version, least, "w1", 4, false, extra, "");
     }
 
     @Test
@@ -132,7 +135,7 @@
         Files.writeString(
                 plan,
                 "(cell a (groups 0)) (cell b (groups 1)) (tenant t (cell a) (load 2txns/s))\n"
-                        + "(tenant u (cell a) (load 2txns/s)) (keeper (at 127.0.0.1:" + Programs.freePort()
+                        + "(tenant u (cell a) (load 2txns/s)) (keeper (at 127.0.0.1:" + ChildProcesses.freePort()
                         + ") (discovery 127.0.0.1:9) (store \"" + folder.resolve("store") + "\"))");
         assertThat(run("check", plan.toString())).startsWith("0 " + plan + " is good: 2 cells, 2 tenants, a keeper");
         assertThat(run("cells", "show", "--plan", plan.toString())).startsWith("1 beaconladder: no keeper answers at");
--- a/src/test/java/beaconladder/lab/FedRouterIT.java
+++ b/src/test/java/beaconladder/testbed/FedRouterIT.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.awaitility.Awaitility.await;
@@ -7,8 +7,8 @@
 import beaconladder.feed.Proposal;
 import beaconladder.feed.Proposer;
 import beaconladder.feed.Relay;
-import beaconladder.feed.Report;
-import beaconladder.lab.Programs.Program;
+import beaconladder.feed.RelayReport;
+import beaconladder.testbed.ChildProcesses.Program;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -32,13 +32,13 @@
         try (LogStandIn log = new LogStandIn();
                 DiscoveryStandIn first = new DiscoveryStandIn();
                 DiscoveryStandIn second = new DiscoveryStandIn();
-                Programs programs = new Programs(folder)) {
+                ChildProcesses programs = new ChildProcesses(folder)) {
             first.list(true, HOST);
             second.list(true, HOST);
             Relay relay = new Relay("a", ANY, List.of(log.at()), null, 10);
             Program router = programs.program(
                     "m0",
-                    RouterFile.of("m0", Programs.freePort(), first, 256, 192, HOST),
+                    RouterFile.of("m0", ChildProcesses.freePort(), first, 256, 192, HOST),
                     "serve",
                     "--feed",
                     "a=127.0.0.1:" + relay.at().getPort(),
@@ -53,19 +53,20 @@
             String moved = "{\"discovery\":\"127.0.0.1:" + second.door.getLocalPort() + "\"}";
             proposer.propose(new Proposal(0, Map.of("router.json", moved), List.of()));
             await().atMost(LONG).until(() -> second.calls.get() > 0);
-            await().atMost(LONG).until(() -> proposer.status().counts().equals(List.of(new Report.Count(1, 1, 0))));
+            await().atMost(LONG)
+                    .until(() -> proposer.status().counts().equals(List.of(new RelayReport.Count(1, 1, 0))));
 
             // What can't be read, or is not the feed's, is refused, and said so.
             proposer.propose(new Proposal(1, Map.of("router.json", "{\"discovery\":\"nowhere\"}"), List.of()));
             await().atMost(LONG)
                     .until(() -> proposer.status()
                             .counts()
-                            .equals(List.of(new Report.Count(2, 0, 1), new Report.Count(1, 1, 0))));
+                            .equals(List.of(new RelayReport.Count(2, 0, 1), new RelayReport.Count(1, 1, 0))));
             proposer.propose(new Proposal(2, Map.of("router.json", "{\"listen\":\"127.0.0.1:1\"}"), List.of()));
             await().atMost(LONG)
                     .until(() -> proposer.status()
                             .counts()
-                            .equals(List.of(new Report.Count(3, 0, 1), new Report.Count(1, 1, 0))));
+                            .equals(List.of(new RelayReport.Count(3, 0, 1), new RelayReport.Count(1, 1, 0))));
 
             // Killed and alone, it goes on with what was in force.
             relay.close();
@@ -82,10 +83,10 @@
     @Test
     void aRelayThatCantBeReadEndsTheStart(@TempDir Path folder) throws Exception {
         try (DiscoveryStandIn discovery = new DiscoveryStandIn();
-                Programs programs = new Programs(folder)) {
+                ChildProcesses programs = new ChildProcesses(folder)) {
             Program router = programs.program(
                     "m0",
-                    RouterFile.of("m0", Programs.freePort(), discovery, 256, 192, HOST),
+                    RouterFile.of("m0", ChildProcesses.freePort(), discovery, 256, 192, HOST),
                     "serve",
                     "--feed",
                     "a=nowhere",
--- a/src/test/java/beaconladder/lab/FeedIT.java
+++ b/src/test/java/beaconladder/testbed/FeedIT.java
@@ -1,8 +1,8 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.FeedRehearsal.Size;
+import beaconladder.testbed.FeedScenario.Size;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.util.List;
@@ -21,7 +21,7 @@
     @Test
     void changesComeToAllWhileARelayAndALeaderAreKilledAndARouterIsAloneWithItsDisk() throws Exception {
         StringWriter said = new StringWriter();
-        boolean held = new FeedRehearsal(1, SMALL, new PrintWriter(said))
+        boolean held = new FeedScenario(1, SMALL, new PrintWriter(said))
                 .play(List.of(FeedFault.KILL_RELAY, FeedFault.KILL_LEADER, FeedFault.RESTART_ALONE), 3);
         assertThat(held).as(said.toString()).isTrue();
         assertThat(said.toString()).contains("\"broken\":0");
--- a/src/test/java/beaconladder/lab/FeedMutantsTest.java
+++ b/src/test/java/beaconladder/testbed/FeedMutantsTest.java
@@ -1,4 +1,4 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.awaitility.Awaitility.await;
@@ -7,11 +7,11 @@
 import beaconladder.feed.LogStandIn;
 import beaconladder.feed.Mutants;
 import beaconladder.feed.Relay;
-import beaconladder.feed.State;
 import beaconladder.feed.Subscriber;
-import beaconladder.lab.FeedJudge.Applied;
-import beaconladder.lab.FeedJudge.Outage;
-import beaconladder.lab.FeedWriter.Logged;
+import beaconladder.feed.VersionedState;
+import beaconladder.testbed.FeedChecker.Applied;
+import beaconladder.testbed.FeedChecker.Outage;
+import beaconladder.testbed.FeedWriter.Logged;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -54,7 +54,7 @@
     }
 
     private List<String> verdict() {
-        return new FeedJudge(logged, journal, List.of()).contents().verdict().broken();
+        return new FeedChecker(logged, journal, List.of()).contents().verdict().broken();
     }
 
     /** Bursts at one relay; then that one ends, and the router finds another whose log is older. */
@@ -72,10 +72,10 @@
             String router = name;
             try (Subscriber subscriber = maker.make(name, relays, new Applier() {
                 @Override
-                public void check(State next) {}
+                public void check(VersionedState next) {}
 
                 @Override
-                public void apply(State next) {
+                public void apply(VersionedState next) {
                     journal.add(new Applied(FeedRouters.unix(), router, 1, next.version(), next.reckoned()));
                 }
             })) {
@@ -105,7 +105,7 @@
     }
 
     private void write(LogStandIn log, String name, String text) {
-        State state = log.set(name, text);
+        VersionedState state = log.set(name, text);
         long now = FeedRouters.unix();
         logged.add(new Logged(state.version(), state.digest(), now, now, "test"));
     }
@@ -145,7 +145,7 @@
     }
 
     private List<String> inForce(List<String> routers, List<Outage> outages) {
-        return new FeedJudge(logged, journal, outages)
+        return new FeedChecker(logged, journal, outages)
                 .inForce(routers, 1_000, 3 * SECOND, 6 * SECOND, nanos -> {}, each -> true)
                 .verdict()
                 .broken();
--- a/src/test/java/beaconladder/lab/LeaseIT.java
+++ b/src/test/java/beaconladder/testbed/LeaseIT.java
@@ -1,10 +1,10 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.LeaseRehearsal.Fault;
-import beaconladder.lab.SharedStandIn.Act;
-import beaconladder.lease.Fence.Verdict;
+import beaconladder.lease.FencingGuard.Verdict;
+import beaconladder.testbed.LeaseScenario.Fault;
+import beaconladder.testbed.SharedStandIn.Act;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.util.List;
@@ -34,7 +34,7 @@
     @Test
     void theJudgeFindsWhatIsBroken() {
         List<Act> good = List.of(act(1, 0, "a", 1, 9), act(2, 1, "a", 1, 9), act(3, 0, "b", 2, 9));
-        assertThat(LeaseJudge.broken(good, 0, 0, true)).isEmpty();
+        assertThat(LeaseChecker.broken(good, 0, 0, true)).isEmpty();
         assertThat(broken(act(1, 0, "b", 2, 9), act(2, 0, "a", 1, 9))).contains("out of turn");
         assertThat(broken(act(1, 0, "b", 2, 9), act(2, 1, "a", 1, 9))).contains("two at once");
         assertThat(broken(act(1, 0, "a", 1, 9), act(2, 1, "b", 1, 9))).contains("one token at two");
@@ -42,7 +42,7 @@
     }
 
     private static String broken(Act... acts) {
-        return String.join("; ", LeaseJudge.broken(List.of(acts), 0, 0, true));
+        return String.join("; ", LeaseChecker.broken(List.of(acts), 0, 0, true));
     }
 
     private static Act act(long at, int resource, String holder, long token, long until) {
@@ -51,7 +51,7 @@
 
     private static void play(long seed, List<Fault> faults, int count) throws Exception {
         StringWriter said = new StringWriter();
-        boolean held = new LeaseRehearsal(seed, new PrintWriter(said)).play(faults, count);
+        boolean held = new LeaseScenario(seed, new PrintWriter(said)).play(faults, count);
         assertThat(held).as(said.toString()).isTrue();
         assertThat(said.toString()).contains("\"broken\":0");
     }
--- a/src/test/java/beaconladder/lab/RestartsIT.java
+++ b/src/test/java/beaconladder/testbed/RestartsIT.java
@@ -1,8 +1,8 @@
-package beaconladder.lab;
+package beaconladder.testbed;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.RestartRehearsal.Fault;
+import beaconladder.testbed.RestartScenario.Fault;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.util.List;
@@ -24,7 +24,7 @@
 
     private static void play(long seed, List<Fault> faults) throws Exception {
         StringWriter said = new StringWriter();
-        boolean held = new RestartRehearsal(seed, 4, new PrintWriter(said)).play(faults);
+        boolean held = new RestartScenario(seed, 4, new PrintWriter(said)).play(faults);
         assertThat(held).as(said.toString()).isTrue();
         assertThat(said.toString()).contains("\"broken\":0");
     }
--- a/src/test/java/beaconladder/lab/scale/HollowFleetTest.java
+++ b/src/test/java/beaconladder/testbed/scale/HollowFleetTest.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/beaconladder/lab/scale/ReportTest.java
+++ b/src/test/java/beaconladder/testbed/scale/ReportTest.java
@@ -1,8 +1,8 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lab.scale.Slope.Point;
+import beaconladder.testbed.scale.Slope.Point;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.util.List;
--- a/src/test/java/beaconladder/lab/scale/SlopeTest.java
+++ b/src/test/java/beaconladder/testbed/scale/SlopeTest.java
@@ -1,10 +1,10 @@
-package beaconladder.lab.scale;
+package beaconladder.testbed.scale;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 import static org.assertj.core.api.Assertions.within;
 
-import beaconladder.lab.scale.Slope.Point;
+import beaconladder.testbed.scale.Slope.Point;
 import java.util.List;
 import java.util.function.DoubleUnaryOperator;
 import java.util.stream.DoubleStream;
--- a/src/test/java/beaconladder/lab/soak/SoakIT.java
+++ b/src/test/java/beaconladder/testbed/soak/SoakIT.java
@@ -1,4 +1,4 @@
-package beaconladder.lab.soak;
+package beaconladder.testbed.soak;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,7 +13,7 @@
 class SoakIT {
     @Test
     void aShortSoakOfAllTroublesHolds() throws Exception {
-        play(7, List.of(Trouble.values()));
+        play(7, List.of(FaultKind.values()));
     }
 
     @Test
@@ -21,13 +21,13 @@
         play(
                 8,
                 List.of(
-                        Trouble.THREADS_FAIL,
-                        Trouble.ACCEPT_FAILS,
-                        Trouble.CONNECT_FAILS,
-                        Trouble.SHORT_IO,
-                        Trouble.TERMINATE,
-                        Trouble.BAD_CLIENTS,
-                        Trouble.CLOCK_WRONG_AT_START));
+                        FaultKind.THREADS_FAIL,
+                        FaultKind.ACCEPT_FAILS,
+                        FaultKind.CONNECT_FAILS,
+                        FaultKind.SHORT_IO,
+                        FaultKind.TERMINATE,
+                        FaultKind.BAD_CLIENTS,
+                        FaultKind.CLOCK_WRONG_AT_START));
     }
 
     @Test
@@ -39,15 +39,15 @@
                 0,
                 true,
                 List.of(
-                        Trouble.HELD_UP,
-                        Trouble.HOST_DRAINS,
-                        Trouble.DISCOVERY_SLOW,
-                        Trouble.DISCOVERY_BREAKS,
-                        Trouble.RELOAD,
-                        Trouble.IDLE_CROWD)));
+                        FaultKind.HELD_UP,
+                        FaultKind.HOST_DRAINS,
+                        FaultKind.DISCOVERY_SLOW,
+                        FaultKind.DISCOVERY_BREAKS,
+                        FaultKind.RELOAD,
+                        FaultKind.IDLE_CROWD)));
     }
 
-    private static void play(long seed, List<Trouble> troubles) throws Exception {
+    private static void play(long seed, List<FaultKind> troubles) throws Exception {
         play(SoakPlan.of(seed, 4, 4, troubles));
     }
 
