--- a/src/main/java/beaconladder/server/Admission.java
+++ b/src/main/java/beaconladder/server/Admission.java
@@ -33,11 +33,11 @@
             throws InterruptedException {
         String tenant = asked.statement().value("t");
         CellAdmission.Answer leave = desk.cells()
-                .enter(
+                .admit(
                         tenant == null ? "" : tenant,
                         asked.statement().session(),
                         asked.cluster(),
-                        desk.writes(asked.type()) || asked.statement().writes(),
+                        desk.isWrite(asked.type()) || asked.statement().writes(),
                         asked.type(),
                         size,
                         wire.from(),
@@ -58,7 +58,7 @@
                 if (joined(leave.pass())) {
                     return new Answer(leave.pass(), null, false);
                 }
-                desk.cells().leave(leave.pass());
+                desk.cells().releasePermit(leave.pass());
                 return new Answer(
                         null,
                         new MessageWriter()
@@ -73,7 +73,7 @@
         if (counted() != null || ahead.over()) {
             return true;
         }
-        if (!desk.cells().connected(pass)) {
+        if (!desk.cells().admitConnection(pass)) {
             return false;
         }
         synchronized (this) {
@@ -82,7 +82,7 @@
                 return true;
             }
         }
-        desk.cells().disconnected(pass);
+        desk.cells().releaseConnection(pass);
         return true;
     }
 
@@ -99,7 +99,7 @@
             counted = null;
         }
         if (connection != null) {
-            desk.cells().disconnected(connection);
+            desk.cells().releaseConnection(connection);
         }
     }
 }
--- a/src/main/java/beaconladder/server/AttemptEvents.java
+++ b/src/main/java/beaconladder/server/AttemptEvents.java
@@ -42,10 +42,10 @@
     boolean mayGo(Attempt attempt) {
         lock.lock();
         try {
-            DispatchCheck check = router.mayGo(attempt, desk.now());
+            DispatchCheck check = router.mayGo(attempt, desk.nowNanos());
             if (!check.allowed()) {
                 monitor.counters().add("held_back", check);
-                trace.heldBack(attempt, check, desk.now());
+                trace.heldBack(attempt, check, desk.nowNanos());
             }
             return check.allowed();
         } finally {
@@ -69,7 +69,7 @@
     }
 
     void ended(Attempt attempt, Outcome outcome, Word answer, Word report, MessageWriter messages) {
-        desk.tell(now -> {
+        desk.applyEvent(now -> {
             if (attempt.ended) {
                 return;
             }
@@ -85,7 +85,7 @@
     }
 
     void probed(Host host, Outcome outcome, Word report) {
-        desk.tell(now -> {
+        desk.applyEvent(now -> {
             trace.probed(host, outcome, host.probeSent, now);
             monitor.counters().add("probe", outcome);
             router.probed(host, outcome, report, now);
--- a/src/main/java/beaconladder/server/CellDispatcher.java
+++ b/src/main/java/beaconladder/server/CellDispatcher.java
@@ -29,7 +29,7 @@
     }
 
     /** Asks for leave for a txn; waits while it is held, as long as its client stays. */
-    CellAdmission.Answer enter(
+    CellAdmission.Answer admit(
             String tenant,
             long key,
             int named,
@@ -43,20 +43,20 @@
             throws InterruptedException {
         lock.lock();
         try {
-            CellAdmission.Answer answer =
-                    gate.admit(tenant, key, named, write, desk.value(type), size, from, arrived, expiry, desk.now());
+            CellAdmission.Answer answer = gate.admit(
+                    tenant, key, named, write, desk.priorityWeight(type), size, from, arrived, expiry, desk.nowNanos());
             while (answer.kind() == CellAdmission.Kind.HOLD) {
                 if (gone.getAsBoolean()) {
                     gate.left(answer.pass());
                     return null;
                 }
                 try {
-                    placed.awaitNanos(Math.min(LOOK_NANOS, Math.max(1, answer.until() - desk.now())));
+                    placed.awaitNanos(Math.min(LOOK_NANOS, Math.max(1, answer.until() - desk.nowNanos())));
                 } catch (InterruptedException e) {
                     gate.left(answer.pass());
                     throw e;
                 }
-                answer = gate.again(answer.pass(), desk.now());
+                answer = gate.again(answer.pass(), desk.nowNanos());
             }
             return answer;
         } finally {
@@ -65,7 +65,7 @@
     }
 
     /** A txn that had leave is not taken in hand after all. */
-    void leave(AdmissionPermit pass) {
+    void releasePermit(AdmissionPermit pass) {
         lock.lock();
         try {
             gate.left(pass);
@@ -75,16 +75,16 @@
     }
 
     /** Whether there is room for one more connection of this tenant. */
-    boolean connected(AdmissionPermit pass) {
+    boolean admitConnection(AdmissionPermit pass) {
         lock.lock();
         try {
-            return gate.connected(pass, desk.now());
+            return gate.connected(pass, desk.nowNanos());
         } finally {
             lock.unlock();
         }
     }
 
-    void disconnected(AdmissionPermit pass) {
+    void releaseConnection(AdmissionPermit pass) {
         lock.lock();
         try {
             gate.disconnected(pass);
@@ -94,7 +94,7 @@
     }
 
     /** Whether the cell of this leave holds more connections than its own. */
-    boolean borrows(AdmissionPermit pass) {
+    boolean borrowsConnections(AdmissionPermit pass) {
         lock.lock();
         try {
             return gate.borrowsConnections(pass.cell());
@@ -112,18 +112,18 @@
         }
     }
 
-    List<CellAdmission.Busy> busy() {
+    List<CellAdmission.Busy> busyTenants() {
         lock.lock();
         try {
-            return gate.busy(desk.now());
+            return gate.busy(desk.nowNanos());
         } finally {
             lock.unlock();
         }
     }
 
     /** The keeper's word. */
-    void placed(PlacementTable placement) {
-        desk.tell(now -> {
+    void updatePlacement(PlacementTable placement) {
+        desk.applyEvent(now -> {
             for (int number : gate.placed(placement)) {
                 Group group = desk.group(number);
                 if (group != null) {
@@ -135,7 +135,7 @@
     }
 
     /** Another plan; what speaks against it, or null when it counts. */
-    String plan(StaticPlacement next) {
+    String replacePlan(StaticPlacement next) {
         lock.lock();
         try {
             String objection = gate.objection(next);
--- a/src/main/java/beaconladder/server/ClientConnection.java
+++ b/src/main/java/beaconladder/server/ClientConnection.java
@@ -94,20 +94,20 @@
     /** Whether its tenant's cell holds more connections than its own. */
     boolean borrows() {
         AdmissionPermit of = task.counted();
-        return of != null && desk.cells().borrows(of);
+        return of != null && desk.cells().borrowsConnections(of);
     }
 
     /** Takes in what is there and does what it says; false when the connection is over. */
     boolean readable() {
         try {
-            AdmissionPermit tenant = charged || !desk.confined() ? null : task.counted();
+            AdmissionPermit tenant = charged || !desk.hasCells() ? null : task.counted();
             if (tenant != null) {
                 in.charge(clients.room(tenant.cell()));
                 charged = true;
             }
             int n = in.feed(wire);
             if (!ahead.full()) {
-                cameAt = desk.now();
+                cameAt = desk.nowNanos();
             }
             if (endedAt != 0) {
                 in.drop();
@@ -170,7 +170,7 @@
         close();
         int unanswered = ahead.unanswered();
         desk.monitor().counters().add("closed", cause);
-        EventTrace.closed(key, cause, unanswered, in.unread());
+        EventTrace.clientClosed(key, cause, unanswered, in.unread());
         if (!cause.byClient()) {
             desk.monitor().invariants().closed(cause.name(), unanswered);
         }
@@ -222,7 +222,7 @@
         // any two steps.
         try {
             if (!lastLook && in.feed(wire) > 0) {
-                cameAt = desk.now();
+                cameAt = desk.nowNanos();
                 reader.pump();
                 return false;
             }
--- a/src/main/java/beaconladder/server/ClientReader.java
+++ b/src/main/java/beaconladder/server/ClientReader.java
@@ -119,7 +119,7 @@
 
     private void refused(QueryRejection why) {
         desk.monitor().counters().add("door", why);
-        EventTrace.door("refused: " + why);
+        EventTrace.rejectedEarly("refused: " + why);
     }
 
     void sendAway(String cause) throws IOException {
--- a/src/main/java/beaconladder/server/ConnectionTable.java
+++ b/src/main/java/beaconladder/server/ConnectionTable.java
@@ -62,7 +62,7 @@
 
     /** Who has said nothing goes first, then idle connections to hosts, then idle clients. */
     void makeRoom() {
-        if (!closeOldest(client -> !client.known()) && !lines.closeOldest()) {
+        if (!closeOldest(client -> !client.known()) && !lines.closeOldestIdle()) {
             closeOldest(client -> true);
         }
     }
@@ -83,7 +83,7 @@
 
     /** Whether a client that has just come can't be kept. */
     boolean full() {
-        int held = all.size() + lines.open();
+        int held = all.size() + lines.openCount();
         // Those who have been told to go still hold theirs for a moment, beside those that are served.
         return held > most
                 && held - all.stream().filter(ClientConnection::ending).count() > most;
--- a/src/main/java/beaconladder/server/EventTrace.java
+++ b/src/main/java/beaconladder/server/EventTrace.java
@@ -33,7 +33,7 @@
     }
 
     /** What the door answered by itself, before the desk had the txn. */
-    static void door(String what) {
+    static void rejectedEarly(String what) {
         LOG.debug("door {}", what);
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** A client's connection has ended. */
-    static void closed(long key, CloseCause cause, int unanswered, int unread) {
+    static void clientClosed(long key, CloseCause cause, int unanswered, int unread) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "close client={} cause={} unanswered={} unread_bytes={}",
--- a/src/main/java/beaconladder/server/ExchangeResult.java
+++ b/src/main/java/beaconladder/server/ExchangeResult.java
@@ -1,6 +1,5 @@
 package beaconladder.server;
 
-import beaconladder.pg.Decimal;
 import beaconladder.pg.MessageWriter;
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.Role;
@@ -80,51 +79,6 @@
 
     /** What the report that came along says. */
     Word report() {
-        return report(load);
-    }
-
-    /** A report with a field that can't be read says nothing at all. */
-    static Word report(String load) {
-        if (load == null) {
-            return Word.SILENT;
-        }
-        long position = Word.NONE;
-        double holds = -1;
-        Role role = Role.UNKNOWN;
-        for (String pair : load.split(",")) {
-            int equals = pair.indexOf('=');
-            String value = pair.substring(equals + 1).strip();
-            double figure = equals <= 0 ? -1 : figure(value);
-            boolean read = figure >= 0;
-            switch (pair.substring(0, Math.max(0, equals)).strip()) {
-                case "x0" -> {
-                    position = nanos(value, 9);
-                    read = position != Word.NONE;
-                }
-                case "x1" -> role = figure >= 0.5 ? Role.PRIMARY : Role.REPLICA;
-                case "inflight", "rif" -> holds = figure;
-                default -> {}
-            }
-            if (!read) {
-                return Word.SILENT;
-            }
-        }
-        return new Word(role, position, holds);
-    }
-
-    private static double figure(String text) {
-        try {
-            double value = Double.parseDouble(text);
-            // A million stands far above what a host can hold.
-            return value >= 0 && value < 1e6 ? value : -1;
-        } catch (NumberFormatException e) {
-            return -1;
-        }
-    }
-
-    /** A decimal number times a power of ten, rounded down and exact; NONE when it is no position. */
-    static long nanos(String text, int power) {
-        long value = Decimal.read(text, power);
-        return value > 0 ? value : Word.NONE;
+        return LoadReportParser.parse(load);
     }
 }
--- a/src/main/java/beaconladder/server/GracefulShutdown.java
+++ b/src/main/java/beaconladder/server/GracefulShutdown.java
@@ -9,20 +9,20 @@
  */
 record GracefulShutdown(long told, long longest) {
     /** Those who hand out connections learn of an end so much later at the most; the protocol's figure. */
-    static final long NOTICE = 700_000_000L;
+    static final long NOTICE_NANOS = 700_000_000L;
     /** The protocol counts the longest deadline as no shorter than this when it says when a kill may come. */
     private static final long LEAST = 3_000_000_000L;
     /** A signal is heard of late on a part of a core, and an answer has to leave the machine. */
     private static final long SLACK = 200_000_000L;
 
     /** From here on nothing is read but the rest of what had begun to come in. */
-    long last() {
-        return told + NOTICE;
+    long readDeadlineNanos() {
+        return told + NOTICE_NANOS;
     }
 
     /** What begins later than the notice has its end by then: the process may be killed soon after. */
-    long end() {
-        return last() + Math.max(longest, LEAST) - SLACK;
+    long endNanos() {
+        return readDeadlineNanos() + Math.max(longest, LEAST) - SLACK;
     }
 
     /**
@@ -30,8 +30,8 @@
      * the answer before it, which may reach past the kill: a read makes do with what is left, a write cut short might
      * have run with nobody told, so it has its whole time or none.
      */
-    long expiry(long begins, long budget, boolean write) {
-        boolean whole = begins <= last() && budget <= longest || begins + budget <= end();
-        return whole ? begins + budget : write ? begins : end();
+    long expiryNanos(long begins, long budget, boolean write) {
+        boolean whole = begins <= readDeadlineNanos() && budget <= longest || begins + budget <= endNanos();
+        return whole ? begins + budget : write ? begins : endNanos();
     }
 }
--- a/src/main/java/beaconladder/server/HostExchange.java
+++ b/src/main/java/beaconladder/server/HostExchange.java
@@ -61,7 +61,8 @@
         try {
             boolean connected = connect();
             // Where its own time ran out on the way, nothing speaks against the host.
-            moot = submission != null && (connected ? !desk.attempts().mayGo(submission) : System.nanoTime() >= until);
+            moot = submission != null
+                    && (connected ? !desk.attemptEvents().mayGo(submission) : System.nanoTime() >= until);
             if (connected && !moot) {
                 ending = exchange();
             }
@@ -81,9 +82,9 @@
 
     private void tellProbe(ExchangeResult ending) {
         Word report = lines.probeReports() && ending.row()
-                ? ExchangeResult.report(ending.messages().cell())
+                ? LoadReportParser.parse(ending.messages().cell())
                 : ending.report();
-        desk.attempts().probed(host, localFault ? Outcome.LOCAL_FAULT : ending.outcome(), report);
+        desk.attemptEvents().probed(host, localFault ? Outcome.LOCAL_FAULT : ending.outcome(), report);
     }
 
     private void tellAttempt(ExchangeResult ending, boolean moot, boolean calledOff) {
@@ -93,7 +94,7 @@
         } else if (calledOff && outcome == Outcome.RESET) {
             outcome = Outcome.CANCELLED;
         }
-        desk.attempts().ended(submission, outcome, ending.word(), ending.report(), ending.messages());
+        desk.attemptEvents().ended(submission, outcome, ending.word(), ending.report(), ending.messages());
     }
 
     private ExchangeResult exchange() {
@@ -103,16 +104,16 @@
                     ? line.receive(until)
                     : ExchangeResult.early(Reach.PART_WRITTEN);
         }
-        long began = desk.now();
-        long millis = Math.max(1, desk.attempts().toldTime(until - System.nanoTime()) / 1_000_000);
+        long began = desk.nowNanos();
+        long millis = Math.max(1, desk.attemptEvents().toldTime(until - System.nanoTime()) / 1_000_000);
         MessageWriter query = MessageWriter.query(statement.waiting(millis));
         begun = true;
         if (!line.send(query)) {
             return ExchangeResult.early(Reach.PART_WRITTEN);
         }
         // Read before the check, which waits for the lock of the decisions.
-        long ended = desk.now();
-        desk.attempts().sent(new SentAttempt(submission, began, ended, millis * 1_000_000));
+        long ended = desk.nowNanos();
+        desk.attemptEvents().sent(new SentAttempt(submission, began, ended, millis * 1_000_000));
         return line.receive(until);
     }
 
@@ -120,7 +121,7 @@
     private boolean connect() {
         InetSocketAddress address = desk.address(host);
         while (address != null) {
-            ServerConnection next = lines.idle().take(host, System.nanoTime() - desk.keepIdle());
+            ServerConnection next = lines.idle().take(host, System.nanoTime() - desk.keepIdleNanos());
             boolean fresh = next == null;
             if (fresh) {
                 try {
--- a/src/main/java/beaconladder/server/ParsedQuery.java
+++ b/src/main/java/beaconladder/server/ParsedQuery.java
@@ -43,18 +43,18 @@
             return only(error("42601", fault));
         }
         String id = statement.value("id");
-        Integer type = desk.places().type(String.valueOf(statement.value("c")));
+        Integer type = desk.settingIndex().typeIndex(String.valueOf(statement.value("c")));
         long cluster = number(statement.value("cluster"));
         boolean named = cluster >= 0 && cluster <= Integer.MAX_VALUE;
         Group group = named ? desk.group((int) cluster) : null;
         long budget = number(statement.value("d"));
         String after = statement.value("after");
-        long written = after == null ? Word.NONE : ExchangeResult.nanos(after, 6);
+        long written = after == null ? Word.NONE : LoadReportParser.parsePositionNanos(after, 6);
         String wrong = id == null || id.isEmpty() || id.length() > LONGEST_ID
                 ? "id"
                 : type == null
                         ? "c"
-                        : !named || group == null && !desk.confined()
+                        : !named || group == null && !desk.hasCells()
                                 ? "cluster"
                                 : budget <= 0 || budget > LONGEST_MILLIS
                                         ? "d"
--- a/src/main/java/beaconladder/server/PendingActions.java
+++ b/src/main/java/beaconladder/server/PendingActions.java
@@ -83,7 +83,7 @@
 
     @Override
     public void decline(Request txn, long comeBack, RoutingDecision.Reason reason) {
-        trace.finished(txn, "decline " + reason, desk.now());
+        trace.finished(txn, "decline " + reason, desk.nowNanos());
         monitor.counters().add("refused", reason);
         monitor.invariants().refused(txn);
         hands.get(txn).tell(new InFlightRequest.Order(InFlightRequest.Kind.DECLINED, null, comeBack, null));
@@ -91,14 +91,14 @@
 
     @Override
     public void rollBack(Request txn, RoutingDecision.Reason reason) {
-        trace.finished(txn, "rollback " + reason, desk.now());
+        trace.finished(txn, "rollback " + reason, desk.nowNanos());
         monitor.counters().add("rolled_back", reason);
         hands.get(txn).tell(new InFlightRequest.Order(InFlightRequest.Kind.ROLLED_BACK, null, 0, null));
     }
 
     @Override
     public void ended(Request txn) {
-        trace.finished(txn, "over", desk.now());
+        trace.finished(txn, "over", desk.nowNanos());
         trace.gone(txn);
         hands.remove(txn);
         overdue.remove(txn);
--- a/src/main/java/beaconladder/server/PlacementWatcher.java
+++ b/src/main/java/beaconladder/server/PlacementWatcher.java
@@ -74,7 +74,7 @@
     }
 
     private void ask() throws IOException, JsonReader.Fault {
-        List<Busy> busy = desk.cells().busy();
+        List<Busy> busy = desk.cells().busyTenants();
         long version = desk.cells().placement().version();
         long wait = busy.isEmpty() ? waitMillis : MOVING_MILLIS;
         String told = busy.stream()
@@ -88,7 +88,7 @@
                         + "&wait="
                         + wait + "&busy=" + told,
                 (int) wait + LATE_MILLIS);
-        desk.cells().placed(read(body));
+        desk.cells().updatePlacement(read(body));
     }
 
     private PlacementTable read(String body) throws IOException, JsonReader.Fault {
--- a/src/main/java/beaconladder/server/RequestDispatcher.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -67,17 +67,17 @@
         trace.settings(start);
     }
 
-    void errands(HostActions to) {
+    void setHostActions(HostActions to) {
         lines = to;
     }
 
     /** Unix time in nanoseconds; never runs backwards. */
-    long now() {
+    long nowNanos() {
         return anchor + System.nanoTime();
     }
 
     /** The moment of the desk's clock on System.nanoTime's. */
-    long nanoTime(long moment) {
+    long toNanoTime(long moment) {
         return moment - anchor;
     }
 
@@ -86,20 +86,20 @@
     }
 
     /** For exchanges with hosts. */
-    AttemptEvents attempts() {
+    AttemptEvents attemptEvents() {
         return attempts;
     }
 
-    SettingIndex places() {
+    SettingIndex settingIndex() {
         return places;
     }
 
     /** Whether txns of this type write. */
-    boolean writes(int type) {
+    boolean isWrite(int type) {
         return router.type(type).read() == RequestClass.Read.WRITE;
     }
 
-    double value(int type) {
+    double priorityWeight(int type) {
         return router.type(type).value();
     }
 
@@ -111,11 +111,11 @@
         return list.address(host);
     }
 
-    long keepIdle() {
+    long keepIdleNanos() {
         return router.keepIdle();
     }
 
-    int held() {
+    int trackedCount() {
         lock.lock();
         try {
             return list.held() + orders.size() + ids.size();
@@ -124,11 +124,11 @@
         }
     }
 
-    boolean knowsHosts() {
+    boolean hasEndpoints() {
         return !list.isEmpty();
     }
 
-    boolean confined() {
+    boolean hasCells() {
         return gate != null;
     }
 
@@ -138,7 +138,7 @@
     }
 
     /** The longest that a txn may be in hand, in nanoseconds. */
-    long longest() {
+    long maxRequestNanos() {
         return gate == null ? Long.MAX_VALUE : gate.longest();
     }
 
@@ -146,7 +146,7 @@
      * Takes a txn in, with its leave where there are cells: its task is told through the hand what to do, and releases
      * its id at the end. Null where another txn of this id is in hand.
      */
-    InFlightRequest take(
+    InFlightRequest submit(
             String id,
             int type,
             Group group,
@@ -168,26 +168,26 @@
                             group,
                             statement.session(),
                             written,
-                            places.tenant(statement.value("t")),
+                            places.tenantIndex(statement.value("t")),
                             "1".equals(statement.value("r")),
                             arrived,
                             expiry,
                             taken++),
                     statement);
             orders.add(hand);
-            trace.taken(hand.txn, id, now());
+            trace.taken(hand.txn, id, nowNanos());
             if (pass != null) {
                 gate.bind(hand.txn, pass);
             }
         } finally {
             lock.unlock();
         }
-        tell(now -> rounds.act(hand.txn, router.place(hand.txn, now), now));
+        applyEvent(now -> rounds.act(hand.txn, router.place(hand.txn, now), now));
         return hand;
     }
 
     /** The txn of this id has had its answer. */
-    void release(String id) {
+    void releaseId(String id) {
         lock.lock();
         try {
             ids.remove(id);
@@ -197,8 +197,8 @@
     }
 
     /** The client of this txn has left. */
-    void left(InFlightRequest hand) {
-        tell(now -> {
+    void abandon(InFlightRequest hand) {
+        applyEvent(now -> {
             hand.txn.leftAt = Math.min(hand.txn.leftAt, now);
             if (!hand.txn.ended) {
                 trace.finished(hand.txn, "left", now);
@@ -211,7 +211,7 @@
     @Override
     public void listed(boolean whole, List<EndpointWatch.Entry> entries) {
         List<Host> moved = new ArrayList<>();
-        tell(now -> moved.addAll(list.listed(whole, entries, now)));
+        applyEvent(now -> moved.addAll(list.listed(whole, entries, now)));
         if (lines != null) {
             moved.forEach(lines::closeIdle);
         }
@@ -221,19 +221,19 @@
     void sweep() {
         lock.lock();
         try {
-            list.sweep(now());
-            orders.checkOverdue(now());
+            list.sweep(nowNanos());
+            orders.checkOverdue(nowNanos());
         } finally {
             lock.unlock();
         }
     }
 
-    void tell(LongConsumer news) {
+    void applyEvent(LongConsumer news) {
         List<Consumer<HostActions>> then;
         List<String> traced;
         lock.lock();
         try {
-            long now = now();
+            long now = nowNanos();
             news.accept(now);
             timer.due(rounds.settle(now));
             then = orders.errands();
--- a/src/main/java/beaconladder/server/RequestTask.java
+++ b/src/main/java/beaconladder/server/RequestTask.java
@@ -60,7 +60,7 @@
                         next.query() == null
                                 ? new Reply(ParsedQuery.error("22021", "a query that is not UTF-8"), false)
                                 : answer(next),
-                        desk.now());
+                        desk.nowNanos());
                 more();
                 writeOut();
             } catch (IOException | InterruptedException e) {
@@ -78,7 +78,7 @@
 
     /** Where there are cells, the first txn shows whose connection it is, and goes alone. */
     private int atOnce() {
-        return desk.confined() && admission.counted() == null ? 1 : Integer.MAX_VALUE;
+        return desk.hasCells() && admission.counted() == null ? 1 : Integer.MAX_VALUE;
     }
 
     /** What has become free to begin gets a task of its own; without a thread it waits for this one. */
@@ -123,21 +123,21 @@
         }
         client.known(true);
         long arrived = work.begins();
-        long budget = Math.min(asked.budget(), desk.longest());
+        long budget = Math.min(asked.budget(), desk.maxRequestNanos());
         GracefulShutdown drain = clients.draining();
         long expiry = drain == null
                 ? arrived + budget
-                : drain.expiry(
+                : drain.expiryNanos(
                         arrived,
                         budget,
-                        desk.writes(asked.type()) || asked.statement().writes());
-        if (expiry <= desk.now()) {
+                        desk.isWrite(asked.type()) || asked.statement().writes());
+        if (expiry <= desk.nowNanos()) {
             refused(QueryRejection.NO_TIME);
             return new Reply(ParsedQuery.error("57P03", "no time is left for it here; it has not run"), false);
         }
         Group group = asked.group();
         AdmissionPermit pass = null;
-        if (desk.confined()) {
+        if (desk.hasCells()) {
             Admission.Answer leave = admission.enter(asked, work.query().length(), arrived, expiry, gone);
             pass = leave.pass();
             group = pass == null ? null : desk.group(pass.group());
@@ -145,34 +145,34 @@
                 refused(QueryRejection.NOT_ADMITTED);
                 return new Reply(work.cancelled() ? CANCELLED.get() : leave.told(), leave.last());
             } else if (group == null) {
-                desk.cells().leave(pass);
+                desk.cells().releasePermit(pass);
                 return new Reply(ParsedQuery.declined("no host of the cell is known", 0), false);
             }
         }
         InFlightRequest taken =
-                desk.take(asked.id(), asked.type(), group, asked.statement(), asked.written(), arrived, expiry, pass);
+                desk.submit(asked.id(), asked.type(), group, asked.statement(), asked.written(), arrived, expiry, pass);
         if (taken == null) {
             if (pass != null) {
-                desk.cells().leave(pass);
+                desk.cells().releasePermit(pass);
             }
             refused(QueryRejection.DUPLICATE_ID);
             return new Reply(ParsedQuery.error("22023", "the id of a txn that is in hand"), false);
         }
         work.hand(taken);
         if (gone.getAsBoolean()) {
-            desk.left(taken);
+            desk.abandon(taken);
         }
         try {
             return new Reply(finish(work, taken), false);
         } finally {
             work.hand(null);
-            desk.release(asked.id());
+            desk.releaseId(asked.id());
         }
     }
 
     private void refused(QueryRejection why) {
         desk.monitor().counters().add("door", why);
-        EventTrace.door("refused: " + why);
+        EventTrace.rejectedEarly("refused: " + why);
     }
 
     /** The client wants no answer any more to what is in hand; what was written ahead behind it stays. */
@@ -200,7 +200,7 @@
         for (PipelineQueue.Work each : all) {
             InFlightRequest current = each.hand();
             if (current != null) {
-                desk.left(current);
+                desk.abandon(current);
             }
         }
     }
--- a/src/main/java/beaconladder/server/RouterServer.java
+++ b/src/main/java/beaconladder/server/RouterServer.java
@@ -73,7 +73,7 @@
                                 CellAdmission.Room.of(threads.most(), stated.descriptors() / 3, bytes)));
         DescriptorLimit descriptors = new DescriptorLimit(stated.descriptors());
         lines = new ServerConnectionPool(desk, stated.start(), threads, room, descriptors, ServerConnection::new);
-        desk.errands(lines);
+        desk.setHostActions(lines);
         clients = new ClientServer(
                 desk,
                 lines,
@@ -132,7 +132,7 @@
         }
         WarmUp.run(stated, threads);
         // What was known may be out of date, and what discovery's agent has counts as told: it comes first.
-        while (!desk.knowsHosts() || watch.mayStillTell()) {
+        while (!desk.hasEndpoints() || watch.mayStillTell()) {
             Thread.sleep(5);
         }
         synchronized (this) {
@@ -171,7 +171,7 @@
                             ? List.of()
                             : List.of("limits"));
             if (plan != null) {
-                String objection = desk.cells().plan(territory(plan));
+                String objection = desk.cells().replacePlan(territory(plan));
                 if (objection != null) {
                     throw new IOException(plan + ": " + objection);
                 }
@@ -212,11 +212,11 @@
                 return;
             }
         }
-        LOG.info("draining with {} clients and {} connections to hosts", clients.count(), lines.open());
-        GracefulShutdown drain = new GracefulShutdown(desk.now(), longest);
-        TimeUnit.NANOSECONDS.sleep(GracefulShutdown.NOTICE);
+        LOG.info("draining with {} clients and {} connections to hosts", clients.count(), lines.openCount());
+        GracefulShutdown drain = new GracefulShutdown(desk.nowNanos(), longest);
+        TimeUnit.NANOSECONDS.sleep(GracefulShutdown.NOTICE_NANOS);
         clients.drain(drain);
-        while (clients.count() > 0 && desk.now() < drain.end() + ClientConnection.LINGER) {
+        while (clients.count() > 0 && desk.nowNanos() < drain.endNanos() + ClientConnection.LINGER) {
             Thread.sleep(5);
         }
         Thread.sleep(LAST_MILLIS);
--- a/src/main/java/beaconladder/server/ServerConnection.java
+++ b/src/main/java/beaconladder/server/ServerConnection.java
@@ -198,7 +198,7 @@
                             role = value.equals("leader")
                                     ? Role.PRIMARY
                                     : value.equals("follower") ? Role.REPLICA : Role.UNKNOWN;
-                        case "replay_position" -> position = ExchangeResult.nanos(value, 6);
+                        case "replay_position" -> position = LoadReportParser.parsePositionNanos(value, 6);
                         case "server_load" -> load = value;
                         default -> {}
                     }
--- a/src/main/java/beaconladder/server/ServerConnectionPool.java
+++ b/src/main/java/beaconladder/server/ServerConnectionPool.java
@@ -52,7 +52,7 @@
     }
 
     /** Descriptors held. */
-    int open() {
+    int openCount() {
         return descriptors.held(DescriptorLimit.Use.HOST);
     }
 
@@ -105,7 +105,7 @@
     /** Sees a submission through on the caller's thread; what became of it is told to the desk. */
     void send(InFlightRequest.Order order, Statement statement) {
         HostExchange call = new HostExchange(
-                this, desk, order.submission().host, order.submission(), statement, desk.nanoTime(order.nanos()));
+                this, desk, order.submission().host, order.submission(), statement, desk.toNanoTime(order.nanos()));
         // The answer of a copy must not wait for one that can't be called off, unless there is no thread for
         // it.
         if (cancels || !threads.tryExecute(call)) {
@@ -116,7 +116,7 @@
     @Override
     public void start(InFlightRequest hand, InFlightRequest.Order order) {
         if (!threads.tryExecute(() -> send(order, hand.statement))) {
-            desk.attempts().ended(order.submission(), Outcome.MOOT, Word.SILENT, Word.SILENT, null);
+            desk.attemptEvents().ended(order.submission(), Outcome.MOOT, Word.SILENT, Word.SILENT, null);
         }
     }
 
@@ -133,7 +133,7 @@
     @Override
     public void probe(Host host) {
         if (!threads.tryExecute(new HostExchange(this, desk, host, null, null, System.nanoTime() + dialNanos))) {
-            desk.attempts().probed(host, Outcome.MOOT, Word.SILENT);
+            desk.attemptEvents().probed(host, Outcome.MOOT, Word.SILENT);
         }
     }
 
@@ -145,7 +145,7 @@
     /** Closes what lay idle too long, and calls that hang past their time. */
     void sweep() {
         long now = System.nanoTime();
-        idle.sweep(now - desk.keepIdle());
+        idle.sweep(now - desk.keepIdleNanos());
         for (HostExchange call : calls) {
             // A call ends itself by its time-outs; only one stuck in a write gets here.
             if (now - call.until() > 100_000_000) {
@@ -154,7 +154,7 @@
         }
     }
 
-    boolean closeOldest() {
+    boolean closeOldestIdle() {
         return idle.closeOldest();
     }
 }
--- a/src/main/java/beaconladder/server/SettingIndex.java
+++ b/src/main/java/beaconladder/server/SettingIndex.java
@@ -23,12 +23,12 @@
     }
 
     /** Null where there is no such type. */
-    Integer type(String name) {
+    Integer typeIndex(String name) {
         return types.get(name);
     }
 
     /** Less than 0 where there is no such tenant. */
-    int tenant(String name) {
+    int tenantIndex(String name) {
         return tenants.getOrDefault(name, -1);
     }
 }
--- a/src/main/java/beaconladder/server/StartupResponse.java
+++ b/src/main/java/beaconladder/server/StartupResponse.java
@@ -51,7 +51,7 @@
         } else if (length < 5 || in.int8(in.end() - 1) != 0) {
             return fatal("08P01", "a startup message without its end");
         } else if (full) {
-            EventTrace.door("refused: no descriptor");
+            EventTrace.rejectedEarly("refused: no descriptor");
             return fatal("53300", "too many connections");
         }
         MessageWriter out = new MessageWriter();
--- a/src/main/java/beaconladder/server/WakeupTimer.java
+++ b/src/main/java/beaconladder/server/WakeupTimer.java
@@ -36,7 +36,7 @@
         while (!stopped) {
             try {
                 if (due()) {
-                    desk.tell(now -> {});
+                    desk.applyEvent(now -> {});
                     Thread.sleep(SHORTEST_REST_MILLIS);
                 }
             } catch (InterruptedException e) {
@@ -50,11 +50,11 @@
     private boolean due() throws InterruptedException {
         lock.lock();
         try {
-            long left = until - desk.now();
+            long left = until - desk.nowNanos();
             if (left > 0) {
                 sooner.awaitNanos(left);
             }
-            return until <= desk.now();
+            return until <= desk.nowNanos();
         } finally {
             lock.unlock();
         }
--- a/src/main/java/beaconladder/server/WarmUp.java
+++ b/src/main/java/beaconladder/server/WarmUp.java
@@ -48,7 +48,7 @@
                         address,
                         of,
                         new InMemoryChannel(new byte[0], written -> host(written, address.equals(primary)))));
-        desk.errands(lines);
+        desk.setHostActions(lines);
         desk.listed(
                 true,
                 List.of(
@@ -96,8 +96,8 @@
     private static String query(RequestDispatcher desk, List<String> types, int n) {
         int type = n % types.size();
         String comment = " /* id=" + n + ",c=" + types.get(type) + ",t=t,d=900,cluster=0,after="
-                + (desk.now() / 1_000_000 - 50) + " */";
-        return desk.writes(type)
+                + (desk.nowNanos() / 1_000_000 - 50) + " */";
+        return desk.isWrite(type)
                 ? "INSERT INTO items (id, doc) VALUES ('k" + n + "', '\\x00') RETURNING doc" + comment
                 : "SELECT doc FROM items WHERE id = 'k" + n + "'" + comment;
     }
--- a/src/test/java/beaconladder/server/GracefulShutdownTest.java
+++ b/src/test/java/beaconladder/server/GracefulShutdownTest.java
@@ -18,11 +18,11 @@
         long told = 1_767_225_600L * S;
         GracefulShutdown drain = new GracefulShutdown(told, longest);
         long kill = told + Math.max(longest, 3 * S) + 700_000_000L;
-        assertThat(drain.expiry(told + begins, budget, false)).isLessThanOrEqualTo(kill);
-        assertThat(drain.expiry(told + begins, budget, true)).isIn(told + begins, told + begins + budget);
-        assertThat(drain.last() - told).isEqualTo(700_000_000L);
+        assertThat(drain.expiryNanos(told + begins, budget, false)).isLessThanOrEqualTo(kill);
+        assertThat(drain.expiryNanos(told + begins, budget, true)).isIn(told + begins, told + begins + budget);
+        assertThat(drain.readDeadlineNanos() - told).isEqualTo(700_000_000L);
         if (budget <= longest && begins <= 700_000_000L) {
-            assertThat(drain.expiry(told + begins, budget, true)).isEqualTo(told + begins + budget);
+            assertThat(drain.expiryNanos(told + begins, budget, true)).isEqualTo(told + begins + budget);
         }
     }
 }
--- a/src/test/java/beaconladder/server/PartsTest.java
+++ b/src/test/java/beaconladder/server/PartsTest.java
@@ -64,7 +64,7 @@
     void positionsStayExactAndAreRoundedDownOnly() {
         StringBuilder trace = new StringBuilder();
         for (String position : new String[] {"1767225600123", "1767225600123.9999999", "0", "-3", "1e30", "x", ""}) {
-            long nanos = ExchangeResult.nanos(position, 6);
+            long nanos = LoadReportParser.parsePositionNanos(position, 6);
             trace.append(position)
                     .append(" ms: ")
                     .append(nanos == Word.NONE ? "none" : nanos)
@@ -80,7 +80,7 @@
             "nonsense",
             ""
         }) {
-            Word word = ExchangeResult.report(load);
+            Word word = LoadReportParser.parse(load);
             trace.append(load)
                     .append(": ")
                     .append(word.role())
@@ -125,8 +125,9 @@
             assertTimeoutPreemptively(
                     Duration.ofSeconds(2),
                     () -> {
-                        assertThat(ExchangeResult.nanos(number, 6)).isEqualTo(Word.NONE);
-                        assertThat(ExchangeResult.report("x0=" + number + ",x1=1"))
+                        assertThat(LoadReportParser.parsePositionNanos(number, 6))
+                                .isEqualTo(Word.NONE);
+                        assertThat(LoadReportParser.parse("x0=" + number + ",x1=1"))
                                 .isEqualTo(Word.SILENT);
                     },
                     () -> number.substring(0, Math.min(20, number.length())));
@@ -216,7 +217,7 @@
         Map<String, String> start = new LinkedHashMap<>(
                 Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east"));
         RequestDispatcher desk = new RequestDispatcher(1, start, null);
-        desk.errands(new ServerConnectionPool(
+        desk.setHostActions(new ServerConnectionPool(
                 desk,
                 start,
                 task -> {
@@ -238,13 +239,13 @@
                             new EndpointWatch.Entry(
                                     "s" + (i - 5), null, "east", i % 2, EndpointWatch.State.GONE, false, 0)));
             Statement read = Statement.read("SELECT doc FROM items WHERE id = 'k' /* id=1,c=x,d=9 */");
-            InFlightRequest hand =
-                    desk.take("t" + i, 0, desk.group(i % 2), read, Word.NONE, desk.now(), desk.now() + 1_000_000, null);
-            desk.left(hand);
-            desk.release("t" + i);
+            InFlightRequest hand = desk.submit(
+                    "t" + i, 0, desk.group(i % 2), read, Word.NONE, desk.nowNanos(), desk.nowNanos() + 1_000_000, null);
+            desk.abandon(hand);
+            desk.releaseId("t" + i);
             desk.sweep();
         }
-        assertThat(desk.held()).isLessThan(30);
+        assertThat(desk.trackedCount()).isLessThan(30);
     }
 
     /** At rest a list costs nothing: what looks for hosts that are gone does not walk all others. */
--- a/src/test/java/beaconladder/server/PlacementWatcherTest.java
+++ b/src/test/java/beaconladder/server/PlacementWatcherTest.java
@@ -43,7 +43,7 @@
                         "n0",
                         new StaticPlacement(PlanReader.read("p", PLAN).plan()),
                         CellAdmission.Room.of(8, 8, 1 << 20)));
-        desk.errands(new ServerConnectionPool(
+        desk.setHostActions(new ServerConnectionPool(
                 desk,
                 start,
                 task -> {
--- a/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
+++ b/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
@@ -75,11 +75,11 @@
     @Test
     void typesAndTenantsHaveThePlacesOfTheirNames() throws Exception {
         SettingIndex places = new SettingIndex(settings());
-        assertThat(places.type("browse")).isZero();
-        assertThat(places.type("bill")).isEqualTo(4);
-        assertThat(places.type("other")).isNull();
-        assertThat(places.tenant("beta")).isEqualTo(1);
-        assertThat(places.tenant("other")).isEqualTo(-1);
+        assertThat(places.typeIndex("browse")).isZero();
+        assertThat(places.typeIndex("bill")).isEqualTo(4);
+        assertThat(places.typeIndex("other")).isNull();
+        assertThat(places.tenantIndex("beta")).isEqualTo(1);
+        assertThat(places.tenantIndex("other")).isEqualTo(-1);
     }
 
     @Test
--- a/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
+++ b/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
@@ -62,15 +62,15 @@
     private InFlightRequest.Order finalAnswer(ServerConnectionPool.Opener opener) throws Exception {
         ServerConnectionPool lines = new ServerConnectionPool(
                 desk, SETTINGS, new ThreadLimit(192), new MemoryLimit(1 << 20), new DescriptorLimit(128), opener);
-        desk.errands(lines);
+        desk.setHostActions(lines);
         desk.listed(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
         Thread timer = new Thread(desk.timer());
         timer.setDaemon(true);
         timer.start();
-        long now = desk.now();
+        long now = desk.nowNanos();
         expiry = now + BUDGET_MILLIS * 1_000_000L;
         Statement statement = Statement.read(WRITE);
-        InFlightRequest hand = desk.take("w1", 0, desk.group(1), statement, Word.NONE, now, expiry, null);
+        InFlightRequest hand = desk.submit("w1", 0, desk.group(1), statement, Word.NONE, now, expiry, null);
         for (InFlightRequest.Order order = hand.take(); ; order = hand.take()) {
             if (order.kind() != InFlightRequest.Kind.SEND) {
                 desk.stop();
@@ -113,7 +113,7 @@
                         sleep(HOLD_UP_MILLIS + REST_OF_THE_WAY_MILLIS);
                         String text = new String(query, 5, query.length - 6, StandardCharsets.UTF_8);
                         long told = Long.parseLong(Statement.read(text).value("d"));
-                        excess.add(told - (expiry - desk.now()) / 1_000_000);
+                        excess.add(told - (expiry - desk.nowNanos()) / 1_000_000);
                     }
                     return answer(query, new InetSocketAddress("127.0.0.1", 1));
                 })));
@@ -138,7 +138,7 @@
     /** Another thread takes the lock of the decisions now, and keeps it for so long. */
     private void holdLock(long millis) {
         CountDownLatch held = new CountDownLatch(1);
-        Thread holder = new Thread(() -> desk.tell(now -> {
+        Thread holder = new Thread(() -> desk.applyEvent(now -> {
             held.countDown();
             sleep(millis);
         }));
@@ -172,17 +172,24 @@
                     return new ServerConnection(
                             address, room, new InMemoryChannel(new byte[0], query -> answer(query, moved)));
                 });
-        desk.errands(lines);
+        desk.setHostActions(lines);
         desk.listed(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
         Statement statement = Statement.read(WRITE);
         // Connections to a host that was used less are not kept.
         for (int i = 0; i <= USES; i++) {
-            InFlightRequest hand = desk.take(
-                    "w" + i, 0, desk.group(1), statement, Word.NONE, desk.now(), desk.now() + 100_000_000, null);
+            InFlightRequest hand = desk.submit(
+                    "w" + i,
+                    0,
+                    desk.group(1),
+                    statement,
+                    Word.NONE,
+                    desk.nowNanos(),
+                    desk.nowNanos() + 100_000_000,
+                    null);
             lines.send(hand.take(), statement);
             // An idle connection is used again once it has rested.
             Thread.sleep(10);
-            desk.left(hand);
+            desk.abandon(hand);
         }
         assertThat(descriptors.held(DescriptorLimit.Use.HOST)).isZero();
     }
