--- a/src/main/java/beaconladder/app/FedRouter.java
+++ b/src/main/java/beaconladder/app/FedRouter.java
@@ -44,7 +44,7 @@
     private final String name;
     private final long life = System.currentTimeMillis();
     private final Subscriber subscriber;
-    private VersionedState inForce = VersionedState.none();
+    private VersionedState inForce = VersionedState.empty();
     private RouterServer router;
 
     /** Reads what is on its disk; the router does not exist before it is asked for. */
@@ -55,7 +55,7 @@
         this.journal = journal;
         Files.createDirectories(folder);
         name = object(file).path("name").asText();
-        if (!Proposal.isName(name)) {
+        if (!Proposal.isValidName(name)) {
             throw new IOException("'" + name + "' is no name by which relays could know this router");
         }
         subscriber = new Subscriber(name, life, addresses(relays), folder.resolve("state"), this);
@@ -67,7 +67,7 @@
             int equals = each.indexOf('=');
             InetSocketAddress address = EndpointWatch.address(each.substring(equals + 1));
             if (equals < 1
-                    || !Proposal.isName(each.substring(0, equals))
+                    || !Proposal.isValidName(each.substring(0, equals))
                     || address == null
                     || all.put(each.substring(0, equals), address) != null) {
                 throw new IOException("'" + each + "' is no NAME=ADDRESS:PORT of a relay, or there twice");
@@ -78,7 +78,7 @@
 
     /** The router, from what was in force when it ended, or what the feed tells first. */
     synchronized RouterServer router() throws IOException, InterruptedException {
-        VersionedState kept = subscriber.kept();
+        VersionedState kept = subscriber.storedState();
         overlay(kept, "router");
         Thread thread = new Thread(null, subscriber, "subscriber", STACK);
         thread.setDaemon(true);
@@ -94,7 +94,7 @@
     /** The operators' file has changed: the feed's parts stay over it. */
     synchronized void reload() {
         try {
-            overlay(inForce.version() == 0 ? subscriber.kept() : inForce, "router");
+            overlay(inForce.version() == 0 ? subscriber.storedState() : inForce, "router");
             router.reload();
         } catch (IOException e) {
             LOG.warn("not reloaded, all stays as it was: {}", e.toString());
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public synchronized void check(VersionedState next) throws IOException {
+    public synchronized void validate(VersionedState next) throws IOException {
         overlay(next, "next");
         RouterServer.check(folder.resolve("next.json"), plan == null ? null : folder.resolve("next.plan"));
     }
@@ -111,7 +111,7 @@
     public synchronized void apply(VersionedState next) throws IOException {
         overlay(next, "router");
         if (router != null && !router.reload()) {
-            overlay(inForce.version() == 0 ? subscriber.kept() : inForce, "router");
+            overlay(inForce.version() == 0 ? subscriber.storedState() : inForce, "router");
             throw new IOException("it can't be in force here; the line before says why");
         }
         inForce = next;
@@ -122,7 +122,7 @@
             Files.writeString(
                     journal,
                     "A " + (now.getEpochSecond() * 1_000_000_000L + now.getNano()) + ' ' + name + ' ' + life + ' '
-                            + next.version() + ' ' + next.reckoned() + '\n',
+                            + next.version() + ' ' + next.computeDigest() + '\n',
                     StandardOpenOption.CREATE,
                     StandardOpenOption.APPEND);
         }
--- a/src/main/java/beaconladder/app/FeedCommand.java
+++ b/src/main/java/beaconladder/app/FeedCommand.java
@@ -3,8 +3,9 @@
 import beaconladder.discovery.EndpointWatch;
 import beaconladder.discovery.JsonReader;
 import beaconladder.feed.CommitResult;
+import beaconladder.feed.InvalidProposalException;
 import beaconladder.feed.Proposal;
-import beaconladder.feed.Proposer;
+import beaconladder.feed.LogClient;
 import beaconladder.feed.Relay;
 import beaconladder.feed.RelayReports;
 import beaconladder.feed.VersionedState;
@@ -90,27 +91,27 @@
             }
             Proposal proposal = new Proposal(against, texts, remove == null ? List.of() : remove);
             try {
-                proposal.checked();
+                proposal.validated();
             } catch (IOException e) {
                 throw new Wrong(e.getMessage());
             }
-            return told(new Proposer(grantors(file), CALL_MILLIS).propose(proposal), against);
-        } catch (Proposer.Wrong | Wrong e) {
+            return told(new LogClient(grantors(file), CALL_MILLIS).propose(proposal), against);
+        } catch (InvalidProposalException | Wrong e) {
             return wrong(e.getMessage());
         }
     }
 
     private int told(CommitResult written, long against) throws Wrong {
         switch (written.outcome()) {
-            case WRITTEN -> {
+            case COMMITTED -> {
                 spec.commandLine().getOut().printf("version %d, digest %s%n", written.version(), written.digest());
                 return 0;
             }
-            case OUT_OF_TURN ->
+            case VERSION_CONFLICT ->
                 throw new Wrong(
                         "out of turn: made against version " + against + ", but the newest is " + written.version());
             default ->
-                throw new Wrong("too large: with it, all documents would be over " + VersionedState.LARGEST
+                throw new Wrong("too large: with it, all documents would be over " + VersionedState.MAX_CHARACTERS
                         + " characters, or too many");
         }
     }
@@ -119,8 +120,8 @@
     private static String text(String name, Path file) throws Wrong {
         String text;
         try {
-            if (Files.size(file) > 4L * VersionedState.LARGEST) {
-                throw new Wrong(file + " is too large: all documents together have at most " + VersionedState.LARGEST
+            if (Files.size(file) > 4L * VersionedState.MAX_CHARACTERS) {
+                throw new Wrong(file + " is too large: all documents together have at most " + VersionedState.MAX_CHARACTERS
                         + " characters");
             }
             text = Files.readString(file);
@@ -150,20 +151,20 @@
             mixinStandardHelpOptions = true,
             description = "Show the newest version and with how many routers it is in force.")
     int status(@Mixin CheckCommand.PlanOption file) throws IOException {
-        RelayReports.Sum sum;
+        RelayReports.FleetStatus sum;
         try {
-            sum = new Proposer(grantors(file), CALL_MILLIS).status();
+            sum = new LogClient(grantors(file), CALL_MILLIS).status();
         } catch (Wrong e) {
             return wrong(e.getMessage());
         }
         PrintWriter out = spec.commandLine().getOut();
         out.printf(
                 "version %d, digest %s, %d documents of %d characters%n",
-                sum.version(), sum.digest(), sum.entries(), sum.size());
+                sum.version(), sum.digest(), sum.entryCount(), sum.characterCount());
         sum.counts()
                 .forEach(each -> out.printf(
                         "version %d: in force at %d routers, refused by %d%n",
-                        each.version(), each.applied(), each.refused()));
+                        each.version(), each.applied(), each.rejected()));
         out.printf("older: %d; heard within the last minute and silent now: at most %d%n", sum.older(), sum.silent());
         sum.relays()
                 .forEach(each -> out.printf(
@@ -202,7 +203,7 @@
         Relay relay;
         try {
             List<InetSocketAddress> grantors = grantors(file);
-            if (!Proposal.isName(name)) {
+            if (!Proposal.isValidName(name)) {
                 throw new Wrong("'" + name + "' is no name of a relay");
             }
             InetSocketAddress address = EndpointWatch.address(at);
--- a/src/main/java/beaconladder/feed/Applier.java
+++ b/src/main/java/beaconladder/feed/Applier.java
@@ -9,7 +9,7 @@
      *
      * @throws IOException what is wrong with it; then it is refused
      */
-    void check(VersionedState next) throws IOException;
+    void validate(VersionedState next) throws IOException;
 
     /**
      * Puts it in force. It was checked, and is on the disk already.
--- a/src/main/java/beaconladder/feed/ApplyResult.java
+++ b/src/main/java/beaconladder/feed/ApplyResult.java
@@ -18,7 +18,7 @@
             }
             VersionedState next = held;
             if (told.base() != null && told.version() > held.version()) {
-                next = told.base().checked();
+                next = told.base().validated();
             } else {
                 next = held.after(told.changes());
             }
--- a/src/main/java/beaconladder/feed/Change.java
+++ b/src/main/java/beaconladder/feed/Change.java
@@ -27,7 +27,7 @@
 
     /** How much of the bound it takes. */
     @JsonIgnore
-    int size() {
-        return Proposal.size(set) + remove.stream().mapToInt(String::length).sum();
+    int characterCount() {
+        return Proposal.characterCount(set) + remove.stream().mapToInt(String::length).sum();
     }
 }
--- a/src/main/java/beaconladder/feed/CommitResult.java
+++ b/src/main/java/beaconladder/feed/CommitResult.java
@@ -15,10 +15,13 @@
     /** What it did. */
     public enum Outcome {
         /** It is the newest version, or was the one after the stated version already: asked twice. */
-        WRITTEN,
+        @JsonProperty("WRITTEN")
+        COMMITTED,
         /** It was made against another version than the newest. */
-        OUT_OF_TURN,
+        @JsonProperty("OUT_OF_TURN")
+        VERSION_CONFLICT,
         /** With it, all would be larger than the bound. */
+        @JsonProperty("TOO_LARGE")
         TOO_LARGE
     }
 }
--- a/src/main/java/beaconladder/feed/Proposer.java
+++ b/src/main/java/beaconladder/feed/LogClient.java
@@ -10,13 +10,13 @@
 import java.util.List;
 
 /** The grantors' door for operators: one grantor after the other, until one answers. */
-public final class Proposer {
+public final class LogClient {
     private final List<InetSocketAddress> grantors;
     private final Duration each;
     private final HttpClient http;
 
     /** One that gives each grantor so long. */
-    public Proposer(List<InetSocketAddress> grantors, long millis) {
+    public LogClient(List<InetSocketAddress> grantors, long millis) {
         this.grantors = List.copyOf(grantors);
         this.each = Duration.ofMillis(millis);
         this.http = HttpClient.newBuilder()
@@ -25,19 +25,10 @@
                 .build();
     }
 
-    /** A proposal that can't be right, as a grantor says. */
-    public static final class Wrong extends IOException {
-        private static final long serialVersionUID = 1L;
-
-        private Wrong(String message) {
-            super(message);
-        }
-    }
-
     /**
      * Proposes; asked again after no answer, it is one change all the same.
      *
-     * @throws Wrong where it can't be right
+     * @throws InvalidProposalException where it can't be right
      * @throws IOException where no grantor answers with a quorum; it may be written or not
      */
     public CommitResult propose(Proposal proposal) throws IOException {
@@ -49,12 +40,12 @@
     }
 
     /** The sums as the leader has them. */
-    public RelayReports.Sum status() throws IOException {
-        return FeedJson.read(any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/status"))), RelayReports.Sum.class);
+    public RelayReports.FleetStatus status() throws IOException {
+        return FeedJson.read(any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/status"))), RelayReports.FleetStatus.class);
     }
 
     /** What one that holds this version lacks, as the leader has it. */
-    public Update since(long version) throws IOException {
+    public Update updateSince(long version) throws IOException {
         return FeedJson.read(
                 any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed?wait=0&since=" + version))), Update.class);
     }
@@ -78,9 +69,9 @@
                 }
                 last = error(answer.body());
                 if (answer.statusCode() == 400) {
-                    throw new Wrong(last);
+                    throw new InvalidProposalException(last);
                 }
-            } catch (Wrong e) {
+            } catch (InvalidProposalException e) {
                 throw e;
             } catch (IOException e) {
                 last = String.valueOf(e.getMessage() == null ? e : e.getMessage());
--- a/src/main/java/beaconladder/feed/LogEndpoint.java
+++ b/src/main/java/beaconladder/feed/LogEndpoint.java
@@ -12,24 +12,24 @@
  */
 public final class LogEndpoint {
     /** A state of the largest size, each character escaped, and its frame. */
-    private static final int LONGEST_BODY = 8 * VersionedState.LARGEST;
+    private static final int LONGEST_BODY = 8 * VersionedState.MAX_CHARACTERS;
 
     private static final long LONGEST_WAIT = 5_000;
 
     /** The log behind the door. */
     public interface Log {
         /** What it has applied. */
-        VersionNotifier board();
+        VersionNotifier versions();
 
         /** Whether it is the leader's, as far as that is known here. */
-        boolean leads();
+        boolean isLeader();
 
         /**
          * Writes a proposal.
          *
          * @throws IOException where no quorum takes it in time; whether it is written is then not known
          */
-        CommitResult write(Proposal proposal) throws IOException;
+        CommitResult commit(Proposal proposal) throws IOException;
     }
 
     /** What can be answered. */
@@ -61,25 +61,25 @@
         QueryString query = new QueryString(exchange.getRequestURI().getRawQuery());
         long since = query.number("since", Long.MAX_VALUE);
         long wait = query.number("wait", LONGEST_WAIT);
-        leads();
+        isLeader();
         String relay = query.text("relay");
         if (relay != null) {
-            if (!Proposal.isName(relay) || query.text("report") == null) {
+            if (!Proposal.isValidName(relay) || query.text("report") == null) {
                 throw new IOException("a report that is not whole");
             }
             reports.heard(
                     relay,
-                    FeedJson.read(query.text("report"), RelayReport.class).checked(),
+                    FeedJson.read(query.text("report"), RelayReport.class).validated(),
                     System.nanoTime());
         }
-        VersionHistory now = log.board().after(since, wait);
-        leads();
-        return now.since(since, query.is("whole"));
+        VersionHistory now = log.versions().awaitNewer(since, wait);
+        isLeader();
+        return now.updateSince(since, query.is("whole"));
     }
 
-    private RelayReports.Sum status(HttpExchange exchange) throws Away {
-        leads();
-        return reports.sum(log.board().now().newest(), System.nanoTime());
+    private RelayReports.FleetStatus status(HttpExchange exchange) throws Away {
+        isLeader();
+        return reports.sum(log.versions().current().newest(), System.nanoTime());
     }
 
     private CommitResult propose(HttpExchange exchange) throws IOException, Away {
@@ -91,16 +91,16 @@
             throw new IOException("a proposal of more than " + LONGEST_BODY + " bytes");
         }
         Proposal proposal = FeedJson.read(new String(body, StandardCharsets.UTF_8), Proposal.class)
-                .checked();
+                .validated();
         try {
-            return log.write(proposal);
+            return log.commit(proposal);
         } catch (IOException e) {
             throw new Away("no quorum answered: it may be written or not; ask again, the same");
         }
     }
 
-    private void leads() throws Away {
-        if (!log.leads()) {
+    private void isLeader() throws Away {
+        if (!log.isLeader()) {
             throw new Away("another grantor leads");
         }
     }
--- a/src/main/java/beaconladder/feed/LogFollower.java
+++ b/src/main/java/beaconladder/feed/LogFollower.java
@@ -79,7 +79,7 @@
                     LOG.info(
                             "relay {} hears from the log again, version {}",
                             name,
-                            board.now().newest().version());
+                            board.current().newest().version());
                     away = false;
                 }
                 step = newer ? Math.min(LONGEST_STEP_MILLIS, step == 0 ? STEP_MILLIS : 2 * step) : 0;
@@ -93,7 +93,7 @@
                     LOG.warn("relay {} hears nothing from the log: {}", name, e.getMessage());
                     away = true;
                     // Who waits here is told so, and looks elsewhere.
-                    board.wake();
+                    board.wakeAll();
                 }
             }
         }
@@ -101,7 +101,7 @@
     }
 
     private boolean poll() throws IOException {
-        VersionHistory before = board.now();
+        VersionHistory before = board.current();
         RelayReport report = tally.report(before.newest().version(), lagMillis(), System.nanoTime());
         String text = doors.get(at)
                 .get(
@@ -113,7 +113,7 @@
         Update told = FeedJson.read(text, Update.class);
         VersionHistory next;
         try {
-            next = before.heard(told);
+            next = before.merge(told);
             whole = false;
         } catch (IOException e) {
             whole = true;
@@ -133,7 +133,7 @@
         heard = System.nanoTime();
         known = true;
         if (newer) {
-            board.show(next);
+            board.publish(next);
         }
         return newer;
     }
--- a/src/main/java/beaconladder/feed/Proposal.java
+++ b/src/main/java/beaconladder/feed/Proposal.java
@@ -1,7 +1,6 @@
 package beaconladder.feed;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import java.io.IOException;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -9,10 +8,10 @@
 /**
  * A change that somebody wants.
  *
- * @param against the version that it was made against; the log takes it only while that is the newest
+ * @param baseVersion the version that it was made baseVersion; the log takes it only while that is the newest
  */
 public record Proposal(
-        @JsonProperty(required = true) long against,
+        @JsonProperty(value = "against", required = true) long baseVersion,
         @JsonProperty(required = true) Map<String, String> set,
         @JsonProperty(required = true) List<String> remove) {
     private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
@@ -24,44 +23,44 @@
     }
 
     /** Whether this can be a name of a document, a relay or a router. */
-    public static boolean isName(String name) {
+    public static boolean isValidName(String name) {
         return name != null && name.matches(NAME);
     }
 
-    static int size(Map<String, String> entries) {
+    static int characterCount(Map<String, String> entries) {
         return entries.entrySet().stream()
                 .mapToInt(each -> each.getKey().length() + each.getValue().length())
                 .sum();
     }
 
-    static void check(Map<String, String> entries) throws IOException {
+    static void check(Map<String, String> entries) throws InvalidProposalException {
         for (Map.Entry<String, String> each : entries.entrySet()) {
-            if (!isName(each.getKey())) {
-                throw new IOException("'" + each.getKey() + "' is no name of a document");
+            if (!isValidName(each.getKey())) {
+                throw new InvalidProposalException("'" + each.getKey() + "' is no name of a document");
             }
             if (each.getValue() == null) {
-                throw new IOException("'" + each.getKey() + "' has no text");
+                throw new InvalidProposalException("'" + each.getKey() + "' has no text");
             }
         }
     }
 
     /** A proposal from outside, or what is wrong with it. */
-    public Proposal checked() throws IOException {
+    public Proposal validated() throws InvalidProposalException {
         check(set);
         for (String name : remove) {
-            if (!isName(name)) {
-                throw new IOException("'" + name + "' is no name of a document");
+            if (!isValidName(name)) {
+                throw new InvalidProposalException("'" + name + "' is no name of a document");
             }
             if (set.containsKey(name)) {
-                throw new IOException("'" + name + "' is set and removed at once");
+                throw new InvalidProposalException("'" + name + "' is set and removed at once");
             }
         }
-        if (against < 0 || set.isEmpty() && remove.isEmpty()) {
-            throw new IOException(against < 0 ? "made against a version below nought" : "nothing is changed");
+        if (baseVersion < 0 || set.isEmpty() && remove.isEmpty()) {
+            throw new InvalidProposalException(baseVersion < 0 ? "made against a version below nought" : "nothing is changed");
         }
-        if (set.size() + remove.size() > VersionedState.MOST_ENTRIES || size(set) > VersionedState.LARGEST) {
-            throw new IOException("a change of more than " + VersionedState.LARGEST + " characters or "
-                    + VersionedState.MOST_ENTRIES + " entries");
+        if (set.size() + remove.size() > VersionedState.MAX_ENTRIES || characterCount(set) > VersionedState.MAX_CHARACTERS) {
+            throw new InvalidProposalException("a change of more than " + VersionedState.MAX_CHARACTERS + " characters or "
+                    + VersionedState.MAX_ENTRIES + " entries");
         }
         return this;
     }
--- a/src/main/java/beaconladder/feed/Relay.java
+++ b/src/main/java/beaconladder/feed/Relay.java
@@ -40,8 +40,8 @@
             @JsonProperty(required = true) long lagMillis,
             @JsonProperty(required = true) int connections,
             @JsonProperty(required = true) long answers,
-            @JsonProperty(required = true) long bases,
-            @JsonProperty(required = true) long refused,
+            @JsonProperty(value = "bases", required = true) long fullStateAnswers,
+            @JsonProperty(value = "refused", required = true) long rejectedConnections,
             @JsonProperty(required = true) long bytesIn,
             @JsonProperty(required = true) long bytesOut) {}
 
@@ -56,7 +56,7 @@
     public Relay(String name, InetSocketAddress at, List<InetSocketAddress> grantors, Path store, int most)
             throws IOException {
         StateStore disk = new StateStore(store);
-        board.show(VersionHistory.of(disk.kept().state()));
+        board.publish(VersionHistory.of(disk.kept().state()));
         follower = new LogFollower(name, grantors, board, tally, disk);
         try {
             door = new RelayServer(at, most, (path, query) -> answer(name, path, query));
@@ -76,13 +76,13 @@
     }
 
     /** Where it answers. */
-    public InetSocketAddress at() {
+    public InetSocketAddress address() {
         return door.at();
     }
 
     private byte[] answer(String name, String path, QueryString query) throws IOException, InterruptedException {
         if (path.equals("/v1/relay")) {
-            VersionedState newest = board.now().newest();
+            VersionedState newest = board.current().newest();
             return bytes(FeedJson.text(new Status(
                     name,
                     newest.version(),
@@ -98,7 +98,7 @@
         if (!path.equals("/v1/feed")) {
             throw new IOException("no such path");
         }
-        if (!Proposal.isName(query.text("name"))) {
+        if (!Proposal.isValidName(query.text("name"))) {
             throw new IOException("name is none");
         }
         long since = query.number("since", Long.MAX_VALUE);
@@ -113,7 +113,7 @@
         long wait = query.number("wait", LONGEST_WAIT);
         // Who hears from here that the log is away looks elsewhere, and must not wait for that.
         boolean tells = follower.lagMillis() <= Subscriber.STALE_MILLIS || query.is("patient");
-        VersionHistory now = board.after(since, tells ? wait : 0);
+        VersionHistory now = board.awaitNewer(since, tells ? wait : 0);
         return body(now, since, query.is("whole"));
     }
 
@@ -121,7 +121,7 @@
         long newest = now.newest().version();
         long lag = follower.lagMillis();
         if (whole || since >= newest || lag > LogFollower.FRESH_MILLIS) {
-            return bytes(FeedJson.text(now.since(since, whole).lagging(lag)));
+            return bytes(FeedJson.text(now.updateSince(since, whole).lagging(lag)));
         }
         synchronized (bodies) {
             if (bodiesOf != newest || bodies.size() >= MOST_ANSWERS) {
@@ -130,7 +130,7 @@
             }
             byte[] body = bodies.get(since);
             if (body == null) {
-                Update told = now.since(since, false);
+                Update told = now.updateSince(since, false);
                 bases += told.base() == null ? 0 : 1;
                 body = bytes(FeedJson.text(told));
                 bodies.put(since, body);
--- a/src/main/java/beaconladder/feed/RelayReport.java
+++ b/src/main/java/beaconladder/feed/RelayReport.java
@@ -26,19 +26,19 @@
     public record Count(
             @JsonProperty(required = true) long version,
             @JsonProperty(required = true) int applied,
-            @JsonProperty(required = true) int refused) {}
+            @JsonProperty(value = "refused", required = true) int rejected) {}
 
     /** Copies, so that nobody changes it later. */
     public RelayReport {
         counts = List.copyOf(counts);
     }
 
-    RelayReport checked() throws IOException {
+    RelayReport validated() throws IOException {
         if (version < 0
                 || older < 0
                 || silent < 0
                 || counts.size() > MOST
-                || counts.stream().anyMatch(each -> each.applied() < 0 || each.refused() < 0)) {
+                || counts.stream().anyMatch(each -> each.applied() < 0 || each.rejected() < 0)) {
             throw new IOException("a report that is not whole");
         }
         return this;
--- a/src/main/java/beaconladder/feed/RelayReports.java
+++ b/src/main/java/beaconladder/feed/RelayReports.java
@@ -15,21 +15,21 @@
     private record Entry(RelayReport report, long at) {}
 
     /** A relay as the leader sees it. */
-    public record Seen(
+    public record ReceivedReport(
             @JsonProperty(required = true) String relay,
             @JsonProperty(required = true) long agoMillis,
             @JsonProperty(required = true) RelayReport report) {}
 
     /** The whole fleet in a few numbers. */
-    public record Sum(
+    public record FleetStatus(
             @JsonProperty(required = true) long version,
             @JsonProperty(required = true) String digest,
-            @JsonProperty(required = true) int entries,
-            @JsonProperty(required = true) int size,
+            @JsonProperty(value = "entries", required = true) int entryCount,
+            @JsonProperty(value = "size", required = true) int characterCount,
             @JsonProperty(required = true) List<RelayReport.Count> counts,
             @JsonProperty(required = true) int older,
             @JsonProperty(required = true) int silent,
-            @JsonProperty(required = true) List<Seen> relays) {}
+            @JsonProperty(required = true) List<ReceivedReport> relays) {}
 
     private final Map<String, Entry> entries = new TreeMap<>();
 
@@ -42,27 +42,27 @@
     }
 
     /** All of them together, as of now. */
-    synchronized Sum sum(VersionedState newest, long now) {
+    synchronized FleetStatus sum(VersionedState newest, long now) {
         entries.values().removeIf(each -> now - each.at() > AcknowledgementSummary.REPORTED);
         TreeMap<Long, int[]> counts = new TreeMap<>(Comparator.reverseOrder());
         int older = 0;
         int silent = 0;
-        List<Seen> relays = new ArrayList<>();
+        List<ReceivedReport> relays = new ArrayList<>();
         for (Map.Entry<String, Entry> each : entries.entrySet()) {
             RelayReport report = each.getValue().report();
             for (RelayReport.Count count : report.counts()) {
                 int[] sums = counts.computeIfAbsent(count.version(), v -> new int[2]);
                 sums[0] += count.applied();
-                sums[1] += count.refused();
+                sums[1] += count.rejected();
             }
             older += report.older();
             silent += report.silent();
-            relays.add(new Seen(each.getKey(), (now - each.getValue().at()) / 1_000_000, report));
+            relays.add(new ReceivedReport(each.getKey(), (now - each.getValue().at()) / 1_000_000, report));
         }
         List<RelayReport.Count> all = counts.entrySet().stream()
                 .map(each -> new RelayReport.Count(each.getKey(), each.getValue()[0], each.getValue()[1]))
                 .toList();
-        return new Sum(
-                newest.version(), newest.digest(), newest.entries().size(), newest.size(), all, older, silent, relays);
+        return new FleetStatus(
+                newest.version(), newest.digest(), newest.entries().size(), newest.characterCount(), all, older, silent, relays);
     }
 }
--- a/src/main/java/beaconladder/feed/StateStore.java
+++ b/src/main/java/beaconladder/feed/StateStore.java
@@ -14,7 +14,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
 
     private final DurableRecords records;
-    private Kept kept = new Kept(VersionedState.none(), 0);
+    private Kept kept = new Kept(VersionedState.empty(), 0);
     /** What has to be in the place of what is kept, as a version was refused behind its write. */
     private Kept owed;
 
@@ -34,7 +34,7 @@
             byte[] last = records.found().get(records.found().size() - 1);
             try {
                 kept = FeedJson.read(new String(last, StandardCharsets.UTF_8), Kept.class);
-                kept.state().checked();
+                kept.state().validated();
             } catch (IOException e) {
                 records.close();
                 throw new IOException(folder + " holds no whole state: " + e.getMessage(), e);
--- a/src/main/java/beaconladder/feed/Subscriber.java
+++ b/src/main/java/beaconladder/feed/Subscriber.java
@@ -86,12 +86,12 @@
     }
 
     /** The version in force; 0 for none. */
-    public synchronized long version() {
+    public synchronized long appliedVersion() {
         return inForce;
     }
 
     /** What was in force when this router ended, to start with; nothing at a first start. */
-    public VersionedState kept() {
+    public VersionedState storedState() {
         return disk.kept().state();
     }
 
@@ -114,7 +114,7 @@
                             "{}: no relay answers ({}); version {} stays in force, {} ms old",
                             name,
                             e,
-                            version(),
+                            appliedVersion(),
                             ageMillis());
                     pause(chance.nextInt(BACKOFF_MILLIS));
                 }
@@ -176,7 +176,7 @@
         }
         StateStore.Kept before = disk.kept();
         try {
-            applier.check(next);
+            applier.validate(next);
         } catch (IOException e) {
             refuse(next, e);
             return true;
@@ -219,7 +219,7 @@
                     - Math.max(0, System.currentTimeMillis() - disk.kept().heard()) * 1_000_000;
             known = true;
             try {
-                applier.check(held);
+                applier.validate(held);
                 applier.apply(held);
                 inForce = held.version();
                 LOG.info("{}: no relay answers; version {} is in force from the disk", name, inForce);
--- a/src/main/java/beaconladder/feed/VersionHistory.java
+++ b/src/main/java/beaconladder/feed/VersionHistory.java
@@ -15,10 +15,10 @@
         @JsonProperty(required = true) VersionedState newest,
         @JsonProperty(required = true) List<Change> changes) {
     /** At 8,700 changes a day this is most of an hour; who has been away for longer gets the base. */
-    static final int MOST_CHANGES = 256;
+    static final int MAX_CHANGES = 256;
 
     /** A history after a proposal, and what became of that. */
-    public record Applied(VersionHistory next, CommitResult written) {}
+    public record Transition(VersionHistory history, CommitResult result) {}
 
     /** Copies, so that nobody changes it later. */
     public VersionHistory {
@@ -26,8 +26,8 @@
     }
 
     /** Nothing yet. */
-    public static VersionHistory none() {
-        return of(VersionedState.none());
+    public static VersionHistory empty() {
+        return of(VersionedState.empty());
     }
 
     /** One that knows of no version before. */
@@ -36,47 +36,47 @@
     }
 
     /** The history with this proposal applied; all replicas come to the same. */
-    public Applied apply(Proposal proposal) {
-        if (proposal.against() != newest.version()) {
+    public Transition apply(Proposal proposal) {
+        if (proposal.baseVersion() != newest.version()) {
             boolean again = changes.stream()
-                    .anyMatch(each -> each.version() == proposal.against() + 1
+                    .anyMatch(each -> each.version() == proposal.baseVersion() + 1
                             && each.set().equals(proposal.set())
                             && each.remove().equals(proposal.remove()));
-            return applied(this, again ? CommitResult.Outcome.WRITTEN : CommitResult.Outcome.OUT_OF_TURN);
+            return applied(this, again ? CommitResult.Outcome.COMMITTED : CommitResult.Outcome.VERSION_CONFLICT);
         }
         VersionedState next = newest.after(proposal);
-        if (next.size() > VersionedState.LARGEST || next.entries().size() > VersionedState.MOST_ENTRIES) {
+        if (next.characterCount() > VersionedState.MAX_CHARACTERS || next.entries().size() > VersionedState.MAX_ENTRIES) {
             return applied(this, CommitResult.Outcome.TOO_LARGE);
         }
         return applied(
                 with(next, List.of(new Change(next.version(), proposal.set(), proposal.remove(), next.digest()))),
-                CommitResult.Outcome.WRITTEN);
+                CommitResult.Outcome.COMMITTED);
     }
 
-    private static Applied applied(VersionHistory next, CommitResult.Outcome outcome) {
-        return new Applied(next, new CommitResult(outcome, next.newest.version(), next.newest.digest()));
+    private static Transition applied(VersionHistory next, CommitResult.Outcome outcome) {
+        return new Transition(next, new CommitResult(outcome, next.newest.version(), next.newest.digest()));
     }
 
     /** Changes are kept up to a count, and while all of them take no more than a state may. */
     private VersionHistory with(VersionedState next, List<Change> more) {
         List<Change> all = new ArrayList<>(changes);
         all.addAll(more);
-        int size = all.stream().mapToInt(Change::size).sum();
-        while (all.size() > MOST_CHANGES || size > VersionedState.LARGEST) {
-            size -= all.remove(0).size();
+        int size = all.stream().mapToInt(Change::characterCount).sum();
+        while (all.size() > MAX_CHANGES || size > VersionedState.MAX_CHARACTERS) {
+            size -= all.remove(0).characterCount();
         }
         return new VersionHistory(next, all);
     }
 
     /** What one that holds this version lacks: nothing, the changes since, or the base where that is less. */
-    public Update since(long version, boolean whole) {
+    public Update updateSince(long version, boolean whole) {
         if (version >= newest.version()) {
             return new Update(newest.version(), newest.digest(), 0, null, List.of());
         }
         int from = changes.size() - (int) Math.min(Integer.MAX_VALUE, newest.version() - version);
         List<Change> missed = whole || from < 0 ? List.of() : changes.subList(from, changes.size());
         boolean base =
-                missed.isEmpty() || missed.stream().mapToInt(Change::size).sum() > newest.size();
+                missed.isEmpty() || missed.stream().mapToInt(Change::characterCount).sum() > newest.characterCount();
         return new Update(newest.version(), newest.digest(), 0, base ? newest : null, base ? List.of() : missed);
     }
 
@@ -86,9 +86,9 @@
      * @return this one where nothing newer was told
      * @throws IOException where it does not fit, and nothing of it counts
      */
-    VersionHistory heard(Update told) throws IOException {
+    VersionHistory merge(Update told) throws IOException {
         if (told.base() != null) {
-            VersionedState base = told.base().checked();
+            VersionedState base = told.base().validated();
             return base.version() > newest.version() ? of(base) : this;
         }
         List<Change> more = told.changes().stream()
@@ -98,8 +98,8 @@
     }
 
     /** Nothing that was read back is believed before this has looked at it. */
-    public VersionHistory checked() throws IOException {
-        newest.checked();
+    public VersionHistory validated() throws IOException {
+        newest.validated();
         long version = newest.version() - changes.size();
         for (Change each : changes) {
             if (each.version() != ++version) {
--- a/src/main/java/beaconladder/feed/VersionedState.java
+++ b/src/main/java/beaconladder/feed/VersionedState.java
@@ -24,9 +24,9 @@
      * All texts and names together, in characters: a plan of some thousand tenants, and settings of the same size. A
      * router holds two states at once, which is to stay far below its 64 MB for control.
      */
-    public static final int LARGEST = 512 * 1024;
+    public static final int MAX_CHARACTERS = 512 * 1024;
     /** Names of documents; an installation has some dozens. */
-    static final int MOST_ENTRIES = 256;
+    static final int MAX_ENTRIES = 256;
 
     /** Copies, so that nobody changes it later. */
     public VersionedState {
@@ -34,7 +34,7 @@
     }
 
     /** Nothing yet. */
-    public static VersionedState none() {
+    public static VersionedState empty() {
         return of(0, Map.of());
     }
 
@@ -52,18 +52,18 @@
     }
 
     /** The digest that its contents have, whatever it came with. */
-    public String reckoned() {
+    public String computeDigest() {
         return digest(version, entries);
     }
 
     /** How much of the bound it takes. */
     @JsonIgnore
-    public int size() {
-        return Proposal.size(entries);
+    public int characterCount() {
+        return Proposal.characterCount(entries);
     }
 
     /** Nothing from outside is believed before this has looked at it. */
-    VersionedState checked() throws IOException {
+    VersionedState validated() throws IOException {
         if (version < 0) {
             throw new IOException("a version below nought");
         }
@@ -72,8 +72,8 @@
     }
 
     private VersionedState bounded() throws IOException {
-        if (entries.size() > MOST_ENTRIES || size() > LARGEST) {
-            throw new IOException("a state of more than " + LARGEST + " characters or " + MOST_ENTRIES + " entries");
+        if (entries.size() > MAX_ENTRIES || characterCount() > MAX_CHARACTERS) {
+            throw new IOException("a state of more than " + MAX_CHARACTERS + " characters or " + MAX_ENTRIES + " entries");
         }
         return this;
     }
--- a/src/main/java/beaconladder/lease/server/FeedEndpoint.java
+++ b/src/main/java/beaconladder/lease/server/FeedEndpoint.java
@@ -19,12 +19,12 @@
 record FeedEndpoint(LeaseStateMachine log, RaftServer server, RaftGroupId group, RaftClient client)
         implements LogEndpoint.Log {
     @Override
-    public VersionNotifier board() {
+    public VersionNotifier versions() {
         return log.feed();
     }
 
     @Override
-    public boolean leads() {
+    public boolean isLeader() {
         try {
             return server.getDivision(group).getInfo().isLeaderReady();
         } catch (IOException e) {
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public CommitResult write(Proposal proposal) throws IOException {
+    public CommitResult commit(Proposal proposal) throws IOException {
         RaftClientReply reply = client.io().send(Message.valueOf(LeaseStateMachine.FEED + FeedJson.text(proposal)));
         if (!reply.isSuccess()) {
             throw new IOException(String.valueOf(reply.getException()));
--- a/src/main/java/beaconladder/lease/server/LeaseStateMachine.java
+++ b/src/main/java/beaconladder/lease/server/LeaseStateMachine.java
@@ -76,7 +76,7 @@
         String text = request.getMessage().getContent().toStringUtf8();
         String entry;
         if (text.startsWith(FEED)) {
-            entry = FEED + FeedJson.text(proposal(text).checked());
+            entry = FEED + FeedJson.text(proposal(text).validated());
         } else {
             entry = LeaseJson.text(new LeaseJson.Entry(LeaseJson.ask(text), clock.getAsLong(), bound));
         }
@@ -96,10 +96,10 @@
             if (text.startsWith(FEED)) {
                 Proposal proposal = proposal(text);
                 synchronized (this) {
-                    VersionHistory.Applied applied = feed.now().apply(proposal);
-                    feed.show(applied.next());
+                    VersionHistory.Transition applied = feed.current().apply(proposal);
+                    feed.publish(applied.history());
                     updateLastAppliedTermIndex(logged.getTerm(), logged.getIndex());
-                    return CompletableFuture.completedFuture(Message.valueOf(FeedJson.text(applied.written())));
+                    return CompletableFuture.completedFuture(Message.valueOf(FeedJson.text(applied.result())));
                 }
             }
             LeaseJson.Entry entry = LeaseJson.read(text, LeaseJson.Entry.class);
@@ -150,23 +150,23 @@
 
     /** The leases in the first line, as ever; what came later has a line and a word of its own. */
     synchronized String snapshot() {
-        return LeaseJson.text(grants) + '\n' + FEED + FeedJson.text(feed.now()) + '\n';
+        return LeaseJson.text(grants) + '\n' + FEED + FeedJson.text(feed.current()) + '\n';
     }
 
     /** Reads a snapshot, also of a program that knew of leases alone. */
     synchronized void read(String snapshot) throws IOException {
         List<String> lines = snapshot.lines().toList();
         LeaseTable read = LeaseJson.grants(lines.isEmpty() ? "" : lines.get(0));
-        VersionHistory history = VersionHistory.none();
+        VersionHistory history = VersionHistory.empty();
         for (String line : lines.subList(1, lines.size())) {
             if (!line.startsWith(FEED)) {
                 throw new IOException("a snapshot of a program that knows of more than this one");
             }
             history = FeedJson.read(line.substring(FEED.length()), VersionHistory.class)
-                    .checked();
+                    .validated();
         }
         grants = read;
-        feed.show(history);
+        feed.publish(history);
     }
 
     private synchronized void load() throws IOException {
--- a/src/main/java/beaconladder/testbed/FeedFaults.java
+++ b/src/main/java/beaconladder/testbed/FeedFaults.java
@@ -239,11 +239,11 @@
         long version = writer.log().size();
         long until = System.nanoTime() + 2 * lasts * 1_000_000L;
         long from = FeedRouters.unix();
-        while (writer.proposer().status().counts().stream()
-                .noneMatch(each -> each.version() == version && each.refused() == 1)) {
+        while (writer.logClient().status().counts().stream()
+                .noneMatch(each -> each.version() == version && each.rejected() == 1)) {
             if (System.nanoTime() > until) {
                 broken.add("no sum tells that version " + version + " was refused by one: "
-                        + writer.proposer().status());
+                        + writer.logClient().status());
                 break;
             }
             Thread.sleep(50);
--- a/src/main/java/beaconladder/testbed/FeedRouters.java
+++ b/src/main/java/beaconladder/testbed/FeedRouters.java
@@ -35,7 +35,7 @@
     /** Writes what a router puts in force; a document named {@code refuse} that names it is refused. */
     private record Journal(String router, long life, BufferedWriter out) implements Applier {
         @Override
-        public void check(VersionedState next) throws IOException {
+        public void validate(VersionedState next) throws IOException {
             if (router.equals(next.entries().get("refuse"))) {
                 throw new IOException("the document says so");
             }
@@ -44,7 +44,7 @@
         @Override
         public void apply(VersionedState next) throws IOException {
             String line =
-                    "A " + unix() + ' ' + router + ' ' + life + ' ' + next.version() + ' ' + next.reckoned() + '\n';
+                    "A " + unix() + ' ' + router + ' ' + life + ' ' + next.version() + ' ' + next.computeDigest() + '\n';
             synchronized (out) {
                 out.write(line);
             }
--- a/src/main/java/beaconladder/testbed/FeedScenario.java
+++ b/src/main/java/beaconladder/testbed/FeedScenario.java
@@ -174,13 +174,13 @@
         long last = writer.log().get(writer.log().size() - 1).version();
         int counted = 0;
         for (int i = 0; i < COUNTED_TRIES && counted < routers; i++) {
-            int all = writer.proposer().status().counts().stream()
+            int all = writer.logClient().status().counts().stream()
                     .mapToInt(each -> each.applied())
                     .sum();
             if (all > routers) {
                 broken.add("the leader counts " + all + " of " + routers + " routers");
             }
-            counted = writer.proposer().status().counts().stream()
+            counted = writer.logClient().status().counts().stream()
                     .filter(each -> each.version() == last)
                     .mapToInt(each -> each.applied())
                     .sum();
@@ -189,14 +189,14 @@
         figures.put("acknowledged", counted);
         if (counted != routers) {
             broken.add("the leader counts version " + last + " in force at " + counted + " of " + routers + ": "
-                    + writer.proposer().status());
+                    + writer.logClient().status());
         }
     }
 
     private void judge(List<String> journal) throws IOException {
         List<Logged> log = writer.log();
         Logged last = log.get(log.size() - 1);
-        Update told = writer.proposer().since(last.version());
+        Update told = writer.logClient().updateSince(last.version());
         if (told.version() != last.version() || !told.digest().equals(last.digest())) {
             broken.add("the log ends with " + told + ", and answered " + last);
         }
@@ -231,6 +231,6 @@
                 log.stream().mapToLong(each -> each.at() - each.from()).max().orElse(0) / MS);
         figures.put(
                 "bases_told",
-                fleet.statuses().stream().mapToLong(Relay.Status::bases).sum());
+                fleet.statuses().stream().mapToLong(Relay.Status::fullStateAnswers).sum());
     }
 }
--- a/src/main/java/beaconladder/testbed/FeedWriter.java
+++ b/src/main/java/beaconladder/testbed/FeedWriter.java
@@ -1,8 +1,9 @@
 package beaconladder.testbed;
 
 import beaconladder.feed.CommitResult;
+import beaconladder.feed.InvalidProposalException;
 import beaconladder.feed.Proposal;
-import beaconladder.feed.Proposer;
+import beaconladder.feed.LogClient;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -31,13 +32,13 @@
      */
     record Logged(long version, String digest, long from, long at, String phase) {}
 
-    private final Proposer proposer;
+    private final LogClient logClient;
     private final SplittableRandom chance;
     private final List<Logged> log = new ArrayList<>();
     private long version;
 
     FeedWriter(List<InetSocketAddress> grantors, long seed) {
-        proposer = new Proposer(grantors, CALL_MILLIS);
+        logClient = new LogClient(grantors, CALL_MILLIS);
         chance = new SplittableRandom(seed);
     }
 
@@ -45,8 +46,8 @@
         return List.copyOf(log);
     }
 
-    Proposer proposer() {
-        return proposer;
+    LogClient logClient() {
+        return logClient;
     }
 
     /** Proposes a change and waits until the log has it. */
@@ -75,8 +76,8 @@
         long from = FeedRouters.unix();
         while (true) {
             try {
-                CommitResult written = proposer.propose(proposal);
-                if (written.outcome() != CommitResult.Outcome.WRITTEN || written.version() != version + 1) {
+                CommitResult written = logClient.propose(proposal);
+                if (written.outcome() != CommitResult.Outcome.COMMITTED || written.version() != version + 1) {
                     throw new IllegalStateException("the log says " + written + " after version " + version);
                 }
                 version++;
@@ -84,7 +85,7 @@
                     log.add(new Logged(version, written.digest(), from, FeedRouters.unix(), phase));
                 }
                 return;
-            } catch (Proposer.Wrong e) {
+            } catch (InvalidProposalException e) {
                 throw new IllegalStateException(e);
             } catch (IOException e) {
                 if (FeedRouters.unix() - from > GIVE_UP_MILLIS * 1_000_000L) {
--- a/src/test/java/beaconladder/feed/FeedDiskTest.java
+++ b/src/test/java/beaconladder/feed/FeedDiskTest.java
@@ -14,7 +14,7 @@
     @Test
     void whatWasKeptLastIsThereAgainAndNothingWithoutAFolder(@TempDir Path folder) throws IOException {
         try (StateStore disk = new StateStore(folder)) {
-            assertThat(disk.kept().state()).isEqualTo(VersionedState.none());
+            assertThat(disk.kept().state()).isEqualTo(VersionedState.empty());
             disk.keep(VersionedState.of(1, Map.of("a", "1")), 5);
             disk.keep(VersionedState.of(2, Map.of("a", "2")), 7);
         }
@@ -26,7 +26,7 @@
             none.keep(VersionedState.of(1, Map.of("a", "1")), 5);
         }
         try (StateStore none = new StateStore(null)) {
-            assertThat(none.kept().state()).isEqualTo(VersionedState.none());
+            assertThat(none.kept().state()).isEqualTo(VersionedState.empty());
         }
     }
 
@@ -37,7 +37,7 @@
                             new VersionedState(
                                     1,
                                     VersionedState.of(1, Map.of("a", "1")).entries(),
-                                    VersionedState.none().digest()),
+                                    VersionedState.empty().digest()),
                             5))
                     .getBytes(java.nio.charset.StandardCharsets.UTF_8));
         }
--- a/src/test/java/beaconladder/feed/FeedDoorsTest.java
+++ b/src/test/java/beaconladder/feed/FeedDoorsTest.java
@@ -80,7 +80,7 @@
                             + "\"silent\":8,\"relays\":[{\"relay\":\"a\",\"agoMillis\":N,\"report\":"
                             + report + "}]}");
             assertThat(ask(log.at(), "/v1/feed?since=x&wait=0", null)).startsWith("400 {\"error\":\"since ");
-            log.leads(false);
+            log.setLeader(false);
             assertThat(ask(log.at(), "/v1/feed/status", null)).startsWith("503 {\"error\":\"");
         }
     }
@@ -92,19 +92,19 @@
             log.set("x", "1");
             String poll = "/v1/feed?wait=0&name=n&life=1&force=0&refused=0&counts=1&patient=1&since=0";
             await().atMost(LONG)
-                    .untilAsserted(() -> assertThat(ask(relay.at(), poll, null)).isEqualTo("200 " + HEAD + CHANGES));
-            assertThat(ask(relay.at(), poll + "&whole=1", null).replaceAll("(\"lagMillis\":)\\d+", "$10"))
+                    .untilAsserted(() -> assertThat(ask(relay.address(), poll, null)).isEqualTo("200 " + HEAD + CHANGES));
+            assertThat(ask(relay.address(), poll + "&whole=1", null).replaceAll("(\"lagMillis\":)\\d+", "$10"))
                     .isEqualTo("200 " + WHOLE);
             await().atMost(LONG)
                     .untilAsserted(() -> assertThat(ask(log.at(), "/v1/feed/status", null))
                             .contains("\"counts\":[{\"version\":0,\"applied\":1,\"refused\":0}]"));
-            assertThat(ask(relay.at(), "/v1/relay", null)
+            assertThat(ask(relay.address(), "/v1/relay", null)
                             .replaceAll("Millis\":\\d+", "Millis\":N")
                             .replaceAll("((answers|bytesIn|bytesOut|connections)\":)\\d+", "$1N"))
                     .isEqualTo("200 {\"relay\":\"a\",\"version\":1,\"digest\":\"" + D1 + "\",\"lagMillis\":N,"
                             + "\"connections\":N,\"answers\":N,\"bases\":0,\"refused\":0,\"bytesIn\":N,"
                             + "\"bytesOut\":N}");
-            assertThat(ask(relay.at(), "/v1/other", null)).isEqualTo("400 {\"error\":\"no such path\"}");
+            assertThat(ask(relay.address(), "/v1/other", null)).isEqualTo("400 {\"error\":\"no such path\"}");
         }
     }
 
--- a/src/test/java/beaconladder/feed/FeedJsonTest.java
+++ b/src/test/java/beaconladder/feed/FeedJsonTest.java
@@ -37,7 +37,7 @@
 
     @Test
     void theDigestIsOverVersionNamesAndTexts() {
-        assertThat(VersionedState.none().digest()).isEqualTo("2c0a8a99dc147d5445c3b49d035665b2");
+        assertThat(VersionedState.empty().digest()).isEqualTo("2c0a8a99dc147d5445c3b49d035665b2");
         assertThat(VersionedState.of(3, STATE.entries()).digest()).isEqualTo("7f8ebe5702a3a5110311cffaebd2ce94");
     }
 
@@ -66,11 +66,11 @@
                 Proposal.class,
                 "{\"against\":2,\"set\":{\"a\":\"1\",\"b\":\"2\"},\"remove\":[\"c\"]}");
         same(
-                new CommitResult(CommitResult.Outcome.WRITTEN, 3, "d3"),
+                new CommitResult(CommitResult.Outcome.COMMITTED, 3, "d3"),
                 CommitResult.class,
                 "{\"outcome\":\"WRITTEN\",\"version\":3,\"digest\":\"d3\"}");
         same(
-                new CommitResult(CommitResult.Outcome.OUT_OF_TURN, 3, "d3"),
+                new CommitResult(CommitResult.Outcome.VERSION_CONFLICT, 3, "d3"),
                 CommitResult.class,
                 "{\"outcome\":\"OUT_OF_TURN\",\"version\":3,\"digest\":\"d3\"}");
         same(
@@ -84,9 +84,9 @@
     void reportsAndTheirSums() throws IOException {
         same(REPORT, RelayReport.class, REPORT_TEXT);
         same(
-                new RelayReports.Sum(
-                        3, "d3", 2, 4, REPORT.counts(), 7, 8, List.of(new RelayReports.Seen("a", 20, REPORT))),
-                RelayReports.Sum.class,
+                new RelayReports.FleetStatus(
+                        3, "d3", 2, 4, REPORT.counts(), 7, 8, List.of(new RelayReports.ReceivedReport("a", 20, REPORT))),
+                RelayReports.FleetStatus.class,
                 "{\"version\":3,\"digest\":\"d3\",\"entries\":2,\"size\":4,\"counts\":"
                         + "[{\"version\":3,\"applied\":5,\"refused\":6}],\"older\":7,\"silent\":8,"
                         + "\"relays\":[{\"relay\":\"a\",\"agoMillis\":20,\"report\":" + REPORT_TEXT + "}]}");
--- a/src/test/java/beaconladder/feed/FeedStateTest.java
+++ b/src/test/java/beaconladder/feed/FeedStateTest.java
@@ -13,7 +13,7 @@
 class FeedStateTest {
     @Test
     void aVersionComesOfTheOneBeforeAloneAndHasADigestOfItsOwn() {
-        VersionHistory one = written(VersionHistory.none(), Map.of("a", "1"));
+        VersionHistory one = written(VersionHistory.empty(), Map.of("a", "1"));
         assertThat(one.newest().version()).isEqualTo(1);
         assertThat(one.newest().entries()).isEqualTo(new TreeMap<>(Map.of("a", "1")));
         VersionHistory two = written(one, Map.of("a", "1"));
@@ -28,30 +28,30 @@
 
     @Test
     void aProposalOutOfTurnChangesNothingAndOneAskedTwiceIsOneChange() {
-        VersionHistory one = written(VersionHistory.none(), Map.of("a", "1"));
+        VersionHistory one = written(VersionHistory.empty(), Map.of("a", "1"));
         Proposal late = new Proposal(0, Map.of("a", "2"), List.of());
-        assertThat(one.apply(late).next()).isEqualTo(one);
-        assertThat(one.apply(late).written().outcome()).isEqualTo(CommitResult.Outcome.OUT_OF_TURN);
-        assertThat(one.apply(late).written().version()).isEqualTo(1);
+        assertThat(one.apply(late).history()).isEqualTo(one);
+        assertThat(one.apply(late).result().outcome()).isEqualTo(CommitResult.Outcome.VERSION_CONFLICT);
+        assertThat(one.apply(late).result().version()).isEqualTo(1);
         assertThat(one.apply(new Proposal(5, Map.of("a", "2"), List.of()))
-                        .written()
+                        .result()
                         .outcome())
-                .isEqualTo(CommitResult.Outcome.OUT_OF_TURN);
+                .isEqualTo(CommitResult.Outcome.VERSION_CONFLICT);
         Proposal again = new Proposal(0, Map.of("a", "1"), List.of());
-        assertThat(one.apply(again).next()).isEqualTo(one);
-        assertThat(one.apply(again).written().outcome()).isEqualTo(CommitResult.Outcome.WRITTEN);
+        assertThat(one.apply(again).history()).isEqualTo(one);
+        assertThat(one.apply(again).result().outcome()).isEqualTo(CommitResult.Outcome.COMMITTED);
     }
 
     @Test
     void noProposalLeadsBeyondTheBound() {
-        String half = "x".repeat(VersionedState.LARGEST / 2);
-        VersionHistory one = written(VersionHistory.none(), Map.of("a", half));
-        VersionHistory.Applied two = one.apply(new Proposal(1, Map.of("b", half), List.of()));
-        assertThat(two.written().outcome()).isEqualTo(CommitResult.Outcome.TOO_LARGE);
-        assertThat(two.next()).isEqualTo(one);
-        VersionHistory.Applied other = one.apply(new Proposal(1, Map.of("b", half), List.of("a")));
-        assertThat(other.written().outcome()).isEqualTo(CommitResult.Outcome.WRITTEN);
-        assertThat(other.next().newest().entries().keySet()).containsExactly("b");
+        String half = "x".repeat(VersionedState.MAX_CHARACTERS / 2);
+        VersionHistory one = written(VersionHistory.empty(), Map.of("a", half));
+        VersionHistory.Transition two = one.apply(new Proposal(1, Map.of("b", half), List.of()));
+        assertThat(two.result().outcome()).isEqualTo(CommitResult.Outcome.TOO_LARGE);
+        assertThat(two.history()).isEqualTo(one);
+        VersionHistory.Transition other = one.apply(new Proposal(1, Map.of("b", half), List.of("a")));
+        assertThat(other.result().outcome()).isEqualTo(CommitResult.Outcome.COMMITTED);
+        assertThat(other.history().newest().entries().keySet()).containsExactly("b");
     }
 
     @Test
@@ -62,8 +62,8 @@
                 new Proposal(0, Map.of("../a", "1"), List.of()),
                 new Proposal(0, Map.of("a", "1"), List.of("a")),
                 new Proposal(0, Map.of(), List.of("a b")),
-                new Proposal(0, Map.of("a", "x".repeat(VersionedState.LARGEST)), List.of()))) {
-            assertThatThrownBy(wrong::checked).as(wrong.toString()).isInstanceOf(IOException.class);
+                new Proposal(0, Map.of("a", "x".repeat(VersionedState.MAX_CHARACTERS)), List.of()))) {
+            assertThatThrownBy(wrong::validated).as(wrong.toString()).isInstanceOf(IOException.class);
         }
         for (String wrong : List.of(
                 "",
@@ -82,34 +82,34 @@
 
     @Test
     void oneThatFollowsIsToldWhatItLacksAndNoMore() throws IOException {
-        VersionHistory all = VersionHistory.none();
+        VersionHistory all = VersionHistory.empty();
         for (int i = 1; i <= 10; i++) {
             all = written(all, Map.of("a", "some text that takes a little room", "n" + i, "" + i));
         }
-        assertThat(all.since(10, false)).isEqualTo(new Update(10, all.newest().digest(), 0, null, List.of()));
-        assertThat(all.since(11, false).changes()).isEmpty();
-        Update one = all.since(9, false);
+        assertThat(all.updateSince(10, false)).isEqualTo(new Update(10, all.newest().digest(), 0, null, List.of()));
+        assertThat(all.updateSince(11, false).changes()).isEmpty();
+        Update one = all.updateSince(9, false);
         assertThat(one.base()).isNull();
         assertThat(one.changes()).extracting(Change::version).containsExactly(10L);
         // All changes together are more than the base.
-        assertThat(all.since(0, false).base()).isEqualTo(all.newest());
-        assertThat(all.since(0, false).changes()).isEmpty();
-        assertThat(all.since(9, true).base()).isEqualTo(all.newest());
+        assertThat(all.updateSince(0, false).base()).isEqualTo(all.newest());
+        assertThat(all.updateSince(0, false).changes()).isEmpty();
+        assertThat(all.updateSince(9, true).base()).isEqualTo(all.newest());
     }
 
     @Test
     void changesBeyondTheCountAreForgottenAndTheBaseIsToldInstead() {
-        VersionHistory all = VersionHistory.none();
+        VersionHistory all = VersionHistory.empty();
         Map<String, String> large = Map.of("large", "x".repeat(100_000));
         all = written(all, large);
-        for (int i = 0; i < VersionHistory.MOST_CHANGES + 5; i++) {
+        for (int i = 0; i < VersionHistory.MAX_CHANGES + 5; i++) {
             all = written(all, Map.of("a", "" + i));
         }
-        assertThat(all.changes()).hasSize(VersionHistory.MOST_CHANGES);
+        assertThat(all.changes()).hasSize(VersionHistory.MAX_CHANGES);
         long newest = all.newest().version();
-        assertThat(all.since(newest - VersionHistory.MOST_CHANGES, false).base())
+        assertThat(all.updateSince(newest - VersionHistory.MAX_CHANGES, false).base())
                 .isNull();
-        assertThat(all.since(newest - VersionHistory.MOST_CHANGES - 1, false).base())
+        assertThat(all.updateSince(newest - VersionHistory.MAX_CHANGES - 1, false).base())
                 .isEqualTo(all.newest());
         // Large changes are forgotten sooner.
         for (int i = 0; i < 10; i++) {
@@ -120,27 +120,27 @@
 
     @Test
     void aRelayComesToTheSameAsTheLogByBaseAndByChanges() throws IOException {
-        VersionHistory log = VersionHistory.none();
-        VersionHistory relay = VersionHistory.none();
+        VersionHistory log = VersionHistory.empty();
+        VersionHistory relay = VersionHistory.empty();
         for (int i = 1; i <= 40; i++) {
             log = written(log, Map.of("n" + i % 7, "text " + i));
             if (i % 3 != 0) {
-                String text = FeedJson.text(log.since(relay.newest().version(), false));
-                relay = relay.heard(FeedJson.read(text, Update.class));
+                String text = FeedJson.text(log.updateSince(relay.newest().version(), false));
+                relay = relay.merge(FeedJson.read(text, Update.class));
                 assertThat(relay.newest()).isEqualTo(log.newest());
             }
         }
         VersionHistory read =
-                FeedJson.read(FeedJson.text(log), VersionHistory.class).checked();
+                FeedJson.read(FeedJson.text(log), VersionHistory.class).validated();
         assertThat(read).isEqualTo(log);
     }
 
     @Test
     void whatDoesNotFitCountsForNothing() throws IOException {
         VersionHistory log = written(
-                written(written(VersionHistory.none(), Map.of("a", "a longer text than most")), Map.of("b", "2")),
+                written(written(VersionHistory.empty(), Map.of("a", "a longer text than most")), Map.of("b", "2")),
                 Map.of("c", "3"));
-        Update two = log.since(1, false);
+        Update two = log.updateSince(1, false);
         assertThat(two.changes()).hasSize(2);
         VersionedState one =
                 log.newest().version() == 3 ? VersionedState.of(1, Map.of("a", "a longer text than most")) : null;
@@ -172,11 +172,11 @@
 
     @Test
     void nothingOlderIsTaken() throws IOException {
-        VersionHistory old = written(VersionHistory.none(), Map.of("a", "1"));
+        VersionHistory old = written(VersionHistory.empty(), Map.of("a", "1"));
         VersionHistory log = written(old, Map.of("a", "2"));
-        assertThat(ApplyResult.WHOLE.take(log.newest(), old.since(0, false))).isEqualTo(log.newest());
-        assertThat(log.heard(old.since(0, false))).isEqualTo(log);
-        assertThat(old.since(2, false).base()).isNull();
+        assertThat(ApplyResult.WHOLE.take(log.newest(), old.updateSince(0, false))).isEqualTo(log.newest());
+        assertThat(log.merge(old.updateSince(0, false))).isEqualTo(log);
+        assertThat(old.updateSince(2, false).base()).isNull();
     }
 
     @Test
@@ -198,9 +198,9 @@
     }
 
     static VersionHistory written(VersionHistory before, Map<String, String> set) {
-        VersionHistory.Applied applied =
+        VersionHistory.Transition applied =
                 before.apply(new Proposal(before.newest().version(), set, List.of()));
-        assertThat(applied.written().outcome()).isEqualTo(CommitResult.Outcome.WRITTEN);
-        return applied.next();
+        assertThat(applied.result().outcome()).isEqualTo(CommitResult.Outcome.COMMITTED);
+        return applied.history();
     }
 }
--- a/src/test/java/beaconladder/feed/FeedSubscriberTest.java
+++ b/src/test/java/beaconladder/feed/FeedSubscriberTest.java
@@ -51,7 +51,7 @@
 
     private Relay relay(String name, LogStandIn log, Path store) throws IOException {
         Relay relay = open(new Relay(name, ANY, List.of(log.at()), store, 100));
-        relays.put(name, relay.at());
+        relays.put(name, relay.address());
         return relay;
     }
 
@@ -75,7 +75,7 @@
         VersionedState two = log.set("x", "2");
         await().atMost(LONG).until(() -> two.equals(keeps.last()));
         assertThat(subscriber.ageMillis()).isLessThan(10_000);
-        Proposer proposer = new Proposer(List.of(log.at()), 2_000);
+        LogClient proposer = new LogClient(List.of(log.at()), 2_000);
         await().atMost(LONG).until(() -> proposer.status().counts().equals(List.of(new RelayReport.Count(2, 1, 0))));
         assertThat(proposer.status().relays()).hasSize(2);
         // The one before stays in force until a better one comes.
@@ -84,7 +84,7 @@
                 .until(() -> proposer.status()
                         .counts()
                         .equals(List.of(new RelayReport.Count(3, 0, 1), new RelayReport.Count(2, 1, 0))));
-        assertThat(subscriber.version()).isEqualTo(2);
+        assertThat(subscriber.appliedVersion()).isEqualTo(2);
         CommitResult four = proposer.propose(new Proposal(3, Map.of(), List.of("bad")));
         await().atMost(LONG).until(() -> keeps.last().version() == four.version());
         assertThat(keeps.applied())
@@ -100,13 +100,13 @@
         String first = Rendezvous.order("n", List.of("a", "b")).get(0);
         relay(first, cut, null);
         relay(first.equals("a") ? "b" : "a", log, null);
-        cut.show(log.history());
+        cut.publish(log.history());
         Keeps keeps = new Keeps();
         subscriber("n", 1, null, keeps);
         cut.set("x", "1");
         VersionedState one = log.set("x", "1");
         await().atMost(LONG).until(() -> one.equals(keeps.last()));
-        cut.leads(false);
+        cut.setLeader(false);
         VersionedState two = log.set("x", "2");
         await().atMost(LONG).until(() -> two.equals(keeps.last()));
     }
@@ -127,7 +127,7 @@
                 await().atMost(LONG).ignoreExceptions().until(() -> subscriber("n", 2, folder, after), each -> true);
         await().atMost(LONG).until(() -> one.equals(after.last()));
         assertThat(second.ageMillis()).isBetween(1_000L, 60_000L);
-        assertThat(second.version()).isEqualTo(1);
+        assertThat(second.appliedVersion()).isEqualTo(1);
     }
 
     @Test
@@ -140,7 +140,7 @@
         old.close();
         relays.clear();
         LogStandIn away = log();
-        away.leads(false);
+        away.setLeader(false);
         await().atMost(LONG).ignoreExceptions().until(() -> relay(first, away, folder.resolve("now")), each -> true);
         relay(first.equals("a") ? "b" : "a", log, null);
         VersionedState two = log.set("x", "2");
@@ -157,7 +157,7 @@
     }
 
     private static Relay.Status status(Relay relay) throws IOException {
-        HttpFetcher http = new HttpFetcher(relay.at());
+        HttpFetcher http = new HttpFetcher(relay.address());
         try {
             return FeedJson.read(http.get("/v1/relay", 1_000), Relay.Status.class);
         } finally {
@@ -175,7 +175,7 @@
         VersionedState one = log.set("x", "1");
         await().atMost(LONG).until(() -> one.equals(keeps.last()));
         other.set("x", "other");
-        log.show(other.history());
+        log.publish(other.history());
         Thread.sleep(1_500);
         assertThat(keeps.last()).isEqualTo(one);
     }
@@ -186,7 +186,7 @@
         VersionedState one = log.set("x", "1");
         HttpServer slow = HttpServer.create(ANY, 10);
         slow.createContext("/v1/feed", exchange -> {
-            byte[] body = FeedJson.text(log.history().since(0, true)).getBytes(StandardCharsets.UTF_8);
+            byte[] body = FeedJson.text(log.history().updateSince(0, true)).getBytes(StandardCharsets.UTF_8);
             try (exchange) {
                 TimeUnit.MILLISECONDS.sleep(1_200);
                 exchange.sendResponseHeaders(200, body.length);
@@ -208,7 +208,7 @@
         Relay relay = open(new Relay("a", ANY, List.of(log().at()), null, 2));
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            sockets.add(open(new Socket(relay.at().getAddress(), relay.at().getPort())));
+            sockets.add(open(new Socket(relay.address().getAddress(), relay.address().getPort())));
         }
         Socket third = sockets.get(2);
         third.setSoTimeout(5_000);
@@ -221,12 +221,12 @@
     @Test
     void aRouterThatDoesNotReadIsCutOffAndNothingQueuesForIt() throws Exception {
         LogStandIn log = log();
-        log.set("x", "x".repeat(VersionedState.LARGEST / 2));
+        log.set("x", "x".repeat(VersionedState.MAX_CHARACTERS / 2));
         Relay relay = open(new Relay("a", ANY, List.of(log.at()), null, 10));
         await().atMost(LONG).until(() -> kept(relay) == 1);
         Socket slow = open(new Socket());
         slow.setReceiveBufferSize(16 * 1024);
-        slow.connect(relay.at());
+        slow.connect(relay.address());
         byte[] poll = ("GET /v1/feed?since=0&wait=0&name=n&life=1&force=0&refused=0 HTTP/1.1\r\n" + "Host: a\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
         for (int i = 0; i < 100; i++) {
@@ -234,7 +234,7 @@
         }
         // That of the look itself is one.
         await().atMost(LONG).until(() -> status(relay).connections() == 1);
-        assertThat(status(relay).bytesOut()).isLessThan(50L * VersionedState.LARGEST / 2);
+        assertThat(status(relay).bytesOut()).isLessThan(50L * VersionedState.MAX_CHARACTERS / 2);
     }
 
     @Test
@@ -248,7 +248,7 @@
                 "/v1/feed?since=0&wait=0&name=a%2Fb&life=1&force=0&refused=0",
                 "/v1/feed?since=0&since=0",
                 "/v1/other")) {
-            HttpFetcher http = new HttpFetcher(relay.at(), true);
+            HttpFetcher http = new HttpFetcher(relay.address(), true);
             assertThat(http.get(wrong, 2_000)).as(wrong).contains("error");
             http.end();
         }
--- a/src/test/java/beaconladder/feed/FeedTallyTest.java
+++ b/src/test/java/beaconladder/feed/FeedTallyTest.java
@@ -50,7 +50,7 @@
         assertThat(report.counts()).hasSize(4).allMatch(each -> each.applied() == 50);
         assertThat(report.older()).isEqualTo(800);
         assertThat(FeedJson.text(report).length()).isLessThan(400);
-        assertThat(FeedJson.read(FeedJson.text(report), RelayReport.class).checked())
+        assertThat(FeedJson.read(FeedJson.text(report), RelayReport.class).validated())
                 .isEqualTo(report);
     }
 
@@ -69,7 +69,7 @@
         }
         b.heard(new Acknowledgement("n", 1, 4, 0, true), AcknowledgementSummary.MOVED);
         leader.heard("b", b.report(4, 0, AcknowledgementSummary.MOVED), AcknowledgementSummary.MOVED);
-        assertThat(leader.sum(VersionedState.none(), AcknowledgementSummary.MOVED)
+        assertThat(leader.sum(VersionedState.empty(), AcknowledgementSummary.MOVED)
                         .counts())
                 .containsExactly(new RelayReport.Count(4, 1, 0));
     }
@@ -82,20 +82,20 @@
                 new RelayReport(5, 0, List.of(new RelayReport.Count(5, 10, 1), new RelayReport.Count(4, 3, 0)), 2, 1),
                 0);
         leader.heard("b", new RelayReport(5, 0, List.of(new RelayReport.Count(5, 20, 0)), 0, 0), SECOND);
-        RelayReports.Sum sum = leader.sum(VersionedState.of(5, Map.of("a", "b")), SECOND);
+        RelayReports.FleetStatus sum = leader.sum(VersionedState.of(5, Map.of("a", "b")), SECOND);
         assertThat(sum.counts()).containsExactly(new RelayReport.Count(5, 30, 1), new RelayReport.Count(4, 3, 0));
         assertThat(sum.older()).isEqualTo(2);
-        assertThat(sum.relays()).extracting(RelayReports.Seen::relay).containsExactly("a", "b");
+        assertThat(sum.relays()).extracting(RelayReports.ReceivedReport::relay).containsExactly("a", "b");
         assertThat(counted(leader, AcknowledgementSummary.REPORTED + SECOND / 2))
                 .isEqualTo(20);
         for (int i = 0; i < 1_000; i++) {
             leader.heard("x" + i, new RelayReport(5, 0, List.of(), 0, 0), SECOND);
         }
-        assertThat(leader.sum(VersionedState.none(), SECOND).relays()).hasSizeLessThan(65);
+        assertThat(leader.sum(VersionedState.empty(), SECOND).relays()).hasSizeLessThan(65);
     }
 
     private static int counted(RelayReports leader, long now) {
-        return leader.sum(VersionedState.none(), now).counts().stream()
+        return leader.sum(VersionedState.empty(), now).counts().stream()
                 .mapToInt(RelayReport.Count::applied)
                 .sum();
     }
--- a/src/test/java/beaconladder/feed/Keeps.java
+++ b/src/test/java/beaconladder/feed/Keeps.java
@@ -9,7 +9,7 @@
     private final List<VersionedState> applied = new CopyOnWriteArrayList<>();
 
     @Override
-    public void check(VersionedState next) throws IOException {
+    public void validate(VersionedState next) throws IOException {
         if (next.entries().containsKey("bad")) {
             throw new IOException("a bad one");
         }
--- a/src/test/java/beaconladder/feed/LogStandIn.java
+++ b/src/test/java/beaconladder/feed/LogStandIn.java
@@ -29,40 +29,40 @@
 
     /** What has been written, oldest first, as far as it is kept. */
     public VersionHistory history() {
-        return board.now();
+        return board.current();
     }
 
     /** Sets a document. */
     public VersionedState set(String name, String text) {
-        VersionHistory.Applied applied =
-                board.now().apply(new Proposal(board.now().newest().version(), Map.of(name, text), List.of()));
-        board.show(applied.next());
-        return applied.next().newest();
+        VersionHistory.Transition applied =
+                board.current().apply(new Proposal(board.current().newest().version(), Map.of(name, text), List.of()));
+        board.publish(applied.history());
+        return applied.history().newest();
     }
 
-    void show(VersionHistory history) {
-        board.show(history);
+    void publish(VersionHistory history) {
+        board.publish(history);
     }
 
-    void leads(boolean on) {
+    void setLeader(boolean on) {
         leads = on;
     }
 
     @Override
-    public VersionNotifier board() {
+    public VersionNotifier versions() {
         return board;
     }
 
     @Override
-    public boolean leads() {
+    public boolean isLeader() {
         return leads;
     }
 
     @Override
-    public synchronized CommitResult write(Proposal proposal) {
-        VersionHistory.Applied applied = board.now().apply(proposal);
-        board.show(applied.next());
-        return applied.written();
+    public synchronized CommitResult commit(Proposal proposal) {
+        VersionHistory.Transition applied = board.current().apply(proposal);
+        board.publish(applied.history());
+        return applied.result();
     }
 
     @Override
--- a/src/test/java/beaconladder/feed/Mutants.java
+++ b/src/test/java/beaconladder/feed/Mutants.java
@@ -52,7 +52,7 @@
                 if (told.base() != null) {
                     return told.base();
                 }
-                VersionedState next = told.changes().isEmpty() ? held : VersionedState.none();
+                VersionedState next = told.changes().isEmpty() ? held : VersionedState.empty();
                 for (Change each : told.changes()) {
                     next = next.after(new Proposal(next.version(), each.set(), each.remove()));
                 }
--- a/src/test/java/beaconladder/feed/StoredFeedTest.java
+++ b/src/test/java/beaconladder/feed/StoredFeedTest.java
@@ -60,7 +60,7 @@
     /** A log that has come to the version in the fixtures by the same proposals. */
     private static LogStandIn log() throws IOException {
         LogStandIn log = new LogStandIn();
-        WRITTEN.forEach(log::write);
+        WRITTEN.forEach(log::commit);
         return log;
     }
 
@@ -94,7 +94,7 @@
             assertThat(state.entries())
                     .containsExactly(
                             Map.entry("plan.us", "pool=\"b\"\nname=\u00fc"), Map.entry("settings", "limit=20"));
-            assertThat(state.digest()).isEqualTo(DIGEST).isEqualTo(state.reckoned());
+            assertThat(state.digest()).isEqualTo(DIGEST).isEqualTo(state.computeDigest());
             assertThat(disk.kept().heard()).isEqualTo(1796225597712L);
             disk.keep(state.after(new Proposal(3, Map.of("plan.us", "pool=c"), List.of())), 99);
         }
@@ -110,7 +110,7 @@
         Keeps keeps = new Keeps();
         try (Subscriber router = new Subscriber("n", 2, Map.of("a", nobody), copy("feed-router"), keeps)) {
             run(router);
-            await().atMost(LONG).until(() -> router.version() == 3);
+            await().atMost(LONG).until(() -> router.appliedVersion() == 3);
         }
         assertThat(FeedJson.text(keeps.last())).isEqualTo(STATE);
     }
@@ -121,12 +121,12 @@
         Keeps keeps = new Keeps();
         try (LogStandIn log = log();
                 Relay relay = new Relay("a", ANY, List.of(log.at()), null, 10);
-                Subscriber router = new Subscriber("n", 2, Map.of("a", relay.at()), folder, keeps)) {
-            assertThat(FeedJson.text(router.kept())).isEqualTo(STATE);
+                Subscriber router = new Subscriber("n", 2, Map.of("a", relay.address()), folder, keeps)) {
+            assertThat(FeedJson.text(router.storedState())).isEqualTo(STATE);
             run(router);
-            await().atMost(LONG).until(() -> router.version() == 3);
+            await().atMost(LONG).until(() -> router.appliedVersion() == 3);
             log.set("plan.us", "pool=c");
-            await().atMost(LONG).until(() -> router.version() == 4);
+            await().atMost(LONG).until(() -> router.appliedVersion() == 4);
         }
         assertThat(FeedJson.text(keeps.last())).isEqualTo(NEXT_STATE);
         await().atMost(LONG)
@@ -139,15 +139,15 @@
         Path folder = copy("feed-relay");
         String poll = "/v1/feed?since=0&wait=0&name=n&life=1&force=0&refused=0";
         try (LogStandIn log = log()) {
-            log.leads(false);
+            log.setLeader(false);
             try (Relay relay = new Relay("a", ANY, List.of(log.at()), folder, 10)) {
-                assertThat(get(relay.at(), poll))
+                assertThat(get(relay.address(), poll))
                         .isEqualTo("{\"version\":3,\"digest\":\"" + DIGEST + "\",\"lagMillis\":1000000000000,\"base\":"
                                 + STATE + ",\"changes\":[]}");
-                log.leads(true);
+                log.setLeader(true);
                 log.set("plan.us", "pool=c");
                 await().atMost(LONG)
-                        .untilAsserted(() -> assertThat(get(relay.at(), poll)).contains("\"base\":" + NEXT_STATE));
+                        .untilAsserted(() -> assertThat(get(relay.address(), poll)).contains("\"base\":" + NEXT_STATE));
             }
         }
         await().atMost(LONG)
@@ -164,11 +164,11 @@
         try (LogStandIn log = new LogStandIn();
                 Relay relay = new Relay("a", ANY, List.of(log.at()), into.resolve("feed-relay"), 10);
                 Subscriber router =
-                        new Subscriber("n", 1, Map.of("a", relay.at()), into.resolve("feed-router"), new Keeps())) {
+                        new Subscriber("n", 1, Map.of("a", relay.address()), into.resolve("feed-router"), new Keeps())) {
             run(router);
             for (Proposal each : WRITTEN) {
-                log.write(each);
-                await().atMost(LONG).until(() -> router.version() == each.against() + 1);
+                log.commit(each);
+                await().atMost(LONG).until(() -> router.appliedVersion() == each.baseVersion() + 1);
             }
         }
         for (String name : List.of("feed-router", "feed-relay")) {
--- a/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
+++ b/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
@@ -45,7 +45,7 @@
     public static void main(String[] args) throws Exception {
         Applier applier = new Applier() {
             @Override
-            public void check(VersionedState next) throws IOException {
+            public void validate(VersionedState next) throws IOException {
                 if (next.entries().containsKey("bad")) {
                     throw new IOException("a bad one");
                 }
@@ -63,7 +63,7 @@
         };
         try (Subscriber subscriber = new Subscriber(
                 "n", System.nanoTime(), Map.of("a", EndpointWatch.address(args[0])), Path.of(args[1]), applier)) {
-            System.out.println("kept " + subscriber.kept().version());
+            System.out.println("kept " + subscriber.storedState().version());
             subscriber.run();
         }
     }
@@ -100,7 +100,7 @@
                         "-cp",
                         System.getProperty("java.class.path"),
                         SubscriberDiskFaultTest.class.getName(),
-                        "127.0.0.1:" + relay.at().getPort(),
+                        "127.0.0.1:" + relay.address().getPort(),
                         store.toString())
                 .redirectErrorStream(true)
                 .redirectOutput(out.toFile());
--- a/src/test/java/beaconladder/lease/server/LeaseStateMachineTest.java
+++ b/src/test/java/beaconladder/lease/server/LeaseStateMachineTest.java
@@ -20,15 +20,15 @@
     void aSnapshotHoldsLeasesAndTheFeed() throws IOException {
         LeaseStateMachine one = new LeaseStateMachine(() -> 0, 50);
         LeaseTable grants = LeaseTable.none().apply(TAKE, 1_000, 50).next();
-        VersionHistory history = VersionHistory.none()
+        VersionHistory history = VersionHistory.empty()
                 .apply(new Proposal(0, Map.of("a.json", "{\n}"), List.of()))
-                .next();
+                .history();
         one.read(LeaseJson.text(grants));
-        one.feed().show(history);
+        one.feed().publish(history);
         LeaseStateMachine two = new LeaseStateMachine(() -> 0, 50);
         two.read(one.snapshot());
         assertThat(two.snapshot()).isEqualTo(one.snapshot()).startsWith(LeaseJson.text(grants) + "\n");
-        assertThat(two.feed().now()).isEqualTo(history);
+        assertThat(two.feed().current()).isEqualTo(history);
     }
 
     @Test
@@ -37,7 +37,7 @@
         LeaseTable grants = LeaseTable.none().apply(TAKE, 1_000, 50).next();
         log.read(LeaseJson.text(grants));
         assertThat(log.snapshot()).startsWith(LeaseJson.text(grants));
-        assertThat(log.feed().now()).isEqualTo(VersionHistory.none());
+        assertThat(log.feed().current()).isEqualTo(VersionHistory.empty());
     }
 
     @Test
@@ -45,9 +45,9 @@
         String grants = LeaseJson.text(LeaseTable.none());
         LeaseStateMachine log = new LeaseStateMachine(() -> 0, 50);
         log.feed()
-                .show(VersionHistory.none()
+                .publish(VersionHistory.empty()
                         .apply(new Proposal(0, Map.of("a", "1"), List.of()))
-                        .next());
+                        .history());
         String whole = log.snapshot();
         for (String wrong : List.of(
                 "",
--- a/src/test/java/beaconladder/testbed/FedRouterIT.java
+++ b/src/test/java/beaconladder/testbed/FedRouterIT.java
@@ -5,7 +5,7 @@
 
 import beaconladder.feed.LogStandIn;
 import beaconladder.feed.Proposal;
-import beaconladder.feed.Proposer;
+import beaconladder.feed.LogClient;
 import beaconladder.feed.Relay;
 import beaconladder.feed.RelayReport;
 import beaconladder.testbed.ChildProcesses.Program;
@@ -41,7 +41,7 @@
                     RouterFile.of("m0", ChildProcesses.freePort(), first, 256, 192, HOST),
                     "serve",
                     "--feed",
-                    "a=127.0.0.1:" + relay.at().getPort(),
+                    "a=127.0.0.1:" + relay.address().getPort(),
                     "--feed-store",
                     folder.resolve("fed").toString());
             router.start();
@@ -49,7 +49,7 @@
             assertThat(second.calls.get()).isZero();
 
             // Discovery's address counts at once.
-            Proposer proposer = new Proposer(List.of(log.at()), 5_000);
+            LogClient proposer = new LogClient(List.of(log.at()), 5_000);
             String moved = "{\"discovery\":\"127.0.0.1:" + second.door.getLocalPort() + "\"}";
             proposer.propose(new Proposal(0, Map.of("router.json", moved), List.of()));
             await().atMost(LONG).until(() -> second.calls.get() > 0);
--- a/src/test/java/beaconladder/testbed/FeedMutantsTest.java
+++ b/src/test/java/beaconladder/testbed/FeedMutantsTest.java
@@ -68,15 +68,15 @@
             for (int i = 1; !first(name); i++) {
                 name = "n" + i;
             }
-            Map<String, InetSocketAddress> relays = new TreeMap<>(Map.of("a", a.at(), "b", b.at()));
+            Map<String, InetSocketAddress> relays = new TreeMap<>(Map.of("a", a.address(), "b", b.address()));
             String router = name;
             try (Subscriber subscriber = maker.make(name, relays, new Applier() {
                 @Override
-                public void check(VersionedState next) {}
+                public void validate(VersionedState next) {}
 
                 @Override
                 public void apply(VersionedState next) {
-                    journal.add(new Applied(FeedRouters.unix(), router, 1, next.version(), next.reckoned()));
+                    journal.add(new Applied(FeedRouters.unix(), router, 1, next.version(), next.computeDigest()));
                 }
             })) {
                 write(log, "long", "a text that is longer than what the changes come to ".repeat(20));
