--- a/src/main/java/beaconladder/app/FeedCommand.java
+++ b/src/main/java/beaconladder/app/FeedCommand.java
@@ -4,8 +4,8 @@
 import beaconladder.discovery.JsonReader;
 import beaconladder.feed.CommitResult;
 import beaconladder.feed.InvalidProposalException;
-import beaconladder.feed.Proposal;
 import beaconladder.feed.LogClient;
+import beaconladder.feed.Proposal;
 import beaconladder.feed.Relay;
 import beaconladder.feed.RelayReports;
 import beaconladder.feed.VersionedState;
@@ -121,8 +121,8 @@
         String text;
         try {
             if (Files.size(file) > 4L * VersionedState.MAX_CHARACTERS) {
-                throw new Wrong(file + " is too large: all documents together have at most " + VersionedState.MAX_CHARACTERS
-                        + " characters");
+                throw new Wrong(file + " is too large: all documents together have at most "
+                        + VersionedState.MAX_CHARACTERS + " characters");
             }
             text = Files.readString(file);
         } catch (CharacterCodingException e) {
--- a/src/main/java/beaconladder/feed/Change.java
+++ b/src/main/java/beaconladder/feed/Change.java
@@ -28,6 +28,7 @@
     /** How much of the bound it takes. */
     @JsonIgnore
     int characterCount() {
-        return Proposal.characterCount(set) + remove.stream().mapToInt(String::length).sum();
+        return Proposal.characterCount(set)
+                + remove.stream().mapToInt(String::length).sum();
     }
 }
--- a/src/main/java/beaconladder/feed/LogClient.java
+++ b/src/main/java/beaconladder/feed/LogClient.java
@@ -41,7 +41,8 @@
 
     /** The sums as the leader has them. */
     public RelayReports.FleetStatus status() throws IOException {
-        return FeedJson.read(any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/status"))), RelayReports.FleetStatus.class);
+        return FeedJson.read(
+                any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/status"))), RelayReports.FleetStatus.class);
     }
 
     /** What one that holds this version lacks, as the leader has it. */
--- a/src/main/java/beaconladder/feed/Proposal.java
+++ b/src/main/java/beaconladder/feed/Proposal.java
@@ -56,11 +56,13 @@
             }
         }
         if (baseVersion < 0 || set.isEmpty() && remove.isEmpty()) {
-            throw new InvalidProposalException(baseVersion < 0 ? "made against a version below nought" : "nothing is changed");
+            throw new InvalidProposalException(
+                    baseVersion < 0 ? "made against a version below nought" : "nothing is changed");
         }
-        if (set.size() + remove.size() > VersionedState.MAX_ENTRIES || characterCount(set) > VersionedState.MAX_CHARACTERS) {
-            throw new InvalidProposalException("a change of more than " + VersionedState.MAX_CHARACTERS + " characters or "
-                    + VersionedState.MAX_ENTRIES + " entries");
+        if (set.size() + remove.size() > VersionedState.MAX_ENTRIES
+                || characterCount(set) > VersionedState.MAX_CHARACTERS) {
+            throw new InvalidProposalException("a change of more than " + VersionedState.MAX_CHARACTERS
+                    + " characters or " + VersionedState.MAX_ENTRIES + " entries");
         }
         return this;
     }
--- a/src/main/java/beaconladder/feed/Relay.java
+++ b/src/main/java/beaconladder/feed/Relay.java
@@ -41,7 +41,10 @@
             @JsonProperty(required = true) int connections,
             @JsonProperty(required = true) long answers,
             @JsonProperty(value = "bases", required = true) long fullStateAnswers,
-            @JsonProperty(value = "refused", required = true) long rejectedConnections,
+
+            @JsonProperty(value = "refused", required = true)
+            long rejectedConnections,
+
             @JsonProperty(required = true) long bytesIn,
             @JsonProperty(required = true) long bytesOut) {}
 
--- a/src/main/java/beaconladder/feed/RelayReport.java
+++ b/src/main/java/beaconladder/feed/RelayReport.java
@@ -26,7 +26,9 @@
     public record Count(
             @JsonProperty(required = true) long version,
             @JsonProperty(required = true) int applied,
-            @JsonProperty(value = "refused", required = true) int rejected) {}
+
+            @JsonProperty(value = "refused", required = true)
+            int rejected) {}
 
     /** Copies, so that nobody changes it later. */
     public RelayReport {
--- a/src/main/java/beaconladder/feed/RelayReports.java
+++ b/src/main/java/beaconladder/feed/RelayReports.java
@@ -24,7 +24,10 @@
     public record FleetStatus(
             @JsonProperty(required = true) long version,
             @JsonProperty(required = true) String digest,
-            @JsonProperty(value = "entries", required = true) int entryCount,
+
+            @JsonProperty(value = "entries", required = true)
+            int entryCount,
+
             @JsonProperty(value = "size", required = true) int characterCount,
             @JsonProperty(required = true) List<RelayReport.Count> counts,
             @JsonProperty(required = true) int older,
@@ -63,6 +66,13 @@
                 .map(each -> new RelayReport.Count(each.getKey(), each.getValue()[0], each.getValue()[1]))
                 .toList();
         return new FleetStatus(
-                newest.version(), newest.digest(), newest.entries().size(), newest.characterCount(), all, older, silent, relays);
+                newest.version(),
+                newest.digest(),
+                newest.entries().size(),
+                newest.characterCount(),
+                all,
+                older,
+                silent,
+                relays);
     }
 }
--- a/src/main/java/beaconladder/feed/VersionHistory.java
+++ b/src/main/java/beaconladder/feed/VersionHistory.java
@@ -45,7 +45,8 @@
             return applied(this, again ? CommitResult.Outcome.COMMITTED : CommitResult.Outcome.VERSION_CONFLICT);
         }
         VersionedState next = newest.after(proposal);
-        if (next.characterCount() > VersionedState.MAX_CHARACTERS || next.entries().size() > VersionedState.MAX_ENTRIES) {
+        if (next.characterCount() > VersionedState.MAX_CHARACTERS
+                || next.entries().size() > VersionedState.MAX_ENTRIES) {
             return applied(this, CommitResult.Outcome.TOO_LARGE);
         }
         return applied(
@@ -75,8 +76,8 @@
         }
         int from = changes.size() - (int) Math.min(Integer.MAX_VALUE, newest.version() - version);
         List<Change> missed = whole || from < 0 ? List.of() : changes.subList(from, changes.size());
-        boolean base =
-                missed.isEmpty() || missed.stream().mapToInt(Change::characterCount).sum() > newest.characterCount();
+        boolean base = missed.isEmpty()
+                || missed.stream().mapToInt(Change::characterCount).sum() > newest.characterCount();
         return new Update(newest.version(), newest.digest(), 0, base ? newest : null, base ? List.of() : missed);
     }
 
--- a/src/main/java/beaconladder/feed/VersionedState.java
+++ b/src/main/java/beaconladder/feed/VersionedState.java
@@ -73,7 +73,8 @@
 
     private VersionedState bounded() throws IOException {
         if (entries.size() > MAX_ENTRIES || characterCount() > MAX_CHARACTERS) {
-            throw new IOException("a state of more than " + MAX_CHARACTERS + " characters or " + MAX_ENTRIES + " entries");
+            throw new IOException(
+                    "a state of more than " + MAX_CHARACTERS + " characters or " + MAX_ENTRIES + " entries");
         }
         return this;
     }
--- a/src/main/java/beaconladder/testbed/FeedRouters.java
+++ b/src/main/java/beaconladder/testbed/FeedRouters.java
@@ -43,8 +43,8 @@
 
         @Override
         public void apply(VersionedState next) throws IOException {
-            String line =
-                    "A " + unix() + ' ' + router + ' ' + life + ' ' + next.version() + ' ' + next.computeDigest() + '\n';
+            String line = "A " + unix() + ' ' + router + ' ' + life + ' ' + next.version() + ' ' + next.computeDigest()
+                    + '\n';
             synchronized (out) {
                 out.write(line);
             }
--- a/src/main/java/beaconladder/testbed/FeedScenario.java
+++ b/src/main/java/beaconladder/testbed/FeedScenario.java
@@ -231,6 +231,8 @@
                 log.stream().mapToLong(each -> each.at() - each.from()).max().orElse(0) / MS);
         figures.put(
                 "bases_told",
-                fleet.statuses().stream().mapToLong(Relay.Status::fullStateAnswers).sum());
+                fleet.statuses().stream()
+                        .mapToLong(Relay.Status::fullStateAnswers)
+                        .sum());
     }
 }
--- a/src/main/java/beaconladder/testbed/FeedWriter.java
+++ b/src/main/java/beaconladder/testbed/FeedWriter.java
@@ -2,8 +2,8 @@
 
 import beaconladder.feed.CommitResult;
 import beaconladder.feed.InvalidProposalException;
-import beaconladder.feed.Proposal;
 import beaconladder.feed.LogClient;
+import beaconladder.feed.Proposal;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/test/java/beaconladder/feed/FeedDoorsTest.java
+++ b/src/test/java/beaconladder/feed/FeedDoorsTest.java
@@ -92,7 +92,8 @@
             log.set("x", "1");
             String poll = "/v1/feed?wait=0&name=n&life=1&force=0&refused=0&counts=1&patient=1&since=0";
             await().atMost(LONG)
-                    .untilAsserted(() -> assertThat(ask(relay.address(), poll, null)).isEqualTo("200 " + HEAD + CHANGES));
+                    .untilAsserted(
+                            () -> assertThat(ask(relay.address(), poll, null)).isEqualTo("200 " + HEAD + CHANGES));
             assertThat(ask(relay.address(), poll + "&whole=1", null).replaceAll("(\"lagMillis\":)\\d+", "$10"))
                     .isEqualTo("200 " + WHOLE);
             await().atMost(LONG)
--- a/src/test/java/beaconladder/feed/FeedJsonTest.java
+++ b/src/test/java/beaconladder/feed/FeedJsonTest.java
@@ -85,7 +85,14 @@
         same(REPORT, RelayReport.class, REPORT_TEXT);
         same(
                 new RelayReports.FleetStatus(
-                        3, "d3", 2, 4, REPORT.counts(), 7, 8, List.of(new RelayReports.ReceivedReport("a", 20, REPORT))),
+                        3,
+                        "d3",
+                        2,
+                        4,
+                        REPORT.counts(),
+                        7,
+                        8,
+                        List.of(new RelayReports.ReceivedReport("a", 20, REPORT))),
                 RelayReports.FleetStatus.class,
                 "{\"version\":3,\"digest\":\"d3\",\"entries\":2,\"size\":4,\"counts\":"
                         + "[{\"version\":3,\"applied\":5,\"refused\":6}],\"older\":7,\"silent\":8,"
--- a/src/test/java/beaconladder/feed/FeedStateTest.java
+++ b/src/test/java/beaconladder/feed/FeedStateTest.java
@@ -86,7 +86,8 @@
         for (int i = 1; i <= 10; i++) {
             all = written(all, Map.of("a", "some text that takes a little room", "n" + i, "" + i));
         }
-        assertThat(all.updateSince(10, false)).isEqualTo(new Update(10, all.newest().digest(), 0, null, List.of()));
+        assertThat(all.updateSince(10, false))
+                .isEqualTo(new Update(10, all.newest().digest(), 0, null, List.of()));
         assertThat(all.updateSince(11, false).changes()).isEmpty();
         Update one = all.updateSince(9, false);
         assertThat(one.base()).isNull();
@@ -109,7 +110,8 @@
         long newest = all.newest().version();
         assertThat(all.updateSince(newest - VersionHistory.MAX_CHANGES, false).base())
                 .isNull();
-        assertThat(all.updateSince(newest - VersionHistory.MAX_CHANGES - 1, false).base())
+        assertThat(all.updateSince(newest - VersionHistory.MAX_CHANGES - 1, false)
+                        .base())
                 .isEqualTo(all.newest());
         // Large changes are forgotten sooner.
         for (int i = 0; i < 10; i++) {
@@ -174,7 +176,8 @@
     void nothingOlderIsTaken() throws IOException {
         VersionHistory old = written(VersionHistory.empty(), Map.of("a", "1"));
         VersionHistory log = written(old, Map.of("a", "2"));
-        assertThat(ApplyResult.WHOLE.take(log.newest(), old.updateSince(0, false))).isEqualTo(log.newest());
+        assertThat(ApplyResult.WHOLE.take(log.newest(), old.updateSince(0, false)))
+                .isEqualTo(log.newest());
         assertThat(log.merge(old.updateSince(0, false))).isEqualTo(log);
         assertThat(old.updateSince(2, false).base()).isNull();
     }
--- a/src/test/java/beaconladder/feed/FeedSubscriberTest.java
+++ b/src/test/java/beaconladder/feed/FeedSubscriberTest.java
@@ -208,7 +208,8 @@
         Relay relay = open(new Relay("a", ANY, List.of(log().at()), null, 2));
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            sockets.add(open(new Socket(relay.address().getAddress(), relay.address().getPort())));
+            sockets.add(open(
+                    new Socket(relay.address().getAddress(), relay.address().getPort())));
         }
         Socket third = sockets.get(2);
         third.setSoTimeout(5_000);
--- a/src/test/java/beaconladder/feed/StoredFeedTest.java
+++ b/src/test/java/beaconladder/feed/StoredFeedTest.java
@@ -147,7 +147,8 @@
                 log.setLeader(true);
                 log.set("plan.us", "pool=c");
                 await().atMost(LONG)
-                        .untilAsserted(() -> assertThat(get(relay.address(), poll)).contains("\"base\":" + NEXT_STATE));
+                        .untilAsserted(
+                                () -> assertThat(get(relay.address(), poll)).contains("\"base\":" + NEXT_STATE));
             }
         }
         await().atMost(LONG)
@@ -163,8 +164,8 @@
         Path into = Path.of(args[0]);
         try (LogStandIn log = new LogStandIn();
                 Relay relay = new Relay("a", ANY, List.of(log.at()), into.resolve("feed-relay"), 10);
-                Subscriber router =
-                        new Subscriber("n", 1, Map.of("a", relay.address()), into.resolve("feed-router"), new Keeps())) {
+                Subscriber router = new Subscriber(
+                        "n", 1, Map.of("a", relay.address()), into.resolve("feed-router"), new Keeps())) {
             run(router);
             for (Proposal each : WRITTEN) {
                 log.commit(each);
--- a/src/test/java/beaconladder/testbed/FedRouterIT.java
+++ b/src/test/java/beaconladder/testbed/FedRouterIT.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.awaitility.Awaitility.await;
 
+import beaconladder.feed.LogClient;
 import beaconladder.feed.LogStandIn;
 import beaconladder.feed.Proposal;
-import beaconladder.feed.LogClient;
 import beaconladder.feed.Relay;
 import beaconladder.feed.RelayReport;
 import beaconladder.testbed.ChildProcesses.Program;
