--- a/src/main/java/beaconladder/server/LocalNetworkFault.java
+++ b/src/main/java/beaconladder/server/LocalNetworkFault.java
@@ -1,6 +1,6 @@
 package beaconladder.server;
 
-/** Calls of the operating system that failed on this machine, whoever was at the other end. */
+/** System calls that failed on this machine, independent of the peer; the names are those of the counters. */
 enum LocalNetworkFault {
     ACCEPT,
     CONNECT
--- a/src/main/java/beaconladder/server/Monitor.java
+++ b/src/main/java/beaconladder/server/Monitor.java
@@ -7,18 +7,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a router counts of itself, and the checks of its rules; told in the log each minute and at its end. */
+/** A router's own counters and the checks of its invariants; logged once a minute when changed, and at the end. */
 final class Monitor {
     private static final Logger LOG = LoggerFactory.getLogger(Monitor.class);
-    private static final long EVERY = 60_000_000_000L;
+    private static final long LOG_INTERVAL_NANOS = 60_000_000_000L;
 
     private final Counters counters = new Counters();
     private final Violations violations;
     private final Invariants invariants;
-    private long toldAt = System.nanoTime();
-    private String told = "";
+    /** When the counters were last due for the log, on System.nanoTime's clock. */
+    private long loggedAtNanos = System.nanoTime();
 
-    /** One that has counted nothing, for a router with these settings. */
+    private String lastLogged = "";
+
+    /** A monitor with zero counts, for a router with these settings. */
     Monitor(Map<String, String> settings) {
         this(settings, new Violations());
     }
@@ -37,21 +39,21 @@
         return invariants;
     }
 
-    /** To be called now and then: tells what has changed within the last minute. */
+    /** Called periodically: logs what has changed, at most once a minute. */
     void sweep() {
         long now = System.nanoTime();
-        if (now - toldAt >= EVERY) {
-            toldAt = now;
-            tell();
+        if (now - loggedAtNanos >= LOG_INTERVAL_NANOS) {
+            loggedAtNanos = now;
+            logChanges();
         }
     }
 
-    /** Tells all counts, unless they stand as they were told last. */
-    void tell() {
-        String all = counters.toString();
-        if (!all.equals(told)) {
-            told = all;
-            LOG.info("counters: {}", all);
+    /** Logs all counters unless none has changed since they were last logged. */
+    void logChanges() {
+        String current = counters.toString();
+        if (!current.equals(lastLogged)) {
+            lastLogged = current;
+            LOG.info("counters: {}", current);
             LOG.info("invariants violated: {}", violations);
         }
     }
--- a/src/main/java/beaconladder/server/RequestDispatcher.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -235,7 +235,7 @@
         try {
             long now = nowNanos();
             news.accept(now);
-            timer.due(rounds.settle(now));
+            timer.schedule(rounds.settle(now));
             then = orders.errands();
             traced = trace.take();
         } finally {
--- a/src/main/java/beaconladder/server/RouterServer.java
+++ b/src/main/java/beaconladder/server/RouterServer.java
@@ -226,7 +226,7 @@
             placements.stop();
         }
         desk.stop();
-        desk.monitor().tell();
+        desk.monitor().logChanges();
         LOG.info("drained");
     }
 }
--- a/src/main/java/beaconladder/server/SettingIndex.java
+++ b/src/main/java/beaconladder/server/SettingIndex.java
@@ -3,32 +3,34 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Which place a txn type or a tenant has in the settings, by its name. */
+/** Maps the names of request classes and tenants to their positions in the settings. */
 final class SettingIndex {
-    private final Map<String, Integer> types;
+    private static final int UNKNOWN_TENANT = -1;
+
+    private final Map<String, Integer> requestClasses;
     private final Map<String, Integer> tenants;
 
-    SettingIndex(Map<String, String> start) {
-        types = places(start, "request_classes");
-        tenants = places(start, "parties");
+    SettingIndex(Map<String, String> settings) {
+        requestClasses = indexByName(settings, "request_classes");
+        tenants = indexByName(settings, "parties");
     }
 
-    private static Map<String, Integer> places(Map<String, String> start, String list) {
-        Map<String, Integer> places = new HashMap<>();
-        int count = Integer.parseInt(start.getOrDefault(list + ".count", "0"));
+    private static Map<String, Integer> indexByName(Map<String, String> settings, String list) {
+        Map<String, Integer> indexes = new HashMap<>();
+        int count = Integer.parseInt(settings.getOrDefault(list + ".count", "0"));
         for (int i = 0; i < count; i++) {
-            places.put(start.getOrDefault(list + "." + i + ".name", String.valueOf(i)), i);
+            indexes.put(settings.getOrDefault(list + "." + i + ".name", String.valueOf(i)), i);
         }
-        return places;
+        return indexes;
     }
 
-    /** Null where there is no such type. */
+    /** The position of the request class of this name, or null where there is none. */
     Integer typeIndex(String name) {
-        return types.get(name);
+        return requestClasses.get(name);
     }
 
-    /** Less than 0 where there is no such tenant. */
+    /** The position of the tenant of this name; less than 0 where there is none. */
     int tenantIndex(String name) {
-        return tenants.getOrDefault(name, -1);
+        return tenants.getOrDefault(name, UNKNOWN_TENANT);
     }
 }
--- a/src/main/java/beaconladder/server/WakeupTimer.java
+++ b/src/main/java/beaconladder/server/WakeupTimer.java
@@ -5,56 +5,59 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sleeps until the desk's rounds are due by themselves, and has them played then. */
+/** Waits until the next decision is due without an event, and then runs the decision loop. */
 final class WakeupTimer implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(WakeupTimer.class);
-    /** It rests at least so long between two looks, so that it can't spin. */
-    private static final long SHORTEST_REST_MILLIS = 1;
+    /** Lower bound of the pause between two runs, so that the timer can't spin. */
+    private static final long MIN_PAUSE_MILLIS = 1;
 
-    private final RequestDispatcher desk;
+    private final RequestDispatcher dispatcher;
     private final ReentrantLock lock;
-    private final Condition sooner;
-    private long until = Long.MAX_VALUE;
+    /** Signalled when the next wakeup has become earlier. */
+    private final Condition earlier;
+    /** When the decision loop is due, in Unix nanoseconds of the dispatcher's clock; guarded by the lock. */
+    private long dueNanos = Long.MAX_VALUE;
+
     private volatile boolean stopped;
 
-    WakeupTimer(RequestDispatcher desk, ReentrantLock lock) {
-        this.desk = desk;
+    WakeupTimer(RequestDispatcher dispatcher, ReentrantLock lock) {
+        this.dispatcher = dispatcher;
         this.lock = lock;
-        this.sooner = lock.newCondition();
+        this.earlier = lock.newCondition();
     }
 
-    /** The rounds are due then; under the lock. */
-    void due(long next) {
-        if (next < until) {
-            sooner.signal();
+    /** Sets when the decision loop is due; the caller holds the lock. */
+    void schedule(long nextNanos) {
+        if (nextNanos < dueNanos) {
+            earlier.signal();
         }
-        until = next;
+        dueNanos = nextNanos;
     }
 
     @Override
     public void run() {
         while (!stopped) {
             try {
-                if (due()) {
-                    desk.applyEvent(now -> {});
-                    Thread.sleep(SHORTEST_REST_MILLIS);
+                if (awaitDue()) {
+                    dispatcher.applyEvent(now -> {});
+                    Thread.sleep(MIN_PAUSE_MILLIS);
                 }
             } catch (InterruptedException e) {
                 stopped = true;
             } catch (RuntimeException | Error e) {
-                LOG.error("the timer goes on after a fault", e);
+                LOG.error("the timer continues after an internal error", e);
             }
         }
     }
 
-    private boolean due() throws InterruptedException {
+    private boolean awaitDue() throws InterruptedException {
         lock.lock();
         try {
-            long left = until - desk.nowNanos();
-            if (left > 0) {
-                sooner.awaitNanos(left);
+            long remainingNanos = dueNanos - dispatcher.nowNanos();
+            if (remainingNanos > 0) {
+                earlier.awaitNanos(remainingNanos);
             }
-            return until <= desk.nowNanos();
+            return dueNanos <= dispatcher.nowNanos();
         } finally {
             lock.unlock();
         }
