--- a/src/main/java/beaconladder/server/AttemptEvents.java
+++ b/src/main/java/beaconladder/server/AttemptEvents.java
@@ -79,7 +79,7 @@
             InFlightRequest hand = orders.of(attempt.txn);
             rounds.act(attempt.txn, router.after(attempt, outcome, settled, answer, report, now), now);
             if (hand != null && outcome == Outcome.COMMITTED) {
-                hand.tell(new InFlightRequest.Order(InFlightRequest.Kind.COMMITTED, attempt, 0, messages));
+                hand.enqueue(InFlightRequest.Command.committed(attempt, messages));
             }
         });
     }
--- a/src/main/java/beaconladder/server/ClientAcceptor.java
+++ b/src/main/java/beaconladder/server/ClientAcceptor.java
@@ -69,10 +69,10 @@
             queued = false;
             while (listener.isOpen()) {
                 crowd.makeRoomFor(descriptors.held());
-                queued = !descriptors.take(DescriptorLimit.Use.CLIENT);
+                queued = !descriptors.acquire(DescriptorLimit.Use.CLIENT);
                 SocketChannel channel = queued ? null : listener.accept();
                 if (channel == null) {
-                    descriptors.give(DescriptorLimit.Use.CLIENT, queued ? 0 : 1);
+                    descriptors.release(DescriptorLimit.Use.CLIENT, queued ? 0 : 1);
                     break;
                 }
                 failures = 0;
@@ -80,7 +80,7 @@
             }
             watch(!queued);
         } catch (IOException e) {
-            descriptors.give(DescriptorLimit.Use.CLIENT, 1);
+            descriptors.release(DescriptorLimit.Use.CLIENT, 1);
             failed(e);
         }
     }
--- a/src/main/java/beaconladder/server/ClientChannel.java
+++ b/src/main/java/beaconladder/server/ClientChannel.java
@@ -9,7 +9,7 @@
 /** A client's connection, which never makes its user wait: it reads and writes what can be done at once. */
 interface ClientChannel extends ByteChannel {
     /** Ends what is written; the other side may still write. */
-    void endWriting() throws IOException;
+    void shutdownOutput() throws IOException;
 
     /** The other side's address, or null where there is none. */
     default InetAddress from() {
@@ -34,7 +34,7 @@
         }
 
         @Override
-        public void endWriting() throws IOException {
+        public void shutdownOutput() throws IOException {
             channel.shutdownOutput();
         }
 
--- a/src/main/java/beaconladder/server/ClientConnection.java
+++ b/src/main/java/beaconladder/server/ClientConnection.java
@@ -16,7 +16,7 @@
     /** So much is read of a client with too many queries ahead: its end stands behind it. Some hundred. */
     private static final int BEHIND = 128 * 1024;
     /** What a client still sends after its end was told is read so long. */
-    static final long LINGER = 500_000_000L;
+    static final long LINGER_NANOS = 500_000_000L;
 
     private final ClientServer clients;
     private final RequestDispatcher desk;
@@ -98,7 +98,7 @@
     }
 
     /** Takes in what is there and does what it says; false when the connection is over. */
-    boolean readable() {
+    boolean onReadable() {
         try {
             AdmissionPermit tenant = charged || !desk.hasCells() ? null : task.counted();
             if (tenant != null) {
@@ -190,11 +190,11 @@
     /** Sends those away that are late with what they began; false when the connection is over. */
     boolean sweep(long now) {
         long ended = endedAt;
-        if (!wire.isOpen() || ended != 0 && now - ended > LINGER && !ahead.busy()) {
+        if (!wire.isOpen() || ended != 0 && now - ended > LINGER_NANOS && !ahead.busy()) {
             leave(ended != 0 ? CloseCause.TOLD_TO_GO : CloseCause.CLIENT_BROKEN);
             return false;
         }
-        if (lastLook && ended == 0 && ahead.owes() && !readable()) {
+        if (lastLook && ended == 0 && ahead.owes() && !onReadable()) {
             return false;
         }
         try {
@@ -214,7 +214,7 @@
      * the client sees its end. For the reader alone.
      */
     boolean closeIfIdle(long since) {
-        if (endedAt != 0 || !lastLook && !readable() || usedAt >= since || !idle(since)) {
+        if (endedAt != 0 || !lastLook && !onReadable() || usedAt >= since || !idle(since)) {
             return false;
         }
         // Closed, not half-closed: a query that crosses this is answered by a reset, so it is known not to
--- a/src/main/java/beaconladder/server/ClientReader.java
+++ b/src/main/java/beaconladder/server/ClientReader.java
@@ -80,7 +80,7 @@
         }
         sendNow(greeting.answer());
         if (greeting.kind() == StartupResponse.Kind.FATAL) {
-            wire.endWriting();
+            wire.shutdownOutput();
             client.told();
         }
     }
@@ -140,7 +140,7 @@
                 // What needs no task is written here; nobody else writes while none is busy.
                 sendNow(next.answer());
                 if (next.last()) {
-                    wire.endWriting();
+                    wire.shutdownOutput();
                 }
             }
             default -> {}
--- a/src/main/java/beaconladder/server/ClientServer.java
+++ b/src/main/java/beaconladder/server/ClientServer.java
@@ -69,7 +69,7 @@
                 try {
                     selector.select(this::ready, SWEEP_MILLIS);
                 } finally {
-                    descriptors.give(DescriptorLimit.Use.CLIENT, closed);
+                    descriptors.release(DescriptorLimit.Use.CLIENT, closed);
                 }
                 acceptor.acceptQueued();
                 resume();
@@ -123,7 +123,7 @@
             return;
         }
         if (key.attachment() instanceof ClientConnection client) {
-            if (client.readable()) {
+            if (client.onReadable()) {
                 interest(client);
             }
         } else {
@@ -184,13 +184,13 @@
         return rooms.get(cell);
     }
 
-    int count() {
+    int connectionCount() {
         return crowd.all().size();
     }
 
     /** Starts a client's task; false when there is no thread left for it. */
     boolean execute(Runnable task) {
-        return threads.room(1) && threads.tryExecute(task);
+        return threads.hasCapacity(1) && threads.tryExecute(task);
     }
 
     /** For the reader alone, once the client's connection is closed. */
--- a/src/main/java/beaconladder/server/DescriptorLimit.java
+++ b/src/main/java/beaconladder/server/DescriptorLimit.java
@@ -10,7 +10,7 @@
     /** What a descriptor is held for. */
     enum Use {
         CLIENT,
-        HOST
+        SERVER
     }
 
     /**
@@ -51,7 +51,7 @@
     }
 
     /** Takes one; false when there is none for this use now. */
-    synchronized boolean take(Use use) {
+    synchronized boolean acquire(Use use) {
         int other = held[1 - use.ordinal()];
         if (held[use.ordinal()] + Math.max(other, part) >= whole) {
             return false;
@@ -61,9 +61,9 @@
     }
 
     /** Takes one, and waits for it until this nanoTime at the latest. */
-    synchronized boolean take(Use use, long until) {
+    synchronized boolean acquire(Use use, long until) {
         boolean interrupted = false;
-        while (!take(use)) {
+        while (!acquire(use)) {
             long left = (until - System.nanoTime()) / 1_000_000;
             if (left <= 0 || interrupted) {
                 return false;
@@ -79,7 +79,7 @@
     }
 
     /** Gives so many back, once they are closed. */
-    synchronized void give(Use use, int n) {
+    synchronized void release(Use use, int n) {
         held[use.ordinal()] -= n;
         if (n > 0) {
             notifyAll();
--- a/src/main/java/beaconladder/server/IdleConnections.java
+++ b/src/main/java/beaconladder/server/IdleConnections.java
@@ -92,6 +92,6 @@
     /** Closes one that is idle or was in use, and gives its descriptor back. */
     void close(ServerConnection line) {
         line.release();
-        descriptors.give(DescriptorLimit.Use.HOST, 1);
+        descriptors.release(DescriptorLimit.Use.SERVER, 1);
     }
 }
--- a/src/main/java/beaconladder/server/InFlightRequest.java
+++ b/src/main/java/beaconladder/server/InFlightRequest.java
@@ -4,63 +4,110 @@
 import beaconladder.pg.Statement;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass;
 import java.util.ArrayDeque;
 
-/** A txn in hand: what the desk tells the task that sees it through. */
+/** A request in flight: the queue of commands from the dispatcher to the task that completes the request. */
 final class InFlightRequest {
 
-    /** What there is to do. */
+    /** What the task has to do. */
     enum Kind {
         SEND,
         COMMITTED,
-        DECLINED,
+        REJECTED,
         ROLLED_BACK,
-        LEFT
+        CLIENT_GONE
     }
 
     /**
-     * One thing to do.
+     * One command to the task.
      *
-     * @param submission for SEND
-     * @param nanos for SEND when it is to be over, for DECLINED how long the client should stay away
+     * @param attempt for SEND, null otherwise
+     * @param deadlineNanos for SEND: when the attempt times out, on the dispatcher's clock
+     * @param retryAfterNanos for REJECTED: how long the client should back off, or 0 where that is unknown
      * @param answer for COMMITTED: the host's messages
      */
-    record Order(Kind kind, Attempt submission, long nanos, MessageWriter answer) {}
+    record Command(Kind kind, Attempt attempt, long deadlineNanos, long retryAfterNanos, MessageWriter answer) {
+        /** Send this attempt to its host; it times out at the deadline. */
+        static Command send(Attempt attempt, long deadlineNanos) {
+            return new Command(Kind.SEND, attempt, deadlineNanos, 0, null);
+        }
+
+        /** Return the host's messages to the client. */
+        static Command committed(Attempt attempt, MessageWriter answer) {
+            return new Command(Kind.COMMITTED, attempt, 0, 0, answer);
+        }
+
+        /** Reject the request, which has not run; the client may retry after this time. */
+        static Command rejected(long retryAfterNanos) {
+            return new Command(Kind.REJECTED, null, 0, retryAfterNanos, null);
+        }
 
-    final Request txn;
+        /** Report a request that failed and may have run. */
+        static Command rolledBack() {
+            return new Command(Kind.ROLLED_BACK, null, 0, 0, null);
+        }
+
+        /** Stop: the client has disconnected or has cancelled the request. */
+        static Command clientGone() {
+            return new Command(Kind.CLIENT_GONE, null, 0, 0, null);
+        }
+    }
+
+    final Request request;
     final Statement statement;
-    private final ArrayDeque<Order> orders = new ArrayDeque<>();
-    /** Whether the task is out with a submission, and can't start another. */
-    private boolean away;
+    private final ArrayDeque<Command> commands = new ArrayDeque<>();
+    /** Whether the task is busy with an attempt, and can't start another. */
+    private boolean sending;
 
-    InFlightRequest(Request txn, Statement statement) {
-        this.txn = txn;
+    InFlightRequest(Request request, Statement statement) {
+        this.request = request;
         this.statement = statement;
     }
 
-    /** Tells the task; false for a SEND that has to be started by somebody else, as the task is away. */
-    synchronized boolean tell(Order order) {
-        if (order.kind() == Kind.SEND && (away || !orders.isEmpty())) {
+    /**
+     * The request that these parameters describe.
+     *
+     * @param number a number that no other request of this process has
+     * @param requestClass the class that the parameters name by its index
+     * @param tenant the index of the client's tenant
+     */
+    static InFlightRequest of(long number, RequestParameters parameters, RequestClass requestClass, int tenant) {
+        Statement statement = parameters.statement();
+        boolean retriedByClient = "1".equals(statement.value("r"));
+        return new InFlightRequest(
+                new Request(
+                        number,
+                        requestClass,
+                        parameters.group(),
+                        statement.session(),
+                        parameters.minPositionNanos(),
+                        tenant,
+                        retriedByClient,
+                        parameters.arrivedNanos(),
+                        parameters.expiryNanos(),
+                        number),
+                statement);
+    }
+
+    /** Passes the task a command; false for a SEND that another thread has to start, as the task is busy. */
+    synchronized boolean enqueue(Command command) {
+        if (command.kind() == Kind.SEND && (sending || !commands.isEmpty())) {
             return false;
         }
-        orders.add(order);
+        commands.add(command);
         notifyAll();
         return true;
     }
 
-    /** What there is to do by now, or null. */
-    synchronized Order poll() {
-        away = false;
-        Order order = orders.poll();
-        away = order != null && order.kind() == Kind.SEND;
-        return order;
-    }
-
-    synchronized Order take() throws InterruptedException {
-        away = false;
-        while (orders.isEmpty()) {
+    /** Waits for the next command; the caller is done with the one before. */
+    synchronized Command awaitCommand() throws InterruptedException {
+        sending = false;
+        while (commands.isEmpty()) {
             wait();
         }
-        return poll();
+        Command command = commands.poll();
+        sending = command.kind() == Kind.SEND;
+        return command;
     }
 }
--- a/src/main/java/beaconladder/server/InMemoryChannel.java
+++ b/src/main/java/beaconladder/server/InMemorySocket.java
@@ -8,7 +8,7 @@
 import java.util.function.UnaryOperator;
 
 /** A connection in memory: its other end answers each write at once. */
-final class InMemoryChannel extends Socket {
+final class InMemorySocket extends Socket {
     private final UnaryOperator<byte[]> answer;
     private byte[] bytes;
     private int at;
@@ -20,7 +20,7 @@
      * @param first what the other end says first; may be empty
      * @param answer what the other end says to what was written; null when it ends
      */
-    InMemoryChannel(byte[] first, UnaryOperator<byte[]> answer) {
+    InMemorySocket(byte[] first, UnaryOperator<byte[]> answer) {
         this.bytes = first;
         this.answer = answer;
     }
--- a/src/main/java/beaconladder/server/PendingActions.java
+++ b/src/main/java/beaconladder/server/PendingActions.java
@@ -35,7 +35,7 @@
     }
 
     void add(InFlightRequest hand) {
-        hands.put(hand.txn, hand);
+        hands.put(hand.request, hand);
     }
 
     /** The hand of this txn, or null. */
@@ -70,9 +70,9 @@
     public void send(Attempt s, long timeout) {
         InFlightRequest hand = hands.get(s.txn);
         trace.sent(s, timeout);
-        InFlightRequest.Order order = new InFlightRequest.Order(InFlightRequest.Kind.SEND, s, s.sent + timeout, null);
-        if (!hand.tell(order)) {
-            errands.add(to -> to.start(hand, order));
+        InFlightRequest.Command command = InFlightRequest.Command.send(s, s.sent + timeout);
+        if (!hand.enqueue(command)) {
+            errands.add(to -> to.start(hand, command));
         }
     }
 
@@ -86,14 +86,14 @@
         trace.finished(txn, "decline " + reason, desk.nowNanos());
         monitor.counters().add("refused", reason);
         monitor.invariants().refused(txn);
-        hands.get(txn).tell(new InFlightRequest.Order(InFlightRequest.Kind.DECLINED, null, comeBack, null));
+        hands.get(txn).enqueue(InFlightRequest.Command.rejected(comeBack));
     }
 
     @Override
     public void rollBack(Request txn, RoutingDecision.Reason reason) {
         trace.finished(txn, "rollback " + reason, desk.nowNanos());
         monitor.counters().add("rolled_back", reason);
-        hands.get(txn).tell(new InFlightRequest.Order(InFlightRequest.Kind.ROLLED_BACK, null, 0, null));
+        hands.get(txn).enqueue(InFlightRequest.Command.rolledBack());
     }
 
     @Override
--- a/src/main/java/beaconladder/server/RequestDispatcher.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -1,16 +1,13 @@
 package beaconladder.server;
 
-import beaconladder.cells.AdmissionPermit;
 import beaconladder.cells.CellAdmission;
 import beaconladder.cells.CellRouter;
 import beaconladder.discovery.EndpointWatch;
-import beaconladder.pg.Statement;
 import beaconladder.routing.RoutingPolicy;
 import beaconladder.routing.api.DecisionLoop;
 import beaconladder.routing.api.Router;
 import beaconladder.routing.state.Group;
 import beaconladder.routing.state.Host;
-import beaconladder.routing.state.Request;
 import beaconladder.routing.state.RequestClass;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -146,43 +143,27 @@
      * Takes a txn in, with its leave where there are cells: its task is told through the hand what to do, and releases
      * its id at the end. Null where another txn of this id is in hand.
      */
-    InFlightRequest submit(
-            String id,
-            int type,
-            Group group,
-            Statement statement,
-            long written,
-            long arrived,
-            long expiry,
-            AdmissionPermit pass) {
+    InFlightRequest submit(RequestParameters parameters) {
         lock.lock();
         InFlightRequest hand;
         try {
-            if (!ids.add(id)) {
+            if (!ids.add(parameters.id())) {
                 return null;
             }
-            hand = new InFlightRequest(
-                    new Request(
-                            taken,
-                            router.type(type),
-                            group,
-                            statement.session(),
-                            written,
-                            places.tenantIndex(statement.value("t")),
-                            "1".equals(statement.value("r")),
-                            arrived,
-                            expiry,
-                            taken++),
-                    statement);
+            hand = InFlightRequest.of(
+                    taken++,
+                    parameters,
+                    router.type(parameters.classIndex()),
+                    places.tenantIndex(parameters.statement().value("t")));
             orders.add(hand);
-            trace.taken(hand.txn, id, nowNanos());
-            if (pass != null) {
-                gate.bind(hand.txn, pass);
+            trace.taken(hand.request, parameters.id(), nowNanos());
+            if (parameters.permit() != null) {
+                gate.bind(hand.request, parameters.permit());
             }
         } finally {
             lock.unlock();
         }
-        applyEvent(now -> rounds.act(hand.txn, router.place(hand.txn, now), now));
+        applyEvent(now -> rounds.act(hand.request, router.place(hand.request, now), now));
         return hand;
     }
 
@@ -199,11 +180,11 @@
     /** The client of this txn has left. */
     void abandon(InFlightRequest hand) {
         applyEvent(now -> {
-            hand.txn.leftAt = Math.min(hand.txn.leftAt, now);
-            if (!hand.txn.ended) {
-                trace.finished(hand.txn, "left", now);
-                rounds.act(hand.txn, router.left(hand.txn, now), now);
-                hand.tell(new InFlightRequest.Order(InFlightRequest.Kind.LEFT, null, 0, null));
+            hand.request.leftAt = Math.min(hand.request.leftAt, now);
+            if (!hand.request.ended) {
+                trace.finished(hand.request, "left", now);
+                rounds.act(hand.request, router.left(hand.request, now), now);
+                hand.enqueue(InFlightRequest.Command.clientGone());
             }
         });
     }
--- a/src/main/java/beaconladder/server/RequestTask.java
+++ b/src/main/java/beaconladder/server/RequestTask.java
@@ -103,7 +103,7 @@
             send(first.answer());
             client.used();
             if (first.last()) {
-                wire.endWriting();
+                wire.shutdownOutput();
                 client.told();
                 left(ahead.end());
             }
@@ -149,8 +149,8 @@
                 return new Reply(ParsedQuery.declined("no host of the cell is known", 0), false);
             }
         }
-        InFlightRequest taken =
-                desk.submit(asked.id(), asked.type(), group, asked.statement(), asked.written(), arrived, expiry, pass);
+        InFlightRequest taken = desk.submit(new RequestParameters(
+                asked.id(), asked.type(), group, asked.statement(), asked.written(), arrived, expiry, pass));
         if (taken == null) {
             if (pass != null) {
                 desk.cells().releasePermit(pass);
@@ -208,14 +208,16 @@
     /** Does what the desk tells until the txn has its end; returns the final answer. */
     private MessageWriter finish(PipelineQueue.Work work, InFlightRequest taken) throws InterruptedException {
         while (true) {
-            InFlightRequest.Order order = taken.take();
-            switch (order.kind()) {
-                case SEND -> lines.send(order, taken.statement);
+            InFlightRequest.Command command = taken.awaitCommand();
+            switch (command.kind()) {
+                case SEND -> lines.send(command, taken.statement);
                 case COMMITTED -> {
-                    return order.answer().ready();
+                    return command.answer().ready();
                 }
-                case DECLINED -> {
-                    String detail = order.nanos() > 0 ? String.valueOf(order.nanos() / 1_000_000) : null;
+                case REJECTED -> {
+                    String detail = command.retryAfterNanos() > 0
+                            ? String.valueOf(command.retryAfterNanos() / 1_000_000)
+                            : null;
                     return new MessageWriter()
                             .error("ERROR", "53300", "declined; it has not run, try again", detail)
                             .ready();
@@ -223,7 +225,7 @@
                 case ROLLED_BACK -> {
                     return ParsedQuery.error("40003", "rolled back; it may have run");
                 }
-                case LEFT -> {
+                case CLIENT_GONE -> {
                     return work.cancelled() ? CANCELLED.get() : new MessageWriter();
                 }
             }
--- a/src/main/java/beaconladder/server/RouterServer.java
+++ b/src/main/java/beaconladder/server/RouterServer.java
@@ -70,7 +70,7 @@
                         : new CellAdmission(
                                 stated.name(),
                                 territory,
-                                CellAdmission.Room.of(threads.most(), stated.descriptors() / 3, bytes)));
+                                CellAdmission.Room.of(threads.maxThreads(), stated.descriptors() / 3, bytes)));
         DescriptorLimit descriptors = new DescriptorLimit(stated.descriptors());
         lines = new ServerConnectionPool(desk, stated.start(), threads, room, descriptors, ServerConnection::new);
         desk.setHostActions(lines);
@@ -124,11 +124,11 @@
 
     /** Listens once it knows hosts, unless its end has been asked for; returns then. */
     public void start() throws IOException, InterruptedException {
-        threads.make(desk.timer()).start();
-        threads.make(watch).start();
-        threads.make(this::sweep).start();
+        threads.newThread(desk.timer()).start();
+        threads.newThread(watch).start();
+        threads.newThread(this::sweep).start();
         if (placements != null) {
-            threads.make(placements).start();
+            threads.newThread(placements).start();
         }
         WarmUp.run(stated, threads);
         // What was known may be out of date, and what discovery's agent has counts as told: it comes first.
@@ -138,7 +138,7 @@
         synchronized (this) {
             if (!ends) {
                 clients.listen(stated.listen());
-                threads.make(clients).start();
+                threads.newThread(clients).start();
                 listens = true;
                 desk.monitor().invariants().ready(System.nanoTime() - madeAt);
                 LOG.info("{} serves at {}", stated.name(), stated.listen());
@@ -212,11 +212,11 @@
                 return;
             }
         }
-        LOG.info("draining with {} clients and {} connections to hosts", clients.count(), lines.openCount());
+        LOG.info("draining with {} clients and {} connections to hosts", clients.connectionCount(), lines.openCount());
         GracefulShutdown drain = new GracefulShutdown(desk.nowNanos(), longest);
         TimeUnit.NANOSECONDS.sleep(GracefulShutdown.NOTICE_NANOS);
         clients.drain(drain);
-        while (clients.count() > 0 && desk.nowNanos() < drain.endNanos() + ClientConnection.LINGER) {
+        while (clients.connectionCount() > 0 && desk.nowNanos() < drain.endNanos() + ClientConnection.LINGER_NANOS) {
             Thread.sleep(5);
         }
         Thread.sleep(LAST_MILLIS);
--- a/src/main/java/beaconladder/server/ServerConnectionPool.java
+++ b/src/main/java/beaconladder/server/ServerConnectionPool.java
@@ -53,14 +53,14 @@
 
     /** Descriptors held. */
     int openCount() {
-        return descriptors.held(DescriptorLimit.Use.HOST);
+        return descriptors.held(DescriptorLimit.Use.SERVER);
     }
 
     /** Makes a connection that is not yet open, within this moment (a nanoTime); null where there is no descriptor. */
     ServerConnection make(InetSocketAddress address, long until) throws IOException {
-        boolean taken = descriptors.take(DescriptorLimit.Use.HOST)
-                || idle.closeOldest() && descriptors.take(DescriptorLimit.Use.HOST)
-                || descriptors.take(DescriptorLimit.Use.HOST, until);
+        boolean taken = descriptors.acquire(DescriptorLimit.Use.SERVER)
+                || idle.closeOldest() && descriptors.acquire(DescriptorLimit.Use.SERVER)
+                || descriptors.acquire(DescriptorLimit.Use.SERVER, until);
         if (!taken) {
             return null;
         }
@@ -70,7 +70,7 @@
             made = true;
             return line;
         } finally {
-            descriptors.give(DescriptorLimit.Use.HOST, made ? 0 : 1);
+            descriptors.release(DescriptorLimit.Use.SERVER, made ? 0 : 1);
         }
     }
 
@@ -103,9 +103,14 @@
     }
 
     /** Sees a submission through on the caller's thread; what became of it is told to the desk. */
-    void send(InFlightRequest.Order order, Statement statement) {
+    void send(InFlightRequest.Command command, Statement statement) {
         HostExchange call = new HostExchange(
-                this, desk, order.submission().host, order.submission(), statement, desk.toNanoTime(order.nanos()));
+                this,
+                desk,
+                command.attempt().host,
+                command.attempt(),
+                statement,
+                desk.toNanoTime(command.deadlineNanos()));
         // The answer of a copy must not wait for one that can't be called off, unless there is no thread for
         // it.
         if (cancels || !threads.tryExecute(call)) {
@@ -114,9 +119,9 @@
     }
 
     @Override
-    public void start(InFlightRequest hand, InFlightRequest.Order order) {
-        if (!threads.tryExecute(() -> send(order, hand.statement))) {
-            desk.attemptEvents().ended(order.submission(), Outcome.MOOT, Word.SILENT, Word.SILENT, null);
+    public void start(InFlightRequest hand, InFlightRequest.Command command) {
+        if (!threads.tryExecute(() -> send(command, hand.statement))) {
+            desk.attemptEvents().ended(command.attempt(), Outcome.MOOT, Word.SILENT, Word.SILENT, null);
         }
     }
 
--- a/src/main/java/beaconladder/server/ThreadLimit.java
+++ b/src/main/java/beaconladder/server/ThreadLimit.java
@@ -25,7 +25,7 @@
     private final AtomicInteger number = new AtomicInteger();
     private final AtomicInteger inUse = new AtomicInteger();
     private final ThreadPoolExecutor pool = new ThreadPoolExecutor(
-            0, Integer.MAX_VALUE, KEPT_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), this::make);
+            0, Integer.MAX_VALUE, KEPT_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), this::newThread);
     private final int most;
 
     ThreadLimit(int memoryMb) {
@@ -33,16 +33,16 @@
     }
 
     /** How many there may be at once, by the memory stated. */
-    int most() {
+    int maxThreads() {
         return most;
     }
 
     /** Whether so many more may start. */
-    boolean room(int more) {
+    boolean hasCapacity(int more) {
         return inUse.get() + more <= most;
     }
 
-    Thread make(Runnable task) {
+    Thread newThread(Runnable task) {
         Thread thread = new Thread(null, task, "router-" + number.incrementAndGet(), STACK);
         thread.setDaemon(true);
         return thread;
--- a/src/main/java/beaconladder/server/WarmUp.java
+++ b/src/main/java/beaconladder/server/WarmUp.java
@@ -47,7 +47,7 @@
                 (address, of) -> new ServerConnection(
                         address,
                         of,
-                        new InMemoryChannel(new byte[0], written -> host(written, address.equals(primary)))));
+                        new InMemorySocket(new byte[0], written -> host(written, address.equals(primary)))));
         desk.setHostActions(lines);
         desk.listed(
                 true,
@@ -64,7 +64,7 @@
         if (types.isEmpty()) {
             return;
         }
-        Thread timer = threads.make(desk.timer());
+        Thread timer = threads.newThread(desk.timer());
         timer.start();
         AtomicInteger left = new AtomicInteger(TXNS);
         CountDownLatch done = new CountDownLatch(CLIENTS);
@@ -76,7 +76,7 @@
             ClientConnection client = new ClientConnection(clients, desk, lines, tape);
             boolean started = threads.tryExecute(() -> {
                 try {
-                    while (client.readable()) {
+                    while (client.onReadable()) {
                         tape.await();
                     }
                 } finally {
@@ -167,7 +167,7 @@
         }
 
         @Override
-        public void endWriting() {
+        public void shutdownOutput() {
             close();
         }
 
--- a/src/test/java/beaconladder/server/ClientConnectionTest.java
+++ b/src/test/java/beaconladder/server/ClientConnectionTest.java
@@ -33,7 +33,7 @@
         for (int read = 2; read <= 4; read++) {
             Late wire = new Late(read);
             ClientConnection client = new ClientConnection(clients, desk, lines, wire);
-            client.readable();
+            client.onReadable();
             wire.clear();
             boolean ended = client.closeIfIdle(Long.MAX_VALUE);
             for (int i = 0; i < 500 && !wire.said().contains("Z") && !ended; i++) {
@@ -96,7 +96,7 @@
         }
 
         @Override
-        public void endWriting() {}
+        public void shutdownOutput() {}
 
         @Override
         public synchronized boolean isOpen() {
--- a/src/test/java/beaconladder/server/DescriptorLimitTest.java
+++ b/src/test/java/beaconladder/server/DescriptorLimitTest.java
@@ -15,11 +15,11 @@
                 .append(' ')
                 .append(takeAll(of, Use.CLIENT))
                 .append(' ')
-                .append(takeAll(of, Use.HOST))
+                .append(takeAll(of, Use.SERVER))
                 .append(' ')
-                .append(of.take(Use.CLIENT));
-        of.give(Use.CLIENT, 72);
-        trace.append(' ').append(takeAll(of, Use.HOST)).append(' ').append(takeAll(of, Use.CLIENT));
+                .append(of.acquire(Use.CLIENT));
+        of.release(Use.CLIENT, 72);
+        trace.append(' ').append(takeAll(of, Use.SERVER)).append(' ').append(takeAll(of, Use.CLIENT));
         assertThat(trace.toString()).isEqualTo("64 72 24 false 48 24");
     }
 
@@ -33,11 +33,11 @@
                 Use use = Use.values()[chance.nextInt(2)];
                 if (chance.nextInt(3) > 0) {
                     boolean due = of.held(use) < whole / 4;
-                    assertThat(of.take(use) || !due)
+                    assertThat(of.acquire(use) || !due)
                             .as("%s has its part of %d", use, stated)
                             .isTrue();
                 } else {
-                    of.give(use, chance.nextInt(Math.min(4, of.held(use)) + 1));
+                    of.release(use, chance.nextInt(Math.min(4, of.held(use)) + 1));
                 }
                 assertThat(of.held()).isLessThanOrEqualTo(whole);
                 assertThat(of.held(use)).isNotNegative();
@@ -48,9 +48,9 @@
     @Test
     void whoWaitsGetsOneThatIsGivenBackAndNoneAfterItsTime() throws Exception {
         DescriptorLimit of = new DescriptorLimit(36);
-        takeAll(of, Use.HOST);
+        takeAll(of, Use.SERVER);
         long from = System.nanoTime();
-        assertThat(of.take(Use.HOST, from + 60_000_000)).isFalse();
+        assertThat(of.acquire(Use.SERVER, from + 60_000_000)).isFalse();
         assertThat(System.nanoTime() - from).isBetween(50_000_000L, 2_000_000_000L);
         Thread giver = new Thread(() -> {
             try {
@@ -58,16 +58,16 @@
             } catch (InterruptedException e) {
                 return;
             }
-            of.give(Use.HOST, 1);
+            of.release(Use.SERVER, 1);
         });
         giver.start();
-        assertThat(of.take(Use.HOST, System.nanoTime() + 10_000_000_000L)).isTrue();
+        assertThat(of.acquire(Use.SERVER, System.nanoTime() + 10_000_000_000L)).isTrue();
         giver.join();
     }
 
     private static int takeAll(DescriptorLimit of, Use use) {
         int n = 0;
-        while (of.take(use)) {
+        while (of.acquire(use)) {
             n++;
         }
         return n;
--- a/src/test/java/beaconladder/server/PartsTest.java
+++ b/src/test/java/beaconladder/server/PartsTest.java
@@ -239,8 +239,15 @@
                             new EndpointWatch.Entry(
                                     "s" + (i - 5), null, "east", i % 2, EndpointWatch.State.GONE, false, 0)));
             Statement read = Statement.read("SELECT doc FROM items WHERE id = 'k' /* id=1,c=x,d=9 */");
-            InFlightRequest hand = desk.submit(
-                    "t" + i, 0, desk.group(i % 2), read, Word.NONE, desk.nowNanos(), desk.nowNanos() + 1_000_000, null);
+            InFlightRequest hand = desk.submit(new RequestParameters(
+                    "t" + i,
+                    0,
+                    desk.group(i % 2),
+                    read,
+                    Word.NONE,
+                    desk.nowNanos(),
+                    desk.nowNanos() + 1_000_000,
+                    null));
             desk.abandon(hand);
             desk.releaseId("t" + i);
             desk.sweep();
--- a/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
+++ b/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
@@ -59,7 +59,7 @@
     private volatile long expiry;
 
     /** Sends a write by connections of this kind until it has its final answer. */
-    private InFlightRequest.Order finalAnswer(ServerConnectionPool.Opener opener) throws Exception {
+    private InFlightRequest.Command finalAnswer(ServerConnectionPool.Opener opener) throws Exception {
         ServerConnectionPool lines = new ServerConnectionPool(
                 desk, SETTINGS, new ThreadLimit(192), new MemoryLimit(1 << 20), new DescriptorLimit(128), opener);
         desk.setHostActions(lines);
@@ -70,19 +70,20 @@
         long now = desk.nowNanos();
         expiry = now + BUDGET_MILLIS * 1_000_000L;
         Statement statement = Statement.read(WRITE);
-        InFlightRequest hand = desk.submit("w1", 0, desk.group(1), statement, Word.NONE, now, expiry, null);
-        for (InFlightRequest.Order order = hand.take(); ; order = hand.take()) {
-            if (order.kind() != InFlightRequest.Kind.SEND) {
+        InFlightRequest hand =
+                desk.submit(new RequestParameters("w1", 0, desk.group(1), statement, Word.NONE, now, expiry, null));
+        for (InFlightRequest.Command command = hand.awaitCommand(); ; command = hand.awaitCommand()) {
+            if (command.kind() != InFlightRequest.Kind.SEND) {
                 desk.stop();
-                return order;
+                return command;
             }
-            lines.send(order, statement);
+            lines.send(command, statement);
         }
     }
 
     @Test
     void whatFailsInAnUnforeseenWayBehindTheQueryMayHaveRun() throws Exception {
-        InFlightRequest.Order answer = finalAnswer((address, room) -> new ServerConnection(
+        InFlightRequest.Command answer = finalAnswer((address, room) -> new ServerConnection(
                 address,
                 room,
                 new FaultySocket(new IllegalStateException("a fault of our own while the answer is read"), written)));
@@ -92,7 +93,7 @@
 
     @Test
     void norIsItSentAgainWhereMemoryRanOut() throws Exception {
-        InFlightRequest.Order answer = finalAnswer((address, room) -> new ServerConnection(
+        InFlightRequest.Command answer = finalAnswer((address, room) -> new ServerConnection(
                 address,
                 room,
                 new FaultySocket(new Error("as where memory runs out while the answer is read"), written)));
@@ -107,8 +108,8 @@
     @Test
     void theTimeThatAHostIsToldHoldsWhereTheWriteIsHeldUp() throws Exception {
         List<Long> excess = new ArrayList<>();
-        InFlightRequest.Order answer = finalAnswer((address, room) ->
-                new ServerConnection(address, room, new InMemoryChannel(new byte[0], query -> {
+        InFlightRequest.Command answer = finalAnswer((address, room) ->
+                new ServerConnection(address, room, new InMemorySocket(new byte[0], query -> {
                     if (query[0] == 'Q') {
                         sleep(HOLD_UP_MILLIS + REST_OF_THE_WAY_MILLIS);
                         String text = new String(query, 5, query.length - 6, StandardCharsets.UTF_8);
@@ -124,8 +125,8 @@
     /** The check of a send takes the lock of the decisions; what it waits for that is no part of the send. */
     @Test
     void aSendThatWaitsForTheLockToBeCheckedIsNotHeldAgainstItself() throws Exception {
-        InFlightRequest.Order answer = finalAnswer((address, room) ->
-                new ServerConnection(address, room, new InMemoryChannel(new byte[0], query -> {
+        InFlightRequest.Command answer = finalAnswer((address, room) ->
+                new ServerConnection(address, room, new InMemorySocket(new byte[0], query -> {
                     if (query[0] == 'Q') {
                         holdLock(LOCK_MILLIS);
                     }
@@ -170,14 +171,14 @@
                         throw new IOException("no buffer space available");
                     }
                     return new ServerConnection(
-                            address, room, new InMemoryChannel(new byte[0], query -> answer(query, moved)));
+                            address, room, new InMemorySocket(new byte[0], query -> answer(query, moved)));
                 });
         desk.setHostActions(lines);
         desk.listed(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
         Statement statement = Statement.read(WRITE);
         // Connections to a host that was used less are not kept.
         for (int i = 0; i <= USES; i++) {
-            InFlightRequest hand = desk.submit(
+            InFlightRequest hand = desk.submit(new RequestParameters(
                     "w" + i,
                     0,
                     desk.group(1),
@@ -185,13 +186,13 @@
                     Word.NONE,
                     desk.nowNanos(),
                     desk.nowNanos() + 100_000_000,
-                    null);
-            lines.send(hand.take(), statement);
+                    null));
+            lines.send(hand.awaitCommand(), statement);
             // An idle connection is used again once it has rested.
             Thread.sleep(10);
             desk.abandon(hand);
         }
-        assertThat(descriptors.held(DescriptorLimit.Use.HOST)).isZero();
+        assertThat(descriptors.held(DescriptorLimit.Use.SERVER)).isZero();
     }
 
     /**
