--- a/src/main/java/beaconladder/app/CellsCommand.java
+++ b/src/main/java/beaconladder/app/CellsCommand.java
@@ -197,14 +197,14 @@
 
     private static Map<?, ?> call(Plan plan, String path) throws IOException {
         try {
-            Object answer = JsonReader.read(new HttpFetcher(plan.keeper().at(), true).get(path, CALL_MILLIS));
+            Object answer = JsonReader.parse(new HttpFetcher(plan.keeper().at(), true).get(path, CALL_MILLIS));
             if (answer instanceof Map<?, ?> map) {
                 if (map.get("error") != null) {
                     throw new IOException(String.valueOf(map.get("error")));
                 }
                 return map;
             }
-        } catch (JsonReader.Fault e) {
+        } catch (JsonReader.ParseException e) {
             throw new IOException("the keeper's answer can't be read: " + e.getMessage());
         } catch (java.net.ConnectException e) {
             throw new IOException("no keeper answers at " + plan.keeper().at());
--- a/src/main/java/beaconladder/app/FedRouter.java
+++ b/src/main/java/beaconladder/app/FedRouter.java
@@ -65,7 +65,7 @@
         Map<String, InetSocketAddress> all = new TreeMap<>();
         for (String each : relays) {
             int equals = each.indexOf('=');
-            InetSocketAddress address = EndpointWatch.address(each.substring(equals + 1));
+            InetSocketAddress address = EndpointWatch.parseAddress(each.substring(equals + 1));
             if (equals < 1
                     || !Proposal.isValidName(each.substring(0, equals))
                     || address == null
--- a/src/main/java/beaconladder/app/FeedCommand.java
+++ b/src/main/java/beaconladder/app/FeedCommand.java
@@ -138,8 +138,8 @@
         }
         if (name.endsWith(".json")) {
             try {
-                JsonReader.read(text);
-            } catch (JsonReader.Fault e) {
+                JsonReader.parse(text);
+            } catch (JsonReader.ParseException e) {
                 throw new Wrong(file + ": " + e.getMessage());
             }
         }
@@ -206,7 +206,7 @@
             if (!Proposal.isValidName(name)) {
                 throw new Wrong("'" + name + "' is no name of a relay");
             }
-            InetSocketAddress address = EndpointWatch.address(at);
+            InetSocketAddress address = EndpointWatch.parseAddress(at);
             if (address == null) {
                 throw new Wrong("'" + at + "' is no address with a port");
             }
--- a/src/main/java/beaconladder/app/LabCommand.java
+++ b/src/main/java/beaconladder/app/LabCommand.java
@@ -165,7 +165,12 @@
             return 1;
         }
         LeaseHolder.run(
-                plan, name, task, resources.stream().map(EndpointWatch::address).toList(), clock, gossip);
+                plan,
+                name,
+                task,
+                resources.stream().map(EndpointWatch::parseAddress).toList(),
+                clock,
+                gossip);
         return 0;
     }
 }
--- a/src/main/java/beaconladder/app/LabFeedCommand.java
+++ b/src/main/java/beaconladder/app/LabFeedCommand.java
@@ -142,7 +142,7 @@
             for (String each : relays) {
                 all.put(
                         each.substring(0, each.indexOf('=')),
-                        EndpointWatch.address(each.substring(each.indexOf('=') + 1)));
+                        EndpointWatch.parseAddress(each.substring(each.indexOf('=') + 1)));
             }
             FeedRouters.run(prefix, from, count, all, journal);
             return 0;
--- a/src/main/java/beaconladder/app/MembersCommand.java
+++ b/src/main/java/beaconladder/app/MembersCommand.java
@@ -45,10 +45,10 @@
             }
             PrintWriter out = spec.commandLine().getOut();
             out.println("view " + view.version()
-                    + (view.age() == Long.MAX_VALUE
+                    + (view.sinceLastMessageNanos() == Long.MAX_VALUE
                             ? ", nobody was heard of yet"
-                            : ", last heard of another " + view.age() / 1_000_000 + " ms ago"));
-            view.present()
+                            : ", last heard of another " + view.sinceLastMessageNanos() / 1_000_000 + " ms ago"));
+            view.members()
                     .forEach(each -> out.println(each.name() + " at " + each.address() + ", "
                             + each.state().name().toLowerCase(Locale.ROOT) + ", incarnation " + each.incarnation()));
         }
--- a/src/main/java/beaconladder/coordinator/Coordinator.java
+++ b/src/main/java/beaconladder/coordinator/Coordinator.java
@@ -71,7 +71,7 @@
         records = DurableRecords.open(Path.of(plan.keeper().store()));
         moves = new TenantMigrations(new StaticPlacement(plan));
         try {
-            for (byte[] record : records.found()) {
+            for (byte[] record : records.recovered()) {
                 moves.take(CoordinatorProtocol.read(record, MigrationStep.class));
             }
             moves.recovered(now());
@@ -82,7 +82,7 @@
         }
         LOG.info(
                 "{} records, {} moves under way",
-                records.found().size(),
+                records.recovered().size(),
                 moves.shown(now()).size());
         watch = new EndpointWatch(plan.keeper().discovery(), hosts);
         server.setExecutor(threads);
--- a/src/main/java/beaconladder/coordinator/HostQueries.java
+++ b/src/main/java/beaconladder/coordinator/HostQueries.java
@@ -37,8 +37,8 @@
     });
 
     @Override
-    public synchronized void listed(boolean whole, List<EndpointWatch.Entry> news) {
-        if (whole) {
+    public synchronized void onEndpoints(boolean complete, List<EndpointWatch.Entry> news) {
+        if (complete) {
             entries.clear();
         }
         for (EndpointWatch.Entry entry : news) {
--- a/src/main/java/beaconladder/discovery/EndpointListReader.java
+++ b/src/main/java/beaconladder/discovery/EndpointListReader.java
@@ -20,24 +20,24 @@
     static final int MOST_ENTRIES = 20_000;
 
     /** An answer that is JSON and no list, or does not fit what is held; only the whole list helps. */
-    static final class Unfit extends IOException {
+    static final class InvalidListException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Unfit(String cause) {
+        InvalidListException(String cause) {
             super(cause);
         }
     }
 
     /** An answer of discovery: the whole list, or what has changed up to this version. */
-    record News(long version, boolean whole, List<EndpointWatch.Entry> entries) {}
+    record EndpointUpdate(long version, boolean whole, List<EndpointWatch.Entry> entries) {}
 
     private EndpointListReader() {}
 
     /** The news in these bytes, read up to their end. */
-    static News read(InputStream in) throws IOException, JsonReader.Fault {
+    static EndpointUpdate read(InputStream in) throws IOException, JsonReader.ParseException {
         try (JsonParser json = JsonReader.parser(in)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new Unfit("no list of hosts");
+                throw new InvalidListException("no list of hosts");
             }
             BigDecimal version = null;
             boolean whole = false;
@@ -56,26 +56,26 @@
                 }
             }
             if (json.nextToken() != null) {
-                throw new Unfit("more after the list of hosts");
+                throw new InvalidListException("more after the list of hosts");
             }
             if (entries == null) {
-                throw new Unfit("no list of hosts");
+                throw new InvalidListException("no list of hosts");
             }
             // Without a version the next call would ask for the whole list again, in a spin.
             if (version == null || version.signum() < 0) {
-                throw new Unfit("a list without its version");
+                throw new InvalidListException("a list without its version");
             }
-            return new News(version.longValue(), whole, entries);
+            return new EndpointUpdate(version.longValue(), whole, entries);
         } catch (JsonProcessingException e) {
             throw JsonReader.fault(e);
         }
     }
 
-    private static List<EndpointWatch.Entry> entries(JsonParser json) throws IOException, JsonReader.Fault {
+    private static List<EndpointWatch.Entry> entries(JsonParser json) throws IOException, JsonReader.ParseException {
         List<EndpointWatch.Entry> entries = new ArrayList<>();
         while (json.nextToken() != JsonToken.END_ARRAY) {
             if (entries.size() == MOST_ENTRIES) {
-                throw new Unfit("a list of more than " + MOST_ENTRIES + " hosts");
+                throw new InvalidListException("a list of more than " + MOST_ENTRIES + " hosts");
             }
             entries.add(entry(JsonReader.value(json)));
         }
@@ -87,17 +87,17 @@
         if (!(value instanceof Map<?, ?> e)
                 || !(e.get("id") instanceof String id)
                 || !(e.get("cell") instanceof BigDecimal cell)) {
-            throw new Unfit("an entry without id or group");
+            throw new InvalidListException("an entry without id or group");
         }
         EndpointWatch.State state = switch (String.valueOf(e.get("state"))) {
             case "Ready" -> EndpointWatch.State.READY;
             case "Terminating" -> EndpointWatch.State.DRAINING;
             case "Gone" -> EndpointWatch.State.GONE;
-            default -> throw new Unfit("an unknown state " + e.get("state"));
+            default -> throw new InvalidListException("an unknown state " + e.get("state"));
         };
-        InetSocketAddress address = e.get("addr") instanceof String a ? EndpointWatch.address(a) : null;
+        InetSocketAddress address = e.get("addr") instanceof String a ? EndpointWatch.parseAddress(a) : null;
         if (address == null && state != EndpointWatch.State.GONE) {
-            throw new Unfit("no address of " + id);
+            throw new InvalidListException("no address of " + id);
         }
         long launched = e.get("started_ms") instanceof BigDecimal started ? started.longValue() : 0;
         return new EndpointWatch.Entry(
--- a/src/main/java/beaconladder/discovery/EndpointWatch.java
+++ b/src/main/java/beaconladder/discovery/EndpointWatch.java
@@ -35,7 +35,7 @@
 
     /** Takes the news. */
     public interface Listener {
-        void listed(boolean whole, List<Entry> entries);
+        void onEndpoints(boolean complete, List<Entry> entries);
     }
 
     private final Listener listener;
@@ -74,16 +74,16 @@
      * @param everyMillis how often the rules want to be asked by who has no watch
      * @param seed for the moments at which it asks
      */
-    public static EndpointWatch asking(InetSocketAddress discovery, long everyMillis, long seed, Listener listener) {
+    public static EndpointWatch polling(InetSocketAddress discovery, long everyMillis, long seed, Listener listener) {
         return new EndpointWatch(discovery, new PollSchedule(everyMillis, seed), listener);
     }
 
     /** Discovery is to be asked at this address from now on, for the whole list first. */
-    public synchronized void moveTo(InetSocketAddress discovery) {
+    public synchronized void changeAddress(InetSocketAddress discovery) {
         HttpFetcher before = http;
         if (!before.address().equals(discovery)) {
             http = new HttpFetcher(discovery);
-            before.end();
+            before.close();
             notifyAll();
         }
     }
@@ -106,7 +106,7 @@
             DiscoverySchedule.Call call = schedule.call(goesOn);
             long from = System.nanoTime();
             try {
-                EndpointListReader.News news = asked.get(
+                EndpointListReader.EndpointUpdate news = asked.get(
                         version < 0 ? "/v1/servers" : "/v1/servers?index=" + version + "&wait=" + call.waits(),
                         call.all(),
                         call.tail(),
@@ -122,7 +122,7 @@
                     troubles.clear();
                 }
                 rest(asked, schedule.answered(call, System.nanoTime() - from, version != before));
-            } catch (IOException | JsonReader.Fault e) {
+            } catch (IOException | JsonReader.ParseException e) {
                 if (asked != http) {
                     continue;
                 }
@@ -135,13 +135,13 @@
                 }
                 if (e instanceof SocketTimeoutException) {
                     rest(asked, schedule.silent(call));
-                } else if (e instanceof HttpFetcher.Status status && status.passing()) {
+                } else if (e instanceof HttpFetcher.StatusException status && status.isRetryable()) {
                     rest(asked, schedule.refused(call));
                 } else {
                     // What can't be read, or does not fit what is held, is asked for whole.
-                    version = e instanceof EndpointListReader.Unfit
-                                    || e instanceof JsonReader.Fault
-                                    || e instanceof HttpFetcher.Status
+                    version = e instanceof EndpointListReader.InvalidListException
+                                    || e instanceof JsonReader.ParseException
+                                    || e instanceof HttpFetcher.StatusException
                             ? -1
                             : version;
                     rest(asked, schedule.failed());
@@ -153,11 +153,11 @@
                 rest(asked, schedule.failed());
             }
         }
-        http.end();
+        http.close();
     }
 
     /** Whether discovery has not answered yet, and still has some of its time to, from when this was made. */
-    public boolean mayStillTell() {
+    public boolean isAwaitingFirstAnswer() {
         return !answered && System.nanoTime() - madeAt < WatchSchedule.START_MILLIS * 1_000_000L;
     }
 
@@ -181,23 +181,24 @@
     }
 
     /** Tells the news since that version, or since ever; returns their version. */
-    private long take(EndpointListReader.News news, long since) throws IOException {
+    private long take(EndpointListReader.EndpointUpdate news, long since) throws IOException {
         // One that goes back is of a discovery that began anew, and knows nothing of what we hold; nor can
         // there be changes without a newer version.
         if (!news.whole()
                 && (news.version() < since
                         || news.version() == since && !news.entries().isEmpty())) {
-            throw new EndpointListReader.Unfit("changes up to version " + news.version() + " since " + since);
+            throw new EndpointListReader.InvalidListException(
+                    "changes up to version " + news.version() + " since " + since);
         }
         if (news.whole() || !news.entries().isEmpty()) {
-            listener.listed(news.whole(), news.entries());
+            listener.onEndpoints(news.whole(), news.entries());
         }
         answered = true;
         return news.version();
     }
 
     /** The entries of a list; one that can't be read makes the whole of it void. */
-    public static List<Entry> entries(Map<?, ?> news) throws IOException {
+    public static List<Entry> parseEntries(Map<?, ?> news) throws IOException {
         if (!(news.get("servers") instanceof List<?> list)) {
             throw new IOException("no list of hosts");
         }
@@ -209,7 +210,7 @@
     }
 
     /** An address of the form 10.0.0.4:5432; names are not looked up. Null for any other text. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         try {
             String host = text.substring(0, Math.max(0, colon));
--- a/src/main/java/beaconladder/discovery/HttpFetcher.java
+++ b/src/main/java/beaconladder/discovery/HttpFetcher.java
@@ -21,25 +21,25 @@
  * GET over HTTP/1.1 to one address, on one connection that is kept for as long as it can be. Framing is that of Apache
  * HttpCore; what is bounded here is the whole call, however its bytes drip.
  */
-public final class HttpFetcher {
+public final class HttpFetcher implements AutoCloseable {
     /** What is taken into memory at once; a body is refused beyond it. */
     private static final int LONGEST_BODY = 4 << 20;
     /** What is read as it comes: 5,800 hosts at a kilobyte each, and twice as many; 200 to 600 are usual. */
     static final int LONGEST_STREAM = 16 << 20;
     /** An answer other than 200: somebody was there. */
-    public static final class Status extends IOException {
+    public static final class StatusException extends IOException {
         private static final long serialVersionUID = 1L;
         private static final int TOO_MANY = 429;
         private static final int SERVER = 500;
         private final int code;
 
-        Status(int code, String reason) {
+        StatusException(int code, String reason) {
             super("answered " + code + " " + reason);
             this.code = code;
         }
 
         /** Whether the call itself was right, and may be made again as it was. */
-        public boolean passing() {
+        public boolean isRetryable() {
             return code == TOO_MANY || code >= SERVER;
         }
     }
@@ -72,14 +72,15 @@
     }
 
     /** Ends this for good, also a call in hand at another thread. */
-    public void end() {
+    @Override
+    public void close() {
         ended = true;
-        close();
+        disconnect();
     }
 
     /** Reads a body as it comes, up to its end. */
     interface Reader<T> {
-        T read(InputStream body) throws IOException, JsonReader.Fault;
+        T read(InputStream body) throws IOException, JsonReader.ParseException;
     }
 
     /**
@@ -96,7 +97,7 @@
     public String get(String path, int millis, int tail) throws IOException {
         try {
             return get(path, millis, tail, HttpFetcher::text);
-        } catch (JsonReader.Fault e) {
+        } catch (JsonReader.ParseException e) {
             throw new IOException(e);
         }
     }
@@ -106,7 +107,7 @@
      *
      * @param tail milliseconds from the answer's first byte to its last
      */
-    <T> T get(String path, int millis, int tail, Reader<T> reader) throws IOException, JsonReader.Fault {
+    <T> T get(String path, int millis, int tail, Reader<T> reader) throws IOException, JsonReader.ParseException {
         long until = System.nanoTime() + millis * 1_000_000L;
         boolean keep = false;
         try {
@@ -131,7 +132,7 @@
             ClassicHttpResponse answer = CALLS.execute(request, now.http, context);
             int code = answer.getCode();
             if (code != 200 && !(mistakes && code == 400)) {
-                throw new Status(code, answer.getReasonPhrase());
+                throw new StatusException(code, answer.getReasonPhrase());
             }
             T body = reader.read(stream(answer.getEntity()));
             keep = CALLS.keepAlive(request, answer, now.http, context);
@@ -140,7 +141,7 @@
             throw new IOException("no HTTP answer: " + e.getMessage(), e);
         } finally {
             if (!keep) {
-                close();
+                disconnect();
             }
         }
     }
@@ -183,7 +184,7 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private void close() {
+    private void disconnect() {
         Line now = line;
         try {
             if (now != null) {
--- a/src/main/java/beaconladder/discovery/JsonReader.java
+++ b/src/main/java/beaconladder/discovery/JsonReader.java
@@ -18,10 +18,10 @@
 public final class JsonReader {
 
     /** Text that is no JSON; the message names the place. */
-    public static final class Fault extends Exception {
+    public static final class ParseException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Fault(long at, String cause) {
+        ParseException(long at, String cause) {
             super("bad JSON at character " + at + ": " + cause);
         }
     }
@@ -42,20 +42,20 @@
 
     private JsonReader() {}
 
-    public static Object read(String text) throws Fault {
+    public static Object parse(String text) throws ParseException {
         try (JsonParser json = FACTORY.createParser(text)) {
             if (json.nextToken() == null) {
-                throw new Fault(0, "the text ends where a value belongs");
+                throw new ParseException(0, "the text ends where a value belongs");
             }
             Object value = value(json);
             if (json.nextToken() != null) {
-                throw new Fault(json.currentTokenLocation().getCharOffset(), "more after the value");
+                throw new ParseException(json.currentTokenLocation().getCharOffset(), "more after the value");
             }
             return value;
         } catch (JsonProcessingException e) {
             throw fault(e);
         } catch (IOException e) {
-            throw new Fault(0, e.toString());
+            throw new ParseException(0, e.toString());
         }
     }
 
@@ -64,16 +64,17 @@
         return FACTORY.createParser(in);
     }
 
-    static Fault fault(JsonProcessingException e) {
+    static ParseException fault(JsonProcessingException e) {
         long at = e.getLocation() == null
                 ? 0
                 : Math.max(e.getLocation().getCharOffset(), e.getLocation().getByteOffset());
         // Where it began, of a text that ends too soon, is of no help to who is told the place.
-        return new Fault(at, e.getOriginalMessage().replaceFirst(" \\((start marker|for \\w+ starting) at .*", ""));
+        return new ParseException(
+                at, e.getOriginalMessage().replaceFirst(" \\((start marker|for \\w+ starting) at .*", ""));
     }
 
     /** The value that begins with the present token. */
-    static Object value(JsonParser json) throws IOException, Fault {
+    static Object value(JsonParser json) throws IOException, ParseException {
         switch (json.currentToken()) {
             case START_OBJECT -> {
                 Map<String, Object> map = new LinkedHashMap<>();
@@ -106,7 +107,7 @@
         }
     }
 
-    private static BigDecimal number(JsonParser json) throws IOException, Fault {
+    private static BigDecimal number(JsonParser json) throws IOException, ParseException {
         try {
             BigDecimal number = new BigDecimal(json.getText());
             if (Math.abs((long) number.scale()) <= LONGEST_NUMBER) {
@@ -115,7 +116,7 @@
         } catch (NumberFormatException e) {
             // An exponent that no figure has.
         }
-        throw new Fault(json.currentTokenLocation().getCharOffset(), "a number out of range");
+        throw new ParseException(json.currentTokenLocation().getCharOffset(), "a number out of range");
     }
 
     /**
--- a/src/main/java/beaconladder/feed/LogFollower.java
+++ b/src/main/java/beaconladder/feed/LogFollower.java
@@ -149,6 +149,6 @@
     @Override
     public void close() {
         closed = true;
-        doors.forEach(HttpFetcher::end);
+        doors.forEach(HttpFetcher::close);
     }
 }
--- a/src/main/java/beaconladder/feed/RelaySelector.java
+++ b/src/main/java/beaconladder/feed/RelaySelector.java
@@ -136,7 +136,7 @@
 
     private void hangUp() {
         if (open != null) {
-            open.end();
+            open.close();
         }
         open = null;
         openTo = -1;
--- a/src/main/java/beaconladder/feed/StateStore.java
+++ b/src/main/java/beaconladder/feed/StateStore.java
@@ -30,8 +30,8 @@
     /** Opens a folder, or none where it is null; a damaged one is an exception that names it. */
     public StateStore(Path folder) throws IOException {
         records = folder == null ? null : DurableRecords.open(folder);
-        if (records != null && !records.found().isEmpty()) {
-            byte[] last = records.found().get(records.found().size() - 1);
+        if (records != null && !records.recovered().isEmpty()) {
+            byte[] last = records.recovered().get(records.recovered().size() - 1);
             try {
                 kept = FeedJson.read(new String(last, StandardCharsets.UTF_8), Kept.class);
                 kept.state().validated();
--- a/src/main/java/beaconladder/lease/server/LeaseClient.java
+++ b/src/main/java/beaconladder/lease/server/LeaseClient.java
@@ -79,6 +79,6 @@
 
     @Override
     public void close() {
-        doors.forEach(HttpFetcher::end);
+        doors.forEach(HttpFetcher::close);
     }
 }
--- a/src/main/java/beaconladder/membership/Member.java
+++ b/src/main/java/beaconladder/membership/Member.java
@@ -18,18 +18,18 @@
     }
 
     /** Whether this word counts over the other one, which may be null. */
-    public boolean over(Member other) {
+    public boolean supersedes(Member other) {
         return other == null
                 || incarnation > other.incarnation
                 || incarnation == other.incarnation && state.compareTo(other.state) > 0;
     }
 
     /** Whether it takes part: what is suspected still does, until it is found dead. */
-    public boolean present() {
+    public boolean participates() {
         return state == State.ALIVE || state == State.SUSPECT;
     }
 
-    Member as(State next) {
+    Member withState(State next) {
         return new Member(name, address, incarnation, next);
     }
 }
--- a/src/main/java/beaconladder/membership/MembershipView.java
+++ b/src/main/java/beaconladder/membership/MembershipView.java
@@ -1,12 +1,17 @@
 package beaconladder.membership;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
 /**
- * The fleet as one process knows it.
+ * The fleet as one process knows it. Its JSON names are those of the lease servers' HTTP answer and stay as they are.
  *
- * @param version grows with each change; of this process's own, not to be compared with another's
- * @param age how long ago this process last heard from any other, in nanoseconds; Long.MAX_VALUE for never
- * @param present who takes part, this process too, by name
+ * @param version increases with each change; local to this process and not comparable with another's
+ * @param sinceLastMessageNanos the time since a message from any other process arrived; {@link Long#MAX_VALUE} if none
+ *     has
+ * @param members the participating members, this process included, ordered by name
  */
-public record MembershipView(long version, long age, List<Member> present) {}
+public record MembershipView(
+        long version,
+        @JsonProperty("age") long sinceLastMessageNanos,
+        @JsonProperty("present") List<Member> members) {}
--- a/src/main/java/beaconladder/membership/SwimProtocol.java
+++ b/src/main/java/beaconladder/membership/SwimProtocol.java
@@ -106,7 +106,10 @@
     public MembershipView view(long now) {
         List<Member> present = new ArrayList<>();
         present.add(self);
-        known.values().stream().map(each -> each.member).filter(Member::present).forEach(present::add);
+        known.values().stream()
+                .map(each -> each.member)
+                .filter(Member::participates)
+                .forEach(present::add);
         present.sort(Comparator.comparing(Member::name));
         return new MembershipView(
                 version, heardAt == Long.MIN_VALUE ? Long.MAX_VALUE : now - heardAt, List.copyOf(present));
@@ -118,12 +121,12 @@
     }
 
     /** How little this process hears: 0 is well, 8 the worst. */
-    public int health() {
+    public int localHealth() {
         return health;
     }
 
     /** When to look again, if nothing is heard before. */
-    public long wake() {
+    public long nextWakeNanos() {
         long wake = Math.min(nextPeriod, nextNews);
         if (probe != null) {
             wake = Math.min(wake, probe.asked ? probe.until : probe.askOthersAt);
@@ -142,21 +145,21 @@
     // ---- Time ---------------------------------------------------------------------------------------------
 
     /** What time alone brings. */
-    public List<OutgoingMessage> at(long now) {
+    public List<OutgoingMessage> tick(long now) {
         List<OutgoingMessage> sends = new ArrayList<>();
         for (Iterator<Carried> all = carried.values().iterator(); all.hasNext(); ) {
             Carried each = all.next();
             if (now >= each.sayNoAt()) {
                 all.remove();
-                sends.add(send(each.forAddress(), Kind.NO_ANSWER, each.itsNumber(), "", null));
+                sends.add(send(each.forAddress(), Kind.NACK, each.itsNumber(), "", null));
             }
         }
         for (Known each : known.values()) {
             if (each.member.state() == State.SUSPECT && now >= each.since + patience(each)) {
-                learn(each.member.as(State.DEAD), self.name(), now);
+                learn(each.member.withState(State.DEAD), self.name(), now);
             }
         }
-        known.values().removeIf(each -> !each.member.present() && now - each.since > REMEMBERED);
+        known.values().removeIf(each -> !each.member.participates() && now - each.since > REMEMBERED);
         if (probe != null && !probe.asked && now >= probe.askOthersAt) {
             askOthers(sends);
         }
@@ -179,12 +182,12 @@
         boolean fresh = false;
         for (Known each : known.values()) {
             fresh |= each.told < tellings();
-            if (each.member.present()) {
+            if (each.member.participates()) {
                 others.add(each.member);
             }
         }
         if (fresh && !others.isEmpty()) {
-            sends.add(send(others.get(chance.nextInt(others.size())).address(), Kind.NO_ANSWER, 0, "", null));
+            sends.add(send(others.get(chance.nextInt(others.size())).address(), Kind.NACK, 0, "", null));
         }
     }
 
@@ -203,7 +206,7 @@
         }
         shuffle(others);
         for (Member other : others.subList(0, Math.min(OTHERS, others.size()))) {
-            sends.add(send(other.address(), Kind.PROBE_FOR, probe.number, probe.target, null));
+            sends.add(send(other.address(), Kind.PING_REQ, probe.number, probe.target, null));
             probe.owed++;
         }
     }
@@ -213,7 +216,7 @@
         // Others that owe their word, too: then it is this process that hears nothing.
         health = Math.min(WORST, health + (probe.owed > 0 ? probe.owed : 1));
         if (target != null && target.member.state() == State.ALIVE) {
-            learn(target.member.as(State.SUSPECT), self.name(), now);
+            learn(target.member.withState(State.SUSPECT), self.name(), now);
         }
         probe = null;
     }
@@ -229,7 +232,7 @@
             Known target = known.get(next.name());
             sends.add(send(
                     next.address(),
-                    Kind.PROBE,
+                    Kind.PING,
                     probe.number,
                     "",
                     target.member.state() == State.SUSPECT ? target.member : null));
@@ -244,12 +247,12 @@
         for (int tries = 0; tries < 2; tries++) {
             while (!round.isEmpty()) {
                 Known each = known.get(round.remove(round.size() - 1));
-                if (each != null && each.member.present()) {
+                if (each != null && each.member.participates()) {
                     return each.member;
                 }
             }
             known.values().stream()
-                    .filter(each -> each.member.present())
+                    .filter(each -> each.member.participates())
                     .forEach(each -> round.add(each.member.name()));
             shuffle(round);
         }
@@ -266,7 +269,7 @@
                 .filter(each -> each.member.state() == State.DEAD)
                 .forEach(each -> addresses.add(each.member.address()));
         known.values().stream()
-                .filter(each -> each.member.present())
+                .filter(each -> each.member.participates())
                 .forEach(each -> addresses.remove(each.member.address()));
         if (!addresses.isEmpty()) {
             String address = addresses.get(chance.nextInt(addresses.size()));
@@ -275,7 +278,7 @@
                     .filter(each -> each.address().equals(address))
                     .findFirst()
                     .orElse(null);
-            sends.add(send(address, Kind.PROBE, 0, "", dead));
+            sends.add(send(address, Kind.PING, 0, "", dead));
         }
     }
 
@@ -293,42 +296,42 @@
     // ---- Messages -----------------------------------------------------------------------------------------
 
     /** What a message brings; one that makes no sense is passed over. */
-    public List<OutgoingMessage> heard(Message message, long now) {
+    public List<OutgoingMessage> receive(Message message, long now) {
         List<OutgoingMessage> sends = new ArrayList<>();
-        Member from = message.from();
+        Member from = message.sender();
         if (from.name().equals(self.name()) && from.incarnation() <= self.incarnation()) {
             return sends;
         }
         heardAt = now;
         boolean stranger = !known.containsKey(from.name())
-                || !known.get(from.name()).member.present();
+                || !known.get(from.name()).member.participates();
         learn(from, from.name(), now);
-        for (Member each : message.news()) {
+        for (Member each : message.updates()) {
             learn(each, from.name(), now);
         }
         switch (message.kind()) {
-            case PROBE -> {
-                sends.add(send(from.address(), Kind.ANSWER, message.number(), "", null));
+            case PING -> {
+                sends.add(send(from.address(), Kind.ACK, message.probeNumber(), "", null));
                 if (stranger) {
                     introduce(from.address(), sends);
                 }
             }
-            case PROBE_FOR -> {
+            case PING_REQ -> {
                 Known target = known.get(message.target());
                 if (target != null) {
                     long mine = ++number;
-                    carried.put(mine, new Carried(from.address(), message.number(), now + ANSWER));
+                    carried.put(mine, new Carried(from.address(), message.probeNumber(), now + ANSWER));
                     sends.add(send(
                             target.member.address(),
-                            Kind.PROBE,
+                            Kind.PING,
                             mine,
                             "",
                             target.member.state() == State.SUSPECT ? target.member : null));
                 }
             }
-            case ANSWER -> answered(message, sends);
+            case ACK -> answered(message, sends);
             default -> {
-                if (probe != null && probe.number == message.number() && probe.asked) {
+                if (probe != null && probe.number == message.probeNumber() && probe.asked) {
                     probe.owed = Math.max(0, probe.owed - 1);
                 }
             }
@@ -337,13 +340,13 @@
     }
 
     private void answered(Message message, List<OutgoingMessage> sends) {
-        Carried one = carried.remove(message.number());
+        Carried one = carried.remove(message.probeNumber());
         if (one != null) {
             sends.add(new OutgoingMessage(
-                    one.forAddress(), new Message(Kind.ANSWER, message.from(), one.itsNumber(), "", news(null))));
+                    one.forAddress(), new Message(Kind.ACK, message.sender(), one.itsNumber(), "", news(null))));
         } else if (probe != null
-                && probe.number == message.number()
-                && probe.target.equals(message.from().name())) {
+                && probe.number == message.probeNumber()
+                && probe.target.equals(message.sender().name())) {
             probe = null;
             health = Math.max(0, health - 1);
         }
@@ -356,23 +359,19 @@
             sends.add(new OutgoingMessage(
                     address,
                     new Message(
-                            Kind.NO_ANSWER,
-                            self,
-                            0,
-                            "",
-                            List.copyOf(all.subList(i, Math.min(all.size(), i + MOST_NEWS))))));
+                            Kind.NACK, self, 0, "", List.copyOf(all.subList(i, Math.min(all.size(), i + MOST_NEWS))))));
         }
     }
 
     /** Leaves: others need not find it dead. The messages are to be sent before the process ends. */
     public List<OutgoingMessage> leave() {
-        self = self.as(State.LEFT);
+        self = self.withState(State.LEFT);
         version++;
         List<OutgoingMessage> sends = new ArrayList<>();
         known.values().stream()
-                .filter(each -> each.member.present())
+                .filter(each -> each.member.participates())
                 .limit(4L * OTHERS)
-                .forEach(each -> sends.add(send(each.member.address(), Kind.NO_ANSWER, 0, "", null)));
+                .forEach(each -> sends.add(send(each.member.address(), Kind.NACK, 0, "", null)));
         return sends;
     }
 
@@ -381,7 +380,7 @@
     private void learn(Member word, String by, long now) {
         if (word.name().equals(self.name())) {
             // Objects to any word that would count over its own.
-            if (word.over(self) && self.state() != State.LEFT) {
+            if (word.supersedes(self) && self.state() != State.LEFT) {
                 self = new Member(self.name(), self.address(), word.incarnation() + 1, State.ALIVE);
                 health = Math.min(WORST, health + 1);
                 version++;
@@ -396,7 +395,7 @@
             }
             return;
         }
-        if (!word.over(of == null ? null : of.member)) {
+        if (!word.supersedes(of == null ? null : of.member)) {
             return;
         }
         if (of == null) {
--- a/src/main/java/beaconladder/membership/transport/GossipJson.java
+++ b/src/main/java/beaconladder/membership/transport/GossipJson.java
@@ -34,10 +34,10 @@
                 || message.kind() == null
                 || message.target() == null
                 || !message.target().isEmpty() && !message.target().matches(NAME)
-                || !whole(message.from())
-                || message.news() == null
-                || message.news().size() > MOST_NEWS
-                || !message.news().stream().allMatch(GossipJson::whole)) {
+                || !whole(message.sender())
+                || message.updates() == null
+                || message.updates().size() > MOST_NEWS
+                || !message.updates().stream().allMatch(GossipJson::whole)) {
             throw new IOException("a message that is not whole");
         }
         return message;
--- a/src/main/java/beaconladder/membership/transport/GossipService.java
+++ b/src/main/java/beaconladder/membership/transport/GossipService.java
@@ -54,8 +54,8 @@
                 List<OutgoingMessage> sends;
                 long wake;
                 synchronized (swim) {
-                    sends = swim.at(System.nanoTime());
-                    wake = swim.wake();
+                    sends = swim.tick(System.nanoTime());
+                    wake = swim.nextWakeNanos();
                 }
                 send(sends);
                 MembershipView view = view();
@@ -64,7 +64,7 @@
                     LOG.info(
                             "view {}: {}",
                             told,
-                            view.present().stream()
+                            view.members().stream()
                                     .map(each -> each.name()
                                             + (each.state() == beaconladder.membership.Member.State.SUSPECT ? "?" : ""))
                                     .toList());
@@ -75,7 +75,7 @@
                 socket.receive(packet);
                 Message message = GossipJson.read(packet.getData(), packet.getLength());
                 synchronized (swim) {
-                    sends = swim.heard(message, System.nanoTime());
+                    sends = swim.receive(message, System.nanoTime());
                 }
                 send(sends);
             } catch (SocketTimeoutException e) {
--- a/src/main/java/beaconladder/server/PlacementWatcher.java
+++ b/src/main/java/beaconladder/server/PlacementWatcher.java
@@ -59,7 +59,7 @@
                     LOG.info("the keeper answers again");
                     trouble = null;
                 }
-            } catch (IOException | JsonReader.Fault e) {
+            } catch (IOException | JsonReader.ParseException e) {
                 if (!String.valueOf(e.getMessage()).equals(trouble)) {
                     trouble = String.valueOf(e.getMessage());
                     LOG.warn("keeper: {}; the placement counts until its lease is over", trouble);
@@ -70,10 +70,10 @@
                 rest();
             }
         }
-        http.end();
+        http.close();
     }
 
-    private void ask() throws IOException, JsonReader.Fault {
+    private void ask() throws IOException, JsonReader.ParseException {
         List<Busy> busy = desk.cells().busyTenants();
         long version = desk.cells().placement().version();
         long wait = busy.isEmpty() ? waitMillis : MOVING_MILLIS;
@@ -91,8 +91,8 @@
         desk.cells().updatePlacement(read(body));
     }
 
-    private PlacementTable read(String body) throws IOException, JsonReader.Fault {
-        if (!(JsonReader.read(body) instanceof Map<?, ?> told)
+    private PlacementTable read(String body) throws IOException, JsonReader.ParseException {
+        if (!(JsonReader.parse(body) instanceof Map<?, ?> told)
                 || !(told.get("version") instanceof BigDecimal version)
                 || !(told.get("until_ms") instanceof BigDecimal until)
                 || !(told.get("basis") instanceof String basis)) {
--- a/src/main/java/beaconladder/server/RequestDispatcher.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -190,9 +190,9 @@
     }
 
     @Override
-    public void listed(boolean whole, List<EndpointWatch.Entry> entries) {
+    public void onEndpoints(boolean complete, List<EndpointWatch.Entry> entries) {
         List<Host> moved = new ArrayList<>();
-        applyEvent(now -> moved.addAll(list.listed(whole, entries, now)));
+        applyEvent(now -> moved.addAll(list.listed(complete, entries, now)));
         if (lines != null) {
             moved.forEach(lines::closeIdle);
         }
--- a/src/main/java/beaconladder/server/RouterConfiguration.java
+++ b/src/main/java/beaconladder/server/RouterConfiguration.java
@@ -59,11 +59,11 @@
             throw new IOException(file + " is too long for a configuration");
         }
         try {
-            if (!(JsonReader.read(Files.readString(file)) instanceof Map<?, ?> stated)) {
+            if (!(JsonReader.parse(Files.readString(file)) instanceof Map<?, ?> stated)) {
                 throw new IOException("no JSON object in " + file);
             }
             return of(stated);
-        } catch (JsonReader.Fault e) {
+        } catch (JsonReader.ParseException e) {
             throw new IOException(e.getMessage());
         }
     }
@@ -80,7 +80,7 @@
             throw new IOException("the seed is no hexadecimal number");
         }
         List<EndpointWatch.Entry> known =
-                stated.get("known") instanceof Map<?, ?> list ? EndpointWatch.entries(list) : List.of();
+                stated.get("known") instanceof Map<?, ?> list ? EndpointWatch.parseEntries(list) : List.of();
         try {
             new RoutingPolicy(seed, start);
             drainGraceMillis(start);
@@ -106,7 +106,7 @@
     }
 
     private static InetSocketAddress address(Map<?, ?> stated, String name) throws IOException {
-        InetSocketAddress address = EndpointWatch.address(String.valueOf(stated.get(name)));
+        InetSocketAddress address = EndpointWatch.parseAddress(String.valueOf(stated.get(name)));
         if (address == null || address.getPort() == 0) {
             throw new IOException("'" + name + "' is no address with a port");
         }
--- a/src/main/java/beaconladder/server/RouterServer.java
+++ b/src/main/java/beaconladder/server/RouterServer.java
@@ -87,10 +87,10 @@
                 descriptors,
                 stated.descriptors());
         watch = stated.asks()
-                ? EndpointWatch.asking(stated.discovery(), stated.askEveryMillis(), stated.seed(), desk)
+                ? EndpointWatch.polling(stated.discovery(), stated.askEveryMillis(), stated.seed(), desk)
                 : new EndpointWatch(stated.discovery(), stated.drainGraceMillis(), stated.seed(), desk);
         if (!stated.known().isEmpty()) {
-            desk.listed(true, stated.known());
+            desk.onEndpoints(true, stated.known());
         }
         long expiry = 0;
         for (int i = 0; stated.start().containsKey("request_classes." + i + ".give_up_us"); i++) {
@@ -132,7 +132,7 @@
         }
         WarmUp.run(stated, threads);
         // What was known may be out of date, and what discovery's agent has counts as told: it comes first.
-        while (!desk.hasEndpoints() || watch.mayStillTell()) {
+        while (!desk.hasEndpoints() || watch.isAwaitingFirstAnswer()) {
             Thread.sleep(5);
         }
         synchronized (this) {
@@ -176,7 +176,7 @@
                     throw new IOException(plan + ": " + objection);
                 }
             }
-            watch.moveTo(next.discovery());
+            watch.changeAddress(next.discovery());
             LOG.info(
                     "reloaded: discovery is at {}{}",
                     next.discovery(),
--- a/src/main/java/beaconladder/server/WarmUp.java
+++ b/src/main/java/beaconladder/server/WarmUp.java
@@ -49,7 +49,7 @@
                         of,
                         new InMemorySocket(new byte[0], written -> host(written, address.equals(primary)))));
         desk.setHostActions(lines);
-        desk.listed(
+        desk.onEndpoints(
                 true,
                 List.of(
                         new EndpointWatch.Entry("a", primary, "", 0, EndpointWatch.State.READY, true, 0),
--- a/src/main/java/beaconladder/storage/DurableRecords.java
+++ b/src/main/java/beaconladder/storage/DurableRecords.java
@@ -101,7 +101,7 @@
     }
 
     /** What was there when it was opened, oldest first. */
-    public List<byte[]> found() {
+    public List<byte[]> recovered() {
         return found;
     }
 
--- a/src/main/java/beaconladder/testbed/FeedFleet.java
+++ b/src/main/java/beaconladder/testbed/FeedFleet.java
@@ -266,7 +266,7 @@
         } catch (IOException e) {
             return null;
         } finally {
-            http.end();
+            http.close();
         }
     }
 
--- a/src/main/java/beaconladder/testbed/LeaseScenario.java
+++ b/src/main/java/beaconladder/testbed/LeaseScenario.java
@@ -559,7 +559,7 @@
                     // It has just been started again.
                     view = e.toString();
                 } finally {
-                    http.end();
+                    http.close();
                 }
             }
         }
@@ -582,7 +582,7 @@
             } catch (IOException e) {
                 last = e;
             } finally {
-                http.end();
+                http.close();
             }
         }
         throw last;
--- a/src/main/java/beaconladder/testbed/TestDeployment.java
+++ b/src/main/java/beaconladder/testbed/TestDeployment.java
@@ -144,14 +144,14 @@
     /** What the keeper answers to an operator; a refusal is the message of the exception. */
     Map<?, ?> keeper(String path) throws IOException {
         try {
-            if (JsonReader.read(new HttpFetcher(new InetSocketAddress("127.0.0.1", keeperPort), true).get(path, 2_000))
+            if (JsonReader.parse(new HttpFetcher(new InetSocketAddress("127.0.0.1", keeperPort), true).get(path, 2_000))
                     instanceof Map<?, ?> answer) {
                 if (answer.get("error") != null) {
                     throw new IllegalStateException(String.valueOf(answer.get("error")));
                 }
                 return answer;
             }
-        } catch (JsonReader.Fault e) {
+        } catch (JsonReader.ParseException e) {
             throw new IOException(e.getMessage());
         }
         throw new IOException("no answer that can be read");
--- a/src/main/java/beaconladder/testbed/scale/Fleet.java
+++ b/src/main/java/beaconladder/testbed/scale/Fleet.java
@@ -132,12 +132,12 @@
             long from = System.nanoTime();
             SwimProtocol swim = swims.get(to);
             Message message = event.message();
-            List<OutgoingMessage> sends = message == null ? swim.at(now) : swim.heard(message, now);
+            List<OutgoingMessage> sends = message == null ? swim.tick(now) : swim.receive(message, now);
             // Other messages bring nothing that comes due earlier.
             boolean look = message == null
-                    || message.kind() == Message.Kind.PROBE_FOR
-                    || !message.news().isEmpty();
-            long next = look ? Math.max(now + 1, swim.wake()) : wake[to];
+                    || message.kind() == Message.Kind.PING_REQ
+                    || !message.updates().isEmpty();
+            long next = look ? Math.max(now + 1, swim.nextWakeNanos()) : wake[to];
             inside += System.nanoTime() - from;
             if (message == null || next < wake[to]) {
                 wake[to] = next;
--- a/src/main/java/beaconladder/testbed/scale/Grantors.java
+++ b/src/main/java/beaconladder/testbed/scale/Grantors.java
@@ -95,7 +95,7 @@
             } catch (IOException e) {
                 // It is not there.
             } finally {
-                get.end();
+                get.close();
             }
         }
         for (int i = 0; i < COUNT; i++) {
--- a/src/main/java/beaconladder/testbed/scale/HollowPeers.java
+++ b/src/main/java/beaconladder/testbed/scale/HollowPeers.java
@@ -70,11 +70,7 @@
             send(
                     0,
                     new Message(
-                            Kind.NO_ANSWER,
-                            members.get(0),
-                            0,
-                            "",
-                            members.subList(i, Math.min(members.size(), i + NEWS))));
+                            Kind.NACK, members.get(0), 0, "", members.subList(i, Math.min(members.size(), i + NEWS))));
             // As fast as its socket's buffer bears.
             Thread.sleep(PACE);
         }
@@ -103,7 +99,7 @@
                 if (System.nanoTime() >= next && real != null) {
                     next = System.nanoTime() + PERIOD_MILLIS * 1_000_000L;
                     int who = chance.nextInt(members.size());
-                    send(who, new Message(Kind.PROBE, members.get(who), ++number, "", List.of()));
+                    send(who, new Message(Kind.PING, members.get(who), ++number, "", List.of()));
                 }
             }
         } catch (IOException e) {
@@ -112,8 +108,8 @@
     }
 
     private void answer(int who, Message message) throws IOException {
-        if (message.kind() == Kind.PROBE) {
-            send(who, new Message(Kind.ANSWER, members.get(who), message.number(), "", List.of()));
+        if (message.kind() == Kind.PING) {
+            send(who, new Message(Kind.ACK, members.get(who), message.probeNumber(), "", List.of()));
         }
     }
 
--- a/src/main/java/beaconladder/testbed/scale/Look.java
+++ b/src/main/java/beaconladder/testbed/scale/Look.java
@@ -21,18 +21,18 @@
         SwimProtocol swim = new SwimProtocol("self", "10.9.9.9:7946", 1, List.of(), 1);
         Settled.introduce(swim, all.get(0), all, 0);
         Settled.settle(swim);
-        swim.at(0);
+        swim.tick(0);
         double[] least = {Double.MAX_VALUE, Double.MAX_VALUE};
         int looks = Math.max(20, 400_000 / members);
         long sum = 0;
         for (int round = 0; round < rounds; round++) {
             long from = System.nanoTime();
             for (int i = 0; i < looks; i++) {
-                sum += swim.at(DUE_NEVER).size() + swim.wake();
+                sum += swim.tick(DUE_NEVER).size() + swim.nextWakeNanos();
             }
             long half = System.nanoTime();
             for (int i = 0; i < looks; i++) {
-                sum += swim.view(DUE_NEVER).present().size();
+                sum += swim.view(DUE_NEVER).members().size();
             }
             least[0] = Math.min(least[0], (half - from) / 1e3 / looks);
             least[1] = Math.min(least[1], (System.nanoTime() - half) / 1e3 / looks);
--- a/src/main/java/beaconladder/testbed/scale/RealMember.java
+++ b/src/main/java/beaconladder/testbed/scale/RealMember.java
@@ -25,7 +25,7 @@
                 List.of(arguments[1]));
         Thread thread = new Thread(gossip, "gossip");
         thread.start();
-        while (gossip.view().present().size() <= others) {
+        while (gossip.view().members().size() <= others) {
             Thread.sleep(LOOK_MILLIS);
         }
         System.out.println(KNOWS_ALL);
--- a/src/main/java/beaconladder/testbed/scale/Settled.java
+++ b/src/main/java/beaconladder/testbed/scale/Settled.java
@@ -19,9 +19,8 @@
     /** Tells it of all these, in messages as a newcomer is told. */
     static void introduce(SwimProtocol swim, Member from, List<Member> all, long now) {
         for (int i = 0; i < all.size(); i += NEWS) {
-            swim.heard(
-                    new Message(Message.Kind.NO_ANSWER, from, 0, "", all.subList(i, Math.min(all.size(), i + NEWS))),
-                    now);
+            swim.receive(
+                    new Message(Message.Kind.NACK, from, 0, "", all.subList(i, Math.min(all.size(), i + NEWS))), now);
         }
     }
 
--- a/src/test/java/beaconladder/coordinator/StoredMovesTest.java
+++ b/src/test/java/beaconladder/coordinator/StoredMovesTest.java
@@ -109,7 +109,7 @@
         }
         List<byte[]> all;
         try (DurableRecords records = DurableRecords.open(steps)) {
-            all = records.found();
+            all = records.recovered();
         }
         // Each append costs a block of 4 KB; a snapshot first keeps the fixture small.
         try (DurableRecords records = DurableRecords.open(into)) {
@@ -133,7 +133,7 @@
     }
 
     private static List<String> texts(DurableRecords records) {
-        return records.found().stream()
+        return records.recovered().stream()
                 .map(record -> new String(record, StandardCharsets.UTF_8))
                 .toList();
     }
@@ -160,8 +160,8 @@
         TenantMigrations moves = moves();
         int before;
         try (DurableRecords records = DurableRecords.open(store)) {
-            before = records.found().size();
-            for (byte[] record : records.found()) {
+            before = records.recovered().size();
+            for (byte[] record : records.recovered()) {
                 moves.take(CoordinatorProtocol.read(record, MigrationStep.class));
             }
             moves.recovered(now);
--- a/src/test/java/beaconladder/discovery/EndpointListLiteralTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointListLiteralTest.java
@@ -23,7 +23,7 @@
 
     @Test
     void aListIsItsVersionAndItsHosts() throws Exception {
-        EndpointListReader.News news =
+        EndpointListReader.EndpointUpdate news =
                 EndpointListReader.read(new ByteArrayInputStream(LIST.getBytes(StandardCharsets.UTF_8)));
         assertThat(news.version()).isEqualTo(42);
         assertThat(news.whole()).isTrue();
@@ -46,20 +46,21 @@
                                 false,
                                 0),
                         new EndpointWatch.Entry("s-3", null, "null", 8, EndpointWatch.State.GONE, false, 0));
-        assertThat(EndpointWatch.entries((Map<?, ?>) JsonReader.read(LIST))).isEqualTo(news.entries());
+        assertThat(EndpointWatch.parseEntries((Map<?, ?>) JsonReader.parse(LIST)))
+                .isEqualTo(news.entries());
     }
 
     @Test
     void aListOfChangesIsNotWhole() throws Exception {
         String changes = "{\"servers\":[],\"version\":43}";
         assertThat(EndpointListReader.read(new ByteArrayInputStream(changes.getBytes(StandardCharsets.UTF_8))))
-                .isEqualTo(new EndpointListReader.News(43, false, List.of()));
+                .isEqualTo(new EndpointListReader.EndpointUpdate(43, false, List.of()));
     }
 
     @Test
     void settingsAreFlattenedToDottedNames() throws Exception {
         Map<String, String> flat = new LinkedHashMap<>();
-        JsonReader.flatten("", JsonReader.read("""
+        JsonReader.flatten("", JsonReader.parse("""
                 {"rules": {"ask_every_us": 2e6, "on": true, "none": null}, "zones": ["a", "b c"],
                  "parties": [{"name": "acme, inc"}, {"name": "beta"}], "hosts": []}
                 """), flat);
--- a/src/test/java/beaconladder/discovery/EndpointListReaderTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointListReaderTest.java
@@ -29,8 +29,8 @@
     @Property(tries = 300, seed = "1")
     void aListIsReadAsItsTreeIs(@ForAll("lists") Map<String, Object> list) throws Exception {
         String text = WRITER.writeValueAsString(list);
-        List<EndpointWatch.Entry> entries = EndpointWatch.entries((Map<?, ?>) JsonReader.read(text));
-        EndpointListReader.News news = read(text);
+        List<EndpointWatch.Entry> entries = EndpointWatch.parseEntries((Map<?, ?>) JsonReader.parse(text));
+        EndpointListReader.EndpointUpdate news = read(text);
         assertThat(news.entries()).isEqualTo(entries);
         assertThat(news.whole()).isEqualTo(list.get("full"));
         assertThat(news.version()).isEqualTo(((Number) list.get("version")).longValue());
@@ -43,7 +43,7 @@
     void whatBreaksOffIsNoList(@ForAll("lists") Map<String, Object> list, @ForAll int at) throws Exception {
         String text = WRITER.writeValueAsString(list);
         assertThatThrownBy(() -> read(text.substring(0, Math.floorMod(at, text.length()))))
-                .isInstanceOfAny(JsonReader.Fault.class, EndpointListReader.Unfit.class);
+                .isInstanceOfAny(JsonReader.ParseException.class, EndpointListReader.InvalidListException.class);
     }
 
     /** Any bytes at all are a list or refused, never anything else. */
@@ -51,7 +51,7 @@
     void anyBytesAreReadOrRefused(@ForAll byte[] bytes) throws IOException {
         try {
             EndpointListReader.read(new ByteArrayInputStream(bytes));
-        } catch (JsonReader.Fault | EndpointListReader.Unfit e) {
+        } catch (JsonReader.ParseException | EndpointListReader.InvalidListException e) {
             assertThat(e.getMessage()).isNotEmpty();
         } catch (CharConversionException e) {
             // Bytes that are no text in any encoding.
@@ -109,7 +109,7 @@
 
     // ---- Helpers ------------------------------------------------------------------------------------------
 
-    private static EndpointListReader.News read(String text) throws IOException, JsonReader.Fault {
+    private static EndpointListReader.EndpointUpdate read(String text) throws IOException, JsonReader.ParseException {
         InputStream bytes = new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8));
         return EndpointListReader.read(bytes);
     }
--- a/src/test/java/beaconladder/discovery/EndpointWatchMovesTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchMovesTest.java
@@ -29,12 +29,12 @@
         CountDownLatch told = new CountDownLatch(WATCHES);
         List<EndpointWatch> watches = new ArrayList<>();
         for (int seed = 0; seed < WATCHES; seed++) {
-            watches.add(EndpointWatch.asking(nobody, 10_000, seed, (whole, entries) -> told.countDown()));
+            watches.add(EndpointWatch.polling(nobody, 10_000, seed, (whole, entries) -> told.countDown()));
             start(watches.get(seed));
         }
         // Each failure lets them rest longer; by now they do for seconds.
         Thread.sleep(8_000);
-        watches.forEach(watch -> watch.moveTo(at(discovery)));
+        watches.forEach(watch -> watch.changeAddress(at(discovery)));
         assertThat(told.await(1, TimeUnit.SECONDS))
                 .as("all but " + told.getCount() + " within 1 s")
                 .isTrue();
--- a/src/test/java/beaconladder/discovery/EndpointWatchTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchTest.java
@@ -127,7 +127,7 @@
                         .replace(":", " :\r\n ")
                         .replace("127.0.0.1 :\r\n ", "127.0.0.1:"));
         long from = System.nanoTime();
-        watch.moveTo(at(next));
+        watch.changeAddress(at(next));
         Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> heard.contains(EndpointWatch.State.DRAINING));
         assertThat(System.nanoTime() - from).isLessThan(1_000_000_000L);
         int calls = old.calls.get();
@@ -144,7 +144,7 @@
                 new InetSocketAddress("127.0.0.1", mute.getLocalPort()), GRACE, 7, (whole, all) -> {});
         start(watch);
         long from = System.nanoTime();
-        Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> !watch.mayStillTell());
+        Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> !watch.isAwaitingFirstAnswer());
         assertThat(System.nanoTime() - from).isBetween(1_800_000_000L, 2_500_000_000L);
     }
 
--- a/src/test/java/beaconladder/discovery/FleetWatchTest.java
+++ b/src/test/java/beaconladder/discovery/FleetWatchTest.java
@@ -99,7 +99,7 @@
     // ---- Helpers ------------------------------------------------------------------------------------------
 
     private EndpointWatch watch(InetSocketAddress at, int i, EndpointWatch.Listener listener) {
-        return EndpointWatch.asking(at, 10_000, 1_000 + i, listener);
+        return EndpointWatch.polling(at, 10_000, 1_000 + i, listener);
     }
 
     private static Capacity capacity() {
--- a/src/test/java/beaconladder/discovery/JsonReaderTest.java
+++ b/src/test/java/beaconladder/discovery/JsonReaderTest.java
@@ -20,8 +20,8 @@
     /** What another writer wrote, indented or not, is read as it was. */
     @Property(tries = 300, seed = "1")
     void whatIsWrittenIsReadBack(@ForAll("trees") Map<String, Object> tree) throws Exception {
-        assertThat(JsonReader.read(WRITER.writeValueAsString(tree))).isEqualTo(tree);
-        assertThat(JsonReader.read(WRITER.writerWithDefaultPrettyPrinter().writeValueAsString(tree)))
+        assertThat(JsonReader.parse(WRITER.writeValueAsString(tree))).isEqualTo(tree);
+        assertThat(JsonReader.parse(WRITER.writerWithDefaultPrettyPrinter().writeValueAsString(tree)))
                 .isEqualTo(tree);
     }
 
@@ -29,8 +29,8 @@
     @Property(tries = 300, seed = "1")
     void whatBreaksOffIsNoValue(@ForAll("trees") Map<String, Object> tree, @ForAll int at) throws Exception {
         String text = WRITER.writeValueAsString(tree);
-        assertThatThrownBy(() -> JsonReader.read(text.substring(0, Math.floorMod(at, text.length()))))
-                .isInstanceOf(JsonReader.Fault.class)
+        assertThatThrownBy(() -> JsonReader.parse(text.substring(0, Math.floorMod(at, text.length()))))
+                .isInstanceOf(JsonReader.ParseException.class)
                 .hasMessageStartingWith("bad JSON at character ");
     }
 
@@ -38,8 +38,8 @@
     @Property(tries = 500, seed = "1")
     void anyTextIsReadOrRefused(@ForAll("texts") String text) {
         try {
-            JsonReader.read(text);
-        } catch (JsonReader.Fault e) {
+            JsonReader.parse(text);
+        } catch (JsonReader.ParseException e) {
             assertThat(e).hasMessageStartingWith("bad JSON at character ");
         }
     }
@@ -73,7 +73,7 @@
     /** Kept as a list: order counts in what the settings hold. */
     @Property(tries = 20, seed = "1")
     void listsKeepTheirOrder(@ForAll List<Integer> numbers) throws Exception {
-        assertThat(JsonReader.read(numbers.toString()))
+        assertThat(JsonReader.parse(numbers.toString()))
                 .isEqualTo(numbers.stream().map(BigDecimal::valueOf).toList());
     }
 }
--- a/src/test/java/beaconladder/feed/FeedSubscriberTest.java
+++ b/src/test/java/beaconladder/feed/FeedSubscriberTest.java
@@ -161,7 +161,7 @@
         try {
             return FeedJson.read(http.get("/v1/relay", 1_000), Relay.Status.class);
         } finally {
-            http.end();
+            http.close();
         }
     }
 
@@ -251,7 +251,7 @@
                 "/v1/other")) {
             HttpFetcher http = new HttpFetcher(relay.address(), true);
             assertThat(http.get(wrong, 2_000)).as(wrong).contains("error");
-            http.end();
+            http.close();
         }
     }
 }
--- a/src/test/java/beaconladder/feed/StoredFeedTest.java
+++ b/src/test/java/beaconladder/feed/StoredFeedTest.java
@@ -52,8 +52,8 @@
 
     private static String record(Path folder) throws IOException {
         try (DurableRecords records = DurableRecords.open(folder)) {
-            assertThat(records.found()).hasSize(1);
-            return new String(records.found().get(0), StandardCharsets.UTF_8);
+            assertThat(records.recovered()).hasSize(1);
+            return new String(records.recovered().get(0), StandardCharsets.UTF_8);
         }
     }
 
@@ -69,7 +69,7 @@
         try {
             return http.get(path, 5_000);
         } finally {
-            http.end();
+            http.close();
         }
     }
 
--- a/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
+++ b/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
@@ -62,7 +62,7 @@
             }
         };
         try (Subscriber subscriber = new Subscriber(
-                "n", System.nanoTime(), Map.of("a", EndpointWatch.address(args[0])), Path.of(args[1]), applier)) {
+                "n", System.nanoTime(), Map.of("a", EndpointWatch.parseAddress(args[0])), Path.of(args[1]), applier)) {
             System.out.println("kept " + subscriber.storedState().version());
             subscriber.run();
         }
--- a/src/test/java/beaconladder/membership/SwimProtocolTest.java
+++ b/src/test/java/beaconladder/membership/SwimProtocolTest.java
@@ -26,9 +26,9 @@
             }
         }
         for (Member a : words) {
-            assertThat(a.over(a)).isFalse();
+            assertThat(a.supersedes(a)).isFalse();
             for (Member b : words) {
-                assertThat(a.over(b) ^ b.over(a)).isEqualTo(!a.equals(b));
+                assertThat(a.supersedes(b) ^ b.supersedes(a)).isEqualTo(!a.equals(b));
                 for (Member c : words) {
                     assertThat(last(last(a, b), c)).isEqualTo(last(a, last(c, b)));
                 }
@@ -37,7 +37,7 @@
     }
 
     private static Member last(Member a, Member b) {
-        return a.over(b) ? a : b;
+        return a.supersedes(b) ? a : b;
     }
 
     @Test
@@ -107,7 +107,7 @@
         fleet.run(15_000);
         fleet.deaf = 4;
         fleet.run(20_000);
-        assertThat(fleet.all.get(4).health()).isGreaterThan(3);
+        assertThat(fleet.all.get(4).localHealth()).isGreaterThan(3);
         fleet.deaf = -1;
         fleet.run(40_000);
         assertThat(fleet.views()).containsOnly(fleet.names());
@@ -126,7 +126,7 @@
         fleet.down.add(2);
         fleet.run(20_000);
         return fleet.all.stream()
-                .map(each -> each.view(0).version() + " " + each.view(0).present())
+                .map(each -> each.view(0).version() + " " + each.view(0).members())
                 .collect(Collectors.joining("\n"));
     }
 
@@ -160,13 +160,13 @@
                 while (!network.isEmpty() && network.peek().at() <= now) {
                     Due due = network.poll();
                     if (!down.contains(due.to()) && due.to() != deaf) {
-                        send(due.to(), all.get(due.to()).heard(due.message(), now));
+                        send(due.to(), all.get(due.to()).receive(due.message(), now));
                     }
                 }
                 for (int i = 0; i < all.size(); i++) {
-                    if (!down.contains(i) && all.get(i).wake() <= now) {
+                    if (!down.contains(i) && all.get(i).nextWakeNanos() <= now) {
                         long before = dead(i);
-                        send(i, all.get(i).at(now));
+                        send(i, all.get(i).tick(now));
                         deaths += dead(i) > before ? 1 : 0;
                     }
                 }
@@ -208,7 +208,7 @@
             Set<Set<String>> views = new HashSet<>();
             for (int i = 0; i < all.size(); i++) {
                 if (!down.contains(i)) {
-                    views.add(all.get(i).view(now).present().stream()
+                    views.add(all.get(i).view(now).members().stream()
                             .map(Member::name)
                             .collect(Collectors.toSet()));
                 }
--- a/src/test/java/beaconladder/membership/transport/GossipJsonLiteralTest.java
+++ b/src/test/java/beaconladder/membership/transport/GossipJsonLiteralTest.java
@@ -23,23 +23,19 @@
     private static final Map<Message, String> WIRE = new LinkedHashMap<>();
 
     static {
-        WIRE.put(new Message(Message.Kind.PROBE, FROM, 7, "", List.of()), """
+        WIRE.put(new Message(Message.Kind.PING, FROM, 7, "", List.of()), """
                 {"kind":"PROBE","from":{"name":"r1","address":"10.0.0.4:7301",\
                 "incarnation":1767225600123,"state":"ALIVE"},"number":7,"target":"","news":[]}""");
         WIRE.put(
                 new Message(
-                        Message.Kind.ANSWER,
-                        FROM,
-                        8,
-                        "",
-                        List.of(new Member("r2", "g1:7302", 0, Member.State.SUSPECT))),
+                        Message.Kind.ACK, FROM, 8, "", List.of(new Member("r2", "g1:7302", 0, Member.State.SUSPECT))),
                 """
                 {"kind":"ANSWER","from":{"name":"r1","address":"10.0.0.4:7301",\
                 "incarnation":1767225600123,"state":"ALIVE"},"number":8,"target":"","news":[\
                 {"name":"r2","address":"g1:7302","incarnation":0,"state":"SUSPECT"}]}""");
         WIRE.put(
                 new Message(
-                        Message.Kind.PROBE_FOR,
+                        Message.Kind.PING_REQ,
                         FROM,
                         9,
                         "r2",
@@ -49,12 +45,7 @@
                 "incarnation":1767225600123,"state":"ALIVE"},"number":9,"target":"r2","news":[\
                 {"name":"r3","address":"g2:7303","incarnation":3,"state":"DEAD"}]}""");
         WIRE.put(
-                new Message(
-                        Message.Kind.NO_ANSWER,
-                        FROM,
-                        0,
-                        "",
-                        List.of(new Member("r4", "g3:7304", 4, Member.State.LEFT))),
+                new Message(Message.Kind.NACK, FROM, 0, "", List.of(new Member("r4", "g3:7304", 4, Member.State.LEFT))),
                 """
                 {"kind":"NO_ANSWER","from":{"name":"r1","address":"10.0.0.4:7301",\
                 "incarnation":1767225600123,"state":"ALIVE"},"number":0,"target":"","news":[\
@@ -79,7 +70,9 @@
     @Test
     void everyKindAndStateHasALiteral() {
         assertThat(WIRE.keySet()).extracting(Message::kind).containsExactly(Message.Kind.values());
-        assertThat(WIRE.keySet().stream().flatMap(each -> each.news().stream()).map(Member::state))
+        assertThat(WIRE.keySet().stream()
+                        .flatMap(each -> each.updates().stream())
+                        .map(Member::state))
                 .containsExactlyElementsOf(Arrays.asList(Member.State.values()).subList(1, 4));
     }
 }
--- a/src/test/java/beaconladder/membership/transport/GossipJsonTest.java
+++ b/src/test/java/beaconladder/membership/transport/GossipJsonTest.java
@@ -14,7 +14,7 @@
 class GossipJsonTest {
     private static final Member A = new Member("a", "10.0.0.4:7301", 5, Member.State.ALIVE);
     private static final Member B = new Member("b", "g1:7301", 6, Member.State.SUSPECT);
-    private static final Message GOOD = new Message(Message.Kind.PROBE_FOR, A, 7, "b", List.of(A, B));
+    private static final Message GOOD = new Message(Message.Kind.PING_REQ, A, 7, "b", List.of(A, B));
 
     @Test
     void whatIsWrittenIsReadAsTheSameAndFitsADatagram() throws IOException {
@@ -22,7 +22,7 @@
         assertThat(GossipJson.read(bytes, bytes.length)).isEqualTo(GOOD);
         Member longest = new Member("n".repeat(64), "h".repeat(60) + ":65535", Long.MAX_VALUE, Member.State.SUSPECT);
         assertThat(GossipJson.bytes(new Message(
-                        Message.Kind.PROBE_FOR,
+                        Message.Kind.PING_REQ,
                         longest,
                         Long.MAX_VALUE,
                         "n".repeat(64),
@@ -52,7 +52,7 @@
                     .as(wrong)
                     .isInstanceOf(IOException.class);
         }
-        Message crowd = new Message(Message.Kind.ANSWER, A, 1, "", Collections.nCopies(17, B));
+        Message crowd = new Message(Message.Kind.ACK, A, 1, "", Collections.nCopies(17, B));
         byte[] bytes = GossipJson.bytes(crowd);
         assertThatThrownBy(() -> GossipJson.read(bytes, bytes.length)).isInstanceOf(IOException.class);
     }
--- a/src/test/java/beaconladder/server/PartsTest.java
+++ b/src/test/java/beaconladder/server/PartsTest.java
@@ -29,7 +29,7 @@
     @Test
     void nestedSettingsBecomeTheDrillsFlatLines() throws Exception {
         Map<String, String> flat = new LinkedHashMap<>();
-        JsonReader.flatten("", JsonReader.read("""
+        JsonReader.flatten("", JsonReader.parse("""
                 {"clients":{"marks_retry":true},"family_info":{"freshness":["recent","update"],
                  "notes":"position in ms, plus 1","position_zero_us":281993321636},
                  "fees":{"probe":0.069,"waste":0.0},"kinds":["std-3c"],
@@ -168,8 +168,8 @@
             "NaN"
         }) {
             try {
-                trace.append(JsonReader.read(text)).append('\n');
-            } catch (JsonReader.Fault e) {
+                trace.append(JsonReader.parse(text)).append('\n');
+            } catch (JsonReader.ParseException e) {
                 trace.append(e.getMessage().replaceAll("bad JSON at character (\\d+): .+", "$1 "));
             }
         }
@@ -192,8 +192,8 @@
             "7"
         }) {
             try {
-                Map<?, ?> news = (Map<?, ?>) JsonReader.read("{\"servers\":[" + entry + "]}");
-                trace.append(EndpointWatch.entries(news)).append('\n');
+                Map<?, ?> news = (Map<?, ?>) JsonReader.parse("{\"servers\":[" + entry + "]}");
+                trace.append(EndpointWatch.parseEntries(news)).append('\n');
             } catch (IOException e) {
                 trace.append(e.getMessage()).append('\n');
             }
@@ -231,7 +231,7 @@
                 }));
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 1);
         for (int i = 0; i < 3_000; i++) {
-            desk.listed(
+            desk.onEndpoints(
                     false,
                     List.of(
                             new EndpointWatch.Entry(
@@ -278,7 +278,7 @@
                         Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east")),
                 null);
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 1);
-        desk.listed(
+        desk.onEndpoints(
                 true,
                 IntStream.range(0, count)
                         .mapToObj(i -> new EndpointWatch.Entry(
--- a/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
+++ b/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
@@ -56,7 +56,7 @@
     @Test
     void whatIsNotStatedHasItsDefault() throws Exception {
         RouterConfiguration stated = RouterConfiguration.of((Map<?, ?>)
-                JsonReader.read("{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"7\"}"));
+                JsonReader.parse("{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"7\"}"));
         assertThat(stated)
                 .isEqualTo(new RouterConfiguration(
                         "null",
@@ -113,6 +113,6 @@
     }
 
     private static Map<String, String> settings() throws Exception {
-        return RouterConfiguration.of((Map<?, ?>) JsonReader.read(FILE)).start();
+        return RouterConfiguration.of((Map<?, ?>) JsonReader.parse(FILE)).start();
     }
 }
--- a/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
+++ b/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
@@ -63,7 +63,7 @@
         ServerConnectionPool lines = new ServerConnectionPool(
                 desk, SETTINGS, new ThreadLimit(192), new MemoryLimit(1 << 20), new DescriptorLimit(128), opener);
         desk.setHostActions(lines);
-        desk.listed(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
+        desk.onEndpoints(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
         Thread timer = new Thread(desk.timer());
         timer.setDaemon(true);
         timer.start();
@@ -174,7 +174,7 @@
                             address, room, new InMemorySocket(new byte[0], query -> answer(query, moved)));
                 });
         desk.setHostActions(lines);
-        desk.listed(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
+        desk.onEndpoints(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
         Statement statement = Statement.read(WRITE);
         // Connections to a host that was used less are not kept.
         for (int i = 0; i <= USES; i++) {
@@ -203,7 +203,7 @@
         MessageWriter out = new MessageWriter();
         if (query[0] == 'Q') {
             if (written.incrementAndGet() == USES) {
-                desk.listed(false, List.of(entry(moved)));
+                desk.onEndpoints(false, List.of(entry(moved)));
             }
             out.row("doc", new byte[] {1}).commandComplete("INSERT 0 1").ready();
         } else {
--- a/src/test/java/beaconladder/storage/DurableRecordsFaultTest.java
+++ b/src/test/java/beaconladder/storage/DurableRecordsFaultTest.java
@@ -77,7 +77,7 @@
         List<Integer> said = numbers(Files.readString(out));
         List<Integer> found = new ArrayList<>();
         try (DurableRecords records = DurableRecords.open(store)) {
-            records.found().forEach(each -> found.add(Integer.parseInt(new String(each, StandardCharsets.UTF_8))));
+            records.recovered().forEach(each -> found.add(Integer.parseInt(new String(each, StandardCharsets.UTF_8))));
         }
         assertThat(found).containsAll(said);
         // One whose append failed may be there as well, and is written again then.
--- a/src/test/java/beaconladder/storage/DurableRecordsTest.java
+++ b/src/test/java/beaconladder/storage/DurableRecordsTest.java
@@ -21,7 +21,7 @@
     /** For the test of kills: appends records and says each once it is written. */
     public static void main(String[] args) throws IOException {
         try (DurableRecords records = DurableRecords.open(Path.of(args[0]))) {
-            for (int i = records.found().size(); ; i++) {
+            for (int i = records.recovered().size(); ; i++) {
                 if (i % 25 == 24) {
                     List<byte[]> all = new ArrayList<>();
                     for (int n = 0; n <= i; n++) {
@@ -62,10 +62,10 @@
             process.destroyForcibly().onExit().join();
             int said = said(out);
             try (DurableRecords records = DurableRecords.open(folder)) {
-                before = records.found().size();
+                before = records.recovered().size();
                 assertThat(before).isBetween(said + 1, said + 2);
                 for (int i = 0; i < before; i++) {
-                    assertThat(records.found().get(i)).isEqualTo(text(i));
+                    assertThat(records.recovered().get(i)).isEqualTo(text(i));
                 }
             }
         }
@@ -99,10 +99,10 @@
                 System.arraycopy(after, 0, image, 0, cut);
                 Files.write(torn.resolve("records.mv"), image);
                 try (DurableRecords records = DurableRecords.open(torn)) {
-                    assertThat(records.found().size())
+                    assertThat(records.recovered().size())
                             .as("record %d, cut at %d", i, cut)
                             .isBetween(i, i + 1);
-                    assertThat(records.found().get(i - 1)).isEqualTo(text(i - 1));
+                    assertThat(records.recovered().get(i - 1)).isEqualTo(text(i - 1));
                 }
             }
         }
