--- a/src/main/java/beaconladder/testbed/soak/FaultInjector.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultInjector.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Brings each trouble about, and ends it. */
+/** Injects each kind of fault into the fleet, and ends it. */
 final class FaultInjector {
     private static final long SECOND = 1_000_000_000L;
     private static final int[] ACCEPT_ERRORS = {103, 23, 24, 105, 4};
@@ -30,7 +30,7 @@
         this.hosts = new HostFaultInjector(fleet);
     }
 
-    /** How a trouble is ended; it may take a while. */
+    /** Ends a fault; may block for some seconds. */
     interface End {
         void run() throws IOException, InterruptedException;
     }
@@ -38,22 +38,22 @@
     static final End NOTHING = () -> {};
 
     /** Begins it; what it returns ends it. */
-    End begin(FaultKind trouble, int millis, SplittableRandom chance) throws IOException, InterruptedException {
-        return switch (trouble) {
-            case TERMINATE, KILL -> restart(trouble == FaultKind.KILL, chance);
+    End begin(FaultKind fault, int millis, SplittableRandom chance) throws IOException, InterruptedException {
+        return switch (fault) {
+            case TERMINATE, KILL -> restart(fault == FaultKind.KILL, chance);
             case RELOAD -> reload(chance);
             case PAUSE -> pause(millis, chance);
             case CLOCK_STEP -> stepClock(chance);
             case CLOCK_WRONG_AT_START -> startWithWrongClock(chance);
-            case ACCEPT_FAILS, CONNECT_FAILS, THREADS_FAIL, SHORT_IO, HELD_UP -> systemCalls(trouble, chance);
-            case DISCOVERY_SILENT, DISCOVERY_BREAKS -> discovery(trouble, chance);
+            case ACCEPT_FAILS, CONNECT_FAILS, THREADS_FAIL, SHORT_IO, HELD_UP -> systemCalls(fault, chance);
+            case DISCOVERY_SILENT, DISCOVERY_BREAKS -> discovery(fault, chance);
             case DISCOVERY_SLOW -> slowDiscovery(chance);
             case IDLE_CROWD -> crowd(chance);
             case BAD_CLIENTS -> {
                 fleet.clients().bad = true;
                 yield () -> fleet.clients().bad = false;
             }
-            default -> hosts.begin(trouble, chance);
+            default -> hosts.begin(fault, chance);
         };
     }
 
@@ -144,9 +144,9 @@
         return () -> router.plan.stepWallClock(-step);
     }
 
-    private End systemCalls(FaultKind trouble, SplittableRandom chance) {
+    private End systemCalls(FaultKind fault, SplittableRandom chance) {
         FaultPlan plan = anyRouter(chance).plan;
-        switch (trouble) {
+        switch (fault) {
             case ACCEPT_FAILS -> {
                 plan.set(FaultPlan.Field.ACCEPT_ERRNO, ACCEPT_ERRORS[chance.nextInt(ACCEPT_ERRORS.length)]);
                 plan.set(FaultPlan.Field.ACCEPT_PER_MILLE, 300);
@@ -170,19 +170,19 @@
         return plan::clear;
     }
 
-    private End discovery(FaultKind trouble, SplittableRandom chance) {
+    private End discovery(FaultKind fault, SplittableRandom chance) {
         DiscoveryStandIn agent =
                 fleet.discoveries().get(chance.nextInt(fleet.discoveries().size()));
-        agent.manner = trouble == FaultKind.DISCOVERY_SILENT
+        agent.manner = fault == FaultKind.DISCOVERY_SILENT
                 ? DiscoveryStandIn.Manner.SILENT
                 : BREAKS[chance.nextInt(BREAKS.length)];
-        if (trouble == FaultKind.DISCOVERY_SILENT) {
+        if (fault == FaultKind.DISCOVERY_SILENT) {
             agent.cutOff();
         }
-        fleet.discoveryTrouble(true);
+        fleet.recordDiscoveryFault(true);
         return () -> {
             agent.manner = DiscoveryStandIn.Manner.ANSWER;
-            fleet.discoveryTrouble(false);
+            fleet.recordDiscoveryFault(false);
         };
     }
 
@@ -214,10 +214,10 @@
         DiscoveryStandIn agent =
                 fleet.discoveries().get(chance.nextInt(fleet.discoveries().size()));
         agent.lateMillis = 100 + chance.nextInt(900);
-        fleet.discoveryTrouble(true);
+        fleet.recordDiscoveryFault(true);
         return () -> {
             agent.lateMillis = 0;
-            fleet.discoveryTrouble(false);
+            fleet.recordDiscoveryFault(false);
         };
     }
 }
--- a/src/main/java/beaconladder/testbed/soak/FaultKind.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultKind.java
@@ -2,13 +2,13 @@
 
 /** What can go wrong in a soak; two or three at a time. */
 public enum FaultKind {
-    /** A router is told to end, and started anew. */
+    /** A router gets SIGTERM and is restarted. */
     TERMINATE,
-    /** A router is killed, and started anew. */
+    /** A router is killed and restarted. */
     KILL,
     /** A new configuration moves discovery; sometimes twice in a row, or with a broken file behind it. */
     RELOAD,
-    /** A router stands still for up to 0.15 s, several times. */
+    /** A router is paused for up to 0.15 s, several times. */
     PAUSE,
     /** The wall clock of a router is stepped by seconds or an hour, either way, and stays there. */
     CLOCK_STEP,
@@ -30,15 +30,15 @@
     DISCOVERY_BREAKS,
     /** Discovery answers up to a second late. */
     DISCOVERY_SLOW,
-    /** A replica drains, is gone, and comes back cold. */
+    /** A replica drains, is removed, and returns in slow start. */
     HOST_DRAINS,
-    /** A host crashes and comes back cold. */
+    /** A host crashes and returns in slow start. */
     HOST_CRASHES,
     /** A host hangs with all that it has. */
     HOST_HANGS,
-    /** A host is cut off: silent, and new connections never come up. */
+    /** A host is partitioned: silent, and new connections are never established. */
     HOST_SILENT,
-    /** A host fails, turns away, or loses its answers. */
+    /** A host fails, rejects, or loses its answers. */
     HOST_FAILS,
     /** A host's answers are spoilt. */
     HOST_SPOILS,
@@ -50,7 +50,7 @@
     HOSTS_SLOW,
     /** Replicas lag behind a bound. */
     REPLICAS_LAG,
-    /** Another host is the primary from now on; lists tell it late. */
+    /** Another host becomes the primary; endpoint lists show it late. */
     PRIMARY_MOVES,
     /** Bad clients come. */
     BAD_CLIENTS,
--- a/src/main/java/beaconladder/testbed/soak/FaultProxy.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultProxy.java
@@ -13,7 +13,7 @@
     private static final int LOOK_MILLIS = 2;
     private static final int BUFFER = 16 * 1024;
 
-    private final ServerSocket door = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
+    private final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     private final int to;
     private final List<Socket> open = new CopyOnWriteArrayList<>();
     /** A new connection comes up so much later. */
@@ -31,7 +31,7 @@
         this.to = to;
         StandInThreads.spawn(() -> {
             while (true) {
-                Socket in = door.accept();
+                Socket in = listener.accept();
                 if (down) {
                     reset(in);
                     continue;
@@ -43,7 +43,7 @@
     }
 
     int port() {
-        return door.getLocalPort();
+        return listener.getLocalPort();
     }
 
     /** Resets all connections that are open. */
@@ -118,7 +118,7 @@
 
     @Override
     public void close() throws IOException {
-        door.close();
+        listener.close();
         silent = false;
         resetAll();
     }
--- a/src/main/java/beaconladder/testbed/soak/HostFaultInjector.java
+++ b/src/main/java/beaconladder/testbed/soak/HostFaultInjector.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Brings the troubles of database hosts about, and ends them. */
+/** Injects faults of database hosts, and ends them. */
 final class HostFaultInjector {
     private static final Manner[] SPOILT = {
         Manner.CUT,
@@ -28,13 +28,13 @@
     }
 
     /** Begins one of them; what it returns ends it. */
-    FaultInjector.End begin(FaultKind trouble, SplittableRandom chance) throws IOException {
-        return switch (trouble) {
-            case HOST_DRAINS, HOST_CRASHES -> replace(trouble == FaultKind.HOST_CRASHES, chance);
-            case HOST_HANGS, HOST_SILENT, HOST_FAILS, HOST_SPOILS -> host(trouble, chance);
-            case HOST_NETWORK, HOST_IDLE_CLOSE, HOSTS_SLOW, REPLICAS_LAG -> hosts(trouble, chance);
+    FaultInjector.End begin(FaultKind fault, SplittableRandom chance) throws IOException {
+        return switch (fault) {
+            case HOST_DRAINS, HOST_CRASHES -> replace(fault == FaultKind.HOST_CRASHES, chance);
+            case HOST_HANGS, HOST_SILENT, HOST_FAILS, HOST_SPOILS -> host(fault, chance);
+            case HOST_NETWORK, HOST_IDLE_CLOSE, HOSTS_SLOW, REPLICAS_LAG -> hosts(fault, chance);
             case PRIMARY_MOVES -> movePrimary(chance);
-            default -> throw new IllegalArgumentException(trouble + " is no trouble of a host");
+            default -> throw new IllegalArgumentException(fault + " is not a fault of a host");
         };
     }
 
@@ -66,9 +66,9 @@
         };
     }
 
-    private FaultInjector.End host(FaultKind trouble, SplittableRandom chance) {
+    private FaultInjector.End host(FaultKind fault, SplittableRandom chance) {
         SoakHost host = anyHost(chance);
-        switch (trouble) {
+        switch (fault) {
             case HOST_HANGS -> host.hangs = true;
             case HOST_SILENT -> host.proxy().silent = true;
             case HOST_FAILS -> host.behavior = SoakHost.Behavior.values()[1 + chance.nextInt(4)];
@@ -85,11 +85,11 @@
         };
     }
 
-    private FaultInjector.End hosts(FaultKind trouble, SplittableRandom chance) {
+    private FaultInjector.End hosts(FaultKind fault, SplittableRandom chance) {
         List<SoakHost> some =
                 fleet.hosts().stream().filter(host -> chance.nextInt(3) != 0).toList();
         for (SoakHost host : some) {
-            switch (trouble) {
+            switch (fault) {
                 case HOST_NETWORK -> {
                     host.proxy().acceptMillis = chance.nextInt(300);
                     host.proxy().resetsPerMille = 30;
--- a/src/main/java/beaconladder/testbed/soak/Soak.java
+++ b/src/main/java/beaconladder/testbed/soak/Soak.java
@@ -16,7 +16,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** Plays rounds of overlapping troubles to a fleet of real routers; the seed draws them. */
+/** Plays rounds of overlapping faults to a fleet of real routers; the seed draws them. */
 public final class Soak {
     static final int GROUPS = 2;
     static final int MEMBERS = 3;
@@ -62,17 +62,17 @@
         }
     }
 
-    private void round(FaultInjector troubles) throws IOException, InterruptedException {
+    private void round(FaultInjector faults) throws IOException, InterruptedException {
         Set<FaultKind> drawn = new HashSet<>();
         for (int i = 2 + chance.nextInt(MOST_AT_ONCE - 1); i > 0; i--) {
-            drawn.add(plan.troubles().get(chance.nextInt(plan.troubles().size())));
+            drawn.add(plan.faults().get(chance.nextInt(plan.faults().size())));
         }
         out.println("round: " + drawn.stream().map(Soak::name).sorted().collect(Collectors.joining(", ")));
         out.flush();
         List<FaultInjector.End> ends = new ArrayList<>();
-        for (FaultKind trouble : drawn.stream().sorted().toList()) {
-            played.merge(trouble, 1, Integer::sum);
-            ends.add(troubles.begin(trouble, ROUND_MILLIS, chance));
+        for (FaultKind fault : drawn.stream().sorted().toList()) {
+            played.merge(fault, 1, Integer::sum);
+            ends.add(faults.begin(fault, ROUND_MILLIS, chance));
             StandInThreads.sleep(chance.nextInt(400));
         }
         StandInThreads.sleep(ROUND_MILLIS);
@@ -101,7 +101,7 @@
         long servedWell =
                 well.stream().filter(r -> r.end() == Request.End.SERVED).count();
         if (well.isEmpty() || servedWell < SERVED_AT_END * well.size()) {
-            broken.add("after the last trouble only " + servedWell + " of " + well.size() + " were served");
+            broken.add("after the last fault only " + servedWell + " of " + well.size() + " were served");
         }
         broken.addAll(oracle.shown());
         broken.stream().limit(MOST_SHOWN).forEach(out::println);
--- a/src/main/java/beaconladder/testbed/soak/SoakClients.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakClients.java
@@ -130,7 +130,7 @@
         try {
             text.writeTo(caller.out);
         } catch (IOException e) {
-            // What became of it is told by the answer.
+            // The answer shows the outcome.
         }
         return out;
     }
@@ -180,7 +180,7 @@
         out.clear();
     }
 
-    /** Sends nonsense, or half of something, and stays; it has to be told or closed in time. */
+    /** Sends malformed or partial input and keeps the connection open; it must get an error or a close in time. */
     private void behaveBadly(Socket socket, SplittableRandom chance) throws IOException {
         byte[] start = bytes(MessageWriter.startup("app", "shop"));
         byte[] query = bytes(MessageWriter.query("SELECT doc FROM items WHERE id = 'x' /* id=b"
--- a/src/main/java/beaconladder/testbed/soak/SoakConfiguration.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakConfiguration.java
@@ -4,7 +4,7 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The file that tells a router of the soak what it needs. */
+/** The configuration file of a router in the soak. */
 final class SoakConfiguration {
     private static final String REQUEST_CLASS = """
                 {"name":"%s","effect":"%s","dedup_scope":"cell","key_ttl_us":%d,"goal_time_us":500000,\
--- a/src/main/java/beaconladder/testbed/soak/SoakFleet.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakFleet.java
@@ -37,10 +37,10 @@
     private final Map<Integer, Integer> discoveryOf = new ConcurrentHashMap<>();
     private final Map<String, Request> requests = new ConcurrentHashMap<>();
     private final List<String> broken = new CopyOnWriteArrayList<>();
-    private final List<Span> discoveryTroubles = new CopyOnWriteArrayList<>();
+    private final List<Span> discoveryFaults = new CopyOnWriteArrayList<>();
     private final SoakClients clients;
-    private int troubled;
-    private long troubledFrom;
+    private int activeDiscoveryFaults;
+    private long faultStartNanos;
 
     /** Stands it up and waits until all routers are ready. */
     SoakFleet(SoakPlan plan, Path folder, FaultShim shim, SplittableRandom chance) throws IOException {
@@ -125,21 +125,21 @@
         return broken;
     }
 
-    List<Span> discoveryTroubles() {
-        return discoveryTroubles;
+    List<Span> discoveryFaults() {
+        return discoveryFaults;
     }
 
-    /** Discovery tells of this host as it is now. */
+    /** Publishes this host to discovery as it is now. */
     void list(SoakHost host) {
         discoveries.forEach(agent -> agent.list(false, host.entry()));
     }
 
-    /** Another agent is this router's from now on; a new configuration tells it so. */
+    /** Moves this router to another discovery agent by a new configuration. */
     void moveDiscovery(SoakRouter router) throws IOException, InterruptedException {
-        discoveryTrouble(true);
+        recordDiscoveryFault(true);
         discoveryOf.merge(router.number, 1, (at, one) -> (at + one) % 2);
         restoreConfiguration(router);
-        discoveryTrouble(false);
+        recordDiscoveryFault(false);
     }
 
     /** Its configuration as it should be. */
@@ -148,13 +148,13 @@
     }
 
     /** Some discovery can't be reached from now on, or can again. */
-    synchronized void discoveryTrouble(boolean begins) {
-        if (begins && troubled++ == 0) {
-            troubledFrom = System.nanoTime();
-            discoveryTroubles.add(new Span(troubledFrom, Long.MAX_VALUE));
-        } else if (!begins && --troubled == 0) {
-            discoveryTroubles.remove(discoveryTroubles.size() - 1);
-            discoveryTroubles.add(new Span(troubledFrom, System.nanoTime()));
+    synchronized void recordDiscoveryFault(boolean begins) {
+        if (begins && activeDiscoveryFaults++ == 0) {
+            faultStartNanos = System.nanoTime();
+            discoveryFaults.add(new Span(faultStartNanos, Long.MAX_VALUE));
+        } else if (!begins && --activeDiscoveryFaults == 0) {
+            discoveryFaults.remove(discoveryFaults.size() - 1);
+            discoveryFaults.add(new Span(faultStartNanos, System.nanoTime()));
         }
     }
 
--- a/src/main/java/beaconladder/testbed/soak/SoakHost.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakHost.java
@@ -157,7 +157,7 @@
         }
     }
 
-    /** It stands still where the lag grows, and never goes back. */
+    /** The position does not advance while the lag grows, and never decreases. */
     @Override
     protected synchronized long position() {
         newestPosition = Math.max(newestPosition, System.currentTimeMillis() - (leader ? 0 : lagMillis));
--- a/src/main/java/beaconladder/testbed/soak/SoakOracle.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakOracle.java
@@ -31,7 +31,7 @@
     private static final long WAY = 100 * MS;
 
     private static final long PAUSE = 150 * MS;
-    private static final long TOLD = 6_000 * MS;
+    private static final long NOTIFICATION_BOUND = 6_000 * MS;
     private static final int SHOWN = 3;
 
     private final SoakFleet fleet;
@@ -114,14 +114,14 @@
         if (request.end() == Request.End.SERVED && arrival.at() > request.endedAt() + WAY + PAUSE) {
             add(Broken.AFTER_ANSWER, request);
         }
-        // A query that was written ahead has its time from the answer before it: all of them are checked by
+        // A query that was pipelined has its time from the answer before it: all of them are checked by
         // their own.
         long left = request.deadline() - arrival.at();
         if (arrival.waitMillis() * MS > left + TIME_SLACK + WAY + request.waitedAhead()) {
             add(Broken.TOO_MUCH_TIME, request);
         }
         if (arrival.leavingSince() > 0
-                && arrival.at() > told(arrival.leavingSince()) + SoakConfiguration.GRACE_MILLIS * MS + WAY + PAUSE) {
+                && arrival.at() > notifiedAtNanos(arrival.leavingSince()) + SoakConfiguration.GRACE_MILLIS * MS + WAY + PAUSE) {
             add(Broken.DRAIN, request);
         }
         long age = arrival.wallMillis() - arrival.position();
@@ -132,16 +132,16 @@
         }
     }
 
-    /** When a change of this moment counts as told. */
-    private long told(long changed) {
-        long told = changed + (fleet.asks() ? TOLD : WAY);
-        for (SoakFleet.Span span : fleet.discoveryTroubles()) {
-            if (span.from() < changed + TOLD && span.to() > changed - TOLD) {
-                told = span.to() == Long.MAX_VALUE ? Long.MAX_VALUE / 2 : Math.max(told, span.to() + TOLD);
-                told = Math.max(told, changed + TOLD);
+    /** When a change made at this moment counts as notified, in nanoseconds. */
+    private long notifiedAtNanos(long changed) {
+        long notifiedAt = changed + (fleet.asks() ? NOTIFICATION_BOUND : WAY);
+        for (SoakFleet.Span span : fleet.discoveryFaults()) {
+            if (span.from() < changed + NOTIFICATION_BOUND && span.to() > changed - NOTIFICATION_BOUND) {
+                notifiedAt = span.to() == Long.MAX_VALUE ? Long.MAX_VALUE / 2 : Math.max(notifiedAt, span.to() + NOTIFICATION_BOUND);
+                notifiedAt = Math.max(notifiedAt, changed + NOTIFICATION_BOUND);
             }
         }
-        return told;
+        return notifiedAt;
     }
 
     private void add(Broken rule, Request request) {
--- a/src/main/java/beaconladder/testbed/soak/SoakRouter.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakRouter.java
@@ -26,7 +26,7 @@
     final FaultPlan plan;
     private final ChildProcesses.Program program;
     private final List<String> broken;
-    /** When it was killed with requests in hand, System.nanoTime's. */
+    /** When it was killed with requests in flight, on System.nanoTime. */
     private final List<Long> kills = new CopyOnWriteArrayList<>();
 
     private volatile boolean ready;
--- a/src/main/java/beaconladder/testbed/soak/package-info.java
+++ b/src/main/java/beaconladder/testbed/soak/package-info.java
@@ -1,5 +1,5 @@
 /**
  * A randomized fault soak: routers as real processes on loopback, between stand-ins for hosts, discovery and clients,
- * under troubles that overlap; judged by what clients and hosts saw and by the routers' own invariants.
+ * under faults that overlap; checked by what clients and hosts observed and by the routers' own invariants.
  */
 package beaconladder.testbed.soak;
--- a/src/test/java/beaconladder/testbed/soak/SoakIT.java
+++ b/src/test/java/beaconladder/testbed/soak/SoakIT.java
@@ -47,8 +47,8 @@
                         FaultKind.IDLE_CROWD)));
     }
 
-    private static void play(long seed, List<FaultKind> troubles) throws Exception {
-        play(SoakPlan.of(seed, 4, 4, troubles));
+    private static void play(long seed, List<FaultKind> faults) throws Exception {
+        play(SoakPlan.of(seed, 4, 4, faults));
     }
 
     private static void play(SoakPlan plan) throws Exception {
