--- a/src/main/java/beaconladder/testbed/soak/SoakOracle.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakOracle.java
@@ -121,7 +121,8 @@
             add(Broken.TOO_MUCH_TIME, request);
         }
         if (arrival.leavingSince() > 0
-                && arrival.at() > notifiedAtNanos(arrival.leavingSince()) + SoakConfiguration.GRACE_MILLIS * MS + WAY + PAUSE) {
+                && arrival.at()
+                        > notifiedAtNanos(arrival.leavingSince()) + SoakConfiguration.GRACE_MILLIS * MS + WAY + PAUSE) {
             add(Broken.DRAIN, request);
         }
         long age = arrival.wallMillis() - arrival.position();
@@ -137,7 +138,9 @@
         long notifiedAt = changed + (fleet.asks() ? NOTIFICATION_BOUND : WAY);
         for (SoakFleet.Span span : fleet.discoveryFaults()) {
             if (span.from() < changed + NOTIFICATION_BOUND && span.to() > changed - NOTIFICATION_BOUND) {
-                notifiedAt = span.to() == Long.MAX_VALUE ? Long.MAX_VALUE / 2 : Math.max(notifiedAt, span.to() + NOTIFICATION_BOUND);
+                notifiedAt = span.to() == Long.MAX_VALUE
+                        ? Long.MAX_VALUE / 2
+                        : Math.max(notifiedAt, span.to() + NOTIFICATION_BOUND);
                 notifiedAt = Math.max(notifiedAt, changed + NOTIFICATION_BOUND);
             }
         }
