--- a/src/main/java/beaconladder/cells/CellAdmission.java
+++ b/src/main/java/beaconladder/cells/CellAdmission.java
@@ -2,7 +2,7 @@
 
 import beaconladder.plan.Plan;
 import beaconladder.routing.api.Router.Outcome;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Request;
 import java.net.InetAddress;
@@ -222,7 +222,7 @@
 
     /** The txn is in hand. */
     public void bind(Request txn, AdmissionPermit pass) {
-        txn.floor = pass.floor;
+        txn.minPosition = pass.floor;
         passes.put(txn, pass);
         if (pass.write) {
             writes.merge(pass.tenant, 1, Integer::sum);
@@ -247,8 +247,8 @@
     }
 
     /** A submission has ended. What may yet run counts as in hand until its client's time is over. */
-    public void ended(Attempt s, Outcome outcome, Word answer, long now) {
-        AdmissionPermit pass = passes.get(s.txn);
+    public void ended(Attempt s, Outcome outcome, HostReport answer, long now) {
+        AdmissionPermit pass = passes.get(s.request);
         if (pass == null || !pass.write || !kept) {
             return;
         }
@@ -260,7 +260,7 @@
             long[] newest = commits.computeIfAbsent(
                     pass.tenant,
                     t -> new long[territory.cell(pass.cell).groups().size()]);
-            newest[pass.slot] = Math.max(newest[pass.slot], answer.position() == Word.NONE ? now : answer.position());
+            newest[pass.slot] = Math.max(newest[pass.slot], answer.position() == HostReport.NO_POSITION ? now : answer.position());
         }
     }
 
@@ -271,7 +271,7 @@
             if (pass.write) {
                 writes.computeIfPresent(pass.tenant, (t, n) -> n == 1 ? null : n - 1);
                 // A client that leaves ends its txn, not what is out of it: a host may run that all the same.
-                if (kept && txn.out() > 0) {
+                if (kept && txn.attemptsInFlight() > 0) {
                     linger(pass);
                 }
             }
--- a/src/main/java/beaconladder/cells/CellRouter.java
+++ b/src/main/java/beaconladder/cells/CellRouter.java
@@ -20,25 +20,25 @@
     }
 
     @Override
-    public RoutingDecision place(Request txn, long now) {
-        return gate.stands(txn, now) ? inner.place(txn, now) : inner.displaced(txn, now);
+    public RoutingDecision route(Request txn, long now) {
+        return gate.stands(txn, now) ? inner.route(txn, now) : inner.onAdmissionLost(txn, now);
     }
 
     @Override
-    public DispatchCheck mayGo(Attempt submission, long now) {
-        return gate.stands(submission.txn, now) ? inner.mayGo(submission, now) : DispatchCheck.NOT_ADMITTED;
+    public DispatchCheck checkDispatch(Attempt submission, long now) {
+        return gate.stands(submission.request, now) ? inner.checkDispatch(submission, now) : DispatchCheck.NOT_ADMITTED;
     }
 
     @Override
-    public RoutingDecision after(Attempt s, Outcome outcome, boolean settled, Word answer, Word report, long now) {
+    public RoutingDecision onAttemptEnded(Attempt s, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
         gate.ended(s, outcome, answer, now);
-        if (settled || s.txn.ended || gate.stands(s.txn, now)) {
-            return inner.after(s, outcome, settled, answer, report, now);
+        if (settled || s.request.ended || gate.stands(s.request, now)) {
+            return inner.onAttemptEnded(s, outcome, settled, answer, report, now);
         }
         // The outcome is learnt from as ever, as that of a txn that has ended: nothing more is sent for it.
-        s.txn.ended = true;
-        inner.after(s, outcome, false, answer, report, now);
-        s.txn.ended = false;
-        return inner.displaced(s.txn, now);
+        s.request.ended = true;
+        inner.onAttemptEnded(s, outcome, false, answer, report, now);
+        s.request.ended = false;
+        return inner.onAdmissionLost(s.request, now);
     }
 }
--- a/src/main/java/beaconladder/closing/Closed.java
+++ b/src/main/java/beaconladder/closing/Closed.java
@@ -46,14 +46,14 @@
     }
 
     private void bind(Request txn) {
-        if (!txn.type.read().atPrimary()) {
-            txn.floor = Math.max(txn.floor, floor(txn.arrived));
+        if (!txn.requestClass.consistency().requiresPrimary()) {
+            txn.minPosition = Math.max(txn.minPosition, floor(txn.arrivedNanos));
         }
     }
 
     @Override
-    public RoutingDecision place(Request txn, long now) {
+    public RoutingDecision route(Request txn, long now) {
         bind(txn);
-        return inner.place(txn, now);
+        return inner.route(txn, now);
     }
 }
--- a/src/main/java/beaconladder/invariants/Invariants.java
+++ b/src/main/java/beaconladder/invariants/Invariants.java
@@ -4,7 +4,7 @@
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
 import beaconladder.routing.state.RequestClass;
-import beaconladder.routing.state.RequestClass.Effect;
+import beaconladder.routing.state.RequestClass.Idempotency;
 import beaconladder.routing.state.SlowStartTicket;
 
 /** The checks of each rule, with the slack that the protocol gives; under the lock of the decisions. */
@@ -40,64 +40,64 @@
     /** The bytes of an attempt have gone. */
     public void sent(SentAttempt sent) {
         Attempt attempt = sent.attempt();
-        Request txn = attempt.txn;
+        Request txn = attempt.request;
         Host host = attempt.host;
-        if (host.state != Host.State.READY && sent.began() > host.stateSince + drainGrace + SLACK) {
+        if (host.state != Host.State.READY && sent.began() > host.stateSinceNanos + drainGrace + SLACK) {
             add(
                     Rule.SENDING,
                     attempt,
-                    "to a host that leaves, ms after its listing: " + ms(sent.began() - host.stateSince));
+                    "to a host that leaves, ms after its listing: " + ms(sent.began() - host.stateSinceNanos));
         }
-        if (txn.leftAt != Long.MAX_VALUE && sent.began() > txn.leftAt + CLOSE_SLACK) {
-            add(Rule.SENDING, attempt, "after its client had gone, ms: " + ms(sent.began() - txn.leftAt));
+        if (txn.disconnectedNanos != Long.MAX_VALUE && sent.began() > txn.disconnectedNanos + CLOSE_SLACK) {
+            add(Rule.SENDING, attempt, "after its client had gone, ms: " + ms(sent.began() - txn.disconnectedNanos));
         }
-        if (sent.passedTime() > txn.expiry - sent.ended() + TIME_SLACK) {
+        if (sent.passedTime() > txn.expiryNanos - sent.ended() + TIME_SLACK) {
             add(
                     Rule.SENDING,
                     attempt,
-                    "with more time than the client has, ms: " + ms(sent.passedTime() - (txn.expiry - sent.ended())));
+                    "with more time than the client has, ms: " + ms(sent.passedTime() - (txn.expiryNanos - sent.ended())));
         }
-        if (attempt.ticket == SlowStartTicket.MISSING) {
+        if (attempt.slowStartTicket == SlowStartTicket.MISSING) {
             add(Rule.STARTING, attempt, "without a ticket to a host in slow start");
         }
         checkRepeat(sent);
     }
 
     private void checkRepeat(SentAttempt sent) {
-        Request txn = sent.attempt().txn;
-        Attempt ran = txn.mayHaveRunBefore(sent.attempt());
-        if (ran == null || ran.number > sent.attempt().number) {
+        Request txn = sent.attempt().request;
+        Attempt ran = txn.firstPossiblyExecutedExcept(sent.attempt());
+        if (ran == null || ran.index > sent.attempt().index) {
             return;
         }
-        if (txn.type.effect() == Effect.ONCE_ONLY) {
+        if (txn.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
             add(Rule.REPEATING, sent.attempt(), "of what must not run twice and may have run at " + ran.host.id);
-        } else if (txn.type.effect() == Effect.REFERENCED
-                && sent.ended() - ran.sent > txn.type.memory() + TIME_SLACK + SLACK) {
-            add(Rule.REPEATING, sent.attempt(), "behind the memory time, ms: " + ms(sent.ended() - ran.sent));
+        } else if (txn.requestClass.idempotency() == Idempotency.WITH_KEY
+                && sent.ended() - ran.sentNanos > txn.requestClass.keyTtlNanos() + TIME_SLACK + SLACK) {
+            add(Rule.REPEATING, sent.attempt(), "behind the memory time, ms: " + ms(sent.ended() - ran.sentNanos));
         }
     }
 
     /** The client is told that this has not run and may be tried again. */
     public void refused(Request txn) {
-        Attempt ran = txn.mayHaveRun();
+        Attempt ran = txn.firstPossiblyExecuted();
         boolean harmless = ran == null
-                || txn.type.effect() == Effect.REPEATABLE
-                || txn.type.effect() == Effect.REFERENCED && txn.type.scope() == RequestClass.Scope.ALL;
+                || txn.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || txn.requestClass.idempotency() == Idempotency.WITH_KEY && txn.requestClass.deduplicationScope() == RequestClass.DeduplicationScope.ALL;
         if (!harmless) {
             violations.add(
-                    Rule.REPEATING, "request " + txn.number + " refused though it may have run at host " + ran.host.id);
+                    Rule.REPEATING, "request " + txn.sequenceNumber + " refused though it may have run at host " + ran.host.id);
         }
     }
 
     /** A request is still in flight; whether its answer is too late, which is counted once. */
     public boolean overdue(Request txn, long now) {
-        if (txn.ended || now <= txn.expiry + LATE_ANSWER) {
+        if (txn.ended || now <= txn.expiryNanos + LATE_ANSWER) {
             return false;
         }
         violations.add(
                 Rule.CLOSING,
-                "request " + txn.number + " has no answer, ms behind its time: " + ms(now - txn.expiry) + ", attempts "
-                        + txn.submissions.size() + ", out " + txn.out());
+                "request " + txn.sequenceNumber + " has no answer, ms behind its time: " + ms(now - txn.expiryNanos) + ", attempts "
+                        + txn.attempts.size() + ", out " + txn.attemptsInFlight());
         return true;
     }
 
@@ -118,7 +118,7 @@
     private void add(Rule rule, Attempt attempt, String what) {
         violations.add(
                 rule,
-                "request " + attempt.txn.number + " attempt " + attempt.number + " at host " + attempt.host.id + ": "
+                "request " + attempt.request.sequenceNumber + " attempt " + attempt.index + " at host " + attempt.host.id + ": "
                         + what);
     }
 
--- a/src/main/java/beaconladder/routing/ClusterClock.java
+++ b/src/main/java/beaconladder/routing/ClusterClock.java
@@ -1,6 +1,6 @@
 package beaconladder.routing;
 
-import static beaconladder.routing.state.TrafficStatistics.MS;
+import static beaconladder.routing.state.TrafficStatistics.MILLISECOND;
 
 import beaconladder.routing.state.Host;
 import java.util.HashMap;
@@ -23,24 +23,24 @@
  */
 final class ClusterClock {
     /** Clocks read in whole milliseconds by two processes; nothing applied can lie further ahead. */
-    private static final long TOLERANCE = 20 * MS;
+    private static final long TOLERANCE = 20 * MILLISECOND;
     /** Replicas lag, so what several hosts show differs by that. */
-    private static final long AGREEMENT = 5_000 * MS;
+    private static final long AGREEMENT = 5_000 * MILLISECOND;
 
-    private static final long EVIDENCE_AGE = 10_000 * MS;
-    private static final long PENDING_AGE = 2_000 * MS;
+    private static final long EVIDENCE_AGE = 10_000 * MILLISECOND;
+    private static final long PENDING_AGE = 2_000 * MILLISECOND;
     /** Wall clocks are off by an hour where a zone is set wrong; what lies beyond two is no time. */
-    private static final long PLAUSIBLE = 7_200_000 * MS;
+    private static final long PLAUSIBLE = 7_200_000 * MILLISECOND;
     /** Of one host so many positions ahead in a row count; a spoilt answer comes alone. */
     private static final int REPORTS = 2;
     /** Where no second host is heard at all, so many do. */
     private static final int REPORTS_ALONE = 6;
     /** It is moved back for nothing less: the time that an attempt waits before its send lies within it. */
-    private static final long LEAST_BACK = 250 * MS;
+    private static final long LEAST_BACK = 250 * MILLISECOND;
 
     private static final int EARLY_ANSWERS = 6;
     /** A clock that is ahead by no more than this makes little of a slow start look over. */
-    private static final long CONFIRMING = 500 * MS;
+    private static final long CONFIRMING = 500 * MILLISECOND;
 
     /** Positions of one host that lay ahead, in a row. */
     private record Ahead(int reports, long by, long at) {}
--- a/src/main/java/beaconladder/routing/DeadlinePolicy.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -1,24 +1,24 @@
 package beaconladder.routing;
 
-import static beaconladder.routing.state.TrafficStatistics.MS;
-import static beaconladder.routing.state.TrafficStatistics.UNBOUND;
+import static beaconladder.routing.state.TrafficStatistics.MILLISECOND;
+import static beaconladder.routing.state.TrafficStatistics.UNSET;
 
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
-import beaconladder.routing.state.RequestClass.Effect;
+import beaconladder.routing.state.RequestClass.Idempotency;
 import beaconladder.routing.state.SampleWindow;
 import beaconladder.routing.state.TrafficStatistics;
 
 /** How long what is worth: when a txn is in time, is released, is given up. */
 record DeadlinePolicy(TrafficStatistics traffic, OutlierDetector health) {
     /** An older answer tells of a load that may be gone. */
-    private static final long RECENT = 3_000 * MS;
+    private static final long RECENT = 3_000 * MILLISECOND;
     /**
      * So much of what is left a host is not told. A router may be held up for 0.15 s between its look at the clock and
      * its write, which is all of the slack that the protocol gives; what a part of a core takes besides has to be
      * covered here.
      */
-    private static final long KEPT_BACK = 50 * MS;
+    private static final long KEPT_BACK = 50 * MILLISECOND;
     /** Of little time no more than this part is kept back. */
     private static final int LEAST_PART = 4;
 
@@ -29,35 +29,35 @@
      * their repeats, what isn't marked is a first try; where they don't, budgets under the SLA time that are more
      * frequent than repeats scatter are of clients that come with little time.
      */
-    long slaEnd(Request txn) {
-        long budget = txn.expiry - txn.arrived;
-        SampleWindow budgets = txn.type.budgets();
-        budgets.add(budget, 0, txn.arrived);
+    long slaEnd(Request request) {
+        long budget = request.expiryNanos - request.arrivedNanos;
+        SampleWindow budgets = request.requestClass.budgets();
+        budgets.add(budget, 0, request.arrivedNanos);
         // Eight samples tell a cluster from scatter; arrivals are read once a tick, so equal budgets spread
         // by one.
-        long first = budgets.densest(8 * MS);
-        boolean marked = traffic.says("clients.marks_retry");
-        boolean usual = budgets.size() < 8 || Math.abs(budget - first) <= 8 * MS;
-        long sla = txn.type.sla();
+        long first = budgets.densestMiddle(8 * MILLISECOND);
+        boolean marked = traffic.isEnabled("clients.marks_retry");
+        boolean usual = budgets.size() < 8 || Math.abs(budget - first) <= 8 * MILLISECOND;
+        long sla = request.requestClass.slaNanos();
         boolean hurried = budget < sla
-                && budgets.between(0, sla) * (first - sla) > 2 * budgets.between(sla, first - 8 * MS) * sla;
-        boolean firstTry = marked ? !txn.repeated : usual || hurried;
+                && budgets.countBetween(0, sla) * (first - sla) > 2 * budgets.countBetween(sla, first - 8 * MILLISECOND) * sla;
+        boolean firstTry = marked ? !request.retriedByClient : usual || hurried;
         long gone = firstTry
                 ? 0
-                : usual ? (long) (sla * traffic.patience.mean() / 1_000) : Math.max(0, txn.type.expiry() - budget);
-        return Math.min(txn.arrived + sla - gone, txn.expiry);
+                : usual ? (long) (sla * traffic.disconnectWaits.mean() / 1_000) : Math.max(0, request.requestClass.timeoutNanos() - budget);
+        return Math.min(request.arrivedNanos + sla - gone, request.expiryNanos);
     }
 
     /**
      * The time within which an answer is of use: the SLA time, or, where many clients leave sooner, what they have
      * lately waited.
      */
-    double aim(Request txn, long now) {
-        long since = now - 10_000 * MS;
+    double aim(Request request, long now) {
+        long since = now - 10_000 * MILLISECOND;
         // A client now and then leaves on any day; three of ten in ten seconds are a habit.
-        return traffic.patience.since(since) >= Math.max(2, 0.3 * traffic.fates.since(since))
-                ? txn.type.sla() * Math.min(1, traffic.patience.mean(since) / 1_000)
-                : txn.type.sla();
+        return traffic.disconnectWaits.countSince(since) >= Math.max(2, 0.3 * traffic.commits.countSince(since))
+                ? request.requestClass.slaNanos() * Math.min(1, traffic.disconnectWaits.mean(since) / 1_000)
+                : request.requestClass.slaNanos();
     }
 
     /**
@@ -66,10 +66,10 @@
      * before its last use at the latest, where slower replicas set that use before the primary's answer: a release
      * after it would never come.
      */
-    long release(Request txn) {
-        Host primary = txn.group.primary;
-        long answer = primary == null || txn.group.times.size() == 0 ? 0 : health.usual(primary) * 3 / 2;
-        return Math.min(Math.min(txn.expiry - txn.type.sla(), txn.slaEnd - answer), lastUse(txn) - round());
+    long release(Request request) {
+        Host primary = request.group.primary;
+        long answer = primary == null || request.group.responseTimes.size() == 0 ? 0 : health.usual(primary) * 3 / 2;
+        return Math.min(Math.min(request.expiryNanos - request.requestClass.slaNanos(), request.slaEndNanos - answer), lastUse(request) - round());
     }
 
     /**
@@ -77,12 +77,12 @@
      * answer that earns a quarter or less is no reason to send, since a fresh txn earns more by the same work. Guards
      * against overload fed by work for nothing.
      */
-    long lastUse(Request txn) {
-        if (txn.type.effect() == Effect.ONCE_ONLY) {
-            return lastSafeUse(txn);
+    long lastUse(Request request) {
+        if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+            return lastSafeUse(request);
         }
-        long end = txn.type.late() > 0.25 ? txn.expiry : txn.slaEnd;
-        return Math.min(end - txn.group.times.quantile(0.4), lastMoment(txn));
+        long end = request.requestClass.lateShare() > 0.25 ? request.expiryNanos : request.slaEndNanos;
+        return Math.min(end - request.group.responseTimes.quantile(0.4), lastMoment(request));
     }
 
     /**
@@ -90,13 +90,13 @@
      * the primary's newest answer counts too, where it is recent: a host that has just become slow shows in no quantile
      * yet. The answer has to be here by the last moment, not by the expiry.
      */
-    private long lastSafeUse(Request txn) {
-        Host primary = txn.group.primary;
-        boolean recent = primary != null && primary.newestAnswerAt >= txn.arrived - RECENT;
-        long answer = Math.max(recent ? primary.newestAnswerTook : 0, txn.group.times.quantile(0.4));
+    private long lastSafeUse(Request request) {
+        Host primary = request.group.primary;
+        boolean recent = primary != null && primary.newestResponseAtNanos >= request.arrivedNanos - RECENT;
+        long answer = Math.max(recent ? primary.newestResponseDurationNanos : 0, request.group.responseTimes.quantile(0.4));
         // Past the time that it is told, a host may drop the write without a word.
-        long last = answer == 0 ? lastMoment(txn) : lastMoment(txn) - KEPT_BACK;
-        return (txn.type.late() > 0.25 ? last : Math.min(txn.slaEnd, last)) - answer;
+        long last = answer == 0 ? lastMoment(request) : lastMoment(request) - KEPT_BACK;
+        return (request.requestClass.lateShare() > 0.25 ? last : Math.min(request.slaEndNanos, last)) - answer;
     }
 
     /**
@@ -104,26 +104,26 @@
      * client may try again: an outage of T so far ends within r with chance r / (T + r), and at under three in ten a
      * late answer isn't worth it. Harm: an outage's end finds fewer of them here.
      */
-    boolean hopeless(Request txn, long now) {
-        Host primary = txn.group.primary;
-        boolean lost = primary == null || !primary.met || health.doubtful(primary, now);
-        long since = primary == null ? txn.group.lostAt : primary.lastHeard;
+    boolean hopeless(Request request, long now) {
+        Host primary = request.group.primary;
+        boolean lost = primary == null || !primary.contacted || health.doubtful(primary, now);
+        long since = primary == null ? request.group.primaryLostNanos : primary.lastResponseNanos;
         return lost
-                && since != UNBOUND
-                && txn.type.read().needsPrimary()
-                && txn.submissions.isEmpty()
-                && now >= half(txn)
-                && now - since > 2.3 * (lastUse(txn) - now);
+                && since != UNSET
+                && request.requestClass.consistency().dependsOnPrimary()
+                && request.attempts.isEmpty()
+                && now >= half(request)
+                && now - since > 2.3 * (lastUse(request) - now);
     }
 
-    private long half(Request txn) {
-        return (txn.arrived + lastMoment(txn)) / 2;
+    private long half(Request request) {
+        return (request.arrivedNanos + lastMoment(request)) / 2;
     }
 
     /** Late answers that earn nothing are not waited for. */
-    long timeout(Request txn, long now) {
-        boolean late = txn.type.late() > 0 || txn.type.effect() != Effect.REPEATABLE;
-        return (late ? lastMoment(txn) : Math.min(txn.slaEnd, lastMoment(txn))) - now;
+    long timeout(Request request, long now) {
+        boolean late = request.requestClass.lateShare() > 0 || request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
+        return (late ? lastMoment(request) : Math.min(request.slaEndNanos, lastMoment(request))) - now;
     }
 
     /** How long a host is told that its answer is waited for, where so much is left of the attempt's time. */
@@ -136,17 +136,17 @@
     }
 
     /** Two ticks (10 ms) before the expiry: on a busy core timers and threads were seen 7 ms late at most. */
-    private long lastMoment(Request txn) {
-        return txn.expiry - 2 * round();
+    private long lastMoment(Request request) {
+        return request.expiryNanos - 2 * round();
     }
 
-    long nextLook(Request txn, long now) {
-        long look = lastUse(txn);
-        for (long moment : new long[] {release(txn), half(txn)}) {
+    long nextLook(Request request, long now) {
+        long look = lastUse(request);
+        for (long moment : new long[] {release(request), half(request)}) {
             look = now < moment ? Math.min(look, moment) : look;
         }
         // Draws for doubtful hosts and the budget of cold ones change with time alone.
-        long soon = txn.want == Request.Want.NOTHING ? 100 * MS : OutlierDetector.MUTE;
-        return Math.max(now + 5 * MS, Math.min(look, now + soon));
+        long soon = request.probeNeed == Request.ProbeNeed.NONE ? 100 * MILLISECOND : OutlierDetector.MUTE;
+        return Math.max(now + 5 * MILLISECOND, Math.min(look, now + soon));
     }
 }
--- a/src/main/java/beaconladder/routing/DispatchGuard.java
+++ b/src/main/java/beaconladder/routing/DispatchGuard.java
@@ -11,29 +11,29 @@
  */
 record DispatchGuard(RetryGuard repeats, ReadPositions targets) {
     DispatchCheck check(Attempt attempt, long now) {
-        Request txn = attempt.txn;
+        Request request = attempt.request;
         Host host = attempt.host;
-        if (txn.ended) {
+        if (request.ended) {
             return DispatchCheck.REQUEST_ENDED;
         }
-        if (now >= txn.expiry) {
+        if (now >= request.expiryNanos) {
             return DispatchCheck.EXPIRED;
         }
         if (host.state != Host.State.READY) {
             return DispatchCheck.HOST_LEAVING;
         }
-        if (host.launched != attempt.hostLaunched) {
+        if (host.launchedNanos != attempt.hostLaunchedNanos) {
             return DispatchCheck.HOST_RESTARTED;
         }
-        if (!repeats.allows(txn, attempt, now)) {
+        if (!repeats.allows(request, attempt, now)) {
             return DispatchCheck.MAY_HAVE_RUN;
         }
         if (host == host.group.primary) {
             return DispatchCheck.ALLOWED;
         }
-        if (txn.type.read().atPrimary()) {
+        if (request.requestClass.consistency().requiresPrimary()) {
             return DispatchCheck.NOT_PRIMARY;
         }
-        return host.position >= targets.target(txn, now) ? DispatchCheck.ALLOWED : DispatchCheck.POSITION_BEHIND;
+        return host.position >= targets.target(request, now) ? DispatchCheck.ALLOWED : DispatchCheck.POSITION_BEHIND;
     }
 }
--- a/src/main/java/beaconladder/routing/HealthCheckScheduler.java
+++ b/src/main/java/beaconladder/routing/HealthCheckScheduler.java
@@ -1,13 +1,13 @@
 package beaconladder.routing;
 
-import static beaconladder.routing.state.TrafficStatistics.MS;
+import static beaconladder.routing.state.TrafficStatistics.MILLISECOND;
 import static beaconladder.routing.state.TrafficStatistics.NEVER;
-import static beaconladder.routing.state.TrafficStatistics.UNBOUND;
+import static beaconladder.routing.state.TrafficStatistics.UNSET;
 
 import beaconladder.routing.state.Group;
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
-import beaconladder.routing.state.RequestClass.Read;
+import beaconladder.routing.state.RequestClass.Consistency;
 import beaconladder.routing.state.TrafficStatistics;
 import beaconladder.routing.state.WakeupQueue;
 import java.util.ArrayList;
@@ -33,30 +33,30 @@
      */
     List<Host> probes(long now) {
         List<Host> ask = new ArrayList<>();
-        agenda.probe = NEVER;
-        for (Group group : agenda.holding()) {
+        agenda.nextProbeNanos = NEVER;
+        for (Group group : agenda.groupsWithQueued()) {
             int due = -1;
-            for (Request txn : group.held) {
-                if (txn.want == Request.Want.NOTHING || !choice.mayAsk(txn)) {
+            for (Request request : group.queued) {
+                if (request.probeNeed == Request.ProbeNeed.NONE || !choice.mayAsk(request)) {
                     continue;
                 }
-                long from = askFrom(txn);
+                long from = askFrom(request);
                 if (now < from) {
-                    agenda.probe = Math.min(agenda.probe, from);
+                    agenda.nextProbeNanos = Math.min(agenda.nextProbeNanos, from);
                     continue;
                 }
                 // As many at once as a tenth of its value pays for, since one or two that answer are enough.
-                double tenth = 0.1 * worth.of(txn, now);
-                int pays = (int) Math.max(1, Math.min(4, tenth / traffic.topValue / worth.fee("fees.probe")));
+                double tenth = 0.1 * worth.of(request, now);
+                int pays = (int) Math.max(1, Math.min(4, tenth / traffic.maxWeight / worth.fee("fees.probe")));
                 due = due < 0 ? answersDue(group, now) : due;
-                for (Host host : candidates(txn, now)) {
+                for (Host host : candidates(request, now)) {
                     if (due >= pays) {
                         break;
                     }
-                    if (probe(host, every(host, txn, now), ask, now)) {
+                    if (probe(host, every(host, request, now), ask, now)) {
                         due++;
-                        txn.asked++;
-                        txn.askedAt = now;
+                        request.probesSent++;
+                        request.lastProbeNanos = now;
                     }
                 }
             }
@@ -67,40 +67,40 @@
     private int answersDue(Group group, long now) {
         int due = 0;
         for (Host host : group.members) {
-            due += host.probeOut && !health.mute(host, now) ? 1 : 0;
+            due += host.probeInFlight && !health.mute(host, now) ? 1 : 0;
         }
         return due;
     }
 
     /** When this txn may ask again: its first two probes at once, the rest an SLA time for all. */
-    private long askFrom(Request txn) {
-        if (txn.asked >= 2) {
-            return txn.askedAt + txn.type.sla() / worth.budget(txn);
+    private long askFrom(Request request) {
+        if (request.probesSent >= 2) {
+            return request.lastProbeNanos + request.requestClass.slaNanos() / worth.budget(request);
         }
         // Before a healthy replica's report can show the session's write there is nothing to learn.
-        return txn.type.read() != Read.SESSION || txn.target == UNBOUND || traffic.stale.size() < 4
-                ? txn.arrived
-                : clock.moment(txn.target) + Math.min(OutlierDetector.YOUNG, traffic.stale.quantile(0.5));
+        return request.requestClass.consistency() != Consistency.SESSION || request.sessionTarget == UNSET || traffic.reportedLags.size() < 4
+                ? request.arrivedNanos
+                : clock.moment(request.sessionTarget) + Math.min(OutlierDetector.YOUNG, traffic.reportedLags.quantile(0.5));
     }
 
-    private List<Host> candidates(Request txn, long now) {
+    private List<Host> candidates(Request request, long now) {
         List<Host> of = new ArrayList<>();
-        Group group = txn.group;
-        boolean toPrimary = txn.want == Request.Want.PRIMARY;
+        Group group = request.group;
+        boolean toPrimary = request.probeNeed == Request.ProbeNeed.PRIMARY;
         if (toPrimary
                 && group.primary != null
                 && group.primary.state == Host.State.READY
-                && !group.primary.probeOut
+                && !group.primary.probeInFlight
                 && !health.doubtful(group.primary, now)) {
             return List.of(group.primary);
         }
         for (Host host : group.members) {
             if (host.state == Host.State.READY
-                    && !host.probeOut
+                    && !host.probeInFlight
                     && (toPrimary || host != group.primary)
                     // One that has just spoken has told what it can, but for a position not there yet.
-                    && (host.saidAt < Math.max(now - OutlierDetector.YOUNG, toPrimary ? group.lostAt : UNBOUND)
-                            || !toPrimary && host.position < targets.target(txn, now))) {
+                    && (host.lastReportNanos < Math.max(now - OutlierDetector.YOUNG, toPrimary ? group.primaryLostNanos : UNSET)
+                            || !toPrimary && host.position < targets.target(request, now))) {
                 of.add(host);
             }
         }
@@ -109,28 +109,28 @@
         for (int i = of.size() - 1; i > 0; i--) {
             java.util.Collections.swap(of, i, chance.nextInt(i + 1));
         }
-        of.sort(Comparator.comparingLong(h -> h.lag / (1_000 * MS)));
+        of.sort(Comparator.comparingLong(h -> h.lagNanos / (1_000 * MILLISECOND)));
         return of;
     }
 
     /** How long a member is left alone after a probe: longer after failures, and while it must be behind. */
-    private long every(Host host, Request txn, long now) {
-        long failed = host.ends.since(host.lastHeard) - host.ends.sumSince(host.lastHeard);
-        long target = targets.target(txn, now);
-        long lacks = txn.want == Request.Want.PRIMARY || host.position == UNBOUND || target == UNBOUND
+    private long every(Host host, Request request, long now) {
+        long failed = host.responses.countSince(host.lastResponseNanos) - host.responses.sumSince(host.lastResponseNanos);
+        long target = targets.target(request, now);
+        long lacks = request.probeNeed == Request.ProbeNeed.PRIMARY || host.position == UNSET || target == UNSET
                 ? 0
                 : (target - host.position) / 2;
-        return Math.max(Math.min(2_000 * MS, 100 * MS << Math.min(5, failed)), Math.min(1_000 * MS, lacks));
+        return Math.max(Math.min(2_000 * MILLISECOND, 100 * MILLISECOND << Math.min(5, failed)), Math.min(1_000 * MILLISECOND, lacks));
     }
 
     /** Reports are refreshed every 50 to 250 ms, so asking more often than each 100 ms brings little. */
     private boolean probe(Host host, long every, List<Host> ask, long now) {
-        if (host.probeSent != UNBOUND && now < host.probeSent + every) {
-            agenda.probe = Math.min(agenda.probe, host.probeSent + every);
+        if (host.lastProbeNanos != UNSET && now < host.lastProbeNanos + every) {
+            agenda.nextProbeNanos = Math.min(agenda.nextProbeNanos, host.lastProbeNanos + every);
             return false;
         }
-        host.probeOut = true;
-        host.probeSent = now;
+        host.probeInFlight = true;
+        host.lastProbeNanos = now;
         ask.add(host);
         return true;
     }
--- a/src/main/java/beaconladder/routing/PriorityWeights.java
+++ b/src/main/java/beaconladder/routing/PriorityWeights.java
@@ -6,8 +6,8 @@
 
 /** What txns and questions are worth, by the prices and the goal that are stated. */
 record PriorityWeights(TrafficStatistics traffic) {
-    int budget(Request txn) {
-        double pays = 0.15 * txn.type.value() / (fee("fees.probe") * traffic.meanValue());
+    int budget(Request request) {
+        double pays = 0.15 * request.requestClass.weight() / (fee("fees.probe") * traffic.meanWeight());
         return (int) Math.max(1, Math.min(1_000, pays));
     }
 
@@ -26,19 +26,19 @@
      * another of higher value; harm: a type that nobody can serve still goes first, at no cost to the hosts.
      */
     double[] weights() {
-        double[] weights = new double[traffic.types.size()];
-        double asked = Math.max(1, traffic.asked());
-        double worst = traffic.types.stream()
-                .filter(type -> type.served().size() >= 8)
-                .mapToDouble(type -> type.served().mean())
+        double[] weights = new double[traffic.requestClasses.size()];
+        double asked = Math.max(1, traffic.recentWeight());
+        double worst = traffic.requestClasses.stream()
+                .filter(type -> type.slaResults().size() >= 8)
+                .mapToDouble(type -> type.slaResults().mean())
                 .min()
                 .orElse(1);
-        for (RequestClass type : traffic.types) {
-            double part = Math.max(0.05, traffic.mix.count(type.place()) * type.value() / asked);
+        for (RequestClass type : traffic.requestClasses) {
+            double part = Math.max(0.05, traffic.recentClasses.count(type.index()) * type.weight() / asked);
             // Within a tenth of the worst a type may be the worst one soon: samples of 64 are as rough as
             // that.
-            boolean behind = type.served().size() >= 8 && type.served().mean() <= worst + 0.1;
-            weights[type.place()] = goal("whole") + (behind ? goal("worst_class") / part : 0);
+            boolean behind = type.slaResults().size() >= 8 && type.slaResults().mean() <= worst + 0.1;
+            weights[type.index()] = goal("whole") + (behind ? goal("worst_class") / part : 0);
         }
         return weights;
     }
@@ -48,8 +48,8 @@
     }
 
     /** What an answer would still earn. */
-    double of(Request txn, long now) {
-        return now < txn.slaEnd ? txn.type.value() : txn.type.value() * txn.type.late();
+    double of(Request request, long now) {
+        return now < request.slaEndNanos ? request.requestClass.weight() : request.requestClass.weight() * request.requestClass.lateShare();
     }
 
     /** A price, as a share of a txn; never quite nothing. */
--- a/src/main/java/beaconladder/routing/ReplicaSelector.java
+++ b/src/main/java/beaconladder/routing/ReplicaSelector.java
@@ -2,7 +2,7 @@
 
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
-import beaconladder.routing.state.RequestClass.Read;
+import beaconladder.routing.state.RequestClass.Consistency;
 import beaconladder.routing.state.TrafficStatistics;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,38 +19,38 @@
         PriorityWeights worth,
         SplittableRandom chance) {
     /** The host that gets this txn now, or null: it waits. */
-    Host choose(Request txn, long now) {
-        if (txn.type.read().atPrimary()) {
-            return primaryFor(txn, now);
+    Host choose(Request request, long now) {
+        if (request.requestClass.consistency().requiresPrimary()) {
+            return primaryFor(request, now);
         }
-        Host replica = replicaFor(txn, now);
-        if (replica == null && now >= times.release(txn) && !targets.anyFresh(txn, now) && !txn.group.holdsWrite()) {
-            return primaryFor(txn, now);
+        Host replica = replicaFor(request, now);
+        if (replica == null && now >= times.release(request) && !targets.anyFresh(request, now) && !request.group.hasQueuedWrite()) {
+            return primaryFor(request, now);
         }
         return replica;
     }
 
     /** The design's two-choice pick among the replicas known to meet the target. */
-    private Host replicaFor(Request txn, long now) {
-        long target = targets.target(txn, now);
+    private Host replicaFor(Request request, long now) {
+        long target = targets.target(request, now);
         List<Host> fit = new ArrayList<>();
-        for (Host host : txn.group.members) {
+        for (Host host : request.group.members) {
             if (targets.fresh(host, target)
-                    && !txn.outAt(host)
-                    && room.roomFor(host, txn, now)
+                    && !request.isInFlightAt(host)
+                    && room.roomFor(host, request, now)
                     && slowStart.allows(host, now)
                     && health.trusted(host, now)) {
                 fit.add(host);
             }
         }
-        if (mayAsk(txn)) {
+        if (mayAsk(request)) {
             if (fit.isEmpty()) {
-                txn.want = Request.Want.MEMBER;
+                request.probeNeed = Request.ProbeNeed.REPLICA;
             } else if (worth.worthAsking()) {
                 List<Host> young = new ArrayList<>(fit);
                 young.removeIf(host -> !health.informed(host, now));
-                if (young.size() < 2 && answerDue(txn, txn.asked < 2 || young.isEmpty(), now)) {
-                    txn.want = Request.Want.MEMBER;
+                if (young.size() < 2 && answerDue(request, request.probesSent < 2 || young.isEmpty(), now)) {
+                    request.probeNeed = Request.ProbeNeed.REPLICA;
                     return null;
                 }
                 fit = young.isEmpty() ? fit : young;
@@ -65,12 +65,12 @@
         Host b = fit.get(j >= i ? j + 1 : j);
         // A member too far behind for bounded reads is of use for any reads alone, and those leave the others
         // to the reads that need them, and to catching up.
-        if (txn.type.read() == Read.ANY && room.farBehind(a) != room.farBehind(b)) {
+        if (request.requestClass.consistency() == Consistency.ANY && room.farBehind(a) != room.farBehind(b)) {
             return room.farBehind(a) ? a : b;
         }
         boolean said = health.said(a, now) && health.said(b, now);
-        double busyA = said ? (a.load() + 1) / health.success(a, now) : a.out.size();
-        double busyB = said ? (b.load() + 1) / health.success(b, now) : b.out.size();
+        double busyA = said ? (a.load() + 1) / health.success(a, now) : a.inFlight.size();
+        double busyB = said ? (b.load() + 1) / health.success(b, now) : b.inFlight.size();
         if (busyA == busyB) {
             // A tie of the design's pick goes to the nearer one, as crossing zones has its price.
             return b.zone == (int) traffic.number("my_zone", 0) ? b : a;
@@ -79,14 +79,14 @@
     }
 
     /** Whether an answer to a probe is under way, or, if more may be asked, a member is there to ask. */
-    private boolean answerDue(Request txn, boolean more, long now) {
-        for (Host host : txn.group.members) {
+    private boolean answerDue(Request request, boolean more, long now) {
+        for (Host host : request.group.members) {
             if (host.state == Host.State.READY
-                    && host != txn.group.primary
+                    && host != request.group.primary
                     && !health.informed(host, now)
-                    && (host.probeOut
+                    && (host.probeInFlight
                             ? !health.mute(host, now)
-                            : more && now >= host.probeSent + OutlierDetector.YOUNG / 3)) {
+                            : more && now >= host.lastProbeNanos + OutlierDetector.YOUNG / 3)) {
                 return true;
             }
         }
@@ -94,29 +94,29 @@
     }
 
     /** A held txn pays for as many probes as a seventh of its value buys, one at the least. */
-    boolean mayAsk(Request txn) {
-        return txn.out() == 0 && txn.asked < worth.budget(txn) && traffic.probesAllowed();
+    boolean mayAsk(Request request) {
+        return request.attemptsInFlight() == 0 && request.probesSent < worth.budget(request) && traffic.probesAllowed();
     }
 
-    private Host primaryFor(Request txn, long now) {
-        Host primary = txn.group.primary;
+    private Host primaryFor(Request request, long now) {
+        Host primary = request.group.primary;
         if (primary == null
                 || primary.state != Host.State.READY
-                || !primary.met && traffic.probesAllowed()
+                || !primary.contacted && traffic.probesAllowed()
                 || !health.trusted(primary, now)) {
-            txn.want = mayAsk(txn) ? Request.Want.PRIMARY : Request.Want.NOTHING;
+            request.probeNeed = mayAsk(request) ? Request.ProbeNeed.PRIMARY : Request.ProbeNeed.NONE;
             return null;
         }
         // An answer not heard may have denied it, and counts as known; a write learns that by a miss.
-        boolean denied = txn.type.read() != Read.WRITE && targets.mayHaveDenied(primary);
-        if (denied || !health.informed(primary, now) && mayAsk(txn) && worth.worthAsking()) {
-            txn.want = mayAsk(txn) ? Request.Want.PRIMARY : Request.Want.NOTHING;
+        boolean denied = request.requestClass.consistency() != Consistency.WRITE && targets.mayHaveDenied(primary);
+        if (denied || !health.informed(primary, now) && mayAsk(request) && worth.worthAsking()) {
+            request.probeNeed = mayAsk(request) ? Request.ProbeNeed.PRIMARY : Request.ProbeNeed.NONE;
             return null;
         }
-        if (txn.outAt(primary) || !room.roomFor(primary, txn, now)) {
+        if (request.isInFlightAt(primary) || !room.roomFor(primary, request, now)) {
             return null;
         }
-        slowStart.drawForPrimary(txn, primary, now);
+        slowStart.drawForPrimary(request, primary, now);
         return slowStart.allows(primary, now) ? primary : null;
     }
 }
--- a/src/main/java/beaconladder/routing/RetryGuard.java
+++ b/src/main/java/beaconladder/routing/RetryGuard.java
@@ -9,13 +9,13 @@
      * Whether this attempt may go, or, without one, a further attempt may be decided. A referenced txn is judged by
      * when its first attempt that may have run was decided, which is no later than when it ran.
      */
-    boolean allows(Request txn, Attempt attempt, long now) {
-        Attempt ran = txn.mayHaveRunBefore(attempt);
-        return ran == null
-                || switch (txn.type.effect()) {
-                    case REPEATABLE -> true;
-                    case REFERENCED -> now - ran.sent < txn.type.memory();
-                    case ONCE_ONLY -> false;
+    boolean allows(Request request, Attempt attempt, long now) {
+        Attempt possiblyExecuted = request.firstPossiblyExecutedExcept(attempt);
+        return possiblyExecuted == null
+                || switch (request.requestClass.idempotency()) {
+                    case IDEMPOTENT -> true;
+                    case WITH_KEY -> now - possiblyExecuted.sentNanos < request.requestClass.keyTtlNanos();
+                    case NON_IDEMPOTENT -> false;
                 };
     }
 }
--- a/src/main/java/beaconladder/routing/RetryPolicy.java
+++ b/src/main/java/beaconladder/routing/RetryPolicy.java
@@ -4,38 +4,38 @@
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Request;
 import beaconladder.routing.state.RequestClass;
-import beaconladder.routing.state.RequestClass.Effect;
+import beaconladder.routing.state.RequestClass.Idempotency;
 import beaconladder.routing.state.TrafficStatistics;
 import java.util.List;
 
 /** How many submissions a txn gets, and how it ends without a commit. */
 record RetryPolicy(TrafficStatistics traffic) {
     /** Further submissions go by value: one for the least, four for the most. */
-    int mostSubmissions(Request txn) {
+    int mostSubmissions(Request request) {
         int most = (int) traffic.number("limits.max_attempts", 1);
-        return Math.min(most, 2 + (int) Math.round(3 * txn.type.value() / traffic.topValue));
+        return Math.min(most, 2 + (int) Math.round(3 * request.requestClass.weight() / traffic.maxWeight));
     }
 
-    RoutingDecision giveUp(Request txn, RoutingDecision.Reason reason, long now) {
-        traffic.served(txn, false);
-        traffic.failed(txn, now);
-        Attempt ran = txn.mayHaveRun();
-        Effect effect = txn.type.effect();
-        if (ran == null
-                || effect == Effect.REPEATABLE
-                || effect == Effect.REFERENCED && txn.type.scope() == RequestClass.Scope.ALL) {
-            long advice = traffic.says("limits.retry_after")
-                    ? Math.min(traffic.micros("limits.max_retry_after_us"), txn.type.sla())
+    RoutingDecision giveUp(Request request, RoutingDecision.Reason reason, long now) {
+        traffic.recordSlaResult(request, false);
+        traffic.recordFailure(request, now);
+        Attempt possiblyExecuted = request.firstPossiblyExecuted();
+        Idempotency effect = request.requestClass.idempotency();
+        if (possiblyExecuted == null
+                || effect == Idempotency.IDEMPOTENT
+                || effect == Idempotency.WITH_KEY && request.requestClass.deduplicationScope() == RequestClass.DeduplicationScope.ALL) {
+            long advice = traffic.isEnabled("limits.retry_after")
+                    ? Math.min(traffic.nanosOf("limits.max_retry_after_us"), request.requestClass.slaNanos())
                     : 0;
-            return RoutingDecision.decline(advice, reason);
+            return RoutingDecision.reject(advice, reason);
         }
         return RoutingDecision.rollBack(reason);
     }
 
     /** Copies that are out when the answer is there are called off. */
-    List<Attempt> othersOut(Request txn) {
-        return traffic.says("limits.cancel")
-                ? txn.submissions.stream().filter(s -> !s.ended).toList()
+    List<Attempt> othersOut(Request request) {
+        return traffic.isEnabled("limits.cancel")
+                ? request.attempts.stream().filter(attempt -> !attempt.ended).toList()
                 : List.of();
     }
 }
--- a/src/main/java/beaconladder/routing/RoutingPolicy.java
+++ b/src/main/java/beaconladder/routing/RoutingPolicy.java
@@ -1,18 +1,18 @@
 package beaconladder.routing;
 
-import static beaconladder.routing.state.TrafficStatistics.MS;
+import static beaconladder.routing.state.TrafficStatistics.MILLISECOND;
 
 import beaconladder.routing.api.DispatchCheck;
 import beaconladder.routing.api.NextWakeup;
 import beaconladder.routing.api.Router;
 import beaconladder.routing.api.Router.Outcome;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
 import beaconladder.routing.state.RequestClass;
-import beaconladder.routing.state.RequestClass.Effect;
+import beaconladder.routing.state.RequestClass.Idempotency;
 import beaconladder.routing.state.SlowStartTicket;
 import beaconladder.routing.state.TrafficStatistics;
 import beaconladder.routing.state.WakeupQueue;
@@ -36,7 +36,7 @@
  */
 public final class RoutingPolicy implements Router {
     /** A lack on this machine meets all hosts alike, and ends within milliseconds or not soon. */
-    private static final long LOCAL_FAULT_REST = 20 * MS;
+    private static final long LOCAL_FAULT_REST = 20 * MILLISECOND;
 
     private final WakeupQueue agenda = new WakeupQueue();
     /** Hosts with connections that this router will hardly use again soon. */
@@ -73,177 +73,177 @@
     }
 
     @Override
-    public void listed(Host host, boolean leader, Host.State state, long launched, long now) {
+    public void updateHost(Host host, boolean leader, Host.State state, long launched, long now) {
         record.listed(host, leader, state, launched, now);
     }
 
     @Override
-    public boolean forget(Host host, long now) {
+    public boolean removeHost(Host host, long now) {
         return record.forget(host, now);
     }
 
     @Override
-    public void probed(Host host, Outcome outcome, Word report, long now) {
+    public void onHealthCheckEnded(Host host, Outcome outcome, HostReport report, long now) {
         record.probed(host, outcome, report, now);
     }
 
     @Override
-    public RequestClass type(int place) {
-        return traffic.types.get(place);
+    public RequestClass requestClass(int place) {
+        return traffic.requestClasses.get(place);
     }
 
     @Override
-    public RoutingDecision place(Request txn, long now) {
-        if (!txn.known) {
-            txn.known = true;
-            txn.target = targets.sessionTarget(txn, now);
-            txn.slaEnd = times.slaEnd(txn);
-            traffic.comes(txn.type);
-            txn.group.comes.add(0, 0, now);
-            slowStart.drawTickets(txn.group, now);
+    public RoutingDecision route(Request request, long now) {
+        if (!request.registered) {
+            request.registered = true;
+            request.sessionTarget = targets.sessionTarget(request, now);
+            request.slaEndNanos = times.slaEnd(request);
+            traffic.recordArrival(request.requestClass);
+            request.group.arrivals.add(0, 0, now);
+            slowStart.drawTickets(request.group, now);
         }
-        agenda.drop(txn);
-        RoutingDecision verdict = decide(txn, now);
-        if (verdict.step() == RoutingDecision.Step.SEND) {
-            verdict.host().sentAt = now;
-            boolean spent = verdict.host().tickets.pollFirst() != null;
-            targets.sent(txn);
-            agenda.schedule(txn, now + health.usual(verdict.host()));
-            if (slowStart.cold(verdict.host(), now)) {
-                return verdict.with(spent ? SlowStartTicket.SPENT : SlowStartTicket.MISSING);
+        agenda.remove(request);
+        RoutingDecision decision = decide(request, now);
+        if (decision.step() == RoutingDecision.Step.SEND) {
+            decision.host().lastSentNanos = now;
+            boolean spent = decision.host().slowStartTickets.pollFirst() != null;
+            targets.sent(request);
+            agenda.schedule(request, now + health.usual(decision.host()));
+            if (slowStart.cold(decision.host(), now)) {
+                return decision.withTicket(spent ? SlowStartTicket.USED : SlowStartTicket.MISSING);
             }
         }
-        return verdict;
+        return decision;
     }
 
-    private RoutingDecision decide(Request txn, long now) {
-        int out = txn.out();
-        if (!repeats.allows(txn, null, now)) {
+    private RoutingDecision decide(Request request, long now) {
+        int out = request.attemptsInFlight();
+        if (!repeats.allows(request, null, now)) {
             return out > 0 ? RoutingDecision.waiting() : RoutingDecision.rollBack(RoutingDecision.Reason.MAY_HAVE_RUN);
         }
         if (out > 0) {
-            return copy(txn, now);
+            return copy(request, now);
         }
-        RoutingDecision.Reason end = txn.submissions.size() - txn.localFaults >= ends.mostSubmissions(txn)
+        RoutingDecision.Reason end = request.attempts.size() - request.localFaults >= ends.mostSubmissions(request)
                 ? RoutingDecision.Reason.ATTEMPTS_USED
-                : now >= times.lastUse(txn)
+                : now >= times.lastUse(request)
                         ? RoutingDecision.Reason.NO_TIME
-                        : times.hopeless(txn, now) ? RoutingDecision.Reason.PRIMARY_LOST : RoutingDecision.Reason.NONE;
+                        : times.hopeless(request, now) ? RoutingDecision.Reason.PRIMARY_LOST : RoutingDecision.Reason.NONE;
         if (end != RoutingDecision.Reason.NONE) {
-            return ends.giveUp(txn, end, now);
+            return ends.giveUp(request, end, now);
         }
-        txn.want = Request.Want.NOTHING;
-        if (now < txn.retryAt) {
-            agenda.hold(txn);
-            agenda.schedule(txn, txn.retryAt);
+        request.probeNeed = Request.ProbeNeed.NONE;
+        if (now < request.retryNotBeforeNanos) {
+            agenda.enqueue(request);
+            agenda.schedule(request, request.retryNotBeforeNanos);
             return RoutingDecision.waiting();
         }
-        Host host = choice.choose(txn, now);
+        Host host = choice.choose(request, now);
         if (host != null) {
-            return RoutingDecision.send(host, times.timeout(txn, now));
+            return RoutingDecision.send(host, times.timeout(request, now));
         }
-        agenda.hold(txn);
-        agenda.schedule(txn, times.nextLook(txn, now));
+        agenda.enqueue(request);
+        agenda.schedule(request, times.nextLook(request, now));
         return RoutingDecision.waiting();
     }
 
     /** A repeatable txn that is out at hosts gone silent gets a second copy elsewhere. */
-    private RoutingDecision copy(Request txn, long now) {
-        if (txn.type.effect() != Effect.REPEATABLE
-                || !traffic.says("limits.second_copies")
-                || txn.submissions.size() >= ends.mostSubmissions(txn)
-                || now >= times.lastUse(txn)) {
+    private RoutingDecision copy(Request request, long now) {
+        if (request.requestClass.idempotency() != Idempotency.IDEMPOTENT
+                || !traffic.isEnabled("limits.second_copies")
+                || request.attempts.size() >= ends.mostSubmissions(request)
+                || now >= times.lastUse(request)) {
             return RoutingDecision.waiting();
         }
-        for (Attempt s : txn.submissions) {
-            if (!s.ended && !health.doubtful(s.host, now)) {
-                agenda.schedule(txn, now + health.usual(s.host));
+        for (Attempt attempt : request.attempts) {
+            if (!attempt.ended && !health.doubtful(attempt.host, now)) {
+                agenda.schedule(request, now + health.usual(attempt.host));
                 return RoutingDecision.waiting();
             }
         }
-        Host host = choice.choose(txn, now);
+        Host host = choice.choose(request, now);
         if (host != null) {
-            return RoutingDecision.send(host, times.timeout(txn, now));
+            return RoutingDecision.send(host, times.timeout(request, now));
         }
-        agenda.schedule(txn, now + 50 * MS);
+        agenda.schedule(request, now + 50 * MILLISECOND);
         return RoutingDecision.waiting();
     }
 
     @Override
-    public DispatchCheck mayGo(Attempt s, long now) {
-        return sends.check(s, now);
+    public DispatchCheck checkDispatch(Attempt attempt, long now) {
+        return sends.check(attempt, now);
     }
 
     /** A second less than the stated time: a host's clock of idleness runs from an earlier byte than ours. */
     @Override
-    public long keepIdle() {
-        return Math.max(0, traffic.micros("limits.conn_idle_us") - 1_000 * MS);
+    public long maxIdleNanos() {
+        return Math.max(0, traffic.nanosOf("limits.conn_idle_us") - 1_000 * MILLISECOND);
     }
 
     @Override
-    public long toldTime(long left) {
+    public long advertisedTimeoutNanos(long left) {
         return times.toldTime(left);
     }
 
     @Override
-    public RoutingDecision after(Attempt s, Outcome outcome, boolean settled, Word answer, Word report, long now) {
-        record.ended(s, outcome, answer, report, now);
-        Request txn = s.txn;
+    public RoutingDecision onAttemptEnded(Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
+        record.ended(attempt, outcome, answer, report, now);
+        Request request = attempt.request;
         if (outcome == Outcome.LOCAL_FAULT) {
-            txn.localFaults++;
-            txn.retryAt = now + LOCAL_FAULT_REST;
+            request.localFaults++;
+            request.retryNotBeforeNanos = now + LOCAL_FAULT_REST;
         }
-        if (txn.ended) {
+        if (request.ended) {
             return RoutingDecision.waiting();
         }
         if (settled) {
-            agenda.drop(txn);
-            traffic.served(txn, outcome == Outcome.COMMITTED && now <= txn.slaEnd);
-            slowStart.ended(s, outcome == Outcome.COMMITTED, now);
-            return RoutingDecision.done(ends.othersOut(txn));
+            agenda.remove(request);
+            traffic.recordSlaResult(request, outcome == Outcome.COMMITTED && now <= request.slaEndNanos);
+            slowStart.ended(attempt, outcome == Outcome.COMMITTED, now);
+            return RoutingDecision.done(ends.othersOut(request));
         }
-        return place(txn, now);
+        return route(request, now);
     }
 
     @Override
-    public RoutingDecision left(Request txn, long now) {
-        agenda.drop(txn);
-        traffic.patience.add((now - txn.arrived) * 1_000 / txn.type.sla(), 0, now);
-        traffic.failed(txn, now);
+    public RoutingDecision onClientDisconnected(Request request, long now) {
+        agenda.remove(request);
+        traffic.disconnectWaits.add((now - request.arrivedNanos) * 1_000 / request.requestClass.slaNanos(), 0, now);
+        traffic.recordFailure(request, now);
         // Work for a client that has gone keeps the next one waiting.
-        return RoutingDecision.done(ends.othersOut(txn));
+        return RoutingDecision.done(ends.othersOut(request));
     }
 
     /** What may have run is waited for, as rule 2 has it, and never sent again: it would run in two places. */
     @Override
-    public RoutingDecision displaced(Request txn, long now) {
-        agenda.drop(txn);
-        Attempt ran = txn.mayHaveRun();
-        if (txn.out() > 0) {
+    public RoutingDecision onAdmissionLost(Request request, long now) {
+        agenda.remove(request);
+        Attempt possiblyExecuted = request.firstPossiblyExecuted();
+        if (request.attemptsInFlight() > 0) {
             return RoutingDecision.waiting();
         }
-        traffic.served(txn, false);
-        traffic.failed(txn, now);
-        return ran == null || txn.type.effect() == Effect.REPEATABLE
-                ? RoutingDecision.decline(0, RoutingDecision.Reason.NOT_ADMITTED)
+        traffic.recordSlaResult(request, false);
+        traffic.recordFailure(request, now);
+        return possiblyExecuted == null || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                ? RoutingDecision.reject(0, RoutingDecision.Reason.NOT_ADMITTED)
                 : RoutingDecision.rollBack(RoutingDecision.Reason.NOT_ADMITTED);
     }
 
     @Override
-    public NextWakeup pause(long now) {
-        Set<Request> again = agenda.due(now);
-        agenda.changed().forEach(group -> again.addAll(group.held));
+    public NextWakeup nextWakeup(long now) {
+        Set<Request> again = agenda.takeDue(now);
+        agenda.takeChanged().forEach(group -> again.addAll(group.queued));
         List<Request> order = new ArrayList<>(again);
         double[] weights = order.size() < 2 ? new double[0] : worth.weights();
         // Of equal worth the one with most time left goes first: with more work than room, the oldest first
         // would have each txn served when it is nearly too late, and many when it is.
-        order.sort(Comparator.<Request>comparingDouble(t -> -worth.of(t, now) * weights[t.type.place()])
-                .thenComparingLong(t -> -t.slaEnd)
-                .thenComparingLong(t -> t.number));
+        order.sort(Comparator.<Request>comparingDouble(request -> -worth.of(request, now) * weights[request.requestClass.index()])
+                .thenComparingLong(request -> -request.slaEndNanos)
+                .thenComparingLong(request -> request.sequenceNumber));
         List<Host> probes = probing.probes(now);
         List<Host> close = new ArrayList<>(idle);
         idle.clear();
-        close.removeIf(host -> !host.out.isEmpty());
-        return new NextWakeup(agenda.next(), probes, order, close);
+        close.removeIf(host -> !host.inFlight.isEmpty());
+        return new NextWakeup(agenda.nextWakeupNanos(), probes, order, close);
     }
 }
--- a/src/main/java/beaconladder/routing/SlowStart.java
+++ b/src/main/java/beaconladder/routing/SlowStart.java
@@ -1,6 +1,6 @@
 package beaconladder.routing;
 
-import static beaconladder.routing.state.TrafficStatistics.MS;
+import static beaconladder.routing.state.TrafficStatistics.MILLISECOND;
 
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
@@ -12,7 +12,7 @@
 
 /** What a host that has just started may be sent, over all routers. */
 record SlowStart(TrafficStatistics traffic, ClusterClock clock, SplittableRandom chance) {
-    private static final long RECENT = 10_000 * MS;
+    private static final long RECENT = 10_000 * MILLISECOND;
     /** Two fifths of the stated multiple leave room for chance and for tickets of two windows. */
     private static final double SAFE = 0.4;
     /** Where the members that are warm have to bear more than they did, so does a cold one, up to this. */
@@ -42,43 +42,43 @@
      * chance raised by how many come in for each of them: over all, the same number of tickets. What waited for a lost
      * primary draws as if all needed it, so that its return meets no burst.
      */
-    void drawForPrimary(Request txn, Host primary, long now) {
-        if (txn.drew || !cold(primary, now)) {
+    void drawForPrimary(Request request, Host primary, long now) {
+        if (request.ticketDrawn || !cold(primary, now)) {
             return;
         }
-        txn.drew = true;
-        Group group = txn.group;
-        group.comes.add(1, 0, now);
+        request.ticketDrawn = true;
+        Group group = request.group;
+        group.arrivals.add(1, 0, now);
         // What needs it is counted only while it is cold. Beside warm members what comes in is counted over
         // a longer time all the same: the first draws, which that raises, stay far under the budget then.
         // Where a group returns whole they don't, and both are counted for as long.
         boolean alone = warm(group, now) == 0;
         long since = now - RECENT;
         if (alone) {
-            since = Math.max(since, Math.max(group.foundAt, primary.toldOfStart));
+            since = Math.max(since, Math.max(group.primaryFoundNanos, primary.startNotifiedNanos));
         }
         int prior = alone ? PRIOR : 1;
         // Where the group has told little, the share of types that need the primary among what comes here.
         double share = (1.0
-                        + traffic.types.stream()
-                                .filter(type -> type.read().atPrimary())
-                                .mapToInt(type -> traffic.mix.count(type.place()))
+                        + traffic.requestClasses.stream()
+                                .filter(type -> type.consistency().requiresPrimary())
+                                .mapToInt(type -> traffic.recentClasses.count(type.index()))
                                 .sum())
-                / (1 + traffic.mix.size());
-        double needs = group.comes.sumSince(since);
-        double comes = group.comes.since(since) - needs;
+                / (1 + traffic.recentClasses.size());
+        double needs = group.arrivals.sumSince(since);
+        double comes = group.arrivals.countSince(since) - needs;
         double each = (prior + comes) / (prior * share + needs);
-        draw(primary, txn.arrived > group.foundAt ? Math.max(1, each) : 1, now);
+        draw(primary, request.arrivedNanos > group.primaryFoundNanos ? Math.max(1, each) : 1, now);
     }
 
     /** A submission has brought its txn to an end: what that tells of the work that members bear. */
-    void ended(Attempt s, boolean committed, long now) {
+    void ended(Attempt attempt, boolean committed, long now) {
         if (!committed) {
-            traffic.failed(s.txn, now);
+            traffic.recordFailure(attempt.request, now);
             return;
         }
-        Group group = s.host.group;
-        traffic.committed(s.txn, group.ready(), cold(s.host, now) ? 0 : warm(group, now), now);
+        Group group = attempt.host.group;
+        traffic.recordCommit(attempt.request, group.countReady(), cold(attempt.host, now) ? 0 : warm(group, now), now);
     }
 
     private int warm(Group group, long now) {
@@ -96,8 +96,8 @@
      */
     private static double memberPart(Group group, SampleWindow bore, long now) {
         long since = now - RECENT;
-        double news = (double) bore.sumSince(since) / Group.WHOLE;
-        return (news + 1.0 / Math.max(1, group.ready())) / (bore.since(since) + 1);
+        double news = (double) bore.sumSince(since) / Group.WHOLE_SHARE;
+        return (news + 1.0 / Math.max(1, group.countReady())) / (bore.countSince(since) + 1);
     }
 
     /**
@@ -109,25 +109,25 @@
         double safe = Math.min(1, SAFE * multiple);
         int warm = warm(group, now);
         if (warm == 0) {
-            return safe * memberPart(group, group.borne, now);
+            return safe * memberPart(group, group.commitShares, now);
         }
         long since = now - RECENT;
-        SampleWindow commits = group.committedWarm;
-        double bears = (commits.sumSince(since) + 1.0) / (commits.since(since) + 1) / warm;
-        return Math.min(safe * bears, MOST * multiple * memberPart(group, group.borneWarm, now));
+        SampleWindow commits = group.warmCommits;
+        double bears = (commits.sumSince(since) + 1.0) / (commits.countSince(since) + 1) / warm;
+        return Math.min(safe * bears, MOST * multiple * memberPart(group, group.warmCommitShares, now));
     }
 
     /** One draw, where so many txns of the group come in for each that draws. */
     private void draw(Host host, double each, long now) {
         double least = traffic.number("rules.cold_share", 0);
-        double share = least + (1 - least) * age(host, now) / traffic.micros("rules.warm_within_us");
+        double share = least + (1 - least) * age(host, now) / traffic.nanosOf("rules.warm_within_us");
         if (chance.nextDouble() < each * share * part(host.group, now)) {
-            host.tickets.addLast(now);
+            host.slowStartTickets.addLast(now);
         }
     }
 
     boolean cold(Host host, long now) {
-        return host.launched > 0 && age(host, now) < traffic.micros("rules.warm_within_us");
+        return host.launchedNanos > 0 && age(host, now) < traffic.nanosOf("rules.warm_within_us");
     }
 
     /**
@@ -135,18 +135,18 @@
      * is confirmed its age is at most the time since this router was told of the start.
      */
     private long age(Host host, long now) {
-        long byClock = Math.max(0, clock.at(now) - host.launched);
-        return clock.confirmed() ? byClock : Math.min(byClock, now - host.toldOfStart);
+        long byClock = Math.max(0, clock.at(now) - host.launchedNanos);
+        return clock.confirmed() ? byClock : Math.min(byClock, now - host.startNotifiedNanos);
     }
 
     boolean allows(Host host, long now) {
         if (!cold(host, now)) {
             return true;
         }
-        long window = traffic.micros("rules.fall_us");
-        while (!host.tickets.isEmpty() && host.tickets.peekFirst() < now - window) {
-            host.tickets.removeFirst();
+        long window = traffic.nanosOf("rules.fall_us");
+        while (!host.slowStartTickets.isEmpty() && host.slowStartTickets.peekFirst() < now - window) {
+            host.slowStartTickets.removeFirst();
         }
-        return !host.tickets.isEmpty();
+        return !host.slowStartTickets.isEmpty();
     }
 }
--- a/src/main/java/beaconladder/routing/api/DecisionLoop.java
+++ b/src/main/java/beaconladder/routing/api/DecisionLoop.java
@@ -8,82 +8,82 @@
 public final class DecisionLoop {
 
     /** What a door does with an answer of the module; it decides nothing. */
-    public interface Door {
-        void send(Attempt submission, long timeout);
+    public interface ActionHandler {
+        void send(Attempt attempt, long timeout);
 
-        void cancel(Attempt submission);
+        void cancel(Attempt attempt);
 
-        void decline(Request txn, long comeBack, RoutingDecision.Reason reason);
+        void reject(Request request, long comeBack, RoutingDecision.Reason reason);
 
-        void rollBack(Request txn, RoutingDecision.Reason reason);
+        void rollBack(Request request, RoutingDecision.Reason reason);
 
         /** The txn has had its final answer. */
-        void ended(Request txn);
+        void onRequestEnded(Request request);
 
         void probe(Host host);
 
-        void close(Host host);
+        void closeIdleConnections(Host host);
     }
 
     private final Router router;
-    private final Door door;
+    private final ActionHandler handler;
 
-    public DecisionLoop(Router router, Door door) {
+    public DecisionLoop(Router router, ActionHandler door) {
         this.router = router;
-        this.door = door;
+        this.handler = door;
     }
 
     /** Carries out one verdict. */
-    public void act(Request txn, RoutingDecision verdict, long now) {
-        for (Attempt s : verdict.cancel()) {
-            door.cancel(s);
+    public void execute(Request request, RoutingDecision decision, long now) {
+        for (Attempt attempt : decision.attemptsToCancel()) {
+            handler.cancel(attempt);
         }
-        switch (verdict.step()) {
+        switch (decision.step()) {
             case SEND -> {
-                Host host = verdict.host();
-                Attempt s = new Attempt(
-                        txn,
-                        txn.submissions.size(),
+                Host host = decision.host();
+                Attempt attempt = new Attempt(
+                        request,
+                        request.attempts.size(),
                         host,
                         now,
-                        host.out.size() + host.abandoned.size() + 1,
-                        verdict.ticket());
-                txn.submissions.add(s);
-                host.out.add(s);
-                door.send(s, verdict.timeout());
+                        host.inFlight.size() + host.abandoned.size() + 1,
+                        decision.slowStartTicket());
+                request.attempts.add(attempt);
+                host.inFlight.add(attempt);
+                handler.send(attempt, decision.timeoutNanos());
             }
-            case DECLINE -> {
-                door.decline(txn, verdict.comeBack(), verdict.reason());
-                end(txn);
+            case REJECT -> {
+                handler.reject(request, decision.retryAfterNanos(), decision.reason());
+                endRequest(request);
             }
             case ROLL_BACK -> {
-                door.rollBack(txn, verdict.reason());
-                end(txn);
+                handler.rollBack(request, decision.reason());
+                endRequest(request);
             }
-            case DONE -> end(txn);
+            case DONE -> endRequest(request);
             case WAIT -> {}
         }
     }
 
     /** All known at this time has been told: asks about the txns due; returns when to come again. */
-    public long settle(long now) {
+    public long processDue(long now) {
         while (true) {
-            NextWakeup pause = router.pause(now);
-            pause.probe().forEach(door::probe);
-            pause.close().forEach(door::close);
-            if (pause.again().isEmpty()) {
-                return pause.until();
+            NextWakeup pause = router.nextWakeup(now);
+            pause.hostsToProbe().forEach(handler::probe);
+            pause.hostsToDisconnect().forEach(handler::closeIdleConnections);
+            if (pause.requestsToRoute().isEmpty()) {
+                return pause.dueNanos();
             }
-            for (Request txn : pause.again()) {
-                if (!txn.ended) {
-                    act(txn, router.place(txn, now), now);
+            for (Request request : pause.requestsToRoute()) {
+                if (!request.ended) {
+                    execute(request, router.route(request, now), now);
                 }
             }
         }
     }
 
-    private void end(Request txn) {
-        txn.ended = true;
-        door.ended(txn);
+    private void endRequest(Request request) {
+        request.ended = true;
+        handler.onRequestEnded(request);
     }
 }
--- a/src/main/java/beaconladder/routing/api/DelegatingRouter.java
+++ b/src/main/java/beaconladder/routing/api/DelegatingRouter.java
@@ -14,62 +14,62 @@
     }
 
     @Override
-    public RequestClass type(int place) {
-        return inner.type(place);
+    public RequestClass requestClass(int place) {
+        return inner.requestClass(place);
     }
 
     @Override
-    public RoutingDecision place(Request txn, long now) {
-        return inner.place(txn, now);
+    public RoutingDecision route(Request request, long now) {
+        return inner.route(request, now);
     }
 
     @Override
-    public DispatchCheck mayGo(Attempt submission, long now) {
-        return inner.mayGo(submission, now);
+    public DispatchCheck checkDispatch(Attempt attempt, long now) {
+        return inner.checkDispatch(attempt, now);
     }
 
     @Override
-    public long toldTime(long left) {
-        return inner.toldTime(left);
+    public long advertisedTimeoutNanos(long left) {
+        return inner.advertisedTimeoutNanos(left);
     }
 
     @Override
-    public long keepIdle() {
-        return inner.keepIdle();
+    public long maxIdleNanos() {
+        return inner.maxIdleNanos();
     }
 
     @Override
-    public RoutingDecision after(Attempt s, Outcome outcome, boolean settled, Word answer, Word report, long now) {
-        return inner.after(s, outcome, settled, answer, report, now);
+    public RoutingDecision onAttemptEnded(Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
+        return inner.onAttemptEnded(attempt, outcome, settled, answer, report, now);
     }
 
     @Override
-    public NextWakeup pause(long now) {
-        return inner.pause(now);
+    public NextWakeup nextWakeup(long now) {
+        return inner.nextWakeup(now);
     }
 
     @Override
-    public void listed(Host host, boolean leader, Host.State state, long launched, long now) {
-        inner.listed(host, leader, state, launched, now);
+    public void updateHost(Host host, boolean leader, Host.State state, long launched, long now) {
+        inner.updateHost(host, leader, state, launched, now);
     }
 
     @Override
-    public boolean forget(Host host, long now) {
-        return inner.forget(host, now);
+    public boolean removeHost(Host host, long now) {
+        return inner.removeHost(host, now);
     }
 
     @Override
-    public void probed(Host host, Outcome outcome, Word report, long now) {
-        inner.probed(host, outcome, report, now);
+    public void onHealthCheckEnded(Host host, Outcome outcome, HostReport report, long now) {
+        inner.onHealthCheckEnded(host, outcome, report, now);
     }
 
     @Override
-    public RoutingDecision left(Request txn, long now) {
-        return inner.left(txn, now);
+    public RoutingDecision onClientDisconnected(Request request, long now) {
+        return inner.onClientDisconnected(request, now);
     }
 
     @Override
-    public RoutingDecision displaced(Request txn, long now) {
-        return inner.displaced(txn, now);
+    public RoutingDecision onAdmissionLost(Request request, long now) {
+        return inner.onAdmissionLost(request, now);
     }
 }
--- a/src/main/java/beaconladder/routing/api/DispatchCheck.java
+++ b/src/main/java/beaconladder/routing/api/DispatchCheck.java
@@ -20,7 +20,7 @@
     POSITION_BEHIND;
 
     /** Whether the attempt may go. */
-    public boolean allowed() {
+    public boolean isAllowed() {
         return this == ALLOWED;
     }
 }
--- a/src/main/java/beaconladder/routing/api/Router.java
+++ b/src/main/java/beaconladder/routing/api/Router.java
@@ -40,7 +40,7 @@
         }
 
         /** Whether the host itself spoke. */
-        public boolean fromHost() {
+        public boolean isFromHost() {
             return this == COMMITTED || this == ERROR || this == FULL || this == MISS;
         }
     }
@@ -52,25 +52,25 @@
      * @param position the log position it has applied, in nanoseconds on the routers' clock, or {@link #NONE}
      * @param holds how many txns of all routers it holds, or less than 0 when it did not say
      */
-    record Word(Role role, long position, double holds) {
-        public static final long NONE = Long.MIN_VALUE;
-        public static final Word SILENT = new Word(Role.UNKNOWN, NONE, -1);
+    record HostReport(Role role, long position, double inFlight) {
+        public static final long NO_POSITION = Long.MIN_VALUE;
+        public static final HostReport EMPTY = new HostReport(Role.UNKNOWN, NO_POSITION, -1);
     }
 
     /** The txn type at this place of the list handed over at start. */
-    RequestClass type(int place);
+    RequestClass requestClass(int place);
 
     /** First question: where to send this txn, now; or not yet, or never. */
-    RoutingDecision place(Request txn, long now);
+    RoutingDecision route(Request request, long now);
 
     /** Whether this submission may still go: asked right before its bytes, as connecting takes time. */
-    DispatchCheck mayGo(Attempt submission, long now);
+    DispatchCheck checkDispatch(Attempt attempt, long now);
 
     /** How long a host is told that its answer is waited for, where so much is left of the attempt's time. */
-    long toldTime(long left);
+    long advertisedTimeoutNanos(long left);
 
     /** How long a connection to a host may have been idle and still be used. */
-    long keepIdle();
+    long maxIdleNanos();
 
     /**
      * Second question: what to do after this outcome.
@@ -78,26 +78,26 @@
      * @param answer what the answer itself says (exact when it was given)
      * @param report a report that came along, of some age
      */
-    RoutingDecision after(Attempt submission, Outcome outcome, boolean settled, Word answer, Word report, long now);
+    RoutingDecision onAttemptEnded(Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now);
 
     /** Third question: how long to wait; names the members to probe and the txns to ask about again. */
-    NextWakeup pause(long now);
+    NextWakeup nextWakeup(long now);
 
     /** The roster lists a host (or no longer does: then its state is gone). */
-    void listed(Host host, boolean leader, Host.State state, long launched, long now);
+    void updateHost(Host host, boolean leader, Host.State state, long launched, long now);
 
     /** Lets go of a host that is gone; false while something that was sent to it may still matter. */
-    boolean forget(Host host, long now);
+    boolean removeHost(Host host, long now);
 
     /** A probe came back. */
-    void probed(Host host, Outcome outcome, Word report, long now);
+    void onHealthCheckEnded(Host host, Outcome outcome, HostReport report, long now);
 
     /** The client of this txn has left: the verdict names what to call off. */
-    RoutingDecision left(Request txn, long now);
+    RoutingDecision onClientDisconnected(Request request, long now);
 
     /**
      * This txn may no longer go where it was let in (its tenant has moved, or the leave has run out): the verdict ends
      * it, or waits for what is out. Nothing more is sent for it.
      */
-    RoutingDecision displaced(Request txn, long now);
+    RoutingDecision onAdmissionLost(Request request, long now);
 }
--- a/src/main/java/beaconladder/routing/api/RoutingDecision.java
+++ b/src/main/java/beaconladder/routing/api/RoutingDecision.java
@@ -19,10 +19,10 @@
 public record RoutingDecision(
         Step step,
         Host host,
-        long timeout,
-        long comeBack,
-        List<Attempt> cancel,
-        SlowStartTicket ticket,
+        long timeoutNanos,
+        long retryAfterNanos,
+        List<Attempt> attemptsToCancel,
+        SlowStartTicket slowStartTicket,
         Reason reason) {
 
     /** Why a request ends without a commit. */
@@ -39,12 +39,12 @@
     public enum Step {
         SEND,
         WAIT,
-        DECLINE,
+        REJECT,
         ROLL_BACK,
         DONE
     }
 
-    private static final RoutingDecision WAITING = end(Step.WAIT, 0, List.of(), Reason.NONE);
+    private static final RoutingDecision WAITING = endWith(Step.WAIT, 0, List.of(), Reason.NONE);
 
     public static RoutingDecision send(Host host, long timeout) {
         return new RoutingDecision(Step.SEND, host, timeout, 0, List.of(), SlowStartTicket.NOT_NEEDED, Reason.NONE);
@@ -55,23 +55,23 @@
     }
 
     /** The same send, with what its host's slow start asked for. */
-    public RoutingDecision with(SlowStartTicket now) {
-        return new RoutingDecision(step, host, timeout, comeBack, cancel, now, reason);
+    public RoutingDecision withTicket(SlowStartTicket now) {
+        return new RoutingDecision(step, host, timeoutNanos, retryAfterNanos, attemptsToCancel, now, reason);
     }
 
-    public static RoutingDecision decline(long comeBack, Reason reason) {
-        return end(Step.DECLINE, comeBack, List.of(), reason);
+    public static RoutingDecision reject(long comeBack, Reason reason) {
+        return endWith(Step.REJECT, comeBack, List.of(), reason);
     }
 
     public static RoutingDecision rollBack(Reason reason) {
-        return end(Step.ROLL_BACK, 0, List.of(), reason);
+        return endWith(Step.ROLL_BACK, 0, List.of(), reason);
     }
 
     public static RoutingDecision done(List<Attempt> cancel) {
-        return end(Step.DONE, 0, cancel, Reason.NONE);
+        return endWith(Step.DONE, 0, cancel, Reason.NONE);
     }
 
-    private static RoutingDecision end(Step step, long comeBack, List<Attempt> cancel, Reason reason) {
+    private static RoutingDecision endWith(Step step, long comeBack, List<Attempt> cancel, Reason reason) {
         return new RoutingDecision(step, null, 0, comeBack, cancel, SlowStartTicket.NOT_NEEDED, reason);
     }
 }
--- a/src/main/java/beaconladder/routing/state/Attempt.java
+++ b/src/main/java/beaconladder/routing/state/Attempt.java
@@ -2,38 +2,38 @@
 
 /** One sending of a txn to a host. */
 public final class Attempt {
-    public final Request txn;
-    public final int number;
+    public final Request request;
+    public final int index;
     public final Host host;
-    public final long sent;
+    public final long sentNanos;
     /** Submissions of this router that were out at the host once this one was. */
-    public final int beside;
+    public final int hostConcurrency;
     /** What the host last said that it held, and when that was. */
-    public final double holds;
+    public final double hostInFlight;
 
-    public final long saidAt;
+    public final long hostReportNanos;
     /** When the host had last started, as far as the decision knew. */
-    public final long hostLaunched;
+    public final long hostLaunchedNanos;
     /** What the slow start of its host asked of it. */
-    public final SlowStartTicket ticket;
+    public final SlowStartTicket slowStartTicket;
 
     public boolean ended;
     /** Whether its outcome proves that it never ran. */
     public boolean neverRan;
 
-    public Attempt(Request txn, int number, Host host, long sent, int beside) {
-        this(txn, number, host, sent, beside, SlowStartTicket.NOT_NEEDED);
+    public Attempt(Request request, int number, Host host, long sent, int beside) {
+        this(request, number, host, sent, beside, SlowStartTicket.NOT_NEEDED);
     }
 
-    public Attempt(Request txn, int number, Host host, long sent, int beside, SlowStartTicket ticket) {
-        this.txn = txn;
-        this.number = number;
+    public Attempt(Request request, int number, Host host, long sent, int beside, SlowStartTicket ticket) {
+        this.request = request;
+        this.index = number;
         this.host = host;
-        this.sent = sent;
-        this.beside = beside;
-        this.holds = host.holds;
-        this.saidAt = host.saidAt;
-        this.hostLaunched = host.launched;
-        this.ticket = ticket;
+        this.sentNanos = sent;
+        this.hostConcurrency = beside;
+        this.hostInFlight = host.reportedInFlight;
+        this.hostReportNanos = host.lastReportNanos;
+        this.hostLaunchedNanos = host.launchedNanos;
+        this.slowStartTicket = ticket;
     }
 }
--- a/src/main/java/beaconladder/routing/state/Group.java
+++ b/src/main/java/beaconladder/routing/state/Group.java
@@ -7,51 +7,51 @@
 
 /** A primary and its replicas. */
 public final class Group {
-    public final int number;
+    public final int id;
     /** Which listed group of its router it is, counted from the first; less than 0 before it is listed. */
-    public int place = -1;
+    public int listIndex = -1;
     /** The members that the roster has named, in that order; one that is gone stays until it is let go. */
     public final List<Host> members = new ArrayList<>();
     /** The member taken for the primary, or null. */
     public Host primary;
     /** The newest position at which a member said that it is the primary. */
-    public long primaryAt = Long.MIN_VALUE;
+    public long primaryPosition = Long.MIN_VALUE;
     /** When the primary was last found to be none. */
-    public long lostAt = Long.MIN_VALUE;
+    public long primaryLostNanos = Long.MIN_VALUE;
     /** When the present primary was found. */
-    public long foundAt = Long.MIN_VALUE;
+    public long primaryFoundNanos = Long.MIN_VALUE;
     /** The member that the roster last named as primary. */
-    public Host namedByRoster;
+    public Host listedPrimary;
     /** Txns that wait at this router. */
-    public final Set<Request> held = new LinkedHashSet<>();
+    public final Set<Request> queued = new LinkedHashSet<>();
     /** Whether anything has changed for them since they were last looked at. */
     public boolean changed;
     /** Whether that was since the last look at any group. */
-    boolean touched;
+    boolean changePending;
     /** Newest commit among the sessions that are no longer remembered one by one. */
-    public long forgotten = Long.MIN_VALUE;
+    public long evictedCommitPosition = Long.MIN_VALUE;
     /** What a member bears of a group that is one member alone, in the unit of the two samples below. */
-    public static final long WHOLE = 1_000_000;
+    public static final long WHOLE_SHARE = 1_000_000;
     /**
      * What one member bore of each of this router's recent txns of the group, and one warm member: a commit is the work
      * of all members that were there then, by equal parts; what did not commit nobody bore.
      */
-    public final SampleWindow borne = new SampleWindow(32);
+    public final SampleWindow commitShares = new SampleWindow(32);
 
-    public final SampleWindow borneWarm = new SampleWindow(32);
+    public final SampleWindow warmCommitShares = new SampleWindow(32);
     /** Of the same txns: 1 for a commit at a warm member. */
-    public final SampleWindow committedWarm = new SampleWindow(32);
+    public final SampleWindow warmCommits = new SampleWindow(32);
     /** The txns that came in here lately: 0 for each, 1 once it needed the primary while that was cold. */
-    public final SampleWindow comes = new SampleWindow(64);
+    public final SampleWindow arrivals = new SampleWindow(64);
     /** Times of recent answers from all members. */
-    public final SampleWindow times = new SampleWindow(48);
+    public final SampleWindow responseTimes = new SampleWindow(48);
 
     public Group(int number) {
-        this.number = number;
+        this.id = number;
     }
 
     /** How many members are listed as ready. */
-    public int ready() {
+    public int countReady() {
         int n = 0;
         for (Host host : members) {
             n += host.state == Host.State.READY ? 1 : 0;
@@ -69,19 +69,19 @@
     }
 
     /** Whether a write waits here. */
-    public boolean holdsWrite() {
-        return held.stream().anyMatch(t -> t.type.read() == RequestClass.Read.WRITE);
+    public boolean hasQueuedWrite() {
+        return queued.stream().anyMatch(request -> request.requestClass.consistency() == RequestClass.Consistency.WRITE);
     }
 
     /** Its primary is none any more. */
-    public void lose(long now) {
+    public void markPrimaryLost(long now) {
         primary = null;
-        lostAt = now;
+        primaryLostNanos = now;
     }
 
     /** A member that is gone for good. */
-    public void remove(Host host) {
+    public void removeMember(Host host) {
         members.remove(host);
-        namedByRoster = namedByRoster == host ? null : namedByRoster;
+        listedPrimary = listedPrimary == host ? null : listedPrimary;
     }
 }
--- a/src/main/java/beaconladder/routing/state/Host.java
+++ b/src/main/java/beaconladder/routing/state/Host.java
@@ -22,53 +22,53 @@
 
     public State state = State.READY;
     /** When the list last gave it another state. */
-    public long stateSince = Long.MIN_VALUE;
+    public long stateSinceNanos = Long.MIN_VALUE;
     /** When it last started; 0 for long ago. */
-    public long launched;
+    public long launchedNanos;
     /** When this router was first told of that start. */
-    public long toldOfStart;
+    public long startNotifiedNanos;
     /** Newest log position that it is known to have applied. */
     public long position = Long.MIN_VALUE;
     /** The newest position at which it said itself that it is a replica. */
-    public long replicaAt = Long.MIN_VALUE;
+    public long replicaReportPosition = Long.MIN_VALUE;
     /** When the last submission to it ended whose answer, if it gave one, was not heard; by this router. */
-    public long unheardAt = Long.MIN_VALUE;
+    public long lastUnansweredNanos = Long.MIN_VALUE;
     /** How far its position lay behind the clock at its last answer. */
-    public long lag;
+    public long lagNanos;
     /** Whether it has answered this router, or a probe, since this router or it started. */
-    public boolean met;
+    public boolean contacted;
 
-    public long lastHeard = Long.MIN_VALUE;
+    public long lastResponseNanos = Long.MIN_VALUE;
     /** How many txns of all routers it last said that it held; less than 0 for never said. */
-    public double holds = -1;
+    public double reportedInFlight = -1;
     /** When it last said something of itself, in an answer or to a probe. */
-    public long saidAt = -(1L << 60);
+    public long lastReportNanos = -(1L << 60);
 
-    public long probeSent = Long.MIN_VALUE;
-    public boolean probeOut;
+    public long lastProbeNanos = Long.MIN_VALUE;
+    public boolean probeInFlight;
     /** When it last turned a txn away as full. */
-    public long fullAt = -(1L << 60);
+    public long lastRejectionNanos = -(1L << 60);
     /** When it was last drawn for, while doubtful. */
-    public long drawn;
+    public long lastTrialNanos;
 
     /** Submissions out, oldest first. */
-    public final Set<Attempt> out = new LinkedHashSet<>();
+    public final Set<Attempt> inFlight = new LinkedHashSet<>();
     /** Submissions that are waited for no longer and may still be in work there, oldest first. */
     public final List<Attempt> abandoned = new ArrayList<>();
     /** Times of recent answers, each with the submissions that were out here when it was sent. */
-    public final SampleWindow times = new SampleWindow(16);
+    public final SampleWindow responseTimes = new SampleWindow(16);
     /** How long the newest committed answer took, and when it came. */
-    public long newestAnswerTook;
+    public long newestResponseDurationNanos;
 
-    public long newestAnswerAt = Long.MIN_VALUE;
+    public long newestResponseAtNanos = Long.MIN_VALUE;
     /** Recent ends: 1 for an answer, 0 for none. */
-    public final SampleWindow ends = new SampleWindow(16);
+    public final SampleWindow responses = new SampleWindow(16);
     /** When each of the sends that a cold host may still get was granted, oldest first. */
-    public final ArrayDeque<Long> tickets = new ArrayDeque<>();
+    public final ArrayDeque<Long> slowStartTickets = new ArrayDeque<>();
 
-    public long sentAt = -(1L << 60);
+    public long lastSentNanos = -(1L << 60);
     /** How the last submissions ended: 1 for an answer, 0 for none or a full queue. */
-    public final SampleWindow marks = new SampleWindow(16);
+    public final SampleWindow successes = new SampleWindow(16);
 
     public Host(int id, Group group, int zone) {
         this.id = id;
@@ -78,23 +78,23 @@
 
     /** What it said that it holds, and what this router has sent it since. */
     public double load() {
-        return holds + sentSince(saidAt);
+        return reportedInFlight + countInFlightSentSince(lastReportNanos);
     }
 
     /** How many of the submissions out were sent at or after this time. */
-    public int sentSince(long time) {
+    public int countInFlightSentSince(long time) {
         int n = 0;
-        for (Attempt s : out) {
-            n += s.sent >= time ? 1 : 0;
+        for (Attempt attempt : inFlight) {
+            n += attempt.sentNanos >= time ? 1 : 0;
         }
         return n;
     }
 
     /** How long the submissions out have waited since it last spoke, added up. */
-    public long waited(long now) {
+    public long totalWaitNanos(long now) {
         long sum = 0;
-        for (Attempt s : out) {
-            sum += now - Math.max(s.sent, lastHeard);
+        for (Attempt attempt : inFlight) {
+            sum += now - Math.max(attempt.sentNanos, lastResponseNanos);
         }
         return sum;
     }
--- a/src/main/java/beaconladder/routing/state/Request.java
+++ b/src/main/java/beaconladder/routing/state/Request.java
@@ -7,53 +7,53 @@
 public final class Request {
 
     /** What a held txn may need to learn before it can go. */
-    public enum Want {
-        NOTHING,
-        MEMBER,
+    public enum ProbeNeed {
+        NONE,
+        REPLICA,
         PRIMARY
     }
 
     public final long id;
-    public final RequestClass type;
+    public final RequestClass requestClass;
     public final Group group;
     /** The session's key; 0 for none. */
-    public final long session;
+    public final long sessionKey;
     /** The position of the session's last write, as its client tells; Long.MIN_VALUE for none. */
-    public final long written;
+    public final long sessionWritePosition;
 
     public final int tenant;
-    public final boolean repeated;
-    public final long arrived;
-    public final long expiry;
+    public final boolean retriedByClient;
+    public final long arrivedNanos;
+    public final long expiryNanos;
     /** Which txn of this router it is, counted from the start. */
-    public final long number;
+    public final long sequenceNumber;
 
-    public final List<Attempt> submissions = new ArrayList<>();
+    public final List<Attempt> attempts = new ArrayList<>();
     /** The log position that its session needs; Long.MIN_VALUE for none. */
-    public long target = Long.MIN_VALUE;
+    public long sessionTarget = Long.MIN_VALUE;
     /** The log position below which a member lacks what was copied to it; Long.MIN_VALUE for none. */
-    public long floor = Long.MIN_VALUE;
+    public long minPosition = Long.MIN_VALUE;
     /** When an answer stops being in time. */
-    public long slaEnd;
+    public long slaEndNanos;
     /** What asking a member could bring to it while it is held. */
-    public Want want = Want.NOTHING;
+    public ProbeNeed probeNeed = ProbeNeed.NONE;
     /** Probes sent for its sake, and when the last one was. */
-    public int asked;
+    public int probesSent;
 
-    public long askedAt;
-    public boolean known;
+    public long lastProbeNanos;
+    public boolean registered;
     /** Whether it has drawn for a ticket at a cold primary. */
-    public boolean drew;
+    public boolean ticketDrawn;
     /** Before then it is not sent again, as this machine had no connection to give. */
-    public long retryAt = Long.MIN_VALUE;
+    public long retryNotBeforeNanos = Long.MIN_VALUE;
     /** Submissions that never left this machine. */
     public int localFaults;
 
     public boolean ended;
     /** When its client was seen to have gone; Long.MAX_VALUE while it is there. */
-    public long leftAt = Long.MAX_VALUE;
+    public long disconnectedNanos = Long.MAX_VALUE;
     /** When it is to be looked at again. */
-    public long look = Long.MAX_VALUE;
+    public long wakeupNanos = Long.MAX_VALUE;
 
     public Request(
             long id,
@@ -67,22 +67,22 @@
             long expiry,
             long number) {
         this.id = id;
-        this.type = type;
+        this.requestClass = type;
         this.group = group;
-        this.session = session;
-        this.written = written;
+        this.sessionKey = session;
+        this.sessionWritePosition = written;
         this.tenant = tenant;
-        this.repeated = repeated;
-        this.arrived = arrived;
-        this.expiry = expiry;
-        this.number = number;
+        this.retriedByClient = repeated;
+        this.arrivedNanos = arrived;
+        this.expiryNanos = expiry;
+        this.sequenceNumber = number;
     }
 
     /** How many submissions are still out. */
-    public int out() {
+    public int attemptsInFlight() {
         int n = 0;
-        for (Attempt s : submissions) {
-            if (!s.ended) {
+        for (Attempt attempt : attempts) {
+            if (!attempt.ended) {
                 n++;
             }
         }
@@ -90,20 +90,20 @@
     }
 
     /** Whether one of them is out at this host. */
-    public boolean outAt(Host host) {
-        return submissions.stream().anyMatch(s -> s.host == host && !s.ended);
+    public boolean isInFlightAt(Host host) {
+        return attempts.stream().anyMatch(attempt -> attempt.host == host && !attempt.ended);
     }
 
     /** The first submission that may have run, or null. */
-    public Attempt mayHaveRun() {
-        return mayHaveRunBefore(null);
+    public Attempt firstPossiblyExecuted() {
+        return firstPossiblyExecutedExcept(null);
     }
 
     /** The first submission but this one that may have run, or null. */
-    public Attempt mayHaveRunBefore(Attempt next) {
-        for (Attempt s : submissions) {
-            if (s != next && !s.neverRan) {
-                return s;
+    public Attempt firstPossiblyExecutedExcept(Attempt next) {
+        for (Attempt attempt : attempts) {
+            if (attempt != next && !attempt.neverRan) {
+                return attempt;
             }
         }
         return null;
--- a/src/main/java/beaconladder/routing/state/RequestClass.java
+++ b/src/main/java/beaconladder/routing/state/RequestClass.java
@@ -14,21 +14,21 @@
  * @param served how the last txns of this type ended: 1 for an answer in time
  */
 public record RequestClass(
-        int place,
-        Read read,
-        long bound,
-        Effect effect,
-        Scope scope,
-        long memory,
-        long sla,
-        long expiry,
-        double value,
-        double late,
+        int index,
+        Consistency consistency,
+        long maxStalenessNanos,
+        Idempotency idempotency,
+        DeduplicationScope deduplicationScope,
+        long keyTtlNanos,
+        long slaNanos,
+        long timeoutNanos,
+        double weight,
+        double lateShare,
         SampleWindow budgets,
-        SampleWindow served) {
+        SampleWindow slaResults) {
 
     /** What data a txn type needs. */
-    public enum Read {
+    public enum Consistency {
         ANY,
         BOUNDED,
         SESSION,
@@ -36,53 +36,53 @@
         WRITE;
 
         /** Whether only the primary can take it. */
-        public boolean atPrimary() {
+        public boolean requiresPrimary() {
             return this == CURRENT || this == WRITE;
         }
 
         /** Whether its group has to have a primary, to take it or to keep the replicas young. */
-        public boolean needsPrimary() {
-            return atPrimary() || this == BOUNDED;
+        public boolean dependsOnPrimary() {
+            return requiresPrimary() || this == BOUNDED;
         }
     }
 
     /** What a repeat does. */
-    public enum Effect {
-        REPEATABLE,
-        REFERENCED,
-        ONCE_ONLY
+    public enum Idempotency {
+        IDEMPOTENT,
+        WITH_KEY,
+        NON_IDEMPOTENT
     }
 
     /** For referenced txns: who discards a repeat. */
-    public enum Scope {
+    public enum DeduplicationScope {
         ALL,
         ZONE,
         GROUP
     }
 
-    public static List<RequestClass> read(Map<String, String> start) {
+    public static List<RequestClass> consistency(Map<String, String> start) {
         List<RequestClass> types = new ArrayList<>();
         int count = Integer.parseInt(start.getOrDefault("request_classes.count", "0"));
         String[] reads = start.getOrDefault("family_info.freshness", "").split(",");
         String[] bounds = start.getOrDefault("family_info.oldest_data_us", "").split(",");
         for (int i = 0; i < count; i++) {
             String at = "request_classes." + i + ".";
-            Read read = switch (i < reads.length ? reads[i] : "") {
-                case "loose" -> Read.ANY;
-                case "recent" -> Read.BOUNDED;
-                case "own_writes" -> Read.SESSION;
-                case "update" -> Read.WRITE;
-                default -> Read.CURRENT;
+            Consistency read = switch (i < reads.length ? reads[i] : "") {
+                case "loose" -> Consistency.ANY;
+                case "recent" -> Consistency.BOUNDED;
+                case "own_writes" -> Consistency.SESSION;
+                case "update" -> Consistency.WRITE;
+                default -> Consistency.CURRENT;
             };
-            Effect effect = switch (start.getOrDefault(at + "effect", "")) {
-                case "pure" -> Effect.REPEATABLE;
-                case "token" -> Effect.REFERENCED;
-                default -> Effect.ONCE_ONLY;
+            Idempotency effect = switch (start.getOrDefault(at + "effect", "")) {
+                case "pure" -> Idempotency.IDEMPOTENT;
+                case "token" -> Idempotency.WITH_KEY;
+                default -> Idempotency.NON_IDEMPOTENT;
             };
-            Scope scope = switch (start.getOrDefault(at + "dedup_scope", "")) {
-                case "all" -> Scope.ALL;
-                case "zone" -> Scope.ZONE;
-                default -> Scope.GROUP;
+            DeduplicationScope scope = switch (start.getOrDefault(at + "dedup_scope", "")) {
+                case "all" -> DeduplicationScope.ALL;
+                case "zone" -> DeduplicationScope.ZONE;
+                default -> DeduplicationScope.GROUP;
             };
             long bound = i < bounds.length && !bounds[i].isEmpty() ? nanos(bounds[i]) : 0;
             long expiry = nanos(start.getOrDefault(at + "give_up_us", "1000000"));
--- a/src/main/java/beaconladder/routing/state/RequestClassMix.java
+++ b/src/main/java/beaconladder/routing/state/RequestClassMix.java
@@ -13,7 +13,7 @@
     }
 
     /** A txn of the type at this place has come; the oldest one kept makes room for it. */
-    void add(int place) {
+    void record(int place) {
         if (size == places.length) {
             counts[places[next]]--;
         }
--- a/src/main/java/beaconladder/routing/state/SampleWindow.java
+++ b/src/main/java/beaconladder/routing/state/SampleWindow.java
@@ -5,26 +5,26 @@
 /** The last few measurements, each with the time it was taken and a second figure that goes with it. */
 public final class SampleWindow {
     private final long[] values;
-    private final long[] beside;
-    private final long[] at;
+    private final long[] companions;
+    private final long[] takenNanos;
     private int size;
     private int next;
     /** The share last asked for and its quantile, which stands until the next sample; under 0 for none. */
-    private double share = -1;
+    private double cachedShare = -1;
 
     private long quantile;
 
     public SampleWindow(int keep) {
         values = new long[keep];
-        beside = new long[keep];
-        at = new long[keep];
+        companions = new long[keep];
+        takenNanos = new long[keep];
     }
 
     public void add(long value, long with, long now) {
         values[next] = value;
-        beside[next] = with;
-        share = -1;
-        at[next] = now;
+        companions[next] = with;
+        cachedShare = -1;
+        takenNanos[next] = now;
         next = (next + 1) % values.length;
         size = Math.min(size + 1, values.length);
     }
@@ -32,7 +32,7 @@
     public void clear() {
         size = 0;
         next = 0;
-        share = -1;
+        cachedShare = -1;
     }
 
     public int size() {
@@ -40,10 +40,10 @@
     }
 
     /** How many were taken at or after this time. */
-    public int since(long time) {
+    public int countSince(long time) {
         int n = 0;
         for (int i = 0; i < size; i++) {
-            if (at[i] >= time) {
+            if (takenNanos[i] >= time) {
                 n++;
             }
         }
@@ -54,7 +54,7 @@
     public long sumSince(long time) {
         long sum = 0;
         for (int i = 0; i < size; i++) {
-            if (at[i] >= time) {
+            if (takenNanos[i] >= time) {
                 sum += values[i];
             }
         }
@@ -62,7 +62,7 @@
     }
 
     /** How many lie between these two, the lower one included. */
-    public int between(long from, long to) {
+    public int countBetween(long from, long to) {
         int n = 0;
         for (int i = 0; i < size; i++) {
             if (values[i] >= from && values[i] < to) {
@@ -82,8 +82,8 @@
     }
 
     /** The mean of the figures beside those taken at or after this time; 0 without any. */
-    public double meanBeside(long since) {
-        return mean(beside, since);
+    public double meanCompanion(long since) {
+        return mean(companions, since);
     }
 
     /** The value below which this share of the samples lies; 0 without samples. */
@@ -91,17 +91,17 @@
         if (size == 0) {
             return 0;
         }
-        if (of != share) {
+        if (of != cachedShare) {
             long[] sorted = Arrays.copyOf(values, size);
             Arrays.sort(sorted);
-            share = of;
+            cachedShare = of;
             quantile = sorted[Math.min(size - 1, (int) (of * size))];
         }
         return quantile;
     }
 
     /** The middle of the window of this width that holds the most samples; 0 without samples. */
-    public long densest(long width) {
+    public long densestMiddle(long width) {
         long[] sorted = Arrays.copyOf(values, size);
         Arrays.sort(sorted);
         int from = 0;
@@ -120,14 +120,14 @@
     }
 
     /** The value to expect beside this figure, by a straight line through the samples that doesn't fall. */
-    public double expected(double with) {
+    public double predict(double with) {
         double value = mean();
-        double middle = meanBeside(Long.MIN_VALUE);
+        double middle = meanCompanion(Long.MIN_VALUE);
         double square = 0;
         double product = 0;
         for (int i = 0; i < size; i++) {
-            square += (beside[i] - middle) * (beside[i] - middle);
-            product += (beside[i] - middle) * (values[i] - value);
+            square += (companions[i] - middle) * (companions[i] - middle);
+            product += (companions[i] - middle) * (values[i] - value);
         }
         return square == 0 || product <= 0 ? value : value + (with - middle) * product / square;
     }
@@ -136,7 +136,7 @@
         double sum = 0;
         int n = 0;
         for (int i = 0; i < size; i++) {
-            if (at[i] >= since) {
+            if (takenNanos[i] >= since) {
                 sum += of[i];
                 n++;
             }
--- a/src/main/java/beaconladder/routing/state/SlowStartTicket.java
+++ b/src/main/java/beaconladder/routing/state/SlowStartTicket.java
@@ -3,6 +3,6 @@
 /** What the slow start of a host asks of an attempt, and whether it had it. */
 public enum SlowStartTicket {
     NOT_NEEDED,
-    SPENT,
+    USED,
     MISSING
 }
--- a/src/main/java/beaconladder/routing/state/TrafficStatistics.java
+++ b/src/main/java/beaconladder/routing/state/TrafficStatistics.java
@@ -1,107 +1,107 @@
 package beaconladder.routing.state;
 
-import beaconladder.routing.state.RequestClass.Read;
+import beaconladder.routing.state.RequestClass.Consistency;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** What this router is told at start, and what came here and ended lately. */
 public final class TrafficStatistics {
-    public static final long MS = 1_000_000L;
+    public static final long MILLISECOND = 1_000_000L;
     public static final long NEVER = Long.MAX_VALUE;
-    public static final long UNBOUND = Long.MIN_VALUE;
+    public static final long UNSET = Long.MIN_VALUE;
 
-    public final Map<String, String> start;
+    public final Map<String, String> settings;
     /** Those settings that are numbers, read once: they are asked for at every event. */
     private final Map<String, Double> numbers = new HashMap<>();
 
-    public final List<RequestClass> types;
-    public final double topValue;
+    public final List<RequestClass> requestClasses;
+    public final double maxWeight;
     /** The tightest bound of a txn type; a second where none is stated. */
-    public final long tightest;
+    public final long tightestStalenessNanos;
     /** The types of the txns that came last. */
-    public final RequestClassMix mix;
+    public final RequestClassMix recentClasses;
     /** Their value; less than 0 while it is to be added up anew. */
-    private double asked = -1;
+    private double recentWeight = -1;
     /** Times of the last answers, each with what its host had said that it held when it was sent. */
-    public final SampleWindow paces = new SampleWindow(48);
+    public final SampleWindow responseTimesByLoad = new SampleWindow(48);
     /** How old the positions of replicas were when they last came with a probe. */
-    public final SampleWindow stale = new SampleWindow(32);
+    public final SampleWindow reportedLags = new SampleWindow(32);
     /** How long the last clients that left had waited, in thousandths of their SLA time. */
-    public final SampleWindow patience = new SampleWindow(16);
+    public final SampleWindow disconnectWaits = new SampleWindow(16);
     /** How the last submissions ended at hosts that had lately answered: 1 for no good answer. */
-    public final SampleWindow mixed = new SampleWindow(48);
+    public final SampleWindow failuresAtLiveHosts = new SampleWindow(48);
     /** How the last txns ended: 1 for a commit. */
-    public final SampleWindow fates = new SampleWindow(32);
+    public final SampleWindow commits = new SampleWindow(32);
 
     public TrafficStatistics(Map<String, String> start) {
-        this.start = start;
-        this.types = RequestClass.read(start);
-        this.mix = new RequestClassMix(256, types.size());
-        this.tightest = types.stream()
-                .filter(t -> t.read() == Read.BOUNDED)
-                .mapToLong(RequestClass::bound)
+        this.settings = start;
+        this.requestClasses = RequestClass.consistency(start);
+        this.recentClasses = new RequestClassMix(256, requestClasses.size());
+        this.tightestStalenessNanos = requestClasses.stream()
+                .filter(t -> t.consistency() == Consistency.BOUNDED)
+                .mapToLong(RequestClass::maxStalenessNanos)
                 .min()
-                .orElse(1_000 * MS);
-        this.topValue = types.stream().mapToDouble(RequestClass::value).max().orElse(1);
+                .orElse(1_000 * MILLISECOND);
+        this.maxWeight = requestClasses.stream().mapToDouble(RequestClass::weight).max().orElse(1);
     }
 
     /** Allowed unless the settings say no; there, members are trusted without one. */
     public boolean probesAllowed() {
-        return !"false".equals(start.get("limits.probes"));
+        return !"false".equals(settings.get("limits.probes"));
     }
 
     /** The value of the txns that came last. */
-    public double asked() {
-        if (asked < 0) {
-            asked = types.stream()
-                    .mapToDouble(type -> mix.count(type.place()) * type.value())
+    public double recentWeight() {
+        if (recentWeight < 0) {
+            recentWeight = requestClasses.stream()
+                    .mapToDouble(type -> recentClasses.count(type.index()) * type.weight())
                     .sum();
         }
-        return asked;
+        return recentWeight;
     }
 
     /** One more has come. */
-    public void comes(RequestClass type) {
-        mix.add(type.place());
-        asked = -1;
+    public void recordArrival(RequestClass type) {
+        recentClasses.record(type.index());
+        recentWeight = -1;
     }
 
     /** The mean value of the txns that come here, in which prices are reckoned. */
-    public double meanValue() {
-        return mix.size() == 0 ? topValue : asked() / mix.size();
+    public double meanWeight() {
+        return recentClasses.size() == 0 ? maxWeight : recentWeight() / recentClasses.size();
     }
 
     /** Whether this setting says yes. */
-    public boolean says(String name) {
-        return "true".equals(start.get(name));
+    public boolean isEnabled(String name) {
+        return "true".equals(settings.get(name));
     }
 
     /** The number that a setting gives, or the one to take without it. */
     public double number(String name, double without) {
         Double given =
-                numbers.computeIfAbsent(name, key -> start.containsKey(key) ? Double.valueOf(start.get(key)) : null);
+                numbers.computeIfAbsent(name, key -> settings.containsKey(key) ? Double.valueOf(settings.get(key)) : null);
         return given == null ? without : given;
     }
 
     /** A time that is stated in microseconds, in nanoseconds; 0 without it. */
-    public long micros(String name) {
-        return Long.parseLong(start.getOrDefault(name, "0")) * 1_000;
+    public long nanosOf(String name) {
+        return Long.parseLong(settings.getOrDefault(name, "0")) * 1_000;
     }
 
     /** A txn whose SLA time had not ended when it came has ended, in time or not. */
-    public void served(Request txn, boolean inTime) {
-        if (txn.arrived < txn.slaEnd) {
-            txn.type.served().add(inTime ? 1 : 0, 0, txn.arrived);
+    public void recordSlaResult(Request request, boolean inTime) {
+        if (request.arrivedNanos < request.slaEndNanos) {
+            request.requestClass.slaResults().add(inTime ? 1 : 0, 0, request.arrivedNanos);
         }
     }
 
     /** A txn has ended without a commit. */
-    public void failed(Request txn, long now) {
-        fates.add(0, 0, now);
-        txn.group.borne.add(0, 0, now);
-        txn.group.borneWarm.add(0, 0, now);
-        txn.group.committedWarm.add(0, 0, now);
+    public void recordFailure(Request request, long now) {
+        commits.add(0, 0, now);
+        request.group.commitShares.add(0, 0, now);
+        request.group.warmCommitShares.add(0, 0, now);
+        request.group.warmCommits.add(0, 0, now);
     }
 
     /**
@@ -110,10 +110,10 @@
      * @param members how many members were there to bear it
      * @param warmMembers how many of them were warm, if a warm one did, else 0
      */
-    public void committed(Request txn, int members, int warmMembers, long now) {
-        fates.add(1, 0, now);
-        txn.group.borne.add(Group.WHOLE / Math.max(1, members), 0, now);
-        txn.group.borneWarm.add(warmMembers == 0 ? 0 : Group.WHOLE / warmMembers, 0, now);
-        txn.group.committedWarm.add(warmMembers == 0 ? 0 : 1, 0, now);
+    public void recordCommit(Request request, int members, int warmMembers, long now) {
+        commits.add(1, 0, now);
+        request.group.commitShares.add(Group.WHOLE_SHARE / Math.max(1, members), 0, now);
+        request.group.warmCommitShares.add(warmMembers == 0 ? 0 : Group.WHOLE_SHARE / warmMembers, 0, now);
+        request.group.warmCommits.add(warmMembers == 0 ? 0 : 1, 0, now);
     }
 }
--- a/src/main/java/beaconladder/routing/state/WakeupQueue.java
+++ b/src/main/java/beaconladder/routing/state/WakeupQueue.java
@@ -14,62 +14,62 @@
  * fleet is, and find nothing in the others.
  */
 public final class WakeupQueue {
-    private final TreeSet<Request> looks =
-            new TreeSet<>(Comparator.<Request>comparingLong(t -> t.look).thenComparingLong(t -> t.number));
+    private final TreeSet<Request> wakeups =
+            new TreeSet<>(Comparator.<Request>comparingLong(request -> request.wakeupNanos).thenComparingLong(request -> request.sequenceNumber));
     /** Listed groups with txns on hold, in the order in which groups were first listed. */
-    private final TreeSet<Group> holding = new TreeSet<>(Comparator.comparingInt(group -> group.place));
+    private final TreeSet<Group> groupsWithQueued = new TreeSet<>(Comparator.comparingInt(group -> group.listIndex));
     /** Groups of which something has changed since the last look. */
-    private final List<Group> touched = new ArrayList<>();
+    private final List<Group> pendingChanges = new ArrayList<>();
 
-    private int listed;
-    public long probe = Long.MAX_VALUE;
+    private int listedGroups;
+    public long nextProbeNanos = Long.MAX_VALUE;
 
     /** A member of this group has been listed; the first time gives the group its place. */
-    public void list(Group group) {
-        if (group.place < 0) {
-            group.place = listed++;
-            if (!group.held.isEmpty()) {
-                holding.add(group);
+    public void registerGroup(Group group) {
+        if (group.listIndex < 0) {
+            group.listIndex = listedGroups++;
+            if (!group.queued.isEmpty()) {
+                groupsWithQueued.add(group);
             }
         }
     }
 
     /** Something has changed that may let the group's txns go. */
-    public void change(Group group) {
+    public void markChanged(Group group) {
         group.changed = true;
-        if (!group.touched) {
-            group.touched = true;
-            touched.add(group);
+        if (!group.changePending) {
+            group.changePending = true;
+            pendingChanges.add(group);
         }
     }
 
     /** This txn waits. */
-    public void hold(Request txn) {
-        Group group = txn.group;
-        if (group.held.isEmpty()) {
+    public void enqueue(Request request) {
+        Group group = request.group;
+        if (group.queued.isEmpty()) {
             // No look clears the mark of a group without txns on hold, but for those touched since.
-            group.changed = group.touched;
-            if (group.place >= 0) {
-                holding.add(group);
+            group.changed = group.changePending;
+            if (group.listIndex >= 0) {
+                groupsWithQueued.add(group);
             }
         }
-        group.held.add(txn);
+        group.queued.add(request);
     }
 
     /** The groups with txns on hold, in their order; not a copy. */
-    public Collection<Group> holding() {
-        return holding;
+    public Collection<Group> groupsWithQueued() {
+        return groupsWithQueued;
     }
 
     /** Those of them that have changed since this was last asked. */
-    public List<Group> changed() {
-        for (Group group : touched) {
-            group.touched = false;
-            group.changed &= !group.held.isEmpty();
+    public List<Group> takeChanged() {
+        for (Group group : pendingChanges) {
+            group.changePending = false;
+            group.changed &= !group.queued.isEmpty();
         }
-        touched.clear();
+        pendingChanges.clear();
         List<Group> changed = new ArrayList<>();
-        for (Group group : holding) {
+        for (Group group : groupsWithQueued) {
             if (group.changed) {
                 group.changed = false;
                 changed.add(group);
@@ -78,34 +78,34 @@
         return changed;
     }
 
-    public void schedule(Request txn, long look) {
-        looks.remove(txn);
-        txn.look = look;
-        looks.add(txn);
+    public void schedule(Request request, long look) {
+        wakeups.remove(request);
+        request.wakeupNanos = look;
+        wakeups.add(request);
     }
 
     /** It is held no longer and looked at no more. */
-    public void drop(Request txn) {
-        looks.remove(txn);
-        txn.look = Long.MAX_VALUE;
-        if (txn.group.held.remove(txn) && txn.group.held.isEmpty()) {
-            holding.remove(txn.group);
+    public void remove(Request request) {
+        wakeups.remove(request);
+        request.wakeupNanos = Long.MAX_VALUE;
+        if (request.group.queued.remove(request) && request.group.queued.isEmpty()) {
+            groupsWithQueued.remove(request.group);
         }
     }
 
     /** Takes out those that are due by now, in their order. */
-    public Set<Request> due(long now) {
+    public Set<Request> takeDue(long now) {
         Set<Request> due = new LinkedHashSet<>();
-        while (!looks.isEmpty() && looks.first().look <= now) {
-            Request txn = looks.pollFirst();
-            txn.look = Long.MAX_VALUE;
-            due.add(txn);
+        while (!wakeups.isEmpty() && wakeups.first().wakeupNanos <= now) {
+            Request request = wakeups.pollFirst();
+            request.wakeupNanos = Long.MAX_VALUE;
+            due.add(request);
         }
         return due;
     }
 
     /** When the next one is due, a txn or a question. */
-    public long next() {
-        return Math.min(looks.isEmpty() ? Long.MAX_VALUE : looks.first().look, probe);
+    public long nextWakeupNanos() {
+        return Math.min(wakeups.isEmpty() ? Long.MAX_VALUE : wakeups.first().wakeupNanos, nextProbeNanos);
     }
 }
--- a/src/main/java/beaconladder/server/AttemptEvents.java
+++ b/src/main/java/beaconladder/server/AttemptEvents.java
@@ -6,7 +6,7 @@
 import beaconladder.routing.api.DispatchCheck;
 import beaconladder.routing.api.Router;
 import beaconladder.routing.api.Router.Outcome;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Host;
 import java.util.concurrent.locks.ReentrantLock;
@@ -42,12 +42,12 @@
     boolean mayGo(Attempt attempt) {
         lock.lock();
         try {
-            DispatchCheck check = router.mayGo(attempt, desk.nowNanos());
-            if (!check.allowed()) {
+            DispatchCheck check = router.checkDispatch(attempt, desk.nowNanos());
+            if (!check.isAllowed()) {
                 monitor.counters().add("held_back", check);
                 trace.heldBack(attempt, check, desk.nowNanos());
             }
-            return check.allowed();
+            return check.isAllowed();
         } finally {
             lock.unlock();
         }
@@ -55,7 +55,7 @@
 
     /** How long a host is told that its answer is waited for, where so much time is left; in nanoseconds. */
     long toldTime(long left) {
-        return router.toldTime(left);
+        return router.advertisedTimeoutNanos(left);
     }
 
     /** The bytes of an attempt have gone. */
@@ -68,27 +68,27 @@
         }
     }
 
-    void ended(Attempt attempt, Outcome outcome, Word answer, Word report, MessageWriter messages) {
+    void ended(Attempt attempt, Outcome outcome, HostReport answer, HostReport report, MessageWriter messages) {
         desk.applyEvent(now -> {
             if (attempt.ended) {
                 return;
             }
             trace.ended(attempt, outcome, now);
-            monitor.counters().add(attempt.number == 0 ? "first_attempt" : "retry", outcome);
-            boolean settled = attempt.txn.ended || outcome == Outcome.COMMITTED;
-            InFlightRequest hand = orders.of(attempt.txn);
-            rounds.act(attempt.txn, router.after(attempt, outcome, settled, answer, report, now), now);
+            monitor.counters().add(attempt.index == 0 ? "first_attempt" : "retry", outcome);
+            boolean settled = attempt.request.ended || outcome == Outcome.COMMITTED;
+            InFlightRequest hand = orders.of(attempt.request);
+            rounds.execute(attempt.request, router.onAttemptEnded(attempt, outcome, settled, answer, report, now), now);
             if (hand != null && outcome == Outcome.COMMITTED) {
                 hand.enqueue(InFlightRequest.Command.committed(attempt, messages));
             }
         });
     }
 
-    void probed(Host host, Outcome outcome, Word report) {
+    void probed(Host host, Outcome outcome, HostReport report) {
         desk.applyEvent(now -> {
-            trace.probed(host, outcome, host.probeSent, now);
+            trace.probed(host, outcome, host.lastProbeNanos, now);
             monitor.counters().add("probe", outcome);
-            router.probed(host, outcome, report, now);
+            router.onHealthCheckEnded(host, outcome, report, now);
         });
     }
 }
--- a/src/main/java/beaconladder/server/EndpointList.java
+++ b/src/main/java/beaconladder/server/EndpointList.java
@@ -80,19 +80,19 @@
                 case DRAINING -> Host.State.DRAINING;
                 case GONE -> Host.State.GONE;
             };
-            if (state != Host.State.READY || e.launchedMillis() * 1_000_000 > host.launched) {
+            if (state != Host.State.READY || e.launchedMillis() * 1_000_000 > host.launchedNanos) {
                 moved.add(host);
             }
             if (state == Host.State.GONE) {
                 leaving.put(e.id(), host);
             }
-            router.listed(host, e.leader(), state, e.launchedMillis() * 1_000_000, now);
+            router.updateHost(host, e.leader(), state, e.launchedMillis() * 1_000_000, now);
         }
         if (whole) {
             hosts.forEach((id, host) -> {
                 if (!named.contains(host) && host.state != Host.State.GONE) {
                     leaving.put(id, host);
-                    router.listed(host, false, Host.State.GONE, host.launched, now);
+                    router.updateHost(host, false, Host.State.GONE, host.launchedNanos, now);
                     moved.add(host);
                 }
             });
@@ -108,7 +108,7 @@
                 // It is back.
                 return true;
             }
-            if (!router.forget(host, now)) {
+            if (!router.removeHost(host, now)) {
                 return false;
             }
             hosts.remove(each.getKey());
--- a/src/main/java/beaconladder/server/EventTrace.java
+++ b/src/main/java/beaconladder/server/EventTrace.java
@@ -52,35 +52,35 @@
     void taken(Request txn, String id, long now) {
         if (on) {
             ids.put(txn, id);
-            add("take " + id + " type=" + txn.type.place() + " group=" + txn.group.number + " budget="
-                    + ms(txn.expiry - txn.arrived) + " written="
-                    + (txn.written == Long.MIN_VALUE ? "-" : ms(now - txn.written)) + " repeat=" + txn.repeated);
+            add("take " + id + " type=" + txn.requestClass.index() + " group=" + txn.group.id + " budget="
+                    + ms(txn.expiryNanos - txn.arrivedNanos) + " written="
+                    + (txn.sessionWritePosition == Long.MIN_VALUE ? "-" : ms(now - txn.sessionWritePosition)) + " repeat=" + txn.retriedByClient);
         }
     }
 
     void sent(Attempt s, long timeout) {
         if (on) {
             Host host = s.host;
-            add("send " + id(s.txn) + " n=" + s.number + " host=" + name(host) + " " + role(host) + " at="
-                    + ms(s.sent - s.txn.arrived) + " timeout=" + ms(timeout) + " out=" + s.beside
-                    + " lagms=" + (host.position == Long.MIN_VALUE ? "-" : ms(s.sent - host.position))
-                    + " cold=" + (host.launched > 0 ? ms(s.sent - host.launched) : "-")
-                    + " tickets=" + host.tickets.size());
+            add("send " + id(s.request) + " n=" + s.index + " host=" + name(host) + " " + role(host) + " at="
+                    + ms(s.sentNanos - s.request.arrivedNanos) + " timeout=" + ms(timeout) + " out=" + s.hostConcurrency
+                    + " lagms=" + (host.position == Long.MIN_VALUE ? "-" : ms(s.sentNanos - host.position))
+                    + " cold=" + (host.launchedNanos > 0 ? ms(s.sentNanos - host.launchedNanos) : "-")
+                    + " tickets=" + host.slowStartTickets.size());
         }
     }
 
     void ended(Attempt s, Outcome outcome, long now) {
         if (on) {
-            add("end " + id(s.txn) + " n=" + s.number + " host=" + name(s.host) + " " + outcome + " took="
-                    + ms(now - s.sent));
+            add("end " + id(s.request) + " n=" + s.index + " host=" + name(s.host) + " " + outcome + " took="
+                    + ms(now - s.sentNanos));
         }
     }
 
     void heldBack(Attempt s, DispatchCheck check, long now) {
         if (on) {
-            add("held back " + id(s.txn) + " n=" + s.number + " host=" + name(s.host) + " " + check
+            add("held back " + id(s.request) + " n=" + s.index + " host=" + name(s.host) + " " + check
                     + " after="
-                    + ms(now - s.sent));
+                    + ms(now - s.sentNanos));
         }
     }
 
@@ -98,8 +98,8 @@
 
     void finished(Request txn, String how, long now) {
         if (on) {
-            add(how + " " + id(txn) + " at=" + ms(now - txn.arrived) + " left=" + ms(txn.expiry - now) + " subs="
-                    + txn.submissions.size() + " want=" + txn.want + " asked=" + txn.asked);
+            add(how + " " + id(txn) + " at=" + ms(now - txn.arrivedNanos) + " left=" + ms(txn.expiryNanos - now) + " subs="
+                    + txn.attempts.size() + " want=" + txn.probeNeed + " asked=" + txn.probesSent);
         }
     }
 
@@ -123,7 +123,7 @@
 
     void listed(Host host, String state, boolean leader, long launched) {
         if (on) {
-            add("listed host=" + name(host) + " group=" + host.group.number + " zone=" + host.zone + " " + state
+            add("listed host=" + name(host) + " group=" + host.group.id + " zone=" + host.zone + " " + state
                     + (leader ? " leader" : "") + " started=" + launched);
         }
     }
@@ -150,7 +150,7 @@
     }
 
     private String id(Request txn) {
-        return ids.getOrDefault(txn, "#" + txn.number);
+        return ids.getOrDefault(txn, "#" + txn.sequenceNumber);
     }
 
     private String name(Host host) {
--- a/src/main/java/beaconladder/server/HostExchange.java
+++ b/src/main/java/beaconladder/server/HostExchange.java
@@ -4,7 +4,7 @@
 import beaconladder.pg.MessageWriter;
 import beaconladder.pg.Statement;
 import beaconladder.routing.api.Router.Outcome;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Host;
 import beaconladder.server.ExchangeResult.Reach;
@@ -81,7 +81,7 @@
     }
 
     private void tellProbe(ExchangeResult ending) {
-        Word report = lines.probeReports() && ending.row()
+        HostReport report = lines.probeReports() && ending.row()
                 ? LoadReportParser.parse(ending.messages().cell())
                 : ending.report();
         desk.attemptEvents().probed(host, localFault ? Outcome.LOCAL_FAULT : ending.outcome(), report);
--- a/src/main/java/beaconladder/server/LoadReportParser.java
+++ b/src/main/java/beaconladder/server/LoadReportParser.java
@@ -2,7 +2,7 @@
 
 import beaconladder.pg.Decimal;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 
 /** Parses what hosts report about themselves: load reports (ORCA text form) and replication positions. */
 final class LoadReportParser {
@@ -19,11 +19,11 @@
      * @param load the report, or null for none
      * @return what it states; silent where there is no report or where any field of it can't be read
      */
-    static Word parse(String load) {
+    static HostReport parse(String load) {
         if (load == null) {
-            return Word.SILENT;
+            return HostReport.EMPTY;
         }
-        long positionNanos = Word.NONE;
+        long positionNanos = HostReport.NO_POSITION;
         double inFlight = -1;
         Role role = Role.UNKNOWN;
         for (String pair : load.split(",")) {
@@ -34,17 +34,17 @@
             switch (pair.substring(0, Math.max(0, equals)).strip()) {
                 case "x0" -> {
                     positionNanos = parsePositionNanos(value, SECONDS_TO_NANOS);
-                    readable = positionNanos != Word.NONE;
+                    readable = positionNanos != HostReport.NO_POSITION;
                 }
                 case "x1" -> role = figure >= 0.5 ? Role.PRIMARY : Role.REPLICA;
                 case "inflight", "rif" -> inFlight = figure;
                 default -> {}
             }
             if (!readable) {
-                return Word.SILENT;
+                return HostReport.EMPTY;
             }
         }
-        return new Word(role, positionNanos, inFlight);
+        return new HostReport(role, positionNanos, inFlight);
     }
 
     private static double parseFigure(String text) {
@@ -65,6 +65,6 @@
      */
     static long parsePositionNanos(String text, int powerOfTen) {
         long nanos = Decimal.read(text, powerOfTen);
-        return nanos > 0 ? nanos : Word.NONE;
+        return nanos > 0 ? nanos : HostReport.NO_POSITION;
     }
 }
--- a/src/main/java/beaconladder/server/ParsedQuery.java
+++ b/src/main/java/beaconladder/server/ParsedQuery.java
@@ -2,7 +2,7 @@
 
 import beaconladder.pg.MessageWriter;
 import beaconladder.pg.Statement;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.state.Group;
 import java.util.Locale;
 
@@ -49,7 +49,7 @@
         Group group = named ? desk.group((int) cluster) : null;
         long budget = number(statement.value("d"));
         String after = statement.value("after");
-        long written = after == null ? Word.NONE : LoadReportParser.parsePositionNanos(after, 6);
+        long written = after == null ? HostReport.NO_POSITION : LoadReportParser.parsePositionNanos(after, 6);
         String wrong = id == null || id.isEmpty() || id.length() > LONGEST_ID
                 ? "id"
                 : type == null
@@ -58,7 +58,7 @@
                                 ? "cluster"
                                 : budget <= 0 || budget > LONGEST_MILLIS
                                         ? "d"
-                                        : after != null && written == Word.NONE ? "after" : null;
+                                        : after != null && written == HostReport.NO_POSITION ? "after" : null;
         if (wrong != null) {
             return only(
                     statement.value(wrong) == null
--- a/src/main/java/beaconladder/server/PendingActions.java
+++ b/src/main/java/beaconladder/server/PendingActions.java
@@ -15,7 +15,7 @@
 import java.util.function.Consumer;
 
 /** What the rounds ask for, under the desk's lock: told to the txns' tasks, or kept until it is free. */
-final class PendingActions implements DecisionLoop.Door {
+final class PendingActions implements DecisionLoop.ActionHandler {
     private final RequestDispatcher desk;
     private final CellAdmission gate;
     private final EventTrace trace;
@@ -68,9 +68,9 @@
 
     @Override
     public void send(Attempt s, long timeout) {
-        InFlightRequest hand = hands.get(s.txn);
+        InFlightRequest hand = hands.get(s.request);
         trace.sent(s, timeout);
-        InFlightRequest.Command command = InFlightRequest.Command.send(s, s.sent + timeout);
+        InFlightRequest.Command command = InFlightRequest.Command.send(s, s.sentNanos + timeout);
         if (!hand.enqueue(command)) {
             errands.add(to -> to.start(hand, command));
         }
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void decline(Request txn, long comeBack, RoutingDecision.Reason reason) {
+    public void reject(Request txn, long comeBack, RoutingDecision.Reason reason) {
         trace.finished(txn, "decline " + reason, desk.nowNanos());
         monitor.counters().add("refused", reason);
         monitor.invariants().refused(txn);
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public void ended(Request txn) {
+    public void onRequestEnded(Request txn) {
         trace.finished(txn, "over", desk.nowNanos());
         trace.gone(txn);
         hands.remove(txn);
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void close(Host host) {
+    public void closeIdleConnections(Host host) {
         errands.add(to -> to.closeIdle(host));
     }
 }
--- a/src/main/java/beaconladder/server/RequestDispatcher.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -93,11 +93,11 @@
 
     /** Whether txns of this type write. */
     boolean isWrite(int type) {
-        return router.type(type).read() == RequestClass.Read.WRITE;
+        return router.requestClass(type).consistency() == RequestClass.Consistency.WRITE;
     }
 
     double priorityWeight(int type) {
-        return router.type(type).value();
+        return router.requestClass(type).weight();
     }
 
     Group group(int number) {
@@ -109,7 +109,7 @@
     }
 
     long keepIdleNanos() {
-        return router.keepIdle();
+        return router.maxIdleNanos();
     }
 
     int trackedCount() {
@@ -153,7 +153,7 @@
             hand = InFlightRequest.of(
                     taken++,
                     parameters,
-                    router.type(parameters.classIndex()),
+                    router.requestClass(parameters.classIndex()),
                     places.tenantIndex(parameters.statement().value("t")));
             orders.add(hand);
             trace.taken(hand.request, parameters.id(), nowNanos());
@@ -163,7 +163,7 @@
         } finally {
             lock.unlock();
         }
-        applyEvent(now -> rounds.act(hand.request, router.place(hand.request, now), now));
+        applyEvent(now -> rounds.execute(hand.request, router.route(hand.request, now), now));
         return hand;
     }
 
@@ -180,10 +180,10 @@
     /** The client of this txn has left. */
     void abandon(InFlightRequest hand) {
         applyEvent(now -> {
-            hand.request.leftAt = Math.min(hand.request.leftAt, now);
+            hand.request.disconnectedNanos = Math.min(hand.request.disconnectedNanos, now);
             if (!hand.request.ended) {
                 trace.finished(hand.request, "left", now);
-                rounds.act(hand.request, router.left(hand.request, now), now);
+                rounds.execute(hand.request, router.onClientDisconnected(hand.request, now), now);
                 hand.enqueue(InFlightRequest.Command.clientGone());
             }
         });
@@ -216,7 +216,7 @@
         try {
             long now = nowNanos();
             news.accept(now);
-            timer.schedule(rounds.settle(now));
+            timer.schedule(rounds.processDue(now));
             then = orders.errands();
             traced = trace.take();
         } finally {
--- a/src/main/java/beaconladder/server/ServerConnection.java
+++ b/src/main/java/beaconladder/server/ServerConnection.java
@@ -5,7 +5,7 @@
 import beaconladder.pg.MessageReader.Got;
 import beaconladder.pg.MessageWriter;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.server.ExchangeResult.Reach;
 import java.io.IOException;
 import java.net.ConnectException;
@@ -153,7 +153,7 @@
         Reach reach = Reach.WRITTEN;
         MessageWriter messages = new MessageWriter();
         Role role = Role.UNKNOWN;
-        long position = Word.NONE;
+        long position = HostReport.NO_POSITION;
         String load = null;
         String code = null;
         // What may come next: T, D, C in turn, or E in place of T; Z after C or E.
--- a/src/main/java/beaconladder/server/ServerConnectionPool.java
+++ b/src/main/java/beaconladder/server/ServerConnectionPool.java
@@ -3,7 +3,7 @@
 import beaconladder.pg.MemoryLimit;
 import beaconladder.pg.Statement;
 import beaconladder.routing.api.Router.Outcome;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Host;
 import java.io.IOException;
@@ -121,7 +121,7 @@
     @Override
     public void start(InFlightRequest hand, InFlightRequest.Command command) {
         if (!threads.tryExecute(() -> send(command, hand.statement))) {
-            desk.attemptEvents().ended(command.attempt(), Outcome.MOOT, Word.SILENT, Word.SILENT, null);
+            desk.attemptEvents().ended(command.attempt(), Outcome.MOOT, HostReport.EMPTY, HostReport.EMPTY, null);
         }
     }
 
@@ -138,7 +138,7 @@
     @Override
     public void probe(Host host) {
         if (!threads.tryExecute(new HostExchange(this, desk, host, null, null, System.nanoTime() + dialNanos))) {
-            desk.attemptEvents().probed(host, Outcome.MOOT, Word.SILENT);
+            desk.attemptEvents().probed(host, Outcome.MOOT, HostReport.EMPTY);
         }
     }
 
--- a/src/main/java/beaconladder/simulation/SimulatedRouter.java
+++ b/src/main/java/beaconladder/simulation/SimulatedRouter.java
@@ -5,7 +5,7 @@
 import beaconladder.routing.api.Router;
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
@@ -20,7 +20,7 @@
 import java.util.Set;
 
 /** One instance on the wire: keeps its txns in hand and its timer, and passes questions and answers. */
-final class SimulatedRouter implements DecisionLoop.Door {
+final class SimulatedRouter implements DecisionLoop.ActionHandler {
     private static final long LONGEST_TIMER_MICROS = 71L * 60 * 1_000_000;
 
     final long number;
@@ -95,12 +95,12 @@
                     case 2 -> Host.State.DRAINING;
                     default -> Host.State.GONE;
                 };
-                router.listed(host, e.leader(), state, e.launchedMicros() * 1_000, clock * 1_000);
+                router.updateHost(host, e.leader(), state, e.launchedMicros() * 1_000, clock * 1_000);
             }
             if (whole) {
                 for (Host host : hosts.values()) {
                     if (!named.contains(host.id) && host.state != Host.State.GONE) {
-                        router.listed(host, false, Host.State.GONE, host.launched, clock * 1_000);
+                        router.updateHost(host, false, Host.State.GONE, host.launchedNanos, clock * 1_000);
                     }
                 }
             }
@@ -131,11 +131,11 @@
             // The age of a write is rounded down, that is, toward the newer position.
             long written = sinceWriteMillis > 0
                     ? now - Math.max(1, (long) (Math.nextDown(sinceWriteMillis) * 1e6))
-                    : Word.NONE;
+                    : HostReport.NO_POSITION;
             Group of = groups.computeIfAbsent(group, Group::new);
             Request txn = new Request(
                     call,
-                    router.type(type),
+                    router.requestClass(type),
                     of,
                     session,
                     written,
@@ -145,7 +145,7 @@
                     now + budget * 1_000,
                     taken++);
             txns.put(call, txn);
-            rounds.act(txn, router.place(txn, now), now);
+            rounds.execute(txn, router.route(txn, now), now);
         });
     }
 
@@ -156,15 +156,15 @@
         }
         guard(() -> {
             long now = clock * 1_000;
-            Word answer = note == 0
-                    ? Word.SILENT
-                    : new Word(
+            HostReport answer = note == 0
+                    ? HostReport.EMPTY
+                    : new HostReport(
                             note % 4 == 1 ? Role.PRIMARY : note % 4 == 2 ? Role.REPLICA : Role.UNKNOWN,
-                            note / 4 == 0 ? Word.NONE : zeroMicros * 1_000 + note / 4 * 1_000_000,
+                            note / 4 == 0 ? HostReport.NO_POSITION : zeroMicros * 1_000 + note / 4 * 1_000_000,
                             -1);
-            Request txn = submission.txn;
-            rounds.act(txn, router.after(submission, outcome(reason), settled, answer, word(pressure), now), now);
-            if (txn.ended && txn.out() == 0) {
+            Request txn = submission.request;
+            rounds.execute(txn, router.onAttemptEnded(submission, outcome(reason), settled, answer, word(pressure), now), now);
+            if (txn.ended && txn.attemptsInFlight() == 0) {
                 txns.remove(call);
             }
         });
@@ -173,7 +173,7 @@
     void sampled(int host, int reason, float[] pressure, long clock) {
         Host of = hosts.get(host);
         if (router != null && of != null) {
-            guard(() -> router.probed(of, outcome(reason), word(pressure), clock * 1_000));
+            guard(() -> router.onHealthCheckEnded(of, outcome(reason), word(pressure), clock * 1_000));
         }
     }
 
@@ -181,7 +181,7 @@
         Request txn = txns.get(call);
         if (txn != null && !txn.ended) {
             guard(() -> {
-                rounds.act(txn, router.left(txn, clock * 1_000), clock * 1_000);
+                rounds.execute(txn, router.onClientDisconnected(txn, clock * 1_000), clock * 1_000);
             });
         }
     }
@@ -199,7 +199,7 @@
         }
         guard(() -> {
             long now = clock * 1_000;
-            long until = rounds.settle(now);
+            long until = rounds.processDue(now);
             if (until < timerAt) {
                 timerAt = until;
                 long micros = (Math.max(1_000, until - now) + 999) / 1_000;
@@ -210,16 +210,16 @@
 
     @Override
     public void send(Attempt s, long timeout) {
-        reply.issue(s.txn.id, s.host.id, Math.max(1, timeout / 1_000));
+        reply.issue(s.request.id, s.host.id, Math.max(1, timeout / 1_000));
     }
 
     @Override
     public void cancel(Attempt s) {
-        reply.dropAttempt(s.txn.id, s.number);
+        reply.dropAttempt(s.request.id, s.index);
     }
 
     @Override
-    public void decline(Request txn, long comeBack, RoutingDecision.Reason reason) {
+    public void reject(Request txn, long comeBack, RoutingDecision.Reason reason) {
         reply.sayNo(txn.id, comeBack / 1_000);
     }
 
@@ -229,8 +229,8 @@
     }
 
     @Override
-    public void ended(Request txn) {
-        if (txn.out() == 0) {
+    public void onRequestEnded(Request txn) {
+        if (txn.attemptsInFlight() == 0) {
             txns.remove(txn.id);
         }
     }
@@ -241,23 +241,23 @@
     }
 
     @Override
-    public void close(Host host) {
+    public void closeIdleConnections(Host host) {
         reply.hangUp(host.id);
     }
 
     private Attempt find(long call, int copy) {
         Request txn = txns.get(call);
-        return txn == null || copy >= txn.submissions.size() ? null : txn.submissions.get(copy);
+        return txn == null || copy >= txn.attempts.size() ? null : txn.attempts.get(copy);
     }
 
     /** A report; a field that is missing or can't be true (not a number, negative) counts as not reported. */
-    Word word(float[] pressure) {
+    HostReport word(float[] pressure) {
         float position = field(pressure, positionField);
         float primary = field(pressure, primaryField);
         // One step down, since the nearest float may lie above the true position.
-        return new Word(
+        return new HostReport(
                 primary < 0 ? Role.UNKNOWN : primary >= 0.5f ? Role.PRIMARY : Role.REPLICA,
-                position < 0 ? Word.NONE : zeroMicros * 1_000 + (long) (Math.nextDown(position) * 1e9),
+                position < 0 ? HostReport.NO_POSITION : zeroMicros * 1_000 + (long) (Math.nextDown(position) * 1e9),
                 field(pressure, loadField));
     }
 
--- a/src/main/java/beaconladder/testbed/scale/PositionsHosts.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsHosts.java
@@ -1,7 +1,7 @@
 package beaconladder.testbed.scale;
 
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import java.util.SplittableRandom;
 
 /**
@@ -101,16 +101,16 @@
     }
 
     /** The note of an answer: exact, rounded down to a millisecond as on the wire. */
-    Word answer(int host, long now) {
+    HostReport answer(int host, long now) {
         long position = claimed(host, now);
-        return new Word(role(host, now), position - Math.floorMod(position, MS), -1);
+        return new HostReport(role(host, now), position - Math.floorMod(position, MS), -1);
     }
 
     /** The report that goes with an answer or a probe: as old as its period and its delay make it. */
-    Word report(int host, long now) {
+    HostReport report(int host, long now) {
         long taken = now - REPORT_DELAY - Math.floorMod(now + phase[host], REPORT_PERIOD);
         // 638 statements a second of 4 ms each are two or three at a time.
-        return new Word(role(host, taken), claimed(host, taken), chance.nextInt(6));
+        return new HostReport(role(host, taken), claimed(host, taken), chance.nextInt(6));
     }
 
     private Role role(int host, long now) {
--- a/src/main/java/beaconladder/testbed/scale/PositionsLoss.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsLoss.java
@@ -3,7 +3,7 @@
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
-import beaconladder.routing.state.RequestClass.Read;
+import beaconladder.routing.state.RequestClass.Consistency;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.LinkedHashMap;
@@ -29,7 +29,7 @@
     private final long[] inTime = new long[WATCHED];
     private final long[] probes = new long[WATCHED];
     /** Of the 13 s in the groups that lost their primary: how many of a kind came, and were in time. */
-    private final Map<Read, long[]> hit = new LinkedHashMap<>();
+    private final Map<Consistency, long[]> hit = new LinkedHashMap<>();
 
     private long lostAt = Long.MAX_VALUE;
     private int inHand;
@@ -38,7 +38,7 @@
 
     private PositionsLoss(PositionsHosts truth) {
         this.truth = truth;
-        for (Read read : new Read[] {Read.BOUNDED, Read.SESSION, Read.ANY, Read.WRITE}) {
+        for (Consistency read : new Consistency[] {Consistency.BOUNDED, Consistency.SESSION, Consistency.ANY, Consistency.WRITE}) {
             hit.put(read, new long[2]);
         }
     }
@@ -67,9 +67,9 @@
     }
 
     private boolean isHit(Request txn) {
-        return txn.arrived >= lostAt
-                && txn.arrived < lostAt + PositionsHosts.FAILOVER
-                && truth.lostWith(txn.group.number * PositionsHosts.MEMBERS);
+        return txn.arrivedNanos >= lostAt
+                && txn.arrivedNanos < lostAt + PositionsHosts.FAILOVER
+                && truth.lostWith(txn.group.id * PositionsHosts.MEMBERS);
     }
 
     @Override
@@ -79,28 +79,28 @@
             came[second(now)]++;
         }
         if (isHit(txn)) {
-            hit.get(txn.type.read())[0]++;
+            hit.get(txn.requestClass.consistency())[0]++;
         }
     }
 
     @Override
     public void sent(Attempt s, long now) {
         // One that is sent to a host that is lost is answered by nobody.
-        if (!s.txn.type.read().atPrimary() && !truth.leads(s.host.id, now) && !truth.down(s.host.id, now)) {
-            stale += truth.position(s.host.id, now) < PositionsSight.target(s.txn, s.txn.target, now) ? 1 : 0;
+        if (!s.request.requestClass.consistency().requiresPrimary() && !truth.leads(s.host.id, now) && !truth.down(s.host.id, now)) {
+            stale += truth.position(s.host.id, now) < PositionsSight.target(s.request, s.request.sessionTarget, now) ? 1 : 0;
         }
     }
 
     @Override
     public void answered(Request txn, long now) {
-        if (now > txn.arrived + txn.type.sla()) {
+        if (now > txn.arrivedNanos + txn.requestClass.slaNanos()) {
             return;
         }
-        if (second(txn.arrived) >= 0) {
-            inTime[second(txn.arrived)]++;
+        if (second(txn.arrivedNanos) >= 0) {
+            inTime[second(txn.arrivedNanos)]++;
         }
         if (isHit(txn)) {
-            hit.get(txn.type.read())[1]++;
+            hit.get(txn.requestClass.consistency())[1]++;
         }
     }
 
--- a/src/main/java/beaconladder/testbed/scale/PositionsRouter.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsRouter.java
@@ -4,7 +4,7 @@
 import beaconladder.routing.api.DecisionLoop;
 import beaconladder.routing.api.Router;
 import beaconladder.routing.api.Router.Outcome;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
@@ -21,7 +21,7 @@
  * One hollow router in virtual time: the real module and its real rounds, as behind the desk (a look after each event),
  * before hollow hosts. There are no sockets, clients, threads or lock.
  */
-final class PositionsRouter implements DecisionLoop.Door {
+final class PositionsRouter implements DecisionLoop.ActionHandler {
     static final long MS = PositionsHosts.MS;
     /** Statements a second at one router, the users' figure. */
     static final double RATE = 902;
@@ -89,16 +89,16 @@
         this.chance = chance;
         logic = new RoutingPolicy(chance.nextLong(), PositionsStart.told(truth.count()));
         rounds = new DecisionLoop(logic, this);
-        this.watcher = watcher.apply(logic.keepIdle());
+        this.watcher = watcher.apply(logic.maxIdleNanos());
         for (int i = 0; i < truth.count(); i++) {
             if (PositionsHosts.isPrimary(i)) {
                 groups.add(new Group(groups.size()));
             }
             Host host = new Host(i, groups.get(groups.size() - 1), i % PositionsHosts.MEMBERS);
             hosts.add(host);
-            logic.listed(host, PositionsHosts.isPrimary(i), Host.State.READY, 0, now);
+            logic.updateHost(host, PositionsHosts.isPrimary(i), Host.State.READY, 0, now);
         }
-        until = rounds.settle(now);
+        until = rounds.processDue(now);
         at(now, this::comes);
     }
 
@@ -113,11 +113,11 @@
             if (until <= next) {
                 now = Math.max(now, until);
                 // The desk's timer rests a while, so that it can't spin.
-                until = Math.max(rounds.settle(now), now + REST);
+                until = Math.max(rounds.processDue(now), now + REST);
             } else {
                 now = next;
                 events.poll().run().run();
-                until = Math.max(rounds.settle(now), now + REST);
+                until = Math.max(rounds.processDue(now), now + REST);
             }
         }
     }
@@ -134,20 +134,20 @@
             type++;
         }
         long written =
-                type == SESSION && chance.nextDouble() < FOLLOWS ? now - chance.nextLong(GAP[0], GAP[1]) : Word.NONE;
+                type == SESSION && chance.nextDouble() < FOLLOWS ? now - chance.nextLong(GAP[0], GAP[1]) : HostReport.NO_POSITION;
         Request txn = new Request(
                 taken,
-                logic.type(type),
+                logic.requestClass(type),
                 groups.get(chance.nextInt(groups.size())),
                 0,
                 written,
                 0,
                 false,
                 now,
-                now + logic.type(type).expiry(),
+                now + logic.requestClass(type).timeoutNanos(),
                 taken++);
         watcher.came(txn, now);
-        rounds.act(txn, logic.place(txn, now), now);
+        rounds.execute(txn, logic.route(txn, now), now);
     }
 
     /** A ninth of the hosts is lost now; the list tells of it, and later on of the new primaries. */
@@ -157,12 +157,12 @@
                 now + NOTICE,
                 () -> hosts.stream()
                         .filter(host -> truth.lostWith(host.id))
-                        .forEach(host -> logic.listed(host, false, Host.State.GONE, 0, now)));
+                        .forEach(host -> logic.updateHost(host, false, Host.State.GONE, 0, now)));
         at(
                 now + PositionsHosts.FAILOVER + ROLE_LAG,
                 () -> hosts.stream()
                         .filter(host -> truth.leads(host.id, now) && !PositionsHosts.isPrimary(host.id))
-                        .forEach(host -> logic.listed(host, true, Host.State.READY, 0, now)));
+                        .forEach(host -> logic.updateHost(host, true, Host.State.READY, 0, now)));
     }
 
     private void over(Attempt s, Outcome outcome) {
@@ -170,18 +170,18 @@
             return;
         }
         watcher.free(s.host, now);
-        if (outcome == Outcome.COMMITTED && !s.txn.ended) {
-            watcher.answered(s.txn, now);
+        if (outcome == Outcome.COMMITTED && !s.request.ended) {
+            watcher.answered(s.request, now);
         }
-        boolean spoke = outcome.fromHost();
-        rounds.act(
-                s.txn,
-                logic.after(
+        boolean spoke = outcome.isFromHost();
+        rounds.execute(
+                s.request,
+                logic.onAttemptEnded(
                         s,
                         outcome,
-                        s.txn.ended || outcome == Outcome.COMMITTED,
-                        spoke ? truth.answer(s.host.id, now) : Word.SILENT,
-                        spoke ? truth.report(s.host.id, now) : Word.SILENT,
+                        s.request.ended || outcome == Outcome.COMMITTED,
+                        spoke ? truth.answer(s.host.id, now) : HostReport.EMPTY,
+                        spoke ? truth.report(s.host.id, now) : HostReport.EMPTY,
                         now),
                 now);
     }
@@ -195,11 +195,11 @@
             at(now + Math.min(DIAL, timeout), () -> over(s, Outcome.UNREACHABLE));
             return;
         }
-        Outcome outcome = s.txn.type.read().atPrimary() && !truth.leads(host, now) ? Outcome.MISS : Outcome.COMMITTED;
+        Outcome outcome = s.request.requestClass.consistency().requiresPrimary() && !truth.leads(host, now) ? Outcome.MISS : Outcome.COMMITTED;
         at(now + Math.min(work, timeout), () -> {
             if (truth.down(host, now)) {
                 // It was lost with the work in hand, and the connection falls silent.
-                at(s.sent + timeout, () -> over(s, Outcome.TIMED_OUT));
+                at(s.sentNanos + timeout, () -> over(s, Outcome.TIMED_OUT));
             } else {
                 over(s, work <= timeout ? outcome : Outcome.TIMED_OUT);
             }
@@ -217,27 +217,27 @@
         boolean down = truth.down(host.id, now);
         at(now + (down ? DIAL : truth.probe()), () -> {
             watcher.free(host, now);
-            logic.probed(
+            logic.onHealthCheckEnded(
                     host,
                     down ? Outcome.UNREACHABLE : Outcome.COMMITTED,
-                    down ? Word.SILENT : truth.report(host.id, now),
+                    down ? HostReport.EMPTY : truth.report(host.id, now),
                     now);
         });
     }
 
     @Override
-    public void close(Host host) {
+    public void closeIdleConnections(Host host) {
         watcher.close(host, now);
     }
 
     @Override
-    public void decline(Request txn, long comeBack, RoutingDecision.Reason reason) {}
+    public void reject(Request txn, long comeBack, RoutingDecision.Reason reason) {}
 
     @Override
     public void rollBack(Request txn, RoutingDecision.Reason reason) {}
 
     @Override
-    public void ended(Request txn) {
+    public void onRequestEnded(Request txn) {
         watcher.ended(txn, now);
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/PositionsSight.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsSight.java
@@ -3,7 +3,7 @@
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
-import beaconladder.routing.state.RequestClass.Read;
+import beaconladder.routing.state.RequestClass.Consistency;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -14,7 +14,7 @@
 final class PositionsSight implements PositionsRouter.Watcher {
     private static final long MS = PositionsHosts.MS;
     private static final long LOOK = 100 * MS;
-    private static final List<Read> READS = List.of(Read.BOUNDED, Read.SESSION, Read.ANY);
+    private static final List<Consistency> READS = List.of(Consistency.BOUNDED, Consistency.SESSION, Consistency.ANY);
 
     /** Counts of one kind of read. */
     private static final class Kind {
@@ -36,7 +36,7 @@
     }
 
     private final PositionsHosts truth;
-    private final Map<Read, Kind> kinds = new LinkedHashMap<>();
+    private final Map<Consistency, Kind> kinds = new LinkedHashMap<>();
     /** How long ago a replica of the group had last spoken when a read came. */
     private final Histogram heardBefore = new Histogram(3);
 
@@ -71,20 +71,20 @@
             kept.look(now);
         }
         txns++;
-        Kind kind = kinds.get(txn.type.read());
+        Kind kind = kinds.get(txn.requestClass.consistency());
         if (kind == null) {
             return;
         }
         kind.reads++;
-        long target = target(txn, txn.written, now);
+        long target = target(txn, txn.sessionWritePosition, now);
         boolean byRecord = false;
         boolean inTruth = false;
         for (Host host : txn.group.members) {
             if (host != txn.group.primary) {
-                byRecord |= host.met && host.position >= target;
+                byRecord |= host.contacted && host.position >= target;
                 inTruth |= truth.position(host.id, now) >= target;
-                if (host.met) {
-                    heardBefore.recordValue((now - host.saidAt) / 1_000);
+                if (host.contacted) {
+                    heardBefore.recordValue((now - host.lastReportNanos) / 1_000);
                 }
             }
         }
@@ -94,8 +94,8 @@
 
     /** The position that a read must see, given that of its session's last write. */
     static long target(Request txn, long written, long now) {
-        return switch (txn.type.read()) {
-            case BOUNDED -> now - txn.type.bound();
+        return switch (txn.requestClass.consistency()) {
+            case BOUNDED -> now - txn.requestClass.maxStalenessNanos();
             case SESSION -> written;
             default -> Long.MIN_VALUE;
         };
@@ -105,22 +105,22 @@
     public void sent(Attempt s, long now) {
         lines.take(s.host.id, now);
         kept.take(s.host.id, now);
-        Kind kind = kinds.get(s.txn.type.read());
+        Kind kind = kinds.get(s.request.requestClass.consistency());
         if (kind == null) {
             return;
         }
         boolean atPrimary = PositionsHosts.isPrimary(s.host.id);
-        if (s.number == 0) {
+        if (s.index == 0) {
             kind.toPrimary += atPrimary ? 1 : 0;
-            if (now > s.txn.arrived) {
+            if (now > s.request.arrivedNanos) {
                 kind.held++;
-                kind.heldFor.recordValue((now - s.txn.arrived) / 1_000);
+                kind.heldFor.recordValue((now - s.request.arrivedNanos) / 1_000);
             }
         }
         if (!atPrimary) {
-            kind.heardAgo.recordValue((now - s.host.saidAt) / 1_000);
+            kind.heardAgo.recordValue((now - s.host.lastReportNanos) / 1_000);
             kind.positionAge.recordValue((now - s.host.position) / 1_000);
-            kind.stale += truth.position(s.host.id, now) < target(s.txn, s.txn.target, now) ? 1 : 0;
+            kind.stale += truth.position(s.host.id, now) < target(s.request, s.request.sessionTarget, now) ? 1 : 0;
         }
     }
 
@@ -145,15 +145,15 @@
 
     @Override
     public void ended(Request txn, long now) {
-        Kind kind = kinds.get(txn.type.read());
-        if (kind != null && txn.submissions.isEmpty()) {
+        Kind kind = kinds.get(txn.requestClass.consistency());
+        if (kind != null && txn.attempts.isEmpty()) {
             kind.neverSent++;
         }
     }
 
     /** The figures of so many seconds; shares are of the reads of a kind, times in milliseconds. */
     void figures(Map<String, Object> to, double seconds) {
-        for (Map.Entry<Read, Kind> each : kinds.entrySet()) {
+        for (Map.Entry<Consistency, Kind> each : kinds.entrySet()) {
             String name = each.getKey().name().toLowerCase(Locale.ROOT);
             Kind kind = each.getValue();
             double reads = Math.max(1, kind.reads);
--- a/src/test/java/beaconladder/cells/TenantMigrationsTest.java
+++ b/src/test/java/beaconladder/cells/TenantMigrationsTest.java
@@ -6,7 +6,7 @@
 import beaconladder.cells.MigrationStep.Kind;
 import beaconladder.plan.PlanReader;
 import beaconladder.routing.api.Router.Outcome;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
 import beaconladder.routing.state.Host;
@@ -218,7 +218,7 @@
         private final List<Node> nodes = new ArrayList<>();
         private final List<long[]> ranInA = new ArrayList<>();
         private final List<Long> ranInB = new ArrayList<>();
-        private final RequestClass write = RequestClass.read(Map.of(
+        private final RequestClass write = RequestClass.consistency(Map.of(
                         "request_classes.count",
                         "1",
                         "family_info.freshness",
@@ -370,12 +370,12 @@
             for (Request txn : List.copyOf(node.hand)) {
                 if (chance.nextInt(4) == 0) {
                     node.hand.remove(txn);
-                    if (node.gate.stands(txn, now) && now < txn.expiry) {
-                        txn.submissions.add(new Attempt(txn, 0, new Host(0, txn.group, 0), now, 1));
+                    if (node.gate.stands(txn, now) && now < txn.expiryNanos) {
+                        txn.attempts.add(new Attempt(txn, 0, new Host(0, txn.group, 0), now, 1));
                         flying.add(new Flying(
                                 now + chance.nextInt(chance.nextInt(5) == 0 ? 350 : 20) * MS,
-                                txn.expiry,
-                                txn.group.number,
+                                txn.expiryNanos,
+                                txn.group.id,
                                 node,
                                 node.run,
                                 txn));
@@ -388,20 +388,20 @@
 
         private void land() {
             flying.removeIf(each -> {
-                Attempt s = each.txn().submissions.get(0);
+                Attempt s = each.txn().attempts.get(0);
                 if (!each.txn().ended && each.node().run == each.run() && chance.nextInt(12) == 0) {
                     // Its client leaves: the submission is called off, and may run all the same.
                     each.txn().ended = true;
                     each.node().gate.ended(each.txn());
                     s.ended = true;
-                    each.node().gate.ended(s, Outcome.CANCELLED, Word.SILENT, now);
+                    each.node().gate.ended(s, Outcome.CANCELLED, HostReport.EMPTY, now);
                 }
                 boolean same = each.node().run == each.run();
                 if (each.at() > now) {
                     // Its router gives it up at its expiry; its host may still run it until then.
                     if (same && now >= each.expiry() && !each.txn().ended) {
                         each.txn().ended = true;
-                        each.node().gate.ended(s, Outcome.TIMED_OUT, Word.SILENT, now);
+                        each.node().gate.ended(s, Outcome.TIMED_OUT, HostReport.EMPTY, now);
                         each.node().gate.ended(each.txn());
                     }
                     return false;
@@ -422,8 +422,8 @@
                                     s,
                                     told ? Outcome.COMMITTED : Outcome.RESET,
                                     told
-                                            ? new Word(beaconladder.routing.api.Router.Role.PRIMARY, each.at(), -1)
-                                            : Word.SILENT,
+                                            ? new HostReport(beaconladder.routing.api.Router.Role.PRIMARY, each.at(), -1)
+                                            : HostReport.EMPTY,
                                     now);
                     each.node().gate.ended(each.txn());
                 }
--- a/src/test/java/beaconladder/closing/ClosedTest.java
+++ b/src/test/java/beaconladder/closing/ClosedTest.java
@@ -5,7 +5,7 @@
 import beaconladder.routing.RoutingPolicy;
 import beaconladder.routing.api.Router;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Group;
 import beaconladder.routing.state.Host;
@@ -62,28 +62,28 @@
         Host primary = new Host(0, group, 0);
         Host replica = new Host(1, group, 0);
         long before = CLOSE_NANOS - 1_000 * MS;
-        router.listed(primary, true, Host.State.READY, 0, before);
-        router.listed(replica, false, Host.State.READY, 0, before);
-        router.probed(primary, Router.Outcome.COMMITTED, new Word(Role.PRIMARY, before, 0), before);
-        router.probed(replica, Router.Outcome.COMMITTED, new Word(Role.REPLICA, before, 0), before);
+        router.updateHost(primary, true, Host.State.READY, 0, before);
+        router.updateHost(replica, false, Host.State.READY, 0, before);
+        router.onHealthCheckEnded(primary, Router.Outcome.COMMITTED, new HostReport(Role.PRIMARY, before, 0), before);
+        router.onHealthCheckEnded(replica, Router.Outcome.COMMITTED, new HostReport(Role.REPLICA, before, 0), before);
 
         Request early = read(router, group, 1, before + MS);
-        assertThat(sentTo(router.place(early, before + MS))).isSameAs(replica);
+        assertThat(sentTo(router.route(early, before + MS))).isSameAs(replica);
         Request late = read(router, group, 2, CLOSE_NANOS + MS);
-        assertThat(sentTo(router.place(late, CLOSE_NANOS + MS))).isNotSameAs(replica);
-        assertThat(late.floor).isEqualTo(CLOSE_NANOS);
+        assertThat(sentTo(router.route(late, CLOSE_NANOS + MS))).isNotSameAs(replica);
+        assertThat(late.minPosition).isEqualTo(CLOSE_NANOS);
         // By a clock that is late by the bound this one came before the close, and did not.
         Request near = read(router, group, 3, CLOSE_NANOS - 20 * MS);
-        router.place(near, CLOSE_NANOS - 20 * MS);
-        assertThat(near.floor).isEqualTo(CLOSE_NANOS);
+        router.route(near, CLOSE_NANOS - 20 * MS);
+        assertThat(near.minPosition).isEqualTo(CLOSE_NANOS);
         long past = CLOSE_NANOS + 5 * MS;
-        router.probed(replica, Router.Outcome.COMMITTED, new Word(Role.REPLICA, past, 0), past + MS);
+        router.onHealthCheckEnded(replica, Router.Outcome.COMMITTED, new HostReport(Role.REPLICA, past, 0), past + MS);
         Request then = read(router, group, 4, past + 2 * MS);
-        assertThat(sentTo(router.place(then, past + 2 * MS))).isSameAs(replica);
+        assertThat(sentTo(router.route(then, past + 2 * MS))).isSameAs(replica);
     }
 
     private static Request read(Router router, Group group, long id, long arrived) {
-        return new Request(id, router.type(0), group, 0, Word.NONE, -1, false, arrived, arrived + 2_000 * MS, id);
+        return new Request(id, router.requestClass(0), group, 0, HostReport.NO_POSITION, -1, false, arrived, arrived + 2_000 * MS, id);
     }
 
     /** The host of the verdict's submission, or null. */
--- a/src/test/java/beaconladder/invariants/InvariantsTest.java
+++ b/src/test/java/beaconladder/invariants/InvariantsTest.java
@@ -30,12 +30,12 @@
                 effect,
                 "request_classes.0.key_ttl_us",
                 "300000"));
-        return new Request(1, RequestClass.read(start).get(0), group, 1, Long.MIN_VALUE, 0, false, 0, SECOND, 1);
+        return new Request(1, RequestClass.consistency(start).get(0), group, 1, Long.MIN_VALUE, 0, false, 0, SECOND, 1);
     }
 
     private Attempt attempt(Request txn, long decided, SlowStartTicket ticket) {
-        Attempt attempt = new Attempt(txn, txn.submissions.size(), host, decided, 1, ticket);
-        txn.submissions.add(attempt);
+        Attempt attempt = new Attempt(txn, txn.attempts.size(), host, decided, 1, ticket);
+        txn.attempts.add(attempt);
         return attempt;
     }
 
@@ -58,7 +58,7 @@
     @Test
     void aSendToAHostThatHasLeftLongerThanTheGrace() {
         host.state = Host.State.DRAINING;
-        host.stateSince = 0;
+        host.stateSinceNanos = 0;
         Request txn = txn("pure");
         assertThat(sent(Rule.SENDING, attempt(txn, 0), SECOND, MS)).isZero();
         assertThat(sent(Rule.SENDING, attempt(txn, 0), SECOND + 51 * MS, MS)).isEqualTo(1);
@@ -67,7 +67,7 @@
     @Test
     void aSendAfterTheClientHadGone() {
         Request txn = txn("pure");
-        txn.leftAt = 100 * MS;
+        txn.disconnectedNanos = 100 * MS;
         assertThat(sent(Rule.SENDING, attempt(txn, 0), 200 * MS, MS)).isZero();
         assertThat(sent(Rule.SENDING, attempt(txn, 0), 201 * MS, MS)).isEqualTo(1);
     }
@@ -82,7 +82,7 @@
 
     @Test
     void aHostInSlowStartWithoutATicket() {
-        assertThat(sent(Rule.STARTING, attempt(txn("pure"), 0, SlowStartTicket.SPENT), 0, MS))
+        assertThat(sent(Rule.STARTING, attempt(txn("pure"), 0, SlowStartTicket.USED), 0, MS))
                 .isZero();
         assertThat(sent(Rule.STARTING, attempt(txn("pure"), 0, SlowStartTicket.MISSING), 0, MS))
                 .isEqualTo(1);
--- a/src/test/java/beaconladder/routing/ColdFleetRouter.java
+++ b/src/test/java/beaconladder/routing/ColdFleetRouter.java
@@ -3,7 +3,7 @@
 import beaconladder.routing.api.DecisionLoop;
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
@@ -13,7 +13,7 @@
 import java.util.List;
 
 /** One router of a {@link ColdFleet}, with a clock of its own. */
-final class ColdFleetRouter implements DecisionLoop.Door {
+final class ColdFleetRouter implements DecisionLoop.ActionHandler {
     private static final long MS = ColdFleet.MS;
 
     private final ColdFleet fleet;
@@ -43,7 +43,7 @@
         rounds = new DecisionLoop(logic, this);
         for (int i = 0; i < ColdFleet.HOSTS; i++) {
             hosts.add(new Host(i, group, 0));
-            logic.listed(hosts.get(i), i == 0, Host.State.READY, fleet.launched[i], clock());
+            logic.updateHost(hosts.get(i), i == 0, Host.State.READY, fleet.launched[i], clock());
         }
     }
 
@@ -58,45 +58,45 @@
     }
 
     void listed(int host) {
-        logic.listed(hosts.get(host), false, Host.State.READY, fleet.launched[host], clock());
+        logic.updateHost(hosts.get(host), false, Host.State.READY, fleet.launched[host], clock());
     }
 
     void comes() {
         // A quarter writes, the rest any reads.
         int type = fleet.chance.nextInt(4) == 0 ? Script.WRITE : Script.ANY;
-        Request txn = new Request(
-                txns, logic.type(type), group, 0, Long.MIN_VALUE, 0, false, clock(), clock() + 2_000 * MS, txns++);
-        rounds.act(txn, logic.place(txn, clock()), clock());
+        Request request = new Request(
+                txns, logic.requestClass(type), group, 0, Long.MIN_VALUE, 0, false, clock(), clock() + 2_000 * MS, txns++);
+        rounds.execute(request, logic.route(request, clock()), clock());
         until = 0;
     }
 
     void settle() {
         if (clock() >= until || group.changed) {
-            until = rounds.settle(clock());
+            until = rounds.processDue(clock());
         }
     }
 
-    private Word says(int host) {
-        return new Word(host == 0 ? Role.PRIMARY : Role.REPLICA, fleet.now - (host == 0 ? 0 : 5 * MS), -1);
+    private HostReport says(int host) {
+        return new HostReport(host == 0 ? Role.PRIMARY : Role.REPLICA, fleet.now - (host == 0 ? 0 : 5 * MS), -1);
     }
 
     @Override
-    public void send(Attempt s, long timeout) {
+    public void send(Attempt attempt, long timeout) {
         until = 0;
-        int host = s.host.id;
+        int host = attempt.host.id;
         long done = fleet.reach(host);
         boolean inTime = done >= 0 && done <= fleet.now + timeout;
         Outcome outcome = done < 0 ? Outcome.UNREACHABLE : inTime ? Outcome.COMMITTED : Outcome.TIMED_OUT;
         fleet.at(done < 0 ? fleet.now + ColdFleet.TICK : inTime ? done : fleet.now + timeout, () -> {
-            if (!s.ended && !killed) {
-                rounds.act(
-                        s.txn,
-                        logic.after(
-                                s,
+            if (!attempt.ended && !killed) {
+                rounds.execute(
+                        attempt.request,
+                        logic.onAttemptEnded(
+                                attempt,
                                 outcome,
-                                s.txn.ended || inTime,
-                                inTime ? says(host) : Word.SILENT,
-                                Word.SILENT,
+                                attempt.request.ended || inTime,
+                                inTime ? says(host) : HostReport.EMPTY,
+                                HostReport.EMPTY,
                                 clock()),
                         clock());
                 until = 0;
@@ -108,32 +108,32 @@
     public void probe(Host host) {
         boolean up = !fleet.down[host.id];
         fleet.at(fleet.now + ColdFleet.TICK, () -> {
-            logic.probed(host, up ? Outcome.COMMITTED : Outcome.UNREACHABLE, up ? says(host.id) : Word.SILENT, clock());
+            logic.onHealthCheckEnded(host, up ? Outcome.COMMITTED : Outcome.UNREACHABLE, up ? says(host.id) : HostReport.EMPTY, clock());
             until = 0;
         });
     }
 
     @Override
-    public void cancel(Attempt s) {
+    public void cancel(Attempt attempt) {
         fleet.at(fleet.now + ColdFleet.TICK, () -> {
-            if (!s.ended && !killed) {
-                rounds.act(
-                        s.txn,
-                        logic.after(s, Outcome.CANCELLED, s.txn.ended, Word.SILENT, Word.SILENT, clock()),
+            if (!attempt.ended && !killed) {
+                rounds.execute(
+                        attempt.request,
+                        logic.onAttemptEnded(attempt, Outcome.CANCELLED, attempt.request.ended, HostReport.EMPTY, HostReport.EMPTY, clock()),
                         clock());
             }
         });
     }
 
     @Override
-    public void decline(Request txn, long comeBack, RoutingDecision.Reason reason) {}
+    public void reject(Request request, long comeBack, RoutingDecision.Reason reason) {}
 
     @Override
-    public void rollBack(Request txn, RoutingDecision.Reason reason) {}
+    public void rollBack(Request request, RoutingDecision.Reason reason) {}
 
     @Override
-    public void ended(Request txn) {}
+    public void onRequestEnded(Request request) {}
 
     @Override
-    public void close(Host host) {}
+    public void closeIdleConnections(Host host) {}
 }
--- a/src/test/java/beaconladder/routing/RandomEvents.java
+++ b/src/test/java/beaconladder/routing/RandomEvents.java
@@ -6,7 +6,7 @@
 import beaconladder.routing.api.Router;
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
@@ -24,7 +24,7 @@
  * A script of random events for one module: lists, txns, answers, probes, clients that leave, time. Every decision and
  * the contents of every pause go into a digest, so that two texts of the module can be compared.
  */
-final class RandomEvents implements DecisionLoop.Door {
+final class RandomEvents implements DecisionLoop.ActionHandler {
     private static final long MS = 1_000_000L;
     private static final Outcome[] OUTCOMES = Outcome.values();
 
@@ -54,12 +54,12 @@
                 "fees.probe=" + (seed % 3 == 0 ? 0.01 : 0.069));
         logic = new DelegatingRouter(new RoutingPolicy(seed, settings.start)) {
             @Override
-            public NextWakeup pause(long now) {
-                NextWakeup pause = inner.pause(now);
-                again += pause.again().size();
-                say("pause " + (pause.until() - RandomEvents.this.now) + " " + ids(pause.probe())
-                        + pause.again().stream().map(t -> " " + t.number).collect(Collectors.joining()) + " "
-                        + ids(pause.close()));
+            public NextWakeup nextWakeup(long now) {
+                NextWakeup pause = inner.nextWakeup(now);
+                again += pause.requestsToRoute().size();
+                say("pause " + (pause.dueNanos() - RandomEvents.this.now) + " " + ids(pause.hostsToProbe())
+                        + pause.requestsToRoute().stream().map(request -> " " + request.sequenceNumber).collect(Collectors.joining()) + " "
+                        + ids(pause.hostsToDisconnect()));
                 return pause;
             }
         };
@@ -76,7 +76,7 @@
             event();
             // As on the simulator's wire, several events may come before the next look.
             if (now >= until || chance.nextInt(3) > 0) {
-                until = rounds.settle(now);
+                until = rounds.processDue(now);
             }
         }
         return HexFormat.of().formatHex(digest.digest());
@@ -92,18 +92,18 @@
             end(out.remove(chance.nextInt(out.size())));
         } else if (kind < 92 && !asked.isEmpty()) {
             Host host = asked.remove(chance.nextInt(asked.size()));
-            logic.probed(host, chance.nextInt(4) > 0 ? Outcome.COMMITTED : Outcome.UNREACHABLE, word(), now);
+            logic.onHealthCheckEnded(host, chance.nextInt(4) > 0 ? Outcome.COMMITTED : Outcome.UNREACHABLE, word(), now);
         } else if (kind < 94 && !txns.isEmpty()) {
-            Request txn = txns.get(chance.nextInt(txns.size()));
-            if (!txn.ended) {
-                rounds.act(txn, chance.nextBoolean() ? logic.left(txn, now) : logic.displaced(txn, now), now);
+            Request request = txns.get(chance.nextInt(txns.size()));
+            if (!request.ended) {
+                rounds.execute(request, chance.nextBoolean() ? logic.onClientDisconnected(request, now) : logic.onAdmissionLost(request, now), now);
             }
         } else if (kind == 94) {
             // As the desk does with a word of the keeper: a look follows at once.
             groups.get(chance.nextInt(groups.size())).changed = true;
-            until = rounds.settle(now);
+            until = rounds.processDue(now);
         } else if (kind == 95) {
-            hosts.removeIf(host -> host.state == Host.State.GONE && logic.forget(host, now));
+            hosts.removeIf(host -> host.state == Host.State.GONE && logic.removeHost(host, now));
         }
     }
 
@@ -116,11 +116,11 @@
             hosts.add(host);
         }
         int state = chance.nextInt(12);
-        logic.listed(
+        logic.updateHost(
                 host,
                 chance.nextInt(3) == 0,
                 state == 0 ? Host.State.GONE : state == 1 ? Host.State.DRAINING : Host.State.READY,
-                chance.nextInt(8) == 0 ? now - chance.nextLong(12_000 * MS) : host.launched,
+                chance.nextInt(8) == 0 ? now - chance.nextLong(12_000 * MS) : host.launchedNanos,
                 now);
     }
 
@@ -128,9 +128,9 @@
         Group group = groups.get(chance.nextInt(groups.size()));
         int type = chance.nextInt(6);
         long written = chance.nextBoolean() ? now - chance.nextLong(900 * MS) : Long.MIN_VALUE;
-        Request txn = new Request(
+        Request request = new Request(
                 taken,
-                logic.type(type),
+                logic.requestClass(type),
                 group,
                 1 + chance.nextInt(50),
                 written,
@@ -139,30 +139,30 @@
                 now,
                 now + 200 * MS + chance.nextLong(2_800 * MS),
                 taken++);
-        txns.add(txn);
+        txns.add(request);
         if (txns.size() > 500) {
             txns.remove(0);
         }
-        rounds.act(txn, logic.place(txn, now), now);
+        rounds.execute(request, logic.route(request, now), now);
     }
 
-    private void end(Attempt s) {
-        if (!s.ended) {
+    private void end(Attempt attempt) {
+        if (!attempt.ended) {
             Outcome outcome = chance.nextInt(3) > 0 ? Outcome.COMMITTED : OUTCOMES[chance.nextInt(OUTCOMES.length)];
-            boolean settled = s.txn.ended || outcome == Outcome.COMMITTED;
-            Word answer = outcome.fromHost() ? word() : Word.SILENT;
-            rounds.act(
-                    s.txn,
-                    logic.after(s, outcome, settled, answer, outcome.fromHost() ? word() : Word.SILENT, now),
+            boolean settled = attempt.request.ended || outcome == Outcome.COMMITTED;
+            HostReport answer = outcome.isFromHost() ? word() : HostReport.EMPTY;
+            rounds.execute(
+                    attempt.request,
+                    logic.onAttemptEnded(attempt, outcome, settled, answer, outcome.isFromHost() ? word() : HostReport.EMPTY, now),
                     now);
         }
     }
 
-    private Word word() {
+    private HostReport word() {
         int role = chance.nextInt(6);
         return role == 0
-                ? Word.SILENT
-                : new Word(
+                ? HostReport.EMPTY
+                : new HostReport(
                         role == 1 ? Role.PRIMARY : Role.REPLICA,
                         now - chance.nextLong(role == 1 ? 5 * MS : 700 * MS),
                         chance.nextInt(8) - 1);
@@ -177,30 +177,30 @@
     }
 
     @Override
-    public void send(Attempt s, long timeout) {
+    public void send(Attempt attempt, long timeout) {
         sends++;
-        out.add(s);
-        say("send " + s.txn.number + " to " + s.host.id + " for " + timeout);
+        out.add(attempt);
+        say("send " + attempt.request.sequenceNumber + " to " + attempt.host.id + " for " + timeout);
     }
 
     @Override
-    public void cancel(Attempt s) {
-        say("cancel " + s.txn.number + " at " + s.host.id);
+    public void cancel(Attempt attempt) {
+        say("cancel " + attempt.request.sequenceNumber + " at " + attempt.host.id);
     }
 
     @Override
-    public void decline(Request txn, long comeBack, RoutingDecision.Reason reason) {
-        say("decline " + txn.number + " " + comeBack);
+    public void reject(Request request, long comeBack, RoutingDecision.Reason reason) {
+        say("decline " + request.sequenceNumber + " " + comeBack);
     }
 
     @Override
-    public void rollBack(Request txn, RoutingDecision.Reason reason) {
-        say("roll back " + txn.number);
+    public void rollBack(Request request, RoutingDecision.Reason reason) {
+        say("roll back " + request.sequenceNumber);
     }
 
     @Override
-    public void ended(Request txn) {
-        say("ended " + txn.number);
+    public void onRequestEnded(Request request) {
+        say("ended " + request.sequenceNumber);
     }
 
     @Override
@@ -210,7 +210,7 @@
     }
 
     @Override
-    public void close(Host host) {}
+    public void closeIdleConnections(Host host) {}
 
     /** Prints the digest for each of so many seeds: {@code groups events seeds}. */
     public static void main(String[] args) throws java.security.GeneralSecurityException {
--- a/src/test/java/beaconladder/routing/RepeatTest.java
+++ b/src/test/java/beaconladder/routing/RepeatTest.java
@@ -34,7 +34,7 @@
         assertThat(s.trace())
                 .contains("send 100 to a")
                 .doesNotContain("send 101 to a")
-                .contains("decline 101");
+                .contains("reject 101");
     }
 
     /** The decision was inside the memory time of 300 ms; the connection that it waited for came up behind it. */
@@ -259,9 +259,9 @@
                 .ask(3, WRITE, 0, 2000)
                 .tick(6100);
         assertThat(s.trace().replaceAll(".*probe.*\n", "")).isEqualTo("""
-                1940   decline 2
+                1940   reject 2
                 4100 ask 3 write
-                5095   decline 3
+                5095   reject 3
                 """);
     }
 }
--- a/src/test/java/beaconladder/routing/RoutingPolicyTest.java
+++ b/src/test/java/beaconladder/routing/RoutingPolicyTest.java
@@ -80,7 +80,7 @@
         for (long at = asked + 10; at <= asked + 2000; at += 10) {
             s.tick(at).probed("b", Role.REPLICA, asked - 900).probed("c", Role.REPLICA, asked - 900);
         }
-        assertThat(s.trace()).contains("send 1000 to a").doesNotContain("decline 1000");
+        assertThat(s.trace()).contains("send 1000 to a").doesNotContain("reject 1000");
     }
 
     @Test
@@ -148,7 +148,7 @@
                 0   send 2 to c
                 0 ask 3 any
                 10 ask 4 write
-                400   decline 4
+                400   reject 4
                 """);
     }
 
@@ -180,7 +180,7 @@
         }
         assertThat(s.quiet().ask(8, ANY, 0, 1100).trace()).isEqualTo("""
                 0 ask 8 any
-                0   decline 8, back in 500
+                0   reject 8, back in 500
                 """);
     }
 
@@ -238,7 +238,7 @@
                 .quiet();
         assertThat(s.ask(9, ANY, 0, 2000).tick(3000).trace()).isEqualTo("""
                 1590 ask 9 any
-                2200   decline 9
+                2200   reject 9
                 """);
     }
 }
