--- a/src/test/java/beaconladder/routing/Script.java
+++ b/src/test/java/beaconladder/routing/Script.java
@@ -3,7 +3,7 @@
 import beaconladder.routing.api.NextWakeup;
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
@@ -63,7 +63,7 @@
 
     Script list(String name, boolean leader, Host.State state, long launchedMillis) {
         Host host = hosts.computeIfAbsent(name, n -> new Host(n.charAt(0), group, 0));
-        logic.listed(host, leader, state, launchedMillis == 0 ? 0 : ZERO + launchedMillis * MS, now);
+        logic.updateHost(host, leader, state, launchedMillis == 0 ? 0 : ZERO + launchedMillis * MS, now);
         return this;
     }
 
@@ -81,9 +81,9 @@
     }
 
     Script ask(int id, int type, long sinceWriteMillis, long budgetMillis) {
-        Request txn = new Request(
+        Request request = new Request(
                 id,
-                logic.type(type),
+                logic.requestClass(type),
                 group,
                 9,
                 sinceWriteMillis > 0 ? now - sinceWriteMillis * MS : Long.MIN_VALUE,
@@ -92,25 +92,25 @@
                 now,
                 now + budgetMillis * MS,
                 id);
-        txns.put(id, txn);
-        say("ask " + id + " " + txn.type.read().name().toLowerCase(java.util.Locale.ROOT));
-        act(txn, logic.place(txn, now));
+        txns.put(id, request);
+        say("ask " + id + " " + request.requestClass.consistency().name().toLowerCase(java.util.Locale.ROOT));
+        act(request, logic.route(request, now));
         return this;
     }
 
     /** The newest submission of this txn ends; a position in milliseconds goes with an answer. */
     Script end(int id, Outcome outcome, Role role, long positionMillis) {
-        Attempt s = null;
-        for (Attempt each : txns.get(id).submissions) {
-            s = each.ended ? s : each;
+        Attempt attempt = null;
+        for (Attempt each : txns.get(id).attempts) {
+            attempt = each.ended ? attempt : each;
         }
-        return end(s, outcome, role, positionMillis, Role.UNKNOWN, 0);
+        return end(attempt, outcome, role, positionMillis, Role.UNKNOWN, 0);
     }
 
     /** The same, of an answer that brings a report along. */
     Script end(int id, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
         return end(
-                txns.get(id).submissions.get(txns.get(id).submissions.size() - 1),
+                txns.get(id).attempts.get(txns.get(id).attempts.size() - 1),
                 outcome,
                 role,
                 positionMillis,
@@ -118,12 +118,12 @@
                 reportedMillis);
     }
 
-    private Script end(Attempt s, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
-        say("end " + s.txn.id + "@" + (char) s.host.id + " " + outcome.name().toLowerCase(java.util.Locale.ROOT));
+    private Script end(Attempt attempt, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
+        say("end " + attempt.request.id + "@" + (char) attempt.host.id + " " + outcome.name().toLowerCase(java.util.Locale.ROOT));
         act(
-                s.txn,
-                logic.after(
-                        s,
+                attempt.request,
+                logic.onAttemptEnded(
+                        attempt,
                         outcome,
                         outcome == Outcome.COMMITTED,
                         word(role, positionMillis),
@@ -133,17 +133,17 @@
         return this;
     }
 
-    private static Word word(Role role, long millis) {
-        return role == Role.UNKNOWN ? Word.SILENT : new Word(role, ZERO + millis * MS, -1);
+    private static HostReport word(Role role, long millis) {
+        return role == Role.UNKNOWN ? HostReport.EMPTY : new HostReport(role, ZERO + millis * MS, -1);
     }
 
     /** Of this txn's submissions, those out at the named host time out and those elsewhere are committed. */
     Script silent(String name, int id) {
-        for (Attempt s : java.util.List.copyOf(txns.get(id).submissions)) {
-            if (!s.ended) {
-                boolean lost = s.host == hosts.get(name);
+        for (Attempt attempt : java.util.List.copyOf(txns.get(id).attempts)) {
+            if (!attempt.ended) {
+                boolean lost = attempt.host == hosts.get(name);
                 end(
-                        s,
+                        attempt,
                         lost ? Outcome.TIMED_OUT : Outcome.COMMITTED,
                         lost ? Role.UNKNOWN : Role.REPLICA,
                         (now - ZERO) / MS,
@@ -163,17 +163,17 @@
     }
 
     Script probed(String name, Role role, long positionMillis, double holds) {
-        return probed(name, new Word(role, ZERO + positionMillis * MS, holds));
+        return probed(name, new HostReport(role, ZERO + positionMillis * MS, holds));
     }
 
     /** A probe tells of a role alone. */
     Script found(String name, Role role) {
-        return probed(name, new Word(role, Word.NONE, -1));
+        return probed(name, new HostReport(role, HostReport.NO_POSITION, -1));
     }
 
-    private Script probed(String name, Word word) {
-        hosts.get(name).probeOut = true;
-        logic.probed(hosts.get(name), Outcome.COMMITTED, word, now);
+    private Script probed(String name, HostReport report) {
+        hosts.get(name).probeInFlight = true;
+        logic.onHealthCheckEnded(hosts.get(name), Outcome.COMMITTED, report, now);
         settle();
         return this;
     }
@@ -181,7 +181,7 @@
     /** The client of this txn leaves. */
     Script left(int id) {
         say("left " + id);
-        act(txns.get(id), logic.left(txns.get(id), now));
+        act(txns.get(id), logic.onClientDisconnected(txns.get(id), now));
         return this;
     }
 
@@ -193,8 +193,8 @@
 
     /** The newest submission of this txn has its connection: whether it still stands. */
     Script stands(int id) {
-        Attempt s = txns.get(id).submissions.get(txns.get(id).submissions.size() - 1);
-        say("stands " + id + "@" + (char) s.host.id + " " + logic.mayGo(s, now).allowed());
+        Attempt attempt = txns.get(id).attempts.get(txns.get(id).attempts.size() - 1);
+        say("stands " + id + "@" + (char) attempt.host.id + " " + logic.checkDispatch(attempt, now).isAllowed());
         return this;
     }
 
@@ -216,51 +216,51 @@
 
     private long settle() {
         while (true) {
-            NextWakeup pause = logic.pause(now);
-            for (Host host : pause.probe()) {
+            NextWakeup pause = logic.nextWakeup(now);
+            for (Host host : pause.hostsToProbe()) {
                 say("probe " + (char) host.id);
             }
-            for (Host host : showsClosing ? pause.close() : java.util.List.<Host>of()) {
+            for (Host host : showsClosing ? pause.hostsToDisconnect() : java.util.List.<Host>of()) {
                 say("close " + (char) host.id);
             }
-            if (pause.again().isEmpty()) {
-                return pause.until() <= now ? now + MS : pause.until();
+            if (pause.requestsToRoute().isEmpty()) {
+                return pause.dueNanos() <= now ? now + MS : pause.dueNanos();
             }
-            for (Request txn : pause.again()) {
-                if (!txn.ended) {
-                    act(txn, logic.place(txn, now));
+            for (Request request : pause.requestsToRoute()) {
+                if (!request.ended) {
+                    act(request, logic.route(request, now));
                 }
             }
         }
     }
 
-    private void act(Request txn, RoutingDecision verdict) {
-        for (Attempt s : verdict.cancel()) {
-            say("  cancel " + txn.id + "@" + (char) s.host.id);
+    private void act(Request request, RoutingDecision decision) {
+        for (Attempt attempt : decision.attemptsToCancel()) {
+            say("  cancel " + request.id + "@" + (char) attempt.host.id);
         }
-        switch (verdict.step()) {
+        switch (decision.step()) {
             case SEND -> {
-                Attempt s = new Attempt(
-                        txn,
-                        txn.submissions.size(),
-                        verdict.host(),
+                Attempt attempt = new Attempt(
+                        request,
+                        request.attempts.size(),
+                        decision.host(),
                         now,
-                        verdict.host().out.size() + 1);
-                txn.submissions.add(s);
-                s.host.out.add(s);
-                say("  send " + txn.id + " to " + (char) s.host.id
-                        + (showsTimes ? " for " + verdict.timeout() / MS : ""));
+                        decision.host().inFlight.size() + 1);
+                request.attempts.add(attempt);
+                attempt.host.inFlight.add(attempt);
+                say("  send " + request.id + " to " + (char) attempt.host.id
+                        + (showsTimes ? " for " + decision.timeoutNanos() / MS : ""));
             }
             case WAIT -> {}
             default -> {
-                txn.ended = true;
+                request.ended = true;
                 say("  "
-                        + verdict.step()
+                        + decision.step()
                                 .name()
                                 .toLowerCase(java.util.Locale.ROOT)
                                 .replace('_', ' ') + " "
-                        + txn.id
-                        + (verdict.comeBack() > 0 ? ", back in " + verdict.comeBack() / MS : ""));
+                        + request.id
+                        + (decision.retryAfterNanos() > 0 ? ", back in " + decision.retryAfterNanos() / MS : ""));
             }
         }
     }
--- a/src/test/java/beaconladder/routing/SlowStartTest.java
+++ b/src/test/java/beaconladder/routing/SlowStartTest.java
@@ -31,7 +31,7 @@
         for (int i = 1; i <= 200; i++) {
             t += 50;
             s.tick(t).probed("b", Role.REPLICA, t).probed("c", Role.REPLICA, t).ask(i, ANY, 0, 2000);
-            while (!s.trace().contains("send " + i + " ") && !s.trace().contains("decline " + i)) {
+            while (!s.trace().contains("send " + i + " ") && !s.trace().contains("reject " + i)) {
                 s.tick(++t);
             }
             boolean sent = s.trace().contains("send " + i + " ");
--- a/src/test/java/beaconladder/routing/state/WakeupQueueTest.java
+++ b/src/test/java/beaconladder/routing/state/WakeupQueueTest.java
@@ -13,7 +13,7 @@
 class WakeupQueueTest {
     private final WakeupQueue agenda = new WakeupQueue();
     private final RequestClass type =
-            RequestClass.read(Map.of("request_classes.count", "1")).get(0);
+            RequestClass.consistency(Map.of("request_classes.count", "1")).get(0);
     private long taken;
 
     private Request txn(Group group) {
@@ -25,30 +25,30 @@
         Group a = new Group(9);
         Group b = new Group(3);
         Group never = new Group(1);
-        agenda.list(b);
-        agenda.hold(txn(a));
-        agenda.hold(txn(b));
-        agenda.hold(txn(never));
-        assertThat(agenda.holding()).containsExactly(b);
-        agenda.list(a);
-        agenda.list(b);
-        assertThat(agenda.holding()).containsExactly(b, a);
-        List.copyOf(b.held).forEach(agenda::drop);
-        assertThat(agenda.holding()).containsExactly(a);
+        agenda.registerGroup(b);
+        agenda.enqueue(txn(a));
+        agenda.enqueue(txn(b));
+        agenda.enqueue(txn(never));
+        assertThat(agenda.groupsWithQueued()).containsExactly(b);
+        agenda.registerGroup(a);
+        agenda.registerGroup(b);
+        assertThat(agenda.groupsWithQueued()).containsExactly(b, a);
+        List.copyOf(b.queued).forEach(agenda::remove);
+        assertThat(agenda.groupsWithQueued()).containsExactly(a);
     }
 
     /** What changed before a look that found nothing on hold there is no reason to look at later txns. */
     @Test
     void aChangeIsForgottenByTheNextLookThoughNothingIsOnHold() {
         Group group = new Group(1);
-        agenda.list(group);
-        agenda.change(group);
-        assertThat(agenda.changed()).isEmpty();
-        agenda.hold(txn(group));
-        assertThat(agenda.changed()).isEmpty();
-        agenda.change(group);
-        assertThat(agenda.changed()).containsExactly(group);
-        assertThat(agenda.changed()).isEmpty();
+        agenda.registerGroup(group);
+        agenda.markChanged(group);
+        assertThat(agenda.takeChanged()).isEmpty();
+        agenda.enqueue(txn(group));
+        assertThat(agenda.takeChanged()).isEmpty();
+        agenda.markChanged(group);
+        assertThat(agenda.takeChanged()).containsExactly(group);
+        assertThat(agenda.takeChanged()).isEmpty();
     }
 
     /** The same answers as a walk of all groups at each look, which this stands in for. */
@@ -67,30 +67,30 @@
             Group group = groups.get(chance.nextInt(groups.size()));
             int kind = chance.nextInt(10);
             if (kind == 0) {
-                agenda.list(group);
+                agenda.registerGroup(group);
                 listed.add(group);
             } else if (kind < 4 && listed.contains(group)) {
-                agenda.change(group);
+                agenda.markChanged(group);
                 marked.add(group);
             } else if (kind < 6) {
-                Request txn = txn(group);
-                agenda.hold(txn);
-                held.add(txn);
+                Request request = txn(group);
+                agenda.enqueue(request);
+                held.add(request);
             } else if (kind < 8 && !held.isEmpty()) {
-                agenda.drop(held.remove(chance.nextInt(held.size())));
+                agenda.remove(held.remove(chance.nextInt(held.size())));
             } else {
                 if (kind == 8 && listed.contains(group)) {
                     // The desk marks a group so, and a look follows at once.
                     group.changed = true;
                     marked.add(group);
                 }
-                assertThat(agenda.holding())
+                assertThat(agenda.groupsWithQueued())
                         .containsExactlyElementsOf(
-                                listed.stream().filter(g -> !g.held.isEmpty()).toList());
-                List<Group> changed = agenda.changed();
+                                listed.stream().filter(g -> !g.queued.isEmpty()).toList());
+                List<Group> changed = agenda.takeChanged();
                 assertThat(changed)
                         .containsExactlyElementsOf(listed.stream()
-                                .filter(g -> marked.contains(g) && !g.held.isEmpty())
+                                .filter(g -> marked.contains(g) && !g.queued.isEmpty())
                                 .toList());
                 named += changed.size();
                 marked.clear();
--- a/src/test/java/beaconladder/server/PartsTest.java
+++ b/src/test/java/beaconladder/server/PartsTest.java
@@ -8,7 +8,7 @@
 import beaconladder.pg.MemoryLimit;
 import beaconladder.pg.MessageReader;
 import beaconladder.pg.Statement;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -67,7 +67,7 @@
             long nanos = LoadReportParser.parsePositionNanos(position, 6);
             trace.append(position)
                     .append(" ms: ")
-                    .append(nanos == Word.NONE ? "none" : nanos)
+                    .append(nanos == HostReport.NO_POSITION ? "none" : nanos)
                     .append('\n');
         }
         for (String load : new String[] {
@@ -80,14 +80,14 @@
             "nonsense",
             ""
         }) {
-            Word word = LoadReportParser.parse(load);
+            HostReport word = LoadReportParser.parse(load);
             trace.append(load)
                     .append(": ")
                     .append(word.role())
                     .append(' ')
-                    .append(word.position() == Word.NONE ? "none" : word.position())
+                    .append(word.position() == HostReport.NO_POSITION ? "none" : word.position())
                     .append(' ')
-                    .append(word.holds())
+                    .append(word.inFlight())
                     .append('\n');
         }
         assertThat(trace.toString()).isEqualTo("""
@@ -126,9 +126,9 @@
                     Duration.ofSeconds(2),
                     () -> {
                         assertThat(LoadReportParser.parsePositionNanos(number, 6))
-                                .isEqualTo(Word.NONE);
+                                .isEqualTo(HostReport.NO_POSITION);
                         assertThat(LoadReportParser.parse("x0=" + number + ",x1=1"))
-                                .isEqualTo(Word.SILENT);
+                                .isEqualTo(HostReport.EMPTY);
                     },
                     () -> number.substring(0, Math.min(20, number.length())));
         }
@@ -244,7 +244,7 @@
                     0,
                     desk.group(i % 2),
                     read,
-                    Word.NONE,
+                    HostReport.NO_POSITION,
                     desk.nowNanos(),
                     desk.nowNanos() + 1_000_000,
                     null));
--- a/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
+++ b/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
@@ -84,32 +84,32 @@
 
     @Test
     void everyKeyOfATypeIsRead() throws Exception {
-        List<RequestClass> types = RequestClass.read(settings());
+        List<RequestClass> types = RequestClass.consistency(settings());
         assertThat(types)
-                .extracting(RequestClass::read)
+                .extracting(RequestClass::consistency)
                 .containsExactly(
-                        RequestClass.Read.ANY,
-                        RequestClass.Read.BOUNDED,
-                        RequestClass.Read.SESSION,
-                        RequestClass.Read.WRITE,
-                        RequestClass.Read.CURRENT);
+                        RequestClass.Consistency.ANY,
+                        RequestClass.Consistency.BOUNDED,
+                        RequestClass.Consistency.SESSION,
+                        RequestClass.Consistency.WRITE,
+                        RequestClass.Consistency.CURRENT);
         assertThat(types)
-                .extracting(RequestClass::effect)
+                .extracting(RequestClass::idempotency)
                 .containsExactly(
-                        RequestClass.Effect.REPEATABLE,
-                        RequestClass.Effect.REFERENCED,
-                        RequestClass.Effect.REFERENCED,
-                        RequestClass.Effect.REFERENCED,
-                        RequestClass.Effect.ONCE_ONLY);
+                        RequestClass.Idempotency.IDEMPOTENT,
+                        RequestClass.Idempotency.WITH_KEY,
+                        RequestClass.Idempotency.WITH_KEY,
+                        RequestClass.Idempotency.WITH_KEY,
+                        RequestClass.Idempotency.NON_IDEMPOTENT);
         assertThat(types.subList(1, 4))
-                .extracting(RequestClass::scope)
-                .containsExactly(RequestClass.Scope.ALL, RequestClass.Scope.ZONE, RequestClass.Scope.GROUP);
-        assertThat(types.get(0).expiry()).isEqualTo(500_000_000L);
-        assertThat(types.get(0).sla()).isEqualTo(300_000_000L);
-        assertThat(types.get(0).value()).isEqualTo(2.5);
-        assertThat(types.get(0).late()).isEqualTo(0.25);
-        assertThat(types.get(1).bound()).isEqualTo(70_000_000L);
-        assertThat(types.get(1).memory()).isEqualTo(9_000_000L);
+                .extracting(RequestClass::deduplicationScope)
+                .containsExactly(RequestClass.DeduplicationScope.ALL, RequestClass.DeduplicationScope.ZONE, RequestClass.DeduplicationScope.GROUP);
+        assertThat(types.get(0).timeoutNanos()).isEqualTo(500_000_000L);
+        assertThat(types.get(0).slaNanos()).isEqualTo(300_000_000L);
+        assertThat(types.get(0).weight()).isEqualTo(2.5);
+        assertThat(types.get(0).lateShare()).isEqualTo(0.25);
+        assertThat(types.get(1).maxStalenessNanos()).isEqualTo(70_000_000L);
+        assertThat(types.get(1).keyTtlNanos()).isEqualTo(9_000_000L);
     }
 
     private static Map<String, String> settings() throws Exception {
--- a/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
+++ b/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
@@ -6,7 +6,7 @@
 import beaconladder.pg.MemoryLimit;
 import beaconladder.pg.MessageWriter;
 import beaconladder.pg.Statement;
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -71,7 +71,7 @@
         expiry = now + BUDGET_MILLIS * 1_000_000L;
         Statement statement = Statement.read(WRITE);
         InFlightRequest hand =
-                desk.submit(new RequestParameters("w1", 0, desk.group(1), statement, Word.NONE, now, expiry, null));
+                desk.submit(new RequestParameters("w1", 0, desk.group(1), statement, HostReport.NO_POSITION, now, expiry, null));
         for (InFlightRequest.Command command = hand.awaitCommand(); ; command = hand.awaitCommand()) {
             if (command.kind() != InFlightRequest.Kind.SEND) {
                 desk.stop();
@@ -183,7 +183,7 @@
                     0,
                     desk.group(1),
                     statement,
-                    Word.NONE,
+                    HostReport.NO_POSITION,
                     desk.nowNanos(),
                     desk.nowNanos() + 100_000_000,
                     null));
--- a/src/test/java/beaconladder/simulation/SimulatorSessionTest.java
+++ b/src/test/java/beaconladder/simulation/SimulatorSessionTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beaconladder.routing.api.Router.Word;
+import beaconladder.routing.api.Router.HostReport;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
@@ -64,10 +64,10 @@
             {2, Float.NaN, Float.POSITIVE_INFINITY}
         };
         for (float[] report : reports) {
-            Word word = instance.word(report);
+            HostReport word = instance.word(report);
             trace.append(word.role())
-                    .append(word.position() == Word.NONE ? " nowhere" : " placed")
-                    .append(word.holds() < 0 ? " silent" : " holds " + Math.round(word.holds()))
+                    .append(word.position() == HostReport.NO_POSITION ? " nowhere" : " placed")
+                    .append(word.inFlight() < 0 ? " silent" : " holds " + Math.round(word.inFlight()))
                     .append('\n');
         }
         assertThat(trace.toString()).isEqualTo("""
