--- a/src/main/java/beaconladder/cells/CellAdmission.java
+++ b/src/main/java/beaconladder/cells/CellAdmission.java
@@ -1,8 +1,8 @@
 package beaconladder.cells;
 
 import beaconladder.plan.Plan;
-import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.HostReport;
+import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Request;
 import java.net.InetAddress;
@@ -260,7 +260,8 @@
             long[] newest = commits.computeIfAbsent(
                     pass.tenant,
                     t -> new long[territory.cell(pass.cell).groups().size()]);
-            newest[pass.slot] = Math.max(newest[pass.slot], answer.position() == HostReport.NO_POSITION ? now : answer.position());
+            newest[pass.slot] =
+                    Math.max(newest[pass.slot], answer.position() == HostReport.NO_POSITION ? now : answer.position());
         }
     }
 
--- a/src/main/java/beaconladder/cells/CellRouter.java
+++ b/src/main/java/beaconladder/cells/CellRouter.java
@@ -30,7 +30,8 @@
     }
 
     @Override
-    public RoutingDecision onAttemptEnded(Attempt s, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
+    public RoutingDecision onAttemptEnded(
+            Attempt s, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
         gate.ended(s, outcome, answer, now);
         if (settled || s.request.ended || gate.stands(s.request, now)) {
             return inner.onAttemptEnded(s, outcome, settled, answer, report, now);
--- a/src/main/java/beaconladder/invariants/Invariants.java
+++ b/src/main/java/beaconladder/invariants/Invariants.java
@@ -55,7 +55,8 @@
             add(
                     Rule.SENDING,
                     attempt,
-                    "with more time than the client has, ms: " + ms(sent.passedTime() - (txn.expiryNanos - sent.ended())));
+                    "with more time than the client has, ms: "
+                            + ms(sent.passedTime() - (txn.expiryNanos - sent.ended())));
         }
         if (attempt.slowStartTicket == SlowStartTicket.MISSING) {
             add(Rule.STARTING, attempt, "without a ticket to a host in slow start");
@@ -82,10 +83,12 @@
         Attempt ran = txn.firstPossiblyExecuted();
         boolean harmless = ran == null
                 || txn.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || txn.requestClass.idempotency() == Idempotency.WITH_KEY && txn.requestClass.deduplicationScope() == RequestClass.DeduplicationScope.ALL;
+                || txn.requestClass.idempotency() == Idempotency.WITH_KEY
+                        && txn.requestClass.deduplicationScope() == RequestClass.DeduplicationScope.ALL;
         if (!harmless) {
             violations.add(
-                    Rule.REPEATING, "request " + txn.sequenceNumber + " refused though it may have run at host " + ran.host.id);
+                    Rule.REPEATING,
+                    "request " + txn.sequenceNumber + " refused though it may have run at host " + ran.host.id);
         }
     }
 
@@ -96,8 +99,8 @@
         }
         violations.add(
                 Rule.CLOSING,
-                "request " + txn.sequenceNumber + " has no answer, ms behind its time: " + ms(now - txn.expiryNanos) + ", attempts "
-                        + txn.attempts.size() + ", out " + txn.attemptsInFlight());
+                "request " + txn.sequenceNumber + " has no answer, ms behind its time: " + ms(now - txn.expiryNanos)
+                        + ", attempts " + txn.attempts.size() + ", out " + txn.attemptsInFlight());
         return true;
     }
 
@@ -118,8 +121,8 @@
     private void add(Rule rule, Attempt attempt, String what) {
         violations.add(
                 rule,
-                "request " + attempt.request.sequenceNumber + " attempt " + attempt.index + " at host " + attempt.host.id + ": "
-                        + what);
+                "request " + attempt.request.sequenceNumber + " attempt " + attempt.index + " at host "
+                        + attempt.host.id + ": " + what);
     }
 
     private static long ms(long nanos) {
--- a/src/main/java/beaconladder/routing/ConcurrencyLimit.java
+++ b/src/main/java/beaconladder/routing/ConcurrencyLimit.java
@@ -32,12 +32,15 @@
         long since = now - 3_000 * MILLISECOND;
         // Nine over all routers keep a small primary busy, three a replica, which has to apply the log too.
         int routers = (int) traffic.number("replicas_of_me", 1);
-        boolean crowds = request.requestClass.consistency() == Consistency.ANY && host.lagNanos > traffic.tightestStalenessNanos / 2 && !farBehind(host);
+        boolean crowds = request.requestClass.consistency() == Consistency.ANY
+                && host.lagNanos > traffic.tightestStalenessNanos / 2
+                && !farBehind(host);
         if (host.responseTimes.countSince(since) < 4) {
             if (health.success(host, now) < 0.4) {
                 // One at a time over all routers keeps it busy, lets a queue that starves it run off, and
                 // shows when it has recovered.
-                return host.inFlight.isEmpty() && now - host.lastSentNanos >= routers * traffic.responseTimesByLoad.mean();
+                return host.inFlight.isEmpty()
+                        && now - host.lastSentNanos >= routers * traffic.responseTimesByLoad.mean();
             }
             if (health.said(host, now)) {
                 return roomByReport(host, request, crowds, left, now);
@@ -62,7 +65,9 @@
         if (recent && mean * (n + 1) / beside <= most
                 || mean <= most && (out == 0 || recent && n <= beside)
                 || health.said(host, now)
-                        && (host.load() < 2 || traffic.responseTimesByLoad.size() >= 8 && traffic.responseTimesByLoad.predict(host.load()) <= most)
+                        && (host.load() < 2
+                                || traffic.responseTimesByLoad.size() >= 8
+                                        && traffic.responseTimesByLoad.predict(host.load()) <= most)
                         && health.success(host, now) >= 0.4) {
             return true;
         }
--- a/src/main/java/beaconladder/routing/DeadlinePolicy.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -40,11 +40,14 @@
         boolean usual = budgets.size() < 8 || Math.abs(budget - first) <= 8 * MILLISECOND;
         long sla = request.requestClass.slaNanos();
         boolean hurried = budget < sla
-                && budgets.countBetween(0, sla) * (first - sla) > 2 * budgets.countBetween(sla, first - 8 * MILLISECOND) * sla;
+                && budgets.countBetween(0, sla) * (first - sla)
+                        > 2 * budgets.countBetween(sla, first - 8 * MILLISECOND) * sla;
         boolean firstTry = marked ? !request.retriedByClient : usual || hurried;
         long gone = firstTry
                 ? 0
-                : usual ? (long) (sla * traffic.disconnectWaits.mean() / 1_000) : Math.max(0, request.requestClass.timeoutNanos() - budget);
+                : usual
+                        ? (long) (sla * traffic.disconnectWaits.mean() / 1_000)
+                        : Math.max(0, request.requestClass.timeoutNanos() - budget);
         return Math.min(request.arrivedNanos + sla - gone, request.expiryNanos);
     }
 
@@ -69,7 +72,9 @@
     long release(Request request) {
         Host primary = request.group.primary;
         long answer = primary == null || request.group.responseTimes.size() == 0 ? 0 : health.usual(primary) * 3 / 2;
-        return Math.min(Math.min(request.expiryNanos - request.requestClass.slaNanos(), request.slaEndNanos - answer), lastUse(request) - round());
+        return Math.min(
+                Math.min(request.expiryNanos - request.requestClass.slaNanos(), request.slaEndNanos - answer),
+                lastUse(request) - round());
     }
 
     /**
@@ -93,7 +98,8 @@
     private long lastSafeUse(Request request) {
         Host primary = request.group.primary;
         boolean recent = primary != null && primary.newestResponseAtNanos >= request.arrivedNanos - RECENT;
-        long answer = Math.max(recent ? primary.newestResponseDurationNanos : 0, request.group.responseTimes.quantile(0.4));
+        long answer =
+                Math.max(recent ? primary.newestResponseDurationNanos : 0, request.group.responseTimes.quantile(0.4));
         // Past the time that it is told, a host may drop the write without a word.
         long last = answer == 0 ? lastMoment(request) : lastMoment(request) - KEPT_BACK;
         return (request.requestClass.lateShare() > 0.25 ? last : Math.min(request.slaEndNanos, last)) - answer;
@@ -122,7 +128,8 @@
 
     /** Late answers that earn nothing are not waited for. */
     long timeout(Request request, long now) {
-        boolean late = request.requestClass.lateShare() > 0 || request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
+        boolean late =
+                request.requestClass.lateShare() > 0 || request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
         return (late ? lastMoment(request) : Math.min(request.slaEndNanos, lastMoment(request))) - now;
     }
 
--- a/src/main/java/beaconladder/routing/HealthCheckScheduler.java
+++ b/src/main/java/beaconladder/routing/HealthCheckScheduler.java
@@ -78,9 +78,12 @@
             return request.lastProbeNanos + request.requestClass.slaNanos() / worth.budget(request);
         }
         // Before a healthy replica's report can show the session's write there is nothing to learn.
-        return request.requestClass.consistency() != Consistency.SESSION || request.sessionTarget == UNSET || traffic.reportedLags.size() < 4
+        return request.requestClass.consistency() != Consistency.SESSION
+                        || request.sessionTarget == UNSET
+                        || traffic.reportedLags.size() < 4
                 ? request.arrivedNanos
-                : clock.moment(request.sessionTarget) + Math.min(OutlierDetector.YOUNG, traffic.reportedLags.quantile(0.5));
+                : clock.moment(request.sessionTarget)
+                        + Math.min(OutlierDetector.YOUNG, traffic.reportedLags.quantile(0.5));
     }
 
     private List<Host> candidates(Request request, long now) {
@@ -99,7 +102,8 @@
                     && !host.probeInFlight
                     && (toPrimary || host != group.primary)
                     // One that has just spoken has told what it can, but for a position not there yet.
-                    && (host.lastReportNanos < Math.max(now - OutlierDetector.YOUNG, toPrimary ? group.primaryLostNanos : UNSET)
+                    && (host.lastReportNanos
+                                    < Math.max(now - OutlierDetector.YOUNG, toPrimary ? group.primaryLostNanos : UNSET)
                             || !toPrimary && host.position < targets.target(request, now))) {
                 of.add(host);
             }
@@ -115,12 +119,15 @@
 
     /** How long a member is left alone after a probe: longer after failures, and while it must be behind. */
     private long every(Host host, Request request, long now) {
-        long failed = host.responses.countSince(host.lastResponseNanos) - host.responses.sumSince(host.lastResponseNanos);
+        long failed =
+                host.responses.countSince(host.lastResponseNanos) - host.responses.sumSince(host.lastResponseNanos);
         long target = targets.target(request, now);
         long lacks = request.probeNeed == Request.ProbeNeed.PRIMARY || host.position == UNSET || target == UNSET
                 ? 0
                 : (target - host.position) / 2;
-        return Math.max(Math.min(2_000 * MILLISECOND, 100 * MILLISECOND << Math.min(5, failed)), Math.min(1_000 * MILLISECOND, lacks));
+        return Math.max(
+                Math.min(2_000 * MILLISECOND, 100 * MILLISECOND << Math.min(5, failed)),
+                Math.min(1_000 * MILLISECOND, lacks));
     }
 
     /** Reports are refreshed every 50 to 250 ms, so asking more often than each 100 ms brings little. */
--- a/src/main/java/beaconladder/routing/HostStateTracker.java
+++ b/src/main/java/beaconladder/routing/HostStateTracker.java
@@ -3,15 +3,15 @@
 import static beaconladder.routing.state.TrafficStatistics.MILLISECOND;
 import static beaconladder.routing.state.TrafficStatistics.UNSET;
 
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
-import beaconladder.routing.state.RequestClass.Idempotency;
 import beaconladder.routing.state.RequestClass.Consistency;
+import beaconladder.routing.state.RequestClass.Idempotency;
 import beaconladder.routing.state.TrafficStatistics;
 import beaconladder.routing.state.WakeupQueue;
 import java.util.Set;
@@ -51,11 +51,15 @@
         group.primaryPosition = Math.min(group.primaryPosition, clock.newest(now));
         // A report is older than the answer that it came with: what that denied it does not bring back.
         host.replicaReportPosition = direct && report.role() == Role.REPLICA ? stamp : host.replicaReportPosition;
-        if (report.role() == Role.PRIMARY && stamp >= group.primaryPosition && stamp > host.replicaReportPosition + MILLISECOND) {
+        if (report.role() == Role.PRIMARY
+                && stamp >= group.primaryPosition
+                && stamp > host.replicaReportPosition + MILLISECOND) {
             group.primaryPosition = stamp;
             group.primaryFoundNanos = group.primary == host ? group.primaryFoundNanos : now;
             group.primary = host;
-        } else if (report.role() == Role.REPLICA && group.primary == host && (direct || stamp > group.primaryPosition)) {
+        } else if (report.role() == Role.REPLICA
+                && group.primary == host
+                && (direct || stamp > group.primaryPosition)) {
             group.markPrimaryLost(now);
         }
     }
@@ -182,7 +186,10 @@
         if (outcome != Outcome.CANCELLED && outcome != Outcome.MOOT && outcome != Outcome.LOCAL_FAULT) {
             // A host that fails at once looks idle and quick; errors all over weigh as lost answers do.
             int well =
-                    outcome == Outcome.COMMITTED && now - attempt.sentNanos <= attempt.request.requestClass.slaNanos() || outcome == Outcome.MISS ? 1 : 0;
+                    outcome == Outcome.COMMITTED && now - attempt.sentNanos <= attempt.request.requestClass.slaNanos()
+                                    || outcome == Outcome.MISS
+                            ? 1
+                            : 0;
             if (host.successes.sumSince(now - 20_000 * MILLISECOND) > 0) {
                 traffic.failuresAtLiveHosts.add(1 - well, 0, now);
             }
@@ -191,7 +198,8 @@
         Request request = attempt.request;
         // The commit of a referenced write may be that of an earlier try, before it was sent here.
         boolean present = answer.role() == Role.PRIMARY
-                && (request.requestClass.consistency() != Consistency.WRITE || request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT);
+                && (request.requestClass.consistency() != Consistency.WRITE
+                        || request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT);
         // Nor does one tell of the present whose replicas have got further: another has followed it.
         present &= answer.position() != HostReport.NO_POSITION && answer.position() >= host.group.newestPosition();
         if (present && outcome == Outcome.COMMITTED) {
@@ -199,7 +207,9 @@
         }
         hear(host, answer, true, now);
         hear(host, report, false, now);
-        if (outcome == Outcome.MISS && request.requestClass.consistency() == Consistency.WRITE && host.group.primary == host) {
+        if (outcome == Outcome.MISS
+                && request.requestClass.consistency() == Consistency.WRITE
+                && host.group.primary == host) {
             host.group.markPrimaryLost(now);
         }
         if (request.requestClass.consistency() == Consistency.WRITE && !attempt.neverRan) {
--- a/src/main/java/beaconladder/routing/OutlierDetector.java
+++ b/src/main/java/beaconladder/routing/OutlierDetector.java
@@ -33,7 +33,8 @@
         for (Attempt attempt : host.inFlight) {
             bad += now - attempt.sentNanos > attempt.request.requestClass.slaNanos() ? 1 : 0;
         }
-        double rarely = (1 + traffic.failuresAtLiveHosts.sumSince(since)) / (10.0 + traffic.failuresAtLiveHosts.countSince(since));
+        double rarely = (1 + traffic.failuresAtLiveHosts.sumSince(since))
+                / (10.0 + traffic.failuresAtLiveHosts.countSince(since));
         double ill = 0.2 * Math.pow(0.9, bad) * Math.pow(0.1, good);
         double well = 0.8 * Math.pow(rarely, bad) * Math.pow(1 - rarely, good);
         return (0.1 * ill + (1 - rarely) * well) / (ill + well);
--- a/src/main/java/beaconladder/routing/PriorityWeights.java
+++ b/src/main/java/beaconladder/routing/PriorityWeights.java
@@ -49,7 +49,9 @@
 
     /** What an answer would still earn. */
     double of(Request request, long now) {
-        return now < request.slaEndNanos ? request.requestClass.weight() : request.requestClass.weight() * request.requestClass.lateShare();
+        return now < request.slaEndNanos
+                ? request.requestClass.weight()
+                : request.requestClass.weight() * request.requestClass.lateShare();
     }
 
     /** A price, as a share of a txn; never quite nothing. */
--- a/src/main/java/beaconladder/routing/ReadPositions.java
+++ b/src/main/java/beaconladder/routing/ReadPositions.java
@@ -25,7 +25,8 @@
 
     /** Whether an answer of this primary was not heard since it last said that it is the primary. */
     boolean mayHaveDenied(Host primary) {
-        return primary.lastUnansweredNanos != UNSET && clock.at(primary.lastUnansweredNanos) > primary.group.primaryPosition;
+        return primary.lastUnansweredNanos != UNSET
+                && clock.at(primary.lastUnansweredNanos) > primary.group.primaryPosition;
     }
 
     /** A cold member without a ticket can't take it: waiting for one would hold the read past its time. */
@@ -75,7 +76,8 @@
         }
         Session session = sessions.computeIfAbsent(request.sessionKey, k -> new Session());
         session.group = request.group;
-        session.commitPosition = Math.max(session.commitPosition, Math.max(commit, request.group.evictedCommitPosition));
+        session.commitPosition =
+                Math.max(session.commitPosition, Math.max(commit, request.group.evictedCommitPosition));
         session.openWrites.removeIf(write -> write.attemptsInFlight() == 0);
         // 50,000 sessions are a few megabytes; what is forgotten still binds, as the newest commit forgotten.
         if (sessions.size() > 50_000) {
--- a/src/main/java/beaconladder/routing/ReplicaSelector.java
+++ b/src/main/java/beaconladder/routing/ReplicaSelector.java
@@ -24,7 +24,10 @@
             return primaryFor(request, now);
         }
         Host replica = replicaFor(request, now);
-        if (replica == null && now >= times.release(request) && !targets.anyFresh(request, now) && !request.group.hasQueuedWrite()) {
+        if (replica == null
+                && now >= times.release(request)
+                && !targets.anyFresh(request, now)
+                && !request.group.hasQueuedWrite()) {
             return primaryFor(request, now);
         }
         return replica;
--- a/src/main/java/beaconladder/routing/RetryPolicy.java
+++ b/src/main/java/beaconladder/routing/RetryPolicy.java
@@ -23,7 +23,8 @@
         Idempotency effect = request.requestClass.idempotency();
         if (possiblyExecuted == null
                 || effect == Idempotency.IDEMPOTENT
-                || effect == Idempotency.WITH_KEY && request.requestClass.deduplicationScope() == RequestClass.DeduplicationScope.ALL) {
+                || effect == Idempotency.WITH_KEY
+                        && request.requestClass.deduplicationScope() == RequestClass.DeduplicationScope.ALL) {
             long advice = traffic.isEnabled("limits.retry_after")
                     ? Math.min(traffic.nanosOf("limits.max_retry_after_us"), request.requestClass.slaNanos())
                     : 0;
--- a/src/main/java/beaconladder/routing/RoutingPolicy.java
+++ b/src/main/java/beaconladder/routing/RoutingPolicy.java
@@ -5,8 +5,8 @@
 import beaconladder.routing.api.DispatchCheck;
 import beaconladder.routing.api.NextWakeup;
 import beaconladder.routing.api.Router;
-import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.HostReport;
+import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Host;
@@ -128,7 +128,9 @@
                 ? RoutingDecision.Reason.ATTEMPTS_USED
                 : now >= times.lastUse(request)
                         ? RoutingDecision.Reason.NO_TIME
-                        : times.hopeless(request, now) ? RoutingDecision.Reason.PRIMARY_LOST : RoutingDecision.Reason.NONE;
+                        : times.hopeless(request, now)
+                                ? RoutingDecision.Reason.PRIMARY_LOST
+                                : RoutingDecision.Reason.NONE;
         if (end != RoutingDecision.Reason.NONE) {
             return ends.giveUp(request, end, now);
         }
@@ -186,7 +188,8 @@
     }
 
     @Override
-    public RoutingDecision onAttemptEnded(Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
+    public RoutingDecision onAttemptEnded(
+            Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
         record.ended(attempt, outcome, answer, report, now);
         Request request = attempt.request;
         if (outcome == Outcome.LOCAL_FAULT) {
@@ -237,7 +240,8 @@
         double[] weights = order.size() < 2 ? new double[0] : worth.weights();
         // Of equal worth the one with most time left goes first: with more work than room, the oldest first
         // would have each txn served when it is nearly too late, and many when it is.
-        order.sort(Comparator.<Request>comparingDouble(request -> -worth.of(request, now) * weights[request.requestClass.index()])
+        order.sort(Comparator.<Request>comparingDouble(
+                        request -> -worth.of(request, now) * weights[request.requestClass.index()])
                 .thenComparingLong(request -> -request.slaEndNanos)
                 .thenComparingLong(request -> request.sequenceNumber));
         List<Host> probes = probing.probes(now);
--- a/src/main/java/beaconladder/routing/api/DelegatingRouter.java
+++ b/src/main/java/beaconladder/routing/api/DelegatingRouter.java
@@ -39,7 +39,8 @@
     }
 
     @Override
-    public RoutingDecision onAttemptEnded(Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
+    public RoutingDecision onAttemptEnded(
+            Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
         return inner.onAttemptEnded(attempt, outcome, settled, answer, report, now);
     }
 
--- a/src/main/java/beaconladder/routing/api/NextWakeup.java
+++ b/src/main/java/beaconladder/routing/api/NextWakeup.java
@@ -12,6 +12,7 @@
  * @param close the members whose idle connections to close now
  * @param again the txns to ask about again now, in this order; afterwards ask for a new pause
  */
-public record NextWakeup(long dueNanos, List<Host> hostsToProbe, List<Request> requestsToRoute, List<Host> hostsToDisconnect) {
+public record NextWakeup(
+        long dueNanos, List<Host> hostsToProbe, List<Request> requestsToRoute, List<Host> hostsToDisconnect) {
     public static final long NEVER = Long.MAX_VALUE;
 }
--- a/src/main/java/beaconladder/routing/api/Router.java
+++ b/src/main/java/beaconladder/routing/api/Router.java
@@ -78,7 +78,8 @@
      * @param answer what the answer itself says (exact when it was given)
      * @param report a report that came along, of some age
      */
-    RoutingDecision onAttemptEnded(Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now);
+    RoutingDecision onAttemptEnded(
+            Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now);
 
     /** Third question: how long to wait; names the members to probe and the txns to ask about again. */
     NextWakeup nextWakeup(long now);
--- a/src/main/java/beaconladder/routing/state/Group.java
+++ b/src/main/java/beaconladder/routing/state/Group.java
@@ -70,7 +70,8 @@
 
     /** Whether a write waits here. */
     public boolean hasQueuedWrite() {
-        return queued.stream().anyMatch(request -> request.requestClass.consistency() == RequestClass.Consistency.WRITE);
+        return queued.stream()
+                .anyMatch(request -> request.requestClass.consistency() == RequestClass.Consistency.WRITE);
     }
 
     /** Its primary is none any more. */
--- a/src/main/java/beaconladder/routing/state/TrafficStatistics.java
+++ b/src/main/java/beaconladder/routing/state/TrafficStatistics.java
@@ -43,7 +43,8 @@
                 .mapToLong(RequestClass::maxStalenessNanos)
                 .min()
                 .orElse(1_000 * MILLISECOND);
-        this.maxWeight = requestClasses.stream().mapToDouble(RequestClass::weight).max().orElse(1);
+        this.maxWeight =
+                requestClasses.stream().mapToDouble(RequestClass::weight).max().orElse(1);
     }
 
     /** Allowed unless the settings say no; there, members are trusted without one. */
@@ -79,8 +80,8 @@
 
     /** The number that a setting gives, or the one to take without it. */
     public double number(String name, double without) {
-        Double given =
-                numbers.computeIfAbsent(name, key -> settings.containsKey(key) ? Double.valueOf(settings.get(key)) : null);
+        Double given = numbers.computeIfAbsent(
+                name, key -> settings.containsKey(key) ? Double.valueOf(settings.get(key)) : null);
         return given == null ? without : given;
     }
 
--- a/src/main/java/beaconladder/routing/state/WakeupQueue.java
+++ b/src/main/java/beaconladder/routing/state/WakeupQueue.java
@@ -15,7 +15,8 @@
  */
 public final class WakeupQueue {
     private final TreeSet<Request> wakeups =
-            new TreeSet<>(Comparator.<Request>comparingLong(request -> request.wakeupNanos).thenComparingLong(request -> request.sequenceNumber));
+            new TreeSet<>(Comparator.<Request>comparingLong(request -> request.wakeupNanos)
+                    .thenComparingLong(request -> request.sequenceNumber));
     /** Listed groups with txns on hold, in the order in which groups were first listed. */
     private final TreeSet<Group> groupsWithQueued = new TreeSet<>(Comparator.comparingInt(group -> group.listIndex));
     /** Groups of which something has changed since the last look. */
--- a/src/main/java/beaconladder/server/EventTrace.java
+++ b/src/main/java/beaconladder/server/EventTrace.java
@@ -54,7 +54,8 @@
             ids.put(txn, id);
             add("take " + id + " type=" + txn.requestClass.index() + " group=" + txn.group.id + " budget="
                     + ms(txn.expiryNanos - txn.arrivedNanos) + " written="
-                    + (txn.sessionWritePosition == Long.MIN_VALUE ? "-" : ms(now - txn.sessionWritePosition)) + " repeat=" + txn.retriedByClient);
+                    + (txn.sessionWritePosition == Long.MIN_VALUE ? "-" : ms(now - txn.sessionWritePosition))
+                    + " repeat=" + txn.retriedByClient);
         }
     }
 
@@ -98,8 +99,8 @@
 
     void finished(Request txn, String how, long now) {
         if (on) {
-            add(how + " " + id(txn) + " at=" + ms(now - txn.arrivedNanos) + " left=" + ms(txn.expiryNanos - now) + " subs="
-                    + txn.attempts.size() + " want=" + txn.probeNeed + " asked=" + txn.probesSent);
+            add(how + " " + id(txn) + " at=" + ms(now - txn.arrivedNanos) + " left=" + ms(txn.expiryNanos - now)
+                    + " subs=" + txn.attempts.size() + " want=" + txn.probeNeed + " asked=" + txn.probesSent);
         }
     }
 
--- a/src/main/java/beaconladder/server/ExchangeResult.java
+++ b/src/main/java/beaconladder/server/ExchangeResult.java
@@ -1,9 +1,9 @@
 package beaconladder.server;
 
 import beaconladder.pg.MessageWriter;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.HostReport;
 
 /**
  * How an exchange with a host ended, and how far it had come.
@@ -46,12 +46,14 @@
 
     /** It broke off, or was given up waiting, with no whole answer; what had come is not believed. */
     static ExchangeResult broken(Reach reach, boolean timedOut) {
-        return new ExchangeResult(reach, null, false, timedOut, Role.UNKNOWN, HostReport.NO_POSITION, null, null, false);
+        return new ExchangeResult(
+                reach, null, false, timedOut, Role.UNKNOWN, HostReport.NO_POSITION, null, null, false);
     }
 
     /** An answer that can't be read: it may have run, and nothing that it said counts. */
     static ExchangeResult spoilt() {
-        return new ExchangeResult(Reach.ANSWER_BEGUN, SPOILT, false, false, Role.UNKNOWN, HostReport.NO_POSITION, null, null, false);
+        return new ExchangeResult(
+                Reach.ANSWER_BEGUN, SPOILT, false, false, Role.UNKNOWN, HostReport.NO_POSITION, null, null, false);
     }
 
     /** The outcome in the module's words. */
@@ -74,7 +76,9 @@
 
     /** What the answer itself says. */
     HostReport word() {
-        return role == Role.UNKNOWN && position == HostReport.NO_POSITION ? HostReport.EMPTY : new HostReport(role, position, -1);
+        return role == Role.UNKNOWN && position == HostReport.NO_POSITION
+                ? HostReport.EMPTY
+                : new HostReport(role, position, -1);
     }
 
     /** What the report that came along says. */
--- a/src/main/java/beaconladder/server/LoadReportParser.java
+++ b/src/main/java/beaconladder/server/LoadReportParser.java
@@ -1,8 +1,8 @@
 package beaconladder.server;
 
 import beaconladder.pg.Decimal;
-import beaconladder.routing.api.Router.Role;
 import beaconladder.routing.api.Router.HostReport;
+import beaconladder.routing.api.Router.Role;
 
 /** Parses what hosts report about themselves: load reports (ORCA text form) and replication positions. */
 final class LoadReportParser {
--- a/src/main/java/beaconladder/server/ServerConnectionPool.java
+++ b/src/main/java/beaconladder/server/ServerConnectionPool.java
@@ -2,8 +2,8 @@
 
 import beaconladder.pg.MemoryLimit;
 import beaconladder.pg.Statement;
-import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.HostReport;
+import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Host;
 import java.io.IOException;
--- a/src/main/java/beaconladder/simulation/SimulatedRouter.java
+++ b/src/main/java/beaconladder/simulation/SimulatedRouter.java
@@ -3,9 +3,9 @@
 import beaconladder.routing.RoutingPolicy;
 import beaconladder.routing.api.DecisionLoop;
 import beaconladder.routing.api.Router;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
@@ -163,7 +163,8 @@
                             note / 4 == 0 ? HostReport.NO_POSITION : zeroMicros * 1_000 + note / 4 * 1_000_000,
                             -1);
             Request txn = submission.request;
-            rounds.execute(txn, router.onAttemptEnded(submission, outcome(reason), settled, answer, word(pressure), now), now);
+            rounds.execute(
+                    txn, router.onAttemptEnded(submission, outcome(reason), settled, answer, word(pressure), now), now);
             if (txn.ended && txn.attemptsInFlight() == 0) {
                 txns.remove(call);
             }
--- a/src/main/java/beaconladder/testbed/scale/PositionsHosts.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsHosts.java
@@ -1,7 +1,7 @@
 package beaconladder.testbed.scale;
 
-import beaconladder.routing.api.Router.Role;
 import beaconladder.routing.api.Router.HostReport;
+import beaconladder.routing.api.Router.Role;
 import java.util.SplittableRandom;
 
 /**
--- a/src/main/java/beaconladder/testbed/scale/PositionsLoss.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsLoss.java
@@ -38,7 +38,8 @@
 
     private PositionsLoss(PositionsHosts truth) {
         this.truth = truth;
-        for (Consistency read : new Consistency[] {Consistency.BOUNDED, Consistency.SESSION, Consistency.ANY, Consistency.WRITE}) {
+        for (Consistency read :
+                new Consistency[] {Consistency.BOUNDED, Consistency.SESSION, Consistency.ANY, Consistency.WRITE}) {
             hit.put(read, new long[2]);
         }
     }
@@ -86,8 +87,12 @@
     @Override
     public void sent(Attempt s, long now) {
         // One that is sent to a host that is lost is answered by nobody.
-        if (!s.request.requestClass.consistency().requiresPrimary() && !truth.leads(s.host.id, now) && !truth.down(s.host.id, now)) {
-            stale += truth.position(s.host.id, now) < PositionsSight.target(s.request, s.request.sessionTarget, now) ? 1 : 0;
+        if (!s.request.requestClass.consistency().requiresPrimary()
+                && !truth.leads(s.host.id, now)
+                && !truth.down(s.host.id, now)) {
+            stale += truth.position(s.host.id, now) < PositionsSight.target(s.request, s.request.sessionTarget, now)
+                    ? 1
+                    : 0;
         }
     }
 
--- a/src/main/java/beaconladder/testbed/scale/PositionsRouter.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsRouter.java
@@ -3,8 +3,8 @@
 import beaconladder.routing.RoutingPolicy;
 import beaconladder.routing.api.DecisionLoop;
 import beaconladder.routing.api.Router;
-import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.HostReport;
+import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
@@ -133,8 +133,9 @@
         while (kind >= upTo.get(type)) {
             type++;
         }
-        long written =
-                type == SESSION && chance.nextDouble() < FOLLOWS ? now - chance.nextLong(GAP[0], GAP[1]) : HostReport.NO_POSITION;
+        long written = type == SESSION && chance.nextDouble() < FOLLOWS
+                ? now - chance.nextLong(GAP[0], GAP[1])
+                : HostReport.NO_POSITION;
         Request txn = new Request(
                 taken,
                 logic.requestClass(type),
@@ -195,7 +196,9 @@
             at(now + Math.min(DIAL, timeout), () -> over(s, Outcome.UNREACHABLE));
             return;
         }
-        Outcome outcome = s.request.requestClass.consistency().requiresPrimary() && !truth.leads(host, now) ? Outcome.MISS : Outcome.COMMITTED;
+        Outcome outcome = s.request.requestClass.consistency().requiresPrimary() && !truth.leads(host, now)
+                ? Outcome.MISS
+                : Outcome.COMMITTED;
         at(now + Math.min(work, timeout), () -> {
             if (truth.down(host, now)) {
                 // It was lost with the work in hand, and the connection falls silent.
--- a/src/test/java/beaconladder/cells/TenantMigrationsTest.java
+++ b/src/test/java/beaconladder/cells/TenantMigrationsTest.java
@@ -5,8 +5,8 @@
 
 import beaconladder.cells.MigrationStep.Kind;
 import beaconladder.plan.PlanReader;
-import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.HostReport;
+import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
 import beaconladder.routing.state.Host;
@@ -422,7 +422,8 @@
                                     s,
                                     told ? Outcome.COMMITTED : Outcome.RESET,
                                     told
-                                            ? new HostReport(beaconladder.routing.api.Router.Role.PRIMARY, each.at(), -1)
+                                            ? new HostReport(
+                                                    beaconladder.routing.api.Router.Role.PRIMARY, each.at(), -1)
                                             : HostReport.EMPTY,
                                     now);
                     each.node().gate.ended(each.txn());
--- a/src/test/java/beaconladder/closing/ClosedTest.java
+++ b/src/test/java/beaconladder/closing/ClosedTest.java
@@ -4,8 +4,8 @@
 
 import beaconladder.routing.RoutingPolicy;
 import beaconladder.routing.api.Router;
-import beaconladder.routing.api.Router.Role;
 import beaconladder.routing.api.Router.HostReport;
+import beaconladder.routing.api.Router.Role;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Group;
 import beaconladder.routing.state.Host;
@@ -83,7 +83,17 @@
     }
 
     private static Request read(Router router, Group group, long id, long arrived) {
-        return new Request(id, router.requestClass(0), group, 0, HostReport.NO_POSITION, -1, false, arrived, arrived + 2_000 * MS, id);
+        return new Request(
+                id,
+                router.requestClass(0),
+                group,
+                0,
+                HostReport.NO_POSITION,
+                -1,
+                false,
+                arrived,
+                arrived + 2_000 * MS,
+                id);
     }
 
     /** The host of the verdict's submission, or null. */
--- a/src/test/java/beaconladder/routing/ColdFleetRouter.java
+++ b/src/test/java/beaconladder/routing/ColdFleetRouter.java
@@ -1,9 +1,9 @@
 package beaconladder.routing;
 
 import beaconladder.routing.api.DecisionLoop;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
@@ -65,7 +65,16 @@
         // A quarter writes, the rest any reads.
         int type = fleet.chance.nextInt(4) == 0 ? Script.WRITE : Script.ANY;
         Request request = new Request(
-                txns, logic.requestClass(type), group, 0, Long.MIN_VALUE, 0, false, clock(), clock() + 2_000 * MS, txns++);
+                txns,
+                logic.requestClass(type),
+                group,
+                0,
+                Long.MIN_VALUE,
+                0,
+                false,
+                clock(),
+                clock() + 2_000 * MS,
+                txns++);
         rounds.execute(request, logic.route(request, clock()), clock());
         until = 0;
     }
@@ -108,7 +117,8 @@
     public void probe(Host host) {
         boolean up = !fleet.down[host.id];
         fleet.at(fleet.now + ColdFleet.TICK, () -> {
-            logic.onHealthCheckEnded(host, up ? Outcome.COMMITTED : Outcome.UNREACHABLE, up ? says(host.id) : HostReport.EMPTY, clock());
+            logic.onHealthCheckEnded(
+                    host, up ? Outcome.COMMITTED : Outcome.UNREACHABLE, up ? says(host.id) : HostReport.EMPTY, clock());
             until = 0;
         });
     }
@@ -119,7 +129,13 @@
             if (!attempt.ended && !killed) {
                 rounds.execute(
                         attempt.request,
-                        logic.onAttemptEnded(attempt, Outcome.CANCELLED, attempt.request.ended, HostReport.EMPTY, HostReport.EMPTY, clock()),
+                        logic.onAttemptEnded(
+                                attempt,
+                                Outcome.CANCELLED,
+                                attempt.request.ended,
+                                HostReport.EMPTY,
+                                HostReport.EMPTY,
+                                clock()),
                         clock());
             }
         });
--- a/src/test/java/beaconladder/routing/RandomEvents.java
+++ b/src/test/java/beaconladder/routing/RandomEvents.java
@@ -4,9 +4,9 @@
 import beaconladder.routing.api.DelegatingRouter;
 import beaconladder.routing.api.NextWakeup;
 import beaconladder.routing.api.Router;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
@@ -58,7 +58,10 @@
                 NextWakeup pause = inner.nextWakeup(now);
                 again += pause.requestsToRoute().size();
                 say("pause " + (pause.dueNanos() - RandomEvents.this.now) + " " + ids(pause.hostsToProbe())
-                        + pause.requestsToRoute().stream().map(request -> " " + request.sequenceNumber).collect(Collectors.joining()) + " "
+                        + pause.requestsToRoute().stream()
+                                .map(request -> " " + request.sequenceNumber)
+                                .collect(Collectors.joining())
+                        + " "
                         + ids(pause.hostsToDisconnect()));
                 return pause;
             }
@@ -92,11 +95,17 @@
             end(out.remove(chance.nextInt(out.size())));
         } else if (kind < 92 && !asked.isEmpty()) {
             Host host = asked.remove(chance.nextInt(asked.size()));
-            logic.onHealthCheckEnded(host, chance.nextInt(4) > 0 ? Outcome.COMMITTED : Outcome.UNREACHABLE, word(), now);
+            logic.onHealthCheckEnded(
+                    host, chance.nextInt(4) > 0 ? Outcome.COMMITTED : Outcome.UNREACHABLE, word(), now);
         } else if (kind < 94 && !txns.isEmpty()) {
             Request request = txns.get(chance.nextInt(txns.size()));
             if (!request.ended) {
-                rounds.execute(request, chance.nextBoolean() ? logic.onClientDisconnected(request, now) : logic.onAdmissionLost(request, now), now);
+                rounds.execute(
+                        request,
+                        chance.nextBoolean()
+                                ? logic.onClientDisconnected(request, now)
+                                : logic.onAdmissionLost(request, now),
+                        now);
             }
         } else if (kind == 94) {
             // As the desk does with a word of the keeper: a look follows at once.
@@ -153,7 +162,8 @@
             HostReport answer = outcome.isFromHost() ? word() : HostReport.EMPTY;
             rounds.execute(
                     attempt.request,
-                    logic.onAttemptEnded(attempt, outcome, settled, answer, outcome.isFromHost() ? word() : HostReport.EMPTY, now),
+                    logic.onAttemptEnded(
+                            attempt, outcome, settled, answer, outcome.isFromHost() ? word() : HostReport.EMPTY, now),
                     now);
         }
     }
--- a/src/test/java/beaconladder/routing/Script.java
+++ b/src/test/java/beaconladder/routing/Script.java
@@ -1,9 +1,9 @@
 package beaconladder.routing;
 
 import beaconladder.routing.api.NextWakeup;
+import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.api.Router.Role;
-import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
@@ -118,8 +118,10 @@
                 reportedMillis);
     }
 
-    private Script end(Attempt attempt, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
-        say("end " + attempt.request.id + "@" + (char) attempt.host.id + " " + outcome.name().toLowerCase(java.util.Locale.ROOT));
+    private Script end(
+            Attempt attempt, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
+        say("end " + attempt.request.id + "@" + (char) attempt.host.id + " "
+                + outcome.name().toLowerCase(java.util.Locale.ROOT));
         act(
                 attempt.request,
                 logic.onAttemptEnded(
@@ -194,7 +196,8 @@
     /** The newest submission of this txn has its connection: whether it still stands. */
     Script stands(int id) {
         Attempt attempt = txns.get(id).attempts.get(txns.get(id).attempts.size() - 1);
-        say("stands " + id + "@" + (char) attempt.host.id + " " + logic.checkDispatch(attempt, now).isAllowed());
+        say("stands " + id + "@" + (char) attempt.host.id + " "
+                + logic.checkDispatch(attempt, now).isAllowed());
         return this;
     }
 
--- a/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
+++ b/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
@@ -103,7 +103,10 @@
                         RequestClass.Idempotency.NON_IDEMPOTENT);
         assertThat(types.subList(1, 4))
                 .extracting(RequestClass::deduplicationScope)
-                .containsExactly(RequestClass.DeduplicationScope.ALL, RequestClass.DeduplicationScope.ZONE, RequestClass.DeduplicationScope.GROUP);
+                .containsExactly(
+                        RequestClass.DeduplicationScope.ALL,
+                        RequestClass.DeduplicationScope.ZONE,
+                        RequestClass.DeduplicationScope.GROUP);
         assertThat(types.get(0).timeoutNanos()).isEqualTo(500_000_000L);
         assertThat(types.get(0).slaNanos()).isEqualTo(300_000_000L);
         assertThat(types.get(0).weight()).isEqualTo(2.5);
--- a/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
+++ b/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
@@ -70,8 +70,8 @@
         long now = desk.nowNanos();
         expiry = now + BUDGET_MILLIS * 1_000_000L;
         Statement statement = Statement.read(WRITE);
-        InFlightRequest hand =
-                desk.submit(new RequestParameters("w1", 0, desk.group(1), statement, HostReport.NO_POSITION, now, expiry, null));
+        InFlightRequest hand = desk.submit(
+                new RequestParameters("w1", 0, desk.group(1), statement, HostReport.NO_POSITION, now, expiry, null));
         for (InFlightRequest.Command command = hand.awaitCommand(); ; command = hand.awaitCommand()) {
             if (command.kind() != InFlightRequest.Kind.SEND) {
                 desk.stop();
