--- a/src/main/java/beaconladder/app/LeaseCommand.java
+++ b/src/main/java/beaconladder/app/LeaseCommand.java
@@ -5,7 +5,9 @@
 import beaconladder.lease.LeaseTable;
 import beaconladder.lease.server.AnchoredClock;
 import beaconladder.lease.server.LeaseClient;
+import beaconladder.lease.server.LeaseRequestException;
 import beaconladder.lease.server.LeaseServer;
+import beaconladder.lease.server.LeaseServersUnavailableException;
 import beaconladder.plan.Plan;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -28,6 +30,7 @@
         exitCodeListHeading = "Exit codes:%n")
 final class LeaseCommand implements Runnable {
     private static final int CALL_MILLIS = 3_000;
+    private static final String NO_LEADER = "no grantor answers with a leader; is a quorum of them up?";
 
     @Spec
     private CommandSpec spec;
@@ -72,10 +75,7 @@
             return 1;
         }
         try (LeaseClient doors = doors(plan)) {
-            LeaseTable all = doors.status();
-            if (all == null) {
-                throw new IOException("no grantor answers with a leader; is a quorum of them up?");
-            }
+            LeaseTable all = leases(doors);
             PrintWriter out = spec.commandLine().getOut();
             long now = new AnchoredClock().getAsLong();
             all.leases()
@@ -87,10 +87,12 @@
                             lease.token(),
                             lease.holder().isEmpty()
                                     ? "given up"
-                                    : lease.expiry() < now
-                                            ? "expired " + (now - lease.expiry()) / 1_000_000 + " ms ago"
-                                            : (lease.expiry() - now) / 1_000_000 + " ms left",
-                            lease.heir().isEmpty() || lease.heirUntil() < now ? "" : ", kept for " + lease.heir()));
+                                    : lease.expiryNanos() < now
+                                            ? "expired " + (now - lease.expiryNanos()) / 1_000_000 + " ms ago"
+                                            : (lease.expiryNanos() - now) / 1_000_000 + " ms left",
+                            lease.successor().isEmpty() || lease.reservedUntilNanos() < now
+                                    ? ""
+                                    : ", kept for " + lease.successor()));
             if (all.leases().isEmpty()) {
                 out.println("no task has been asked for yet");
             }
@@ -112,25 +114,42 @@
             return 1;
         }
         try (LeaseClient doors = doors(plan)) {
-            LeaseResponse answer = null;
-            for (int i = 0; answer == null && i < plan.leases().grantors().size(); i++) {
-                answer = doors.ask(
-                        LeaseRequest.handOver(task, heir, plan.leases().length()));
-            }
-            if (answer == null) {
-                throw new IOException("no grantor answers with a leader; is a quorum of them up?");
-            }
+            LeaseResponse answer = sendToAny(
+                    doors,
+                    LeaseRequest.handOver(task, heir, plan.leases().length()),
+                    plan.leases().grantors().size());
             spec.commandLine()
                     .getOut()
                     .println(
                             answer.holder().isEmpty()
                                     ? task + " is kept for " + heir
                                     : answer.holder() + " is told to give it up; at the latest " + heir
-                                            + " may take it in " + answer.free() / 1_000_000 + " ms");
+                                            + " may take it in " + answer.availableInNanos() / 1_000_000 + " ms");
         }
         return 0;
     }
 
+    private static LeaseTable leases(LeaseClient doors) throws IOException {
+        try {
+            return doors.leases();
+        } catch (LeaseServersUnavailableException e) {
+            throw new IOException(NO_LEADER, e);
+        }
+    }
+
+    /** Sends a request until a server responds, at most once to each of them. */
+    private static LeaseResponse sendToAny(LeaseClient doors, LeaseRequest request, int servers) throws IOException {
+        LeaseRequestException last = null;
+        for (int i = 0; i < servers; i++) {
+            try {
+                return doors.send(request);
+            } catch (LeaseRequestException e) {
+                last = e;
+            }
+        }
+        throw new IOException(NO_LEADER, last);
+    }
+
     private static LeaseClient doors(Plan plan) {
         return new LeaseClient(
                 plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0, CALL_MILLIS);
--- a/src/main/java/beaconladder/app/MembersCommand.java
+++ b/src/main/java/beaconladder/app/MembersCommand.java
@@ -1,6 +1,7 @@
 package beaconladder.app;
 
 import beaconladder.lease.server.LeaseClient;
+import beaconladder.lease.server.LeaseServersUnavailableException;
 import beaconladder.membership.MembershipView;
 import beaconladder.plan.Plan;
 import java.io.IOException;
@@ -39,10 +40,7 @@
         }
         try (LeaseClient doors = new LeaseClient(
                 plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0, CALL_MILLIS)) {
-            MembershipView view = doors.members();
-            if (view == null) {
-                throw new IOException("no grantor answers that takes part in the fleet's membership");
-            }
+            MembershipView view = members(doors);
             PrintWriter out = spec.commandLine().getOut();
             out.println("view " + view.version()
                     + (view.sinceLastMessageNanos() == Long.MAX_VALUE
@@ -54,4 +52,12 @@
         }
         return 0;
     }
+
+    private static MembershipView members(LeaseClient doors) throws IOException {
+        try {
+            return doors.members();
+        } catch (LeaseServersUnavailableException e) {
+            throw new IOException("no grantor answers that takes part in the fleet's membership", e);
+        }
+    }
 }
--- a/src/main/java/beaconladder/lease/FencedRecords.java
+++ b/src/main/java/beaconladder/lease/FencedRecords.java
@@ -6,74 +6,81 @@
 import java.util.TreeMap;
 
 /**
- * The notes of all tasks, as replicas of a log apply them alike. A holder's note is taken only while its lease stands
- * by the log's own clock and token, in one step with the look at it: of two who both think that they hold a task, one
- * at the most can write. A writer states how many notes it knows, so that nothing is done twice.
+ * The records of all tasks, as the replicas of a log apply them alike. A holder's record is accepted only while its
+ * lease is valid by the log's own clock and token, checked in one step with the write: of two processes that both take
+ * themselves for the holder, at most one can write. A writer states how many records it knows, so that nothing is done
+ * twice.
  *
- * @param tasks the texts of each task, oldest first
- * @param begun how many notes of a task were dropped as of no more use
+ * @param textsByTask the texts of each task, oldest first
+ * @param droppedByTask how many earlier records of a task were dropped
  */
-public record FencedRecords(Map<String, List<String>> tasks, Map<String, Integer> begun) {
-    /** More than the notes of any one change; a writer that goes on and on is stopped before the disk is full. */
-    static final int MOST = 1_000;
+public record FencedRecords(Map<String, List<String>> textsByTask, Map<String, Integer> droppedByTask) {
+    /** More than the records of any one change; a writer in an endless loop is stopped before the disk is full. */
+    static final int MAX_RECORDS_PER_TASK = 1_000;
 
-    /** What became of a note. */
-    public enum Kept {
-        /** It is there. */
+    /** What became of a record. */
+    public enum Outcome {
+        /** It is appended. */
         WRITTEN,
-        /** The writer has missed a note: it reads them first. */
-        OVERTAKEN,
+        /** The writer has missed a record and must read first. */
+        STALE_POSITION,
         /** The writer does not hold the task now. */
         NOT_HELD,
-        /** There are too many of them. */
+        /** The task has {@link #MAX_RECORDS_PER_TASK} records. */
         FULL
     }
 
-    /** The state after a note, and what became of it. */
-    public record Applied(FencedRecords next, Kept kept) {}
+    /** The state after a record, and what became of it. */
+    public record Applied(FencedRecords next, Outcome outcome) {}
 
-    /** What a reader sees of a task. */
-    public record Seen(int begun, List<String> texts) {
-        /** How many notes there have been. */
-        public int size() {
-            return begun + texts.size();
+    /** The records of one task. */
+    public record TaskRecords(int droppedCount, List<String> texts) {
+        /** How many records have been written, dropped ones included. */
+        public int writtenCount() {
+            return droppedCount + texts.size();
         }
     }
 
-    /** No note yet. */
-    public static FencedRecords none() {
+    /** No record yet. */
+    public static FencedRecords empty() {
         return new FencedRecords(Map.of(), Map.of());
     }
 
-    /** The notes of a task. */
-    public Seen seen(String task) {
-        return new Seen(begun.getOrDefault(task, 0), tasks.getOrDefault(task, List.of()));
+    /** The records of a task. */
+    public TaskRecords of(String task) {
+        return new TaskRecords(droppedByTask.getOrDefault(task, 0), textsByTask.getOrDefault(task, List.of()));
     }
 
-    /** The state with this note applied, beside the leases as they are at that place of the log. */
-    public Applied apply(FencedRecord note, LeaseTable grants) {
-        Seen seen = seen(note.task());
-        if (note.token() != 0 || !note.holder().isEmpty()) {
-            Lease lease = grants.leases().get(note.task());
-            if (lease == null
-                    || !lease.holder().equals(note.holder())
-                    || lease.token() != note.token()
-                    || grants.clock() > lease.expiry()) {
-                return new Applied(this, Kept.NOT_HELD);
-            }
+    /** The state after this record, with the leases as they are at that place of the log. */
+    public Applied apply(FencedRecord written, LeaseTable leases) {
+        if (written.needsLease() && !isHeldByWriter(written, leases)) {
+            return new Applied(this, Outcome.NOT_HELD);
         }
-        if (note.at() != seen.size()) {
-            return new Applied(this, Kept.OVERTAKEN);
+        TaskRecords known = of(written.task());
+        if (written.position() != known.writtenCount()) {
+            return new Applied(this, Outcome.STALE_POSITION);
         }
-        if (!note.fresh() && seen.texts().size() >= MOST) {
-            return new Applied(this, Kept.FULL);
+        if (!written.replacesEarlier() && known.texts().size() >= MAX_RECORDS_PER_TASK) {
+            return new Applied(this, Outcome.FULL);
         }
-        List<String> texts = note.fresh() ? new ArrayList<>() : new ArrayList<>(seen.texts());
-        texts.add(note.text());
-        Map<String, List<String>> all = new TreeMap<>(tasks);
-        all.put(note.task(), List.copyOf(texts));
-        Map<String, Integer> from = new TreeMap<>(begun);
-        from.put(note.task(), seen.size() + 1 - texts.size());
-        return new Applied(new FencedRecords(Map.copyOf(all), Map.copyOf(from)), Kept.WRITTEN);
+        return new Applied(with(written, known), Outcome.WRITTEN);
+    }
+
+    private static boolean isHeldByWriter(FencedRecord written, LeaseTable leases) {
+        Lease lease = leases.leases().get(written.task());
+        return lease != null
+                && lease.holder().equals(written.holder())
+                && lease.token() == written.token()
+                && leases.clockNanos() <= lease.expiryNanos();
+    }
+
+    private FencedRecords with(FencedRecord written, TaskRecords known) {
+        List<String> texts = written.replacesEarlier() ? new ArrayList<>() : new ArrayList<>(known.texts());
+        texts.add(written.text());
+        Map<String, List<String>> nextTexts = new TreeMap<>(textsByTask);
+        nextTexts.put(written.task(), List.copyOf(texts));
+        Map<String, Integer> nextDropped = new TreeMap<>(droppedByTask);
+        nextDropped.put(written.task(), known.writtenCount() + 1 - texts.size());
+        return new FencedRecords(Map.copyOf(nextTexts), Map.copyOf(nextDropped));
     }
 }
--- a/src/main/java/beaconladder/lease/FencingGuard.java
+++ b/src/main/java/beaconladder/lease/FencingGuard.java
@@ -1,37 +1,43 @@
 package beaconladder.lease;
 
 /**
- * What a shared resource remembers of a task, so that an act that comes late is refused there: the holder may have
- * stood still between its look at the clock and the act, or the network may have kept it. The token is judged alone by
- * what the resource has seen, with no clock in it; the time is a second bar for what comes late before anybody else has
- * acted.
+ * What a shared resource remembers of a task, so that it can reject an act that arrives late: the holder may have been
+ * paused between its check of the clock and the act, or the network may have delayed it. Tokens are compared only with
+ * what the resource has seen, without a clock; the deadline is a second barrier, for late acts that arrive before any
+ * process with a higher token has acted.
  *
- * @param highest the highest token seen
+ * @param highestToken the highest token seen, or 0
  */
-public record FencingGuard(long highest) {
+public record FencingGuard(long highestToken) {
     /** What becomes of an act. */
-    public enum Verdict {
-        /** It may be done. */
+    public enum Decision {
+        /** It may be carried out. */
         ADMITTED,
-        /** One with a higher token has been here. */
-        LOWER,
-        /** Its holder's time is over by this resource's clock. */
-        OVER
+        /** An act with a higher token has been here. */
+        STALE_TOKEN,
+        /** Its holder's deadline has passed by this resource's clock. */
+        EXPIRED
     }
 
-    /** The state after an act, and whether it may be done. */
-    public record Admission(FencingGuard next, Verdict verdict) {}
+    /** The state after an act, and the decision on it. */
+    public record Admission(FencingGuard next, Decision decision) {}
 
-    /** Nothing seen yet. */
-    public static FencingGuard open() {
+    /** No act seen yet. */
+    public static FencingGuard initial() {
         return new FencingGuard(0);
     }
 
-    /** Judges an act that carries this token and the time until which its holder may act. */
-    public Admission admit(long token, long until, long now) {
-        if (token < highest) {
-            return new Admission(this, Verdict.LOWER);
+    /**
+     * Decides on an act.
+     *
+     * @param token that the act carries
+     * @param deadlineNanos until when its holder may act
+     * @param nowNanos by this resource's clock
+     */
+    public Admission admit(long token, long deadlineNanos, long nowNanos) {
+        if (token < highestToken) {
+            return new Admission(this, Decision.STALE_TOKEN);
         }
-        return new Admission(new FencingGuard(token), now >= until ? Verdict.OVER : Verdict.ADMITTED);
+        return new Admission(new FencingGuard(token), nowNanos >= deadlineNanos ? Decision.EXPIRED : Decision.ADMITTED);
     }
 }
--- a/src/main/java/beaconladder/lease/LeaseGrant.java
+++ b/src/main/java/beaconladder/lease/LeaseGrant.java
@@ -1,10 +1,16 @@
 package beaconladder.lease;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /**
- * A task given to one process.
+ * A task granted to one process.
  *
  * @param holder the process, by name and incarnation
  * @param token the fencing token: higher than that of every earlier grant of the task to a process
- * @param expiry from when on it may be given to another, once the clock bound has passed too
+ * @param expiryNanos in Unix nanoseconds; once the clock bound has passed too, another process may get the task
  */
-public record LeaseGrant(String task, String holder, long token, long expiry) {}
+public record LeaseGrant(
+        String task,
+        String holder,
+        long token,
+        @JsonProperty("expiry") long expiryNanos) {}
--- a/src/main/java/beaconladder/lease/LeaseHolderState.java
+++ b/src/main/java/beaconladder/lease/LeaseHolderState.java
@@ -1,224 +1,199 @@
 package beaconladder.lease;
 
 /**
- * One process and one task, as a state machine: what to ask, and until when it may act. The caller hands it the time at
- * each {@link #wake} and what the grantor says, acts only while {@link #mayAct}, and puts token and {@link #until} on
- * every act. docs/lease.md has its transitions as a table.
+ * The holder's side of a lease, as a state machine of one process and one task: what to request, and until when the
+ * process may act. The caller passes in the time at each {@link #wakeupNanos} and the lease server's responses, acts
+ * only while {@link #mayAct}, and puts its {@link #permit} on every act. docs/lease.md has the transitions as a table.
+ * Times are nanoseconds by this process's clock.
  *
- * @param holder this process, by name and incarnation
- * @param length how long a lease is asked for
- * @param bound how far any clock of the fleet may be from the true time
- * @param wanted whether the task is wanted at all
- * @param number of the newest ask
- * @param sentNumber of the first ask whose answer is awaited, or Long.MAX_VALUE
- * @param sentAt when that was sent, by this process's clock
- * @param token of the newest grant
- * @param until an act must be sent before this, by this process's clock
- * @param askAt when to ask next
- * @param seen the newest time that this process's clock has shown
+ * @param terms what is requested, and for whom
+ * @param phase where the process is between request and release
+ * @param wanted whether the process wants the task at all
+ * @param requests which requests were sent, and which of them is pending
+ * @param permit token and deadline of the newest grant
+ * @param nextRequestAtNanos when to send the next request
+ * @param latestClockNanos the time of the newest event
  */
 public record LeaseHolderState(
-        String task,
-        String holder,
-        long length,
-        long bound,
-        State state,
+        LeaseTerms terms,
+        Phase phase,
         boolean wanted,
-        long number,
-        long sentNumber,
-        long sentAt,
-        long token,
-        long until,
-        long askAt,
-        long seen) {
-    /** Where the process stands with the task. */
-    public enum State {
-        ASKED,
+        RequestSequence requests,
+        LeasePermit permit,
+        long nextRequestAtNanos,
+        long latestClockNanos) {
+    private static final long NEVER = Long.MAX_VALUE;
+
+    /** Where the process is between request and release. */
+    public enum Phase {
+        REQUESTED,
         HELD,
         RENEWING,
         EXPIRED,
         RELEASED
     }
 
-    /** A third of its length has gone when a lease is asked for anew, which leaves four tries before its end. */
-    private static final int RENEW = 3;
-
-    private static final int AGAIN = 6;
-    private static final long NONE = Long.MAX_VALUE;
-
-    /** The state after an event, and what is to be asked of the grantor, or null. */
-    public record Step(LeaseHolderState next, LeaseRequest ask) {}
+    /**
+     * The outcome of an event.
+     *
+     * @param next the state after it
+     * @param request what to send to a lease server, or null
+     */
+    public record Step(LeaseHolderState next, LeaseRequest request) {
+        private static Step of(LeaseHolderState next) {
+            return new Step(next, null);
+        }
+    }
 
-    /** A process that wants nothing yet. */
-    public static LeaseHolderState of(String task, String holder, long length, long bound) {
+    /** A process that does not want the task yet. */
+    public static LeaseHolderState initial(LeaseTerms terms) {
         return new LeaseHolderState(
-                task,
-                holder,
-                length,
-                bound,
-                State.RELEASED,
+                terms,
+                Phase.RELEASED,
                 false,
-                0,
-                NONE,
-                0,
-                0,
-                Long.MIN_VALUE,
+                RequestSequence.initial(),
+                LeasePermit.none(),
                 Long.MIN_VALUE,
                 Long.MIN_VALUE);
     }
 
-    /** From here on the task is wanted, until a release. */
-    public LeaseHolderState want(long now) {
+    /** The process wants the task from now on, until {@link #release}. */
+    public LeaseHolderState want(long nowNanos) {
         return wanted
                 ? this
                 : new LeaseHolderState(
-                        task, holder, length, bound, state, true, number, NONE, 0, token, until, now, seen);
+                        terms, phase, true, requests.withoutPending(), permit, nowNanos, latestClockNanos);
     }
 
-    /** Whether it may act now, by this process's clock. */
-    public boolean mayAct(long now) {
-        return holds() && now >= seen && now < until;
+    /** Whether the process may act now. */
+    public boolean mayAct(long nowNanos) {
+        return isHolding() && nowNanos >= latestClockNanos && nowNanos < permit.deadlineNanos();
     }
 
-    private boolean holds() {
-        return state == State.HELD || state == State.RENEWING;
+    private boolean isHolding() {
+        return phase == Phase.HELD || phase == Phase.RENEWING;
     }
 
-    /** When to look at it again, if nothing is heard before. */
-    public long wake() {
-        return Math.min(wanted ? askAt : NONE, holds() ? until : NONE);
+    /** When {@link #onTime} is due, unless a response arrives before; Long.MAX_VALUE for never. */
+    public long wakeupNanos() {
+        return Math.min(wanted ? nextRequestAtNanos : NEVER, isHolding() ? permit.deadlineNanos() : NEVER);
     }
 
-    /** What time alone brings. */
-    public Step at(long now) {
+    /** Time has passed: the lease may have expired, a request may be due. */
+    public Step onTime(long nowNanos) {
         // A clock that goes back would lengthen the lease by as much.
-        boolean back = now < seen;
-        LeaseHolderState here = holds() && (now >= until || back) ? expired(token, now) : seen(now);
-        if (!wanted || now < here.askAt && !back) {
-            return new Step(here, null);
+        boolean clockWentBack = nowNanos < latestClockNanos;
+        LeaseHolderState current = isHolding() && (nowNanos >= permit.deadlineNanos() || clockWentBack)
+                ? expired(permit.token(), nowNanos)
+                : withLatestClock(nowNanos);
+        if (!wanted || nowNanos < current.nextRequestAtNanos && !clockWentBack) {
+            return Step.of(current);
         }
-        // Counted from the first ask without an answer: whichever is answered, it was not sent before
-        // that. One too
-        // old to bring a lease of use is given up, and with it what is said to it.
-        boolean anew = here.sentNumber == NONE || back || now - here.sentAt > length / 2;
-        LeaseHolderState asked = new LeaseHolderState(
-                task,
-                holder,
-                length,
-                bound,
-                here.holds() ? State.RENEWING : State.ASKED,
+        return current.request(nowNanos, clockWentBack);
+    }
+
+    private Step request(long nowNanos, boolean clockWentBack) {
+        // A pending request too old to bring a useful lease is abandoned, and its response with it.
+        boolean abandonsPending =
+                clockWentBack || nowNanos - requests.pendingSinceNanos() > terms.pendingRequestLimitNanos();
+        RequestSequence sent = (abandonsPending ? requests.withoutPending() : requests).sent(nowNanos);
+        LeaseHolderState next = new LeaseHolderState(
+                terms,
+                isHolding() ? Phase.RENEWING : Phase.REQUESTED,
                 true,
-                number + 1,
-                anew ? number + 1 : here.sentNumber,
-                anew ? now : here.sentAt,
-                token,
-                here.until,
-                now + Math.max(1, length / AGAIN),
-                now);
-        return new Step(asked, LeaseRequest.take(task, holder, number + 1, here.holds() ? token : 0, length));
-    }
-
-    /** What the grantor answered. */
-    public Step heard(LeaseResponse answer, long now) {
-        Step timed = at(now);
-        if (!wanted || !answer.task().equals(task) || answer.number() < sentNumber) {
+                sent,
+                permit,
+                nowNanos + terms.retryIntervalNanos(),
+                nowNanos);
+        return new Step(next, terms.acquire(sent.lastNumber(), isHolding() ? permit.token() : 0));
+    }
+
+    /** A lease server has responded. */
+    public Step onResponse(LeaseResponse response, long nowNanos) {
+        Step timed = onTime(nowNanos);
+        if (!wanted || !response.task().equals(terms.task()) || response.number() < requests.pendingNumber()) {
             return timed;
         }
-        return switch (answer.why()) {
-            case GRANTED -> granted(answer.grant(), timed, now);
-            case HANDED_OVER ->
-                new Step(
-                        gone(number + 1, State.RELEASED, now + length + 2 * bound, now),
-                        LeaseRequest.release(task, holder, number + 1, 0));
-            // Said to one that holds it, too: then the clocks are further off than the bound, and it stops.
-            case HELD ->
-                new Step(
-                        gone(
-                                number,
-                                State.ASKED,
-                                now + Math.max(Math.max(1, length / AGAIN), Math.min(length, answer.free())),
-                                now),
-                        null);
-            case OVERTAKEN, DONE, NOT_HELD -> timed;
+        return switch (response.outcome()) {
+            case GRANTED -> granted(response.grant(), timed, nowNanos);
+            case HANDED_OVER -> handedOver(nowNanos);
+            case HELD -> Step.of(refused(response.availableInNanos(), nowNanos));
+            case SUPERSEDED, DONE, NOT_HELD -> timed;
         };
     }
 
-    private Step granted(LeaseGrant grant, Step timed, long now) {
-        if (!grant.holder().equals(holder) || grant.token() < token) {
+    private Step granted(LeaseGrant grant, Step timed, long nowNanos) {
+        if (!grant.holder().equals(terms.holder()) || grant.token() < permit.token()) {
             return timed;
         }
-        // Twice over: by the grantor's expiry, and by this clock alone, which no offset can lengthen.
-        long end = Math.min(grant.expiry(), sentAt + length) - bound;
-        LeaseHolderState here = timed.next();
-        if (grant.token() == token && here.holds()) {
-            end = Math.max(end, here.until);
+        long deadlineNanos = terms.actDeadlineNanos(grant.expiryNanos(), requests.pendingSinceNanos());
+        LeaseHolderState current = timed.next();
+        if (grant.token() == permit.token() && current.isHolding()) {
+            deadlineNanos = Math.max(deadlineNanos, current.permit.deadlineNanos());
         }
-        if (end <= now) {
-            return new Step(here.expired(grant.token(), now), timed.ask());
+        if (deadlineNanos <= nowNanos) {
+            return new Step(current.expired(grant.token(), nowNanos), timed.request());
         }
-        return new Step(
-                new LeaseHolderState(
-                        task,
-                        holder,
-                        length,
-                        bound,
-                        State.HELD,
-                        true,
-                        here.number,
-                        NONE,
-                        0,
-                        grant.token(),
-                        end,
-                        now + Math.max(1, Math.min(length / RENEW, (end - now) / 2)),
-                        now),
-                null);
-    }
-
-    /** Gives it up: nothing may be done for it from here on. */
-    public Step release(long now) {
-        LeaseHolderState next = gone(number + 1, State.RELEASED, now, now);
-        return new Step(
-                new LeaseHolderState(
-                        task,
-                        holder,
-                        length,
-                        bound,
-                        next.state,
-                        false,
-                        next.number,
-                        NONE,
-                        0,
-                        token,
-                        next.until,
-                        NONE,
-                        next.seen),
-                state == State.RELEASED && !wanted ? null : LeaseRequest.release(task, holder, number + 1, 0));
-    }
-
-    private LeaseHolderState expired(long withToken, long now) {
-        return new LeaseHolderState(
-                task, holder, length, bound, State.EXPIRED, wanted, number, NONE, 0, withToken, now, now, now);
+        return Step.of(new LeaseHolderState(
+                terms,
+                Phase.HELD,
+                true,
+                current.requests.withoutPending(),
+                new LeasePermit(grant.token(), deadlineNanos),
+                nowNanos + terms.renewalIntervalNanos(deadlineNanos - nowNanos),
+                nowNanos));
+    }
+
+    /** An operator has handed the task over: releases it, and lets the successor go first. */
+    private Step handedOver(long nowNanos) {
+        LeaseHolderState next = stopped(
+                requests.sentWithoutResponse(),
+                Phase.RELEASED,
+                nowNanos + terms.lengthNanos() + 2 * terms.clockBoundNanos(),
+                nowNanos);
+        return new Step(next, terms.release(requests.nextNumber()));
+    }
+
+    /**
+     * Another process holds the task. A holder can receive this too: then clocks differ by more than the bound, and it
+     * stops.
+     */
+    private LeaseHolderState refused(long availableInNanos, long nowNanos) {
+        long waitNanos = Math.max(terms.retryIntervalNanos(), Math.min(terms.lengthNanos(), availableInNanos));
+        return stopped(requests.withoutPending(), Phase.REQUESTED, nowNanos + waitNanos, nowNanos);
     }
 
-    private LeaseHolderState gone(long nextNumber, State next, long nextAskAt, long now) {
+    /** Releases the task and wants it no longer: the process may not act from here on. */
+    public Step release(long nowNanos) {
+        LeaseHolderState next = new LeaseHolderState(
+                terms,
+                Phase.RELEASED,
+                false,
+                requests.sentWithoutResponse(),
+                permit.endingBy(nowNanos),
+                NEVER,
+                nowNanos);
+        return new Step(next, phase == Phase.RELEASED && !wanted ? null : terms.release(requests.nextNumber()));
+    }
+
+    private LeaseHolderState expired(long token, long nowNanos) {
         return new LeaseHolderState(
-                task,
-                holder,
-                length,
-                bound,
-                next,
+                terms,
+                Phase.EXPIRED,
                 wanted,
-                nextNumber,
-                NONE,
-                0,
-                token,
-                Math.min(until, now),
-                nextAskAt,
-                now);
+                requests.withoutPending(),
+                new LeasePermit(token, nowNanos),
+                nowNanos,
+                nowNanos);
     }
 
-    private LeaseHolderState seen(long now) {
+    private LeaseHolderState stopped(
+            RequestSequence nextRequests, Phase nextPhase, long requestAgainAtNanos, long nowNanos) {
         return new LeaseHolderState(
-                task, holder, length, bound, state, wanted, number, sentNumber, sentAt, token, until, askAt, now);
+                terms, nextPhase, wanted, nextRequests, permit.endingBy(nowNanos), requestAgainAtNanos, nowNanos);
+    }
+
+    private LeaseHolderState withLatestClock(long nowNanos) {
+        return new LeaseHolderState(terms, phase, wanted, requests, permit, nextRequestAtNanos, nowNanos);
     }
 }
--- a/src/main/java/beaconladder/lease/LeaseResponse.java
+++ b/src/main/java/beaconladder/lease/LeaseResponse.java
@@ -1,27 +1,47 @@
 package beaconladder.lease;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /**
- * What the grantor says to an ask.
+ * The lease servers' response to a request.
  *
- * @param number of the ask
- * @param grant what the asker holds now, or null
- * @param holder who else holds it, or an empty text
- * @param free so long until it may be free, in nanoseconds
+ * @param number of the request
+ * @param grant what the requesting process holds now, or null
+ * @param holder the process that holds the task instead, or an empty text
+ * @param availableInNanos how long until the task may be available; 0 where that is not known
  */
-public record LeaseResponse(String task, long number, Why why, LeaseGrant grant, String holder, long free) {
-    /** Why the answer is as it is. */
-    public enum Why {
-        /** The asker holds the task. */
+public record LeaseResponse(
+        String task,
+        long number,
+        @JsonProperty("why") Outcome outcome,
+        LeaseGrant grant,
+        String holder,
+        @JsonProperty("free") long availableInNanos) {
+    /** What became of the request. */
+    public enum Outcome {
+        /** The requesting process holds the task. */
         GRANTED,
-        /** Another one does, or it is kept for an heir. */
+        /** Another process holds it, or it is reserved for a successor. */
         HELD,
-        /** The asker holds it still, and is to give it up: an operator handed it over. */
+        /** The requesting process still holds it and must release it: an operator handed it over. */
         HANDED_OVER,
-        /** The ask was overtaken by the asker's own release. */
-        OVERTAKEN,
-        /** What was asked for has been done, with no grant to tell of. */
+        /** The process has released the task with a later request. */
+        @JsonProperty("OVERTAKEN")
+        SUPERSEDED,
+        /** The release or hand-over was carried out; there is no grant to return. */
         DONE,
-        /** There is no such lease, or the asker is not who holds it. */
+        /** There is no such lease, or the requesting process does not hold it. */
         NOT_HELD
     }
+
+    /** A response to this request without a grant. */
+    static LeaseResponse withoutGrant(LeaseRequest request, Outcome outcome, String holder, long availableInNanos) {
+        return new LeaseResponse(request.task(), request.number(), outcome, null, holder, availableInNanos);
+    }
+
+    /** The requesting process holds this lease now. */
+    static LeaseResponse granted(LeaseRequest request, Lease lease) {
+        LeaseGrant grant = new LeaseGrant(request.task(), request.holder(), lease.token(), lease.expiryNanos());
+        return new LeaseResponse(request.task(), request.number(), Outcome.GRANTED, grant, "", 0);
+    }
 }
--- a/src/main/java/beaconladder/lease/server/AnchoredClock.java
+++ b/src/main/java/beaconladder/lease/server/AnchoredClock.java
@@ -7,43 +7,47 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time in nanoseconds as it stood when this was made, moved on by the monotonic clock: spans by it are spans of
- * real time, whatever is done to the wall clock meanwhile. In a rehearsal off by what a file says, so that clocks can
- * be set apart on one machine.
+ * Unix time in nanoseconds at the moment this was created, advanced by the monotonic clock: intervals by it are
+ * intervals of real time, also while the wall clock is stepped. In tests it can be offset by the content of a file, so
+ * that the clocks of processes on one machine differ.
  */
 public final class AnchoredClock implements LongSupplier {
-    private static final long READ_NANOS = 10_000_000;
+    /** The offset file is read at most this often. */
+    private static final long OFFSET_READ_INTERVAL_NANOS = 10_000_000;
 
-    private final Path offsetMillis;
-    private final long anchor = unixNanos() - System.nanoTime();
-    private long read = System.nanoTime() - READ_NANOS;
-    private long offset;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
 
-    /** The machine's own. */
+    private final Path offsetMillisFile;
+    private final long anchorNanos = unixNanos() - System.nanoTime();
+    private long offsetReadAtNanos = System.nanoTime() - OFFSET_READ_INTERVAL_NANOS;
+    private long offsetNanos;
+
+    /** A clock without an offset. */
     public AnchoredClock() {
         this(null);
     }
 
-    /** One that is off by the milliseconds that this file holds; null for none. */
-    public AnchoredClock(Path offsetMillis) {
-        this.offsetMillis = offsetMillis;
+    /** A clock that is off by the milliseconds that this file holds; null for none. */
+    public AnchoredClock(Path offsetMillisFile) {
+        this.offsetMillisFile = offsetMillisFile;
     }
 
     @Override
     public synchronized long getAsLong() {
-        if (offsetMillis != null && System.nanoTime() - read >= READ_NANOS) {
-            read = System.nanoTime();
+        if (offsetMillisFile != null && System.nanoTime() - offsetReadAtNanos >= OFFSET_READ_INTERVAL_NANOS) {
+            offsetReadAtNanos = System.nanoTime();
             try {
-                offset = Long.parseLong(Files.readString(offsetMillis).strip()) * 1_000_000;
+                offsetNanos = Long.parseLong(Files.readString(offsetMillisFile).strip()) * NANOS_PER_MILLI;
             } catch (IOException | NumberFormatException e) {
-                // Half written: the offset stays as it was until the next look.
+                // Partly written: the offset stays until the next read.
             }
         }
-        return anchor + System.nanoTime() + offset;
+        return anchorNanos + System.nanoTime() + offsetNanos;
     }
 
     private static long unixNanos() {
         Instant now = Instant.now();
-        return now.getEpochSecond() * 1_000_000_000L + now.getNano();
+        return now.getEpochSecond() * NANOS_PER_SECOND + now.getNano();
     }
 }
--- a/src/main/java/beaconladder/lease/server/FeedEndpoint.java
+++ b/src/main/java/beaconladder/lease/server/FeedEndpoint.java
@@ -13,14 +13,14 @@
 import org.apache.ratis.server.RaftServer;
 
 /**
- * The feed's log is the grantors'. A leader that is one no longer and does not know it yet answers from what was
- * applied before: that is older, and never wrong.
+ * The feed's log, which is that of the lease servers. A former leader that does not know of its successor yet responds
+ * from what it applied before: that is older, but never wrong.
  */
-record FeedEndpoint(LeaseStateMachine log, RaftServer server, RaftGroupId group, RaftClient client)
+record FeedEndpoint(LeaseStateMachine stateMachine, RaftServer server, RaftGroupId group, RaftClient client)
         implements LogEndpoint.Log {
     @Override
     public VersionNotifier versions() {
-        return log.feed();
+        return stateMachine.feed();
     }
 
     @Override
@@ -34,7 +34,8 @@
 
     @Override
     public CommitResult commit(Proposal proposal) throws IOException {
-        RaftClientReply reply = client.io().send(Message.valueOf(LeaseStateMachine.FEED + FeedJson.text(proposal)));
+        RaftClientReply reply =
+                client.io().send(Message.valueOf(LeaseStateMachine.FEED_PREFIX + FeedJson.text(proposal)));
         if (!reply.isSuccess()) {
             throw new IOException(String.valueOf(reply.getException()));
         }
--- /dev/null
+++ b/src/main/java/beaconladder/lease/server/InvalidLeaseMessageException.java
@@ -0,0 +1,14 @@
+package beaconladder.lease.server;
+
+/** A request, a response or a stored state that can't be read, or that lacks a part. */
+public final class InvalidLeaseMessageException extends LeaseRequestException {
+    private static final long serialVersionUID = 1L;
+
+    InvalidLeaseMessageException(String message) {
+        super(message, null);
+    }
+
+    InvalidLeaseMessageException(String message, Throwable cause) {
+        super(message, cause);
+    }
+}
--- a/src/main/java/beaconladder/lease/server/LeaseClient.java
+++ b/src/main/java/beaconladder/lease/server/LeaseClient.java
@@ -11,74 +11,92 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The grantors as those see them who ask: one door after the other, until one answers. */
+/** A client of the lease servers: it uses one server after the other, until one responds. For several threads. */
 public final class LeaseClient implements AutoCloseable {
-    private final List<HttpFetcher> doors;
-    private final int millis;
-    private int at;
+    private final List<HttpFetcher> servers;
+    private final int timeoutMillis;
+    private int current;
+
+    /** Reads a response of one type. */
+    private interface ResponseReader<T> {
+        T read(String text) throws InvalidLeaseMessageException;
+    }
 
     /**
-     * Doors that are given up after so long each.
+     * A client of these servers.
      *
-     * @param first which of them is tried first, so that those who ask are spread
+     * @param first the index of the server that is tried first, so that clients are spread over them; any number
+     * @param timeoutMillis for one call to one server
      */
-    public LeaseClient(List<InetSocketAddress> all, int first, int millis) {
-        this.doors = all.stream().map(HttpFetcher::new).toList();
-        this.at = Math.floorMod(first, doors.size());
-        this.millis = millis;
+    public LeaseClient(List<InetSocketAddress> addresses, int first, int timeoutMillis) {
+        this.servers = addresses.stream().map(HttpFetcher::new).toList();
+        this.current = Math.floorMod(first, servers.size());
+        this.timeoutMillis = timeoutMillis;
     }
 
-    /** The answer, or null: this door gave none in time, and the next one is tried the next time. */
-    public synchronized LeaseResponse ask(LeaseRequest ask) {
-        String text = get("/v1/lease?ask=" + URLEncoder.encode(LeaseJson.text(ask), StandardCharsets.UTF_8));
-        try {
-            return text == null ? null : LeaseJson.answer(text);
-        } catch (IOException e) {
-            return null;
-        }
+    /**
+     * Sends a request to one server, once.
+     *
+     * @throws LeaseServersUnavailableException where it has not responded in time: the next request goes to the next
+     *     server
+     * @throws InvalidLeaseMessageException where its response can't be read
+     */
+    public synchronized LeaseResponse send(LeaseRequest request)
+            throws LeaseServersUnavailableException, InvalidLeaseMessageException {
+        String query = URLEncoder.encode(LeaseJson.toJson(request), StandardCharsets.UTF_8);
+        return LeaseJson.readResponse(get("/v1/lease?ask=" + query));
     }
 
-    /** All leases as a leader that is one has them, from whichever door answers; null where none does. */
-    public synchronized LeaseTable status() {
-        for (int i = 0; i < doors.size(); i++) {
-            String text = get("/v1/leases");
-            try {
-                if (text != null) {
-                    return LeaseJson.grants(text);
-                }
-            } catch (IOException e) {
-                at = (at + 1) % doors.size();
-            }
-        }
-        return null;
+    /**
+     * All leases as the leader has them, from the first server that responds.
+     *
+     * @throws LeaseServersUnavailableException where none does
+     */
+    public synchronized LeaseTable leases() throws LeaseServersUnavailableException {
+        return getFromAny("/v1/leases", LeaseJson::readTable);
+    }
+
+    /**
+     * The members of the fleet as the first server that responds knows them.
+     *
+     * @throws LeaseServersUnavailableException where none does, or none takes part in the gossip
+     */
+    public synchronized MembershipView members() throws LeaseServersUnavailableException {
+        return getFromAny("/v1/members", text -> LeaseJson.read(text, MembershipView.class));
     }
 
-    /** The fleet as some grantor knows it, or null: none answers, or none takes part in it. */
-    public synchronized MembershipView members() {
-        for (int i = 0; i < doors.size(); i++) {
-            String text = get("/v1/members");
+    private <T> T getFromAny(String path, ResponseReader<T> reader) throws LeaseServersUnavailableException {
+        LeaseRequestException last = null;
+        for (int i = 0; i < servers.size(); i++) {
             try {
-                if (text != null) {
-                    return LeaseJson.read(text, MembershipView.class);
-                }
-            } catch (IOException e) {
-                at = (at + 1) % doors.size();
+                return reader.read(get(path));
+            } catch (LeaseServersUnavailableException e) {
+                last = e;
+            } catch (InvalidLeaseMessageException e) {
+                last = e;
+                useNextServer();
             }
         }
-        return null;
+        throw new LeaseServersUnavailableException("no lease server responds", last);
     }
 
-    private String get(String path) {
+    private String get(String path) throws LeaseServersUnavailableException {
         try {
-            return doors.get(at).get(path, millis);
+            return servers.get(current).get(path, timeoutMillis);
         } catch (IOException e) {
-            at = (at + 1) % doors.size();
-            return null;
+            String address = String.valueOf(servers.get(current).address());
+            useNextServer();
+            throw new LeaseServersUnavailableException("lease server " + address + ": " + e.getMessage(), e);
         }
     }
 
+    private void useNextServer() {
+        current = (current + 1) % servers.size();
+    }
+
+    /** Closes the connections, also under a call of another thread. */
     @Override
     public void close() {
-        doors.forEach(HttpFetcher::close);
+        servers.forEach(HttpFetcher::close);
     }
 }
--- a/src/main/java/beaconladder/lease/server/LeaseJson.java
+++ b/src/main/java/beaconladder/lease/server/LeaseJson.java
@@ -4,27 +4,31 @@
 import beaconladder.lease.LeaseRequest;
 import beaconladder.lease.LeaseResponse;
 import beaconladder.lease.LeaseTable;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import java.io.IOException;
 import java.util.Map;
 
-/** Asks, answers and the grantor's state as JSON, checked whole before any of it counts. */
+/** Requests, responses and the lease servers' state as JSON; a text is validated as a whole before it is used. */
 final class LeaseJson {
     private static final ObjectMapper MAPPER = new ObjectMapper()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
     private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
-    /** A day; a longer lease would be no lease. */
-    private static final long LONGEST = 86_400_000_000_000L;
+    private static final String HOLDER = NAME + "#[0-9]{1,19}";
+    /** A day: a longer lease would not end in any useful time. */
+    private static final long MAX_LENGTH_NANOS = 86_400_000_000_000L;
 
-    /** An ask as the log has it: with the leader's clock and the clock bound that it was applied with. */
-    record Entry(LeaseRequest ask, long stamp, long bound) {}
+    /** A request as the log holds it: with the leader's clock and the clock bound that it is applied with. */
+    record LogEntry(
+            @JsonProperty("ask") LeaseRequest request,
+            @JsonProperty("stamp") long stampNanos,
+            @JsonProperty("bound") long clockBoundNanos) {}
 
     private LeaseJson() {}
 
-    static String text(Object value) {
+    static String toJson(Object value) {
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException e) {
@@ -32,57 +36,78 @@
         }
     }
 
-    static <T> T read(String text, Class<T> as) throws IOException {
-        T value = MAPPER.readValue(text, as);
+    /**
+     * Reads a value without a check of its parts.
+     *
+     * @throws InvalidLeaseMessageException where the text is no JSON of that type, or is null
+     */
+    static <T> T read(String text, Class<T> type) throws InvalidLeaseMessageException {
+        T value;
+        try {
+            value = MAPPER.readValue(text, type);
+        } catch (JsonProcessingException e) {
+            throw new InvalidLeaseMessageException(e.getMessage(), e);
+        }
         if (value == null) {
-            throw new IOException("null where a value belongs");
+            throw new InvalidLeaseMessageException("null instead of a value");
         }
         return value;
     }
 
-    static LeaseResponse answer(String text) throws IOException {
-        LeaseResponse answer = read(text, LeaseResponse.class);
-        if (answer.task() == null
-                || answer.why() == null
-                || answer.holder() == null
-                || answer.why() == LeaseResponse.Why.GRANTED
-                        && (answer.grant() == null
-                                || answer.grant().holder() == null
-                                || !answer.task().equals(answer.grant().task()))) {
-            throw new IOException("an answer that is not whole");
+    /** Reads a request from outside. */
+    static LeaseRequest readRequest(String text) throws InvalidLeaseMessageException {
+        LeaseRequest request = read(text, LeaseRequest.class);
+        if (!isValid(request)) {
+            throw new InvalidLeaseMessageException("an invalid lease request");
+        }
+        return request;
+    }
+
+    private static boolean isValid(LeaseRequest request) {
+        if (request.kind() == null
+                || request.task() == null
+                || request.holder() == null
+                || request.successor() == null
+                || !request.task().matches(NAME)) {
+            return false;
+        }
+        boolean isNamed = request.kind() == LeaseRequest.Kind.HAND_OVER
+                ? request.successor().matches(NAME)
+                : request.holder().matches(HOLDER);
+        long leastNanos = request.kind() == LeaseRequest.Kind.RELEASE ? 0 : 1;
+        return isNamed && request.lengthNanos() >= leastNanos && request.lengthNanos() <= MAX_LENGTH_NANOS;
+    }
+
+    /** Reads a lease server's response. */
+    static LeaseResponse readResponse(String text) throws InvalidLeaseMessageException {
+        LeaseResponse response = read(text, LeaseResponse.class);
+        if (!isValid(response)) {
+            throw new InvalidLeaseMessageException("an invalid lease response");
         }
-        return answer;
+        return response;
     }
 
-    /** An ask from outside. */
-    static LeaseRequest ask(String text) throws IOException {
-        LeaseRequest ask = read(text, LeaseRequest.class);
-        boolean handsOver = ask.kind() == LeaseRequest.Kind.HAND_OVER;
-        if (ask.kind() == null
-                || ask.task() == null
-                || !ask.task().matches(NAME)
-                || ask.holder() == null
-                || !handsOver && !ask.holder().matches(NAME + "#[0-9]{1,19}")
-                || ask.heir() == null
-                || handsOver && !ask.heir().matches(NAME)
-                || ask.length() < 0
-                || ask.length() > LONGEST
-                || ask.kind() != LeaseRequest.Kind.RELEASE && ask.length() == 0) {
-            throw new IOException("an ask that is not whole");
+    private static boolean isValid(LeaseResponse response) {
+        if (response.task() == null || response.outcome() == null || response.holder() == null) {
+            return false;
         }
-        return ask;
+        return response.outcome() != LeaseResponse.Outcome.GRANTED
+                || response.grant() != null
+                        && response.grant().holder() != null
+                        && response.task().equals(response.grant().task());
     }
 
-    static LeaseTable grants(String text) throws IOException {
-        LeaseTable grants = read(text, LeaseTable.class);
-        if (grants.leases() == null) {
-            throw new IOException("a state that is not whole");
+    /** Reads the leases of all tasks. */
+    static LeaseTable readTable(String text) throws InvalidLeaseMessageException {
+        LeaseTable table = read(text, LeaseTable.class);
+        if (table.leases() == null) {
+            throw new InvalidLeaseMessageException("a lease table without leases");
         }
-        for (Map.Entry<String, Lease> each : grants.leases().entrySet()) {
+        for (Map.Entry<String, Lease> each : table.leases().entrySet()) {
             if (each.getValue() == null || !each.getKey().equals(each.getValue().task())) {
-                throw new IOException("a state that is not whole");
+                throw new InvalidLeaseMessageException("an invalid lease of task " + each.getKey());
             }
         }
-        return grants;
+        return table;
     }
 }
--- a/src/main/java/beaconladder/lease/server/LeaseSession.java
+++ b/src/main/java/beaconladder/lease/server/LeaseSession.java
@@ -1,85 +1,104 @@
 package beaconladder.lease.server;
 
 import beaconladder.lease.LeaseHolderState;
+import beaconladder.lease.LeasePermit;
+import beaconladder.lease.LeaseRequest;
 import beaconladder.lease.LeaseResponse;
+import java.util.Locale;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * A process's hold on a task: a thread that asks for it, holds it and gives it up, as {@link LeaseHolderState} says.
+ * A process's lease of one task: a thread that runs this requests the lease, renews it, and releases it at
+ * {@link #close}, as {@link LeaseHolderState} decides.
  */
 public final class LeaseSession implements Runnable, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseSession.class);
-    /** So long at the most between two looks at the clock. */
-    private static final long LOOK_MILLIS = 20;
+    /** The longest time between two checks of the clock. */
+    private static final long POLL_MILLIS = 20;
 
-    private final LeaseClient doors;
+    private final LeaseClient client;
     private final LongSupplier clock;
-    private LeaseHolderState tenure;
+    private LeaseHolderState state;
     private volatile boolean closed;
 
-    /** What an act carries: the token, and until when it may be sent, in Unix nanoseconds. */
-    public record Permit(long token, long until) {}
-
-    public LeaseSession(LeaseHolderState tenure, LeaseClient doors, LongSupplier clock) {
-        this.doors = doors;
+    /**
+     * A session that wants the task from now on.
+     *
+     * @param client closed with the session
+     * @param clock Unix time in nanoseconds
+     */
+    public LeaseSession(LeaseHolderState state, LeaseClient client, LongSupplier clock) {
+        this.client = client;
         this.clock = clock;
-        this.tenure = tenure.want(clock.getAsLong());
+        this.state = state.want(clock.getAsLong());
     }
 
-    /** Leave to act now, or null. To be asked before each act. */
-    public synchronized Permit permit() {
-        return tenure.mayAct(clock.getAsLong()) ? new Permit(tenure.token(), tenure.until()) : null;
+    /** Permission to act now, or null. To be asked for before each act. */
+    public synchronized LeasePermit permit() {
+        return state.mayAct(clock.getAsLong()) ? state.permit() : null;
     }
 
-    public synchronized LeaseHolderState tenure() {
-        return tenure;
+    /** The newest state. */
+    public synchronized LeaseHolderState state() {
+        return state;
     }
 
     @Override
     public void run() {
         while (!closed) {
-            LeaseHolderState.Step step = take(tenure().at(clock.getAsLong()));
-            if (step.ask() != null) {
-                LeaseResponse answer = doors.ask(step.ask());
-                if (answer != null && !closed) {
-                    // A release that an answer asks for is sent once; its answer brings nothing.
-                    LeaseHolderState.Step heard = take(tenure().heard(answer, clock.getAsLong()));
-                    if (heard.ask() != null) {
-                        doors.ask(heard.ask());
+            LeaseHolderState.Step step = advance(state().onTime(clock.getAsLong()));
+            if (step.request() != null) {
+                LeaseResponse response = send(step.request());
+                if (response != null && !closed) {
+                    // A release that a response causes is sent once; nothing depends on its own response.
+                    LeaseHolderState.Step next = advance(state().onResponse(response, clock.getAsLong()));
+                    if (next.request() != null) {
+                        send(next.request());
                     }
                 }
             }
             try {
-                Thread.sleep(LOOK_MILLIS);
+                Thread.sleep(POLL_MILLIS);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private synchronized LeaseHolderState.Step take(LeaseHolderState.Step step) {
-        if (step.next().state() != tenure.state()) {
+    /** The response, or null: without one the state machine sends the request again in its own time. */
+    private LeaseResponse send(LeaseRequest request) {
+        try {
+            return client.send(request);
+        } catch (LeaseRequestException e) {
+            LOG.debug("no response to {}: {}", request, e.getMessage());
+            return null;
+        }
+    }
+
+    private synchronized LeaseHolderState.Step advance(LeaseHolderState.Step step) {
+        LeaseHolderState next = step.next();
+        if (next.phase() != state.phase()) {
             LOG.info(
                     "{} of {} is {}, token {}",
-                    step.next().holder(),
-                    step.next().task(),
-                    step.next().state().name().toLowerCase(java.util.Locale.ROOT),
-                    step.next().token());
+                    next.terms().holder(),
+                    next.terms().task(),
+                    next.phase().name().toLowerCase(Locale.ROOT),
+                    next.permit().token());
         }
-        tenure = step.next();
+        state = next;
         return step;
     }
 
-    /** Gives it up, so that another need not wait for its end. */
+    /** Releases the lease, so that another process need not wait for its expiry, and closes the client. */
     @Override
     public void close() {
         closed = true;
-        LeaseHolderState.Step step = take(tenure().release(clock.getAsLong()));
-        if (step.ask() != null) {
-            doors.ask(step.ask());
+        LeaseHolderState.Step step = advance(state().release(clock.getAsLong()));
+        if (step.request() != null) {
+            send(step.request());
         }
-        doors.close();
+        client.close();
     }
 }
--- a/src/main/java/beaconladder/lease/server/LeaseStateMachine.java
+++ b/src/main/java/beaconladder/lease/server/LeaseStateMachine.java
@@ -11,7 +11,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
-import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongSupplier;
 import org.apache.ratis.io.MD5Hash;
@@ -33,33 +32,39 @@
 import org.apache.ratis.util.MD5FileUtil;
 
 /**
- * {@link LeaseTable} and the feed's {@link VersionHistory} under Apache Ratis: the leader stamps each ask with its
- * clock, all replicas apply it alike.
+ * {@link LeaseTable} and the feed's {@link VersionHistory} as a state machine of Apache Ratis: the leader stamps each
+ * lease request with its clock, and all replicas apply it alike.
  */
 final class LeaseStateMachine extends BaseStateMachine {
-    /** Before a message, an entry, a line of a snapshot that is the feed's; those of leases begin with {. */
-    static final String FEED = "feed ";
+    /** Begins a message, a log entry or a line of a snapshot that belongs to the feed; those of leases begin with {. */
+    static final String FEED_PREFIX = "feed ";
 
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     private final LongSupplier clock;
-    private final long bound;
-    private LeaseTable grants = LeaseTable.none();
-    /** What the feed has, as applied; those who follow it wait there. */
+    private final long clockBoundNanos;
+    private LeaseTable leases = LeaseTable.empty();
+    /** The feed's versions as applied; followers wait there for the next one. */
     private final VersionNotifier feed = new VersionNotifier();
 
-    LeaseStateMachine(LongSupplier clock, long bound) {
+    /**
+     * A state machine without any state yet.
+     *
+     * @param clock Unix time in nanoseconds; read on the leader only
+     * @param clockBoundNanos how far any clock of the fleet may be from the true time
+     */
+    LeaseStateMachine(LongSupplier clock, long clockBoundNanos) {
         this.clock = clock;
-        this.bound = bound;
+        this.clockBoundNanos = clockBoundNanos;
     }
 
     @Override
-    public void initialize(RaftServer server, RaftGroupId group, RaftStorage of) throws IOException {
-        super.initialize(server, group, of);
-        storage.init(of);
+    public void initialize(RaftServer server, RaftGroupId group, RaftStorage raftStorage) throws IOException {
+        super.initialize(server, group, raftStorage);
+        storage.init(raftStorage);
         load();
     }
 
-    /** Its leader sent a snapshot. */
+    /** The leader has sent a snapshot. */
     @Override
     public void reinitialize() throws IOException {
         load();
@@ -70,16 +75,10 @@
         return storage;
     }
 
-    /** On the leader alone. What can't be read never gets into the log. */
+    /** Runs on the leader only. A message that can't be read is rejected here and never enters the log. */
     @Override
     public TransactionContext startTransaction(RaftClientRequest request) throws IOException {
-        String text = request.getMessage().getContent().toStringUtf8();
-        String entry;
-        if (text.startsWith(FEED)) {
-            entry = FEED + FeedJson.text(proposal(text).validated());
-        } else {
-            entry = LeaseJson.text(new LeaseJson.Entry(LeaseJson.ask(text), clock.getAsLong(), bound));
-        }
+        String entry = logEntry(request.getMessage().getContent().toStringUtf8());
         return TransactionContext.newBuilder()
                 .setStateMachine(this)
                 .setClientRequest(request)
@@ -88,44 +87,53 @@
                 .build();
     }
 
+    private String logEntry(String message) throws IOException {
+        return message.startsWith(FEED_PREFIX)
+                ? FEED_PREFIX + FeedJson.text(proposal(message).validated())
+                : LeaseJson.toJson(
+                        new LeaseJson.LogEntry(LeaseJson.readRequest(message), clock.getAsLong(), clockBoundNanos));
+    }
+
     @Override
     public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
         LogEntryProto logged = transaction.getLogEntry();
         try {
-            String text = logged.getStateMachineLogEntry().getLogData().toStringUtf8();
-            if (text.startsWith(FEED)) {
-                Proposal proposal = proposal(text);
-                synchronized (this) {
-                    VersionHistory.Transition applied = feed.current().apply(proposal);
-                    feed.publish(applied.history());
-                    updateLastAppliedTermIndex(logged.getTerm(), logged.getIndex());
-                    return CompletableFuture.completedFuture(Message.valueOf(FeedJson.text(applied.result())));
-                }
-            }
-            LeaseJson.Entry entry = LeaseJson.read(text, LeaseJson.Entry.class);
-            synchronized (this) {
-                LeaseTable.Applied applied = grants.apply(entry.ask(), entry.stamp(), entry.bound());
-                grants = applied.next();
-                updateLastAppliedTermIndex(logged.getTerm(), logged.getIndex());
-                return CompletableFuture.completedFuture(Message.valueOf(LeaseJson.text(applied.answer())));
-            }
+            String entry = logged.getStateMachineLogEntry().getLogData().toStringUtf8();
+            String response = entry.startsWith(FEED_PREFIX)
+                    ? applyProposal(proposal(entry), logged)
+                    : applyRequest(LeaseJson.read(entry, LeaseJson.LogEntry.class), logged);
+            return CompletableFuture.completedFuture(Message.valueOf(response));
         } catch (IOException | RuntimeException e) {
             return CompletableFuture.failedFuture(e);
         }
     }
 
+    private synchronized String applyProposal(Proposal proposal, LogEntryProto logged) {
+        VersionHistory.Transition applied = feed.current().apply(proposal);
+        feed.publish(applied.history());
+        updateLastAppliedTermIndex(logged.getTerm(), logged.getIndex());
+        return FeedJson.text(applied.result());
+    }
+
+    private synchronized String applyRequest(LeaseJson.LogEntry entry, LogEntryProto logged) {
+        LeaseTable.Applied applied = leases.apply(entry.request(), entry.stampNanos(), entry.clockBoundNanos());
+        leases = applied.next();
+        updateLastAppliedTermIndex(logged.getTerm(), logged.getIndex());
+        return LeaseJson.toJson(applied.response());
+    }
+
     private static Proposal proposal(String text) throws IOException {
-        return FeedJson.read(text.substring(FEED.length()), Proposal.class);
+        return FeedJson.read(text.substring(FEED_PREFIX.length()), Proposal.class);
     }
 
-    /** The feed as this replica has applied it. */
+    /** The feed's versions as this replica has applied them. */
     VersionNotifier feed() {
         return feed;
     }
 
     @Override
-    public synchronized CompletableFuture<Message> query(Message asked) {
-        return CompletableFuture.completedFuture(Message.valueOf(LeaseJson.text(grants)));
+    public synchronized CompletableFuture<Message> query(Message ignored) {
+        return CompletableFuture.completedFuture(Message.valueOf(LeaseJson.toJson(leases)));
     }
 
     @Override
@@ -140,33 +148,28 @@
             return -1;
         }
         File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
-        Path beside = file.toPath().resolveSibling(file.getName() + ".part");
-        Files.writeString(beside, text, StandardCharsets.UTF_8);
-        Files.move(beside, file.toPath(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path partial = file.toPath().resolveSibling(file.getName() + ".part");
+        Files.writeString(partial, text, StandardCharsets.UTF_8);
+        Files.move(partial, file.toPath(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         MD5Hash hash = MD5FileUtil.computeAndSaveMd5ForFile(file);
         storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), hash), last));
         return last.getIndex();
     }
 
-    /** The leases in the first line, as ever; what came later has a line and a word of its own. */
+    /** The text of a snapshot. */
     synchronized String snapshot() {
-        return LeaseJson.text(grants) + '\n' + FEED + FeedJson.text(feed.current()) + '\n';
-    }
-
-    /** Reads a snapshot, also of a program that knew of leases alone. */
-    synchronized void read(String snapshot) throws IOException {
-        List<String> lines = snapshot.lines().toList();
-        LeaseTable read = LeaseJson.grants(lines.isEmpty() ? "" : lines.get(0));
-        VersionHistory history = VersionHistory.empty();
-        for (String line : lines.subList(1, lines.size())) {
-            if (!line.startsWith(FEED)) {
-                throw new IOException("a snapshot of a program that knows of more than this one");
-            }
-            history = FeedJson.read(line.substring(FEED.length()), VersionHistory.class)
-                    .validated();
-        }
-        grants = read;
-        feed.publish(history);
+        return new LeaseSnapshot(leases, feed.current()).toText();
+    }
+
+    /**
+     * Replaces the state by that of a snapshot.
+     *
+     * @throws IOException where it can't be read; the state stays as it was
+     */
+    synchronized void restore(String text) throws IOException {
+        LeaseSnapshot snapshot = LeaseSnapshot.parse(text);
+        leases = snapshot.leases();
+        feed.publish(snapshot.feed());
     }
 
     private synchronized void load() throws IOException {
@@ -179,7 +182,7 @@
         if (hash != null) {
             MD5FileUtil.verifySavedMD5(file, hash);
         }
-        read(Files.readString(file.toPath(), StandardCharsets.UTF_8));
+        restore(Files.readString(file.toPath(), StandardCharsets.UTF_8));
         setLastAppliedTermIndex(SimpleStateMachineStorage.getTermIndexFromSnapshotFile(file));
     }
 }
--- a/src/main/java/beaconladder/lease/server/package-info.java
+++ b/src/main/java/beaconladder/lease/server/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Leases on sockets: the grantor as a state machine of Apache Ratis, its door for those who ask, and a holder's loop.
- * All decisions are those of {@link beaconladder.lease}.
+ * Leases over the network: the lease server as a state machine of Apache Ratis, its HTTP endpoint, its client, and the
+ * loop of a holder. All decisions are those of {@link beaconladder.lease}.
  */
 package beaconladder.lease.server;
--- a/src/main/java/beaconladder/testbed/LeaseChecker.java
+++ b/src/main/java/beaconladder/testbed/LeaseChecker.java
@@ -22,7 +22,7 @@
     static List<String> broken(List<Act> acts, long unixZero, long bound, boolean withTimes) {
         List<String> broken = new ArrayList<>();
         List<Act> done = acts.stream()
-                .filter(act -> act.verdict() == FencingGuard.Verdict.ADMITTED)
+                .filter(act -> act.verdict() == FencingGuard.Decision.ADMITTED)
                 .sorted(Comparator.comparingLong(Act::at))
                 .toList();
         Map<Integer, Act> last = new HashMap<>();
--- a/src/main/java/beaconladder/testbed/LeaseHolder.java
+++ b/src/main/java/beaconladder/testbed/LeaseHolder.java
@@ -2,6 +2,8 @@
 
 import beaconladder.discovery.HttpFetcher;
 import beaconladder.lease.LeaseHolderState;
+import beaconladder.lease.LeasePermit;
+import beaconladder.lease.LeaseTerms;
 import beaconladder.lease.server.AnchoredClock;
 import beaconladder.lease.server.LeaseClient;
 import beaconladder.lease.server.LeaseSession;
@@ -32,8 +34,8 @@
         LeaseClient doors =
                 new LeaseClient(leases.grantors().stream().map(Plan.Grantor::at).toList(), name.hashCode(), (int)
                         (leases.length() / 4_000_000));
-        LeaseSession holding =
-                new LeaseSession(LeaseHolderState.of(task, holder, leases.length(), leases.bound()), doors, clock);
+        LeaseSession holding = new LeaseSession(
+                LeaseHolderState.initial(new LeaseTerms(task, holder, leases.length(), leases.bound())), doors, clock);
         Thread loop = new Thread(holding, "holding");
         loop.setDaemon(true);
         loop.start();
@@ -51,7 +53,7 @@
         List<HttpFetcher> to = resources.stream().map(HttpFetcher::new).toList();
         SplittableRandom chance = new SplittableRandom(name.hashCode());
         while (true) {
-            LeaseSession.Permit permit = holding.permit();
+            LeasePermit permit = holding.permit();
             Thread.sleep(chance.nextInt(WORK_MILLIS));
             if (permit == null) {
                 continue;
@@ -60,7 +62,7 @@
                 to.get(chance.nextInt(to.size()))
                         .get(
                                 "/act?task=" + task + "&holder=" + holder.replace('#', '.') + "&token=" + permit.token()
-                                        + "&until=" + permit.until(),
+                                        + "&until=" + permit.deadlineNanos(),
                                 ACT_MILLIS);
             } catch (IOException e) {
                 // It may have been done or not; the next one is another act.
--- a/src/main/java/beaconladder/testbed/LeaseScenario.java
+++ b/src/main/java/beaconladder/testbed/LeaseScenario.java
@@ -179,17 +179,17 @@
         all.put(
                 "acts",
                 acts.stream()
-                        .filter(act -> act.verdict() == FencingGuard.Verdict.ADMITTED)
+                        .filter(act -> act.verdict() == FencingGuard.Decision.ADMITTED)
                         .count());
         all.put(
                 "refused_lower",
                 acts.stream()
-                        .filter(act -> act.verdict() == FencingGuard.Verdict.LOWER)
+                        .filter(act -> act.verdict() == FencingGuard.Decision.STALE_TOKEN)
                         .count());
         all.put(
                 "refused_over",
                 acts.stream()
-                        .filter(act -> act.verdict() == FencingGuard.Verdict.OVER)
+                        .filter(act -> act.verdict() == FencingGuard.Decision.EXPIRED)
                         .count());
         all.put("tokens", acts.stream().mapToLong(Act::token).distinct().count());
         ObjectNode times = all.putObject("takeover_ms");
@@ -460,7 +460,7 @@
         }
         long token = newest == null ? 0 : newest.token();
         acts().stream()
-                .filter(act -> act.token() > token && act.verdict() == FencingGuard.Verdict.ADMITTED)
+                .filter(act -> act.token() > token && act.verdict() == FencingGuard.Decision.ADMITTED)
                 .mapToLong(Act::at)
                 .min()
                 .ifPresent(at ->
@@ -599,7 +599,7 @@
 
     private Act newest() {
         return acts().stream()
-                .filter(act -> act.verdict() == FencingGuard.Verdict.ADMITTED)
+                .filter(act -> act.verdict() == FencingGuard.Decision.ADMITTED)
                 .max((a, b) -> Long.compare(a.token(), b.token()))
                 .orElse(null);
     }
@@ -609,7 +609,7 @@
         long until = since + millis * MS;
         while (System.nanoTime() < until) {
             if (acts().stream()
-                    .anyMatch(act -> act.verdict() == FencingGuard.Verdict.ADMITTED
+                    .anyMatch(act -> act.verdict() == FencingGuard.Decision.ADMITTED
                             && act.at() >= since
                             && act.token() >= token)) {
                 return true;
--- a/src/main/java/beaconladder/testbed/SharedStandIn.java
+++ b/src/main/java/beaconladder/testbed/SharedStandIn.java
@@ -16,7 +16,7 @@
 /** A resource that one process of the fleet may act on at a time; it refuses what comes late and notes all it saw. */
 final class SharedStandIn implements AutoCloseable {
     /** What came: when by the true time, from whom, under which token, and whether it was done. */
-    record Act(long at, int resource, String holder, long token, long until, FencingGuard.Verdict verdict) {}
+    record Act(long at, int resource, String holder, long token, long until, FencingGuard.Decision verdict) {}
 
     private final HttpServer server =
             HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200);
@@ -55,10 +55,10 @@
 
     private synchronized String act(String task, String holder, long token, long until) {
         FencingGuard.Admission admission =
-                fences.getOrDefault(task, FencingGuard.open()).admit(token, until, clock.getAsLong());
+                fences.getOrDefault(task, FencingGuard.initial()).admit(token, until, clock.getAsLong());
         fences.put(task, admission.next());
-        acts.add(new Act(System.nanoTime(), number, holder, token, until, admission.verdict()));
-        return admission.verdict().name();
+        acts.add(new Act(System.nanoTime(), number, holder, token, until, admission.decision()));
+        return admission.decision().name();
     }
 
     InetSocketAddress at() {
--- a/src/main/java/beaconladder/testbed/scale/Askers.java
+++ b/src/main/java/beaconladder/testbed/scale/Askers.java
@@ -2,8 +2,10 @@
 
 import beaconladder.lease.LeaseHolderState;
 import beaconladder.lease.LeaseResponse;
+import beaconladder.lease.LeaseTerms;
 import beaconladder.lease.server.AnchoredClock;
 import beaconladder.lease.server.LeaseClient;
+import beaconladder.lease.server.LeaseRequestException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -37,11 +39,11 @@
         for (int i = 0; i < count; i++) {
             tenures.set(
                     i,
-                    LeaseHolderState.of(
+                    LeaseHolderState.initial(new LeaseTerms(
                                     name + "-" + i % tasks,
                                     "a" + i + "#1",
                                     Grantors.LENGTH_MILLIS * MS,
-                                    Grantors.BOUND_MILLIS * MS)
+                                    Grantors.BOUND_MILLIS * MS))
                             .want(clock.getAsLong()));
         }
         for (int i = 0; i < count; i++) {
@@ -56,24 +58,24 @@
     private void ask(int asker, List<InetSocketAddress> at) {
         try (LeaseClient doors = new LeaseClient(at, asker, (int) Grantors.LENGTH_MILLIS / 4)) {
             while (!closed) {
-                LeaseHolderState.Step step = tenures.get(asker).at(clock.getAsLong());
+                LeaseHolderState.Step step = tenures.get(asker).onTime(clock.getAsLong());
                 tenures.set(asker, step.next());
-                if (step.ask() != null) {
+                if (step.request() != null) {
                     long from = System.nanoTime();
-                    LeaseResponse answer = doors.ask(step.ask());
-                    if (answer == null) {
-                        unanswered.incrementAndGet();
-                    } else {
+                    try {
+                        LeaseResponse answer = doors.send(step.request());
                         times.recordValue((System.nanoTime() - from) / 1_000);
                         answered.incrementAndGet();
                         tenures.set(
                                 asker,
                                 tenures.get(asker)
-                                        .heard(answer, clock.getAsLong())
+                                        .onResponse(answer, clock.getAsLong())
                                         .next());
+                    } catch (LeaseRequestException e) {
+                        unanswered.incrementAndGet();
                     }
                 }
-                long left = (tenures.get(asker).wake() - clock.getAsLong()) / MS;
+                long left = (tenures.get(asker).wakeupNanos() - clock.getAsLong()) / MS;
                 Thread.sleep(Math.max(SHORTEST_MILLIS, Math.min(LONGEST_MILLIS, left)));
             }
         } catch (InterruptedException e) {
--- a/src/main/java/beaconladder/testbed/scale/LeasesPart.java
+++ b/src/main/java/beaconladder/testbed/scale/LeasesPart.java
@@ -58,7 +58,7 @@
 
     /** Microseconds for a renewal among so many tasks; the least of some rounds. */
     private static double apply(int tasks, boolean small) {
-        LeaseTable grants = LeaseTable.none();
+        LeaseTable grants = LeaseTable.empty();
         int rounds = small ? 2_000 : 20_000;
         double least = Double.MAX_VALUE;
         long stamp = 0;
@@ -66,7 +66,7 @@
             long from = System.nanoTime();
             for (int i = 0; i < rounds; i++) {
                 LeaseRequest ask = new LeaseRequest(
-                        LeaseRequest.Kind.TAKE, "task" + i % tasks, "a" + i % tasks + "#1", i, 0, 1_000, "");
+                        LeaseRequest.Kind.ACQUIRE, "task" + i % tasks, "a" + i % tasks + "#1", i, 0, 1_000, "");
                 grants = grants.apply(ask, ++stamp, 1).next();
             }
             least = Math.min(least, (System.nanoTime() - from) / 1e3 / rounds);
--- a/src/test/java/beaconladder/lease/FencedRecordsTest.java
+++ b/src/test/java/beaconladder/lease/FencedRecordsTest.java
@@ -2,63 +2,66 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lease.FencedRecords.Kept;
+import beaconladder.lease.FencedRecords.Outcome;
 import org.junit.jupiter.api.Test;
 
 class FencedRecordsTest {
     private static final long LENGTH = 1_000;
     private static final long BOUND = 60;
 
-    private LeaseTable grants = LeaseTable.none();
-    private FencedRecords notes = FencedRecords.none();
+    private LeaseTable leases = LeaseTable.empty();
+    private FencedRecords records = FencedRecords.empty();
 
-    /** Of two who both think that they hold the task, one can write, and nothing is written twice. */
+    /** Of two processes that both take themselves for the holder, one can write, and nothing is written twice. */
     @Test
-    void onlyWhoHoldsTheTaskByTheLogsOwnClockWritesAndNothingTwice() {
-        take("a#1", 0, 0);
-        assertThat(write("a#1", 1, 0, "begun")).isEqualTo(Kept.WRITTEN);
-        assertThat(write("b#1", 1, 1, "mine")).isEqualTo(Kept.NOT_HELD);
-        // Its lease is over, though nobody else has taken it yet.
-        clock(LENGTH + 1);
-        assertThat(write("a#1", 1, 1, "late")).isEqualTo(Kept.NOT_HELD);
-        take("b#1", LENGTH + BOUND + 1, 0);
-        assertThat(write("a#1", 1, 1, "still")).isEqualTo(Kept.NOT_HELD);
-        assertThat(write("b#1", 2, 0, "again")).isEqualTo(Kept.OVERTAKEN);
-        assertThat(write("b#1", 2, 1, "advanced")).isEqualTo(Kept.WRITTEN);
-        assertThat(write("b#1", 2, 1, "advanced")).isEqualTo(Kept.OVERTAKEN);
-        // An operator's word needs no lease, but has to know what was written.
-        assertThat(write("", 0, 1, "stop")).isEqualTo(Kept.OVERTAKEN);
-        assertThat(write("", 0, 2, "stop")).isEqualTo(Kept.WRITTEN);
-        assertThat(notes.seen("task").texts()).containsExactly("begun", "advanced", "stop");
+    void onlyTheHolderByTheLogsClockWritesAndNothingTwice() {
+        acquire("a#1", 0, 0);
+        assertThat(write("a#1", 1, 0, "begun")).isEqualTo(Outcome.WRITTEN);
+        assertThat(write("b#1", 1, 1, "mine")).isEqualTo(Outcome.NOT_HELD);
+        // The lease has expired, though no other process holds it yet.
+        advanceClock(LENGTH + 1);
+        assertThat(write("a#1", 1, 1, "late")).isEqualTo(Outcome.NOT_HELD);
+        acquire("b#1", LENGTH + BOUND + 1, 0);
+        assertThat(write("a#1", 1, 1, "still")).isEqualTo(Outcome.NOT_HELD);
+        assertThat(write("b#1", 2, 0, "again")).isEqualTo(Outcome.STALE_POSITION);
+        assertThat(write("b#1", 2, 1, "advanced")).isEqualTo(Outcome.WRITTEN);
+        assertThat(write("b#1", 2, 1, "advanced")).isEqualTo(Outcome.STALE_POSITION);
+        // An operator needs no lease, but must know what was written.
+        assertThat(write("", 0, 1, "stop")).isEqualTo(Outcome.STALE_POSITION);
+        assertThat(write("", 0, 2, "stop")).isEqualTo(Outcome.WRITTEN);
+        assertThat(records.of("task").texts()).containsExactly("begun", "advanced", "stop");
     }
 
     @Test
-    void aFreshNoteDropsTheOldOnesAndCountsOn() {
-        for (int i = 0; i < FencedRecords.MOST; i++) {
-            assertThat(write("", 0, i, "n" + i)).isEqualTo(Kept.WRITTEN);
+    void replacingRecordDropsTheEarlierOnesAndKeepsCounting() {
+        for (int i = 0; i < FencedRecords.MAX_RECORDS_PER_TASK; i++) {
+            assertThat(write("", 0, i, "n" + i)).isEqualTo(Outcome.WRITTEN);
         }
-        assertThat(write("", 0, FencedRecords.MOST, "more")).isEqualTo(Kept.FULL);
-        FencedRecords.Applied fresh =
-                notes.apply(new FencedRecord("task", "", 0, FencedRecords.MOST, true, "anew"), grants);
-        assertThat(fresh.kept()).isEqualTo(Kept.WRITTEN);
-        notes = fresh.next();
-        assertThat(notes.seen("task")).isEqualTo(new FencedRecords.Seen(FencedRecords.MOST, java.util.List.of("anew")));
-        assertThat(write("", 0, FencedRecords.MOST + 1, "next")).isEqualTo(Kept.WRITTEN);
-        assertThat(notes.seen("other").size()).isZero();
+        assertThat(write("", 0, FencedRecords.MAX_RECORDS_PER_TASK, "more")).isEqualTo(Outcome.FULL);
+        FencedRecords.Applied replaced = records.apply(
+                new FencedRecord("task", "", 0, FencedRecords.MAX_RECORDS_PER_TASK, true, "anew"), leases);
+        assertThat(replaced.outcome()).isEqualTo(Outcome.WRITTEN);
+        records = replaced.next();
+        assertThat(records.of("task"))
+                .isEqualTo(
+                        new FencedRecords.TaskRecords(FencedRecords.MAX_RECORDS_PER_TASK, java.util.List.of("anew")));
+        assertThat(write("", 0, FencedRecords.MAX_RECORDS_PER_TASK + 1, "next")).isEqualTo(Outcome.WRITTEN);
+        assertThat(records.of("other").writtenCount()).isZero();
     }
 
-    private void take(String holder, long at, long token) {
-        grants = grants.apply(LeaseRequest.take("task", holder, 1, token, LENGTH), at, BOUND)
+    private void acquire(String holder, long nowNanos, long token) {
+        leases = leases.apply(LeaseRequest.acquire("task", holder, 1, token, LENGTH), nowNanos, BOUND)
                 .next();
     }
 
-    private void clock(long at) {
-        grants = new LeaseTable(Math.max(grants.clock(), at), grants.leases());
+    private void advanceClock(long nowNanos) {
+        leases = new LeaseTable(Math.max(leases.clockNanos(), nowNanos), leases.leases());
     }
 
-    private Kept write(String holder, long token, int at, String text) {
-        FencedRecords.Applied applied = notes.apply(new FencedRecord("task", holder, token, at, false, text), grants);
-        notes = applied.next();
-        return applied.kept();
+    private Outcome write(String holder, long token, int position, String text) {
+        FencedRecords.Applied applied =
+                records.apply(new FencedRecord("task", holder, token, position, false, text), leases);
+        records = applied.next();
+        return applied.outcome();
     }
 }
--- a/src/test/java/beaconladder/lease/LeaseModelTest.java
+++ b/src/test/java/beaconladder/lease/LeaseModelTest.java
@@ -11,121 +11,130 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Two processes, the grantor and one resource, over all interleavings to a depth: time passes, a process looks or
- * stands still, messages come late, twice or never, the grantor's leader changes to one with another clock, a process
- * begins an act and the act lands at any later time. Clocks are off by the bound in either direction, or by more.
+ * Two processes, the lease servers and one resource, over all interleavings to a depth: time passes, a process checks
+ * its clock or is paused, messages are delayed, duplicated or lost, the leader changes to one with another clock, a
+ * process begins an act and the act arrives at any later time. Clocks are off by the bound in either direction, or by
+ * more.
  */
 @Timeout(120)
 class LeaseModelTest {
     private static final long LENGTH = 3;
     private static final long BOUND = 1;
     /**
-     * As short as a breach without the fence can be, and one more: two leases asked for and heard of, an act under
+     * As short as a breach without the guard can be, and one more: two leases requested and received, an act under
      * each, the first one late, and the time between.
      */
     private static final int DEPTH = 10;
 
     private static final String[] HOLDERS = {"a#1", "b#1"};
 
-    /** What the machines are run with: the real one, or one with something left out. */
-    private record Rules(long bound, boolean fence) {}
+    /** What the state machines are run with: the real rules, or some with a part left out. */
+    private record Rules(long bound, boolean fencing) {}
 
-    /** How far each clock is from the true time, the grantor's before and after its leader changes. */
-    private record Clocks(long first, long second, long resource, long before, long after) {
+    /** How far each clock is from the true time, the leader's before and after it changes. */
+    private record ClockOffsets(long first, long second, long resource, long before, long after) {
         long of(int who) {
             return who == 0 ? first : second;
         }
     }
 
-    private record Mail(int to, LeaseResponse answer) {}
+    private record Delivery(int to, LeaseResponse response) {}
 
-    private record Act(long token, long until) {}
-
-    /** One state of it all; messages in flight may land in any order. */
+    /** One global state; messages in flight may arrive in any order. */
     private record World(
             long time,
-            boolean changed,
-            LeaseTable grants,
-            List<LeaseHolderState> tenures,
-            FencingGuard fence,
-            List<LeaseRequest> asks,
-            List<Mail> mail,
-            List<Act> acts,
-            boolean doubled,
-            long done) {
-        World at(long next) {
-            return new World(next, changed, grants, tenures, fence, asks, mail, acts, doubled, done);
+            boolean leaderChanged,
+            LeaseTable leases,
+            List<LeaseHolderState> holders,
+            FencingGuard guard,
+            List<LeaseRequest> requests,
+            List<Delivery> responses,
+            List<LeasePermit> acts,
+            boolean duplicated,
+            long lastToken) {
+        World atTime(long next) {
+            return new World(
+                    next, leaderChanged, leases, holders, guard, requests, responses, acts, duplicated, lastToken);
         }
 
-        World led() {
-            return new World(time, true, grants, tenures, fence, asks, mail, acts, doubled, done);
+        World withNewLeader() {
+            return new World(time, true, leases, holders, guard, requests, responses, acts, duplicated, lastToken);
         }
 
-        World with(int who, LeaseHolderState tenure) {
+        World with(int who, LeaseHolderState holder) {
             return new World(
                     time,
-                    changed,
-                    grants,
-                    who == 0 ? List.of(tenure, tenures.get(1)) : List.of(tenures.get(0), tenure),
-                    fence,
-                    asks,
-                    mail,
+                    leaderChanged,
+                    leases,
+                    who == 0 ? List.of(holder, holders.get(1)) : List.of(holders.get(0), holder),
+                    guard,
+                    requests,
+                    responses,
                     acts,
-                    doubled,
-                    done);
+                    duplicated,
+                    lastToken);
         }
 
-        World asks(List<LeaseRequest> next) {
-            return new World(time, changed, grants, tenures, fence, next, mail, acts, doubled, done);
+        World requests(List<LeaseRequest> next) {
+            return new World(time, leaderChanged, leases, holders, guard, next, responses, acts, duplicated, lastToken);
         }
 
-        World mail(List<Mail> next) {
-            return new World(time, changed, grants, tenures, fence, asks, next, acts, doubled, done);
+        World responses(List<Delivery> next) {
+            return new World(time, leaderChanged, leases, holders, guard, requests, next, acts, duplicated, lastToken);
         }
 
-        World granted(LeaseTable next, boolean twice) {
-            return new World(time, changed, next, tenures, fence, asks, mail, acts, doubled || twice, done);
+        World withLeases(LeaseTable next, boolean twice) {
+            return new World(
+                    time,
+                    leaderChanged,
+                    next,
+                    holders,
+                    guard,
+                    requests,
+                    responses,
+                    acts,
+                    duplicated || twice,
+                    lastToken);
         }
 
-        World acts(List<Act> next) {
-            return new World(time, changed, grants, tenures, fence, asks, mail, next, doubled, done);
+        World acts(List<LeasePermit> next) {
+            return new World(
+                    time, leaderChanged, leases, holders, guard, requests, responses, next, duplicated, lastToken);
         }
 
-        World landed(FencingGuard next, long token) {
-            return new World(time, changed, grants, tenures, next, asks, mail, acts, doubled, token);
+        World withGuard(FencingGuard next, long token) {
+            return new World(time, leaderChanged, leases, holders, next, requests, responses, acts, duplicated, token);
         }
     }
 
     @Test
-    void noTwoMayActAtOnceAndNoActIsDoneLateOrOutOfTurn() {
+    void noTwoProcessesMayActAtOnceAndNoActIsAdmittedLateOrOutOfTurn() {
         int states = 0;
         int bothActed = 0;
-        for (Clocks clocks : allClocks()) {
+        for (ClockOffsets clocks : allClocks()) {
             Search search = new Search(new Rules(BOUND, true), clocks, false);
             assertThat(search.run()).as("%s", clocks).isNull();
             states += search.states;
             bothActed += search.bothActed ? 1 : 0;
         }
-        assertThat(bothActed)
-                .as("searches that went deep enough for both to act")
-                .isPositive();
+        assertThat(bothActed).as("searches deep enough for both to act").isPositive();
         assertThat(states).isGreaterThan(100_000);
     }
 
     @Test
-    void withoutTheFenceALateActIsDoneBehindTheNextHolders() {
-        assertThat(worst(new Rules(BOUND, false))).startsWith("out of turn");
+    void withoutTheGuardALateActIsAdmittedAfterTheNextHolders() {
+        assertThat(firstViolation(new Rules(BOUND, false))).startsWith("out of turn");
     }
 
     @Test
-    void withoutTheClockBoundTwoMayActAtOnce() {
-        assertThat(worst(new Rules(0, true))).startsWith("two may act");
+    void withoutTheClockBoundTwoProcessesMayActAtOnce() {
+        assertThat(firstViolation(new Rules(0, true))).startsWith("two may act");
     }
 
-    /** Beyond the bound two may act at once; the fence still lets none act out of turn, and nothing else does. */
+    /** Beyond the bound two may act at once; the guard still prevents acts out of turn, and nothing else does. */
     @Test
-    void withClocksBeyondTheBoundTheFenceAloneHolds() {
-        Clocks far = new Clocks(-8, 4, -8, -4, 4);
+    void withClocksBeyondTheBoundOnlyTheGuardPreventsActsOutOfTurn() {
+        ClockOffsets far = new ClockOffsets(-8, 4, -8, -4, 4);
         assertThat(new Search(new Rules(BOUND, true), far, false).run()).startsWith("two may act");
         Search fenced = new Search(new Rules(BOUND, true), far, true);
         assertThat(fenced.run()).isNull();
@@ -133,53 +142,53 @@
         assertThat(new Search(new Rules(BOUND, false), far, true).run()).startsWith("out of turn");
     }
 
-    private static String worst(Rules rules) {
-        for (Clocks clocks : allClocks()) {
-            String broken = new Search(rules, clocks, false).run();
-            if (broken != null) {
-                return broken;
+    private static String firstViolation(Rules rules) {
+        for (ClockOffsets clocks : allClocks()) {
+            String violation = new Search(rules, clocks, false).run();
+            if (violation != null) {
+                return violation;
             }
         }
         return "none";
     }
 
-    private static List<Clocks> allClocks() {
-        List<Clocks> all = new ArrayList<>();
+    private static List<ClockOffsets> allClocks() {
+        List<ClockOffsets> all = new ArrayList<>();
         for (long first : new long[] {-BOUND, BOUND}) {
             for (long second : new long[] {-BOUND, BOUND}) {
                 for (long resource : new long[] {-BOUND, BOUND}) {
-                    all.add(new Clocks(first, second, resource, -BOUND, BOUND));
+                    all.add(new ClockOffsets(first, second, resource, -BOUND, BOUND));
                 }
             }
         }
         return all;
     }
 
-    /** Breadth first, so that what is found is as short as it can be. */
+    /** Breadth first, so that a violation is found by a shortest path. */
     private static final class Search {
         private final Rules rules;
-        private final Clocks clocks;
-        private final boolean tokensAlone;
+        private final ClockOffsets clocks;
+        private final boolean tokensOnly;
         private final Set<World> seen = new HashSet<>();
         private boolean bothActed;
         private int states;
-        private String broken;
+        private String violation;
 
-        /** One that asks for the order of tokens alone, or also for times. */
-        Search(Rules rules, Clocks clocks, boolean tokensAlone) {
+        /** One that requests for the order of tokens alone, or also for times. */
+        Search(Rules rules, ClockOffsets clocks, boolean tokensOnly) {
             this.rules = rules;
             this.clocks = clocks;
-            this.tokensAlone = tokensAlone;
+            this.tokensOnly = tokensOnly;
         }
 
-        /** How a rule is broken, or null. */
+        /** How a rule is violated, or null. */
         String run() {
             World start = new World(
                     0,
                     false,
-                    LeaseTable.none(),
-                    List.of(tenure(0), tenure(1)),
-                    FencingGuard.open(),
+                    LeaseTable.empty(),
+                    List.of(holder(0), holder(1)),
+                    FencingGuard.initial(),
                     List.of(),
                     List.of(),
                     List.of(),
@@ -187,12 +196,12 @@
                     0);
             List<World> edge = List.of(start);
             seen.add(start);
-            for (int step = 0; step < DEPTH && broken == null; step++) {
+            for (int step = 0; step < DEPTH && violation == null; step++) {
                 List<World> next = new ArrayList<>();
                 for (World world : edge) {
-                    moves(world, to -> {
-                        if (broken == null && seen.add(to)) {
-                            judge(to);
+                    forEachSuccessor(world, to -> {
+                        if (violation == null && seen.add(to)) {
+                            check(to);
                             next.add(to);
                         }
                     });
@@ -201,106 +210,111 @@
             }
             states = seen.size();
             seen.clear();
-            return broken;
+            return violation;
         }
 
-        private LeaseHolderState tenure(int who) {
-            return LeaseHolderState.of("t", HOLDERS[who], LENGTH, rules.bound()).want(clocks.of(who));
+        private LeaseHolderState holder(int who) {
+            return LeaseHolderState.initial(new LeaseTerms("t", HOLDERS[who], LENGTH, rules.bound()))
+                    .want(clocks.of(who));
         }
 
-        private void judge(World w) {
-            if (!tokensAlone
-                    && w.tenures().get(0).mayAct(w.time() + clocks.first())
-                    && w.tenures().get(1).mayAct(w.time() + clocks.second())) {
-                broken = "two may act at once: " + w;
+        private void check(World w) {
+            if (!tokensOnly
+                    && w.holders().get(0).mayAct(w.time() + clocks.first())
+                    && w.holders().get(1).mayAct(w.time() + clocks.second())) {
+                violation = "two may act at once: " + w;
             }
         }
 
-        private void moves(World w, Consumer<World> to) {
-            to.accept(w.at(w.time() + 1));
-            if (!w.changed()) {
-                to.accept(w.led());
+        private void forEachSuccessor(World w, Consumer<World> to) {
+            to.accept(w.atTime(w.time() + 1));
+            if (!w.leaderChanged()) {
+                to.accept(w.withNewLeader());
             }
             for (int who = 0; who < 2; who++) {
-                LeaseHolderState tenure = w.tenures().get(who);
+                LeaseHolderState holder = w.holders().get(who);
                 long now = w.time() + clocks.of(who);
-                if (now >= tenure.wake()) {
-                    LeaseHolderState.Step step = tenure.at(now);
+                if (now >= holder.wakeupNanos()) {
+                    LeaseHolderState.Step step = holder.onTime(now);
                     to.accept(stepped(w, who, step));
-                    if (step.ask() != null) {
-                        to.accept(answered(w, who, step, now));
+                    if (step.request() != null) {
+                        to.accept(exchange(w, who, step, now));
                     }
                 }
-                if (tenure.mayAct(now)) {
-                    Act act = new Act(tenure.token(), tenure.until());
-                    // The second one's acts land at once; as clocks are swapped too, that leaves nothing out.
+                if (holder.mayAct(now)) {
+                    LeasePermit act = holder.permit();
+                    // The second one's acts arrive at once; as clocks are swapped too, that omits nothing.
                     if (who == 1) {
-                        to.accept(landed(w, act));
+                        to.accept(arrive(w, act));
                     } else if (w.acts().isEmpty()) {
                         to.accept(w.acts(List.of(act)));
                     }
                 }
             }
-            for (int i = 0; i < w.asks().size(); i++) {
-                ask(w, i, to);
+            for (int i = 0; i < w.requests().size(); i++) {
+                deliverRequest(w, i, to);
             }
-            for (int i = 0; i < w.mail().size(); i++) {
-                Mail mail = w.mail().get(i);
-                World rest = w.mail(minus(w.mail(), i));
+            for (int i = 0; i < w.responses().size(); i++) {
+                Delivery delivery = w.responses().get(i);
+                World rest = w.responses(minus(w.responses(), i));
                 to.accept(stepped(
                         rest,
-                        mail.to(),
-                        w.tenures().get(mail.to()).heard(mail.answer(), w.time() + clocks.of(mail.to()))));
+                        delivery.to(),
+                        w.holders()
+                                .get(delivery.to())
+                                .onResponse(delivery.response(), w.time() + clocks.of(delivery.to()))));
             }
             if (!w.acts().isEmpty()) {
-                to.accept(landed(w.acts(List.of()), w.acts().get(0)));
+                to.accept(arrive(w.acts(List.of()), w.acts().get(0)));
             }
         }
 
-        /** Asked, granted or refused, and heard of with nothing in between: what a fast network does. */
-        private World answered(World w, int who, LeaseHolderState.Step step, long now) {
-            LeaseTable.Applied applied = w.grants().apply(step.ask(), stamp(w), rules.bound());
-            LeaseHolderState.Step heard = step.next().heard(applied.answer(), now);
-            return stepped(w.granted(applied.next(), false), who, heard);
+        /** Requested, granted or refused, and received with nothing in between, as over a fast network. */
+        private World exchange(World w, int who, LeaseHolderState.Step step, long now) {
+            LeaseTable.Applied applied = w.leases().apply(step.request(), stamp(w), rules.bound());
+            LeaseHolderState.Step responded = step.next().onResponse(applied.response(), now);
+            return stepped(w.withLeases(applied.next(), false), who, responded);
         }
 
         private long stamp(World w) {
-            return w.time() + (w.changed() ? clocks.after() : clocks.before());
+            return w.time() + (w.leaderChanged() ? clocks.after() : clocks.before());
         }
 
-        private void ask(World w, int i, Consumer<World> to) {
-            LeaseRequest ask = w.asks().get(i);
-            LeaseTable.Applied applied = w.grants().apply(ask, stamp(w), rules.bound());
-            Mail mail = new Mail(ask.holder().equals(HOLDERS[0]) ? 0 : 1, applied.answer());
-            List<Mail> all = w.mail().size() < 2 ? plus(w.mail(), mail) : w.mail();
-            to.accept(w.granted(applied.next(), false).mail(all).asks(minus(w.asks(), i)));
-            if (!w.doubled()) {
-                // It comes again later.
-                to.accept(w.granted(applied.next(), true).mail(all));
+        private void deliverRequest(World w, int i, Consumer<World> to) {
+            LeaseRequest request = w.requests().get(i);
+            LeaseTable.Applied applied = w.leases().apply(request, stamp(w), rules.bound());
+            Delivery delivery = new Delivery(request.holder().equals(HOLDERS[0]) ? 0 : 1, applied.response());
+            List<Delivery> all = w.responses().size() < 2 ? plus(w.responses(), delivery) : w.responses();
+            to.accept(w.withLeases(applied.next(), false).responses(all).requests(minus(w.requests(), i)));
+            if (!w.duplicated()) {
+                // A duplicate arrives later.
+                to.accept(w.withLeases(applied.next(), true).responses(all));
             }
         }
 
-        /** A full network loses what comes. */
+        /** A full network loses further messages. */
         private World stepped(World w, int who, LeaseHolderState.Step step) {
             World next = w.with(who, step.next());
-            return step.ask() == null || w.asks().size() >= 2 ? next : next.asks(plus(w.asks(), step.ask()));
+            return step.request() == null || w.requests().size() >= 2
+                    ? next
+                    : next.requests(plus(w.requests(), step.request()));
         }
 
-        private World landed(World rest, Act act) {
+        private World arrive(World rest, LeasePermit act) {
             FencingGuard.Admission admission =
-                    rest.fence().admit(act.token(), act.until(), rest.time() + clocks.resource());
-            if (rules.fence() && admission.verdict() != FencingGuard.Verdict.ADMITTED) {
-                return rest.landed(admission.next(), rest.done());
+                    rest.guard().admit(act.token(), act.deadlineNanos(), rest.time() + clocks.resource());
+            if (rules.fencing() && admission.decision() != FencingGuard.Decision.ADMITTED) {
+                return rest.withGuard(admission.next(), rest.lastToken());
             }
-            bothActed |= rest.done() > 0 && act.token() > rest.done();
-            if (act.token() < rest.done()) {
-                broken = "out of turn: " + act + " in " + rest;
+            bothActed |= rest.lastToken() > 0 && act.token() > rest.lastToken();
+            if (act.token() < rest.lastToken()) {
+                violation = "out of turn: " + act + " in " + rest;
             }
-            Lease lease = rest.grants().leases().get("t");
-            if (!tokensAlone && rules.fence() && act.token() < lease.token()) {
-                broken = "late: " + act + " in " + rest;
+            Lease lease = rest.leases().leases().get("t");
+            if (!tokensOnly && rules.fencing() && act.token() < lease.token()) {
+                violation = "late: " + act + " in " + rest;
             }
-            return rest.landed(admission.next(), act.token());
+            return rest.withGuard(admission.next(), act.token());
         }
 
         private static <T> List<T> plus(List<T> all, T one) {
--- a/src/test/java/beaconladder/lease/server/AnchoredClockTest.java
+++ b/src/test/java/beaconladder/lease/server/AnchoredClockTest.java
@@ -16,27 +16,27 @@
 /** The clock of leases while the wall clock of its process is stepped. */
 @Timeout(60)
 class AnchoredClockTest {
-    private static final long HOUR = 3_600_000_000_000L;
-    private static final int LOOKS = 10;
-    private static final int REST_MILLIS = 10;
-    /** Between two looks lies a rest, on a busy machine. */
-    private static final long LONGEST_REST = 2_000_000_000L;
+    private static final long HOUR_NANOS = 3_600_000_000_000L;
+    private static final int READS = 10;
+    private static final int PAUSE_MILLIS = 10;
+    /** Between two reads lies a rest, on a busy machine. */
+    private static final long MAX_PAUSE_NANOS = 2_000_000_000L;
 
     @TempDir
     Path folder;
 
-    /** Says again and again what the clock shows. */
+    /** Prints the clock until it is killed. */
     public static void main(String[] args) throws InterruptedException {
         AnchoredClock clock = new AnchoredClock();
         while (true) {
             System.out.println(clock.getAsLong());
-            Thread.sleep(REST_MILLIS);
+            Thread.sleep(PAUSE_MILLIS);
         }
     }
 
-    /** Seen in a rehearsal: 30 s back, and no lease ended for as long. */
+    /** Regression: the wall clock went back by 30 s, and no lease expired for as long. */
     @Test
-    void aSpanByItIsASpanOfRealTime() throws Exception {
+    void intervalsAreRealTimeWhileTheWallClockIsStepped() throws Exception {
         FaultPlan plan = new FaultPlan(folder.resolve("plan"));
         Path out = folder.resolve("out");
         ProcessBuilder builder = new ProcessBuilder(
@@ -51,27 +51,27 @@
         builder.environment().put("FAULT_SHIM_PLAN", plan.file().toString());
         Process process = builder.start();
         try {
-            int looks = 0;
-            for (long step : new long[] {0, -HOUR, 2 * HOUR, -30_000_000_000L}) {
+            int reads = 0;
+            for (long step : new long[] {0, -HOUR_NANOS, 2 * HOUR_NANOS, -30_000_000_000L}) {
                 plan.stepWallClock(step);
-                looks += LOOKS;
-                int least = looks;
+                reads += READS;
+                int required = reads;
                 Awaitility.await()
                         .atMost(Duration.ofSeconds(10))
-                        .until(() -> shown(out).size() > least);
+                        .until(() -> readings(out).size() > required);
             }
         } finally {
             process.destroyForcibly().onExit().join();
         }
-        List<Long> shown = shown(out);
-        for (int i = 1; i < shown.size(); i++) {
-            assertThat(shown.get(i) - shown.get(i - 1))
-                    .as("ns from look " + (i - 1) + " to the next")
-                    .isBetween(0L, LONGEST_REST);
+        List<Long> readings = readings(out);
+        for (int i = 1; i < readings.size(); i++) {
+            assertThat(readings.get(i) - readings.get(i - 1))
+                    .as("ns from read " + (i - 1) + " to the next")
+                    .isBetween(0L, MAX_PAUSE_NANOS);
         }
     }
 
-    private static List<Long> shown(Path out) throws java.io.IOException {
+    private static List<Long> readings(Path out) throws java.io.IOException {
         String text = Files.exists(out) ? Files.readString(out) : "";
         return text.substring(0, text.lastIndexOf('\n') + 1)
                 .lines()
--- a/src/test/java/beaconladder/lease/server/LeaseJsonLiteralTest.java
+++ b/src/test/java/beaconladder/lease/server/LeaseJsonLiteralTest.java
@@ -48,59 +48,59 @@
     private final LeaseStateMachine log = new LeaseStateMachine(() -> 1_000, 50);
 
     @Test
-    void asks() throws IOException {
-        assertAsk(new LeaseRequest(LeaseRequest.Kind.TAKE, "t", "a#1", 2, 3, 600, ""), TAKE);
-        assertAsk(new LeaseRequest(LeaseRequest.Kind.RELEASE, "t", "a#1", 4, 3, 0, ""), RELEASE);
-        assertAsk(LeaseRequest.handOver("t", "b", 600), HAND_OVER);
+    void requests() throws IOException {
+        assertRequest(new LeaseRequest(LeaseRequest.Kind.ACQUIRE, "t", "a#1", 2, 3, 600, ""), TAKE);
+        assertRequest(new LeaseRequest(LeaseRequest.Kind.RELEASE, "t", "a#1", 4, 3, 0, ""), RELEASE);
+        assertRequest(LeaseRequest.handOver("t", "b", 600), HAND_OVER);
         assertThat(LeaseRequest.Kind.values()).hasSize(3);
     }
 
-    private static void assertAsk(LeaseRequest ask, String text) throws IOException {
-        assertThat(LeaseJson.text(ask)).isEqualTo(text);
-        assertThat(LeaseJson.ask(text)).isEqualTo(ask);
+    private static void assertRequest(LeaseRequest request, String text) throws IOException {
+        assertThat(LeaseJson.toJson(request)).isEqualTo(text);
+        assertThat(LeaseJson.readRequest(text)).isEqualTo(request);
     }
 
     @Test
-    void anAnswerWithAGrant() throws IOException {
+    void responseWithGrant() throws IOException {
         LeaseResponse granted =
-                new LeaseResponse("t", 2, LeaseResponse.Why.GRANTED, new LeaseGrant("t", "a#1", 1, 1_600), "", 0);
-        assertThat(LeaseJson.text(granted)).isEqualTo(GRANTED);
-        assertThat(LeaseJson.answer(GRANTED)).isEqualTo(granted);
+                new LeaseResponse("t", 2, LeaseResponse.Outcome.GRANTED, new LeaseGrant("t", "a#1", 1, 1_600), "", 0);
+        assertThat(LeaseJson.toJson(granted)).isEqualTo(GRANTED);
+        assertThat(LeaseJson.readResponse(GRANTED)).isEqualTo(granted);
     }
 
     @Test
-    void answersWithoutOne() throws IOException {
+    void responsesWithoutGrant() throws IOException {
         List<String> names = List.of("GRANTED", "HELD", "HANDED_OVER", "OVERTAKEN", "DONE", "NOT_HELD");
-        assertThat(LeaseResponse.Why.values()).hasSameSizeAs(names);
-        for (LeaseResponse.Why why : LeaseResponse.Why.values()) {
-            LeaseResponse answer = new LeaseResponse("t", 2, why, null, "b#9", 650);
-            String text = "{\"task\":\"t\",\"number\":2,\"why\":\"" + names.get(why.ordinal())
+        assertThat(LeaseResponse.Outcome.values()).hasSameSizeAs(names);
+        for (LeaseResponse.Outcome outcome : LeaseResponse.Outcome.values()) {
+            LeaseResponse response = new LeaseResponse("t", 2, outcome, null, "b#9", 650);
+            String text = "{\"task\":\"t\",\"number\":2,\"why\":\"" + names.get(outcome.ordinal())
                     + "\",\"grant\":null,\"holder\":\"b#9\",\"free\":650}";
-            assertThat(LeaseJson.text(answer)).isEqualTo(text);
-            assertThat(LeaseJson.read(text, LeaseResponse.class)).isEqualTo(answer);
+            assertThat(LeaseJson.toJson(response)).isEqualTo(text);
+            assertThat(LeaseJson.read(text, LeaseResponse.class)).isEqualTo(response);
         }
     }
 
     @Test
-    void anEntryOfTheLog() throws IOException {
-        LeaseJson.Entry entry = new LeaseJson.Entry(LeaseJson.ask(TAKE), 1_000, 50);
-        assertThat(LeaseJson.text(entry)).isEqualTo(ENTRY);
-        assertThat(LeaseJson.read(ENTRY, LeaseJson.Entry.class)).isEqualTo(entry);
+    void logEntry() throws IOException {
+        LeaseJson.LogEntry entry = new LeaseJson.LogEntry(LeaseJson.readRequest(TAKE), 1_000, 50);
+        assertThat(LeaseJson.toJson(entry)).isEqualTo(ENTRY);
+        assertThat(LeaseJson.read(ENTRY, LeaseJson.LogEntry.class)).isEqualTo(entry);
         assertThat(logged(TAKE)).isEqualTo(ENTRY);
     }
 
     @Test
-    void theStateThatIsAskedForAndKept() throws IOException {
-        LeaseTable grants =
-                LeaseTable.none().apply(LeaseJson.ask(TAKE), 1_000, 50).next();
-        assertThat(LeaseJson.text(grants)).isEqualTo(LEASES);
-        assertThat(LeaseJson.grants(LEASES)).isEqualTo(grants);
+    void leaseTable() throws IOException {
+        LeaseTable leases =
+                LeaseTable.empty().apply(LeaseJson.readRequest(TAKE), 1_000, 50).next();
+        assertThat(LeaseJson.toJson(leases)).isEqualTo(LEASES);
+        assertThat(LeaseJson.readTable(LEASES)).isEqualTo(leases);
         assertThat(applied(1, ENTRY)).isEqualTo(GRANTED);
         assertThat(log.query(Message.EMPTY).join().getContent().toStringUtf8()).isEqualTo(LEASES);
     }
 
     @Test
-    void theFeedsMessagesAndEntries() throws IOException {
+    void feedMessagesAndEntries() throws IOException {
         Proposal proposal = new Proposal(0, Map.of("a.json", "{}"), List.of("b"));
         assertThat(FeedJson.text(proposal)).isEqualTo(PROPOSAL);
         assertThat(FeedJson.read(PROPOSAL, Proposal.class)).isEqualTo(proposal);
@@ -117,7 +117,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void whatBecameOfAProposal(CommitResult.Outcome outcome) throws IOException {
+    void outcomesOfProposals(CommitResult.Outcome outcome) throws IOException {
         List<String> names = List.of("WRITTEN", "OUT_OF_TURN", "TOO_LARGE");
         assertThat(CommitResult.Outcome.values()).hasSameSizeAs(names);
         CommitResult written = new CommitResult(outcome, 7, "d");
@@ -141,7 +141,7 @@
                 .toStringUtf8();
     }
 
-    /** What a replica answers to an entry of the log. */
+    /** What a replica responds to an entry of the log. */
     private String applied(long index, String entry) {
         LogEntryProto logged = LogEntryProto.newBuilder()
                 .setTerm(1)
--- a/src/test/java/beaconladder/lease/server/LeaseJsonTest.java
+++ b/src/test/java/beaconladder/lease/server/LeaseJsonTest.java
@@ -13,18 +13,18 @@
             + "\"token\":0,\"length\":600,\"heir\":\"\"}";
 
     @Test
-    void whatIsWrittenIsReadAsTheSame() throws IOException {
-        LeaseRequest take = LeaseJson.ask(TAKE);
-        LeaseTable.Applied applied = LeaseTable.none().apply(take, 1_000, 50);
-        assertThat(LeaseJson.ask(LeaseJson.text(take))).isEqualTo(take);
-        assertThat(LeaseJson.answer(LeaseJson.text(applied.answer()))).isEqualTo(applied.answer());
-        assertThat(LeaseJson.grants(LeaseJson.text(applied.next()))).isEqualTo(applied.next());
-        assertThat(LeaseJson.grants(LeaseJson.text(LeaseTable.none()))).isEqualTo(LeaseTable.none());
+    void writtenTextsReadBackEqual() throws IOException {
+        LeaseRequest request = LeaseJson.readRequest(TAKE);
+        LeaseTable.Applied applied = LeaseTable.empty().apply(request, 1_000, 50);
+        assertThat(LeaseJson.readRequest(LeaseJson.toJson(request))).isEqualTo(request);
+        assertThat(LeaseJson.readResponse(LeaseJson.toJson(applied.response()))).isEqualTo(applied.response());
+        assertThat(LeaseJson.readTable(LeaseJson.toJson(applied.next()))).isEqualTo(applied.next());
+        assertThat(LeaseJson.readTable(LeaseJson.toJson(LeaseTable.empty()))).isEqualTo(LeaseTable.empty());
     }
 
     @Test
-    void whatIsNotWholeDoesNotCount() {
-        for (String wrong : new String[] {
+    void incompleteTextsAreRejected() {
+        for (String invalid : new String[] {
             "",
             "{}",
             "[]",
@@ -41,12 +41,12 @@
             TAKE.replace(",\"heir\":\"\"", ""),
             TAKE.replace("TAKE", "HAND_OVER")
         }) {
-            assertThatThrownBy(() -> LeaseJson.ask(wrong)).as(wrong).isInstanceOf(IOException.class);
+            assertThatThrownBy(() -> LeaseJson.readRequest(invalid)).as(invalid).isInstanceOf(IOException.class);
         }
-        for (String wrong :
+        for (String invalid :
                 new String[] {"", "{}", "null", "{\"clock\":1,\"leases\":null}", "{\"clock\":1,\"leases\":{\"t\":null}}"
                 }) {
-            assertThatThrownBy(() -> LeaseJson.grants(wrong)).as(wrong).isInstanceOf(IOException.class);
+            assertThatThrownBy(() -> LeaseJson.readTable(invalid)).as(invalid).isInstanceOf(IOException.class);
         }
     }
 }
--- a/src/test/java/beaconladder/lease/server/LeaseStateMachineTest.java
+++ b/src/test/java/beaconladder/lease/server/LeaseStateMachineTest.java
@@ -12,52 +12,53 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Snapshots: of this program, and of the one that knew of leases alone. */
+/** Snapshots of this build, and of earlier ones that knew only of leases. */
 class LeaseStateMachineTest {
-    private static final LeaseRequest TAKE = new LeaseRequest(LeaseRequest.Kind.TAKE, "t", "a#1", 1, 0, 600, "");
+    private static final LeaseRequest TAKE = new LeaseRequest(LeaseRequest.Kind.ACQUIRE, "t", "a#1", 1, 0, 600, "");
 
     @Test
-    void aSnapshotHoldsLeasesAndTheFeed() throws IOException {
-        LeaseStateMachine one = new LeaseStateMachine(() -> 0, 50);
-        LeaseTable grants = LeaseTable.none().apply(TAKE, 1_000, 50).next();
+    void snapshotHoldsLeasesAndFeed() throws IOException {
+        LeaseStateMachine first = new LeaseStateMachine(() -> 0, 50);
+        LeaseTable leases = LeaseTable.empty().apply(TAKE, 1_000, 50).next();
         VersionHistory history = VersionHistory.empty()
                 .apply(new Proposal(0, Map.of("a.json", "{\n}"), List.of()))
                 .history();
-        one.read(LeaseJson.text(grants));
-        one.feed().publish(history);
-        LeaseStateMachine two = new LeaseStateMachine(() -> 0, 50);
-        two.read(one.snapshot());
-        assertThat(two.snapshot()).isEqualTo(one.snapshot()).startsWith(LeaseJson.text(grants) + "\n");
-        assertThat(two.feed().current()).isEqualTo(history);
+        first.restore(LeaseJson.toJson(leases));
+        first.feed().publish(history);
+        LeaseStateMachine second = new LeaseStateMachine(() -> 0, 50);
+        second.restore(first.snapshot());
+        assertThat(second.snapshot()).isEqualTo(first.snapshot()).startsWith(LeaseJson.toJson(leases) + "\n");
+        assertThat(second.feed().current()).isEqualTo(history);
     }
 
     @Test
-    void anOlderOneHoldsNoFeed() throws IOException {
-        LeaseStateMachine log = new LeaseStateMachine(() -> 0, 50);
-        LeaseTable grants = LeaseTable.none().apply(TAKE, 1_000, 50).next();
-        log.read(LeaseJson.text(grants));
-        assertThat(log.snapshot()).startsWith(LeaseJson.text(grants));
-        assertThat(log.feed().current()).isEqualTo(VersionHistory.empty());
+    void olderSnapshotWithoutFeedIsRead() throws IOException {
+        LeaseStateMachine stateMachine = new LeaseStateMachine(() -> 0, 50);
+        LeaseTable leases = LeaseTable.empty().apply(TAKE, 1_000, 50).next();
+        stateMachine.restore(LeaseJson.toJson(leases));
+        assertThat(stateMachine.snapshot()).startsWith(LeaseJson.toJson(leases));
+        assertThat(stateMachine.feed().current()).isEqualTo(VersionHistory.empty());
     }
 
     @Test
-    void oneThatIsNotWholeOrOfANewerProgramDoesNotCount() throws IOException {
-        String grants = LeaseJson.text(LeaseTable.none());
-        LeaseStateMachine log = new LeaseStateMachine(() -> 0, 50);
-        log.feed()
+    void incompleteOrNewerSnapshotIsRejected() throws IOException {
+        String leases = LeaseJson.toJson(LeaseTable.empty());
+        LeaseStateMachine stateMachine = new LeaseStateMachine(() -> 0, 50);
+        stateMachine
+                .feed()
                 .publish(VersionHistory.empty()
                         .apply(new Proposal(0, Map.of("a", "1"), List.of()))
                         .history());
-        String whole = log.snapshot();
-        for (String wrong : List.of(
+        String complete = stateMachine.snapshot();
+        for (String invalid : List.of(
                 "",
-                grants + "\nnotes {}\n",
-                grants + "\nfeed {}\n",
-                grants + "\nfeed \n",
-                whole.replace("\"a\":\"1\"", "\"a\":\"2\""),
-                whole.substring(0, whole.length() - 4))) {
-            assertThatThrownBy(() -> log.read(wrong)).as(wrong).isInstanceOf(IOException.class);
+                leases + "\nnotes {}\n",
+                leases + "\nfeed {}\n",
+                leases + "\nfeed \n",
+                complete.replace("\"a\":\"1\"", "\"a\":\"2\""),
+                complete.substring(0, complete.length() - 4))) {
+            assertThatThrownBy(() -> stateMachine.restore(invalid)).as(invalid).isInstanceOf(IOException.class);
         }
-        assertThat(log.snapshot()).isEqualTo(whole);
+        assertThat(stateMachine.snapshot()).isEqualTo(complete);
     }
 }
--- a/src/test/java/beaconladder/testbed/LeaseIT.java
+++ b/src/test/java/beaconladder/testbed/LeaseIT.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.lease.FencingGuard.Verdict;
+import beaconladder.lease.FencingGuard.Decision;
 import beaconladder.testbed.LeaseScenario.Fault;
 import beaconladder.testbed.SharedStandIn.Act;
 import java.io.PrintWriter;
@@ -46,7 +46,7 @@
     }
 
     private static Act act(long at, int resource, String holder, long token, long until) {
-        return new Act(at * SECOND, resource, holder, token, until * SECOND, Verdict.ADMITTED);
+        return new Act(at * SECOND, resource, holder, token, until * SECOND, Decision.ADMITTED);
     }
 
     private static void play(long seed, List<Fault> faults, int count) throws Exception {
