--- /dev/null
+++ b/src/main/java/beaconladder/membership/Dissemination.java
@@ -0,0 +1,105 @@
+package beaconladder.membership;
+
+import beaconladder.membership.Message.Kind;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Objects;
+import java.util.SplittableRandom;
+
+/**
+ * SWIM's infection-style dissemination: each message carries the updates that have been transmitted least often, each
+ * of them up to a limit that grows with the logarithm of the fleet's size.
+ */
+final class Dissemination {
+    /** SWIM's lambda: the transmission limit in multiples of the logarithm of the fleet's size. */
+    private static final double RETRANSMIT_MULTIPLIER = 3;
+    /** Updates on one message: a datagram of 1,400 bytes has space for twelve. */
+    private static final int MAX_UPDATES = 10;
+
+    private final MemberTable table;
+    private final SplittableRandom random;
+    private long nextGossipNanos = Long.MIN_VALUE;
+
+    Dissemination(MemberTable table, SplittableRandom random) {
+        this.table = table;
+        this.random = random;
+    }
+
+    /** When {@link #gossipIfDue} is due next. */
+    long nextGossipNanos() {
+        return nextGossipNanos;
+    }
+
+    /**
+     * A message of this process with the updates that are due for transmission.
+     *
+     * @param first an update that the message carries in any case, or null
+     */
+    OutgoingMessage message(String address, Kind kind, long probeNumber, String target, Member first) {
+        return new OutgoingMessage(address, new Message(kind, table.self(), probeNumber, target, selectUpdates(first)));
+    }
+
+    /** A message that only carries updates. */
+    OutgoingMessage gossip(String address) {
+        return message(address, Kind.NACK, 0, "", null);
+    }
+
+    /** Sends pending updates to a random member each period, however long the failure detector has extended its own. */
+    void gossipIfDue(long now, List<OutgoingMessage> sends) {
+        if (now < nextGossipNanos) {
+            return;
+        }
+        nextGossipNanos = now + FailureDetector.PERIOD_NANOS;
+        int limit = transmissionLimit();
+        List<Member> participants = new ArrayList<>();
+        boolean pending = false;
+        for (MemberEntry entry : table.entries()) {
+            pending |= entry.transmissions() < limit;
+            if (entry.member().participates()) {
+                participants.add(entry.member());
+            }
+        }
+        if (pending && !participants.isEmpty()) {
+            sends.add(
+                    gossip(participants.get(random.nextInt(participants.size())).address()));
+        }
+    }
+
+    /** Sends the complete member list to a member that has just joined, spread over several messages. */
+    void sendAllMembers(String address, List<OutgoingMessage> sends) {
+        List<Member> all = table.entries().stream().map(MemberEntry::member).toList();
+        for (int i = 0; i < all.size(); i += MAX_UPDATES) {
+            List<Member> part = List.copyOf(all.subList(i, Math.min(all.size(), i + MAX_UPDATES)));
+            sends.add(new OutgoingMessage(address, new Message(Kind.NACK, table.self(), 0, "", part)));
+        }
+    }
+
+    /** The updates for the next message: the least transmitted first, each of which is then counted as transmitted. */
+    List<Member> selectUpdates(Member first) {
+        int limit = transmissionLimit();
+        List<MemberEntry> pending = new ArrayList<>();
+        for (MemberEntry entry : table.entries()) {
+            if (entry.transmissions() < limit && !Objects.equals(entry.member(), first)) {
+                pending.add(entry);
+            }
+        }
+        pending.sort(Comparator.comparingInt(MemberEntry::transmissions));
+        List<Member> updates = new ArrayList<>();
+        if (first != null) {
+            updates.add(first);
+        }
+        for (MemberEntry entry : pending) {
+            if (updates.size() >= MAX_UPDATES) {
+                break;
+            }
+            entry.countTransmission();
+            updates.add(entry.member());
+        }
+        return List.copyOf(updates);
+    }
+
+    private int transmissionLimit() {
+        return (int) Math.ceil(2 * RETRANSMIT_MULTIPLIER * Math.log10(table.size() + 2));
+    }
+}
--- a/src/main/java/beaconladder/testbed/scale/Settled.java
+++ b/src/main/java/beaconladder/testbed/scale/Settled.java
@@ -27,18 +27,23 @@
     /** Nothing that it knows is news any more. */
     static void settle(SwimProtocol swim) {
         try {
-            Field known = SwimProtocol.class.getDeclaredField("known");
-            known.setAccessible(true);
-            Field told = null;
-            for (Object each : ((Map<?, ?>) known.get(swim)).values()) {
-                if (told == null) {
-                    told = each.getClass().getDeclaredField("told");
-                    told.setAccessible(true);
+            Object table = read(swim, "table");
+            Field transmissions = null;
+            for (Object entry : ((Map<?, ?>) read(table, "entries")).values()) {
+                if (transmissions == null) {
+                    transmissions = entry.getClass().getDeclaredField("transmissions");
+                    transmissions.setAccessible(true);
                 }
-                told.setInt(each, Integer.MAX_VALUE / 2);
+                transmissions.setInt(entry, Integer.MAX_VALUE / 2);
             }
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
     }
+
+    private static Object read(Object owner, String name) throws ReflectiveOperationException {
+        Field field = owner.getClass().getDeclaredField(name);
+        field.setAccessible(true);
+        return field.get(owner);
+    }
 }
