--- a/src/main/java/beaconladder/testbed/CellsScenario.java
+++ b/src/main/java/beaconladder/testbed/CellsScenario.java
@@ -21,7 +21,7 @@
 import java.util.stream.Stream;
 
 /**
- * The rehearsal of cells: usual clients at several routers, a flood in one cell, and moves that are interrupted by a
+ * The scenario of cells: usual clients at several routers, a flood in one cell, and moves that are interrupted by a
  * script drawn from the seed; judged by what clients and hosts saw.
  */
 public final class CellsScenario {
@@ -238,7 +238,7 @@
         return Math.round(value * 10_000) / 10_000.0;
     }
 
-    // ---- Moves and what befalls them ----------------------------------------------------------------------
+    // ---- Moves and what injector them ----------------------------------------------------------------------
 
     /** A move, with sessions of its tenant that write and read without rest, at one router and another. */
     private void move(Planned step) throws IOException, InterruptedException {
@@ -279,7 +279,7 @@
         long opened = 0;
         boolean done = step.fault() == Fault.NONE || step.fault() == Fault.LOSE_ANSWERS;
         String at = "";
-        Thread befalls = null;
+        Thread injector = null;
         String state = "proposed";
         while (System.currentTimeMillis() < proposed + MOVE_MILLIS) {
             try {
@@ -296,15 +296,15 @@
             if (!done && (over || STATES.indexOf(state) >= STATES.indexOf(step.at()))) {
                 done = true;
                 at = state;
-                befalls = StandInThreads.spawn(() -> befall(step, source, target));
+                injector = StandInThreads.spawn(() -> inject(step, source, target));
             }
             if (over) {
                 break;
             }
             Thread.sleep(2);
         }
-        if (befalls != null) {
-            befalls.join(20_000);
+        if (injector != null) {
+            injector.join(20_000);
         }
         if (silent != null) {
             silent.mend();
@@ -338,7 +338,7 @@
         Thread.sleep(300);
     }
 
-    private void befall(Planned step, int source, int target) throws IOException {
+    private void inject(Planned step, int source, int target) throws IOException {
         try {
             int router = step.router();
             switch (step.fault()) {
@@ -353,12 +353,12 @@
                     recoveries.add(System.currentTimeMillis() - from);
                 }
                 case STALL_ROUTER -> {
-                    installation.troubled(router, true);
+                    installation.setImpaired(router, true);
                     installation.routers.get(router).signal("STOP");
                     Thread.sleep(TestDeployment.LEASE_MILLIS + 1_600);
                     installation.routers.get(router).signal("CONT");
                     Thread.sleep(200);
-                    installation.troubled(router, false);
+                    installation.setImpaired(router, false);
                 }
                 case CUT_ROUTER -> {
                     installation.relays.get(router).cut();
@@ -412,13 +412,13 @@
     }
 
     private void killRouter(int router) throws IOException, InterruptedException {
-        installation.troubled(router, true);
+        installation.setImpaired(router, true);
         installation.routers.get(router).kill();
         long from = System.currentTimeMillis();
         Thread.sleep(200);
         installation.routers.get(router).start();
         installation.ready(router);
-        installation.troubled(router, false);
+        installation.setImpaired(router, false);
         recoveries.add(System.currentTimeMillis() - from);
     }
 
--- a/src/main/java/beaconladder/testbed/ClientLoad.java
+++ b/src/main/java/beaconladder/testbed/ClientLoad.java
@@ -25,13 +25,13 @@
     private static final int PATIENCE_MILLIS = 700;
 
     /** Where clients find a router, and whether it is well. */
-    interface Doors {
+    interface Routers {
         int count();
 
         int port(int router);
 
         /** When the router was last started, stopped or cut off from its life, in Unix milliseconds. */
-        long troubledAt(int router);
+        long impairedSinceMillis(int router);
     }
 
     /** A session: a tenant's key, with the versions its client knows of. */
@@ -139,7 +139,7 @@
     }
 
     private final InvariantChecker judge;
-    private final Doors doors;
+    private final Routers doors;
     private final String keys;
     private final AtomicLong ids = new AtomicLong();
     private final List<Thread> threads = new ArrayList<>();
@@ -155,7 +155,7 @@
      */
     ClientLoad(
             InvariantChecker judge,
-            Doors doors,
+            Routers doors,
             List<String> tenants,
             int[] homes,
             int[] groups,
@@ -283,7 +283,7 @@
                 }
             }
         }
-        boolean excused = doors.troubledAt(line.router) >= sent - 100;
+        boolean excused = doors.impairedSinceMillis(line.router) >= sent - 100;
         judge.asked.add(new Asked(
                 id,
                 session.tenant,
--- a/src/main/java/beaconladder/testbed/DatagramRelay.java
+++ b/src/main/java/beaconladder/testbed/DatagramRelay.java
@@ -14,7 +14,7 @@
 final class DatagramRelay implements AutoCloseable {
     private static final int LONGEST = 8 * 1024;
 
-    private final DatagramSocket door;
+    private final DatagramSocket socket;
     private final DatagramSocket out = new DatagramSocket();
     private final InetSocketAddress to;
     private final SplittableRandom chance;
@@ -26,14 +26,14 @@
     private volatile Weather weather = Weather.FAIR;
 
     DatagramRelay(InetSocketAddress at, InetSocketAddress to, long seed) throws IOException {
-        this.door = new DatagramSocket(at);
+        this.socket = new DatagramSocket(at);
         this.to = to;
         this.chance = new SplittableRandom(seed);
         StandInThreads.spawn(() -> {
             DatagramPacket packet = new DatagramPacket(new byte[LONGEST], LONGEST);
             while (true) {
                 packet.setLength(LONGEST);
-                door.receive(packet);
+                socket.receive(packet);
                 pass(Arrays.copyOf(packet.getData(), packet.getLength()));
             }
         });
@@ -70,7 +70,7 @@
     @Override
     public void close() {
         later.shutdownNow();
-        door.close();
+        socket.close();
         out.close();
     }
 }
--- a/src/main/java/beaconladder/testbed/DiscoveryStandIn.java
+++ b/src/main/java/beaconladder/testbed/DiscoveryStandIn.java
@@ -32,7 +32,7 @@
 
     private static final int DRIP_MILLIS = 20;
 
-    public final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     public final AtomicInteger calls = new AtomicInteger();
     public volatile String garbage;
     public volatile Manner manner = Manner.ANSWER;
@@ -54,7 +54,7 @@
     public DiscoveryStandIn() throws IOException {
         StandInThreads.spawn(() -> {
             while (true) {
-                Socket socket = door.accept();
+                Socket socket = listener.accept();
                 StandInThreads.spawn(() -> serve(socket));
             }
         });
@@ -71,8 +71,13 @@
         list(true, entries);
     }
 
+    /** The port at which it listens on the loopback address. */
+    public int port() {
+        return listener.getLocalPort();
+    }
+
     /** The connections that are open now fall silent for good; new ones are served. */
-    public void cutOff() {
+    public void silenceOpenConnections() {
         age.incrementAndGet();
     }
 
@@ -172,6 +177,6 @@
 
     @Override
     public void close() throws IOException {
-        door.close();
+        listener.close();
     }
 }
--- a/src/main/java/beaconladder/testbed/FaultRelay.java
+++ b/src/main/java/beaconladder/testbed/FaultRelay.java
@@ -29,7 +29,7 @@
     /** Nobody waits longer for an answer here. */
     private static final int ANSWER_MILLIS = 10_000;
 
-    private final ServerSocket door = new ServerSocket();
+    private final ServerSocket listener = new ServerSocket();
     private final InetSocketAddress to;
     private final boolean messages;
     private final SplittableRandom chance;
@@ -45,12 +45,12 @@
         this.to = to;
         this.messages = messages;
         this.chance = new SplittableRandom(seed);
-        door.setReuseAddress(true);
+        listener.setReuseAddress(true);
         // A region's routers come at once; with a shorter queue some would wait for TCP's next try, a second.
-        door.bind(at, 1024);
+        listener.bind(at, 1024);
         StandInThreads.spawn(() -> {
             while (true) {
-                Socket in = door.accept();
+                Socket in = listener.accept();
                 open.add(in);
                 StandInThreads.spawn(() -> {
                     try {
@@ -67,12 +67,12 @@
         });
     }
 
-    static FaultRelay toDoor(InetSocketAddress to, long seed) throws IOException {
+    static FaultRelay toServer(InetSocketAddress to, long seed) throws IOException {
         return new FaultRelay(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), to, true, seed);
     }
 
     InetSocketAddress at() {
-        return new InetSocketAddress(door.getInetAddress(), door.getLocalPort());
+        return new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort());
     }
 
     void weather(Weather next) {
@@ -210,7 +210,7 @@
 
     @Override
     public void close() throws IOException {
-        door.close();
+        listener.close();
         hold(false, false);
         open.forEach(this::close);
     }
--- a/src/main/java/beaconladder/testbed/FeedFleet.java
+++ b/src/main/java/beaconladder/testbed/FeedFleet.java
@@ -15,7 +15,7 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** Grantors, relays, real and hollow routers of the feed's rehearsal, each process the program itself. */
+/** Grantors, relays, real and hollow routers of the feed's scenario, each process the program itself. */
 final class FeedFleet implements AutoCloseable {
     private static final int GRANTORS = 3;
     /** Routers as they are, with a process and a disk of their own. */
@@ -68,7 +68,7 @@
                     "feed",
                     "relay",
                     "--plan",
-                    plan("r" + j, raft, links.doorsFrom(j)),
+                    plan("r" + j, raft, links.serversFrom(j)),
                     "--name",
                     "r" + j,
                     "--at",
@@ -109,7 +109,7 @@
                     "--feed-journal",
                     folder.resolve("m" + i + ".journal").toString()));
         }
-        // Also when the rehearsal itself is ended.
+        // Also when the scenario itself is ended.
         Runtime.getRuntime().addShutdownHook(new Thread(programs::close));
         boolean started = false;
         try {
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Below those that the system hands out, and those of the rehearsal of leases, so that all stay free. */
+    /** Below those that the system hands out, and those of the scenario of leases, so that all stay free. */
     private int port() {
         return 10_000 + (int) Math.floorMod(seed, 100L) * 100 + ports++;
     }
--- a/src/main/java/beaconladder/testbed/FeedLinks.java
+++ b/src/main/java/beaconladder/testbed/FeedLinks.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 
 /**
- * The ways between the processes of the feed's rehearsal, each with a fault relay on it where a script may cut it.
+ * The ways between the processes of the feed's scenario, each with a fault relay on it where a script may cut it.
  * Routers outside the first region go straight to relays outside of it: no script cuts these.
  */
 final class FeedLinks implements AutoCloseable {
@@ -24,7 +24,7 @@
     /** From each real router to each relay. */
     private final FaultRelay[][] fromReal;
     /** From each relay to each grantor's door. */
-    private final FaultRelay[][] toDoors;
+    private final FaultRelay[][] toServers;
     /** From each grantor to each other one. */
     private final FaultRelay[][] between;
 
@@ -35,7 +35,7 @@
         fromFirst = new FaultRelay[relays.size()];
         intoFirst = new FaultRelay[relays.size()];
         fromReal = new FaultRelay[real][relays.size()];
-        toDoors = new FaultRelay[relays.size()][doors.size()];
+        toServers = new FaultRelay[relays.size()][doors.size()];
         between = new FaultRelay[doors.size()][doors.size()];
         for (int j = 0; j < relays.size(); j++) {
             fromFirst[j] = joined(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), relays.get(j));
@@ -46,7 +46,7 @@
                 fromReal[i][j] = joined(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), relays.get(j));
             }
             for (int k = 0; k < doors.size(); k++) {
-                toDoors[j][k] = FaultRelay.toDoor(doors.get(k), chance.nextLong());
+                toServers[j][k] = FaultRelay.toServer(doors.get(k), chance.nextLong());
             }
         }
         for (int i = 0; i < doors.size(); i++) {
@@ -88,13 +88,13 @@
         return java.util.Arrays.stream(fromReal[router]).map(FaultRelay::at).toList();
     }
 
-    List<InetSocketAddress> doorsFrom(int relay) {
-        return java.util.Arrays.stream(toDoors[relay]).map(FaultRelay::at).toList();
+    List<InetSocketAddress> serversFrom(int relay) {
+        return java.util.Arrays.stream(toServers[relay]).map(FaultRelay::at).toList();
     }
 
     /** Cuts a relay off from the log, or mends that. */
     void relayFromLog(int relay, boolean cut) {
-        hold(toDoors[relay], cut);
+        hold(toServers[relay], cut);
     }
 
     void realFromRelays(int router, boolean cut) {
@@ -106,7 +106,7 @@
         for (int j = 0; j < relays.size(); j++) {
             if (inFirst(j)) {
                 intoFirst[j].hold(cut, cut);
-                hold(toDoors[j], cut);
+                hold(toServers[j], cut);
             } else {
                 fromFirst[j].hold(cut, cut);
             }
@@ -124,7 +124,7 @@
     }
 
     void weather(Weather next) {
-        for (FaultRelay[] row : toDoors) {
+        for (FaultRelay[] row : toServers) {
             for (FaultRelay each : row) {
                 each.weather(next);
             }
@@ -140,7 +140,7 @@
     @Override
     public void close() throws IOException {
         List<FaultRelay[]> rows = new ArrayList<>(List.of(fromReal));
-        rows.addAll(List.of(toDoors));
+        rows.addAll(List.of(toServers));
         rows.addAll(List.of(between));
         rows.add(fromFirst);
         rows.add(intoFirst);
--- a/src/main/java/beaconladder/testbed/Flood.java
+++ b/src/main/java/beaconladder/testbed/Flood.java
@@ -27,7 +27,7 @@
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean stopped;
 
-    Flood(ClientLoad.Doors doors, Kind kind, String tenant, int group, int perSecond) {
+    Flood(ClientLoad.Routers doors, Kind kind, String tenant, int group, int perSecond) {
         int count = kind == Kind.ONE_CONNECTION ? 1 : THREADS;
         long gapNanos = 1_000_000_000L * count / perSecond;
         for (int i = 0; i < count; i++) {
--- a/src/main/java/beaconladder/testbed/HostFleet.java
+++ b/src/main/java/beaconladder/testbed/HostFleet.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** The hosts of a rehearsal, group by group, and discovery that lists them; keeps what the hosts saw. */
+/** The hosts of a scenario, group by group, and discovery that lists them; keeps what the hosts saw. */
 final class HostFleet implements AutoCloseable {
     /** A txn ran at a host. */
     record Ran(String id, String tenant, String key, boolean write, long version, int group, String host, long at) {}
--- a/src/main/java/beaconladder/testbed/HostStandIn.java
+++ b/src/main/java/beaconladder/testbed/HostStandIn.java
@@ -42,8 +42,8 @@
         TWICE
     }
 
-    private volatile ServerSocket door = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-    private final int port = door.getLocalPort();
+    private volatile ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
+    private final int port = listener.getLocalPort();
     public final List<String> queries = new CopyOnWriteArrayList<>();
     private final List<Long> times = new CopyOnWriteArrayList<>();
     public final AtomicInteger closed = new AtomicInteger();
@@ -60,7 +60,7 @@
 
     public HostStandIn(String role) throws IOException {
         this.role = role;
-        listen(door);
+        listen(listener);
     }
 
     private void listen(ServerSocket at) {
@@ -101,7 +101,7 @@
 
     /** Its process is gone: connections are reset and new ones refused. */
     public void crash() throws IOException {
-        door.close();
+        listener.close();
         for (Socket socket : sockets) {
             socket.setSoLinger(true, 0);
             socket.close();
@@ -114,7 +114,7 @@
         ServerSocket again = new ServerSocket();
         again.setReuseAddress(true);
         again.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
-        door = again;
+        listener = again;
         listen(again);
     }
 
@@ -164,9 +164,9 @@
                             .writeTo(socket.getOutputStream());
                     continue;
                 }
-                MessageWriter errand = errand(text);
-                if (errand != null) {
-                    errand.writeTo(socket.getOutputStream());
+                MessageWriter controlStatement = controlStatement(text);
+                if (controlStatement != null) {
+                    controlStatement.writeTo(socket.getOutputStream());
                     continue;
                 }
                 saw(text);
@@ -195,7 +195,7 @@
     }
 
     /** The answer to what is no txn, or null: it is one. */
-    protected MessageWriter errand(String text) {
+    protected MessageWriter controlStatement(String text) {
         return null;
     }
 
@@ -296,7 +296,7 @@
 
     @Override
     public void close() throws IOException {
-        door.close();
+        listener.close();
         for (Socket socket : sockets) {
             socket.close();
         }
--- a/src/main/java/beaconladder/testbed/InvariantChecker.java
+++ b/src/main/java/beaconladder/testbed/InvariantChecker.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.IntUnaryOperator;
 
-/** Judges a rehearsal by what clients and hosts saw; the routers and the keeper are not asked. */
+/** Judges a scenario by what clients and hosts saw; the routers and the keeper are not asked. */
 final class InvariantChecker {
     /** How a txn ended for its client. */
     enum End {
@@ -190,7 +190,7 @@
         return tenant.startsWith(SPREAD) ? tenant + "/" + key : tenant;
     }
 
-    /** Once a tenant's write has run in a cell, none runs in the cell before; no rehearsal moves a tenant back. */
+    /** Once a tenant's write has run in a cell, none runs in the cell before; no scenario moves a tenant back. */
     private static void twoCells(HostFleet ground, IntUnaryOperator cellOfGroup, Map<String, List<String>> found) {
         Map<String, List<HostFleet.Ran>> writes = new HashMap<>();
         ground.ran.forEach(r -> {
--- a/src/main/java/beaconladder/testbed/LeaseScenario.java
+++ b/src/main/java/beaconladder/testbed/LeaseScenario.java
@@ -25,7 +25,7 @@
 import java.util.stream.Stream;
 
 /**
- * The rehearsal of leases: grantors and holders, each a process of its own, with a relay between every two, under a
+ * The scenario of leases: grantors and holders, each a process of its own, with a relay between every two, under a
  * fault script drawn from the seed; judged by what the shared resources saw.
  */
 public final class LeaseScenario {
@@ -88,7 +88,7 @@
     private final List<Program> holders = new ArrayList<>();
     private final List<InetSocketAddress> doors = new ArrayList<>();
     /** From each holder to each grantor's door and to each resource. */
-    private final FaultRelay[][] toDoors = new FaultRelay[HOLDERS][GRANTORS];
+    private final FaultRelay[][] toServers = new FaultRelay[HOLDERS][GRANTORS];
 
     private final FaultRelay[][] toResources = new FaultRelay[HOLDERS][2];
     /** From each grantor to each other one. */
@@ -140,7 +140,7 @@
                 for (Program holder : holders) {
                     holder.signal("CONT");
                 }
-                for (FaultRelay[] row : Stream.of(toDoors, toResources, between)
+                for (FaultRelay[] row : Stream.of(toServers, toResources, between)
                         .flatMap(Stream::of)
                         .toList()) {
                     for (FaultRelay relay : row) {
@@ -197,7 +197,8 @@
                 times.put(name(fault), each.stream().map(String::valueOf).collect(Collectors.joining(","))));
         long sent = 0;
         long bytes = 0;
-        for (FaultRelay[] row : Stream.of(toDoors, between).flatMap(Stream::of).toList()) {
+        for (FaultRelay[] row :
+                Stream.of(toServers, between).flatMap(Stream::of).toList()) {
             for (FaultRelay relay : row) {
                 sent += relay == null ? 0 : relay.sent.get();
                 bytes += relay == null ? 0 : relay.bytes.get();
@@ -273,12 +274,12 @@
         for (int i = 0; i < HOLDERS; i++) {
             List<InetSocketAddress> mine = new ArrayList<>();
             for (int j = 0; j < GRANTORS; j++) {
-                toDoors[i][j] = FaultRelay.toDoor(doors.get(j), chance.nextLong());
-                mine.add(toDoors[i][j].at());
+                toServers[i][j] = FaultRelay.toServer(doors.get(j), chance.nextLong());
+                mine.add(toServers[i][j].at());
             }
             List<String> to = new ArrayList<>();
             for (int j = 0; j < resources.size(); j++) {
-                toResources[i][j] = FaultRelay.toDoor(resources.get(j).at(), chance.nextLong());
+                toResources[i][j] = FaultRelay.toServer(resources.get(j).at(), chance.nextLong());
                 to.add("127.0.0.1:" + toResources[i][j].at().getPort());
             }
             offset("h" + i, 0);
@@ -396,9 +397,9 @@
                         () -> holders.get(other).start());
             }
             case KILL_RENEWING -> {
-                hold(toDoors[holder], false, true);
+                hold(toServers[holder], false, true);
                 during(hold, () -> killIn(holder, "renewing"), () -> {
-                    hold(toDoors[holder], false, false);
+                    hold(toServers[holder], false, false);
                     holders.get(holder).start();
                 });
             }
@@ -410,11 +411,11 @@
                         () -> holders.get(holder).start());
             }
             case CUT_HOLDER ->
-                during(hold, () -> hold(toDoors[holder], true, true), () -> hold(toDoors[holder], false, false));
+                during(hold, () -> hold(toServers[holder], true, true), () -> hold(toServers[holder], false, false));
             case MUTE_GRANTORS -> {
                 // What it asked before it stopped may have moved its time on past the end of this.
                 passesOn = false;
-                during(hold, () -> hold(toDoors[holder], false, true), () -> hold(toDoors[holder], false, false));
+                during(hold, () -> hold(toServers[holder], false, true), () -> hold(toServers[holder], false, false));
             }
             case PAUSE_LEADER -> {
                 passesOn = false;
@@ -514,7 +515,7 @@
 
     private void weather(Weather next) {
         for (FaultRelay[] row :
-                Stream.of(toDoors, toResources).flatMap(Stream::of).toList()) {
+                Stream.of(toServers, toResources).flatMap(Stream::of).toList()) {
             for (FaultRelay relay : row) {
                 relay.weather(next);
             }
--- a/src/main/java/beaconladder/testbed/Relay.java
+++ b/src/main/java/beaconladder/testbed/Relay.java
@@ -9,7 +9,7 @@
 
 /** Passes connections on to a port, until it is cut: then those that are open fall silent and new ones are refused. */
 final class Relay implements AutoCloseable {
-    private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final int to;
     private final List<Socket> open = new CopyOnWriteArrayList<>();
     private volatile boolean cut;
@@ -18,7 +18,7 @@
         this.to = to;
         StandInThreads.spawn(() -> {
             while (true) {
-                Socket in = door.accept();
+                Socket in = listener.accept();
                 if (cut) {
                     in.close();
                     continue;
@@ -36,7 +36,7 @@
     }
 
     int port() {
-        return door.getLocalPort();
+        return listener.getLocalPort();
     }
 
     private void pass(Socket from, Socket into) throws IOException {
@@ -70,7 +70,7 @@
 
     @Override
     public void close() throws IOException {
-        door.close();
+        listener.close();
         cut();
     }
 }
--- a/src/main/java/beaconladder/testbed/ReplicatedHost.java
+++ b/src/main/java/beaconladder/testbed/ReplicatedHost.java
@@ -279,7 +279,7 @@
     }
 
     @Override
-    protected MessageWriter errand(String text) {
+    protected MessageWriter controlStatement(String text) {
         Matcher feed = FEED.matcher(text);
         if (feed.matches()) {
             synchronized (this) {
--- a/src/main/java/beaconladder/testbed/RestartScenario.java
+++ b/src/main/java/beaconladder/testbed/RestartScenario.java
@@ -142,7 +142,7 @@
         if (fault == Fault.SLOW_HOSTS) {
             delay(SLOW_MILLIS);
         } else if (fault == Fault.SILENT_DISCOVERY) {
-            discovery.cutOff();
+            discovery.silenceOpenConnections();
             discovery.manner = DiscoveryStandIn.Manner.SILENT;
         }
         int at = 50 + own.nextInt(KILL_MILLIS - 700);
--- a/src/main/java/beaconladder/testbed/RouterFile.java
+++ b/src/main/java/beaconladder/testbed/RouterFile.java
@@ -30,6 +30,6 @@
                    "dial_timeout_us":250000,"conn_idle_us":3000000},
                   "load_report":{"fields":["x0","x1","rif"],"how":"inline"},"parties":[{"name":"acme"}],
                   "round_us":5000,"replicas_of_me":1,"zones":["east","west"],"request_classes":[%s]}}""";
-        return file.formatted(name, port, discovery.door.getLocalPort(), sockets, memoryMb, known, types);
+        return file.formatted(name, port, discovery.port(), sockets, memoryMb, known, types);
     }
 }
--- a/src/main/java/beaconladder/testbed/StandInThreads.java
+++ b/src/main/java/beaconladder/testbed/StandInThreads.java
@@ -19,7 +19,7 @@
                     try {
                         task.run();
                     } catch (IOException | InterruptedException e) {
-                        // The other side, or the rehearsal, has ended it.
+                        // The other side, or the scenario, has ended it.
                     }
                 },
                 "lab",
--- a/src/main/java/beaconladder/testbed/TestClient.java
+++ b/src/main/java/beaconladder/testbed/TestClient.java
@@ -12,7 +12,7 @@
 
 /** A client on one connection; prints what it gets, a letter a message. */
 public final class TestClient implements AutoCloseable {
-    /** A selector lets go of a closed connection within 50 ms; rehearsals stop a program for 200 ms. */
+    /** A selector lets go of a closed connection within 50 ms; scenarios stop a program for 200 ms. */
     private static final int RESET_MILLIS = 450;
 
     public final OutputStream out;
--- a/src/main/java/beaconladder/testbed/TestDeployment.java
+++ b/src/main/java/beaconladder/testbed/TestDeployment.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 
 /** Hosts, discovery, a keeper and routers, started and ready to be asked. */
-final class TestDeployment implements AutoCloseable, ClientLoad.Doors {
+final class TestDeployment implements AutoCloseable, ClientLoad.Routers {
     private static final String REQUEST_CLASS = """
                 {"name":"%s","effect":"%s","goal_time_us":500000,"give_up_us":1000000,"late_share":0.5,\
                 "key_ttl_us":5000000,"points":%s}""";
@@ -31,7 +31,7 @@
     final Path plan;
     private final int keeperPort = ChildProcesses.freePort();
     private final List<Integer> ports = new ArrayList<>();
-    private final AtomicLongArray trouble;
+    private final AtomicLongArray impairedSince;
     private final AtomicLongArray stopped;
 
     /**
@@ -45,7 +45,7 @@
             throws IOException, InterruptedException {
         ground = new HostFleet(cells * groupsEach, membersEach, lagMillis);
         programs = new ChildProcesses(folder);
-        trouble = new AtomicLongArray(routerCount);
+        impairedSince = new AtomicLongArray(routerCount);
         stopped = new AtomicLongArray(routerCount);
         StringBuilder text = new StringBuilder();
         for (int cell = 0; cell < cells; cell++) {
@@ -73,13 +73,13 @@
         }
         for (int i = 0; i < routerCount; i++) {
             ready(i);
-            trouble.set(i, 0);
+            impairedSince.set(i, 0);
         }
     }
 
     private String keeperAt(int port, Path folder) {
         return "(keeper (at 127.0.0.1:" + port + ") (discovery 127.0.0.1:"
-                + ground.discovery.door.getLocalPort()
+                + ground.discovery.port()
                 + ") (store \"" + folder.resolve("records") + "\") (lease " + LEASE_MILLIS + "ms) (expiry "
                 + ClientLoad.BUDGET_MILLIS + "ms) (copy 8s) (fence " + FENCE_MILLIS + "ms))\n";
     }
@@ -100,7 +100,7 @@
                    "dial_timeout_us":250000,"conn_idle_us":3000000},
                   "load_report":{"fields":["x0","x1","rif"],"how":"inline"},"parties":[{"name":"t0"}],
                   "round_us":5000,"replicas_of_me":1,"zones":["east"],"request_classes":[%s]}}""";
-        return file.formatted(name, port, ground.discovery.door.getLocalPort(), ClientLoad.BOUND_MILLIS * 1_000, types);
+        return file.formatted(name, port, ground.discovery.port(), ClientLoad.BOUND_MILLIS * 1_000, types);
     }
 
     /** Waits until a router answers an empty query. */
@@ -120,10 +120,10 @@
                 "router " + router + " is not ready: " + routers.get(router).log());
     }
 
-    /** A router is in trouble from now on until the end of it. */
-    void troubled(int router, boolean on) {
+    /** A router is in impairedSince from now on until the end of it. */
+    void setImpaired(int router, boolean on) {
         stopped.set(router, on ? 1 : 0);
-        trouble.set(router, System.currentTimeMillis());
+        impairedSince.set(router, System.currentTimeMillis());
     }
 
     @Override
@@ -137,8 +137,8 @@
     }
 
     @Override
-    public long troubledAt(int router) {
-        return stopped.get(router) == 1 ? Long.MAX_VALUE : trouble.get(router);
+    public long impairedSinceMillis(int router) {
+        return stopped.get(router) == 1 ? Long.MAX_VALUE : impairedSince.get(router);
     }
 
     /** What the keeper answers to an operator; a refusal is the message of the exception. */
--- a/src/main/java/beaconladder/testbed/scale/Grantors.java
+++ b/src/main/java/beaconladder/testbed/scale/Grantors.java
@@ -17,7 +17,7 @@
     private static final int READY_MILLIS = 30_000;
     /** With thousands of askers a door takes its time. */
     private static final int PATIENCE_MILLIS = 5_000;
-    /** With the 64 MB of the rehearsal of leases the heap ends below 4,100 askers: a thread for each call. */
+    /** With the 64 MB of the scenario of leases the heap ends below 4,100 askers: a thread for each call. */
     private static final List<String> FLAGS =
             List.of("-XX:-UsePerfData", "-Xmx512m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
 
--- a/src/main/java/beaconladder/testbed/scale/ListPart.java
+++ b/src/main/java/beaconladder/testbed/scale/ListPart.java
@@ -149,7 +149,7 @@
                     sites.stream().mapToLong(site -> site.list().news.get()).toArray();
             sites.forEach(site -> site.list().change(zone(site), "Gone"));
             for (int i = 0; i < sites.size(); i++) {
-                sites.get(i).list().awaitNews(told[i] + zone(sites.get(i)).size());
+                sites.get(i).list().awaitChanges(told[i] + zone(sites.get(i)).size());
             }
             Thread.sleep(small ? 1_000 : 3_000);
         });
--- a/src/main/java/beaconladder/testbed/scale/ListStandIn.java
+++ b/src/main/java/beaconladder/testbed/scale/ListStandIn.java
@@ -27,7 +27,7 @@
     private static final int LOOK_MILLIS = 5;
     private static final int MOST_LOOKS = 4_000;
 
-    private final ServerSocket door = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
+    private final ServerSocket listener = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
     private final IntUnaryOperator ports;
     private final String[] states;
     private final long[] changed;
@@ -59,7 +59,7 @@
         java.util.Arrays.fill(changed, version);
         thread(() -> {
             while (true) {
-                Socket socket = door.accept();
+                Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
                 thread(() -> serve(socket));
             }
@@ -110,11 +110,11 @@
     }
 
     int port() {
-        return door.getLocalPort();
+        return listener.getLocalPort();
     }
 
     /** Waits until so many entries of news were told in all, for a while at the most. */
-    void awaitNews(long entries) throws InterruptedException {
+    void awaitChanges(long entries) throws InterruptedException {
         for (int i = 0; news.get() < entries && i < MOST_LOOKS; i++) {
             Thread.sleep(LOOK_MILLIS);
         }
@@ -235,6 +235,6 @@
 
     @Override
     public void close() throws IOException {
-        door.close();
+        listener.close();
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/PositionsLoss.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsLoss.java
@@ -32,8 +32,8 @@
     private final Map<Consistency, long[]> hit = new LinkedHashMap<>();
 
     private long lostAt = Long.MAX_VALUE;
-    private int inHand;
-    private int mostInHand;
+    private int inFlight;
+    private int maxInFlight;
     private long stale;
 
     private PositionsLoss(PositionsHosts truth) {
@@ -75,7 +75,7 @@
 
     @Override
     public void came(Request txn, long now) {
-        mostInHand = Math.max(mostInHand, ++inHand);
+        maxInFlight = Math.max(maxInFlight, ++inFlight);
         if (second(now) >= 0) {
             came[second(now)]++;
         }
@@ -118,7 +118,7 @@
 
     @Override
     public void ended(Request txn, long now) {
-        inHand--;
+        inFlight--;
     }
 
     private void figures(Map<String, Object> to) {
@@ -141,7 +141,7 @@
             over--;
         }
         to.put("well_again_after_s", over);
-        to.put("most_in_hand", mostInHand);
+        to.put("most_in_hand", maxInFlight);
         to.put("stale", stale);
         hit.forEach((read, counts) -> to.put(
                 "hit_groups_" + read.name().toLowerCase(Locale.ROOT) + "_in_time",
--- a/src/main/java/beaconladder/testbed/soak/FaultInjector.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultInjector.java
@@ -177,7 +177,7 @@
                 ? DiscoveryStandIn.Manner.SILENT
                 : BREAKS[chance.nextInt(BREAKS.length)];
         if (fault == FaultKind.DISCOVERY_SILENT) {
-            agent.cutOff();
+            agent.silenceOpenConnections();
         }
         fleet.recordDiscoveryFault(true);
         return () -> {
--- a/src/main/java/beaconladder/testbed/soak/SoakFleet.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakFleet.java
@@ -85,11 +85,7 @@
 
     private String configuration(int router, int port) {
         return SoakConfiguration.of(
-                "n" + router,
-                port,
-                discoveries.get(discoveryOf.get(router)).door.getLocalPort(),
-                plan,
-                known());
+                "n" + router, port, discoveries.get(discoveryOf.get(router)).port(), plan, known());
     }
 
     private String known() {
--- a/src/test/java/beaconladder/discovery/EndpointWatchTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchTest.java
@@ -43,7 +43,7 @@
     @TestFactory
     Stream<DynamicTest> aDrainingIsKnownBeforeItCountsAsTold() throws Exception {
         List<Case> cases = List.of(
-                new Case("the link is cut and says nothing", DiscoveryStandIn::cutOff, 0),
+                new Case("the link is cut and says nothing", DiscoveryStandIn::silenceOpenConnections, 0),
                 new Case("half an answer, then silence", d -> d.manner = Manner.HALF, 500),
                 new Case("half an answer, then the end", d -> d.manner = Manner.CUT, 3_000),
                 new Case("bytes that drip", d -> d.manner = Manner.DRIP, 500),
--- a/src/test/java/beaconladder/discovery/EndpointWatchVersionsTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchVersionsTest.java
@@ -26,7 +26,7 @@
         long first = discovery.bytes.get();
         // Given up quietly, then asked again without a wait.
         Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> discovery.calls.get() >= 4);
-        discovery.cutOff();
+        discovery.silenceOpenConnections();
         discovery.list(false, host("Terminating"));
         Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(EndpointWatch.State.DRAINING));
         assertThat(heard).hasSize(hosts.length + 1);
--- a/src/test/java/beaconladder/discovery/FleetWatchTest.java
+++ b/src/test/java/beaconladder/discovery/FleetWatchTest.java
@@ -48,7 +48,7 @@
             AtomicInteger last = new AtomicInteger(-1);
             heard.add(last);
             watches.add(watch(
-                    new InetSocketAddress("127.0.0.1", discovery.door.getLocalPort()),
+                    new InetSocketAddress("127.0.0.1", discovery.port()),
                     i,
                     (whole, entries) -> entries.stream()
                             .filter(e -> e.id().equals("s-0"))
@@ -75,7 +75,7 @@
         startAll();
         discovery.capacity = null;
         discovery.manner = Manner.SILENT;
-        discovery.cutOff();
+        discovery.silenceOpenConnections();
         Thread.sleep(7_000);
         discovery.capacity = capacity();
         discovery.manner = Manner.ANSWER;
--- a/src/test/java/beaconladder/discovery/WatchedDiscovery.java
+++ b/src/test/java/beaconladder/discovery/WatchedDiscovery.java
@@ -44,7 +44,7 @@
     }
 
     static InetSocketAddress at(DiscoveryStandIn discovery) {
-        return new InetSocketAddress("127.0.0.1", discovery.door.getLocalPort());
+        return new InetSocketAddress("127.0.0.1", discovery.port());
     }
 
     static String host(String state) {
--- a/src/test/java/beaconladder/server/DiscoveryIT.java
+++ b/src/test/java/beaconladder/server/DiscoveryIT.java
@@ -69,7 +69,7 @@
     @Test
     void noNewTxnReachesADrainingHostOnceItCountsAsTold() throws Exception {
         List<Consumer<DiscoveryStandIn>> faults = List.of(
-                DiscoveryStandIn::cutOff,
+                DiscoveryStandIn::silenceOpenConnections,
                 agent -> agent.manner = Manner.HALF,
                 agent -> agent.manner = Manner.DRIP,
                 agent -> agent.manner = Manner.SILENT,
--- a/src/test/java/beaconladder/server/FullHouseIT.java
+++ b/src/test/java/beaconladder/server/FullHouseIT.java
@@ -31,7 +31,7 @@
         TestClient c = caller();
         ask(c, read("warm", 2000));
         discovery.manner = Manner.SILENT;
-        discovery.cutOff();
+        discovery.silenceOpenConnections();
         List<Socket> idle = new ArrayList<>();
         fill(idle);
         // Longer than a silent watch is waited for: it has been asked anew, and that is silent too.
--- a/src/test/java/beaconladder/testbed/FedRouterIT.java
+++ b/src/test/java/beaconladder/testbed/FedRouterIT.java
@@ -50,7 +50,7 @@
 
             // Discovery's address counts at once.
             LogClient proposer = new LogClient(List.of(log.at()), 5_000);
-            String moved = "{\"discovery\":\"127.0.0.1:" + second.door.getLocalPort() + "\"}";
+            String moved = "{\"discovery\":\"127.0.0.1:" + second.port() + "\"}";
             proposer.propose(new Proposal(0, Map.of("router.json", moved), List.of()));
             await().atMost(LONG).until(() -> second.calls.get() > 0);
             await().atMost(LONG)
