--- a/src/main/java/beaconladder/app/FeedCommand.java
+++ b/src/main/java/beaconladder/app/FeedCommand.java
@@ -169,7 +169,7 @@
         sum.relays()
                 .forEach(each -> out.printf(
                         "relay %s: version %d, %d ms behind the log, told %d ms ago%n",
-                        each.relay(), each.report().version(), each.report().lagMillis(), each.agoMillis()));
+                        each.relay(), each.report().version(), each.report().lagMillis(), each.ageMillis()));
         if (sum.relays().isEmpty()) {
             out.println("no relay has told the leader of itself");
         }
--- a/src/main/java/beaconladder/feed/Acknowledgement.java
+++ b/src/main/java/beaconladder/feed/Acknowledgement.java
@@ -1,11 +1,11 @@
 package beaconladder.feed;
 
 /**
- * What a router says of itself with each poll.
+ * What a router reports about itself with each poll.
  *
- * @param life grows with each start of this router
- * @param inForce the version in force there
- * @param refused a newer one that it refused, or 0
- * @param counts whether no other relay, and no earlier life of it, can still be counted
+ * @param incarnation increases with each start of this router
+ * @param appliedVersion the version in force there
+ * @param rejectedVersion a newer one that it rejected, or 0
+ * @param countable whether neither another relay nor an earlier incarnation can still be counted
  */
-record Acknowledgement(String router, long life, long inForce, long refused, boolean counts) {}
+record Acknowledgement(String router, long incarnation, long appliedVersion, long rejectedVersion, boolean countable) {}
--- a/src/main/java/beaconladder/feed/AcknowledgementSummary.java
+++ b/src/main/java/beaconladder/feed/AcknowledgementSummary.java
@@ -1,71 +1,62 @@
 package beaconladder.feed;
 
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 
 /**
- * What a relay's routers have acknowledged, by name; summed up for the log's leader, which never learns their names.
- * Times are nanoseconds of one clock.
+ * The latest acknowledgement of each of a relay's routers, by name; summed up for the log's leader, which never learns
+ * the names. Times are nanoseconds of one clock. Thread-safe.
  *
- * <p>A router is counted once although it changes relay: a relay counts it for {@link #SILENT} after its last word, the
- * leader counts a relay for {@link #REPORTED} after its last report, and a router's word to another relay, or of
- * another life, counts only {@link #MOVED} later, which is more than both together.
+ * <p>A router is counted once although it changes relay: a relay counts it for {@link #SILENT_NANOS} after its last
+ * acknowledgement, the leader counts a relay for {@link #REPORT_EXPIRY_NANOS} after its last report, and an
+ * acknowledgement to another relay, or of another incarnation, counts only {@link #RELOCATION_NANOS} later, which is
+ * more than both together.
  */
 final class AcknowledgementSummary {
     /** Three polls at rest. */
-    static final long SILENT = 3_000_000_000L;
+    static final long SILENT_NANOS = 3_000_000_000L;
     /** Four reports at rest. */
-    static final long REPORTED = 2_000_000_000L;
-    /** Both, and a second for what is on its way. */
-    static final long MOVED = SILENT + REPORTED + 1_000_000_000L;
-    /** One that was silent for so long is no longer told of as silent: it is replaced, or elsewhere. */
-    private static final long FORGOTTEN = 60_000_000_000L;
-    /** A fleet of twice the size aimed at, all at one relay. */
-    private static final int MOST = 8_192;
-    /** So many versions are told one by one; older ones in one number. */
-    private static final int TOLD = 4;
+    static final long REPORT_EXPIRY_NANOS = 2_000_000_000L;
+    /** Both, and a second for messages in flight. */
+    static final long RELOCATION_NANOS = SILENT_NANOS + REPORT_EXPIRY_NANOS + 1_000_000_000L;
+    /** A router that was silent for so long is dropped from the silent ones: it is replaced, or at another relay. */
+    private static final long FORGET_NANOS = 60_000_000_000L;
+    /** Bound on the routers: a fleet of twice the intended size, all at one relay. */
+    private static final int MAX_ROUTERS = 8_192;
+    /** So many versions are reported one by one; older ones as one number. */
+    private static final int REPORTED_VERSIONS = 4;
 
-    /** A router's newest word: what is in force there, and the version that it refused last, or 0. */
-    private record Word(long life, long inForce, long refused, long at) {}
+    private record Entry(Acknowledgement acknowledgement, long receivedAtNanos) {}
 
-    private final Map<String, Word> words = new HashMap<>();
+    private final Map<String, Entry> latest = new HashMap<>();
 
-    /** A router's word; one of an earlier life of it, or of one too many, counts for nothing. */
-    synchronized void heard(Acknowledgement ack, long now) {
-        Word before = words.get(ack.router());
-        if (!ack.counts() || before != null && before.life() > ack.life() || before == null && words.size() >= MOST) {
+    /** Records an acknowledgement; ignored if not countable, of an earlier incarnation, or of one router too many. */
+    synchronized void record(Acknowledgement acknowledgement, long nowNanos) {
+        Entry previous = latest.get(acknowledgement.router());
+        boolean outdated = previous != null && previous.acknowledgement().incarnation() > acknowledgement.incarnation();
+        if (!acknowledgement.countable() || outdated || previous == null && latest.size() >= MAX_ROUTERS) {
             return;
         }
-        words.put(ack.router(), new Word(ack.life(), ack.inForce(), ack.refused(), now));
+        latest.put(acknowledgement.router(), new Entry(acknowledgement, nowNanos));
     }
 
-    /** The sums as of now. */
-    synchronized RelayReport report(long version, long lagMillis, long now) {
-        words.values().removeIf(word -> now - word.at() > FORGOTTEN);
-        TreeMap<Long, int[]> counts = new TreeMap<>(java.util.Comparator.reverseOrder());
+    /** The sums as of now, with the relay's own version and lag. */
+    synchronized RelayReport report(long version, long lagMillis, long nowNanos) {
+        latest.values().removeIf(entry -> nowNanos - entry.receivedAtNanos() > FORGET_NANOS);
+        VersionCounts counts = new VersionCounts();
         int silent = 0;
-        for (Word word : words.values()) {
-            if (now - word.at() > SILENT) {
+        for (Entry entry : latest.values()) {
+            if (nowNanos - entry.receivedAtNanos() > SILENT_NANOS) {
                 silent++;
                 continue;
             }
-            counts.computeIfAbsent(word.inForce(), v -> new int[2])[0]++;
-            if (word.refused() > word.inForce()) {
-                counts.computeIfAbsent(word.refused(), v -> new int[2])[1]++;
+            Acknowledgement acknowledgement = entry.acknowledgement();
+            counts.add(acknowledgement.appliedVersion(), 1, 0);
+            if (acknowledgement.rejectedVersion() > acknowledgement.appliedVersion()) {
+                counts.add(acknowledgement.rejectedVersion(), 0, 1);
             }
         }
-        List<RelayReport.Count> told = new ArrayList<>();
-        int older = 0;
-        for (Map.Entry<Long, int[]> each : counts.entrySet()) {
-            if (told.size() < TOLD) {
-                told.add(new RelayReport.Count(each.getKey(), each.getValue()[0], each.getValue()[1]));
-            } else {
-                older += each.getValue()[0];
-            }
-        }
-        return new RelayReport(version, lagMillis, told, older, silent);
+        return new RelayReport(
+                version, lagMillis, counts.newest(REPORTED_VERSIONS), counts.appliedBeyond(REPORTED_VERSIONS), silent);
     }
 }
--- a/src/main/java/beaconladder/feed/Applier.java
+++ b/src/main/java/beaconladder/feed/Applier.java
@@ -2,19 +2,19 @@
 
 import java.io.IOException;
 
-/** What a router does with a state. */
+/** Puts states in force in a router. */
 public interface Applier {
     /**
-     * Looks whether this could be in force here; changes nothing.
+     * Checks whether a state could be in force here; has no effect.
      *
-     * @throws IOException what is wrong with it; then it is refused
+     * @throws IOException the reason to reject it
      */
     void validate(VersionedState next) throws IOException;
 
     /**
-     * Puts it in force. It was checked, and is on the disk already.
+     * Puts a state in force that was validated and is stored already.
      *
-     * @throws IOException what is wrong with it after all; then all is as before, and it is refused
+     * @throws IOException the reason to reject it after all; the state before is in force then
      */
     void apply(VersionedState next) throws IOException;
 }
--- a/src/main/java/beaconladder/feed/Change.java
+++ b/src/main/java/beaconladder/feed/Change.java
@@ -2,33 +2,34 @@
 
 import com.fasterxml.jackson.annotation.JsonIgnore;
 import com.fasterxml.jackson.annotation.JsonProperty;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * What leads from one version to the next.
+ * A committed change, from one version to the next.
  *
  * @param version the one that it leads to
- * @param set texts that are new or take the place of older ones, by name
- * @param remove names that are gone
- * @param digest of the state with it
+ * @param set texts of new or replaced documents, by name
+ * @param remove names of removed documents
+ * @param digest of the state after the change
  */
 public record Change(
         @JsonProperty(required = true) long version,
         @JsonProperty(required = true) Map<String, String> set,
         @JsonProperty(required = true) List<String> remove,
         @JsonProperty(required = true) String digest) {
-    /** Copies, so that nobody changes it later. */
+    /** Copies the collections, so that the change is immutable. */
     public Change {
-        set = java.util.Collections.unmodifiableMap(new TreeMap<>(set));
+        set = Collections.unmodifiableMap(new TreeMap<>(set));
         remove = List.copyOf(remove);
     }
 
-    /** How much of the bound it takes. */
+    /** Its part of the bound on a history. */
     @JsonIgnore
     int characterCount() {
-        return Proposal.characterCount(set)
+        return Documents.characterCount(set)
                 + remove.stream().mapToInt(String::length).sum();
     }
 }
--- a/src/main/java/beaconladder/feed/CommitResult.java
+++ b/src/main/java/beaconladder/feed/CommitResult.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * What the log did with a proposal.
+ * The log's response to a proposal.
  *
  * @param version the newest one after it
  * @param digest of that version
@@ -12,15 +12,15 @@
         @JsonProperty(required = true) Outcome outcome,
         @JsonProperty(required = true) long version,
         @JsonProperty(required = true) String digest) {
-    /** What it did. */
+    /** Whether the change was committed, or why not. */
     public enum Outcome {
-        /** It is the newest version, or was the one after the stated version already: asked twice. */
+        /** The change is the newest version, or a retry found it committed already. */
         @JsonProperty("WRITTEN")
         COMMITTED,
-        /** It was made against another version than the newest. */
+        /** The proposal is based on another version than the newest. */
         @JsonProperty("OUT_OF_TURN")
         VERSION_CONFLICT,
-        /** With it, all would be larger than the bound. */
+        /** The state would exceed its bounds with it. */
         @JsonProperty("TOO_LARGE")
         TOO_LARGE
     }
--- a/src/main/java/beaconladder/feed/FeedJson.java
+++ b/src/main/java/beaconladder/feed/FeedJson.java
@@ -5,9 +5,8 @@
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import java.io.IOException;
 
-/** Everything of the feed as JSON. What is read is whole in its form; the callers check its contents. */
+/** JSON of all the feed's messages and records. Reading is strict about the form; callers validate the contents. */
 public final class FeedJson {
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
@@ -18,7 +17,7 @@
 
     private FeedJson() {}
 
-    /** A value as text, in one line. */
+    /** Serializes a value in one line. */
     public static String text(Object value) {
         try {
             return MAPPER.writeValueAsString(value);
@@ -27,16 +26,20 @@
         }
     }
 
-    /** The value of a text, or what is wrong with that. */
-    public static <T> T read(String text, Class<T> as) throws IOException {
+    /**
+     * Deserializes a text.
+     *
+     * @throws InvalidMessageException if it is not the JSON of exactly this type
+     */
+    public static <T> T read(String text, Class<T> type) throws InvalidMessageException {
         try {
-            T value = MAPPER.readValue(text, as);
+            T value = MAPPER.readValue(text, type);
             if (value == null) {
-                throw new IOException("null where a value belongs");
+                throw new InvalidMessageException("null where a value belongs");
             }
             return value;
         } catch (JsonProcessingException e) {
-            throw new IOException("not the JSON that belongs here: " + e.getOriginalMessage(), e);
+            throw new InvalidMessageException("not the JSON that belongs here: " + e.getOriginalMessage(), e);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/beaconladder/feed/InvalidMessageException.java
@@ -0,0 +1,18 @@
+package beaconladder.feed;
+
+import java.io.IOException;
+
+/** A request or a response is malformed: not the expected JSON, or a query parameter is missing or out of range. */
+public final class InvalidMessageException extends IOException {
+    private static final long serialVersionUID = 1L;
+
+    /** One whose message names the cause. */
+    InvalidMessageException(String message) {
+        super(message);
+    }
+
+    /** One that another exception led to. */
+    InvalidMessageException(String message, Throwable cause) {
+        super(message, cause);
+    }
+}
--- a/src/main/java/beaconladder/feed/LogClient.java
+++ b/src/main/java/beaconladder/feed/LogClient.java
@@ -1,6 +1,8 @@
 package beaconladder.feed;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
+import java.net.HttpURLConnection;
 import java.net.InetSocketAddress;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -9,87 +11,104 @@
 import java.time.Duration;
 import java.util.List;
 
-/** The grantors' door for operators: one grantor after the other, until one answers. */
+/** A client of the log for operators: tries one lease server after the other, until the leader responds. */
 public final class LogClient {
-    private final List<InetSocketAddress> grantors;
-    private final Duration each;
+    private final List<InetSocketAddress> leaseServers;
+    private final Duration timeout;
     private final HttpClient http;
 
-    /** One that gives each grantor so long. */
-    public LogClient(List<InetSocketAddress> grantors, long millis) {
-        this.grantors = List.copyOf(grantors);
-        this.each = Duration.ofMillis(millis);
+    /**
+     * Connects only on demand.
+     *
+     * @param timeoutMillis for each lease server
+     */
+    public LogClient(List<InetSocketAddress> leaseServers, long timeoutMillis) {
+        this.leaseServers = List.copyOf(leaseServers);
+        this.timeout = Duration.ofMillis(timeoutMillis);
         this.http = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(each)
+                .connectTimeout(timeout)
                 .build();
     }
 
     /**
-     * Proposes; asked again after no answer, it is one change all the same.
+     * Proposes a change. Idempotent: a retry of the same proposal commits it at most once.
      *
-     * @throws InvalidProposalException where it can't be right
-     * @throws IOException where no grantor answers with a quorum; it may be written or not
+     * @throws InvalidProposalException if the log rejects it as malformed
+     * @throws LogUnavailableException if no leader with a quorum responds; it may be committed or not
+     * @throws InvalidMessageException if the response is malformed
      */
     public CommitResult propose(Proposal proposal) throws IOException {
         String body = FeedJson.text(proposal);
         return FeedJson.read(
-                any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/propose"))
+                send(server -> HttpRequest.newBuilder(uri(server, FeedApi.PROPOSE))
                         .POST(HttpRequest.BodyPublishers.ofString(body))),
                 CommitResult.class);
     }
 
-    /** The sums as the leader has them. */
+    /**
+     * The fleet's summary, as the leader has it.
+     *
+     * @throws LogUnavailableException if no leader responds
+     * @throws InvalidMessageException if the response is malformed
+     */
     public RelayReports.FleetStatus status() throws IOException {
         return FeedJson.read(
-                any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed/status"))), RelayReports.FleetStatus.class);
+                send(server -> HttpRequest.newBuilder(uri(server, FeedApi.STATUS))), RelayReports.FleetStatus.class);
     }
 
-    /** What one that holds this version lacks, as the leader has it. */
+    /**
+     * What a client that holds this version lacks, as the leader has it.
+     *
+     * @throws LogUnavailableException if no leader responds
+     * @throws InvalidMessageException if the response is malformed
+     */
     public Update updateSince(long version) throws IOException {
-        return FeedJson.read(
-                any(at -> HttpRequest.newBuilder(uri(at, "/v1/feed?wait=0&since=" + version))), Update.class);
+        String path = FeedApi.FEED + "?" + FeedApi.WAIT + "=0" + FeedApi.parameter(FeedApi.SINCE, version);
+        return FeedJson.read(send(server -> HttpRequest.newBuilder(uri(server, path))), Update.class);
     }
 
-    private interface Call {
-        HttpRequest.Builder to(InetSocketAddress at);
+    private interface RequestFactory {
+        HttpRequest.Builder requestTo(InetSocketAddress server);
     }
 
-    private static URI uri(InetSocketAddress at, String path) {
-        return URI.create("http://" + at.getAddress().getHostAddress() + ":" + at.getPort() + path);
+    private static URI uri(InetSocketAddress server, String path) {
+        return URI.create("http://" + server.getAddress().getHostAddress() + ":" + server.getPort() + path);
     }
 
-    private String any(Call call) throws IOException {
-        String last = "no grantor is stated";
-        for (InetSocketAddress at : grantors) {
+    /** The body of the first successful response. */
+    private String send(RequestFactory requests) throws InvalidProposalException, LogUnavailableException {
+        String lastError = "no grantor is stated";
+        for (InetSocketAddress server : leaseServers) {
+            HttpResponse<String> response;
             try {
-                HttpResponse<String> answer =
-                        http.send(call.to(at).timeout(each).build(), HttpResponse.BodyHandlers.ofString());
-                if (answer.statusCode() == 200) {
-                    return answer.body();
-                }
-                last = error(answer.body());
-                if (answer.statusCode() == 400) {
-                    throw new InvalidProposalException(last);
-                }
-            } catch (InvalidProposalException e) {
-                throw e;
+                HttpRequest request =
+                        requests.requestTo(server).timeout(timeout).build();
+                response = http.send(request, HttpResponse.BodyHandlers.ofString());
             } catch (IOException e) {
-                last = String.valueOf(e.getMessage() == null ? e : e.getMessage());
+                lastError = e.getMessage() == null ? e.toString() : e.getMessage();
+                continue;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw new IOException(e);
+                throw new LogUnavailableException(e.toString(), e);
+            }
+            if (response.statusCode() == HttpURLConnection.HTTP_OK) {
+                return response.body();
+            }
+            lastError = error(response.body());
+            if (response.statusCode() == HttpURLConnection.HTTP_BAD_REQUEST) {
+                throw new InvalidProposalException(lastError);
             }
         }
-        throw new IOException("no grantor answers with a leader; is a quorum of them up? The last said: " + last);
+        throw new LogUnavailableException(
+                "no grantor answers with a leader; is a quorum of them up? The last said: " + lastError);
     }
 
+    /** The message of an error response, or all of a body that has none. */
     private static String error(String body) {
         try {
-            return FeedJson.read(body, com.fasterxml.jackson.databind.JsonNode.class)
-                    .path("error")
-                    .asText(body);
-        } catch (IOException e) {
+            return FeedJson.read(body, JsonNode.class).path("error").asText(body);
+        } catch (InvalidMessageException e) {
             return body;
         }
     }
--- a/src/main/java/beaconladder/feed/LogEndpoint.java
+++ b/src/main/java/beaconladder/feed/LogEndpoint.java
@@ -3,128 +3,132 @@
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
+import java.net.HttpURLConnection;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
 /**
- * The feed's part of a grantor's door. The leader alone answers, from what the log has applied: relays hear of nothing
- * that could be lost again, and hand in their sums where {@code feed status} asks for them.
+ * The feed's HTTP endpoint of a lease server. Only the leader responds, from what the log has applied, so that relays
+ * never receive what could be lost again; their reports are summed up here for {@code feed status}.
  */
 public final class LogEndpoint {
-    /** A state of the largest size, each character escaped, and its frame. */
-    private static final int LONGEST_BODY = 8 * VersionedState.MAX_CHARACTERS;
+    /** Bound on a proposal: a state of the largest size, each character escaped, and its frame. */
+    private static final int MAX_BODY_BYTES = 8 * VersionedState.MAX_CHARACTERS;
 
-    private static final long LONGEST_WAIT = 5_000;
+    private static final long MAX_WAIT_MILLIS = 5_000;
 
-    /** The log behind the door. */
+    /** The replicated log behind the endpoint. */
     public interface Log {
-        /** What it has applied. */
+        /** Publishes what this replica has applied. */
         VersionNotifier versions();
 
-        /** Whether it is the leader's, as far as that is known here. */
+        /** Whether this replica is the leader, as far as it knows. */
         boolean isLeader();
 
         /**
-         * Writes a proposal.
+         * Commits a proposal.
          *
-         * @throws IOException where no quorum takes it in time; whether it is written is then not known
+         * @throws IOException if no quorum accepts it in time; whether it is committed is unknown then
          */
         CommitResult commit(Proposal proposal) throws IOException;
     }
 
-    /** What can be answered. */
-    private interface Answer {
-        Object of(HttpExchange exchange) throws IOException, Away, InterruptedException;
+    private interface Handler {
+        Object handle(HttpExchange exchange) throws IOException, InterruptedException;
     }
 
-    /** No leader here. */
-    private static final class Away extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        private Away(String message) {
-            super(message);
+    private record Response(int statusCode, String body) {
+        static Response error(int statusCode, Exception cause) {
+            return new Response(statusCode, FeedJson.text(Map.of("error", String.valueOf(cause.getMessage()))));
         }
     }
 
     private final Log log;
     private final RelayReports reports = new RelayReports();
 
-    /** Adds its paths to a door. */
-    public LogEndpoint(HttpServer door, Log log) {
+    /** Adds the feed's paths to an HTTP server. */
+    public LogEndpoint(HttpServer server, Log log) {
         this.log = log;
-        door.createContext("/v1/feed", exchange -> answer(exchange, "/v1/feed", this::since));
-        door.createContext("/v1/feed/status", exchange -> answer(exchange, "/v1/feed/status", this::status));
-        door.createContext("/v1/feed/propose", exchange -> answer(exchange, "/v1/feed/propose", this::propose));
+        register(server, FeedApi.FEED, this::update);
+        register(server, FeedApi.STATUS, this::status);
+        register(server, FeedApi.PROPOSE, this::propose);
+    }
+
+    private static void register(HttpServer server, String path, Handler handler) {
+        server.createContext(path, exchange -> {
+            try (exchange) {
+                send(exchange, respond(exchange, path, handler));
+            }
+        });
     }
 
-    private Update since(HttpExchange exchange) throws IOException, Away, InterruptedException {
+    private Update update(HttpExchange exchange) throws IOException, InterruptedException {
         QueryString query = new QueryString(exchange.getRequestURI().getRawQuery());
-        long since = query.number("since", Long.MAX_VALUE);
-        long wait = query.number("wait", LONGEST_WAIT);
-        isLeader();
-        String relay = query.text("relay");
+        long since = query.number(FeedApi.SINCE, Long.MAX_VALUE);
+        long waitMillis = query.number(FeedApi.WAIT, MAX_WAIT_MILLIS);
+        requireLeader();
+        String relay = query.text(FeedApi.RELAY_NAME);
         if (relay != null) {
-            if (!Proposal.isValidName(relay) || query.text("report") == null) {
-                throw new IOException("a report that is not whole");
-            }
-            reports.heard(
-                    relay,
-                    FeedJson.read(query.text("report"), RelayReport.class).validated(),
-                    System.nanoTime());
+            recordReport(relay, query.text(FeedApi.REPORT));
+        }
+        VersionHistory history = log.versions().awaitNewer(since, waitMillis);
+        requireLeader();
+        return history.updateSince(since, query.isSet(FeedApi.FULL_STATE));
+    }
+
+    private void recordReport(String relay, String report) throws InvalidMessageException {
+        if (!Proposal.isValidName(relay) || report == null) {
+            throw new InvalidMessageException("a report that is not whole");
         }
-        VersionHistory now = log.versions().awaitNewer(since, wait);
-        isLeader();
-        return now.updateSince(since, query.is("whole"));
+        reports.record(relay, FeedJson.read(report, RelayReport.class).validated(), System.nanoTime());
     }
 
-    private RelayReports.FleetStatus status(HttpExchange exchange) throws Away {
-        isLeader();
-        return reports.sum(log.versions().current().newest(), System.nanoTime());
+    private RelayReports.FleetStatus status(HttpExchange exchange) throws LogUnavailableException {
+        requireLeader();
+        return reports.summarize(log.versions().current().newest(), System.nanoTime());
     }
 
-    private CommitResult propose(HttpExchange exchange) throws IOException, Away {
+    private CommitResult propose(HttpExchange exchange) throws IOException {
         if (!exchange.getRequestMethod().equals("POST")) {
-            throw new IOException("a proposal is posted");
+            throw new InvalidMessageException("a proposal is posted");
         }
-        byte[] body = exchange.getRequestBody().readNBytes(LONGEST_BODY + 1);
-        if (body.length > LONGEST_BODY) {
-            throw new IOException("a proposal of more than " + LONGEST_BODY + " bytes");
+        byte[] body = exchange.getRequestBody().readNBytes(MAX_BODY_BYTES + 1);
+        if (body.length > MAX_BODY_BYTES) {
+            throw new InvalidMessageException("a proposal of more than " + MAX_BODY_BYTES + " bytes");
         }
         Proposal proposal = FeedJson.read(new String(body, StandardCharsets.UTF_8), Proposal.class)
                 .validated();
         try {
             return log.commit(proposal);
         } catch (IOException e) {
-            throw new Away("no quorum answered: it may be written or not; ask again, the same");
+            throw new LogUnavailableException("no quorum answered: it may be written or not; ask again, the same", e);
         }
     }
 
-    private void isLeader() throws Away {
+    private void requireLeader() throws LogUnavailableException {
         if (!log.isLeader()) {
-            throw new Away("another grantor leads");
+            throw new LogUnavailableException("another grantor leads");
         }
     }
 
-    private static void answer(HttpExchange exchange, String path, Answer answer) throws IOException {
-        int code = 200;
-        String body;
-        try (exchange) {
-            try {
-                if (!exchange.getRequestURI().getPath().equals(path)) {
-                    throw new IOException("no such path");
-                }
-                body = FeedJson.text(answer.of(exchange));
-            } catch (Away | InterruptedException e) {
-                code = 503;
-                body = FeedJson.text(Map.of("error", String.valueOf(e.getMessage())));
-            } catch (IOException e) {
-                code = 400;
-                body = FeedJson.text(Map.of("error", String.valueOf(e.getMessage())));
+    private static Response respond(HttpExchange exchange, String path, Handler handler) {
+        try {
+            // The server also routes longer paths here.
+            if (!exchange.getRequestURI().getPath().equals(path)) {
+                throw new InvalidMessageException("no such path");
             }
-            byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-            exchange.getResponseHeaders().set("Content-Type", "application/json");
-            exchange.sendResponseHeaders(code, bytes.length);
-            exchange.getResponseBody().write(bytes);
+            return new Response(HttpURLConnection.HTTP_OK, FeedJson.text(handler.handle(exchange)));
+        } catch (LogUnavailableException | InterruptedException e) {
+            return Response.error(HttpURLConnection.HTTP_UNAVAILABLE, e);
+        } catch (IOException e) {
+            return Response.error(HttpURLConnection.HTTP_BAD_REQUEST, e);
         }
     }
+
+    private static void send(HttpExchange exchange, Response response) throws IOException {
+        byte[] bytes = response.body().getBytes(StandardCharsets.UTF_8);
+        exchange.getResponseHeaders().set("Content-Type", "application/json");
+        exchange.sendResponseHeaders(response.statusCode(), bytes.length);
+        exchange.getResponseBody().write(bytes);
+    }
 }
--- a/src/main/java/beaconladder/feed/LogFollower.java
+++ b/src/main/java/beaconladder/feed/LogFollower.java
@@ -7,148 +7,152 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.SplittableRandom;
-import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * A relay's task that follows the log: long GETs at the grantors, one after the other until the leader answers. With
- * each it hands in the sums of its routers' acknowledgements.
+ * A relay's task that replicates the log: long polls to the lease servers, one after the other until the leader
+ * responds. Each poll carries the summary of the acknowledgements of the relay's routers.
  */
-final class LogFollower implements Runnable, AutoCloseable {
+final class LogFollower extends PollLoop {
     private static final Logger LOG = LoggerFactory.getLogger(LogFollower.class);
-    /** So old is what a relay knows at rest; each relay asks twice a second then. */
+    /** How long the leader may delay a response: at rest, a relay's state is at most this old. */
     static final int WAIT_MILLIS = 500;
-    /** A leader that says nothing for so long beyond that may be dead: the others are asked. */
+    /** A leader that takes this much longer may have failed: the next lease server is polled. */
     private static final int SLACK_MILLIS = 500;
-    /** Heard in the last poll, or in the one in hand. */
+    /** Confirmed by the last poll, or one poll ago while another is in progress. */
     static final long FRESH_MILLIS = WAIT_MILLIS + 100;
-    /** Between two rounds at grantors of whom none leads. */
+    /** Mean pause after a round in which no lease server was the leader. */
     private static final int ROUND_MILLIS = 100;
     /**
-     * A lone change goes on at once; while more come, routers are told in steps that grow from here to half a second,
-     * so that a burst is a few answers to each of them and not one for each change.
+     * A single change is forwarded at once; while more follow, routers receive them in steps that grow from this to
+     * {@link #MAX_STEP_MILLIS}, so that a burst costs each of them a few responses and not one for each change.
      */
-    private static final int STEP_MILLIS = 100;
+    private static final int FIRST_STEP_MILLIS = 100;
 
-    private static final int LONGEST_STEP_MILLIS = 500;
-    /** Milliseconds that stand for never: thirty years. */
-    private static final long NEVER = 1_000_000_000_000L;
+    private static final int MAX_STEP_MILLIS = 500;
+    /** The lag, in milliseconds, of a relay that never reached the log: about thirty years. */
+    private static final long NEVER_MILLIS = 1_000_000_000_000L;
 
     private final String name;
-    private final List<HttpFetcher> doors;
-    private final VersionNotifier board;
-    private final AcknowledgementSummary tally;
-    private final StateStore disk;
-    private final SplittableRandom chance = new SplittableRandom();
-    private int at;
-    private boolean whole;
-    private boolean away;
-    private volatile long heard;
-    private volatile boolean known;
-    private volatile boolean closed;
+    private final List<HttpFetcher> leaseServers;
+    private final VersionNotifier versions;
+    private final AcknowledgementSummary acknowledgements;
+    private final StateStore store;
+    private final SplittableRandom random = new SplittableRandom();
+    private final LastConfirmation lastConfirmation = new LastConfirmation();
+    private int currentServer;
+    private int failuresInARow;
+    private int stepMillis;
+    private boolean requestFullState;
+    private boolean disconnected;
 
     LogFollower(
             String name,
-            List<InetSocketAddress> grantors,
-            VersionNotifier board,
-            AcknowledgementSummary tally,
-            StateStore disk) {
+            List<InetSocketAddress> leaseServers,
+            VersionNotifier versions,
+            AcknowledgementSummary acknowledgements,
+            StateStore store) {
         this.name = name;
-        this.doors = grantors.stream().map(HttpFetcher::new).toList();
-        this.board = board;
-        this.tally = tally;
-        this.disk = disk;
-        this.at = Math.floorMod(name.hashCode(), doors.size());
+        this.leaseServers = leaseServers.stream().map(HttpFetcher::new).toList();
+        this.versions = versions;
+        this.acknowledgements = acknowledgements;
+        this.store = store;
+        this.currentServer = Math.floorMod(name.hashCode(), leaseServers.size());
     }
 
-    /** How long ago the log's leader said that this relay's version is the newest. */
+    /** Milliseconds since the log's leader confirmed that this relay's version is the newest. */
     long lagMillis() {
-        return known ? Math.max(0, System.nanoTime() - heard) / 1_000_000 : NEVER;
+        return lastConfirmation.isKnown() ? Math.max(0, lastConfirmation.ageNanos()) / 1_000_000 : NEVER_MILLIS;
     }
 
     @Override
-    public void run() {
-        int failed = 0;
-        int step = 0;
-        while (!closed) {
-            try {
-                boolean newer = poll();
-                failed = 0;
-                if (away) {
-                    LOG.info(
-                            "relay {} hears from the log again, version {}",
-                            name,
-                            board.current().newest().version());
-                    away = false;
-                }
-                step = newer ? Math.min(LONGEST_STEP_MILLIS, step == 0 ? STEP_MILLIS : 2 * step) : 0;
-                pause(step);
-            } catch (IOException | RuntimeException e) {
-                at = (at + 1) % doors.size();
-                if (++failed % doors.size() == 0) {
-                    pause(ROUND_MILLIS / 2 + chance.nextInt(ROUND_MILLIS));
-                }
-                if (!away && lagMillis() > Subscriber.STALE_MILLIS) {
-                    LOG.warn("relay {} hears nothing from the log: {}", name, e.getMessage());
-                    away = true;
-                    // Who waits here is told so, and looks elsewhere.
-                    board.wakeAll();
-                }
-            }
+    void poll() throws IOException {
+        boolean newer = replicate();
+        failuresInARow = 0;
+        if (disconnected) {
+            LOG.info(
+                    "relay {} hears from the log again, version {}",
+                    name,
+                    versions.current().newest().version());
+            disconnected = false;
         }
-        disk.close();
+        if (newer) {
+            stepMillis = Math.min(MAX_STEP_MILLIS, stepMillis == 0 ? FIRST_STEP_MILLIS : 2 * stepMillis);
+        } else {
+            stepMillis = 0;
+        }
+        pause(stepMillis);
     }
 
-    private boolean poll() throws IOException {
-        VersionHistory before = board.current();
-        RelayReport report = tally.report(before.newest().version(), lagMillis(), System.nanoTime());
-        String text = doors.get(at)
-                .get(
-                        "/v1/feed?since=" + before.newest().version() + "&wait="
-                                + WAIT_MILLIS + (whole ? "&whole=1" : "") + "&relay=" + name + "&report="
-                                + URLEncoder.encode(FeedJson.text(report), StandardCharsets.UTF_8),
-                        WAIT_MILLIS + SLACK_MILLIS,
-                        SLACK_MILLIS);
-        Update told = FeedJson.read(text, Update.class);
-        VersionHistory next;
-        try {
-            next = before.merge(told);
-            whole = false;
-        } catch (IOException e) {
-            whole = true;
-            LOG.warn("relay {}: what a grantor told is void: {}", name, e.getMessage());
-            throw e;
+    @Override
+    void onFailure(Exception cause) {
+        currentServer = (currentServer + 1) % leaseServers.size();
+        if (++failuresInARow % leaseServers.size() == 0) {
+            pause(ROUND_MILLIS / 2 + random.nextInt(ROUND_MILLIS));
         }
-        if (next.newest().version() != told.version() || !next.newest().digest().equals(told.digest())) {
-            throw new IOException(
-                    "the log is at version " + told.version() + " with digest " + told.digest() + ", this relay holds "
-                            + next.newest().version() + " with " + next.newest().digest());
+        if (!disconnected && lagMillis() > Subscriber.STALE_MILLIS) {
+            LOG.warn("relay {} hears nothing from the log: {}", name, cause.getMessage());
+            disconnected = true;
+            // Polls that wait here are answered with the lag now, so that their routers can fail over.
+            versions.wakeAll();
         }
+    }
+
+    /** Polls the current lease server once; whether there was a newer version. */
+    private boolean replicate() throws IOException {
+        VersionHistory before = versions.current();
+        String response = leaseServers
+                .get(currentServer)
+                .get(pollPath(before.newest().version()), WAIT_MILLIS + SLACK_MILLIS, SLACK_MILLIS);
+        Update update = FeedJson.read(response, Update.class);
+        VersionHistory next = merge(before, update);
         boolean newer = next.newest().version() > before.newest().version();
         if (newer) {
-            disk.keep(next.newest(), System.currentTimeMillis());
+            store.save(next.newest(), System.currentTimeMillis());
         }
-        // Before it is shown: who is woken by it is not to be told of the lag before it.
-        heard = System.nanoTime();
-        known = true;
+        // Before it is published: the polls that this wakes must not report the lag from before.
+        lastConfirmation.set(System.nanoTime());
         if (newer) {
-            board.publish(next);
+            versions.publish(next);
         }
         return newer;
     }
 
-    private void pause(long millis) {
+    private String pollPath(long heldVersion) {
+        RelayReport report = acknowledgements.report(heldVersion, lagMillis(), System.nanoTime());
+        return FeedApi.FEED + "?" + FeedApi.SINCE + "=" + heldVersion
+                + FeedApi.parameter(FeedApi.WAIT, WAIT_MILLIS)
+                + FeedApi.flag(FeedApi.FULL_STATE, requestFullState)
+                + FeedApi.parameter(FeedApi.RELAY_NAME, name)
+                + FeedApi.parameter(FeedApi.REPORT, URLEncoder.encode(FeedJson.text(report), StandardCharsets.UTF_8));
+    }
+
+    private VersionHistory merge(VersionHistory before, Update update) throws InvalidStateException {
+        VersionHistory next;
         try {
-            TimeUnit.MILLISECONDS.sleep(millis);
-        } catch (InterruptedException e) {
-            closed = true;
+            next = before.merge(update);
+            requestFullState = false;
+        } catch (InvalidStateException e) {
+            requestFullState = true;
+            LOG.warn("relay {}: what a grantor told is void: {}", name, e.getMessage());
+            throw e;
         }
+        VersionedState newest = next.newest();
+        if (newest.version() != update.version() || !newest.digest().equals(update.digest())) {
+            throw new InvalidStateException("the log is at version " + update.version() + " with digest "
+                    + update.digest() + ", this relay holds " + newest.version() + " with " + newest.digest());
+        }
+        return next;
+    }
+
+    @Override
+    void release() {
+        store.close();
     }
 
     @Override
-    public void close() {
-        closed = true;
-        doors.forEach(HttpFetcher::close);
+    void closeConnections() {
+        leaseServers.forEach(HttpFetcher::close);
     }
 }
--- a/src/main/java/beaconladder/feed/QueryString.java
+++ b/src/main/java/beaconladder/feed/QueryString.java
@@ -1,50 +1,62 @@
 package beaconladder.feed;
 
-import java.io.IOException;
 import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
 
-/** The part of a request behind its question mark. */
+/** The query parameters of a request, decoded. */
 final class QueryString {
+    private static final String MALFORMED = "a query that is not whole";
+
     private final Map<String, String> values = new HashMap<>();
 
-    QueryString(String raw) throws IOException {
+    /**
+     * Parses what follows a path's question mark.
+     *
+     * @param raw still encoded, or null for none
+     * @throws InvalidMessageException if a part is no {@code name=value}, or a name occurs twice
+     */
+    QueryString(String raw) throws InvalidMessageException {
         if (raw == null || raw.isEmpty()) {
             return;
         }
         for (String part : raw.split("&")) {
             int equals = part.indexOf('=');
             if (equals < 1
-                    || values.putIfAbsent(part.substring(0, equals), decoded(part.substring(equals + 1))) != null) {
-                throw new IOException("a query that is not whole");
+                    || values.putIfAbsent(part.substring(0, equals), decode(part.substring(equals + 1))) != null) {
+                throw new InvalidMessageException(MALFORMED);
             }
         }
     }
 
-    private static String decoded(String text) throws IOException {
+    private static String decode(String text) throws InvalidMessageException {
         try {
             return URLDecoder.decode(text, StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            throw new IOException("a query that is not whole", e);
+            throw new InvalidMessageException(MALFORMED, e);
         }
     }
 
-    /** The text of this name, or null. */
+    /** The value of a parameter, or null. */
     String text(String name) {
         return values.get(name);
     }
 
-    boolean is(String name) {
+    /** Whether a flag is set, by the value 1. */
+    boolean isSet(String name) {
         return "1".equals(values.get(name));
     }
 
-    /** A number that is not below nought and at most so large. */
-    long number(String name, long most) throws IOException {
+    /**
+     * The value of a required number.
+     *
+     * @throws InvalidMessageException if it is missing, or not from 0 to {@code max}
+     */
+    long number(String name, long max) throws InvalidMessageException {
         String text = values.get(name);
-        if (text == null || !text.matches("[0-9]{1,18}") || Long.parseLong(text) > most) {
-            throw new IOException(name + " is no number up to " + most);
+        if (text == null || !text.matches("[0-9]{1,18}") || Long.parseLong(text) > max) {
+            throw new InvalidMessageException(name + " is no number up to " + max);
         }
         return Long.parseLong(text);
     }
--- a/src/main/java/beaconladder/feed/Relay.java
+++ b/src/main/java/beaconladder/feed/Relay.java
@@ -5,34 +5,37 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Stands between the grantors' log and its routers: one step from the log, so that no router is over two. */
+/**
+ * Replicates the log to routers. Each relay follows the log itself, so that no router is more than two hops from it.
+ */
 public final class Relay implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
-    /** No poll waits longer, whatever it asks for. */
-    private static final long LONGEST_WAIT = 10_000;
-    /** Answers kept for who asks since the same version; after a burst there are a few. */
-    private static final int MOST_ANSWERS = 32;
+    /** Bound on how long a poll may wait. */
+    private static final long MAX_WAIT_MILLIS = 10_000;
+    /** Of the follower's thread, in bytes. */
+    private static final long STACK_BYTES = 256 * 1024;
 
-    private final VersionNotifier board = new VersionNotifier();
-    private final AcknowledgementSummary tally = new AcknowledgementSummary();
+    private final String name;
+    private final VersionNotifier versions = new VersionNotifier();
+    private final AcknowledgementSummary acknowledgements = new AcknowledgementSummary();
+    private final RelayResponseCache cache = new RelayResponseCache();
     private final LogFollower follower;
-    private final RelayServer door;
+    private final RelayServer server;
+
     /**
-     * The bodies of answers as of one newest version, by the version that they go on from. They say that the relay lags
-     * by nothing, as it did when the version came; they are used while it knows that to be newest.
+     * A relay's own state and counters since its start.
+     *
+     * @param relay its name
+     * @param lagMillis since the log confirmed the version as the newest
+     * @param connections open ones, of routers and of who asks for the status
+     * @param answers responses sent
+     * @param fullStateAnswers updates serialized with a full state
+     * @param rejectedConnections connections beyond the bound
      */
-    private final Map<Long, byte[]> bodies = new HashMap<>();
-
-    private long bodiesOf = -1;
-    private long bases;
-
-    /** What a relay tells of itself. */
     public record Status(
             @JsonProperty(required = true) String relay,
             @JsonProperty(required = true) long version,
@@ -49,112 +52,103 @@
             @JsonProperty(required = true) long bytesOut) {}
 
     /**
-     * One that answers from now on.
+     * Starts a relay.
      *
-     * @param grantors where the log is
-     * @param store the folder for its state, or null: then it starts with nothing
-     * @param most how many routers it bears
-     * @throws IOException where the address is taken or the folder can't be used
+     * @param address where routers connect
+     * @param leaseServers the log's
+     * @param folder where the state is stored, or null to start without one
+     * @param maxRouters bound on the connections
+     * @throws CorruptStateException if the stored state fails its checks
+     * @throws IOException if the address is in use or the folder can't be used
      */
-    public Relay(String name, InetSocketAddress at, List<InetSocketAddress> grantors, Path store, int most)
+    public Relay(
+            String name, InetSocketAddress address, List<InetSocketAddress> leaseServers, Path folder, int maxRouters)
             throws IOException {
-        StateStore disk = new StateStore(store);
-        board.publish(VersionHistory.of(disk.kept().state()));
-        follower = new LogFollower(name, grantors, board, tally, disk);
+        this.name = name;
+        StateStore store = new StateStore(folder);
+        versions.publish(VersionHistory.of(store.stored().state()));
+        follower = new LogFollower(name, leaseServers, versions, acknowledgements, store);
         try {
-            door = new RelayServer(at, most, (path, query) -> answer(name, path, query));
+            server = new RelayServer(address, maxRouters, this::respond);
         } catch (IOException e) {
-            disk.close();
+            store.close();
             throw e;
         }
-        Thread thread = new Thread(null, follower, "follower", 256 * 1024);
+        Thread thread = new Thread(null, follower, "follower", STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
         LOG.info(
                 "relay {} answers at {}, for up to {} routers, from version {}",
                 name,
-                door.at(),
-                most,
-                disk.kept().state().version());
+                server.address(),
+                maxRouters,
+                store.stored().state().version());
     }
 
-    /** Where it answers. */
+    /** Where routers connect. */
     public InetSocketAddress address() {
-        return door.at();
+        return server.address();
     }
 
-    private byte[] answer(String name, String path, QueryString query) throws IOException, InterruptedException {
-        if (path.equals("/v1/relay")) {
-            VersionedState newest = board.current().newest();
-            return bytes(FeedJson.text(new Status(
-                    name,
-                    newest.version(),
-                    newest.digest(),
-                    follower.lagMillis(),
-                    door.connections(),
-                    door.answers.get(),
-                    bases(),
-                    door.refused.get(),
-                    door.bytesIn.get(),
-                    door.bytesOut.get())));
-        }
-        if (!path.equals("/v1/feed")) {
-            throw new IOException("no such path");
-        }
-        if (!Proposal.isValidName(query.text("name"))) {
-            throw new IOException("name is none");
-        }
-        long since = query.number("since", Long.MAX_VALUE);
-        tally.heard(
-                new Acknowledgement(
-                        query.text("name"),
-                        query.number("life", Long.MAX_VALUE),
-                        query.number("force", Long.MAX_VALUE),
-                        query.number("refused", Long.MAX_VALUE),
-                        query.is("counts")),
-                System.nanoTime());
-        long wait = query.number("wait", LONGEST_WAIT);
-        // Who hears from here that the log is away looks elsewhere, and must not wait for that.
-        boolean tells = follower.lagMillis() <= Subscriber.STALE_MILLIS || query.is("patient");
-        VersionHistory now = board.awaitNewer(since, tells ? wait : 0);
-        return body(now, since, query.is("whole"));
+    private byte[] respond(String path, QueryString query) throws IOException, InterruptedException {
+        return switch (path) {
+            case FeedApi.RELAY -> serialize(status());
+            case FeedApi.FEED -> poll(query);
+            default -> throw new InvalidMessageException("no such path");
+        };
     }
 
-    private byte[] body(VersionHistory now, long since, boolean whole) {
-        long newest = now.newest().version();
-        long lag = follower.lagMillis();
-        if (whole || since >= newest || lag > LogFollower.FRESH_MILLIS) {
-            return bytes(FeedJson.text(now.updateSince(since, whole).lagging(lag)));
-        }
-        synchronized (bodies) {
-            if (bodiesOf != newest || bodies.size() >= MOST_ANSWERS) {
-                bodies.clear();
-                bodiesOf = newest;
-            }
-            byte[] body = bodies.get(since);
-            if (body == null) {
-                Update told = now.updateSince(since, false);
-                bases += told.base() == null ? 0 : 1;
-                body = bytes(FeedJson.text(told));
-                bodies.put(since, body);
-            }
-            return body;
+    private Status status() {
+        VersionedState newest = versions.current().newest();
+        return new Status(
+                name,
+                newest.version(),
+                newest.digest(),
+                follower.lagMillis(),
+                server.connectionCount(),
+                server.responses(),
+                cache.fullStateResponses(),
+                server.rejectedConnections(),
+                server.bytesIn(),
+                server.bytesOut());
+    }
+
+    private byte[] poll(QueryString query) throws InvalidMessageException, InterruptedException {
+        String router = query.text(FeedApi.ROUTER_NAME);
+        if (!Proposal.isValidName(router)) {
+            throw new InvalidMessageException("name is none");
         }
+        long since = query.number(FeedApi.SINCE, Long.MAX_VALUE);
+        acknowledgements.record(
+                new Acknowledgement(
+                        router,
+                        query.number(FeedApi.INCARNATION, Long.MAX_VALUE),
+                        query.number(FeedApi.APPLIED_VERSION, Long.MAX_VALUE),
+                        query.number(FeedApi.REJECTED_VERSION, Long.MAX_VALUE),
+                        query.isSet(FeedApi.COUNTABLE)),
+                System.nanoTime());
+        long waitMillis = query.number(FeedApi.WAIT, MAX_WAIT_MILLIS);
+        // A router fails over from a stale relay, and must not wait before it can.
+        boolean mayWait = follower.lagMillis() <= Subscriber.STALE_MILLIS || query.isSet(FeedApi.ACCEPTS_STALE);
+        VersionHistory history = versions.awaitNewer(since, mayWait ? waitMillis : 0);
+        return update(history, since, query.isSet(FeedApi.FULL_STATE));
     }
 
-    private long bases() {
-        synchronized (bodies) {
-            return bases;
+    private byte[] update(VersionHistory history, long since, boolean fullState) {
+        long lagMillis = follower.lagMillis();
+        if (fullState || since >= history.newest().version() || lagMillis > LogFollower.FRESH_MILLIS) {
+            return serialize(history.updateSince(since, fullState).withLag(lagMillis));
         }
+        return cache.get(history, since);
     }
 
-    private static byte[] bytes(String text) {
-        return text.getBytes(StandardCharsets.UTF_8);
+    private static byte[] serialize(Object value) {
+        return FeedJson.text(value).getBytes(StandardCharsets.UTF_8);
     }
 
     @Override
     public void close() {
         follower.close();
-        door.close();
+        server.close();
     }
 }
--- a/src/main/java/beaconladder/feed/RelayReport.java
+++ b/src/main/java/beaconladder/feed/RelayReport.java
@@ -1,17 +1,16 @@
 package beaconladder.feed;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import java.io.IOException;
 import java.util.List;
 
 /**
- * A relay's sums for the leader; the same few numbers for ten routers and for a thousand.
+ * A relay's summary for the log's leader; of the same size for ten routers and for a thousand.
  *
  * @param version the newest one that the relay holds
- * @param lagMillis how long ago it knew that from the log
- * @param counts the newest versions in force or refused
- * @param older routers with an older one in force
- * @param silent routers that spoke within the last minute and don't now; some may speak to another relay
+ * @param lagMillis how long ago the log confirmed it as the newest
+ * @param counts the newest versions that routers applied or rejected
+ * @param older routers with an older version in force
+ * @param silent routers that polled within the last minute and no longer do; some may poll another relay
  */
 public record RelayReport(
         @JsonProperty(required = true) long version,
@@ -19,10 +18,15 @@
         @JsonProperty(required = true) List<Count> counts,
         @JsonProperty(required = true) int older,
         @JsonProperty(required = true) int silent) {
-    /** More than a relay tells. */
-    private static final int MOST = 16;
+    /** More than a relay reports. */
+    private static final int MAX_COUNTS = 16;
 
-    /** Of one version: with how many it is in force, and how many refused it. */
+    /**
+     * Routers by one version.
+     *
+     * @param applied how many have it in force
+     * @param rejected how many rejected it
+     */
     public record Count(
             @JsonProperty(required = true) long version,
             @JsonProperty(required = true) int applied,
@@ -30,18 +34,18 @@
             @JsonProperty(value = "refused", required = true)
             int rejected) {}
 
-    /** Copies, so that nobody changes it later. */
+    /** Copies the list, so that the report is immutable. */
     public RelayReport {
         counts = List.copyOf(counts);
     }
 
-    RelayReport validated() throws IOException {
+    RelayReport validated() throws InvalidMessageException {
         if (version < 0
                 || older < 0
                 || silent < 0
-                || counts.size() > MOST
-                || counts.stream().anyMatch(each -> each.applied() < 0 || each.rejected() < 0)) {
-            throw new IOException("a report that is not whole");
+                || counts.size() > MAX_COUNTS
+                || counts.stream().anyMatch(count -> count.applied() < 0 || count.rejected() < 0)) {
+            throw new InvalidMessageException("a report that is not whole");
         }
         return this;
     }
--- a/src/main/java/beaconladder/feed/RelayReports.java
+++ b/src/main/java/beaconladder/feed/RelayReports.java
@@ -2,25 +2,41 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The relays' sums at the log's leader; nothing of it is in the log. Times are nanoseconds of one clock. */
+/**
+ * The latest report of each relay, at the log's leader; in memory only, not in the log. Times are nanoseconds of one
+ * clock. Thread-safe.
+ */
 public final class RelayReports {
-    /** Eight machines are set aside; a name that is made up again and again is to fill nothing. */
-    private static final int MOST = 64;
+    /** Eight relays are planned for; the bound keeps made-up names from filling the memory. */
+    private static final int MAX_RELAYS = 64;
 
-    private record Entry(RelayReport report, long at) {}
+    private record Entry(RelayReport report, long receivedAtNanos) {}
 
-    /** A relay as the leader sees it. */
+    /** A relay's latest report, and how long ago it was received. */
     public record ReceivedReport(
             @JsonProperty(required = true) String relay,
-            @JsonProperty(required = true) long agoMillis,
+
+            @JsonProperty(value = "agoMillis", required = true)
+            long ageMillis,
+
             @JsonProperty(required = true) RelayReport report) {}
 
-    /** The whole fleet in a few numbers. */
+    /**
+     * The summary of the whole fleet.
+     *
+     * @param version the log's newest one
+     * @param digest of that version
+     * @param entryCount its documents
+     * @param characterCount of its names and texts
+     * @param counts versions that routers applied or rejected, newest first
+     * @param older routers with an older version in force
+     * @param silent routers that polled within the last minute and no longer do; an upper bound
+     * @param relays by name
+     */
     public record FleetStatus(
             @JsonProperty(required = true) long version,
             @JsonProperty(required = true) String digest,
@@ -34,45 +50,44 @@
             @JsonProperty(required = true) int silent,
             @JsonProperty(required = true) List<ReceivedReport> relays) {}
 
-    private final Map<String, Entry> entries = new TreeMap<>();
+    private final Map<String, Entry> latest = new TreeMap<>();
 
-    /** A relay's newest sums. */
-    synchronized void heard(String relay, RelayReport report, long now) {
-        entries.values().removeIf(each -> now - each.at() > AcknowledgementSummary.REPORTED);
-        if (entries.containsKey(relay) || entries.size() < MOST) {
-            entries.put(relay, new Entry(report, now));
+    /** Records a relay's report in the place of its last; ignored for one relay too many. */
+    synchronized void record(String relay, RelayReport report, long nowNanos) {
+        removeExpired(nowNanos);
+        if (latest.containsKey(relay) || latest.size() < MAX_RELAYS) {
+            latest.put(relay, new Entry(report, nowNanos));
         }
     }
 
-    /** All of them together, as of now. */
-    synchronized FleetStatus sum(VersionedState newest, long now) {
-        entries.values().removeIf(each -> now - each.at() > AcknowledgementSummary.REPORTED);
-        TreeMap<Long, int[]> counts = new TreeMap<>(Comparator.reverseOrder());
+    /** All reports together, as of now. */
+    synchronized FleetStatus summarize(VersionedState newest, long nowNanos) {
+        removeExpired(nowNanos);
+        VersionCounts counts = new VersionCounts();
         int older = 0;
         int silent = 0;
         List<ReceivedReport> relays = new ArrayList<>();
-        for (Map.Entry<String, Entry> each : entries.entrySet()) {
-            RelayReport report = each.getValue().report();
-            for (RelayReport.Count count : report.counts()) {
-                int[] sums = counts.computeIfAbsent(count.version(), v -> new int[2]);
-                sums[0] += count.applied();
-                sums[1] += count.rejected();
-            }
+        for (Map.Entry<String, Entry> entry : latest.entrySet()) {
+            RelayReport report = entry.getValue().report();
+            report.counts().forEach(count -> counts.add(count.version(), count.applied(), count.rejected()));
             older += report.older();
             silent += report.silent();
-            relays.add(new ReceivedReport(each.getKey(), (now - each.getValue().at()) / 1_000_000, report));
+            long ageNanos = nowNanos - entry.getValue().receivedAtNanos();
+            relays.add(new ReceivedReport(entry.getKey(), ageNanos / 1_000_000, report));
         }
-        List<RelayReport.Count> all = counts.entrySet().stream()
-                .map(each -> new RelayReport.Count(each.getKey(), each.getValue()[0], each.getValue()[1]))
-                .toList();
         return new FleetStatus(
                 newest.version(),
                 newest.digest(),
                 newest.entries().size(),
                 newest.characterCount(),
-                all,
+                counts.newest(Integer.MAX_VALUE),
                 older,
                 silent,
                 relays);
     }
+
+    private void removeExpired(long nowNanos) {
+        latest.values()
+                .removeIf(entry -> nowNanos - entry.receivedAtNanos() > AcknowledgementSummary.REPORT_EXPIRY_NANOS);
+    }
 }
--- /dev/null
+++ b/src/main/java/beaconladder/feed/RelayResponseCache.java
@@ -0,0 +1,42 @@
+package beaconladder.feed;
+
+import java.nio.charset.StandardCharsets;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * Serialized updates to one newest version, by the version that they start from: after a change most routers request
+ * the same one. Their lag is 0, so they are valid only while the relay's state is fresh. Thread-safe.
+ */
+final class RelayResponseCache {
+    /** After a burst routers hold a few different versions. */
+    private static final int MAX_RESPONSES = 32;
+
+    private final Map<Long, byte[]> responses = new HashMap<>();
+    private long newestVersion = -1;
+    private long fullStateResponses;
+
+    /** The response to a router that holds this version, serialized at the first request. */
+    synchronized byte[] get(VersionHistory history, long since) {
+        long newest = history.newest().version();
+        if (newestVersion != newest || responses.size() >= MAX_RESPONSES) {
+            responses.clear();
+            newestVersion = newest;
+        }
+        byte[] response = responses.get(since);
+        if (response == null) {
+            Update update = history.updateSince(since, false);
+            if (update.base() != null) {
+                fullStateResponses++;
+            }
+            response = FeedJson.text(update).getBytes(StandardCharsets.UTF_8);
+            responses.put(since, response);
+        }
+        return response;
+    }
+
+    /** How many responses with a full state were serialized. */
+    synchronized long fullStateResponses() {
+        return fullStateResponses;
+    }
+}
--- a/src/main/java/beaconladder/feed/RelaySelector.java
+++ b/src/main/java/beaconladder/feed/RelaySelector.java
@@ -8,143 +8,163 @@
 import java.util.SplittableRandom;
 
 /**
- * Which relay a router polls: its own; its spare while that one is dead or hears nothing from the log; the others in
- * their order while neither answers. One connection at a time. Where two that answer hear nothing, it stays with the
- * first of them: the log is away, and going round would help nobody.
+ * Which relay a router polls: its first by rendezvous hashing; the second while the first has failed or is stale; the
+ * others in their order while neither responds. One connection at a time. Where the responding relays are stale it
+ * settles on the first of them: the log is unavailable, and going round would help nobody.
  */
 final class RelaySelector implements AutoCloseable {
+    /** Mean time from another relay back to the first, by a jitter of half to one and a half of it: 3 to 9 s. */
+    private static final long FAILBACK_MILLIS = 6_000;
+
     private final List<String> order;
     private final Map<String, InetSocketAddress> addresses;
-    private final SplittableRandom chance;
-    private HttpFetcher open;
-    private int openTo = -1;
-    private int at;
+    private final SplittableRandom random;
+    private HttpFetcher connection;
+    private int connectedRelay = -1;
+    private int current;
+    /** The first relay of this round that responded and was stale, or -1. */
     private int firstStale = -1;
-    /** Whether it looks for a relay: polls don't wait then. */
-    private boolean quick = true;
 
-    private boolean settled;
-    private long backAt;
+    private boolean probing = true;
+    private boolean settledOnStale;
+    private long failbackAtNanos;
     /** The relay that may count this router, and from when on; see {@link AcknowledgementSummary}. */
-    private int home = -1;
+    private int countingRelay = -1;
 
-    private long countsFrom;
+    private long countableFromNanos;
     private boolean closed;
 
-    RelaySelector(String router, Map<String, InetSocketAddress> relays, SplittableRandom chance) {
+    /**
+     * Connects only on demand.
+     *
+     * @param relays addresses by name, at least one
+     */
+    RelaySelector(String router, Map<String, InetSocketAddress> relays, SplittableRandom random) {
         this.order = Rendezvous.order(router, relays.keySet());
         this.addresses = Map.copyOf(relays);
-        this.chance = chance;
+        this.random = random;
         if (order.isEmpty()) {
             throw new IllegalArgumentException("no relay is stated");
         }
     }
 
-    synchronized boolean quick() {
-        return quick;
+    /** Whether it still searches for a fresh relay; polls must not wait then. */
+    synchronized boolean isProbing() {
+        return probing;
     }
 
-    /** Whether it stays with a relay that hears nothing from the log. */
-    synchronized boolean settled() {
-        return settled;
+    /** Whether it stays with a relay that is stale. */
+    synchronized boolean isSettledOnStale() {
+        return settledOnStale;
     }
 
-    synchronized boolean counts() {
-        return at == home && System.nanoTime() - countsFrom >= 0;
+    /** Whether the current relay may count this router: no other relay can still do so. */
+    synchronized boolean isCountable() {
+        return current == countingRelay && System.nanoTime() - countableFromNanos >= 0;
     }
 
-    synchronized String relay() {
-        return order.get(at);
+    /** The name of the relay to poll. */
+    synchronized String currentRelay() {
+        return order.get(current);
     }
 
-    /** The connection to the relay whose turn it is. */
-    synchronized HttpFetcher use() throws IOException {
+    /** The connection to the current relay. */
+    synchronized HttpFetcher connection() throws IOException {
         if (closed) {
             throw new IOException("closed");
         }
-        if (openTo != at) {
-            hangUp();
-            open = new HttpFetcher(addresses.get(order.get(at)));
-            openTo = at;
+        if (connectedRelay != current) {
+            disconnect();
+            connection = new HttpFetcher(addresses.get(order.get(current)));
+            connectedRelay = current;
         }
-        return open;
+        return connection;
     }
 
-    /** It answered; fresh, if it knows the log's newest version and that is none older than the router's. */
-    synchronized void answered(boolean fresh) {
-        boolean look = System.nanoTime() - backAt >= 0;
-        if (fresh && at == 0 || settled && !look) {
-            stay(at, !fresh);
-        } else if (settled || fresh && !quick && look) {
-            settled = false;
-            begin();
+    /**
+     * The current relay responded.
+     *
+     * @param fresh whether it knows the log's newest version, and that is not older than the router's
+     */
+    synchronized void onResponse(boolean fresh) {
+        boolean failbackDue = System.nanoTime() - failbackAtNanos >= 0;
+        if (fresh && current == 0 || settledOnStale && !failbackDue) {
+            settle(current, !fresh);
+        } else if (settledOnStale || fresh && !probing && failbackDue) {
+            settledOnStale = false;
+            probeFromFirst();
         } else if (fresh) {
-            stay(at, false);
+            settle(current, false);
         } else if (firstStale >= 0) {
-            stay(firstStale, true);
+            settle(firstStale, true);
         } else {
-            firstStale = at;
-            next();
+            firstStale = current;
+            probeNext();
         }
     }
 
-    /** It did not answer. Whether none does, all tried: then there is no hurry. */
-    synchronized boolean failed() {
-        hangUp();
-        if (settled) {
-            settled = false;
-            begin();
+    /** The current relay did not respond. Returns true if none of them did in this round: the caller backs off then. */
+    synchronized boolean onFailure() {
+        disconnect();
+        if (settledOnStale) {
+            settledOnStale = false;
+            probeFromFirst();
             return false;
         }
-        return next();
+        return probeNext();
     }
 
-    private void begin() {
-        at = 0;
-        quick = true;
+    private void probeFromFirst() {
+        current = 0;
+        probing = true;
         firstStale = -1;
-        backAt = System.nanoTime() + Subscriber.back(chance);
+        scheduleFailback();
     }
 
-    private boolean next() {
-        quick = true;
-        at++;
-        if (at < order.size()) {
+    private boolean probeNext() {
+        probing = true;
+        current++;
+        if (current < order.size()) {
             return false;
         }
         if (firstStale >= 0) {
-            stay(firstStale, true);
+            settle(firstStale, true);
             return false;
         }
-        begin();
+        probeFromFirst();
         return true;
     }
 
-    private void stay(int relay, boolean stale) {
-        if (quick || settled != stale) {
-            backAt = System.nanoTime() + Subscriber.back(chance);
+    private void settle(int relay, boolean stale) {
+        if (probing || settledOnStale != stale) {
+            scheduleFailback();
         }
-        at = relay;
-        quick = false;
-        settled = stale;
+        current = relay;
+        probing = false;
+        settledOnStale = stale;
         firstStale = -1;
-        if (home != relay) {
-            home = relay;
-            countsFrom = System.nanoTime() + AcknowledgementSummary.MOVED;
+        if (countingRelay != relay) {
+            countingRelay = relay;
+            countableFromNanos = System.nanoTime() + AcknowledgementSummary.RELOCATION_NANOS;
         }
     }
 
-    private void hangUp() {
-        if (open != null) {
-            open.close();
+    private void scheduleFailback() {
+        long delayMillis = FAILBACK_MILLIS / 2 + random.nextLong(FAILBACK_MILLIS);
+        failbackAtNanos = System.nanoTime() + delayMillis * 1_000_000;
+    }
+
+    private void disconnect() {
+        if (connection != null) {
+            connection.close();
         }
-        open = null;
-        openTo = -1;
+        connection = null;
+        connectedRelay = -1;
     }
 
     @Override
     public synchronized void close() {
         closed = true;
-        hangUp();
+        disconnect();
     }
 }
--- a/src/main/java/beaconladder/feed/RelayServer.java
+++ b/src/main/java/beaconladder/feed/RelayServer.java
@@ -1,9 +1,12 @@
 package beaconladder.feed;
 
 import java.io.IOException;
+import java.net.HttpURLConnection;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
@@ -11,6 +14,7 @@
 import org.apache.hc.core5.http.ClassicHttpRequest;
 import org.apache.hc.core5.http.ClassicHttpResponse;
 import org.apache.hc.core5.http.ContentType;
+import org.apache.hc.core5.http.EndpointDetails;
 import org.apache.hc.core5.http.HttpException;
 import org.apache.hc.core5.http.config.Http1Config;
 import org.apache.hc.core5.http.impl.io.DefaultBHttpServerConnection;
@@ -18,185 +22,221 @@
 import org.apache.hc.core5.http.message.BasicClassicHttpResponse;
 
 /**
- * Where a relay answers routers: a task for each connection, no more of them than stated, each with one request and one
- * answer at a time. Nothing is queued for a router that does not read.
+ * A relay's HTTP server: one thread for each connection, a bound on the connections, and one request at a time on each.
+ * No response is queued for a router that does not read.
  */
 final class RelayServer implements AutoCloseable {
-    /** What a poll takes, many times over; some kilobytes a connection are most of what a relay holds. */
-    private static final Http1Config FRAMES = Http1Config.custom()
+    /** Several times what a poll needs; the few kilobytes per connection are most of a relay's memory. */
+    private static final Http1Config HTTP_CONFIG = Http1Config.custom()
             .setBufferSize(1024)
             .setMaxLineLength(2048)
             .setMaxHeaderCount(32)
             .build();
-    /** A router polls again at once; one that is silent for so long is gone. */
-    private static final int IDLE_MILLIS = 10_000;
-    /** The largest answer takes less at a hundredth of a gigabit a second; who reads slower is cut off. */
-    private static final long WRITE_NANOS = 5_000_000_000L;
-    /** As a router's tasks have it; what is never touched takes no memory. */
-    private static final long STACK = 256 * 1024;
 
-    /** What is said to a request. */
-    interface Answering {
-        /** The body; an exception is a request that is not whole. */
-        byte[] answer(String path, QueryString query) throws IOException, InterruptedException;
+    private static final int BACKLOG = 1024;
+    /** Pause after a connection could not be accepted. */
+    private static final int ACCEPT_RETRY_MILLIS = 20;
+    /** A router polls again at once; a connection idle for so long is closed. */
+    private static final int IDLE_MILLIS = 10_000;
+    /** The largest response takes less at a hundredth of a gigabit a second; slower readers are disconnected. */
+    private static final long WRITE_TIMEOUT_NANOS = 5_000_000_000L;
+
+    private static final int WRITE_CHECK_SECONDS = 1;
+    /** As for a router's threads; pages that are never touched take no memory. */
+    private static final long STACK_BYTES = 256 * 1024;
+
+    /** Answers requests. */
+    interface RequestHandler {
+        /**
+         * The response's body, as JSON.
+         *
+         * @throws IOException if the request is invalid: its message goes into a response with status 400
+         */
+        byte[] respond(String path, QueryString query) throws IOException, InterruptedException;
     }
 
-    /** A connection, and since when an answer is on its way over it, or 0. */
-    private static final class Open {
+    private static final class Connection {
         private final Socket socket;
-        private volatile long writes;
+        /** When writing the current response began, never 0; 0 while none is written. */
+        private volatile long writeStartNanos;
 
-        private Open(Socket socket) {
+        private Connection(Socket socket) {
             this.socket = socket;
         }
+
+        private void close() {
+            try {
+                socket.close();
+            } catch (IOException e) {
+                // The socket is unusable either way.
+            }
+        }
     }
 
-    private final ServerSocket door = new ServerSocket();
-    private final Answering answering;
-    private final int most;
-    private final Set<Open> open = ConcurrentHashMap.newKeySet();
+    private final ServerSocket listener = new ServerSocket();
+    private final RequestHandler handler;
+    private final int maxConnections;
+    private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
+    private final AtomicLong bytesIn = new AtomicLong();
+    private final AtomicLong bytesOut = new AtomicLong();
+    private final AtomicLong responses = new AtomicLong();
+    private final AtomicLong rejectedConnections = new AtomicLong();
     private volatile boolean closed;
-    final AtomicLong bytesIn = new AtomicLong();
-    final AtomicLong bytesOut = new AtomicLong();
-    final AtomicLong answers = new AtomicLong();
-    final AtomicLong refused = new AtomicLong();
 
-    RelayServer(InetSocketAddress at, int most, Answering answering) throws IOException {
-        this.answering = answering;
-        this.most = most;
-        door.setReuseAddress(true);
-        door.bind(at, 1024);
-        spawn(this::accept);
-        spawn(this::watch);
+    /** Starts to accept connections, up to the bound. */
+    RelayServer(InetSocketAddress address, int maxConnections, RequestHandler handler) throws IOException {
+        this.handler = handler;
+        this.maxConnections = maxConnections;
+        listener.setReuseAddress(true);
+        listener.bind(address, BACKLOG);
+        startThread(this::acceptConnections);
+        startThread(this::disconnectSlowReaders);
+    }
+
+    InetSocketAddress address() {
+        return (InetSocketAddress) listener.getLocalSocketAddress();
+    }
+
+    int connectionCount() {
+        return connections.size();
+    }
+
+    long bytesIn() {
+        return bytesIn.get();
+    }
+
+    long bytesOut() {
+        return bytesOut.get();
     }
 
-    InetSocketAddress at() {
-        return (InetSocketAddress) door.getLocalSocketAddress();
+    long responses() {
+        return responses.get();
     }
 
-    int connections() {
-        return open.size();
+    long rejectedConnections() {
+        return rejectedConnections.get();
     }
 
-    private static void spawn(Runnable task) {
-        Thread thread = new Thread(null, task, "relay", STACK);
+    private static void startThread(Runnable task) {
+        Thread thread = new Thread(null, task, "relay", STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         while (!closed) {
             try {
-                Socket socket = door.accept();
-                if (open.size() >= most) {
-                    refused.incrementAndGet();
+                Socket socket = listener.accept();
+                if (connections.size() >= maxConnections) {
+                    rejectedConnections.incrementAndGet();
                     socket.close();
                     continue;
                 }
-                Open each = new Open(socket);
-                open.add(each);
-                spawn(() -> serve(each));
+                Connection connection = new Connection(socket);
+                connections.add(connection);
+                startThread(() -> serve(connection));
             } catch (IOException e) {
-                rest();
+                pauseAccepting();
             }
         }
     }
 
-    private static void rest() {
+    private static void pauseAccepting() {
         try {
-            TimeUnit.MILLISECONDS.sleep(20);
+            TimeUnit.MILLISECONDS.sleep(ACCEPT_RETRY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void serve(Open each) {
-        try (each.socket;
-                DefaultBHttpServerConnection http = new DefaultBHttpServerConnection("http", FRAMES)) {
-            each.socket.setTcpNoDelay(true);
-            each.socket.setSoTimeout(IDLE_MILLIS);
-            http.bind(each.socket);
-            long in = 0;
-            long out = 0;
-            while (!closed && answer(each, http)) {
-                long read = http.getEndpointDetails().getReceivedBytesCount();
-                long written = http.getEndpointDetails().getSentBytesCount();
-                bytesIn.addAndGet(read - in);
-                bytesOut.addAndGet(written - out);
-                in = read;
-                out = written;
-                answers.incrementAndGet();
+    private void serve(Connection connection) {
+        try (connection.socket;
+                DefaultBHttpServerConnection http = new DefaultBHttpServerConnection("http", HTTP_CONFIG)) {
+            connection.socket.setTcpNoDelay(true);
+            connection.socket.setSoTimeout(IDLE_MILLIS);
+            http.bind(connection.socket);
+            long countedIn = 0;
+            long countedOut = 0;
+            while (!closed && handleRequest(connection, http)) {
+                EndpointDetails details = http.getEndpointDetails();
+                long received = details.getReceivedBytesCount();
+                long sent = details.getSentBytesCount();
+                bytesIn.addAndGet(received - countedIn);
+                bytesOut.addAndGet(sent - countedOut);
+                countedIn = received;
+                countedOut = sent;
+                responses.incrementAndGet();
             }
         } catch (IOException | HttpException | InterruptedException e) {
-            // The router is gone, or sends what is no request.
+            // The router disconnected, or sent what is no HTTP request: the connection is closed.
         } finally {
-            open.remove(each);
+            connections.remove(connection);
         }
     }
 
-    private boolean answer(Open each, DefaultBHttpServerConnection http)
+    /** Handles one request; whether the connection can be used for another. */
+    private boolean handleRequest(Connection connection, DefaultBHttpServerConnection http)
             throws IOException, HttpException, InterruptedException {
         ClassicHttpRequest request = http.receiveRequestHeader();
         if (request == null || !request.getMethod().equals("GET")) {
             return false;
         }
-        String path = request.getPath();
-        int mark = path.indexOf('?');
-        int code = 200;
+        int statusCode = HttpURLConnection.HTTP_OK;
         byte[] body;
         try {
-            body = answering.answer(
-                    mark < 0 ? path : path.substring(0, mark),
-                    new QueryString(mark < 0 ? null : path.substring(mark + 1)));
+            body = respond(request.getPath());
         } catch (IOException e) {
-            code = 400;
-            body = FeedJson.text(java.util.Map.of("error", String.valueOf(e.getMessage())))
-                    .getBytes(java.nio.charset.StandardCharsets.UTF_8);
+            statusCode = HttpURLConnection.HTTP_BAD_REQUEST;
+            body = FeedJson.text(Map.of("error", String.valueOf(e.getMessage())))
+                    .getBytes(StandardCharsets.UTF_8);
         }
-        ClassicHttpResponse response = new BasicClassicHttpResponse(code);
+        send(connection, http, statusCode, body);
+        return statusCode == HttpURLConnection.HTTP_OK;
+    }
+
+    private byte[] respond(String pathAndQuery) throws IOException, InterruptedException {
+        int mark = pathAndQuery.indexOf('?');
+        String path = mark < 0 ? pathAndQuery : pathAndQuery.substring(0, mark);
+        String query = mark < 0 ? null : pathAndQuery.substring(mark + 1);
+        return handler.respond(path, new QueryString(query));
+    }
+
+    private static void send(Connection connection, DefaultBHttpServerConnection http, int statusCode, byte[] body)
+            throws IOException, HttpException {
+        ClassicHttpResponse response = new BasicClassicHttpResponse(statusCode);
         response.setEntity(new ByteArrayEntity(body, ContentType.APPLICATION_JSON));
         response.setHeader("Content-Length", body.length);
-        each.writes = System.nanoTime() | 1;
+        connection.writeStartNanos = System.nanoTime() | 1;
         http.sendResponseHeader(response);
         http.sendResponseEntity(response);
         http.flush();
-        each.writes = 0;
-        return code == 200;
+        connection.writeStartNanos = 0;
     }
 
-    /** Ends connections whose router does not take its answer. */
-    private void watch() {
+    private void disconnectSlowReaders() {
         while (!closed) {
-            for (Open each : open) {
-                long since = each.writes;
-                if (since != 0 && System.nanoTime() - since > WRITE_NANOS) {
-                    close(each);
+            for (Connection connection : connections) {
+                long startNanos = connection.writeStartNanos;
+                if (startNanos != 0 && System.nanoTime() - startNanos > WRITE_TIMEOUT_NANOS) {
+                    connection.close();
                 }
             }
             try {
-                TimeUnit.SECONDS.sleep(1);
+                TimeUnit.SECONDS.sleep(WRITE_CHECK_SECONDS);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private static void close(Open each) {
-        try {
-            each.socket.close();
-        } catch (IOException e) {
-            // It is gone either way.
-        }
-    }
-
     @Override
     public void close() {
         closed = true;
         try {
-            door.close();
+            listener.close();
         } catch (IOException e) {
-            // It is gone either way.
+            // The socket is unusable either way.
         }
-        open.forEach(RelayServer::close);
+        connections.forEach(Connection::close);
     }
 }
--- a/src/main/java/beaconladder/feed/Rendezvous.java
+++ b/src/main/java/beaconladder/feed/Rendezvous.java
@@ -6,22 +6,22 @@
 import java.util.List;
 
 /**
- * Which relay a router turns to: the highest hash of both names first (Thaler and Ravishankar, 1996). One relay more or
- * less moves only those routers whose first it is.
+ * Rendezvous hashing of routers to relays: the highest hash of both names first (Thaler and Ravishankar, 1996). If a
+ * relay is added or removed, only routers whose first it is change theirs.
  */
 final class Rendezvous {
     private Rendezvous() {}
 
-    /** All of them, the router's own first, its spare second. */
+    /** All relays in the router's order of preference. */
     static List<String> order(String router, Collection<String> relays) {
         return relays.stream()
-                .sorted(Comparator.comparingLong((String relay) -> -(Hashing.xxh3_64()
-                                        .hashStream()
-                                        .putString(router)
-                                        .putString(relay)
-                                        .getAsLong()
-                                >>> 1))
+                .sorted(Comparator.comparingLong((String relay) -> -weight(router, relay))
                         .thenComparing(Comparator.naturalOrder()))
                 .toList();
     }
+
+    /** Not negative, so that its negation can't overflow. */
+    private static long weight(String router, String relay) {
+        return Hashing.xxh3_64().hashStream().putString(router).putString(relay).getAsLong() >>> 1;
+    }
 }
--- a/src/main/java/beaconladder/feed/StateStore.java
+++ b/src/main/java/beaconladder/feed/StateStore.java
@@ -9,69 +9,86 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The newest state on the own disk, for a start with no relay there; without a folder it keeps nothing. */
-public final class StateStore implements AutoCloseable {
+/**
+ * The newest state on the own disk, for a start while no upstream answers. Without a folder it is kept in memory only.
+ * Not thread-safe: one thread saves and restores.
+ */
+final class StateStore implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
 
     private final DurableRecords records;
-    private Kept kept = new Kept(VersionedState.empty(), 0);
-    /** What has to be in the place of what is kept, as a version was refused behind its write. */
-    private Kept owed;
+    private Snapshot stored = new Snapshot(VersionedState.empty(), 0);
+    /** Has to replace what is stored, as that version was rejected after it had been written; or null. */
+    private Snapshot pendingRestore;
 
     /**
-     * What is kept.
+     * A stored state.
      *
-     * @param heard Unix milliseconds when the state was known to be the newest
+     * @param confirmedAtMillis Unix time when the state was known to be the newest
      */
-    record Kept(
+    record Snapshot(
             @JsonProperty(required = true) VersionedState state,
-            @JsonProperty(required = true) long heard) {}
+            @JsonProperty(value = "heard", required = true) long confirmedAtMillis) {}
 
-    /** Opens a folder, or none where it is null; a damaged one is an exception that names it. */
-    public StateStore(Path folder) throws IOException {
+    /**
+     * Opens a folder.
+     *
+     * @param folder where the state is, or null to store nothing
+     * @throws CorruptStateException if the stored state can't be read or fails its checks
+     * @throws IOException if the folder can't be used, or another process has it open
+     */
+    StateStore(Path folder) throws IOException {
         records = folder == null ? null : DurableRecords.open(folder);
         if (records != null && !records.recovered().isEmpty()) {
             byte[] last = records.recovered().get(records.recovered().size() - 1);
             try {
-                kept = FeedJson.read(new String(last, StandardCharsets.UTF_8), Kept.class);
-                kept.state().validated();
+                stored = FeedJson.read(new String(last, StandardCharsets.UTF_8), Snapshot.class);
+                stored.state().validated();
             } catch (IOException e) {
                 records.close();
-                throw new IOException(folder + " holds no whole state: " + e.getMessage(), e);
+                throw new CorruptStateException(folder + " holds no valid state: " + e.getMessage(), e);
             }
         }
     }
 
-    /** What was there when it was opened, or was kept last. */
-    Kept kept() {
-        return kept;
+    /** What was found when the folder was opened, or was saved last. */
+    Snapshot stored() {
+        return stored;
     }
 
-    /** Keeps it in the place of the one before; it is there once this returns. */
-    void keep(VersionedState state, long heard) throws IOException {
-        Kept next = new Kept(state, heard);
+    /**
+     * Replaces the stored state; it is durable once this returns.
+     *
+     * @param confirmedAtMillis Unix time when the state was known to be the newest
+     * @throws IOException if the disk is full or fails; then the state stored before remains
+     */
+    void save(VersionedState state, long confirmedAtMillis) throws IOException {
+        Snapshot next = new Snapshot(state, confirmedAtMillis);
         if (records != null) {
             records.replace(List.of(FeedJson.text(next).getBytes(StandardCharsets.UTF_8)));
         }
-        kept = next;
-        owed = null;
+        stored = next;
+        pendingRestore = null;
     }
 
-    /** Puts what was kept before back in its place; where that fails it stays owed. */
-    void putBack(Kept before) {
-        owed = before;
-        settle();
+    /** Writes an earlier state back; if that fails, {@link #retryRestore} tries again. */
+    void restore(Snapshot earlier) {
+        pendingRestore = earlier;
+        retryRestore();
     }
 
-    /** Writes what is owed, if anything is. */
-    void settle() {
-        if (owed == null) {
+    /** Retries a restore that failed, if there is one. */
+    void retryRestore() {
+        if (pendingRestore == null) {
             return;
         }
         try {
-            keep(owed.state(), owed.heard());
+            save(pendingRestore.state(), pendingRestore.confirmedAtMillis());
         } catch (IOException e) {
-            LOG.warn("version {} can't be written back yet: {}", owed.state().version(), e.getMessage());
+            LOG.warn(
+                    "version {} can't be written back yet: {}",
+                    pendingRestore.state().version(),
+                    e.getMessage());
         }
     }
 
--- /dev/null
+++ b/src/main/java/beaconladder/feed/VersionCounts.java
@@ -0,0 +1,41 @@
+package beaconladder.feed;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/** How many routers applied or rejected each version, newest first. */
+final class VersionCounts {
+    private static final int APPLIED = 0;
+    private static final int REJECTED = 1;
+
+    private final TreeMap<Long, int[]> countsByVersion = new TreeMap<>(Comparator.reverseOrder());
+
+    void add(long version, int applied, int rejected) {
+        int[] counts = countsByVersion.computeIfAbsent(version, v -> new int[2]);
+        counts[APPLIED] += applied;
+        counts[REJECTED] += rejected;
+    }
+
+    /** The newest versions, at most so many. */
+    List<RelayReport.Count> newest(int max) {
+        List<RelayReport.Count> newest = new ArrayList<>();
+        for (Map.Entry<Long, int[]> entry : countsByVersion.entrySet()) {
+            if (newest.size() == max) {
+                break;
+            }
+            newest.add(new RelayReport.Count(entry.getKey(), entry.getValue()[APPLIED], entry.getValue()[REJECTED]));
+        }
+        return newest;
+    }
+
+    /** Routers with a version in force that is not among the newest so many. */
+    int appliedBeyond(int max) {
+        return countsByVersion.values().stream()
+                .skip(max)
+                .mapToInt(counts -> counts[APPLIED])
+                .sum();
+    }
+}
--- a/src/main/java/beaconladder/feed/VersionHistory.java
+++ b/src/main/java/beaconladder/feed/VersionHistory.java
@@ -1,114 +1,137 @@
 package beaconladder.feed;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * The newest state and how it came about, as far as it is worth keeping: what a log's replicas apply alike, and what a
- * relay holds.
+ * The newest state and the last changes that led to it: the state machine that the log's replicas share, and what a
+ * relay holds. Immutable.
  *
- * @param changes the last ones, oldest first, the last of them leading to the newest state
+ * @param changes the last ones, oldest first; the last of them leads to the newest state
  */
 public record VersionHistory(
         @JsonProperty(required = true) VersionedState newest,
         @JsonProperty(required = true) List<Change> changes) {
-    /** At 8,700 changes a day this is most of an hour; who has been away for longer gets the base. */
+    /** At 8,700 changes a day this is most of an hour; a client that was away for longer gets the full state. */
     static final int MAX_CHANGES = 256;
 
-    /** A history after a proposal, and what became of that. */
+    /**
+     * What applying a proposal led to.
+     *
+     * @param history after it; the same as before if the proposal was not committed
+     * @param result for the proposer
+     */
     public record Transition(VersionHistory history, CommitResult result) {}
 
-    /** Copies, so that nobody changes it later. */
+    /** Copies the list, so that the history is immutable. */
     public VersionHistory {
         changes = List.copyOf(changes);
     }
 
-    /** Nothing yet. */
+    /** The history before the first version. */
     public static VersionHistory empty() {
         return of(VersionedState.empty());
     }
 
-    /** One that knows of no version before. */
+    /** A history without changes. */
     static VersionHistory of(VersionedState state) {
         return new VersionHistory(state, List.of());
     }
 
-    /** The history with this proposal applied; all replicas come to the same. */
+    /** Applies a proposal; deterministic, so that all replicas reach the same history. */
     public Transition apply(Proposal proposal) {
         if (proposal.baseVersion() != newest.version()) {
-            boolean again = changes.stream()
-                    .anyMatch(each -> each.version() == proposal.baseVersion() + 1
-                            && each.set().equals(proposal.set())
-                            && each.remove().equals(proposal.remove()));
-            return applied(this, again ? CommitResult.Outcome.COMMITTED : CommitResult.Outcome.VERSION_CONFLICT);
+            return unchanged(
+                    isCommitted(proposal) ? CommitResult.Outcome.COMMITTED : CommitResult.Outcome.VERSION_CONFLICT);
         }
         VersionedState next = newest.after(proposal);
-        if (next.characterCount() > VersionedState.MAX_CHARACTERS
-                || next.entries().size() > VersionedState.MAX_ENTRIES) {
-            return applied(this, CommitResult.Outcome.TOO_LARGE);
+        if (!next.isWithinBounds()) {
+            return unchanged(CommitResult.Outcome.TOO_LARGE);
         }
-        return applied(
-                with(next, List.of(new Change(next.version(), proposal.set(), proposal.remove(), next.digest()))),
-                CommitResult.Outcome.COMMITTED);
+        Change change = new Change(next.version(), proposal.set(), proposal.remove(), next.digest());
+        VersionHistory history = append(next, List.of(change));
+        return new Transition(history, history.result(CommitResult.Outcome.COMMITTED));
+    }
+
+    /** Whether a retry of a proposal finds its change committed already. */
+    private boolean isCommitted(Proposal proposal) {
+        return changes.stream()
+                .anyMatch(change -> change.version() == proposal.baseVersion() + 1
+                        && change.set().equals(proposal.set())
+                        && change.remove().equals(proposal.remove()));
+    }
+
+    private Transition unchanged(CommitResult.Outcome outcome) {
+        return new Transition(this, result(outcome));
     }
 
-    private static Transition applied(VersionHistory next, CommitResult.Outcome outcome) {
-        return new Transition(next, new CommitResult(outcome, next.newest.version(), next.newest.digest()));
+    private CommitResult result(CommitResult.Outcome outcome) {
+        return new CommitResult(outcome, newest.version(), newest.digest());
     }
 
-    /** Changes are kept up to a count, and while all of them take no more than a state may. */
-    private VersionHistory with(VersionedState next, List<Change> more) {
+    /** Drops the oldest changes beyond the count, or while all together exceed the size of a state. */
+    private VersionHistory append(VersionedState next, List<Change> added) {
         List<Change> all = new ArrayList<>(changes);
-        all.addAll(more);
-        int size = all.stream().mapToInt(Change::characterCount).sum();
-        while (all.size() > MAX_CHANGES || size > VersionedState.MAX_CHARACTERS) {
-            size -= all.remove(0).characterCount();
+        all.addAll(added);
+        int characters = all.stream().mapToInt(Change::characterCount).sum();
+        while (all.size() > MAX_CHANGES || characters > VersionedState.MAX_CHARACTERS) {
+            characters -= all.remove(0).characterCount();
         }
         return new VersionHistory(next, all);
     }
 
-    /** What one that holds this version lacks: nothing, the changes since, or the base where that is less. */
-    public Update updateSince(long version, boolean whole) {
+    /**
+     * What a client lacks: nothing, the changes since its version, or the full state if that is smaller.
+     *
+     * @param version the one that the client holds
+     * @param fullState whether the client requests the full state in place of changes
+     */
+    public Update updateSince(long version, boolean fullState) {
         if (version >= newest.version()) {
-            return new Update(newest.version(), newest.digest(), 0, null, List.of());
+            return Update.none(newest);
+        }
+        int first = changes.size() - (int) Math.min(Integer.MAX_VALUE, newest.version() - version);
+        if (fullState || first < 0) {
+            return Update.full(newest);
         }
-        int from = changes.size() - (int) Math.min(Integer.MAX_VALUE, newest.version() - version);
-        List<Change> missed = whole || from < 0 ? List.of() : changes.subList(from, changes.size());
-        boolean base = missed.isEmpty()
-                || missed.stream().mapToInt(Change::characterCount).sum() > newest.characterCount();
-        return new Update(newest.version(), newest.digest(), 0, base ? newest : null, base ? List.of() : missed);
+        List<Change> missed = changes.subList(first, changes.size());
+        int characters = missed.stream().mapToInt(Change::characterCount).sum();
+        return characters > newest.characterCount() ? Update.full(newest) : Update.incremental(newest, missed);
     }
 
     /**
-     * The history with what was told, looked at whole.
+     * The history with an update from outside merged in, after checking it.
      *
-     * @return this one where nothing newer was told
-     * @throws IOException where it does not fit, and nothing of it counts
+     * @return this one if the update has nothing newer
+     * @throws InvalidStateException if the update breaks an invariant; nothing of it is merged then
      */
-    VersionHistory merge(Update told) throws IOException {
-        if (told.base() != null) {
-            VersionedState base = told.base().validated();
+    VersionHistory merge(Update update) throws InvalidStateException {
+        if (update.base() != null) {
+            VersionedState base = update.base().validated();
             return base.version() > newest.version() ? of(base) : this;
         }
-        List<Change> more = told.changes().stream()
-                .filter(each -> each.version() > newest.version())
+        List<Change> newer = update.changes().stream()
+                .filter(change -> change.version() > newest.version())
                 .toList();
-        return more.isEmpty() ? this : with(newest.after(more), more);
+        return newer.isEmpty() ? this : append(newest.after(newer), newer);
     }
 
-    /** Nothing that was read back is believed before this has looked at it. */
-    public VersionHistory validated() throws IOException {
+    /**
+     * This history, if a snapshot that was read back satisfies all invariants.
+     *
+     * @throws InvalidStateException if versions have a gap, or a digest or bound does not hold
+     */
+    public VersionHistory validated() throws InvalidStateException {
         newest.validated();
         long version = newest.version() - changes.size();
-        for (Change each : changes) {
-            if (each.version() != ++version) {
-                throw new IOException("changes out of turn at version " + each.version());
+        for (Change change : changes) {
+            if (change.version() != ++version) {
+                throw new InvalidStateException("changes out of turn at version " + change.version());
             }
         }
         if (!changes.isEmpty() && !changes.get(changes.size() - 1).digest().equals(newest.digest())) {
-            throw new IOException("the last change does not lead to the newest state");
+            throw new InvalidStateException("the last change does not lead to the newest state");
         }
         return this;
     }
--- a/src/main/java/beaconladder/feed/VersionNotifier.java
+++ b/src/main/java/beaconladder/feed/VersionNotifier.java
@@ -1,29 +1,35 @@
 package beaconladder.feed;
 
-/** Where the newest history hangs out; those who wait for a newer one are woken. */
+/** Publishes the newest history to threads that wait for a newer version. Thread-safe. */
 public final class VersionNotifier {
     private VersionHistory history = VersionHistory.empty();
 
-    /** What hangs there now. */
+    /** The history published last; empty before the first. */
     public synchronized VersionHistory current() {
         return history;
     }
 
-    /** Hangs out another one. */
+    /** Replaces the history, and wakes all waiting threads. */
     public synchronized void publish(VersionHistory next) {
         history = next;
         notifyAll();
     }
 
-    /** Wakes all who wait, as there is something else to tell them. */
+    /** Wakes all waiting threads without a new version: something else in their responses has changed. */
     synchronized void wakeAll() {
         notifyAll();
     }
 
-    /** What hangs there once it is newer than this version, after so long at the latest, or after a wake. */
-    public synchronized VersionHistory awaitNewer(long version, long millis) throws InterruptedException {
-        if (history.newest().version() <= version && millis > 0) {
-            wait(millis);
+    /**
+     * Waits once for a newer version, and returns the history that is current then, newer or not.
+     *
+     * @param version the version that the caller holds
+     * @param timeoutMillis the longest wait; 0 returns at once
+     * @throws InterruptedException if the waiting thread is interrupted
+     */
+    public synchronized VersionHistory awaitNewer(long version, long timeoutMillis) throws InterruptedException {
+        if (history.newest().version() <= version && timeoutMillis > 0) {
+            wait(timeoutMillis);
         }
         return history;
     }
--- a/src/main/java/beaconladder/feed/VersionedState.java
+++ b/src/main/java/beaconladder/feed/VersionedState.java
@@ -5,7 +5,6 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import com.fasterxml.jackson.annotation.JsonIgnore;
 import com.fasterxml.jackson.annotation.JsonProperty;
-import java.io.IOException;
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
@@ -13,27 +12,30 @@
 import java.util.TreeMap;
 
 /**
- * What is to be in force, whole: settings and plans as texts by name. The log alone gives versions, one after the other
- * from 1; a version has one digest, over it and all texts.
+ * All documents of one version: settings and plans. Immutable.
+ *
+ * @param version assigned by the log alone, consecutively from 1; 0 is the empty state
+ * @param entries texts by document name
+ * @param digest over the version and all entries, as 32 hexadecimal digits
  */
 public record VersionedState(
         @JsonProperty(required = true) long version,
         @JsonProperty(required = true) SortedMap<String, String> entries,
         @JsonProperty(required = true) String digest) {
     /**
-     * All texts and names together, in characters: a plan of some thousand tenants, and settings of the same size. A
-     * router holds two states at once, which is to stay far below its 64 MB for control.
+     * Bound on all names and texts together, in characters: a plan of some thousand tenants, and settings of the same
+     * size. A router holds two states at once, which have to stay far below its 64 MB for control.
      */
     public static final int MAX_CHARACTERS = 512 * 1024;
-    /** Names of documents; an installation has some dozens. */
+    /** Bound on the documents; an installation has some dozens. */
     static final int MAX_ENTRIES = 256;
 
-    /** Copies, so that nobody changes it later. */
+    /** Copies the map, so that the state is immutable. */
     public VersionedState {
         entries = Collections.unmodifiableSortedMap(new TreeMap<>(entries));
     }
 
-    /** Nothing yet. */
+    /** Version 0, without documents. */
     public static VersionedState empty() {
         return of(0, Map.of());
     }
@@ -51,42 +53,58 @@
         return String.format("%016x%016x", value.getMostSignificantBits(), value.getLeastSignificantBits());
     }
 
-    /** The digest that its contents have, whatever it came with. */
+    /** The digest of the actual contents, whether or not {@link #digest} is right. */
     public String computeDigest() {
         return digest(version, entries);
     }
 
-    /** How much of the bound it takes. */
+    /** Characters of all names and texts; at most {@link #MAX_CHARACTERS} in a valid state. */
     @JsonIgnore
     public int characterCount() {
-        return Proposal.characterCount(entries);
+        return Documents.characterCount(entries);
     }
 
-    /** Nothing from outside is believed before this has looked at it. */
-    VersionedState validated() throws IOException {
+    @JsonIgnore
+    boolean isWithinBounds() {
+        return entries.size() <= MAX_ENTRIES && characterCount() <= MAX_CHARACTERS;
+    }
+
+    /**
+     * This state, if what came from outside satisfies all invariants.
+     *
+     * @throws InvalidStateException if a document, a bound or the digest is wrong
+     */
+    VersionedState validated() throws InvalidStateException {
         if (version < 0) {
-            throw new IOException("a version below nought");
+            throw new InvalidStateException("a version below nought");
         }
-        Proposal.check(entries);
-        return bounded().withDigest(digest(version, entries));
+        requireValid(entries);
+        return requireBounds().requireDigest(digest(version, entries));
     }
 
-    private VersionedState bounded() throws IOException {
-        if (entries.size() > MAX_ENTRIES || characterCount() > MAX_CHARACTERS) {
-            throw new IOException(
+    private static void requireValid(Map<String, String> documents) throws InvalidStateException {
+        String fault = Documents.fault(documents);
+        if (fault != null) {
+            throw new InvalidStateException(fault);
+        }
+    }
+
+    private VersionedState requireBounds() throws InvalidStateException {
+        if (!isWithinBounds()) {
+            throw new InvalidStateException(
                     "a state of more than " + MAX_CHARACTERS + " characters or " + MAX_ENTRIES + " entries");
         }
         return this;
     }
 
-    private VersionedState withDigest(String wanted) throws IOException {
-        if (!wanted.equals(digest)) {
-            throw new IOException("version " + version + " does not have the digest that came with it");
+    private VersionedState requireDigest(String expected) throws InvalidStateException {
+        if (!expected.equals(digest)) {
+            throw new InvalidStateException("version " + version + " does not have the digest that came with it");
         }
         return this;
     }
 
-    /** The next one, by what a log has written. */
+    /** The next version, by a proposal that the log commits. */
     VersionedState after(Proposal proposal) {
         TreeMap<String, String> next = new TreeMap<>(entries);
         next.putAll(proposal.set());
@@ -95,27 +113,30 @@
     }
 
     /**
-     * A later one, by changes from outside: those beyond this one have to follow on it without a gap, and come to the
-     * digest of the last. Digests between are not looked at: no state is there that has them.
+     * A later version, by changes from outside; those up to this version are skipped. Only the digest of the last
+     * change is checked: the states between are not built.
+     *
+     * @throws InvalidStateException if a version is missing, or a document, a bound or the last digest is wrong
      */
-    VersionedState after(List<Change> changes) throws IOException {
+    VersionedState after(List<Change> changes) throws InvalidStateException {
         TreeMap<String, String> next = new TreeMap<>(entries);
-        long at = version;
+        long nextVersion = version;
         for (Change change : changes) {
             if (change.version() <= version) {
                 continue;
             }
-            if (change.version() != ++at) {
-                throw new IOException("a change to version " + change.version() + " where " + at + " is next");
+            if (change.version() != ++nextVersion) {
+                throw new InvalidStateException(
+                        "a change to version " + change.version() + " where " + nextVersion + " is next");
             }
-            Proposal.check(change.set());
+            requireValid(change.set());
             next.putAll(change.set());
             next.keySet().removeAll(change.remove());
         }
-        return at == version
-                ? this
-                : new VersionedState(at, next, digest(at, next))
-                        .bounded()
-                        .withDigest(changes.get(changes.size() - 1).digest());
+        if (nextVersion == version) {
+            return this;
+        }
+        String expectedDigest = changes.get(changes.size() - 1).digest();
+        return of(nextVersion, next).requireBounds().requireDigest(expectedDigest);
     }
 }
--- a/src/test/java/beaconladder/feed/FeedDoorsTest.java
+++ b/src/test/java/beaconladder/feed/FeedDoorsTest.java
@@ -50,8 +50,8 @@
     }
 
     @Test
-    void theLogTakesProposalsAndTellsOfThem() throws Exception {
-        try (LogStandIn log = new LogStandIn()) {
+    void theLogCommitsProposalsAndServesUpdates() throws Exception {
+        try (InMemoryLog log = new InMemoryLog()) {
             assertThat(ask(log.at(), "/v1/feed?since=0&wait=0", null))
                     .isEqualTo("200 {\"version\":0," + "\"digest\":\"" + D0
                             + "\",\"lagMillis\":0,\"base\":null,\"changes\":[]}");
@@ -66,10 +66,10 @@
     }
 
     @Test
-    void theLogSumsUpReportsAndNamesItsErrors() throws Exception {
+    void theLogSumsUpReportsAndNamesErrors() throws Exception {
         String report = "{\"version\":0,\"lagMillis\":4,\"counts\":[{\"version\":0,\"applied\":5,"
                 + "\"refused\":6}],\"older\":7,\"silent\":8}";
-        try (LogStandIn log = new LogStandIn()) {
+        try (InMemoryLog log = new InMemoryLog()) {
             ask(
                     log.at(),
                     "/v1/feed?since=0&wait=0&relay=a&report=" + URLEncoder.encode(report, StandardCharsets.UTF_8),
@@ -86,8 +86,8 @@
     }
 
     @Test
-    void theRelayTellsRoutersAndItsStatus() throws Exception {
-        try (LogStandIn log = new LogStandIn();
+    void theRelayServesRoutersAndItsStatus() throws Exception {
+        try (InMemoryLog log = new InMemoryLog();
                 Relay relay = new Relay("a", ANY, List.of(log.at()), null, 10)) {
             log.set("x", "1");
             String poll = "/v1/feed?wait=0&name=n&life=1&force=0&refused=0&counts=1&patient=1&since=0";
@@ -110,25 +110,26 @@
     }
 
     @Test
-    void routersAndRelaysAskWithTheseParameters() throws Exception {
+    void routersAndRelaysPollWithTheseParameters() throws Exception {
         BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-        HttpServer door = HttpServer.create(ANY, 10);
-        door.createContext("/", exchange -> {
+        HttpServer server = HttpServer.create(ANY, 10);
+        server.createContext("/", exchange -> {
             asked.add(exchange.getRequestURI().getRawPath() + "?"
                     + exchange.getRequestURI().getQuery());
             exchange.sendResponseHeaders(400, -1);
             exchange.close();
         });
-        door.start();
+        server.start();
         try {
-            try (Subscriber router = new Subscriber("n", 5, Map.of("a", door.getAddress()), null, new Keeps())) {
+            try (Subscriber router =
+                    new Subscriber("n", 5, Map.of("a", server.getAddress()), null, new RecordingApplier())) {
                 new Thread(router).start();
                 assertThat(asked.poll(20, TimeUnit.SECONDS))
                         .isEqualTo("/v1/feed?since=0&wait=0&name=n&life=5&force=0&refused=0");
             }
             TimeUnit.MILLISECONDS.sleep(100);
             asked.clear();
-            try (Relay relay = new Relay("r", ANY, List.of(door.getAddress()), null, 10)) {
+            try (Relay relay = new Relay("r", ANY, List.of(server.getAddress()), null, 10)) {
                 assertThat(relay).isNotNull();
                 assertThat(asked.poll(20, TimeUnit.SECONDS))
                         .isEqualTo("/v1/feed?since=0&wait=500&relay=r"
@@ -136,16 +137,16 @@
                                 + "\"silent\":0}");
             }
         } finally {
-            door.stop(0);
+            server.stop(0);
         }
     }
 
     @Test
-    void aQueryIsReadByNameAndDecoded() throws IOException {
+    void queryParametersAreFoundByNameAndDecoded() throws IOException {
         QueryString query = new QueryString("name=a%2Fb&since=12&whole=1&counts=0");
         assertThat(query.text("name")).isEqualTo("a/b");
         assertThat(query.number("since", 12)).isEqualTo(12);
-        assertThat(query.is("whole")).isTrue();
-        assertThat(query.is("counts")).isFalse();
+        assertThat(query.isSet("whole")).isTrue();
+        assertThat(query.isSet("counts")).isFalse();
     }
 }
--- a/src/test/java/beaconladder/feed/FeedJsonTest.java
+++ b/src/test/java/beaconladder/feed/FeedJsonTest.java
@@ -26,9 +26,12 @@
     }
 
     @Test
-    void statesAndWhatIsKeptOfThem() throws IOException {
+    void statesAndStoredStates() throws IOException {
         same(STATE, VersionedState.class, STATE_TEXT);
-        same(new StateStore.Kept(STATE, 12), StateStore.Kept.class, "{\"state\":" + STATE_TEXT + ",\"heard\":12}");
+        same(
+                new StateStore.Snapshot(STATE, 12),
+                StateStore.Snapshot.class,
+                "{\"state\":" + STATE_TEXT + ",\"heard\":12}");
         same(
                 new VersionHistory(STATE, List.of(CHANGE)),
                 VersionHistory.class,
@@ -60,7 +63,7 @@
     }
 
     @Test
-    void proposalsAndWhatBecameOfThem() throws IOException {
+    void proposalsAndCommitResults() throws IOException {
         same(
                 new Proposal(2, Map.of("b", "2", "a", "1"), List.of("c")),
                 Proposal.class,
@@ -81,7 +84,7 @@
     }
 
     @Test
-    void reportsAndTheirSums() throws IOException {
+    void reportsAndTheirSummary() throws IOException {
         same(REPORT, RelayReport.class, REPORT_TEXT);
         same(
                 new RelayReports.FleetStatus(
@@ -106,17 +109,17 @@
 
     @Test
     void acknowledgementsAreSummedUpAsThisReport() {
-        AcknowledgementSummary tally = new AcknowledgementSummary();
-        tally.heard(new Acknowledgement("n", 1, 3, 0, true), 0);
-        tally.heard(new Acknowledgement("o", 1, 2, 3, true), 0);
-        tally.heard(new Acknowledgement("p", 1, 2, 0, false), 0);
-        assertThat(FeedJson.text(tally.report(3, 40, 0)))
+        AcknowledgementSummary summary = new AcknowledgementSummary();
+        summary.record(new Acknowledgement("n", 1, 3, 0, true), 0);
+        summary.record(new Acknowledgement("o", 1, 2, 3, true), 0);
+        summary.record(new Acknowledgement("p", 1, 2, 0, false), 0);
+        assertThat(FeedJson.text(summary.report(3, 40, 0)))
                 .isEqualTo("{\"version\":3,\"lagMillis\":40,"
                         + "\"counts\":[{\"version\":3,\"applied\":1,\"refused\":1},"
                         + "{\"version\":2,\"applied\":1,\"refused\":0}],\"older\":0,\"silent\":0}");
         RelayReports reports = new RelayReports();
-        reports.heard("a", REPORT, 0);
-        assertThat(FeedJson.text(reports.sum(STATE, 20_000_000)))
+        reports.record("a", REPORT, 0);
+        assertThat(FeedJson.text(reports.summarize(STATE, 20_000_000)))
                 .isEqualTo("{\"version\":3,"
                         + "\"digest\":\"d3\",\"entries\":2,\"size\":4,\"counts\":"
                         + "[{\"version\":3,\"applied\":5,\"refused\":6}],\"older\":7,\"silent\":8,"
@@ -124,7 +127,7 @@
     }
 
     @Test
-    void anotherNameInAMessageIsRefused() {
+    void unknownNamesInAMessageAreRejected() {
         assertThatThrownBy(() -> FeedJson.read(STATE_TEXT.replace("entries", "settings"), VersionedState.class))
                 .isInstanceOf(IOException.class);
         assertThatThrownBy(() -> FeedJson.read(CHANGE_TEXT.replace("}", ",\"more\":1}"), Change.class))
--- a/src/test/java/beaconladder/feed/LogStandIn.java
+++ b/src/test/java/beaconladder/feed/InMemoryLog.java
@@ -10,64 +10,64 @@
 import java.util.concurrent.Executors;
 
 /** The grantors' log without the grantors: its real door, on a history in memory. */
-public final class LogStandIn implements LogEndpoint.Log, AutoCloseable {
-    private final VersionNotifier board = new VersionNotifier();
-    private final HttpServer door;
+public final class InMemoryLog implements LogEndpoint.Log, AutoCloseable {
+    private final VersionNotifier versions = new VersionNotifier();
+    private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool();
-    private volatile boolean leads = true;
+    private volatile boolean leader = true;
 
-    public LogStandIn() throws IOException {
-        door = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
-        door.setExecutor(threads);
-        new LogEndpoint(door, this);
-        door.start();
+    public InMemoryLog() throws IOException {
+        server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
+        server.setExecutor(threads);
+        new LogEndpoint(server, this);
+        server.start();
     }
 
     public InetSocketAddress at() {
-        return door.getAddress();
+        return server.getAddress();
     }
 
     /** What has been written, oldest first, as far as it is kept. */
     public VersionHistory history() {
-        return board.current();
+        return versions.current();
     }
 
     /** Sets a document. */
     public VersionedState set(String name, String text) {
-        VersionHistory.Transition applied =
-                board.current().apply(new Proposal(board.current().newest().version(), Map.of(name, text), List.of()));
-        board.publish(applied.history());
+        VersionHistory.Transition applied = versions.current()
+                .apply(new Proposal(versions.current().newest().version(), Map.of(name, text), List.of()));
+        versions.publish(applied.history());
         return applied.history().newest();
     }
 
     void publish(VersionHistory history) {
-        board.publish(history);
+        versions.publish(history);
     }
 
-    void setLeader(boolean on) {
-        leads = on;
+    void setLeader(boolean isLeader) {
+        leader = isLeader;
     }
 
     @Override
     public VersionNotifier versions() {
-        return board;
+        return versions;
     }
 
     @Override
     public boolean isLeader() {
-        return leads;
+        return leader;
     }
 
     @Override
     public synchronized CommitResult commit(Proposal proposal) {
-        VersionHistory.Transition applied = board.current().apply(proposal);
-        board.publish(applied.history());
+        VersionHistory.Transition applied = versions.current().apply(proposal);
+        versions.publish(applied.history());
         return applied.result();
     }
 
     @Override
     public void close() {
-        door.stop(0);
+        server.stop(0);
         threads.shutdownNow();
     }
 }
--- a/src/test/java/beaconladder/feed/Keeps.java
+++ b/src/test/java/beaconladder/feed/RecordingApplier.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Keeps what is put in force, and refuses what says so. */
-final class Keeps implements Applier {
+/** RecordingApplier what is put in force, and refuses what says so. */
+final class RecordingApplier implements Applier {
     private final List<VersionedState> applied = new CopyOnWriteArrayList<>();
 
     @Override
--- a/src/test/java/beaconladder/feed/Orders.java
+++ b/src/test/java/beaconladder/feed/RelayOrder.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /** For tests of other packages. */
-public final class Orders {
-    private Orders() {}
+public final class RelayOrder {
+    private RelayOrder() {}
 
     /** The relay that a router polls first. */
     public static String first(String router, List<String> relays) {
--- a/src/test/java/beaconladder/feed/FeedDiskTest.java
+++ b/src/test/java/beaconladder/feed/StateStoreTest.java
@@ -10,30 +10,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class FeedDiskTest {
+class StateStoreTest {
     @Test
-    void whatWasKeptLastIsThereAgainAndNothingWithoutAFolder(@TempDir Path folder) throws IOException {
-        try (StateStore disk = new StateStore(folder)) {
-            assertThat(disk.kept().state()).isEqualTo(VersionedState.empty());
-            disk.keep(VersionedState.of(1, Map.of("a", "1")), 5);
-            disk.keep(VersionedState.of(2, Map.of("a", "2")), 7);
+    void theStateSavedLastIsFoundAgainButNotWithoutAFolder(@TempDir Path folder) throws IOException {
+        try (StateStore store = new StateStore(folder)) {
+            assertThat(store.stored().state()).isEqualTo(VersionedState.empty());
+            store.save(VersionedState.of(1, Map.of("a", "1")), 5);
+            store.save(VersionedState.of(2, Map.of("a", "2")), 7);
         }
-        try (StateStore disk = new StateStore(folder)) {
-            assertThat(disk.kept()).isEqualTo(new StateStore.Kept(VersionedState.of(2, Map.of("a", "2")), 7));
+        try (StateStore store = new StateStore(folder)) {
+            assertThat(store.stored()).isEqualTo(new StateStore.Snapshot(VersionedState.of(2, Map.of("a", "2")), 7));
             assertThatThrownBy(() -> new StateStore(folder)).isInstanceOf(IOException.class);
         }
         try (StateStore none = new StateStore(null)) {
-            none.keep(VersionedState.of(1, Map.of("a", "1")), 5);
+            none.save(VersionedState.of(1, Map.of("a", "1")), 5);
         }
         try (StateStore none = new StateStore(null)) {
-            assertThat(none.kept().state()).isEqualTo(VersionedState.empty());
+            assertThat(none.stored().state()).isEqualTo(VersionedState.empty());
         }
     }
 
     @Test
-    void aDiskWithAnotherStateThanItsDigestSaysIsNotBelieved(@TempDir Path folder) throws IOException {
+    void aStoredStateWithAWrongDigestIsRejected(@TempDir Path folder) throws IOException {
         try (DurableRecords records = DurableRecords.open(folder)) {
-            records.append(FeedJson.text(new StateStore.Kept(
+            records.append(FeedJson.text(new StateStore.Snapshot(
                             new VersionedState(
                                     1,
                                     VersionedState.of(1, Map.of("a", "1")).entries(),
--- a/src/test/java/beaconladder/feed/StoredFeedTest.java
+++ b/src/test/java/beaconladder/feed/StoredFeedTest.java
@@ -58,8 +58,8 @@
     }
 
     /** A log that has come to the version in the fixtures by the same proposals. */
-    private static LogStandIn log() throws IOException {
-        LogStandIn log = new LogStandIn();
+    private static InMemoryLog log() throws IOException {
+        InMemoryLog log = new InMemoryLog();
         WRITTEN.forEach(log::commit);
         return log;
     }
@@ -86,59 +86,59 @@
     }
 
     @Test
-    void aDiskReadsTheStoredStateAndKeepsTheNextInItsPlace() throws IOException {
+    void aStoreReadsTheStoredStateAndReplacesIt() throws IOException {
         Path folder = copy("feed-router");
-        try (StateStore disk = new StateStore(folder)) {
-            VersionedState state = disk.kept().state();
+        try (StateStore store = new StateStore(folder)) {
+            VersionedState state = store.stored().state();
             assertThat(state.version()).isEqualTo(3);
             assertThat(state.entries())
                     .containsExactly(
                             Map.entry("plan.us", "pool=\"b\"\nname=\u00fc"), Map.entry("settings", "limit=20"));
             assertThat(state.digest()).isEqualTo(DIGEST).isEqualTo(state.computeDigest());
-            assertThat(disk.kept().heard()).isEqualTo(1796225597712L);
-            disk.keep(state.after(new Proposal(3, Map.of("plan.us", "pool=c"), List.of())), 99);
+            assertThat(store.stored().confirmedAtMillis()).isEqualTo(1796225597712L);
+            store.save(state.after(new Proposal(3, Map.of("plan.us", "pool=c"), List.of())), 99);
         }
         assertThat(record(folder)).isEqualTo("{\"state\":" + NEXT_STATE + ",\"heard\":99}");
     }
 
     @Test
-    void aRouterWithNoRelayPutsTheStoredStateInForce() throws Exception {
+    void aRouterWithoutARelayAppliesTheStoredState() throws Exception {
         InetSocketAddress nobody;
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = (InetSocketAddress) taken.getLocalSocketAddress();
         }
-        Keeps keeps = new Keeps();
-        try (Subscriber router = new Subscriber("n", 2, Map.of("a", nobody), copy("feed-router"), keeps)) {
+        RecordingApplier applier = new RecordingApplier();
+        try (Subscriber router = new Subscriber("n", 2, Map.of("a", nobody), copy("feed-router"), applier)) {
             run(router);
             await().atMost(LONG).until(() -> router.appliedVersion() == 3);
         }
-        assertThat(FeedJson.text(keeps.last())).isEqualTo(STATE);
+        assertThat(FeedJson.text(applier.last())).isEqualTo(STATE);
     }
 
     @Test
-    void aRouterGoesOnFromTheStoredStateAndStoresTheNext() throws Exception {
+    void aRouterContinuesFromTheStoredStateAndStoresTheNext() throws Exception {
         Path folder = copy("feed-router");
-        Keeps keeps = new Keeps();
-        try (LogStandIn log = log();
+        RecordingApplier applier = new RecordingApplier();
+        try (InMemoryLog log = log();
                 Relay relay = new Relay("a", ANY, List.of(log.at()), null, 10);
-                Subscriber router = new Subscriber("n", 2, Map.of("a", relay.address()), folder, keeps)) {
+                Subscriber router = new Subscriber("n", 2, Map.of("a", relay.address()), folder, applier)) {
             assertThat(FeedJson.text(router.storedState())).isEqualTo(STATE);
             run(router);
             await().atMost(LONG).until(() -> router.appliedVersion() == 3);
             log.set("plan.us", "pool=c");
             await().atMost(LONG).until(() -> router.appliedVersion() == 4);
         }
-        assertThat(FeedJson.text(keeps.last())).isEqualTo(NEXT_STATE);
+        assertThat(FeedJson.text(applier.last())).isEqualTo(NEXT_STATE);
         await().atMost(LONG)
                 .ignoreExceptions()
                 .untilAsserted(() -> assertThat(record(folder)).startsWith("{\"state\":" + NEXT_STATE + ",\"heard\":"));
     }
 
     @Test
-    void aRelayTellsTheStoredStateAndStoresTheNext() throws Exception {
+    void aRelayServesTheStoredStateAndStoresTheNext() throws Exception {
         Path folder = copy("feed-relay");
         String poll = "/v1/feed?since=0&wait=0&name=n&life=1&force=0&refused=0";
-        try (LogStandIn log = log()) {
+        try (InMemoryLog log = log()) {
             log.setLeader(false);
             try (Relay relay = new Relay("a", ANY, List.of(log.at()), folder, 10)) {
                 assertThat(get(relay.address(), poll))
@@ -162,10 +162,10 @@
      */
     public static void main(String[] args) throws Exception {
         Path into = Path.of(args[0]);
-        try (LogStandIn log = new LogStandIn();
+        try (InMemoryLog log = new InMemoryLog();
                 Relay relay = new Relay("a", ANY, List.of(log.at()), into.resolve("feed-relay"), 10);
                 Subscriber router = new Subscriber(
-                        "n", 1, Map.of("a", relay.address()), into.resolve("feed-router"), new Keeps())) {
+                        "n", 1, Map.of("a", relay.address()), into.resolve("feed-router"), new RecordingApplier())) {
             run(router);
             for (Proposal each : WRITTEN) {
                 log.commit(each);
--- a/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
+++ b/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
@@ -35,7 +35,7 @@
     @TempDir
     Path folder;
 
-    private LogStandIn log;
+    private InMemoryLog log;
     private Relay relay;
     private FaultPlan plan;
     private Path out;
@@ -78,7 +78,7 @@
 
     @BeforeEach
     void standIns() throws Exception {
-        log = new LogStandIn();
+        log = new InMemoryLog();
         relay = new Relay("a", ANY, List.of(log.at()), null, 10);
         plan = new FaultPlan(folder.resolve("plan"));
         Files.createDirectory(folder.resolve("store"));
@@ -118,7 +118,7 @@
 
     /** A disk that is full for a while says nothing of the version. */
     @Test
-    void aVersionThatCouldNotBeWrittenIsInForceOnceTheDiskIsWell() throws Exception {
+    void aVersionThatCouldNotBeStoredIsAppliedOnceTheDiskRecovers() throws Exception {
         log.set("x", "1");
         awaitSaid("in force 1");
         int version = 1;
@@ -134,7 +134,7 @@
 
     /** It was kept before it was tried, and the one before could not be put back in its place. */
     @Test
-    void whatWasRefusedIsNotWhatAKilledRouterComesBackWith() throws Exception {
+    void aRejectedVersionIsNotWhatAKilledRouterRestartsWith() throws Exception {
         log.set("x", "1");
         awaitSaid("in force 1");
         log.set("late", "1");
--- a/src/test/java/beaconladder/feed/FeedSubscriberTest.java
+++ b/src/test/java/beaconladder/feed/SubscriberTest.java
@@ -26,7 +26,7 @@
 
 /** Log, relays and subscribers in one process, on real sockets. */
 @Timeout(60)
-class FeedSubscriberTest {
+class SubscriberTest {
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final Duration LONG = Duration.ofSeconds(20);
 
@@ -45,11 +45,11 @@
         return each;
     }
 
-    private LogStandIn log() throws IOException {
-        return open(new LogStandIn());
+    private InMemoryLog log() throws IOException {
+        return open(new InMemoryLog());
     }
 
-    private Relay relay(String name, LogStandIn log, Path store) throws IOException {
+    private Relay relay(String name, InMemoryLog log, Path store) throws IOException {
         Relay relay = open(new Relay(name, ANY, List.of(log.at()), store, 100));
         relays.put(name, relay.address());
         return relay;
@@ -64,16 +64,16 @@
     }
 
     @Test
-    void whatTheLogHasIsInForceOrRefusedAndAcknowledged() throws Exception {
-        LogStandIn log = log();
+    void aCommittedVersionIsAppliedOrRejectedAndAcknowledged() throws Exception {
+        InMemoryLog log = log();
         relay("a", log, null);
         relay("b", log, null);
-        Keeps keeps = new Keeps();
-        Subscriber subscriber = subscriber("n", 1, null, keeps);
+        RecordingApplier applier = new RecordingApplier();
+        Subscriber subscriber = subscriber("n", 1, null, applier);
         VersionedState one = log.set("x", "1");
-        await().atMost(LONG).until(() -> one.equals(keeps.last()));
+        await().atMost(LONG).until(() -> one.equals(applier.last()));
         VersionedState two = log.set("x", "2");
-        await().atMost(LONG).until(() -> two.equals(keeps.last()));
+        await().atMost(LONG).until(() -> two.equals(applier.last()));
         assertThat(subscriber.ageMillis()).isLessThan(10_000);
         LogClient proposer = new LogClient(List.of(log.at()), 2_000);
         await().atMost(LONG).until(() -> proposer.status().counts().equals(List.of(new RelayReport.Count(2, 1, 0))));
@@ -86,43 +86,43 @@
                         .equals(List.of(new RelayReport.Count(3, 0, 1), new RelayReport.Count(2, 1, 0))));
         assertThat(subscriber.appliedVersion()).isEqualTo(2);
         CommitResult four = proposer.propose(new Proposal(3, Map.of(), List.of("bad")));
-        await().atMost(LONG).until(() -> keeps.last().version() == four.version());
-        assertThat(keeps.applied())
+        await().atMost(LONG).until(() -> applier.last().version() == four.version());
+        assertThat(applier.applied())
                 .extracting(VersionedState::version)
                 .endsWith(2L, 4L)
                 .doesNotContain(3L);
     }
 
     @Test
-    void whoseRelayHearsNothingFromTheLogTurnsToItsSpare() throws Exception {
-        LogStandIn log = log();
-        LogStandIn cut = log();
+    void failsOverFromAStaleRelay() throws Exception {
+        InMemoryLog log = log();
+        InMemoryLog cut = log();
         String first = Rendezvous.order("n", List.of("a", "b")).get(0);
         relay(first, cut, null);
         relay(first.equals("a") ? "b" : "a", log, null);
         cut.publish(log.history());
-        Keeps keeps = new Keeps();
-        subscriber("n", 1, null, keeps);
+        RecordingApplier applier = new RecordingApplier();
+        subscriber("n", 1, null, applier);
         cut.set("x", "1");
         VersionedState one = log.set("x", "1");
-        await().atMost(LONG).until(() -> one.equals(keeps.last()));
+        await().atMost(LONG).until(() -> one.equals(applier.last()));
         cut.setLeader(false);
         VersionedState two = log.set("x", "2");
-        await().atMost(LONG).until(() -> two.equals(keeps.last()));
+        await().atMost(LONG).until(() -> two.equals(applier.last()));
     }
 
     @Test
-    void aRouterAloneGoesOnFromItsDiskAndSaysHowOldThatIs(@TempDir Path folder) throws Exception {
-        LogStandIn log = log();
+    void withoutARelayTheStoredStateIsAppliedAndItsAgeIsKnown(@TempDir Path folder) throws Exception {
+        InMemoryLog log = log();
         Relay relay = relay("a", log, null);
-        Keeps before = new Keeps();
+        RecordingApplier before = new RecordingApplier();
         Subscriber first = subscriber("n", 1, folder, before);
         VersionedState one = log.set("x", "1");
         await().atMost(LONG).until(() -> one.equals(before.last()));
         first.close();
         relay.close();
         Thread.sleep(1_200);
-        Keeps after = new Keeps();
+        RecordingApplier after = new RecordingApplier();
         Subscriber second =
                 await().atMost(LONG).ignoreExceptions().until(() -> subscriber("n", 2, folder, after), each -> true);
         await().atMost(LONG).until(() -> one.equals(after.last()));
@@ -131,25 +131,25 @@
     }
 
     @Test
-    void aRelayWithAnOldDiskTakesNobodyBack(@TempDir Path folder) throws Exception {
-        LogStandIn log = log();
+    void aRelayWithAnOldStoredStateDoesNotRevertRouters(@TempDir Path folder) throws Exception {
+        InMemoryLog log = log();
         String first = Rendezvous.order("n", List.of("a", "b")).get(0);
         Relay old = relay(first, log, folder.resolve("now"));
         VersionedState one = log.set("x", "1");
         await().atMost(LONG).until(() -> Files.exists(folder.resolve("now")) && kept(old) == 1);
         old.close();
         relays.clear();
-        LogStandIn away = log();
+        InMemoryLog away = log();
         away.setLeader(false);
         await().atMost(LONG).ignoreExceptions().until(() -> relay(first, away, folder.resolve("now")), each -> true);
         relay(first.equals("a") ? "b" : "a", log, null);
         VersionedState two = log.set("x", "2");
-        Keeps keeps = new Keeps();
-        subscriber("n", 1, null, keeps);
-        await().atMost(LONG).until(() -> two.equals(keeps.last()));
+        RecordingApplier applier = new RecordingApplier();
+        subscriber("n", 1, null, applier);
+        await().atMost(LONG).until(() -> two.equals(applier.last()));
         // It may have had what the old one has at its first look, and never after the newer one.
         Thread.sleep(1_500);
-        assertThat(keeps.applied()).isSubsetOf(one, two).endsWith(two);
+        assertThat(applier.applied()).isSubsetOf(one, two).endsWith(two);
     }
 
     private static long kept(Relay relay) throws IOException {
@@ -166,23 +166,23 @@
     }
 
     @Test
-    void anotherContentsUnderAVersionIsNotTaken() throws Exception {
-        LogStandIn log = log();
-        LogStandIn other = log();
+    void otherContentsUnderTheSameVersionAreNotApplied() throws Exception {
+        InMemoryLog log = log();
+        InMemoryLog other = log();
         relay("a", log, null);
-        Keeps keeps = new Keeps();
-        subscriber("n", 1, null, keeps);
+        RecordingApplier applier = new RecordingApplier();
+        subscriber("n", 1, null, applier);
         VersionedState one = log.set("x", "1");
-        await().atMost(LONG).until(() -> one.equals(keeps.last()));
+        await().atMost(LONG).until(() -> one.equals(applier.last()));
         other.set("x", "other");
         log.publish(other.history());
         Thread.sleep(1_500);
-        assertThat(keeps.last()).isEqualTo(one);
+        assertThat(applier.last()).isEqualTo(one);
     }
 
     @Test
-    void aRelayThatIsSlowFromLoadIsHeardInTheEnd() throws Exception {
-        LogStandIn log = log();
+    void aRelayThatIsSlowFromLoadIsWaitedForInTheEnd() throws Exception {
+        InMemoryLog log = log();
         VersionedState one = log.set("x", "1");
         HttpServer slow = HttpServer.create(ANY, 10);
         slow.createContext("/v1/feed", exchange -> {
@@ -198,13 +198,13 @@
         slow.start();
         open(() -> slow.stop(0));
         relays.put("a", slow.getAddress());
-        Keeps keeps = new Keeps();
-        subscriber("n", 1, null, keeps);
-        await().atMost(LONG).until(() -> one.equals(keeps.last()));
+        RecordingApplier applier = new RecordingApplier();
+        subscriber("n", 1, null, applier);
+        await().atMost(LONG).until(() -> one.equals(applier.last()));
     }
 
     @Test
-    void aRelayBearsSoManyConnectionsAndNoMore() throws Exception {
+    void aRelayRejectsConnectionsBeyondTheBound() throws Exception {
         Relay relay = open(new Relay("a", ANY, List.of(log().at()), null, 2));
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -220,8 +220,8 @@
     }
 
     @Test
-    void aRouterThatDoesNotReadIsCutOffAndNothingQueuesForIt() throws Exception {
-        LogStandIn log = log();
+    void aRouterThatDoesNotReadIsDisconnectedAndNoResponseIsQueued() throws Exception {
+        InMemoryLog log = log();
         log.set("x", "x".repeat(VersionedState.MAX_CHARACTERS / 2));
         Relay relay = open(new Relay("a", ANY, List.of(log.at()), null, 10));
         await().atMost(LONG).until(() -> kept(relay) == 1);
@@ -239,7 +239,7 @@
     }
 
     @Test
-    void whatIsNoPollIsAnsweredSoAndTheConnectionEnds() throws Exception {
+    void anInvalidPollIsAnsweredWithAnErrorAndTheConnectionIsClosed() throws Exception {
         Relay relay = open(new Relay("a", ANY, List.of(log().at()), null, 10));
         for (String wrong : List.of(
                 "/v1/feed",
--- a/src/test/java/beaconladder/feed/FeedStateTest.java
+++ b/src/test/java/beaconladder/feed/VersionHistoryTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Versions, digests, and what a relay or a log gives to one that lacks something. */
-class FeedStateTest {
+class VersionHistoryTest {
     @Test
-    void aVersionComesOfTheOneBeforeAloneAndHasADigestOfItsOwn() {
+    void versionsAreConsecutiveAndEachHasItsOwnDigest() {
         VersionHistory one = written(VersionHistory.empty(), Map.of("a", "1"));
         assertThat(one.newest().version()).isEqualTo(1);
         assertThat(one.newest().entries()).isEqualTo(new TreeMap<>(Map.of("a", "1")));
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aProposalOutOfTurnChangesNothingAndOneAskedTwiceIsOneChange() {
+    void aConflictingProposalChangesNothingAndARetriedOneIsCommittedOnce() {
         VersionHistory one = written(VersionHistory.empty(), Map.of("a", "1"));
         Proposal late = new Proposal(0, Map.of("a", "2"), List.of());
         assertThat(one.apply(late).history()).isEqualTo(one);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void noProposalLeadsBeyondTheBound() {
+    void aProposalBeyondTheSizeBoundIsNotCommitted() {
         String half = "x".repeat(VersionedState.MAX_CHARACTERS / 2);
         VersionHistory one = written(VersionHistory.empty(), Map.of("a", half));
         VersionHistory.Transition two = one.apply(new Proposal(1, Map.of("b", half), List.of()));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void whatIsNoProposalIsRefused() {
+    void invalidProposalsAreRejected() {
         for (Proposal wrong : List.of(
                 new Proposal(0, Map.of(), List.of()),
                 new Proposal(-1, Map.of("a", "1"), List.of()),
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void oneThatFollowsIsToldWhatItLacksAndNoMore() throws IOException {
+    void anUpdateHasWhatTheClientLacksAndNoMore() throws IOException {
         VersionHistory all = VersionHistory.empty();
         for (int i = 1; i <= 10; i++) {
             all = written(all, Map.of("a", "some text that takes a little room", "n" + i, "" + i));
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void changesBeyondTheCountAreForgottenAndTheBaseIsToldInstead() {
+    void changesBeyondTheBoundAreDroppedAndTheFullStateIsSentInstead() {
         VersionHistory all = VersionHistory.empty();
         Map<String, String> large = Map.of("large", "x".repeat(100_000));
         all = written(all, large);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void aRelayComesToTheSameAsTheLogByBaseAndByChanges() throws IOException {
+    void aRelayReachesTheLogsStateByFullStatesAndByChanges() throws IOException {
         VersionHistory log = VersionHistory.empty();
         VersionHistory relay = VersionHistory.empty();
         for (int i = 1; i <= 40; i++) {
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void whatDoesNotFitCountsForNothing() throws IOException {
+    void inconsistentUpdatesAreRejected() throws IOException {
         VersionHistory log = written(
                 written(written(VersionHistory.empty(), Map.of("a", "a longer text than most")), Map.of("b", "2")),
                 Map.of("c", "3"));
@@ -146,7 +146,7 @@
         assertThat(two.changes()).hasSize(2);
         VersionedState one =
                 log.newest().version() == 3 ? VersionedState.of(1, Map.of("a", "a longer text than most")) : null;
-        assertThat(ApplyResult.WHOLE.take(one, two)).isEqualTo(log.newest());
+        assertThat(UpdateStrategy.STRICT.merge(one, two)).isEqualTo(log.newest());
         // A gap, another text under the version, another state under it, a digest that was made up.
         Change last = two.changes().get(1);
         for (Update wrong : List.of(
@@ -164,26 +164,26 @@
                 new Update(3, "0", 0, log.newest(), List.of()),
                 new Update(4, two.digest(), 0, log.newest(), List.of()),
                 new Update(1, "0", 0, null, List.of()))) {
-            assertThatThrownBy(() -> ApplyResult.WHOLE.take(one, wrong))
+            assertThatThrownBy(() -> UpdateStrategy.STRICT.merge(one, wrong))
                     .as(wrong.toString())
                     .isInstanceOf(IOException.class);
         }
-        assertThatThrownBy(() -> ApplyResult.WHOLE.take(VersionedState.of(1, Map.of("a", "other")), two))
+        assertThatThrownBy(() -> UpdateStrategy.STRICT.merge(VersionedState.of(1, Map.of("a", "other")), two))
                 .isInstanceOf(IOException.class);
     }
 
     @Test
-    void nothingOlderIsTaken() throws IOException {
+    void olderUpdatesAreIgnored() throws IOException {
         VersionHistory old = written(VersionHistory.empty(), Map.of("a", "1"));
         VersionHistory log = written(old, Map.of("a", "2"));
-        assertThat(ApplyResult.WHOLE.take(log.newest(), old.updateSince(0, false)))
+        assertThat(UpdateStrategy.STRICT.merge(log.newest(), old.updateSince(0, false)))
                 .isEqualTo(log.newest());
         assertThat(log.merge(old.updateSince(0, false))).isEqualTo(log);
         assertThat(old.updateSince(2, false).base()).isNull();
     }
 
     @Test
-    void aRouterTurnsToItsOwnRelaysAndOneLessMovesOnlyItsOwn() {
+    void removingARelayMovesOnlyRoutersThatPreferredIt() {
         List<String> eight =
                 java.util.stream.IntStream.range(0, 8).mapToObj(i -> "r" + i).toList();
         List<String> seven = eight.subList(0, 7);
--- a/src/test/java/beaconladder/testbed/FedRouterIT.java
+++ b/src/test/java/beaconladder/testbed/FedRouterIT.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.awaitility.Awaitility.await;
 
+import beaconladder.feed.InMemoryLog;
 import beaconladder.feed.LogClient;
-import beaconladder.feed.LogStandIn;
 import beaconladder.feed.Proposal;
 import beaconladder.feed.Relay;
 import beaconladder.feed.RelayReport;
@@ -29,7 +29,7 @@
 
     @Test
     void whatItIsToldCountsOrIsRefusedAndIsThereAfterAKill(@TempDir Path folder) throws Exception {
-        try (LogStandIn log = new LogStandIn();
+        try (InMemoryLog log = new InMemoryLog();
                 DiscoveryStandIn first = new DiscoveryStandIn();
                 DiscoveryStandIn second = new DiscoveryStandIn();
                 ChildProcesses programs = new ChildProcesses(folder)) {
--- a/src/test/java/beaconladder/testbed/FeedMutantsTest.java
+++ b/src/test/java/beaconladder/testbed/FeedMutantsTest.java
@@ -4,8 +4,8 @@
 import static org.awaitility.Awaitility.await;
 
 import beaconladder.feed.Applier;
-import beaconladder.feed.LogStandIn;
-import beaconladder.feed.Mutants;
+import beaconladder.feed.FaultySubscribers;
+import beaconladder.feed.InMemoryLog;
 import beaconladder.feed.Relay;
 import beaconladder.feed.Subscriber;
 import beaconladder.feed.VersionedState;
@@ -39,17 +39,17 @@
 
     @Test
     void aRouterThatSkipsAChangeHasOtherContentsUnderTheVersion() throws Exception {
-        play(Mutants::right);
+        play(FaultySubscribers::right);
         assertThat(verdict()).isEmpty();
         journal.clear();
         logged.clear();
-        play(Mutants::skips);
+        play(FaultySubscribers::skips);
         assertThat(verdict()).anyMatch(line -> line.startsWith("two contents under one version"));
     }
 
     @Test
     void aRouterThatTakesAnOlderBaseGoesBack() throws Exception {
-        play(Mutants::goesBack);
+        play(FaultySubscribers::goesBack);
         assertThat(verdict()).anyMatch(line -> line.startsWith("a version went back"));
     }
 
@@ -59,8 +59,8 @@
 
     /** Bursts at one relay; then that one ends, and the router finds another whose log is older. */
     private void play(Maker maker) throws Exception {
-        try (LogStandIn log = new LogStandIn();
-                LogStandIn old = new LogStandIn();
+        try (InMemoryLog log = new InMemoryLog();
+                InMemoryLog old = new InMemoryLog();
                 Relay a = new Relay("a", ANY, List.of(log.at()), null, 10);
                 Relay b = new Relay("b", ANY, List.of(old.at()), null, 10)) {
             // One whose own relay is the first.
@@ -101,10 +101,10 @@
 
     private static boolean first(String name) {
         // As Rendezvous has it, told from outside: which of two relays a subscriber polls first.
-        return beaconladder.feed.Orders.first(name, List.of("a", "b")).equals("a");
+        return beaconladder.feed.RelayOrder.first(name, List.of("a", "b")).equals("a");
     }
 
-    private void write(LogStandIn log, String name, String text) {
+    private void write(InMemoryLog log, String name, String text) {
         VersionedState state = log.set(name, text);
         long now = FeedRouters.unix();
         logged.add(new Logged(state.version(), state.digest(), now, now, "test"));
