--- a/src/main/java/beaconladder/app/CellsCommand.java
+++ b/src/main/java/beaconladder/app/CellsCommand.java
@@ -1,6 +1,8 @@
 package beaconladder.app;
 
 import beaconladder.cells.PlacementPlanner;
+import beaconladder.cells.PlacementProblem;
+import beaconladder.cells.PlacementProposal;
 import beaconladder.coordinator.Coordinator;
 import beaconladder.discovery.HttpFetcher;
 import beaconladder.discovery.JsonReader;
@@ -118,12 +120,12 @@
         if (seconds < 1 || seconds > 3600 || most < 0) {
             throw new ParameterException(spec.commandLine(), "--seconds is 1 to 3600, --moves 0 or more");
         }
-        PlacementPlanner.Problem problem = PlacementPlanner.problem(plan);
-        PlacementPlanner.Proposal proposal = PlacementPlanner.propose(
-                lost == null ? problem : PlacementPlanner.without(problem, lost), most, seconds, seed);
+        PlacementProblem problem = PlacementProblem.of(plan);
+        PlacementProposal proposal =
+                PlacementPlanner.propose(lost == null ? problem : problem.withoutCell(lost), most, seconds, seed);
         PrintWriter out = spec.commandLine().getOut();
-        proposal.moves().forEach(move -> out.println("(move " + move.tenant() + " " + move.to() + ")"));
-        out.println("; " + proposal.says());
+        proposal.migrations().forEach(move -> out.println("(move " + move.tenant() + " " + move.toCell() + ")"));
+        out.println("; " + proposal.summary());
         return proposal.found() ? 0 : 1;
     }
 
--- a/src/main/java/beaconladder/cells/AdmissionPermit.java
+++ b/src/main/java/beaconladder/cells/AdmissionPermit.java
@@ -1,40 +1,45 @@
 package beaconladder.cells;
 
-/** A txn's leave to be in hand, with what it holds of its cell until its end. */
+/**
+ * Permission for one request to be in flight, with the quota that it holds of its cell until it ends. Whoever receives
+ * it gives it back once, by {@link CellAdmission#requestEnded} or {@link CellAdmission#release}.
+ */
 public final class AdmissionPermit {
     final String tenant;
-    final int cell;
+    final int cellIndex;
     final int group;
     final int slot;
     final boolean write;
     final long bytes;
-    final long arrived;
-    final long expiry;
+    final long arrivedNanos;
+    final long expiryNanos;
     long floor = Long.MIN_VALUE;
 
-    AdmissionPermit(
-            String tenant, int cell, int group, int slot, boolean write, long bytes, long arrived, long expiry) {
-        this.tenant = tenant;
-        this.cell = cell;
+    AdmissionPermit(AdmissionRequest request, int cellIndex, int group, int slot) {
+        this.tenant = request.tenant();
+        this.cellIndex = cellIndex;
         this.group = group;
         this.slot = slot;
-        this.write = write;
-        this.bytes = bytes;
-        this.arrived = arrived;
-        this.expiry = expiry;
+        this.write = request.write();
+        this.bytes = request.bytes();
+        this.arrivedNanos = request.arrivedNanos();
+        this.expiryNanos = request.expiryNanos();
     }
 
-    /** The place of its cell. */
-    public int cell() {
-        return cell;
+    /** The index of its cell in the plan. */
+    public int cellIndex() {
+        return cellIndex;
     }
 
-    /** The group that takes the txn. */
+    /** The number of the group that serves the request. */
     public int group() {
         return group;
     }
 
-    /** The position below which no member may answer it, as it lacks what was copied; Long.MIN_VALUE for none. */
+    /**
+     * The floor of its slot, see {@link TenantPlacement#floors}, in nanoseconds; Long.MIN_VALUE for none. No member
+     * below it may answer the request.
+     */
     public long floor() {
         return floor;
     }
--- /dev/null
+++ b/src/main/java/beaconladder/cells/AdmissionQuotas.java
@@ -0,0 +1,65 @@
+package beaconladder.cells;
+
+import beaconladder.plan.Plan;
+
+/** The quotas of one router: requests, their bytes, and clients' connections, each a bulkhead of its own. */
+final class AdmissionQuotas {
+    private final CellQuotas requests;
+    private final CellQuotas connections;
+    private final CellQuotas bytes;
+
+    AdmissionQuotas(RouterCapacity capacity, Plan plan) {
+        double[] quotas = quotas(plan);
+        requests = new CellQuotas(capacity.requests(), quotas);
+        connections = new CellQuotas(capacity.connections(), quotas);
+        bytes = new CellQuotas(capacity.bytes(), quotas);
+    }
+
+    private static double[] quotas(Plan plan) {
+        return plan.cells().stream().mapToDouble(Plan.Cell::share).toArray();
+    }
+
+    /** Replaces the cells' quotas by those of another plan with the same cells. */
+    void replacePlan(Plan plan) {
+        double[] quotas = quotas(plan);
+        requests.updateQuotas(quotas);
+        connections.updateQuotas(quotas);
+        bytes.updateQuotas(quotas);
+    }
+
+    /** Acquires one request and its bytes; both or neither. */
+    CellQuotas.Result tryAcquireRequest(AdmissionRequest request, int cell, double tenantQuota, long now) {
+        String tenant = request.tenant();
+        double value = request.value();
+        CellQuotas.Result result = requests.tryAcquire(cell, tenant, tenantQuota, 1, value, now);
+        if (result == CellQuotas.Result.ACQUIRED) {
+            result = bytes.tryAcquire(cell, tenant, tenantQuota, request.bytes(), value, now);
+            if (result != CellQuotas.Result.ACQUIRED) {
+                requests.release(cell, tenant, 1);
+            }
+        }
+        return result;
+    }
+
+    void releaseRequest(AdmissionPermit permit) {
+        requests.release(permit.cellIndex, permit.tenant, 1);
+        bytes.release(permit.cellIndex, permit.tenant, permit.bytes);
+    }
+
+    boolean tryAcquireConnection(AdmissionPermit permit, double tenantQuota, long now) {
+        return connections.tryAcquire(permit.cellIndex, permit.tenant, tenantQuota, 1, 1, now)
+                == CellQuotas.Result.ACQUIRED;
+    }
+
+    void releaseConnection(AdmissionPermit permit) {
+        connections.release(permit.cellIndex, permit.tenant, 1);
+    }
+
+    boolean isBorrowingConnections(int cell) {
+        return connections.isBorrowing(cell);
+    }
+
+    long inFlight(int cell) {
+        return requests.used(cell);
+    }
+}
--- a/src/main/java/beaconladder/cells/CellQuotas.java
+++ b/src/main/java/beaconladder/cells/CellQuotas.java
@@ -4,48 +4,48 @@
 import java.util.Map;
 
 /**
- * What cells, and tenants in them, hold of one thing that a router has so much of: a bulkhead. A cell's share is its
- * own; what cells have not used lately is lent to others, and is theirs again as soon as they ask, from a part that is
- * never lent, while the loans end with the txns that hold them. Inside a cell the same goes for its tenants.
+ * How much cells, and the tenants in them, hold of one resource of a router: a bulkhead. Each cell has a quota of its
+ * own. What cells have not used lately is lent to others; a cell gets it back on demand, at first from a reserve that
+ * is never lent, while the loans end with the requests that hold them. Inside a cell the same holds for its tenants.
+ * Not thread-safe; times are in nanoseconds and never run backwards.
  */
 public final class CellQuotas {
-    /**
-     * A quarter of what a cell or a tenant does not use is kept back from loans, so that it is never refused its first.
-     */
-    private static final double KEPT = 0.25;
-    /** Who has used so much lately may be back for twice that within one window. */
+    /** A quarter of what a cell or a tenant does not use is never lent, so that its first demand is always met. */
+    private static final double RESERVED = 0.25;
+    /** A cell that used some amount lately may need twice that within one window. */
     private static final int GROWTH = 2;
-    /** A burst shows itself within a second; loans are reckoned by the last one or two. */
-    private static final long WINDOW = 1_000_000_000L;
-    /** The last tenth of what a cell or a tenant may take is for txns of at least its usual value. */
-    private static final double FOR_VALUE = 0.9;
-    /** The usual value follows the last few dozen. */
-    private static final double FOLLOW = 1.0 / 32;
-
-    /** Why something is not to be had. */
-    public enum Answer {
-        TAKEN,
+    /** A burst shows within a second; loans are bounded by the use of the last one or two. */
+    private static final long WINDOW_NANOS = 1_000_000_000L;
+    /** The last tenth of what a cell or a tenant may hold is for requests of at least the cell's usual value. */
+    private static final double PART_FOR_LOW_VALUE = 0.9;
+    /** The usual value is an exponential average over the last few dozen requests. */
+    private static final double VALUE_SMOOTHING = 1.0 / 32;
+
+    /** Whether an amount was acquired, or which limit it would have exceeded. */
+    public enum Result {
+        ACQUIRED,
         TENANT_FULL,
         CELL_FULL,
         ROUTER_FULL
     }
 
-    private static final class Holder {
+    /** The use of a cell or a tenant: now, and its peaks in this window and the one before. */
+    private static final class Usage {
         private long used;
         private long peak;
-        private long before;
+        private long previousPeak;
         private long window;
 
         /** The most that was used at once in this window and the one before. */
-        long lately(long now) {
+        long recentPeak(long now) {
             roll(now);
-            return Math.max(peak, before);
+            return Math.max(peak, previousPeak);
         }
 
         private void roll(long now) {
-            long number = Math.floorDiv(now, WINDOW);
+            long number = Math.floorDiv(now, WINDOW_NANOS);
             if (number != window) {
-                before = number == window + 1 ? peak : used;
+                previousPeak = number == window + 1 ? peak : used;
                 peak = used;
                 window = number;
             }
@@ -59,93 +59,93 @@
     }
 
     private final long capacity;
-    private final double[] shares;
-    private final Holder[] cells;
+    private final double[] quotas;
+    private final Usage[] cells;
     private final double[] usualValue;
-    private final Map<String, Holder> tenants = new HashMap<>();
+    private final Map<String, Usage> tenants = new HashMap<>();
     private long used;
 
     /**
      * One bulkhead.
      *
-     * @param capacity how much there is
-     * @param shares of each cell, from 0 to 1, together not over 1
+     * @param capacity of the router, in units of the resource
+     * @param quotas of each cell, from 0 to 1, at most 1 together
      */
-    public CellQuotas(long capacity, double... shares) {
+    public CellQuotas(long capacity, double... quotas) {
         this.capacity = capacity;
-        this.shares = shares.clone();
-        this.cells = new Holder[shares.length];
-        this.usualValue = new double[shares.length];
+        this.quotas = quotas.clone();
+        this.cells = new Usage[quotas.length];
+        this.usualValue = new double[quotas.length];
         for (int i = 0; i < cells.length; i++) {
-            cells[i] = new Holder();
+            cells[i] = new Usage();
         }
     }
 
-    /** Other shares count from now on; what is held stays held. */
-    void reshare(double... next) {
-        System.arraycopy(next, 0, shares, 0, shares.length);
+    /** Replaces the quotas of the cells; what is held stays held. */
+    void updateQuotas(double... next) {
+        System.arraycopy(next, 0, quotas, 0, quotas.length);
     }
 
-    /** What is a cell's own. */
-    long own(int cell) {
-        return Math.max(1, (long) (shares[cell] * capacity));
+    /** The amount that a cell may always hold. */
+    private long guaranteed(int cell) {
+        return Math.max(1, (long) (quotas[cell] * capacity));
     }
 
     /**
-     * Takes an amount for a tenant in a cell; all or nothing.
+     * Acquires an amount for a tenant in a cell; all or nothing.
      *
-     * @param share of the tenant, of its cell
-     * @param value of what it is for: the last part is for what is worth more
+     * @param tenantQuota the tenant's part of its cell's quota, from 0 to 1
+     * @param value the priority weight of the request: low values may not use the last tenth
      */
-    public Answer take(int cell, String tenant, double share, long amount, double value, long now) {
-        usualValue[cell] += FOLLOW * (value - usualValue[cell]);
-        double part = value < usualValue[cell] ? FOR_VALUE : 1;
-        Holder holder = tenants.get(tenant);
-        long held = holder == null ? 0 : holder.used;
-        long own = own(cell);
-        long most = most(cell, own, now);
+    public Result tryAcquire(int cell, String tenant, double tenantQuota, long amount, double value, long now) {
+        usualValue[cell] += VALUE_SMOOTHING * (value - usualValue[cell]);
+        double usablePart = value < usualValue[cell] ? PART_FOR_LOW_VALUE : 1;
+        Usage usage = tenants.get(tenant);
+        long held = usage == null ? 0 : usage.used;
+        long guaranteed = guaranteed(cell);
+        long cellLimit = limit(cell, guaranteed, now);
         if (used + amount > capacity) {
-            return Answer.ROUTER_FULL;
+            return Result.ROUTER_FULL;
         }
-        if (cells[cell].used + amount > (long) (part * most) && cells[cell].used > 0) {
-            return Answer.CELL_FULL;
+        if (cells[cell].used + amount > (long) (usablePart * cellLimit) && cells[cell].used > 0) {
+            return Result.CELL_FULL;
         }
-        // A tenant within its share has it; beyond it takes what others of its cell leave, but for what is
-        // kept,
-        // and if its share is stated never most of a cell.
-        long tenantOwn = Math.max(1, (long) (share * own));
-        if (held + amount > tenantOwn
-                && (cells[cell].used + amount > (long) ((1 - KEPT) * part * most)
-                        || share < 1 && held + amount > Math.max(tenantOwn, own / 2))) {
-            return Answer.TENANT_FULL;
+        // A tenant always gets its quota. Beyond it, it gets what others of its cell leave, without the reserve;
+        // a tenant with a stated quota never gets most of its cell.
+        long tenantGuaranteed = Math.max(1, (long) (tenantQuota * guaranteed));
+        if (held + amount > tenantGuaranteed
+                && (cells[cell].used + amount > (long) ((1 - RESERVED) * usablePart * cellLimit)
+                        || tenantQuota < 1 && held + amount > Math.max(tenantGuaranteed, guaranteed / 2))) {
+            return Result.TENANT_FULL;
         }
-        if (holder == null) {
-            holder = new Holder();
-            tenants.put(tenant, holder);
+        if (usage == null) {
+            usage = new Usage();
+            tenants.put(tenant, usage);
         }
-        holder.used += amount;
+        usage.used += amount;
         cells[cell].add(amount, now);
         used += amount;
-        return Answer.TAKEN;
+        return Result.ACQUIRED;
     }
 
-    /** What a cell may hold now: its own and what the others have not used lately, but for what is kept. */
-    private long most(int cell, long own, long now) {
-        long others = 0;
+    /** What a cell may hold now: its own amount and what the others have not used lately, without their reserves. */
+    private long limit(int cell, long guaranteed, long now) {
+        long heldForOthers = 0;
         for (int i = 0; i < cells.length; i++) {
             if (i != cell) {
-                long theirs = own(i);
-                long lately = GROWTH * cells[i].lately(now) + (long) Math.ceil(KEPT * theirs);
-                others += Math.max(cells[i].used, Math.min(theirs, lately));
+                long theirs = guaranteed(i);
+                long expected = GROWTH * cells[i].recentPeak(now) + (long) Math.ceil(RESERVED * theirs);
+                heldForOthers += Math.max(cells[i].used, Math.min(theirs, expected));
             }
         }
-        return Math.max(own, capacity - others);
+        return Math.max(guaranteed, capacity - heldForOthers);
     }
 
-    public void give(int cell, String tenant, long amount) {
-        Holder holder = tenants.get(tenant);
-        holder.used -= amount;
-        if (holder.used <= 0) {
+    /** Releases an amount that was acquired for this tenant in this cell. */
+    public void release(int cell, String tenant, long amount) {
+        Usage usage = tenants.get(tenant);
+        usage.used -= amount;
+        if (usage.used <= 0) {
             tenants.remove(tenant);
         }
         cells[cell].used -= amount;
@@ -159,12 +159,12 @@
 
     /** What a tenant holds, in all cells. */
     public long used(String tenant) {
-        Holder holder = tenants.get(tenant);
-        return holder == null ? 0 : holder.used;
+        Usage usage = tenants.get(tenant);
+        return usage == null ? 0 : usage.used;
     }
 
-    /** Whether a cell holds more than its own: who does is to give back first. */
-    public boolean borrows(int cell) {
-        return cells[cell].used > own(cell);
+    /** Whether a cell holds more than its own amount, so that it should give back first. */
+    public boolean isBorrowing(int cell) {
+        return cells[cell].used > guaranteed(cell);
     }
 }
--- a/src/main/java/beaconladder/cells/CellRouter.java
+++ b/src/main/java/beaconladder/cells/CellRouter.java
@@ -8,38 +8,49 @@
 import beaconladder.routing.state.Request;
 
 /**
- * The decisions within cells: each question is asked of the module as ever, unless the txn may no longer go where it
- * was let in; then it is displaced before anything more is sent for it.
+ * Routing within cells. It delegates every decision, except for a request whose tenant is being migrated away or whose
+ * router has lost its lease: that is displaced before another attempt is sent.
  */
 public final class CellRouter extends DelegatingRouter {
-    private final CellAdmission gate;
+    private final CellAdmission admission;
 
-    public CellRouter(Router inner, CellAdmission gate) {
+    /**
+     * Wraps a router.
+     *
+     * @param inner makes the decisions for requests that are still admitted
+     * @param admission the admission of the same router
+     */
+    public CellRouter(Router inner, CellAdmission admission) {
         super(inner);
-        this.gate = gate;
+        this.admission = admission;
     }
 
     @Override
-    public RoutingDecision route(Request txn, long now) {
-        return gate.stands(txn, now) ? inner.route(txn, now) : inner.onAdmissionLost(txn, now);
+    public RoutingDecision route(Request request, long now) {
+        return admission.isStillAdmitted(request, now)
+                ? inner.route(request, now)
+                : inner.onAdmissionLost(request, now);
     }
 
     @Override
-    public DispatchCheck checkDispatch(Attempt submission, long now) {
-        return gate.stands(submission.request, now) ? inner.checkDispatch(submission, now) : DispatchCheck.NOT_ADMITTED;
+    public DispatchCheck checkDispatch(Attempt attempt, long now) {
+        return admission.isStillAdmitted(attempt.request, now)
+                ? inner.checkDispatch(attempt, now)
+                : DispatchCheck.NOT_ADMITTED;
     }
 
     @Override
     public RoutingDecision onAttemptEnded(
-            Attempt s, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
-        gate.ended(s, outcome, answer, now);
-        if (settled || s.request.ended || gate.stands(s.request, now)) {
-            return inner.onAttemptEnded(s, outcome, settled, answer, report, now);
+            Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
+        admission.attemptEnded(attempt, outcome, answer, now);
+        Request request = attempt.request;
+        if (settled || request.ended || admission.isStillAdmitted(request, now)) {
+            return inner.onAttemptEnded(attempt, outcome, settled, answer, report, now);
         }
-        // The outcome is learnt from as ever, as that of a txn that has ended: nothing more is sent for it.
-        s.request.ended = true;
-        inner.onAttemptEnded(s, outcome, false, answer, report, now);
-        s.request.ended = false;
-        return inner.onAdmissionLost(s.request, now);
+        // The policy still learns from the outcome, as from that of a request that has ended: it sends nothing more.
+        request.ended = true;
+        inner.onAttemptEnded(attempt, outcome, false, answer, report, now);
+        request.ended = false;
+        return inner.onAdmissionLost(request, now);
     }
 }
--- /dev/null
+++ b/src/main/java/beaconladder/cells/GreedyPlacement.java
@@ -0,0 +1,57 @@
+package beaconladder.cells;
+
+/** The baseline, and the start of the solver: repeatedly the one migration that lowers the cost most. */
+public final class GreedyPlacement {
+    private GreedyPlacement() {}
+
+    /**
+     * Searches from the current placement.
+     *
+     * @param maxMigrations the most migrations to choose
+     * @return the cell of each tenant
+     */
+    public static int[] search(PlacementProblem problem, int maxMigrations) {
+        int[] placement = problem.currentCell().clone();
+        for (int step = 0; step < maxMigrations; step++) {
+            if (!applyBestMigration(problem, placement)) {
+                break;
+            }
+        }
+        return placement;
+    }
+
+    /** Applies the migration that lowers the cost most; false if none lowers it. */
+    private static boolean applyBestMigration(PlacementProblem problem, int[] placement) {
+        int before = cost(problem, placement);
+        int bestTenant = -1;
+        int bestCell = -1;
+        int bestCost = before;
+        int fullest = PlacementCost.fullestCell(problem, placement);
+        for (int tenant = 0; tenant < placement.length; tenant++) {
+            if (!problem.movable()[tenant]
+                    || placement[tenant] != fullest && !PlacementCost.isTogetherWithPair(problem, placement, tenant)) {
+                continue;
+            }
+            int original = placement[tenant];
+            for (int cell = 0; cell < problem.cellCount(); cell++) {
+                placement[tenant] = cell;
+                int cost = cell == original ? before : cost(problem, placement);
+                if (cost < bestCost) {
+                    bestCost = cost;
+                    bestTenant = tenant;
+                    bestCell = cell;
+                }
+            }
+            placement[tenant] = original;
+        }
+        if (bestTenant < 0) {
+            return false;
+        }
+        placement[bestTenant] = bestCell;
+        return true;
+    }
+
+    private static int cost(PlacementProblem problem, int[] placement) {
+        return PlacementCost.of(problem, placement) + PlacementCost.strandedCost(problem, placement);
+    }
+}
--- /dev/null
+++ b/src/main/java/beaconladder/cells/MigrationRejectedException.java
@@ -0,0 +1,10 @@
+package beaconladder.cells;
+
+/** A migration, or the undoing of one, is not possible; the message tells an operator why. */
+public final class MigrationRejectedException extends IllegalArgumentException {
+    private static final long serialVersionUID = 1L;
+
+    MigrationRejectedException(String reason) {
+        super(reason);
+    }
+}
--- /dev/null
+++ b/src/main/java/beaconladder/cells/MigrationState.java
@@ -0,0 +1,124 @@
+package beaconladder.cells;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * The state that the recorded steps lead to: the placement of all tenants, the migrations under way and the last ones
+ * that ended. It only applies steps; which step is due is decided elsewhere.
+ */
+final class MigrationState {
+    /** A snapshot replaces so many records. */
+    private static final int RECORDS_PER_SNAPSHOT = 10_000;
+    /** The last ended migrations that are kept for operators. */
+    private static final int MAX_ENDED = 1_000;
+
+    private final Map<String, TenantPlacement> placements = new LinkedHashMap<>();
+    private final Map<String, Migration> migrations = new LinkedHashMap<>();
+    private final List<MigrationStep> ended = new ArrayList<>();
+    private final RouterLeases routers;
+    private StaticPlacement staticPlacement;
+    private long version;
+    private int records;
+
+    MigrationState(StaticPlacement staticPlacement, RouterLeases routers) {
+        this.staticPlacement = staticPlacement;
+        this.routers = routers;
+    }
+
+    void replacePlan(StaticPlacement next) {
+        staticPlacement = next;
+    }
+
+    StaticPlacement staticPlacement() {
+        return staticPlacement;
+    }
+
+    /** The version of the placement; it grows with each change. */
+    long version() {
+        return version;
+    }
+
+    /** By tenant. */
+    Map<String, TenantPlacement> placements() {
+        return placements;
+    }
+
+    /** The migrations under way, by tenant, in the order of their proposals. */
+    Map<String, Migration> migrations() {
+        return migrations;
+    }
+
+    /** The last steps of the migrations that have ended, oldest first. */
+    List<MigrationStep> ended() {
+        return ended;
+    }
+
+    void apply(MigrationStep step) {
+        records++;
+        switch (step.kind()) {
+            case LEASE -> routers.applyLease(step);
+            case VERSION -> version = Math.max(version, step.atNanos());
+            case ROUTER -> routers.applyRegistration(step);
+            case PLACED -> place(step.tenant(), TenantPlacement.settled(step.toCell(), step.floors()));
+            case PROPOSED -> {
+                int slots = staticPlacement.groupsOf(step.fromCell()).size();
+                migrations.put(step.tenant(), new Migration(step, slots));
+                applyToMigration(step);
+            }
+            case COPYING -> applyInOldCell(step, true, true);
+            case FENCED -> applyInOldCell(step, false, true);
+            case SEALED -> applyInOldCell(step, false, false);
+            case SWITCHED -> {
+                place(step.tenant(), TenantPlacement.settled(step.toCell(), step.floors()));
+                applyToMigration(step);
+            }
+            case DONE -> end(step);
+            case UNDONE -> {
+                place(step.tenant(), TenantPlacement.settled(step.fromCell(), floors(step.tenant())));
+                end(step);
+            }
+        }
+    }
+
+    private void place(String tenant, TenantPlacement placement) {
+        placements.put(tenant, placement);
+        version++;
+    }
+
+    private List<Long> floors(String tenant) {
+        return placements.get(tenant).floors();
+    }
+
+    private void applyInOldCell(MigrationStep step, boolean writes, boolean reads) {
+        place(step.tenant(), new TenantPlacement(step.fromCell(), writes, reads, true, floors(step.tenant())));
+        applyToMigration(step);
+    }
+
+    private void applyToMigration(MigrationStep step) {
+        migrations.get(step.tenant()).apply(step, version);
+    }
+
+    private void end(MigrationStep step) {
+        migrations.remove(step.tenant());
+        ended.add(step);
+        if (ended.size() > MAX_ENDED) {
+            ended.remove(0);
+        }
+    }
+
+    /** See {@link TenantMigrations#snapshot}. */
+    List<MigrationStep> snapshot(long now) {
+        if (records < RECORDS_PER_SNAPSHOT || !migrations.isEmpty()) {
+            return null;
+        }
+        List<MigrationStep> steps = new ArrayList<>(routers.snapshot(now));
+        placements.forEach((tenant, placement) ->
+                steps.add(MigrationStep.placed(tenant, placement.cell(), placement.floors(), now)));
+        steps.add(MigrationStep.version(version));
+        records = steps.size();
+        return steps;
+    }
+}
--- a/src/main/java/beaconladder/cells/MigrationStep.java
+++ b/src/main/java/beaconladder/cells/MigrationStep.java
@@ -1,49 +1,89 @@
 package beaconladder.cells;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
 /**
- * A step of a tenant's life in the cells: written down before it is taken, and taken again from the records after a
- * crash. Times and positions are in nanoseconds.
+ * A state change of the coordinator: stored before it is applied, and applied again from the records after a crash. The
+ * JSON names of its components and kinds are stored and must not change. Times and positions are in nanoseconds.
  *
- * @param kind what happens
- * @param tenant whose; for ROUTER the router's name; else empty
- * @param from the cell it lives in
- * @param to the cell it moves to
- * @param at when; for LEASE how long leases are, for VERSION the placement's version
- * @param fences for SEALED: by slot the position up to which the old cell's log counts
- * @param floors for SWITCHED: by slot the position from which on a member of the new cell has all of it; for SEATED as
- *     it stood
+ * @param kind what changes
+ * @param tenant the tenant; for ROUTER the router's name; else empty
+ * @param fromCell the cell that serves the tenant when the migration starts
+ * @param toCell the cell to which it migrates
+ * @param atNanos when it was decided; for LEASE the length of leases, for VERSION the placement's version
+ * @param fences for SEALED and SWITCHED: by slot the position up to which the old cell's log counts
+ * @param floors for SWITCHED: by slot the floor, see {@link TenantPlacement#floors}; for PLACED those in force
  * @param sources for COPYING: by slot the primary that is copied from
- * @param why for PROPOSED who asked, for UNDONE the reason, for ROUTER which run of it this is
+ * @param detail for PROPOSED who asked, for UNDONE the reason, for ROUTER its incarnation; else null
  */
 public record MigrationStep(
         Kind kind,
         String tenant,
-        String from,
-        String to,
-        long at,
+        @JsonProperty("from") String fromCell,
+        @JsonProperty("to") String toCell,
+        @JsonProperty("at") long atNanos,
         List<Long> fences,
         List<Long> floors,
         List<String> sources,
-        String why) {
+        @JsonProperty("why") String detail) {
 
-    /** The kinds, in the order of a move. */
+    /** The kinds of step; from PROPOSED to SWITCHED in the order of a migration, whose state they also name. */
     public enum Kind {
-        SEATED,
+        /** A tenant without a migration under way is served by a cell. */
+        @JsonProperty("SEATED")
+        PLACED,
+        /** A migration is requested; nothing is copied yet. */
         PROPOSED,
+        /** The new cell copies the tenant's log. */
         COPYING,
+        /** The old cell serves no new writes. */
         FENCED,
+        /** The old cell serves no new reads either. */
         SEALED,
+        /** The new cell serves the tenant; not all routers have learned of it. */
         SWITCHED,
+        /** The migration is complete. */
         DONE,
+        /** The migration has ended without effect; the old cell serves the tenant. */
         UNDONE,
+        /** Leases of this length may have been granted. */
         LEASE,
+        /** The version of the placement, in a snapshot. */
         VERSION,
+        /** A run of a router is registered. */
         ROUTER
     }
 
-    static MigrationStep of(Kind kind, String tenant, String from, String to, long at, String why) {
-        return new MigrationStep(kind, tenant, from, to, at, List.of(), List.of(), List.of(), why);
+    static MigrationStep of(Kind kind, String tenant, String fromCell, String toCell, long atNanos, String detail) {
+        return new MigrationStep(kind, tenant, fromCell, toCell, atNanos, List.of(), List.of(), List.of(), detail);
+    }
+
+    static MigrationStep lease(long lengthNanos) {
+        return of(Kind.LEASE, "", null, null, lengthNanos, null);
+    }
+
+    static MigrationStep version(long version) {
+        return of(Kind.VERSION, "", null, null, version, null);
+    }
+
+    static MigrationStep router(String router, String incarnation, long now) {
+        return of(Kind.ROUTER, router, null, null, now, incarnation);
+    }
+
+    static MigrationStep placed(String tenant, String cell, List<Long> floors, long now) {
+        return of(Kind.PLACED, tenant, cell, cell, now, null).withFloors(floors);
+    }
+
+    MigrationStep withFences(List<Long> next) {
+        return new MigrationStep(kind, tenant, fromCell, toCell, atNanos, next, floors, sources, detail);
+    }
+
+    MigrationStep withFloors(List<Long> next) {
+        return new MigrationStep(kind, tenant, fromCell, toCell, atNanos, fences, next, sources, detail);
+    }
+
+    MigrationStep withSources(List<String> next) {
+        return new MigrationStep(kind, tenant, fromCell, toCell, atNanos, fences, floors, next, detail);
     }
 }
--- /dev/null
+++ b/src/main/java/beaconladder/cells/PlacementProblem.java
@@ -0,0 +1,122 @@
+package beaconladder.cells;
+
+import beaconladder.plan.Plan;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * A placement problem in integers: tenants and cells are indices, amounts are thousandths of a cell's fair part (the
+ * total over the number of cells).
+ *
+ * @param tenants names, by tenant
+ * @param cells names, by cell
+ * @param currentCell the cell of each tenant today
+ * @param load of each tenant
+ * @param valueAtRisk of each tenant: its load times the value of its requests
+ * @param capacity of each cell, in the same measure; 0 for a lost cell
+ * @param apart pairs of tenants that should not share a cell
+ * @param movable whether the planner may choose another cell, by tenant
+ */
+public record PlacementProblem(
+        List<String> tenants,
+        List<String> cells,
+        int[] currentCell,
+        int[] load,
+        int[] valueAtRisk,
+        int[] capacity,
+        int[][] apart,
+        boolean[] movable) {
+    /** Amounts are in thousandths of a cell's fair part, so that the solver has small integers. */
+    static final int SCALE = 1_000;
+    /** A divisor for a plan in which no tenant states a load. */
+    private static final double SMALLEST_TOTAL = 1e-9;
+
+    /** The problem of this plan; each tenant is where the plan states it. */
+    public static PlacementProblem of(Plan plan) {
+        int tenantCount = plan.tenants().size();
+        int cellCount = plan.cells().size();
+        double totalLoad =
+                plan.tenants().stream().mapToDouble(Plan.Tenant::load).sum();
+        double totalValue =
+                plan.tenants().stream().mapToDouble(t -> t.load() * t.value()).sum();
+        Map<String, Integer> cellIndices = new HashMap<>();
+        for (int i = 0; i < cellCount; i++) {
+            cellIndices.put(plan.cells().get(i).name(), i);
+        }
+        int[] currentCell = new int[tenantCount];
+        int[] load = new int[tenantCount];
+        int[] valueAtRisk = new int[tenantCount];
+        boolean[] movable = new boolean[tenantCount];
+        for (int i = 0; i < tenantCount; i++) {
+            Plan.Tenant tenant = plan.tenants().get(i);
+            currentCell[i] = cellIndices.get(tenant.cell());
+            load[i] = scaled(cellCount * tenant.load(), totalLoad);
+            valueAtRisk[i] = scaled(cellCount * tenant.load() * tenant.value(), totalValue);
+            movable[i] = !tenant.fixed();
+        }
+        int[] capacity = plan.cells().stream()
+                .mapToInt(c -> (int) Math.round(SCALE * cellCount * c.share()))
+                .toArray();
+        return new PlacementProblem(
+                plan.tenants().stream().map(Plan.Tenant::name).toList(),
+                plan.cells().stream().map(Plan.Cell::name).toList(),
+                currentCell,
+                load,
+                valueAtRisk,
+                capacity,
+                apart(plan.tenants()),
+                movable);
+    }
+
+    private static int scaled(double amount, double total) {
+        return (int) Math.round(SCALE * amount / Math.max(SMALLEST_TOTAL, total));
+    }
+
+    private static int[][] apart(List<Plan.Tenant> tenants) {
+        Map<String, Integer> indices = new HashMap<>();
+        for (int i = 0; i < tenants.size(); i++) {
+            indices.put(tenants.get(i).name(), i);
+        }
+        List<int[]> pairs = new ArrayList<>();
+        for (int i = 0; i < tenants.size(); i++) {
+            for (String other : tenants.get(i).apart()) {
+                pairs.add(new int[] {i, indices.get(other)});
+            }
+        }
+        return pairs.toArray(int[][]::new);
+    }
+
+    /**
+     * The same problem with one cell lost: no tenant may stay in it or be moved into it, and its fixed tenants have to
+     * leave as well.
+     *
+     * @throws IllegalArgumentException if there is no such cell or it is the only one
+     */
+    public PlacementProblem withoutCell(String lostCell) {
+        int lost = cells.indexOf(lostCell);
+        if (lost < 0 || cells.size() < 2) {
+            throw new IllegalArgumentException("no cell '" + lostCell + "' is there to be lost");
+        }
+        boolean[] nextMovable = movable.clone();
+        int[] nextCapacity = capacity.clone();
+        for (int i = 0; i < nextMovable.length; i++) {
+            nextMovable[i] |= currentCell[i] == lost;
+        }
+        nextCapacity[lost] = 0;
+        return new PlacementProblem(tenants, cells, currentCell, load, valueAtRisk, nextCapacity, apart, nextMovable);
+    }
+
+    int tenantCount() {
+        return currentCell.length;
+    }
+
+    int cellCount() {
+        return cells.size();
+    }
+
+    boolean isLost(int cell) {
+        return capacity[cell] == 0;
+    }
+}
--- /dev/null
+++ b/src/main/java/beaconladder/cells/PlacementSolver.java
@@ -0,0 +1,250 @@
+package beaconladder.cells;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.stream.IntStream;
+import org.chocosolver.solver.Model;
+import org.chocosolver.solver.Solution;
+import org.chocosolver.solver.Solver;
+import org.chocosolver.solver.search.limits.FailCounter;
+import org.chocosolver.solver.search.loop.lns.neighbors.RandomNeighborhood;
+import org.chocosolver.solver.search.strategy.Search;
+import org.chocosolver.solver.search.strategy.strategy.AbstractStrategy;
+import org.chocosolver.solver.variables.BoolVar;
+import org.chocosolver.solver.variables.IntVar;
+
+/**
+ * Improves a placement with a constraint solver. The model has a variable for the cell of each free tenant and
+ * minimizes the cost that {@link PlacementCost#of} computes; the other tenants stay where the start has them.
+ */
+final class PlacementSolver {
+    /** Beyond this many tenants the small ones stay where they are: the large ones decide the peak. */
+    private static final int MAX_FREE_TENANTS = 160;
+    /** Large neighbourhood search frees twenty tenants at a time: some seconds in all at 160 tenants. */
+    private static final int FREED_PER_NEIGHBOURHOOD = 20;
+
+    private static final int FAILURES_PER_NEIGHBOURHOOD = 200;
+    private static final int MAX_NEIGHBOURHOODS = 400;
+    /** A complete search of so many nodes takes about a second. */
+    private static final long MAX_COMPLETE_NODES = 100_000;
+    /** Each of the two searches may use half of the time. */
+    private static final long HALF_SECOND_MILLIS = 500;
+    /** An upper bound of a peak that leaves the solver's sums within an int. */
+    private static final int MAX_PEAK = Integer.MAX_VALUE / 16;
+
+    /** The best placement found, which is the start if there was none, and whether it is proved optimal. */
+    record Result(int[] placement, boolean optimal) {}
+
+    private final PlacementProblem problem;
+    private final int[] start;
+    private final int[] free;
+    private final Model model = new Model("cells");
+    /** The cell of each free tenant. */
+    private final IntVar[] cellOf;
+    /** For each free tenant and each cell, whether it is placed there. */
+    private final BoolVar[][] isIn;
+
+    private final BoolVar[] migrates;
+    private final IntVar loadPeak;
+    private final IntVar valuePeak;
+    private final IntVar migrations;
+    private final IntVar together;
+    private final IntVar cost;
+
+    /**
+     * Builds the model. The order in which variables and constraints are created decides the solver's search.
+     *
+     * @param start a placement that needs at most so many migrations
+     * @param free the tenants whose cell may change
+     */
+    PlacementSolver(PlacementProblem problem, int[] start, int[] free, int maxMigrations) {
+        this.problem = problem;
+        this.start = start;
+        this.free = free;
+        cellOf = new IntVar[free.length];
+        isIn = new BoolVar[free.length][problem.cellCount()];
+        migrates = new BoolVar[free.length];
+        createTenantVariables();
+        loadPeak = peak(problem.load());
+        valuePeak = peak(problem.valueAtRisk());
+        migrations = model.intVar("moves", 0, Math.min(maxMigrations, free.length));
+        model.sum(migrates, "=", migrations).post();
+        together = pairsTogether();
+        cost = model.intVar("cost", 0, PlacementCost.of(problem, start));
+        postCost();
+    }
+
+    /** The tenants the solver may move: the movable ones with the most load, and all that should be apart. */
+    static int[] freeTenants(PlacementProblem problem) {
+        boolean[] inPair = new boolean[problem.tenantCount()];
+        Arrays.stream(problem.apart()).forEach(pair -> Arrays.stream(pair).forEach(tenant -> inPair[tenant] = true));
+        int[] all = IntStream.range(0, problem.tenantCount())
+                .filter(tenant -> problem.movable()[tenant])
+                .boxed()
+                .sorted(Comparator.<Integer>comparingInt(tenant -> inPair[tenant] ? 0 : 1)
+                        .thenComparingInt(tenant -> -problem.load()[tenant])
+                        .thenComparingInt(tenant -> tenant))
+                .mapToInt(tenant -> tenant)
+                .toArray();
+        return all.length <= MAX_FREE_TENANTS ? all : Arrays.copyOf(all, MAX_FREE_TENANTS);
+    }
+
+    private void createTenantVariables() {
+        int cellCount = problem.cellCount();
+        for (int i = 0; i < free.length; i++) {
+            cellOf[i] = model.intVar(
+                    problem.tenants().get(free[i]),
+                    IntStream.range(0, cellCount)
+                            .filter(cell -> !problem.isLost(cell))
+                            .toArray());
+            for (int cell = 0; cell < cellCount; cell++) {
+                isIn[i][cell] = model.boolVar();
+            }
+            model.boolsIntChanneling(isIn[i], cellOf[i], 0).post();
+            migrates[i] = isIn[i][problem.currentCell()[free[i]]].not();
+        }
+    }
+
+    /** The largest part of its capacity that any cell uses, in thousandths. */
+    private IntVar peak(int[] amounts) {
+        int[] capacity = problem.capacity();
+        int total = Arrays.stream(amounts).sum();
+        int smallest = Math.max(
+                1, Arrays.stream(capacity).filter(each -> each > 0).min().orElse(1));
+        IntVar peak =
+                model.intVar("peak", 0, (int) Math.min(MAX_PEAK, (long) total * PlacementProblem.SCALE / smallest + 1));
+        int[] fixed = fixedSums(amounts);
+        for (int cell = 0; cell < problem.cellCount(); cell++) {
+            if (problem.isLost(cell)) {
+                continue;
+            }
+            IntVar[] variables = new IntVar[free.length + 1];
+            int[] factors = new int[free.length + 1];
+            for (int i = 0; i < free.length; i++) {
+                variables[i] = isIn[i][cell];
+                factors[i] = amounts[free[i]] * PlacementProblem.SCALE / Math.max(1, capacity[cell]);
+            }
+            variables[free.length] = peak;
+            factors[free.length] = -1;
+            int fixedPart = (int) ((long) fixed[cell] * PlacementProblem.SCALE / Math.max(1, capacity[cell]));
+            model.scalar(variables, factors, "<=", -fixedPart).post();
+        }
+        return peak;
+    }
+
+    /** By cell, the sum over the tenants that are not free. */
+    private int[] fixedSums(int[] amounts) {
+        boolean[] isFree = new boolean[start.length];
+        Arrays.stream(free).forEach(tenant -> isFree[tenant] = true);
+        int[] sums = new int[problem.cellCount()];
+        for (int tenant = 0; tenant < start.length; tenant++) {
+            if (!isFree[tenant]) {
+                sums[start[tenant]] += amounts[tenant];
+            }
+        }
+        return sums;
+    }
+
+    /** How many pairs that should be apart share a cell. */
+    private IntVar pairsTogether() {
+        Map<Integer, Integer> freeIndices = new HashMap<>();
+        for (int i = 0; i < free.length; i++) {
+            freeIndices.put(free[i], i);
+        }
+        List<BoolVar> pairs = new ArrayList<>();
+        for (int[] pair : problem.apart()) {
+            Integer first = freeIndices.get(pair[0]);
+            Integer second = freeIndices.get(pair[1]);
+            if (first != null && second != null) {
+                pairs.add(model.arithm(cellOf[first], "=", cellOf[second]).reify());
+            }
+        }
+        IntVar count = model.intVar("together", 0, pairs.size());
+        model.sum(pairs.toArray(BoolVar[]::new), "=", count).post();
+        return count;
+    }
+
+    private void postCost() {
+        // Twice everything, so that the half weight of the value at risk stays an integer.
+        model.scalar(
+                        new IntVar[] {loadPeak, valuePeak, together, migrations, cost},
+                        new int[] {2, 1, 2 * PlacementCost.PER_PAIR_TOGETHER, 2 * PlacementCost.PER_MIGRATION, -2},
+                        "<=",
+                        1)
+                .post();
+        model.setObjective(Model.MINIMIZE, cost);
+    }
+
+    /**
+     * Searches: first completely, which proves optimality where the problem is small; then, from the best known, by
+     * large neighbourhoods. Both stop by counts, so that the same seed gives the same result, or by the time.
+     */
+    Result solve(int maxSeconds, long seed) {
+        Solver solver = model.getSolver();
+        solver.setSearch(strategies());
+        IntVar[] recorded = Arrays.copyOf(cellOf, cellOf.length + 1);
+        recorded[cellOf.length] = cost;
+        Solution best = new Solution(model, recorded);
+        solver.limitTime(maxSeconds * HALF_SECOND_MILLIS);
+        solver.limitNode(MAX_COMPLETE_NODES);
+        boolean found = recordSolutions(solver, best);
+        boolean optimal = !solver.isStopCriterionMet();
+        if (!optimal) {
+            solver.hardReset();
+            solver.setSearch(strategies());
+            if (found) {
+                model.arithm(cost, "<", best.getIntVal(cost)).post();
+            }
+            solver.setLNS(
+                    new RandomNeighborhood(cellOf, FREED_PER_NEIGHBOURHOOD, new SplittableRandom(seed).nextLong()),
+                    new FailCounter(model, FAILURES_PER_NEIGHBOURHOOD));
+            solver.limitTime(maxSeconds * HALF_SECOND_MILLIS);
+            solver.limitRestart(MAX_NEIGHBOURHOODS);
+            found |= recordSolutions(solver, best);
+        }
+        int[] placement = start.clone();
+        for (int i = 0; found && i < free.length; i++) {
+            placement[free[i]] = best.getIntVal(cellOf[i]);
+        }
+        return new Result(placement, optimal);
+    }
+
+    /** Records each better solution until the search stops; whether there was any. */
+    private static boolean recordSolutions(Solver solver, Solution best) {
+        boolean found = false;
+        while (solver.solve()) {
+            best.record();
+            found = true;
+        }
+        return found;
+    }
+
+    /** Tries for each tenant its cell in the start first; then fixes the sums. */
+    private AbstractStrategy<?>[] strategies() {
+        Map<IntVar, Integer> startCells = new HashMap<>();
+        for (int i = 0; i < cellOf.length; i++) {
+            startCells.put(cellOf[i], start[free[i]]);
+        }
+        return new AbstractStrategy<?>[] {
+            Search.intVarSearch(
+                    PlacementSolver::firstUnassigned,
+                    each -> each.contains(startCells.get(each)) ? startCells.get(each) : each.getLB(),
+                    cellOf),
+            Search.inputOrderLBSearch(loadPeak, valuePeak, together, migrations, cost)
+        };
+    }
+
+    private static IntVar firstUnassigned(IntVar[] variables) {
+        for (IntVar each : variables) {
+            if (!each.isInstantiated()) {
+                return each;
+            }
+        }
+        return null;
+    }
+}
--- a/src/main/java/beaconladder/cells/StaticPlacement.java
+++ b/src/main/java/beaconladder/cells/StaticPlacement.java
@@ -12,157 +12,173 @@
 import java.util.Map;
 
 /**
- * Who lives where by the plan alone: stated tenants where it says, the others by a stable hash over a few cells each
- * (shuffle sharding), so that two tenants seldom share all of their cells and a new cell moves few.
+ * The placement that the plan alone gives: stated tenants where the plan says, all others by a stable hash over a few
+ * cells each (shuffle sharding), so that two tenants seldom share all of their cells and a new cell changes the place
+ * of few. Cells are indices in the order of the plan. Not thread-safe.
  */
 public final class StaticPlacement {
-    /** Cells of tenants that were asked for last; a thousand of them are some hundred kilobytes. */
-    private static final int REMEMBERED = 1_024;
+    /** Shards that are cached, least recently used first out; a thousand of them are some hundred kilobytes. */
+    private static final int CACHED_SHARDS = 1_024;
+
+    private static final IPAddressNetwork.IPAddressGenerator ADDRESSES = new IPAddressNetwork.IPAddressGenerator();
+
+    /** The cell of a group and its index among the groups of that cell. */
+    private record GroupLocation(int cellIndex, int slot) {}
 
     private final Plan plan;
     private final List<Plan.Cell> cells;
-    private final long[] seeds;
-    private final Map<String, Integer> places = new HashMap<>();
-    /** Cell and slot of each group, the slot in the lower half. */
-    private final Map<Integer, Long> groups = new HashMap<>();
-
+    private final long[] cellSeeds;
+    private final Map<String, Integer> cellIndices = new HashMap<>();
+    private final Map<Integer, GroupLocation> groups = new HashMap<>();
     private final Map<String, Plan.Tenant> tenants = new HashMap<>();
-    private final Map<String, int[]> subsets = new LinkedHashMap<>(64, 0.75f, true) {
+    private final Map<String, int[]> shards = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, int[]> eldest) {
-            return size() > REMEMBERED;
+            return size() > CACHED_SHARDS;
         }
     };
 
+    /** The placement of a plan that {@link beaconladder.plan.PlanReader} has checked. */
     public StaticPlacement(Plan plan) {
         this.plan = plan;
         this.cells = plan.cells();
-        this.seeds = new long[cells.size()];
+        this.cellSeeds = new long[cells.size()];
         for (int i = 0; i < cells.size(); i++) {
             Plan.Cell cell = cells.get(i);
-            places.put(cell.name(), i);
-            seeds[i] = Hashing.xxh3_64().hashCharsToLong(cell.name());
+            cellIndices.put(cell.name(), i);
+            cellSeeds[i] = Hashing.xxh3_64().hashCharsToLong(cell.name());
             for (int slot = 0; slot < cell.groups().size(); slot++) {
-                groups.put(cell.groups().get(slot), (long) i << 32 | slot);
+                groups.put(cell.groups().get(slot), new GroupLocation(i, slot));
             }
         }
         plan.tenants().forEach(tenant -> tenants.put(tenant.name(), tenant));
     }
 
+    /** The plan that it was made from. */
     public Plan plan() {
         return plan;
     }
 
-    public int cells() {
+    /** The number of cells. */
+    public int cellCount() {
         return cells.size();
     }
 
-    public Plan.Cell cell(int place) {
-        return cells.get(place);
+    /** The cell at this index. */
+    public Plan.Cell cell(int cellIndex) {
+        return cells.get(cellIndex);
+    }
+
+    /** The index of the cell of this name, or -1. */
+    public int cellIndex(String name) {
+        return cellIndices.getOrDefault(name, -1);
     }
 
-    /** The place of the cell of this name, or -1. */
-    public int place(String name) {
-        return places.getOrDefault(name, -1);
+    /** The index of the cell that has this group, or -1. */
+    public int cellIndexOfGroup(int group) {
+        GroupLocation location = groups.get(group);
+        return location == null ? -1 : location.cellIndex();
     }
 
-    /** The cell that this group is in, or -1. */
-    public int cellOf(int group) {
-        Long at = groups.get(group);
-        return at == null ? -1 : (int) (at >> 32);
+    /** The group of this cell that serves requests which name another cell's group: the one in the same slot. */
+    public int groupInCell(int cellIndex, int namedGroup) {
+        GroupLocation location = groups.get(namedGroup);
+        List<Integer> own = cells.get(cellIndex).groups();
+        return own.get((location == null ? namedGroup : location.slot()) % own.size());
     }
 
-    /** The group that a txn which names this one goes to in this cell: the one in the same slot. */
-    public int groupIn(int cell, int named) {
-        Long at = groups.get(named);
-        List<Integer> own = cells.get(cell).groups();
-        return own.get((at == null ? named : at.intValue()) % own.size());
+    /** The groups of the cell of this name, by slot; the cell must exist. */
+    List<Integer> groupsOf(String cell) {
+        return cells.get(cellIndex(cell)).groups();
     }
 
-    /** The slot of a group in its cell. */
-    public int slot(int group) {
-        return groups.get(group).intValue();
+    /** The slot of a group, which must be in a cell. */
+    public int slotOf(int group) {
+        return groups.get(group).slot();
     }
 
+    /** The stated tenant of this name, or null. */
     public Plan.Tenant tenant(String name) {
         return tenants.get(name);
     }
 
-    /** The cell of this tenant's key by the plan, or -1: it lives nowhere. */
-    public int home(String tenant, long key) {
+    /** The index of the cell for this tenant and session by the plan, or -1 if no cell serves the tenant. */
+    public int homeCell(String tenant, long sessionKey) {
         Plan.Tenant stated = tenants.get(tenant);
         if (stated != null) {
-            return places.get(stated.cell());
+            return cellIndices.get(stated.cell());
         }
         if (plan.others() == null || cells.isEmpty()) {
             return -1;
         }
-        int[] subset = subset(tenant);
-        int best = subset[0];
-        long most = Long.MIN_VALUE;
-        for (int cell : subset.length == 1 ? new int[0] : subset) {
-            long weight = Hashing.xxh3_64().hashLongLongToLong(seeds[cell], key);
-            if (weight > most) {
-                most = weight;
+        int[] shard = shuffleShard(tenant);
+        int best = shard[0];
+        long highestWeight = Long.MIN_VALUE;
+        for (int cell : shard.length == 1 ? new int[0] : shard) {
+            long weight = Hashing.xxh3_64().hashLongLongToLong(cellSeeds[cell], sessionKey);
+            if (weight > highestWeight) {
+                highestWeight = weight;
                 best = cell;
             }
         }
         return best;
     }
 
-    /** The cells over which the keys of a tenant that is not stated are spread: those that weigh most for it. */
-    public int[] subset(String tenant) {
-        int[] known = subsets.get(tenant);
-        if (known != null) {
-            return known;
+    /**
+     * The cells over which the sessions of a tenant that is not stated are spread: those with the highest hash weights
+     * for it, highest first (rendezvous hashing). The array is cached and must not be changed.
+     */
+    public int[] shuffleShard(String tenant) {
+        int[] cached = shards.get(tenant);
+        if (cached != null) {
+            return cached;
         }
         long hash = Hashing.xxh3_64().hashCharsToLong(tenant);
-        int wanted = Math.min(plan.others().spread(), cells.size());
-        int[] subset = new int[wanted];
-        long[] weights = new long[wanted];
-        int n = 0;
+        int size = Math.min(plan.others().spread(), cells.size());
+        int[] shard = new int[size];
+        long[] weights = new long[size];
+        int filled = 0;
         for (int cell = 0; cell < cells.size(); cell++) {
-            long weight = Hashing.xxh3_64().hashLongLongToLong(hash, seeds[cell]);
-            int at = n;
-            while (at > 0 && weights[at - 1] < weight) {
-                at--;
+            long weight = Hashing.xxh3_64().hashLongLongToLong(hash, cellSeeds[cell]);
+            int rank = filled;
+            while (rank > 0 && weights[rank - 1] < weight) {
+                rank--;
             }
-            if (at < wanted) {
-                n = Math.min(n + 1, wanted);
-                System.arraycopy(weights, at, weights, at + 1, n - at - 1);
-                System.arraycopy(subset, at, subset, at + 1, n - at - 1);
-                weights[at] = weight;
-                subset[at] = cell;
+            if (rank < size) {
+                filled = Math.min(filled + 1, size);
+                System.arraycopy(weights, rank, weights, rank + 1, filled - rank - 1);
+                System.arraycopy(shard, rank, shard, rank + 1, filled - rank - 1);
+                weights[rank] = weight;
+                shard[rank] = cell;
             }
         }
-        subsets.put(tenant, subset);
-        return subset;
+        shards.put(tenant, shard);
+        return shard;
     }
 
-    /** The share of its cell that a tenant may hold. */
-    public double share(String tenant) {
+    /** The part of its cell's quota that a tenant may hold, from 0 to 1. */
+    public double quotaOf(String tenant) {
         Plan.Tenant stated = tenants.get(tenant);
-        return stated != null
-                ? stated.share()
-                : plan.others() == null ? 0 : plan.others().share();
+        if (stated != null) {
+            return stated.share();
+        }
+        return plan.others() == null ? 0 : plan.others().share();
     }
 
-    /** Whether a client at this address may speak for this tenant; null is an address that is not known. */
-    public boolean admits(String tenant, InetAddress from) {
+    /** Whether a client at this address may send requests of this tenant; null is an address that is not known. */
+    public boolean isClientAllowed(String tenant, InetAddress clientAddress) {
         Plan.Tenant stated = tenants.get(tenant);
         if (stated == null || stated.networks().isEmpty()) {
             return true;
         }
-        IPAddress address = from == null ? null : ADDRESSES.from(from);
+        IPAddress address = clientAddress == null ? null : ADDRESSES.from(clientAddress);
         return address != null && stated.networks().stream().anyMatch(network -> network.contains(address));
     }
 
-    private static final IPAddressNetwork.IPAddressGenerator ADDRESSES = new IPAddressNetwork.IPAddressGenerator();
-
-    /** What a placement by hash rests on: two routers whose plans agree in it place alike. */
-    public String basis() {
+    /** A hash of all that a placement by hash depends on: routers whose plans agree in it place tenants alike. */
+    public String fingerprint() {
         HashStream64 stream = Hashing.xxh3_64().hashStream();
         for (Plan.Cell cell : cells) {
             stream.putString(cell.name());
--- a/src/main/java/beaconladder/cells/TenantMigrations.java
+++ b/src/main/java/beaconladder/cells/TenantMigrations.java
@@ -1,129 +1,80 @@
 package beaconladder.cells;
 
-import beaconladder.cells.CellAdmission.Busy;
 import beaconladder.cells.MigrationStep.Kind;
 import beaconladder.plan.Plan;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 
 /**
- * The keeper's decisions: who lives where, and the steps by which a tenant moves. Pure: {@link #due} names the step
- * that is due, its record is written, and {@link #take} takes it; after a crash the records are taken again and lead to
- * the same state.
+ * The coordinator's state machine: the placement of all tenants, and the steps by which a tenant migrates. It does no
+ * I/O and reads no clock: {@link #nextStep} returns the step that is due, the caller stores its record, and
+ * {@link #apply} applies it; after a crash the records are applied again and lead to the same state. Times are in
+ * nanoseconds on the clock that all machines read. Not thread-safe.
  *
- * <p>A move waits at each step until every router has acted on the step before, or can't act on an older word any more
- * because its lease is over:
+ * <p>A migration waits at each step until every router has applied the step before, or can't act on an older placement
+ * any more because its lease is over:
  *
  * <ol>
  *   <li>PROPOSED to COPYING: old and new cell have a primary in each slot;
- *   <li>COPYING to FENCED: the copy is close behind;
- *   <li>FENCED to SEALED: no write is in hand or may yet run, and every ready member of the new groups has copied up to
- *       what the old primaries, asked after that, had in their logs;
- *   <li>SEALED to SWITCHED: no router sends a read to the old cell any more, and the new primaries have been asked for
- *       the position from which on a member has it all;
- *   <li>SWITCHED to DONE: every router has heard.
+ *   <li>COPYING to FENCED: the copy lags little;
+ *   <li>FENCED to SEALED: no write is in flight or may still run, and every ready member of the new groups has copied
+ *       up to what the old primaries, queried after that, had in their logs;
+ *   <li>SEALED to SWITCHED: no router sends a read to the old cell any more, and the new primaries have been queried
+ *       for the floor, the position from which on a member has all that was copied;
+ *   <li>SWITCHED to DONE: every router has applied the switch.
  * </ol>
  */
 public final class TenantMigrations {
-    /** What is left to copy when the fence goes up is waited for by writes: a tenth of the shortest SLA times. */
-    private static final long NEAR = 100_000_000L;
-    /** A snapshot takes the place of so many records. */
-    private static final int RECORDS = 10_000;
-
-    /** A move under way. */
-    private static final class Move {
-        private final String tenant;
-        private final String from;
-        private final String to;
-        private final long proposedAt;
-        private Kind state = Kind.PROPOSED;
-        private long since;
-        private long fencedAt;
-        /** The version of the placement with which the present state began. */
-        private long version;
-
-        private List<String> sources = List.of();
-        private List<Long> fences = List.of();
-        private long quietAt = Long.MIN_VALUE;
-        private MigrationObservation[] sights;
-        private String undo;
-
-        Move(String tenant, String from, String to, long at) {
-            this.tenant = tenant;
-            this.from = from;
-            this.to = to;
-            this.proposedAt = at;
-        }
-    }
-
-    /** What the keeper knows of a router. */
-    private static final class Seen {
-        private String incarnation;
-        private long version = -1;
-        /** It may act on an older word until then. */
-        private long lease;
-        /** What an earlier run of it sent may yet run until then. */
-        private long earlier;
-
-        private Map<String, Busy> busy = Map.of();
-        private long heardAt = Long.MIN_VALUE;
-    }
-
-    /** A move as people are told of it. */
+    /**
+     * A migration under way, as an operator sees it.
+     *
+     * @param from the old cell
+     * @param to the new cell
+     * @param state the kind of its last step, in lower case
+     * @param since when that step was decided, in nanoseconds
+     * @param waitsFor what its next step waits for
+     */
     public record Shown(String tenant, String from, String to, String state, long since, String waitsFor) {}
 
-    private StaticPlacement territory;
-    private final Map<String, TenantPlacement> seats = new LinkedHashMap<>();
-    private final Map<String, Move> moves = new LinkedHashMap<>();
-    private final Map<String, Seen> routers = new LinkedHashMap<>();
-    private final List<MigrationStep> ended = new ArrayList<>();
-    private long version;
-    private int records;
-    /** The longest lease that was ever granted; no grant of before now ends later than this from now on. */
-    private long longest;
-
-    private final long lease;
-    private final long expiry;
-    private final long copy;
-    private final long fence;
+    private final RouterLeases routers;
+    private final MigrationTransitions transitions;
+    private final MigrationState state;
 
-    public TenantMigrations(StaticPlacement territory) {
-        Plan.Keeper keeper = territory.plan().keeper();
-        this.territory = territory;
-        lease = keeper.lease();
-        expiry = keeper.expiry();
-        copy = keeper.copy();
-        fence = keeper.fence();
+    /** No records applied yet; the plan must state a coordinator, whose time limits hold for good. */
+    public TenantMigrations(StaticPlacement staticPlacement) {
+        Plan.Keeper limits = staticPlacement.plan().keeper();
+        routers = new RouterLeases(limits.lease(), limits.expiry());
+        transitions = new MigrationTransitions(limits, routers);
+        state = new MigrationState(staticPlacement, routers);
     }
 
-    /** Another plan counts; who lives where stays as the records have it. */
-    public void plan(StaticPlacement next) {
-        territory = next;
+    /** Replaces the plan; the placements stay as the records have them. */
+    public void replacePlan(StaticPlacement next) {
+        state.replacePlan(next);
     }
 
-    /** Right after the records of before were taken: routers of before may act on what they were granted. */
-    public void recovered(long now) {
-        for (Seen router : routers.values()) {
-            router.lease = now + longest;
-        }
+    /** To be called once all stored records are applied: routers may act on leases that were granted before. */
+    public void recoveredAt(long now) {
+        routers.recoveredAt(now);
     }
 
-    // ---- What is due --------------------------------------------------------------------------------------
+    // ---- Steps --------------------------------------------------------------------------------------------
 
-    /** The next step that is due, or null; it is to be written and taken, then asked for the next. */
-    public MigrationStep due(long now) {
-        if (longest < lease) {
-            return MigrationStep.of(Kind.LEASE, "", null, null, lease, null);
+    /** The next step that is due, or null. It is to be stored and applied before the next call. */
+    public MigrationStep nextStep(long now) {
+        MigrationStep lease = routers.nextStep();
+        if (lease != null) {
+            return lease;
         }
-        for (Plan.Tenant tenant : territory.plan().tenants()) {
-            if (!seats.containsKey(tenant.name()) && !tenant.fixed()) {
-                return MigrationStep.of(Kind.SEATED, tenant.name(), tenant.cell(), tenant.cell(), now, null);
+        for (Plan.Tenant tenant : state.staticPlacement().plan().tenants()) {
+            if (!state.placements().containsKey(tenant.name()) && !tenant.fixed()) {
+                return MigrationStep.placed(tenant.name(), tenant.cell(), List.of(), now);
             }
         }
-        for (Move move : moves.values()) {
-            MigrationStep step = due(move, now);
+        for (Migration migration : state.migrations().values()) {
+            MigrationStep step = transitions.nextStep(migration, now);
             if (step != null) {
                 return step;
             }
@@ -131,467 +82,173 @@
         return null;
     }
 
-    private MigrationStep due(Move move, long now) {
-        if (move.undo != null && move.state.compareTo(Kind.SWITCHED) < 0) {
-            return undone(move, move.undo, now);
-        }
-        return switch (move.state) {
-            case PROPOSED ->
-                all(move, s -> s.source() != null && s.target() != null)
-                        ? new MigrationStep(
-                                Kind.COPYING,
-                                move.tenant,
-                                move.from,
-                                move.to,
-                                now,
-                                List.of(),
-                                List.of(),
-                                sources(move),
-                                null)
-                        : now > move.proposedAt + copy ? undone(move, "a primary was not found in time", now) : null;
-            case COPYING -> copying(move, now);
-            case FENCED -> fenced(move, now);
-            case SEALED -> sealed(move, now);
-            case SWITCHED ->
-                heard(move.version, now)
-                        ? MigrationStep.of(Kind.DONE, move.tenant, move.from, move.to, now, null)
-                        : null;
-            default -> null;
-        };
+    /** Applies a step whose record is stored. */
+    public void apply(MigrationStep step) {
+        state.apply(step);
     }
 
-    private MigrationStep copying(Move move, long now) {
-        if (now > move.proposedAt + copy) {
-            return undone(move, "the copy was not close enough in time", now);
-        }
-        if (!sameSources(move)) {
-            // The new primary's log may lack the end of the old one's: what was copied is not a part of it.
-            return all(move, s -> s.source() != null)
-                    ? new MigrationStep(
-                            Kind.COPYING,
-                            move.tenant,
-                            move.from,
-                            move.to,
-                            now,
-                            List.of(),
-                            List.of(),
-                            sources(move),
-                            null)
-                    : null;
-        }
-        boolean near = all(
-                move,
-                s -> s.askedAt() >= move.since
-                        && s.source() != null
-                        && s.target() != null
-                        && s.copiedByAll() != Long.MIN_VALUE
-                        && s.copiedByAll() >= s.position() - NEAR);
-        return near && heard(move.version, now)
-                ? MigrationStep.of(Kind.FENCED, move.tenant, move.from, move.to, now, null)
-                : null;
-    }
+    // ---- Requests of operators ----------------------------------------------------------------------------
 
-    private MigrationStep fenced(Move move, long now) {
-        if (now > move.fencedAt + fence) {
-            return undone(move, "the fence had to go: " + waitsFor(move, now), now);
-        }
-        if (move.quietAt == Long.MIN_VALUE && quiet(move, now)) {
-            move.quietAt = now;
-        }
-        if (!sameSources(move)) {
-            // It may lack committed writes that the copy has to have, or the copy may have what it lacks.
-            return undone(move, "a primary of " + move.from + " changed in the fence", now);
-        }
-        if (move.quietAt == Long.MIN_VALUE) {
-            return null;
-        }
-        if (move.fences.isEmpty()) {
-            // Asked before all was quiet, a position says nothing of the last writes.
-            if (!all(move, s -> s.askedAt() > move.quietAt && s.source() != null)) {
-                return null;
-            }
-            List<Long> positions = new ArrayList<>();
-            for (int slot = 0; slot < move.sights.length; slot++) {
-                positions.add(Math.max(move.sights[slot].position(), newestCommit(move.tenant, slot)));
-            }
-            move.fences = List.copyOf(positions);
+    /**
+     * The step that proposes a migration.
+     *
+     * @param requester who asks, for the record
+     * @throws MigrationRejectedException if the tenant can't be migrated to this cell now
+     */
+    public MigrationStep propose(String tenant, String toCell, String requester, long now) {
+        String rejection = rejection(tenant, toCell);
+        if (rejection != null) {
+            throw new MigrationRejectedException(rejection);
         }
-        return copied(move, move.quietAt)
-                ? new MigrationStep(
-                        Kind.SEALED, move.tenant, move.from, move.to, now, move.fences, List.of(), List.of(), null)
-                : null;
+        String fromCell = state.placements().get(tenant).cell();
+        return MigrationStep.of(Kind.PROPOSED, tenant, fromCell, toCell, now, requester);
     }
 
-    private MigrationStep sealed(Move move, long now) {
-        if (now > move.fencedAt + fence) {
-            return undone(move, "the fence had to go: " + waitsFor(move, now), now);
+    private String rejection(String tenant, String toCell) {
+        Plan.Tenant stated = state.staticPlacement().tenant(tenant);
+        if (stated == null) {
+            return "no tenant '" + tenant + "' is stated in the plan";
         }
-        if (!heard(move.version, now) || !copied(move, move.since)) {
-            return null;
+        if (stated.fixed()) {
+            return tenant + " is fixed and can't be moved";
         }
-        List<Long> floors = new ArrayList<>();
-        for (MigrationObservation sight : move.sights) {
-            floors.add(sight.landed());
+        if (state.staticPlacement().cellIndex(toCell) < 0) {
+            return "no cell '" + toCell + "' is stated in the plan";
         }
-        return new MigrationStep(
-                Kind.SWITCHED, move.tenant, move.from, move.to, now, move.fences, floors, List.of(), null);
-    }
-
-    /** Every ready member of the new groups has shown, asked after this time, all up to the fences. */
-    private boolean copied(Move move, long since) {
-        for (int slot = 0; slot < move.sights.length; slot++) {
-            MigrationObservation sight = move.sights[slot];
-            if (sight.askedAt() <= since
-                    || sight.target() == null
-                    || sight.landed() == Long.MIN_VALUE
-                    || sight.copiedByAll() < move.fences.get(slot)) {
-                return false;
-            }
+        Migration underWay = state.migrations().get(tenant);
+        if (underWay != null) {
+            return tenant + " is being moved to " + underWay.toCell + " (" + underWay.state() + ")";
         }
-        return true;
-    }
-
-    private MigrationStep undone(Move move, String why, long now) {
-        return MigrationStep.of(Kind.UNDONE, move.tenant, move.from, move.to, now, why);
-    }
-
-    private interface Test {
-        boolean holds(MigrationObservation sight);
-    }
-
-    private static boolean all(Move move, Test test) {
-        for (MigrationObservation sight : move.sights) {
-            if (!test.holds(sight)) {
-                return false;
-            }
+        TenantPlacement placement = state.placements().get(tenant);
+        if (placement == null) {
+            return tenant + " has no seat yet";
         }
-        return true;
-    }
-
-    private static List<String> sources(Move move) {
-        List<String> sources = new ArrayList<>();
-        for (MigrationObservation sight : move.sights) {
-            sources.add(sight.source());
+        String fromCell = placement.cell();
+        if (fromCell.equals(toCell)) {
+            return tenant + " lives in " + toCell + " as it is";
         }
-        return sources;
-    }
-
-    private static boolean sameSources(Move move) {
-        for (int slot = 0; slot < move.sights.length; slot++) {
-            String source = move.sights[slot].source();
-            if (source != null && !source.equals(move.sources.get(slot))) {
-                return false;
-            }
+        if (slots(fromCell) != slots(toCell)) {
+            return fromCell + " has " + slots(fromCell) + " groups and " + toCell + " has " + slots(toCell)
+                    + "; a move needs as many";
         }
-        return true;
-    }
-
-    /** Whether no router acts on an older word than this. */
-    private boolean heard(long version, long now) {
-        return routers.values().stream()
-                .allMatch(router -> router.version >= version || now > router.lease + CellAdmission.CLOCKS);
-    }
-
-    /** Whether no write of the tenant is in hand anywhere, or may yet run. */
-    private boolean quiet(Move move, long now) {
-        return routers.values().stream().allMatch(router -> {
-            if (router.version < move.version) {
-                return now > router.lease + expiry + CellAdmission.CLOCKS;
-            }
-            Busy busy = router.busy.get(move.tenant);
-            return busy != null && busy.writes() == 0 && now > router.earlier;
-        });
-    }
-
-    private long newestCommit(String tenant, int slot) {
-        long newest = Long.MIN_VALUE;
-        for (Seen router : routers.values()) {
-            Busy busy = router.busy.get(tenant);
-            if (busy != null && slot < busy.commits().size()) {
-                newest = Math.max(newest, busy.commits().get(slot));
-            }
-        }
-        return newest;
-    }
-
-    // ---- Steps that are written ---------------------------------------------------------------------------
-
-    /** Takes a step whose record is written. */
-    public void take(MigrationStep step) {
-        records++;
-        Move move = moves.get(step.tenant());
-        switch (step.kind()) {
-            case LEASE -> longest = Math.max(longest, step.at());
-            case VERSION -> version = Math.max(version, step.at());
-            case ROUTER -> joined(step);
-            case SEATED -> {
-                seats.put(step.tenant(), new TenantPlacement(step.to(), true, true, false, step.floors()));
-                version++;
-            }
-            case PROPOSED -> {
-                Move next = new Move(step.tenant(), step.from(), step.to(), step.at());
-                next.sights = new MigrationObservation
-                        [territory.cell(territory.place(step.from())).groups().size()];
-                java.util.Arrays.fill(next.sights, MigrationObservation.NOTHING);
-                moves.put(step.tenant(), next);
-                enter(next, Kind.PROPOSED, step.at());
-            }
-            case COPYING -> {
-                move.sources = step.sources();
-                seat(move, step, true, true);
-            }
-            case FENCED -> {
-                move.fencedAt = step.at();
-                seat(move, step, false, true);
-            }
-            case SEALED -> {
-                move.fences = step.fences();
-                seat(move, step, false, false);
-            }
-            case SWITCHED -> {
-                seats.put(step.tenant(), new TenantPlacement(step.to(), true, true, false, step.floors()));
-                version++;
-                enter(move, Kind.SWITCHED, step.at());
-            }
-            case DONE -> end(step);
-            case UNDONE -> {
-                TenantPlacement seat = seats.get(step.tenant());
-                seats.put(step.tenant(), new TenantPlacement(step.from(), true, true, false, seat.floors()));
-                version++;
-                end(step);
-            }
-        }
-    }
-
-    /** Of a run of before, what it had sent may run for as long as its clients wait. */
-    private void joined(MigrationStep step) {
-        Seen seen = routers.computeIfAbsent(step.tenant(), name -> new Seen());
-        if (seen.incarnation != null) {
-            seen.earlier = Math.max(seen.earlier, step.at() + expiry);
-        }
-        seen.incarnation = step.why();
-        seen.version = -1;
-        seen.busy = Map.of();
-    }
-
-    private void seat(Move move, MigrationStep step, boolean writes, boolean reads) {
-        seats.put(
-                step.tenant(),
-                new TenantPlacement(
-                        step.from(),
-                        writes,
-                        reads,
-                        true,
-                        seats.get(step.tenant()).floors()));
-        version++;
-        enter(move, step.kind(), step.at());
-    }
-
-    private void enter(Move move, Kind state, long at) {
-        move.state = state;
-        move.since = at;
-        move.version = version;
-    }
-
-    private void end(MigrationStep step) {
-        moves.remove(step.tenant());
-        ended.add(step);
-        if (ended.size() > 1_000) {
-            ended.remove(0);
-        }
-    }
-
-    // ---- What is heard ------------------------------------------------------------------------------------
-
-    /** The step that proposes this move. What speaks against it is the message of the exception. */
-    public MigrationStep propose(String tenant, String to, String who, long now) {
-        Plan.Tenant stated = territory.tenant(tenant);
-        Move under = moves.get(tenant);
-        TenantPlacement seat = seats.get(tenant);
-        String against = stated == null
-                ? "no tenant '" + tenant + "' is stated in the plan"
-                : stated.fixed()
-                        ? tenant + " is fixed and can't be moved"
-                        : territory.place(to) < 0
-                                ? "no cell '" + to + "' is stated in the plan"
-                                : under != null
-                                        ? tenant + " is being moved to " + under.to + " (" + under.state + ")"
-                                        : seat == null
-                                                ? tenant + " has no seat yet"
-                                                : seat.cell().equals(to)
-                                                        ? tenant + " lives in " + to + " as it is"
-                                                        : slots(seat.cell()) != slots(to)
-                                                                ? seat.cell() + " has " + slots(seat.cell())
-                                                                        + " groups and "
-                                                                        + to + " has " + slots(to)
-                                                                        + "; a move needs as many"
-                                                                : null;
-        if (against != null) {
-            throw new IllegalArgumentException(against);
-        }
-        return MigrationStep.of(Kind.PROPOSED, tenant, seat.cell(), to, now, who);
+        return null;
     }
 
     private int slots(String cell) {
-        return territory.cell(territory.place(cell)).groups().size();
+        return state.staticPlacement().groupsOf(cell).size();
     }
 
-    /** An operator wants a move undone. What speaks against it is the message of the exception. */
-    public void undo(String tenant, String who) {
-        Move move = moves.get(tenant);
-        if (move == null) {
-            throw new IllegalArgumentException(tenant + " is not being moved");
+    /**
+     * Lets the next step of a migration undo it.
+     *
+     * @throws MigrationRejectedException if there is none under way or its new cell already serves the tenant
+     */
+    public void requestUndo(String tenant, String requester) {
+        Migration migration = state.migrations().get(tenant);
+        if (migration == null) {
+            throw new MigrationRejectedException(tenant + " is not being moved");
         }
-        if (move.state == Kind.SWITCHED) {
-            throw new IllegalArgumentException(
-                    tenant + " has switched to " + move.to + "; to have it back, move it to " + move.from);
+        if (migration.state() == Kind.SWITCHED) {
+            throw new MigrationRejectedException(tenant + " has switched to " + migration.toCell
+                    + "; to have it back, move it to " + migration.fromCell);
         }
-        move.undo = "asked for by " + who;
+        migration.requestUndo("asked for by " + requester);
     }
 
+    // ---- Reports of routers and hosts ---------------------------------------------------------------------
+
     /**
-     * The step to be written before this router may be granted a lease, or null.
+     * The step to store and apply before this router may be granted a lease, or null.
      *
      * @param incarnation differs between two runs of a router of the same name
      */
-    public MigrationStep joins(String router, String incarnation, long now) {
-        Seen seen = routers.get(router);
-        return seen != null && incarnation.equals(seen.incarnation)
-                ? null
-                : MigrationStep.of(Kind.ROUTER, router, null, null, now, incarnation);
+    public MigrationStep registration(String router, String incarnation, long now) {
+        return routers.registration(router, incarnation, now);
     }
 
     /**
-     * A router that has joined tells what it acts on and what of it is in hand, and is granted a lease.
+     * Takes the report of a registered router and grants it a lease.
      *
-     * @param acts the version of the placement that it acts on
+     * @param appliedVersion the version of the placement that it acts on
+     * @param activity of the tenants that are being migrated
      */
-    public PlacementTable heard(String router, long acts, List<Busy> busy, long now) {
-        Seen seen = routers.get(router);
-        seen.version = Math.max(seen.version, Math.min(acts, version));
-        Map<String, Busy> by = new LinkedHashMap<>();
-        busy.forEach(each -> by.put(each.tenant(), each));
-        seen.busy = by;
-        seen.heardAt = now;
-        seen.lease = Math.max(seen.lease, now + lease);
-        return new PlacementTable(version, now + lease, territory.basis(), seats);
+    public PlacementTable grantLease(String router, long appliedVersion, List<WriteActivity> activity, long now) {
+        long validUntil = routers.grant(router, Math.min(appliedVersion, state.version()), activity, now);
+        return new PlacementTable(
+                state.version(), validUntil, state.staticPlacement().fingerprint(), state.placements());
     }
 
-    /** What the hosts of one slot of a move have said. */
-    public void seen(String tenant, int slot, MigrationObservation sight) {
-        Move move = moves.get(tenant);
-        if (move != null && slot < move.sights.length) {
-            move.sights[slot] = sight;
+    /** Keeps what the hosts of one slot of a migration answered. */
+    public void recordObservation(String tenant, int slot, MigrationObservation observation) {
+        Migration migration = state.migrations().get(tenant);
+        if (migration != null) {
+            migration.observations.record(slot, observation);
         }
     }
 
-    // ---- For the keeper's errands and for people ----------------------------------------------------------
-
-    /**
-     * A question that the keeper has to ask.
-     *
-     * @param feeds whether the new group's primary is to copy from the old one; not once the copy is known to be whole,
-     *     as another old primary might be copied from instead
-     */
-    public record Errand(String tenant, int slot, int source, int target, boolean feeds) {}
-
-    /** The groups to ask for the sake of moves under way. */
-    public List<Errand> errands() {
-        List<Errand> errands = new ArrayList<>();
-        for (Move move : moves.values()) {
-            List<Integer> from = territory.cell(territory.place(move.from)).groups();
-            List<Integer> to = territory.cell(territory.place(move.to)).groups();
-            for (int slot = 0; slot < from.size(); slot++) {
-                errands.add(new Errand(
-                        move.tenant,
-                        slot,
-                        from.get(slot),
-                        to.get(slot),
-                        move.state == Kind.COPYING || move.state == Kind.FENCED));
-            }
+    /** The slots whose hosts to query for the migrations under way. */
+    public List<SlotQuery> slotQueries() {
+        List<SlotQuery> queries = new ArrayList<>();
+        for (Migration migration : state.migrations().values()) {
+            boolean copies = migration.state() == Kind.COPYING || migration.state() == Kind.FENCED;
+            addSlotQueries(queries, migration.tenant, migration.fromCell, migration.toCell, copies);
         }
-        return errands;
+        return queries;
     }
 
-    /** The groups of a move's two cells, for what has to be said when it ends. */
-    public List<Errand> errands(MigrationStep step) {
-        List<Errand> errands = new ArrayList<>();
-        List<Integer> from = territory.cell(territory.place(step.from())).groups();
-        List<Integer> to = territory.cell(territory.place(step.to())).groups();
-        for (int slot = 0; slot < from.size(); slot++) {
-            errands.add(new Errand(step.tenant(), slot, from.get(slot), to.get(slot), false));
+    /** The slots of a migration that has ended, whose hosts are to be notified. */
+    public List<SlotQuery> slotQueries(MigrationStep end) {
+        List<SlotQuery> queries = new ArrayList<>();
+        addSlotQueries(queries, end.tenant(), end.fromCell(), end.toCell(), false);
+        return queries;
+    }
+
+    private void addSlotQueries(
+            List<SlotQuery> queries, String tenant, String fromCell, String toCell, boolean copies) {
+        List<Integer> sources = state.staticPlacement().groupsOf(fromCell);
+        List<Integer> targets = state.staticPlacement().groupsOf(toCell);
+        for (int slot = 0; slot < sources.size(); slot++) {
+            queries.add(new SlotQuery(tenant, slot, sources.get(slot), targets.get(slot), copies));
         }
-        return errands;
     }
 
+    // ---- State for operators and for the records ----------------------------------------------------------
+
+    /** The version of the placement. */
     public long version() {
-        return version;
+        return state.version();
     }
 
-    public Map<String, TenantPlacement> seats() {
-        return seats;
+    /** The placement, by tenant; a view of the present state. */
+    public Map<String, TenantPlacement> placements() {
+        return state.placements();
     }
 
-    /** The moves under way, and what each waits for. */
-    public List<Shown> shown(long now) {
-        return moves.values().stream()
-                .map(move -> new Shown(
-                        move.tenant,
-                        move.from,
-                        move.to,
-                        move.state.name().toLowerCase(java.util.Locale.ROOT),
-                        move.since,
-                        waitsFor(move, now)))
+    /** The migrations under way, and what each waits for. */
+    public List<Shown> statuses(long now) {
+        return state.migrations().values().stream()
+                .map(migration -> new Shown(
+                        migration.tenant,
+                        migration.fromCell,
+                        migration.toCell,
+                        migration.state().name().toLowerCase(Locale.ROOT),
+                        migration.stateSinceNanos(),
+                        transitions.waitsFor(migration, now)))
                 .toList();
     }
 
-    /** The last moves that have ended. */
-    public List<MigrationStep> ended() {
-        return List.copyOf(ended);
-    }
-
-    private String waitsFor(Move move, long now) {
-        List<String> late = new ArrayList<>();
-        routers.forEach((name, router) -> {
-            if (router.version < move.version && now <= router.lease + CellAdmission.CLOCKS) {
-                late.add(name);
-            }
-        });
-        if (!late.isEmpty()) {
-            return "word from " + String.join(", ", late);
-        }
-        if (move.state == Kind.FENCED && move.quietAt == Long.MIN_VALUE) {
-            return "writes in hand";
-        }
-        if (!all(move, s -> s.source() != null) && move.state.compareTo(Kind.SEALED) < 0 && move.fences.isEmpty()) {
-            return "a primary of " + move.from;
-        }
-        return all(move, s -> s.target() != null) ? "the copy" : "a primary of " + move.to;
+    /** The last steps of the migrations that have ended, oldest first. */
+    public List<MigrationStep> endedMigrations() {
+        return List.copyOf(state.ended());
     }
 
-    /** The routers, with the time since each was heard, in nanoseconds, or -1 for not since the keeper started. */
-    public Map<String, Long> routers(long now) {
-        Map<String, Long> silent = new LinkedHashMap<>();
-        routers.forEach((name, seen) -> silent.put(name, seen.heardAt == Long.MIN_VALUE ? -1 : now - seen.heardAt));
-        return silent;
+    /** By router the nanoseconds since its last report, or -1 for none since the coordinator started. */
+    public Map<String, Long> nanosSinceLastReport(long now) {
+        return routers.nanosSinceLastReport(now);
     }
 
-    /**
-     * The steps that lead from nothing to this state, to take the place of all records, or null: not yet, or not while
-     * a move is under way.
-     */
+    /** The steps that lead from nothing to this state, to replace all records; null if there is no need or not yet. */
     public List<MigrationStep> snapshot(long now) {
-        if (records < RECORDS || !moves.isEmpty()) {
-            return null;
-        }
-        List<MigrationStep> steps = new ArrayList<>();
-        steps.add(MigrationStep.of(Kind.LEASE, "", null, null, longest, null));
-        routers.forEach(
-                (name, seen) -> steps.add(MigrationStep.of(Kind.ROUTER, name, null, null, now, seen.incarnation)));
-        seats.forEach((tenant, seat) -> steps.add(new MigrationStep(
-                Kind.SEATED, tenant, seat.cell(), seat.cell(), now, List.of(), seat.floors(), List.of(), null)));
-        steps.add(MigrationStep.of(Kind.VERSION, "", null, null, version, null));
-        records = steps.size();
-        return steps;
+        return state.snapshot(now);
     }
 }
--- a/src/main/java/beaconladder/cells/TenantPlacement.java
+++ b/src/main/java/beaconladder/cells/TenantPlacement.java
@@ -3,17 +3,22 @@
 import java.util.List;
 
 /**
- * Where a tenant lives by the keeper's word.
+ * The cell of a tenant, as the coordinator has decided.
  *
- * @param cell the cell that serves it
- * @param writes whether new writes may go
- * @param reads whether new reads may go
- * @param moving whether a move is under way, so that routers tell of its writes
- * @param floors for each slot the position that a member must have reached to have all that was copied into this cell,
- *     in nanoseconds; empty for a tenant that was never moved
+ * @param cell the name of the cell that serves it
+ * @param writes whether new writes are admitted
+ * @param reads whether new reads are admitted
+ * @param moving whether a migration is under way, so that routers report its writes
+ * @param floors for each slot the floor: the minimum log position, in nanoseconds, that a member must have applied to
+ *     have everything that was copied into this cell; empty for a tenant that was never migrated
  */
 public record TenantPlacement(String cell, boolean writes, boolean reads, boolean moving, List<Long> floors) {
-    /** The floor of this slot, or Long.MIN_VALUE. */
+    /** The tenant in this cell, with no migration under way. */
+    static TenantPlacement settled(String cell, List<Long> floors) {
+        return new TenantPlacement(cell, true, true, false, floors);
+    }
+
+    /** The floor of this slot, or Long.MIN_VALUE for none. */
     long floor(int slot) {
         return slot < floors.size() ? floors.get(slot) : Long.MIN_VALUE;
     }
--- a/src/main/java/beaconladder/coordinator/Coordinator.java
+++ b/src/main/java/beaconladder/coordinator/Coordinator.java
@@ -1,13 +1,13 @@
 package beaconladder.coordinator;
 
-import beaconladder.cells.CellAdmission.Busy;
 import beaconladder.cells.MigrationObservation;
 import beaconladder.cells.MigrationStep;
 import beaconladder.cells.MigrationStep.Kind;
 import beaconladder.cells.PlacementTable;
+import beaconladder.cells.SlotQuery;
 import beaconladder.cells.StaticPlacement;
 import beaconladder.cells.TenantMigrations;
-import beaconladder.cells.TenantMigrations.Errand;
+import beaconladder.cells.WriteActivity;
 import beaconladder.discovery.EndpointWatch;
 import beaconladder.plan.Plan;
 import beaconladder.plan.PlanReader;
@@ -72,9 +72,9 @@
         moves = new TenantMigrations(new StaticPlacement(plan));
         try {
             for (byte[] record : records.recovered()) {
-                moves.take(CoordinatorProtocol.read(record, MigrationStep.class));
+                moves.apply(CoordinatorProtocol.read(record, MigrationStep.class));
             }
-            moves.recovered(now());
+            moves.recoveredAt(now());
             server = HttpServer.create(plan.keeper().at(), 512);
         } catch (IOException | RuntimeException e) {
             records.close();
@@ -83,7 +83,7 @@
         LOG.info(
                 "{} records, {} moves under way",
                 records.recovered().size(),
-                moves.shown(now()).size());
+                moves.statuses(now()).size());
         watch = new EndpointWatch(plan.keeper().discovery(), hosts);
         server.setExecutor(threads);
         server.createContext("/v1/placement", exchange -> answer(exchange, this::placement));
@@ -115,7 +115,7 @@
             return;
         }
         synchronized (this) {
-            moves.plan(new StaticPlacement(read.plan()));
+            moves.replacePlan(new StaticPlacement(read.plan()));
         }
         propose(read.plan());
         LOG.info("reloaded {}", file);
@@ -142,21 +142,21 @@
     private void run() {
         while (!closed) {
             try {
-                List<Errand> errands;
-                Map<Errand, Boolean> over = new LinkedHashMap<>();
+                List<SlotQuery> errands;
+                Map<SlotQuery, Boolean> over = new LinkedHashMap<>();
                 synchronized (this) {
                     settle(now());
-                    errands = moves.errands();
+                    errands = moves.slotQueries();
                     for (MigrationStep end : ends) {
-                        moves.errands(end).forEach(errand -> over.put(errand, end.kind() == Kind.UNDONE));
+                        moves.slotQueries(end).forEach(errand -> over.put(errand, end.kind() == Kind.UNDONE));
                     }
                     ends.clear();
                 }
                 over.forEach(hosts::end);
-                for (Errand errand : errands) {
+                for (SlotQuery errand : errands) {
                     MigrationObservation sight = hosts.look(errand, now());
                     synchronized (this) {
-                        moves.seen(errand.tenant(), errand.slot(), sight);
+                        moves.recordObservation(errand.tenant(), errand.slot(), sight);
                     }
                 }
                 synchronized (this) {
@@ -173,7 +173,7 @@
 
     /** Takes all steps that are due, each once it is written. */
     private void settle(long now) throws IOException {
-        for (MigrationStep step = moves.due(now); step != null; step = moves.due(now)) {
+        for (MigrationStep step = moves.nextStep(now); step != null; step = moves.nextStep(now)) {
             write(step);
         }
         List<MigrationStep> snapshot = moves.snapshot(now);
@@ -184,17 +184,17 @@
 
     private void write(MigrationStep step) throws IOException {
         records.append(bytes(step));
-        moves.take(step);
+        moves.apply(step);
         if (step.kind() == Kind.DONE || step.kind() == Kind.UNDONE) {
             ends.add(step);
         }
-        if (step.kind() != Kind.LEASE && step.kind() != Kind.SEATED) {
+        if (step.kind() != Kind.LEASE && step.kind() != Kind.PLACED) {
             LOG.info(
                     "{} {}{}{}",
                     step.kind().name().toLowerCase(java.util.Locale.ROOT),
                     step.tenant(),
-                    step.to() == null ? "" : " from " + step.from() + " to " + step.to(),
-                    step.why() == null ? "" : ": " + step.why());
+                    step.toCell() == null ? "" : " from " + step.fromCell() + " to " + step.toCell(),
+                    step.detail() == null ? "" : ": " + step.detail());
         }
         notifyAll();
     }
@@ -248,17 +248,17 @@
         String run = need(asked, "run");
         long acts = Long.parseLong(need(asked, "version"));
         long wait = Math.min(LONGEST_WAIT_MILLIS, Long.parseLong(asked.getOrDefault("wait", "0")));
-        List<Busy> busy = CoordinatorProtocol.busy(asked.getOrDefault("busy", ""));
-        MigrationStep joins = moves.joins(router, run, now());
+        List<WriteActivity> busy = CoordinatorProtocol.busy(asked.getOrDefault("busy", ""));
+        MigrationStep joins = moves.registration(router, run, now());
         if (joins != null) {
             write(joins);
         }
-        moves.heard(router, acts, busy, now());
+        moves.grantLease(router, acts, busy, now());
         long until = System.nanoTime() + wait * 1_000_000L;
         while (!closed && moves.version() <= acts && System.nanoTime() < until) {
             wait(Math.max(1, (until - System.nanoTime()) / 1_000_000));
         }
-        PlacementTable placement = moves.heard(router, acts, busy, now());
+        PlacementTable placement = moves.grantLease(router, acts, busy, now());
         return CoordinatorProtocol.text(placement, placement.version() != acts);
     }
 
@@ -274,11 +274,12 @@
         ObjectNode all = CoordinatorProtocol.object();
         all.put("version", moves.version());
         ObjectNode seats = all.putObject("seats");
-        moves.seats().forEach((tenant, seat) -> seats.put(tenant, seat.cell()));
+        moves.placements().forEach((tenant, seat) -> seats.put(tenant, seat.cell()));
         ObjectNode routers = all.putObject("routers");
-        moves.routers(now()).forEach((name, nanos) -> routers.put(name, nanos < 0 ? -1 : nanos / 1_000_000));
+        moves.nanosSinceLastReport(now())
+                .forEach((name, nanos) -> routers.put(name, nanos < 0 ? -1 : nanos / 1_000_000));
         ArrayNode under = all.putArray("moves");
-        moves.shown(now())
+        moves.statuses(now())
                 .forEach(move -> under.addObject()
                         .put("tenant", move.tenant())
                         .put("from", move.from())
@@ -287,14 +288,14 @@
                         .put("waits_for", move.waitsFor())
                         .put("since_ms", move.since() / 1_000_000));
         ArrayNode ended = all.putArray("ended");
-        moves.ended()
+        moves.endedMigrations()
                 .forEach(step -> ended.addObject()
                         .put("tenant", step.tenant())
-                        .put("from", step.from())
-                        .put("to", step.to())
+                        .put("from", step.fromCell())
+                        .put("to", step.toCell())
                         .put("state", step.kind().name().toLowerCase(java.util.Locale.ROOT))
-                        .put("at_ms", step.at() / 1_000_000)
-                        .put("why", step.why()));
+                        .put("at_ms", step.atNanos() / 1_000_000)
+                        .put("why", step.detail()));
         return CoordinatorProtocol.text(all);
     }
 
@@ -304,7 +305,7 @@
     }
 
     private synchronized String undo(Map<String, String> asked) throws IOException {
-        moves.undo(need(asked, "tenant"), "an operator");
+        moves.requestUndo(need(asked, "tenant"), "an operator");
         settle(now());
         return CoordinatorProtocol.text(CoordinatorProtocol.object().put("undone", asked.get("tenant")));
     }
--- a/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
+++ b/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
@@ -1,7 +1,7 @@
 package beaconladder.coordinator;
 
-import beaconladder.cells.CellAdmission.Busy;
 import beaconladder.cells.PlacementTable;
+import beaconladder.cells.WriteActivity;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -20,11 +20,11 @@
     static String text(PlacementTable placement, boolean withSeats) {
         ObjectNode all = MAPPER.createObjectNode();
         all.put("version", placement.version())
-                .put("until_ms", placement.until() / MS)
-                .put("basis", placement.basis());
+                .put("until_ms", placement.validUntilNanos() / MS)
+                .put("basis", placement.planFingerprint());
         if (withSeats) {
             ArrayNode seats = all.putArray("seats");
-            placement.seats().forEach((tenant, seat) -> {
+            placement.placements().forEach((tenant, seat) -> {
                 ObjectNode one = seats.addObject()
                         .put("tenant", tenant)
                         .put("cell", seat.cell())
@@ -56,15 +56,15 @@
     }
 
     /** A router's word of its tenants that are moved: tenant:writes:commit:commit, one behind the other. */
-    static List<Busy> busy(String text) {
-        List<Busy> all = new ArrayList<>();
+    static List<WriteActivity> busy(String text) {
+        List<WriteActivity> all = new ArrayList<>();
         for (String each : text.isEmpty() ? new String[0] : text.split(",")) {
             String[] parts = each.split(":");
             List<Long> commits = new ArrayList<>();
             for (int i = 2; i < parts.length; i++) {
                 commits.add(Long.parseLong(parts[i]) * MS);
             }
-            all.add(new Busy(parts[0], Integer.parseInt(parts[1]), commits));
+            all.add(new WriteActivity(parts[0], Integer.parseInt(parts[1]), commits));
         }
         return all;
     }
--- a/src/main/java/beaconladder/coordinator/HostQueries.java
+++ b/src/main/java/beaconladder/coordinator/HostQueries.java
@@ -1,7 +1,7 @@
 package beaconladder.coordinator;
 
 import beaconladder.cells.MigrationObservation;
-import beaconladder.cells.TenantMigrations.Errand;
+import beaconladder.cells.SlotQuery;
 import beaconladder.discovery.EndpointWatch;
 import beaconladder.pg.Decimal;
 import java.io.IOException;
@@ -58,10 +58,10 @@
     private record Said(EndpointWatch.Entry host, boolean primary, long position, long copied) {}
 
     /** Asks both groups of a slot; who does not answer is not in it. */
-    MigrationObservation look(Errand errand, long now) {
-        List<EndpointWatch.Entry> targets = members(errand.target());
+    MigrationObservation look(SlotQuery errand, long now) {
+        List<EndpointWatch.Entry> targets = members(errand.targetGroup());
         List<Callable<Said>> questions = new ArrayList<>();
-        for (EndpointWatch.Entry host : members(errand.source())) {
+        for (EndpointWatch.Entry host : members(errand.sourceGroup())) {
             questions.add(() -> ask(host, null));
         }
         int sources = questions.size();
@@ -75,7 +75,7 @@
         List<Said> answered = said.subList(sources, said.size());
         List<Said> target =
                 answered.stream().filter(s -> s != null && s.primary()).toList();
-        if (errand.feeds() && source.size() == 1 && target.size() == 1) {
+        if (errand.copies() && source.size() == 1 && target.size() == 1) {
             feed(errand, source.get(0).host(), target.get(0).host());
         }
         List<Long> copied = new ArrayList<>();
@@ -98,7 +98,7 @@
     }
 
     /** Tells the target's primary to copy from this source; again whenever one of the two is another. */
-    private void feed(Errand errand, EndpointWatch.Entry source, EndpointWatch.Entry target) {
+    private void feed(SlotQuery errand, EndpointWatch.Entry source, EndpointWatch.Entry target) {
         String key = errand.tenant() + "/" + errand.slot();
         String pair = source.id() + ">" + target.id();
         if (pair.equals(fed.get(key))) {
@@ -112,9 +112,9 @@
     }
 
     /** Ends the copying of a move that has ended; what was copied is dropped where the tenant stays away. */
-    void end(Errand errand, boolean drop) {
+    void end(SlotQuery errand, boolean drop) {
         fed.remove(errand.tenant() + "/" + errand.slot());
-        for (EndpointWatch.Entry host : members(errand.target())) {
+        for (EndpointWatch.Entry host : members(errand.targetGroup())) {
             tell(host, errand.tenant() + (drop ? " drop" : " off"), () -> {});
         }
     }
--- a/src/main/java/beaconladder/server/Admission.java
+++ b/src/main/java/beaconladder/server/Admission.java
@@ -1,7 +1,7 @@
 package beaconladder.server;
 
+import beaconladder.cells.AdmissionDecision;
 import beaconladder.cells.AdmissionPermit;
-import beaconladder.cells.CellAdmission;
 import beaconladder.pg.MessageWriter;
 import java.util.function.BooleanSupplier;
 
@@ -32,7 +32,7 @@
     Answer enter(ParsedQuery asked, int size, long arrived, long expiry, BooleanSupplier gone)
             throws InterruptedException {
         String tenant = asked.statement().value("t");
-        CellAdmission.Answer leave = desk.cells()
+        AdmissionDecision leave = desk.cells()
                 .admit(
                         tenant == null ? "" : tenant,
                         asked.statement().session(),
@@ -48,17 +48,17 @@
             return new Answer(null, new MessageWriter(), false);
         }
         switch (leave.kind()) {
-            case DECLINE -> {
-                return new Answer(null, ParsedQuery.declined(leave.reason(), leave.comeBack()), false);
+            case REJECT -> {
+                return new Answer(null, ParsedQuery.declined(leave.reason(), leave.retryAfterNanos()), false);
             }
-            case REFUSE -> {
+            case INVALID -> {
                 return new Answer(null, ParsedQuery.error("22023", leave.reason()), false);
             }
             default -> {
-                if (joined(leave.pass())) {
-                    return new Answer(leave.pass(), null, false);
+                if (joined(leave.permit())) {
+                    return new Answer(leave.permit(), null, false);
                 }
-                desk.cells().releasePermit(leave.pass());
+                desk.cells().releasePermit(leave.permit());
                 return new Answer(
                         null,
                         new MessageWriter()
--- a/src/main/java/beaconladder/server/CellDispatcher.java
+++ b/src/main/java/beaconladder/server/CellDispatcher.java
@@ -1,9 +1,12 @@
 package beaconladder.server;
 
+import beaconladder.cells.AdmissionDecision;
 import beaconladder.cells.AdmissionPermit;
+import beaconladder.cells.AdmissionRequest;
 import beaconladder.cells.CellAdmission;
 import beaconladder.cells.PlacementTable;
 import beaconladder.cells.StaticPlacement;
+import beaconladder.cells.WriteActivity;
 import beaconladder.routing.state.Group;
 import java.net.InetAddress;
 import java.util.List;
@@ -17,19 +20,19 @@
     private static final long LOOK_NANOS = 50_000_000;
 
     private final RequestDispatcher desk;
-    private final CellAdmission gate;
+    private final CellAdmission admission;
     private final ReentrantLock lock;
     private final Condition placed;
 
-    CellDispatcher(RequestDispatcher desk, CellAdmission gate, ReentrantLock lock) {
+    CellDispatcher(RequestDispatcher desk, CellAdmission admission, ReentrantLock lock) {
         this.desk = desk;
-        this.gate = gate;
+        this.admission = admission;
         this.lock = lock;
         this.placed = lock.newCondition();
     }
 
     /** Asks for leave for a txn; waits while it is held, as long as its client stays. */
-    CellAdmission.Answer admit(
+    AdmissionDecision admit(
             String tenant,
             long key,
             int named,
@@ -43,20 +46,22 @@
             throws InterruptedException {
         lock.lock();
         try {
-            CellAdmission.Answer answer = gate.admit(
-                    tenant, key, named, write, desk.priorityWeight(type), size, from, arrived, expiry, desk.nowNanos());
-            while (answer.kind() == CellAdmission.Kind.HOLD) {
+            AdmissionDecision answer = admission.admit(
+                    new AdmissionRequest(
+                            tenant, key, named, write, desk.priorityWeight(type), size, from, arrived, expiry),
+                    desk.nowNanos());
+            while (answer.kind() == AdmissionDecision.Kind.QUEUE) {
                 if (gone.getAsBoolean()) {
-                    gate.left(answer.pass());
+                    admission.release(answer.permit());
                     return null;
                 }
                 try {
-                    placed.awaitNanos(Math.min(LOOK_NANOS, Math.max(1, answer.until() - desk.nowNanos())));
+                    placed.awaitNanos(Math.min(LOOK_NANOS, Math.max(1, answer.recheckByNanos() - desk.nowNanos())));
                 } catch (InterruptedException e) {
-                    gate.left(answer.pass());
+                    admission.release(answer.permit());
                     throw e;
                 }
-                answer = gate.again(answer.pass(), desk.nowNanos());
+                answer = admission.recheck(answer.permit(), desk.nowNanos());
             }
             return answer;
         } finally {
@@ -68,7 +73,7 @@
     void releasePermit(AdmissionPermit pass) {
         lock.lock();
         try {
-            gate.left(pass);
+            admission.release(pass);
         } finally {
             lock.unlock();
         }
@@ -78,7 +83,7 @@
     boolean admitConnection(AdmissionPermit pass) {
         lock.lock();
         try {
-            return gate.connected(pass, desk.nowNanos());
+            return admission.acquireConnection(pass, desk.nowNanos());
         } finally {
             lock.unlock();
         }
@@ -87,7 +92,7 @@
     void releaseConnection(AdmissionPermit pass) {
         lock.lock();
         try {
-            gate.disconnected(pass);
+            admission.releaseConnection(pass);
         } finally {
             lock.unlock();
         }
@@ -97,7 +102,7 @@
     boolean borrowsConnections(AdmissionPermit pass) {
         lock.lock();
         try {
-            return gate.borrowsConnections(pass.cell());
+            return admission.isBorrowingConnections(pass.cellIndex());
         } finally {
             lock.unlock();
         }
@@ -106,16 +111,16 @@
     PlacementTable placement() {
         lock.lock();
         try {
-            return gate.placement();
+            return admission.placement();
         } finally {
             lock.unlock();
         }
     }
 
-    List<CellAdmission.Busy> busyTenants() {
+    List<WriteActivity> busyTenants() {
         lock.lock();
         try {
-            return gate.busy(desk.nowNanos());
+            return admission.writeActivity(desk.nowNanos());
         } finally {
             lock.unlock();
         }
@@ -124,7 +129,7 @@
     /** The keeper's word. */
     void updatePlacement(PlacementTable placement) {
         desk.applyEvent(now -> {
-            for (int number : gate.placed(placement)) {
+            for (int number : admission.applyPlacement(placement)) {
                 Group group = desk.group(number);
                 if (group != null) {
                     group.changed = true;
@@ -138,9 +143,9 @@
     String replacePlan(StaticPlacement next) {
         lock.lock();
         try {
-            String objection = gate.objection(next);
+            String objection = admission.incompatibility(next);
             if (objection == null) {
-                gate.plan(next);
+                admission.replacePlan(next);
             }
             return objection;
         } finally {
--- a/src/main/java/beaconladder/server/ClientConnection.java
+++ b/src/main/java/beaconladder/server/ClientConnection.java
@@ -102,7 +102,7 @@
         try {
             AdmissionPermit tenant = charged || !desk.hasCells() ? null : task.counted();
             if (tenant != null) {
-                in.charge(clients.room(tenant.cell()));
+                in.charge(clients.room(tenant.cellIndex()));
                 charged = true;
             }
             int n = in.feed(wire);
--- a/src/main/java/beaconladder/server/PendingActions.java
+++ b/src/main/java/beaconladder/server/PendingActions.java
@@ -103,7 +103,7 @@
         hands.remove(txn);
         overdue.remove(txn);
         if (gate != null) {
-            gate.ended(txn);
+            gate.requestEnded(txn);
         }
     }
 
--- a/src/main/java/beaconladder/server/PlacementWatcher.java
+++ b/src/main/java/beaconladder/server/PlacementWatcher.java
@@ -1,8 +1,8 @@
 package beaconladder.server;
 
-import beaconladder.cells.CellAdmission.Busy;
 import beaconladder.cells.PlacementTable;
 import beaconladder.cells.TenantPlacement;
+import beaconladder.cells.WriteActivity;
 import beaconladder.discovery.HttpFetcher;
 import beaconladder.discovery.JsonReader;
 import java.io.IOException;
@@ -74,12 +74,12 @@
     }
 
     private void ask() throws IOException, JsonReader.ParseException {
-        List<Busy> busy = desk.cells().busyTenants();
+        List<WriteActivity> busy = desk.cells().busyTenants();
         long version = desk.cells().placement().version();
         long wait = busy.isEmpty() ? waitMillis : MOVING_MILLIS;
         String told = busy.stream()
-                .map(b -> b.tenant() + ":" + b.writes()
-                        + b.commits().stream()
+                .map(b -> b.tenant() + ":" + b.inFlightWrites()
+                        + b.newestCommits().stream()
                                 .map(commit -> ":" + Math.floorDiv(commit + MS - 1, MS))
                                 .collect(Collectors.joining()))
                 .collect(Collectors.joining(","));
--- a/src/main/java/beaconladder/server/RequestDispatcher.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -136,7 +136,7 @@
 
     /** The longest that a txn may be in hand, in nanoseconds. */
     long maxRequestNanos() {
-        return gate == null ? Long.MAX_VALUE : gate.longest();
+        return gate == null ? Long.MAX_VALUE : gate.maxInFlightNanos();
     }
 
     /**
@@ -158,7 +158,7 @@
             orders.add(hand);
             trace.taken(hand.request, parameters.id(), nowNanos());
             if (parameters.permit() != null) {
-                gate.bind(hand.request, parameters.permit());
+                gate.requestStarted(hand.request, parameters.permit());
             }
         } finally {
             lock.unlock();
--- a/src/main/java/beaconladder/server/RouterServer.java
+++ b/src/main/java/beaconladder/server/RouterServer.java
@@ -1,6 +1,7 @@
 package beaconladder.server;
 
 import beaconladder.cells.CellAdmission;
+import beaconladder.cells.RouterCapacity;
 import beaconladder.cells.StaticPlacement;
 import beaconladder.discovery.EndpointWatch;
 import beaconladder.pg.MemoryLimit;
@@ -70,7 +71,7 @@
                         : new CellAdmission(
                                 stated.name(),
                                 territory,
-                                CellAdmission.Room.of(threads.maxThreads(), stated.descriptors() / 3, bytes)));
+                                RouterCapacity.ofThreads(threads.maxThreads(), stated.descriptors() / 3, bytes)));
         DescriptorLimit descriptors = new DescriptorLimit(stated.descriptors());
         lines = new ServerConnectionPool(desk, stated.start(), threads, room, descriptors, ServerConnection::new);
         desk.setHostActions(lines);
--- a/src/main/java/beaconladder/testbed/CellSizes.java
+++ b/src/main/java/beaconladder/testbed/CellSizes.java
@@ -1,8 +1,15 @@
 package beaconladder.testbed;
 
+import beaconladder.cells.AdmissionDecision;
+import beaconladder.cells.AdmissionRequest;
 import beaconladder.cells.CellAdmission;
+import beaconladder.cells.GreedyPlacement;
+import beaconladder.cells.PlacementCost;
 import beaconladder.cells.PlacementPlanner;
+import beaconladder.cells.PlacementProblem;
+import beaconladder.cells.PlacementProposal;
 import beaconladder.cells.PlacementTable;
+import beaconladder.cells.RouterCapacity;
 import beaconladder.cells.StaticPlacement;
 import beaconladder.cells.TenantPlacement;
 import beaconladder.plan.PlanReader;
@@ -77,14 +84,14 @@
         StaticPlacement territory = territory(
                 plan(tenants, cells, true, chance) + "(keeper (at 127.0.0.1:1) (discovery 127.0.0.1:2) (store \"x\"))");
         figures.put("plan_read_ms", (System.nanoTime() - before) / MS);
-        CellAdmission gate = new CellAdmission("n0", territory, new CellAdmission.Room(10_000, 10_000, 1L << 30));
+        CellAdmission admission = new CellAdmission("n0", territory, new RouterCapacity(10_000, 10_000, 1L << 30));
         Map<String, TenantPlacement> seats = new HashMap<>();
         String[] names = new String[tenants];
         for (int i = 0; i < tenants; i++) {
             names[i] = "t" + i;
             seats.put(names[i], new TenantPlacement("c" + chance.nextInt(cells), true, true, false, List.of()));
         }
-        gate.placed(new PlacementTable(1, Long.MAX_VALUE / 2, territory.basis(), seats));
+        admission.applyPlacement(new PlacementTable(1, Long.MAX_VALUE / 2, territory.fingerprint(), seats));
         com.sun.management.ThreadMXBean memory = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         for (String kind : List.of("stated", "spread")) {
             for (int round = 0; round < 2; round++) {
@@ -93,10 +100,11 @@
                 for (int i = 0; i < ROUNDS; i++) {
                     int n = chance.nextInt(tenants);
                     String tenant = kind.equals("stated") ? names[n] : names[n].substring(1);
-                    CellAdmission.Answer answer =
-                            gate.admit(tenant, i, n % cells, i % 4 == 0, 1, 100, null, from, from + MS, from);
-                    if (answer.pass() != null) {
-                        gate.left(answer.pass());
+                    AdmissionDecision answer = admission.admit(
+                            new AdmissionRequest(tenant, i, n % cells, i % 4 == 0, 1, 100, null, from, from + MS),
+                            from);
+                    if (answer.permit() != null) {
+                        admission.release(answer.permit());
                     }
                 }
                 figures.put(kind + "_ns_a_decision", (System.nanoTime() - from) / ROUNDS);
@@ -116,23 +124,23 @@
         long one = 0;
         int bad = 200;
         for (int b = 0; b < bad; b++) {
-            int[] of = spread.subset("t" + b).clone();
+            int[] of = spread.shuffleShard("t" + b).clone();
             Arrays.sort(of);
             for (int i = 0; i < tenants; i++) {
-                int[] other = spread.subset("t" + i);
+                int[] other = spread.shuffleShard("t" + i);
                 int same = (int) Arrays.stream(other)
                         .filter(c -> Arrays.binarySearch(of, c) >= 0)
                         .count();
                 all += same == of.length ? 1 : 0;
                 any += same > 0 ? 1 : 0;
-                one += plain.subset("t" + i)[0] == plain.subset("t" + b)[0] ? 1 : 0;
+                one += plain.shuffleShard("t" + i)[0] == plain.shuffleShard("t" + b)[0] ? 1 : 0;
             }
         }
         int moved = 0;
         int modulo = 0;
         for (int i = 0; i < tenants; i++) {
             long key = chance.nextLong();
-            moved += spread.home("t" + i, key) != joined.home("t" + i, key) ? 1 : 0;
+            moved += spread.homeCell("t" + i, key) != joined.homeCell("t" + i, key) ? 1 : 0;
             modulo += Math.floorMod(key, cells) != Math.floorMod(key, cells + 1) ? 1 : 0;
         }
         double pairs = (double) bad * tenants;
@@ -155,7 +163,7 @@
         for (int router = 0; router < routers; router++) {
             int from = router * SERVED % cells;
             for (int i = 0; i < tenants; i++) {
-                touched += Arrays.stream(spread.subset("t" + i))
+                touched += Arrays.stream(spread.shuffleShard("t" + i))
                                 .anyMatch(cell -> Math.floorMod(cell - from, cells) < SERVED)
                         ? 1
                         : 0;
@@ -165,13 +173,13 @@
     }
 
     private static void planned(ObjectNode figures, int tenants, int cells, int seconds, long seed) {
-        PlacementPlanner.Problem problem =
-                PlacementPlanner.problem(PlanReader.read("made", plan(tenants, cells, true, new SplittableRandom(seed)))
+        PlacementProblem problem =
+                PlacementProblem.of(PlanReader.read("made", plan(tenants, cells, true, new SplittableRandom(seed)))
                         .plan());
         long from = System.nanoTime();
-        int greedy = PlacementPlanner.cost(problem, PlacementPlanner.greedy(problem, 100));
+        int greedy = PlacementCost.of(problem, GreedyPlacement.search(problem, 100));
         long middle = System.nanoTime();
-        PlacementPlanner.Proposal proposal = PlacementPlanner.propose(problem, 100, seconds, seed);
+        PlacementProposal proposal = PlacementPlanner.propose(problem, 100, seconds, seed);
         long end = System.nanoTime();
         figures.putObject("planner")
                 .put("tenants", tenants)
@@ -180,7 +188,7 @@
                 .put("greedy_ms", (middle - from) / MS)
                 .put("cost", proposal.costAfter())
                 .put("ms", (end - middle) / MS)
-                .put("moves", proposal.moves().size())
+                .put("moves", proposal.migrations().size())
                 .put("peak_before", proposal.peakBefore())
                 .put("peak_after", proposal.peakAfter())
                 .put("optimal", proposal.optimal());
--- a/src/test/java/beaconladder/cells/PlacementPlannerTest.java
+++ b/src/test/java/beaconladder/cells/PlacementPlannerTest.java
@@ -7,14 +7,14 @@
 import org.junit.jupiter.api.Test;
 
 class PlacementPlannerTest {
-    private static PlacementPlanner.Proposal propose(String plan, int most) {
+    private static PlacementProposal propose(String plan, int most) {
         return PlacementPlanner.propose(
-                PlacementPlanner.problem(PlanReader.read("p", plan).plan()), most, 5, 1);
+                PlacementProblem.of(PlanReader.read("p", plan).plan()), most, 5, 1);
     }
 
-    private static String moves(PlacementPlanner.Proposal proposal) {
-        return proposal.moves().stream()
-                .map(m -> m.tenant() + ">" + m.to())
+    private static String moves(PlacementProposal proposal) {
+        return proposal.migrations().stream()
+                .map(m -> m.tenant() + ">" + m.toCell())
                 .sorted()
                 .collect(Collectors.joining(" "));
     }
@@ -28,11 +28,11 @@
                 (tenant b1 (cell b) (load 5txns/s)) (tenant b2 (cell b) (load 3txns/s))
                 (tenant a3 (cell a) (load 1txns/s) (fixed)) (tenant b3 (cell b) (load 1txns/s) (fixed))
                 """;
-        PlacementPlanner.Proposal proposal = propose(plan, 4);
+        PlacementProposal proposal = propose(plan, 4);
         assertThat(proposal.peakAfter()).isEqualTo(1_000);
         assertThat(proposal.costAfter()).isLessThan(proposal.costBefore());
-        assertThat(proposal.moves()).hasSize(2);
-        assertThat(proposal.moves()).noneMatch(m -> m.tenant().endsWith("3"));
+        assertThat(proposal.migrations()).hasSize(2);
+        assertThat(proposal.migrations()).noneMatch(m -> m.tenant().endsWith("3"));
     }
 
     @Test
@@ -43,13 +43,13 @@
                 (tenant a3 (cell a) (fixed))
                 (tenant b1 (cell b) (load 3txns/s)) (tenant c1 (cell c) (load 3txns/s))
                 """;
-        PlacementPlanner.Problem lost = PlacementPlanner.without(
-                PlacementPlanner.problem(PlanReader.read("p", plan).plan()), "a");
-        PlacementPlanner.Proposal proposal = PlacementPlanner.propose(lost, 5, 5, 1);
-        assertThat(proposal.moves()).extracting(PlacementPlanner.Move::tenant).contains("a1", "a2", "a3");
-        assertThat(proposal.moves()).noneMatch(m -> m.to().equals("a"));
+        PlacementProblem lost =
+                PlacementProblem.of(PlanReader.read("p", plan).plan()).withoutCell("a");
+        PlacementProposal proposal = PlacementPlanner.propose(lost, 5, 5, 1);
+        assertThat(proposal.migrations()).extracting(ProposedMigration::tenant).contains("a1", "a2", "a3");
+        assertThat(proposal.migrations()).noneMatch(m -> m.toCell().equals("a"));
         assertThat(PlacementPlanner.propose(lost, 2, 5, 1).found()).isFalse();
-        assertThat(PlacementPlanner.propose(lost, 2, 5, 1).says()).startsWith("no proposal");
+        assertThat(PlacementPlanner.propose(lost, 2, 5, 1).summary()).startsWith("no proposal");
     }
 
     @Test
@@ -58,7 +58,7 @@
                 (cell a (groups 0)) (cell b (groups 1)) (cell c (groups 2))
                 (tenant x (cell a) (apart-from y)) (tenant y (cell a)) (tenant z (cell b))
                 """;
-        PlacementPlanner.Proposal proposal = propose(plan, 3);
+        PlacementProposal proposal = propose(plan, 3);
         assertThat(moves(proposal)).isIn("x>c", "y>c");
         assertThat(proposal.optimal()).isTrue();
         assertThat(proposal.survives()).isTrue();
--- a/src/test/java/beaconladder/cells/TenantMigrationsTest.java
+++ b/src/test/java/beaconladder/cells/TenantMigrationsTest.java
@@ -31,7 +31,7 @@
               (expiry 300ms) (copy 5s) (fence 1s))
             """;
 
-    private static StaticPlacement territory() {
+    private static StaticPlacement staticPlacement() {
         return new StaticPlacement(PlanReader.read("p", PLAN).plan());
     }
 
@@ -40,77 +40,74 @@
     }
 
     private static void settle(TenantMigrations moves, StringBuilder trace, long now) {
-        for (MigrationStep step = moves.due(now); step != null; step = moves.due(now)) {
-            moves.take(step);
+        for (MigrationStep step = moves.nextStep(now); step != null; step = moves.nextStep(now)) {
+            moves.apply(step);
             trace.append((now - START) / MS)
                     .append(' ')
                     .append(step.kind())
                     .append(step.tenant().isEmpty() ? "" : " " + step.tenant())
-                    .append(step.why() == null ? "" : " " + step.why())
+                    .append(step.detail() == null ? "" : " " + step.detail())
                     .append('\n');
         }
     }
 
     @Test
     void aMoveWaitsForWordForQuietAndForTheCopy() {
-        TenantMigrations moves = new TenantMigrations(territory());
+        TenantMigrations moves = new TenantMigrations(staticPlacement());
         StringBuilder trace = new StringBuilder();
         settle(moves, trace, START);
-        moves.take(moves.joins("n0", "1", START));
-        moves.take(moves.propose("t", "b", "me", START));
-        moves.seen("t", 0, sight(START, "s", START, "d", Long.MIN_VALUE));
+        moves.apply(moves.registration("n0", "1", START));
+        moves.apply(moves.propose("t", "b", "me", START));
+        moves.recordObservation("t", 0, sight(START, "s", START, "d", Long.MIN_VALUE));
         settle(moves, trace, START + MS);
         long version = moves.version();
-        moves.heard("n0", version, List.of(new CellAdmission.Busy("t", 2, List.of(0L))), START + 2 * MS);
-        moves.seen("t", 0, sight(START + 10 * MS, "s", START + 10 * MS, "d", START + 9 * MS));
+        moves.grantLease("n0", version, List.of(new WriteActivity("t", 2, List.of(0L))), START + 2 * MS);
+        moves.recordObservation("t", 0, sight(START + 10 * MS, "s", START + 10 * MS, "d", START + 9 * MS));
         settle(moves, trace, START + 10 * MS);
         // It has heard of the fence, but two writes are out; later none, and a commit beyond what the source
         // shows.
-        moves.heard("n0", moves.version(), List.of(new CellAdmission.Busy("t", 2, List.of(0L))), START + 20 * MS);
-        moves.seen("t", 0, sight(START + 25 * MS, "s", START + 25 * MS, "d", START + 25 * MS));
+        moves.grantLease("n0", moves.version(), List.of(new WriteActivity("t", 2, List.of(0L))), START + 20 * MS);
+        moves.recordObservation("t", 0, sight(START + 25 * MS, "s", START + 25 * MS, "d", START + 25 * MS));
         settle(moves, trace, START + 30 * MS);
-        moves.heard(
-                "n0",
-                moves.version(),
-                List.of(new CellAdmission.Busy("t", 0, List.of(START + 50 * MS))),
-                START + 40 * MS);
+        moves.grantLease(
+                "n0", moves.version(), List.of(new WriteActivity("t", 0, List.of(START + 50 * MS))), START + 40 * MS);
         settle(moves, trace, START + 41 * MS);
-        moves.seen("t", 0, sight(START + 45 * MS, "s", START + 45 * MS, "d", START + 49 * MS));
+        moves.recordObservation("t", 0, sight(START + 45 * MS, "s", START + 45 * MS, "d", START + 49 * MS));
         settle(moves, trace, START + 46 * MS);
-        moves.seen("t", 0, sight(START + 55 * MS, "s", START + 55 * MS, "d", START + 50 * MS));
+        moves.recordObservation("t", 0, sight(START + 55 * MS, "s", START + 55 * MS, "d", START + 50 * MS));
         settle(moves, trace, START + 56 * MS);
         // Sealed; the router's word on it is missing, and its lease runs on to 240: it counts as heard a
         // little later.
-        moves.seen("t", 0, sight(START + 200 * MS, "s", START + 200 * MS, "d", START + 200 * MS));
+        moves.recordObservation("t", 0, sight(START + 200 * MS, "s", START + 200 * MS, "d", START + 200 * MS));
         settle(moves, trace, START + 200 * MS);
         settle(moves, trace, START + 270 * MS);
         assertThat(trace.toString()).isEqualTo("""
                 0 LEASE
-                0 SEATED t
-                0 SEATED u
+                0 PLACED t
+                0 PLACED u
                 1 COPYING t
                 10 FENCED t
                 56 SEALED t
                 270 SWITCHED t
                 270 DONE t
                 """);
-        assertThat(moves.seats().get("t"))
+        assertThat(moves.placements().get("t"))
                 .isEqualTo(new TenantPlacement("b", true, true, false, List.of(START + 200 * MS)));
     }
 
     @Test
     void whatSpeaksAgainstAMoveOrAnUndoIsNamed() {
-        TenantMigrations moves = new TenantMigrations(territory());
+        TenantMigrations moves = new TenantMigrations(staticPlacement());
         settle(moves, new StringBuilder(), START);
         StringBuilder said = new StringBuilder();
         for (String[] move : new String[][] {{"x", "b"}, {"f", "b"}, {"t", "c"}, {"t", "a"}}) {
             assertThatThrownBy(() -> moves.propose(move[0], move[1], "me", START))
                     .satisfies(e -> said.append(e.getMessage()).append('\n'));
         }
-        moves.take(moves.propose("t", "b", "me", START));
+        moves.apply(moves.propose("t", "b", "me", START));
         assertThatThrownBy(() -> moves.propose("t", "b", "me", START))
                 .satisfies(e -> said.append(e.getMessage()).append('\n'));
-        assertThatThrownBy(() -> moves.undo("u", "me"))
+        assertThatThrownBy(() -> moves.requestUndo("u", "me"))
                 .satisfies(e -> said.append(e.getMessage()).append('\n'));
         assertThat(said.toString()).isEqualTo("""
                 no tenant 'x' is stated in the plan
@@ -125,15 +122,15 @@
     @Test
     void aSourceThatFailsInTheFenceOrABoundThatRunsOutUndoes() {
         for (boolean fails : new boolean[] {true, false}) {
-            TenantMigrations moves = new TenantMigrations(territory());
+            TenantMigrations moves = new TenantMigrations(staticPlacement());
             StringBuilder trace = new StringBuilder();
             settle(moves, new StringBuilder(), START);
-            moves.take(moves.propose("t", "b", "me", START));
-            moves.seen("t", 0, sight(START, "s", START, "d", Long.MIN_VALUE));
+            moves.apply(moves.propose("t", "b", "me", START));
+            moves.recordObservation("t", 0, sight(START, "s", START, "d", Long.MIN_VALUE));
             settle(moves, trace, START);
-            moves.seen("t", 0, sight(START + MS, "s", START + MS, "d", START + MS));
+            moves.recordObservation("t", 0, sight(START + MS, "s", START + MS, "d", START + MS));
             settle(moves, trace, START + MS);
-            moves.seen("t", 0, sight(START + 2 * MS, fails ? "other" : null, START, "d", START));
+            moves.recordObservation("t", 0, sight(START + 2 * MS, fails ? "other" : null, START, "d", START));
             settle(moves, trace, START + 3 * MS);
             settle(moves, trace, START + 2_000 * MS);
             assertThat(trace.toString()).isEqualTo(fails ? """
@@ -145,51 +142,51 @@
                     1 FENCED t
                     2000 UNDONE t the fence had to go: a primary of a
                     """);
-            assertThat(moves.seats().get("t").cell()).isEqualTo("a");
-            assertThat(moves.seats().get("t").writes()).isTrue();
+            assertThat(moves.placements().get("t").cell()).isEqualTo("a");
+            assertThat(moves.placements().get("t").writes()).isTrue();
         }
     }
 
     @Test
     void theRecordsLeadToTheSameStateAndSoDoesTheirSnapshot() {
         List<MigrationStep> records = new ArrayList<>();
-        TenantMigrations moves = new TenantMigrations(territory());
+        TenantMigrations moves = new TenantMigrations(staticPlacement());
         for (int round = 0; records.size() < 10_100; round++) {
             long now = START + round * 10_000 * MS;
             TenantMigrations known = moves;
             SplittableRandom chance = new SplittableRandom(round);
             record(moves, records, now);
-            String to = moves.seats().get("t").cell().equals("a") ? "b" : "a";
+            String to = moves.placements().get("t").cell().equals("a") ? "b" : "a";
             MigrationStep proposed = moves.propose("t", to, "me", now);
             records.add(proposed);
-            moves.take(proposed);
+            moves.apply(proposed);
             for (int i = 1; i < 8; i++) {
                 long at = now + i * 10 * MS;
-                known.seen("t", 0, sight(at, "s", at, "d", at));
+                known.recordObservation("t", 0, sight(at, "s", at, "d", at));
                 record(known, records, at);
                 if (chance.nextInt(20) == 0
-                        && known.shown(at).stream().noneMatch(m -> m.state().equals("switched"))
-                        && !known.shown(at).isEmpty()) {
-                    known.undo("t", "me");
+                        && known.statuses(at).stream().noneMatch(m -> m.state().equals("switched"))
+                        && !known.statuses(at).isEmpty()) {
+                    known.requestUndo("t", "me");
                 }
             }
         }
-        TenantMigrations again = new TenantMigrations(territory());
-        records.forEach(again::take);
-        assertThat(again.seats()).isEqualTo(moves.seats());
+        TenantMigrations again = new TenantMigrations(staticPlacement());
+        records.forEach(again::apply);
+        assertThat(again.placements()).isEqualTo(moves.placements());
         assertThat(again.version()).isEqualTo(moves.version());
         List<MigrationStep> snapshot = again.snapshot(START);
-        TenantMigrations compact = new TenantMigrations(territory());
-        snapshot.forEach(compact::take);
+        TenantMigrations compact = new TenantMigrations(staticPlacement());
+        snapshot.forEach(compact::apply);
         assertThat(snapshot).hasSizeLessThan(10);
-        assertThat(compact.seats()).isEqualTo(moves.seats());
+        assertThat(compact.placements()).isEqualTo(moves.placements());
         assertThat(compact.version()).isEqualTo(moves.version());
     }
 
     private static void record(TenantMigrations moves, List<MigrationStep> records, long now) {
-        for (MigrationStep step = moves.due(now); step != null; step = moves.due(now)) {
+        for (MigrationStep step = moves.nextStep(now); step != null; step = moves.nextStep(now)) {
             records.add(step);
-            moves.take(step);
+            moves.apply(step);
         }
     }
 
@@ -238,7 +235,7 @@
         private final class Node {
             private final String name;
             private int run;
-            private CellAdmission gate;
+            private CellAdmission admission;
             private long stalledUntil;
             private final List<Object[]> mail = new ArrayList<>();
             private final List<Request> hand = new ArrayList<>();
@@ -251,7 +248,7 @@
             /** What was sent may yet run; the rest is gone. */
             void restart() {
                 run++;
-                gate = new CellAdmission(name, territory(), new CellAdmission.Room(100, 100, 1 << 20));
+                admission = new CellAdmission(name, staticPlacement(), new RouterCapacity(100, 100, 1 << 20));
                 mail.clear();
                 hand.clear();
             }
@@ -265,7 +262,7 @@
         World(int seed) {
             this.seed = seed;
             chance = new SplittableRandom(seed);
-            keeper = new TenantMigrations(territory());
+            keeper = new TenantMigrations(staticPlacement());
             for (int i = 0; i < 3; i++) {
                 nodes.add(new Node("n" + i));
             }
@@ -284,17 +281,17 @@
                 if (sourceUp) {
                     copied = Math.max(copied, now - chance.nextInt(30) * MS);
                 }
-                keeper.seen(
+                keeper.recordObservation(
                         "t",
                         0,
                         new MigrationObservation(now, sourceUp ? source : null, now, "d", now, List.of(copied)));
                 take();
                 if (crashes > 0 && chance.nextInt(60) == 0) {
                     crashes--;
-                    keeper = new TenantMigrations(territory());
+                    keeper = new TenantMigrations(staticPlacement());
                     now += chance.nextInt(400) * MS;
-                    records.forEach(keeper::take);
-                    keeper.recovered(now);
+                    records.forEach(keeper::apply);
+                    keeper.recoveredAt(now);
                 }
                 if (seed % 5 == 0 && chance.nextInt(150) == 0) {
                     sourceUp = !sourceUp;
@@ -304,7 +301,7 @@
                 land();
                 if (seed % 7 == 0 && chance.nextInt(400) == 0 && proposed == 0) {
                     try {
-                        keeper.undo("t", "me");
+                        keeper.requestUndo("t", "me");
                     } catch (IllegalArgumentException e) {
                         // It has ended or switched.
                     }
@@ -314,14 +311,14 @@
         }
 
         private void take() {
-            for (MigrationStep step = keeper.due(now); step != null; step = keeper.due(now)) {
+            for (MigrationStep step = keeper.nextStep(now); step != null; step = keeper.nextStep(now)) {
                 write(step);
             }
         }
 
         private void write(MigrationStep step) {
             records.add(step);
-            keeper.take(step);
+            keeper.apply(step);
         }
 
         private void step(Node node) {
@@ -336,14 +333,14 @@
                 node.restart();
             }
             if (chance.nextInt(4) == 0) {
-                MigrationStep joins = keeper.joins(node.name, String.valueOf(node.run), now);
+                MigrationStep joins = keeper.registration(node.name, String.valueOf(node.run), now);
                 if (joins != null) {
                     write(joins);
                 }
-                PlacementTable word =
-                        keeper.heard(node.name, node.gate.placement().version(), node.gate.busy(now), now);
-                PlacementTable copy =
-                        new PlacementTable(word.version(), word.until(), word.basis(), Map.copyOf(word.seats()));
+                PlacementTable word = keeper.grantLease(
+                        node.name, node.admission.placement().version(), node.admission.writeActivity(now), now);
+                PlacementTable copy = new PlacementTable(
+                        word.version(), word.validUntilNanos(), word.planFingerprint(), Map.copyOf(word.placements()));
                 if (chance.nextInt(10) > 0) {
                     node.mail.add(new Object[] {now + chance.nextInt(chance.nextInt(20) == 0 ? 400 : 10) * MS, copy});
                 }
@@ -351,26 +348,27 @@
             node.mail.removeIf(each -> {
                 boolean due = (long) each[0] <= now;
                 if (due) {
-                    node.gate.placed((PlacementTable) each[1]);
+                    node.admission.applyPlacement((PlacementTable) each[1]);
                 }
                 return due;
             });
             if (chance.nextInt(3) == 0) {
-                CellAdmission.Answer answer = node.gate.admit("t", 1, 0, true, 1, 50, null, now, now + 300 * MS, now);
-                if (answer.kind() == CellAdmission.Kind.ADMIT) {
+                AdmissionDecision answer = node.admission.admit(
+                        new AdmissionRequest("t", 1, 0, true, 1, 50, null, now, now + 300 * MS), now);
+                if (answer.kind() == AdmissionDecision.Kind.ADMIT) {
                     Request txn = new Request(
-                            now, write, new Group(answer.pass().group()), 1, 0, 0, false, now, now + 300 * MS, now);
-                    node.gate.bind(txn, answer.pass());
+                            now, write, new Group(answer.permit().group()), 1, 0, 0, false, now, now + 300 * MS, now);
+                    node.admission.requestStarted(txn, answer.permit());
                     node.hand.add(txn);
-                } else if (answer.kind() == CellAdmission.Kind.HOLD) {
-                    node.gate.left(answer.pass());
+                } else if (answer.kind() == AdmissionDecision.Kind.QUEUE) {
+                    node.admission.release(answer.permit());
                 }
             }
             // Each txn in hand waits a while, is judged, and then goes.
             for (Request txn : List.copyOf(node.hand)) {
                 if (chance.nextInt(4) == 0) {
                     node.hand.remove(txn);
-                    if (node.gate.stands(txn, now) && now < txn.expiryNanos) {
+                    if (node.admission.isStillAdmitted(txn, now) && now < txn.expiryNanos) {
                         txn.attempts.add(new Attempt(txn, 0, new Host(0, txn.group, 0), now, 1));
                         flying.add(new Flying(
                                 now + chance.nextInt(chance.nextInt(5) == 0 ? 350 : 20) * MS,
@@ -380,7 +378,7 @@
                                 node.run,
                                 txn));
                     } else {
-                        node.gate.ended(txn);
+                        node.admission.requestEnded(txn);
                     }
                 }
             }
@@ -392,17 +390,17 @@
                 if (!each.txn().ended && each.node().run == each.run() && chance.nextInt(12) == 0) {
                     // Its client leaves: the submission is called off, and may run all the same.
                     each.txn().ended = true;
-                    each.node().gate.ended(each.txn());
+                    each.node().admission.requestEnded(each.txn());
                     s.ended = true;
-                    each.node().gate.ended(s, Outcome.CANCELLED, HostReport.EMPTY, now);
+                    each.node().admission.attemptEnded(s, Outcome.CANCELLED, HostReport.EMPTY, now);
                 }
                 boolean same = each.node().run == each.run();
                 if (each.at() > now) {
                     // Its router gives it up at its expiry; its host may still run it until then.
                     if (same && now >= each.expiry() && !each.txn().ended) {
                         each.txn().ended = true;
-                        each.node().gate.ended(s, Outcome.TIMED_OUT, HostReport.EMPTY, now);
-                        each.node().gate.ended(each.txn());
+                        each.node().admission.attemptEnded(s, Outcome.TIMED_OUT, HostReport.EMPTY, now);
+                        each.node().admission.requestEnded(each.txn());
                     }
                     return false;
                 }
@@ -417,8 +415,8 @@
                     each.txn().ended = true;
                     boolean told = chance.nextInt(8) > 0;
                     each.node()
-                            .gate
-                            .ended(
+                            .admission
+                            .attemptEnded(
                                     s,
                                     told ? Outcome.COMMITTED : Outcome.RESET,
                                     told
@@ -426,7 +424,7 @@
                                                     beaconladder.routing.api.Router.Role.PRIMARY, each.at(), -1)
                                             : HostReport.EMPTY,
                                     now);
-                    each.node().gate.ended(each.txn());
+                    each.node().admission.requestEnded(each.txn());
                 }
                 return true;
             });
@@ -439,12 +437,12 @@
                     .orElse(null);
             String story = "seed " + seed + " "
                     + records.stream()
-                            .map(s -> s.kind() + "@" + (s.at() - START) / MS)
+                            .map(s -> s.kind() + "@" + (s.atNanos() - START) / MS)
                             .collect(Collectors.joining(" "));
             if (switched == null) {
                 assertThat(ranInB).as(story).isEmpty();
             } else {
-                assertThat(ranInB).as(story).allMatch(at -> at >= switched.at());
+                assertThat(ranInB).as(story).allMatch(at -> at >= switched.atNanos());
                 assertThat(ranInA)
                         .as(story)
                         .allMatch(at -> at[0] <= switched.fences().get(0));
@@ -453,7 +451,7 @@
                     .map(MigrationStep::kind)
                     .filter(k -> k == Kind.DONE || k == Kind.UNDONE)
                     .forEach(k -> ends.merge(k, 1, Integer::sum));
-            assertThat(keeper.shown(now).stream()
+            assertThat(keeper.statuses(now).stream()
                             .noneMatch(m -> m.state().equals("fenced") && now > m.since() + 1_500 * MS))
                     .as(story)
                     .isTrue();
--- a/src/test/java/beaconladder/coordinator/CoordinatorProtocolTest.java
+++ b/src/test/java/beaconladder/coordinator/CoordinatorProtocolTest.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beaconladder.cells.CellAdmission.Busy;
 import beaconladder.cells.MigrationStep;
 import beaconladder.cells.MigrationStep.Kind;
 import beaconladder.cells.PlacementTable;
 import beaconladder.cells.TenantPlacement;
+import beaconladder.cells.WriteActivity;
 import beaconladder.plan.PlanReader;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -85,7 +85,9 @@
     @Test
     void aRoutersWordOfItsWritesIsRead() {
         assertThat(CoordinatorProtocol.busy("t:2:7:8,u:0"))
-                .containsExactly(new Busy("t", 2, List.of(7_000_000L, 8_000_000L)), new Busy("u", 0, List.of()));
+                .containsExactly(
+                        new WriteActivity("t", 2, List.of(7_000_000L, 8_000_000L)),
+                        new WriteActivity("u", 0, List.of()));
         assertThat(CoordinatorProtocol.busy("")).isEmpty();
     }
 
--- a/src/test/java/beaconladder/coordinator/StoredMovesTest.java
+++ b/src/test/java/beaconladder/coordinator/StoredMovesTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.cells.CellAdmission.Busy;
 import beaconladder.cells.MigrationObservation;
 import beaconladder.cells.MigrationStep;
 import beaconladder.cells.MigrationStep.Kind;
 import beaconladder.cells.StaticPlacement;
 import beaconladder.cells.TenantMigrations;
+import beaconladder.cells.WriteActivity;
 import beaconladder.plan.PlanReader;
 import beaconladder.storage.DurableRecords;
 import java.io.IOException;
@@ -69,11 +69,11 @@
 
     private static void write(TenantMigrations moves, DurableRecords records, MigrationStep step) throws IOException {
         records.append(CoordinatorProtocol.text(step).getBytes(StandardCharsets.UTF_8));
-        moves.take(step);
+        moves.apply(step);
     }
 
     private static void settle(TenantMigrations moves, DurableRecords records, long now) throws IOException {
-        for (MigrationStep step = moves.due(now); step != null; step = moves.due(now)) {
+        for (MigrationStep step = moves.nextStep(now); step != null; step = moves.nextStep(now)) {
             write(moves, records, step);
         }
     }
@@ -81,9 +81,10 @@
     /** Lets all of the move be seen as copied at this time, and takes what is due then. */
     private static void seen(TenantMigrations moves, DurableRecords records, String tenant, long now)
             throws IOException {
-        moves.heard("n0", moves.version(), List.of(new Busy(tenant, 0, List.of(START + MS))), now);
+        moves.grantLease("n0", moves.version(), List.of(new WriteActivity(tenant, 0, List.of(START + MS))), now);
         settle(moves, records, now);
-        moves.seen(tenant, 0, new MigrationObservation(now + MS, "s", now + MS, "d", now + MS, List.of(now + MS)));
+        moves.recordObservation(
+                tenant, 0, new MigrationObservation(now + MS, "s", now + MS, "d", now + MS, List.of(now + MS)));
         settle(moves, records, now + 2 * MS);
     }
 
@@ -96,7 +97,7 @@
         try (DurableRecords records = DurableRecords.open(steps)) {
             TenantMigrations moves = moves();
             settle(moves, records, START);
-            write(moves, records, moves.joins("n0", "run1", START));
+            write(moves, records, moves.registration("n0", "run1", START));
             String[] tenants = {"t", "v", "u"};
             int[] rounds = {5, 3, 4};
             for (int i = 0; i < tenants.length; i++) {
@@ -162,27 +163,27 @@
         try (DurableRecords records = DurableRecords.open(store)) {
             before = records.recovered().size();
             for (byte[] record : records.recovered()) {
-                moves.take(CoordinatorProtocol.read(record, MigrationStep.class));
+                moves.apply(CoordinatorProtocol.read(record, MigrationStep.class));
             }
-            moves.recovered(now);
-            assertThat(moves.seats().toString()).isEqualTo("""
+            moves.recoveredAt(now);
+            assertThat(moves.placements().toString()).isEqualTo("""
                     {t=Seat[cell=b, writes=true, reads=true, moving=false, floors=[1767225600041000000]], \
                     u=Seat[cell=b, writes=true, reads=true, moving=false, floors=[1767225602041000000]], \
                     v=Seat[cell=a, writes=false, reads=false, moving=true, floors=[]]}""");
-            assertThat(moves.shown(now).stream().map(TenantMigrations.Shown::toString))
+            assertThat(moves.statuses(now).stream().map(TenantMigrations.Shown::toString))
                     .containsExactly(
                             "Shown[tenant=v, from=a, to=b, state=sealed, since=1767225601032000000, "
                                     + "waitsFor=word from n0]",
                             "Shown[tenant=u, from=a, to=b, state=switched, since=1767225602042000000, "
                                     + "waitsFor=word from n0]");
-            write(moves, records, moves.joins("n0", "run2", now));
+            write(moves, records, moves.registration("n0", "run2", now));
             seen(moves, records, "v", now);
             seen(moves, records, "v", now + 10 * MS);
         }
         List<String> after = lines(store);
         assertThat(after.subList(before, after.size()).stream().map(StoredMovesTest::kindAndTenant))
                 .containsExactly("ROUTER n0", "DONE u", "SWITCHED v", "DONE v");
-        assertThat(moves.shown(now)).isEmpty();
+        assertThat(moves.statuses(now)).isEmpty();
     }
 
     private static String kindAndTenant(String line) {
--- a/src/test/java/beaconladder/server/PlacementWatcherTest.java
+++ b/src/test/java/beaconladder/server/PlacementWatcherTest.java
@@ -4,6 +4,7 @@
 
 import beaconladder.cells.CellAdmission;
 import beaconladder.cells.PlacementTable;
+import beaconladder.cells.RouterCapacity;
 import beaconladder.cells.StaticPlacement;
 import beaconladder.cells.TenantPlacement;
 import beaconladder.pg.MemoryLimit;
@@ -42,7 +43,7 @@
                 new CellAdmission(
                         "n0",
                         new StaticPlacement(PlanReader.read("p", PLAN).plan()),
-                        CellAdmission.Room.of(8, 8, 1 << 20)));
+                        RouterCapacity.ofThreads(8, 8, 1 << 20)));
         desk.setHostActions(new ServerConnectionPool(
                 desk,
                 start,
