--- a/src/main/java/beaconladder/server/AttemptEvents.java
+++ b/src/main/java/beaconladder/server/AttemptEvents.java
@@ -11,41 +11,41 @@
 import beaconladder.routing.state.Host;
 import java.util.concurrent.locks.ReentrantLock;
 
-/** What exchanges with hosts ask and tell: whether an attempt may go, that it went, how it ended. */
+/** What exchanges with hosts ask and report: whether an attempt may be sent, that it was sent, how it ended. */
 final class AttemptEvents {
-    private final RequestDispatcher desk;
+    private final RequestDispatcher dispatcher;
     private final ReentrantLock lock;
     private final Router router;
-    private final DecisionLoop rounds;
-    private final PendingActions orders;
+    private final DecisionLoop decisionLoop;
+    private final PendingActions pendingActions;
     private final EventTrace trace;
     private final Monitor monitor;
 
     AttemptEvents(
-            RequestDispatcher desk,
+            RequestDispatcher dispatcher,
             ReentrantLock lock,
             Router router,
-            DecisionLoop rounds,
-            PendingActions orders,
+            DecisionLoop decisionLoop,
+            PendingActions pendingActions,
             EventTrace trace,
             Monitor monitor) {
-        this.desk = desk;
+        this.dispatcher = dispatcher;
         this.lock = lock;
         this.router = router;
-        this.rounds = rounds;
-        this.orders = orders;
+        this.decisionLoop = decisionLoop;
+        this.pendingActions = pendingActions;
         this.trace = trace;
         this.monitor = monitor;
     }
 
-    /** Whether this attempt may still go; asked right before its bytes. */
-    boolean mayGo(Attempt attempt) {
+    /** Whether this attempt may still be sent; asked right before its first byte, as connecting takes time. */
+    boolean maySend(Attempt attempt) {
         lock.lock();
         try {
-            DispatchCheck check = router.checkDispatch(attempt, desk.nowNanos());
+            DispatchCheck check = router.checkDispatch(attempt, dispatcher.nowNanos());
             if (!check.isAllowed()) {
                 monitor.counters().add("held_back", check);
-                trace.heldBack(attempt, check, desk.nowNanos());
+                trace.heldBack(attempt, check, dispatcher.nowNanos());
             }
             return check.isAllowed();
         } finally {
@@ -53,12 +53,12 @@
         }
     }
 
-    /** How long a host is told that its answer is waited for, where so much time is left; in nanoseconds. */
-    long toldTime(long left) {
-        return router.advertisedTimeoutNanos(left);
+    /** The time budget in nanoseconds to state to a host where so much of the attempt's time remains. */
+    long statedBudgetNanos(long remainingNanos) {
+        return router.advertisedTimeoutNanos(remainingNanos);
     }
 
-    /** The bytes of an attempt have gone. */
+    /** The query of an attempt has been written: checks the invariants on it. */
     void sent(SentAttempt sent) {
         lock.lock();
         try {
@@ -68,25 +68,28 @@
         }
     }
 
-    void ended(Attempt attempt, Outcome outcome, HostReport answer, HostReport report, MessageWriter messages) {
-        desk.applyEvent(now -> {
+    /** An attempt has ended: lets the policy decide what follows, and passes a committed response on. */
+    void attemptEnded(Attempt attempt, Outcome outcome, HostReport answer, HostReport report, MessageWriter messages) {
+        dispatcher.applyEvent(now -> {
             if (attempt.ended) {
                 return;
             }
-            trace.ended(attempt, outcome, now);
+            trace.attemptEnded(attempt, outcome, now);
             monitor.counters().add(attempt.index == 0 ? "first_attempt" : "retry", outcome);
-            boolean settled = attempt.request.ended || outcome == Outcome.COMMITTED;
-            InFlightRequest hand = orders.of(attempt.request);
-            rounds.execute(attempt.request, router.onAttemptEnded(attempt, outcome, settled, answer, report, now), now);
-            if (hand != null && outcome == Outcome.COMMITTED) {
-                hand.enqueue(InFlightRequest.Command.committed(attempt, messages));
+            boolean finished = attempt.request.ended || outcome == Outcome.COMMITTED;
+            InFlightRequest request = pendingActions.of(attempt.request);
+            decisionLoop.execute(
+                    attempt.request, router.onAttemptEnded(attempt, outcome, finished, answer, report, now), now);
+            if (request != null && outcome == Outcome.COMMITTED) {
+                request.enqueue(InFlightRequest.Command.committed(attempt, messages));
             }
         });
     }
 
-    void probed(Host host, Outcome outcome, HostReport report) {
-        desk.applyEvent(now -> {
-            trace.probed(host, outcome, host.lastProbeNanos, now);
+    /** A health check of this host has ended. */
+    void healthCheckEnded(Host host, Outcome outcome, HostReport report) {
+        dispatcher.applyEvent(now -> {
+            trace.healthCheckEnded(host, outcome, host.lastProbeNanos, now);
             monitor.counters().add("probe", outcome);
             router.onHealthCheckEnded(host, outcome, report, now);
         });
--- a/src/main/java/beaconladder/server/EndpointList.java
+++ b/src/main/java/beaconladder/server/EndpointList.java
@@ -14,19 +14,19 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The hosts as discovery lists them, by its names; under the desk's lock but for groups and addresses. */
+/** The hosts as discovery lists them, by its ids; guarded by the dispatcher's lock except for groups and addresses. */
 final class EndpointList {
     private final Router router;
     private final EventTrace trace;
     private final List<String> zones;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
-    /** Those of them that are gone and not yet let go, so that a sweep does not walk the whole list. */
-    private final Map<String, Host> leaving = new LinkedHashMap<>();
+    /** Hosts that are gone and not yet forgotten, so that a sweep does not walk the complete list. */
+    private final Map<String, Host> departed = new LinkedHashMap<>();
 
     private final Map<Integer, Group> groups = new ConcurrentHashMap<>();
     private final Map<Host, InetSocketAddress> addresses = new ConcurrentHashMap<>();
-    /** How many hosts have been named; each has a number of its own. */
-    private int numbered;
+    /** The number for the next host; numbers are never reused. */
+    private int nextHostNumber;
 
     EndpointList(Router router, EventTrace trace, String zones) {
         this.router = router;
@@ -46,10 +46,10 @@
         return addresses.isEmpty();
     }
 
-    /** How much it holds. */
-    int held() {
+    /** How many entries it holds, to detect leaks. */
+    int trackedCount() {
         return hosts.size()
-                + leaving.size()
+                + departed.size()
                 + addresses.size()
                 + groups.values().stream()
                         .mapToInt(group -> group.members.size())
@@ -58,21 +58,21 @@
 
     /** Discovery's news; returns the hosts whose idle connections are of no use any more. */
     List<Host> listed(boolean whole, List<EndpointWatch.Entry> entries, long now) {
-        List<Host> moved = new ArrayList<>();
-        Set<Host> named = new HashSet<>();
+        List<Host> stale = new ArrayList<>();
+        Set<Host> present = new HashSet<>();
         for (EndpointWatch.Entry e : entries) {
             if (e.state() == EndpointWatch.State.GONE && !hosts.containsKey(e.id())) {
                 continue;
             }
             Group group = groups.computeIfAbsent(e.group(), Group::new);
-            Host host = hosts.computeIfAbsent(e.id(), id -> new Host(numbered++, group, zones.indexOf(e.zone())));
-            named.add(host);
-            trace.named(host, e.id());
-            trace.listed(host, e.state().name(), e.leader(), e.launchedMillis());
+            Host host = hosts.computeIfAbsent(e.id(), id -> new Host(nextHostNumber++, group, zones.indexOf(e.zone())));
+            present.add(host);
+            trace.hostNamed(host, e.id());
+            trace.hostListed(host, e.state().name(), e.leader(), e.launchedMillis());
             if (e.address() != null) {
                 InetSocketAddress before = addresses.put(host, e.address());
                 if (before != null && !before.equals(e.address())) {
-                    moved.add(host);
+                    stale.add(host);
                 }
             }
             Host.State state = switch (e.state()) {
@@ -81,31 +81,31 @@
                 case GONE -> Host.State.GONE;
             };
             if (state != Host.State.READY || e.launchedMillis() * 1_000_000 > host.launchedNanos) {
-                moved.add(host);
+                stale.add(host);
             }
             if (state == Host.State.GONE) {
-                leaving.put(e.id(), host);
+                departed.put(e.id(), host);
             }
             router.updateHost(host, e.leader(), state, e.launchedMillis() * 1_000_000, now);
         }
         if (whole) {
             hosts.forEach((id, host) -> {
-                if (!named.contains(host) && host.state != Host.State.GONE) {
-                    leaving.put(id, host);
+                if (!present.contains(host) && host.state != Host.State.GONE) {
+                    departed.put(id, host);
                     router.updateHost(host, false, Host.State.GONE, host.launchedNanos, now);
-                    moved.add(host);
+                    stale.add(host);
                 }
             });
         }
-        return moved;
+        return stale;
     }
 
-    /** Lets go of the hosts that are gone and that nothing needs any more. */
+    /** Forgets the hosts that are gone and that no request needs any more. */
     void sweep(long now) {
-        leaving.entrySet().removeIf(each -> {
+        departed.entrySet().removeIf(each -> {
             Host host = each.getValue();
             if (host.state != Host.State.GONE) {
-                // It is back.
+                // It is listed again.
                 return true;
             }
             if (!router.removeHost(host, now)) {
--- a/src/main/java/beaconladder/server/EventTrace.java
+++ b/src/main/java/beaconladder/server/EventTrace.java
@@ -6,86 +6,87 @@
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The life of each txn and what was heard of each host, one line an event, at the level DEBUG of the logger
- * {@code beaconladder.trace}; off by default. Lines are gathered under the desk's lock and written once it is free.
- * Times are milliseconds since the txn came in; ids are those of the clients and of discovery.
+ * The events of each request and what was learned of each host, one line an event, at the level DEBUG of the logger
+ * {@code beaconladder.trace}; off by default. Lines are gathered under the dispatcher's lock and written once it is
+ * free. Times are milliseconds since the request arrived; ids are those of the clients and of discovery.
  *
  * <p>Switch it on with {@code -Dorg.slf4j.simpleLogger.log.beaconladder.trace=debug} in the command line.
  */
 final class EventTrace {
     private static final Logger LOG = LoggerFactory.getLogger("beaconladder.trace");
 
-    private final boolean on = LOG.isDebugEnabled();
-    private final List<String> lines = new ArrayList<>();
-    /** The client's id of each txn in hand. */
-    private final Map<Request, String> ids = new java.util.HashMap<>();
+    private final boolean enabled = LOG.isDebugEnabled();
+    private final List<String> pendingLines = new ArrayList<>();
+    /** The client's id of each request in flight. */
+    private final Map<Request, String> requestIds = new HashMap<>();
     /** Discovery's id of each host. */
-    private final Map<Host, String> names = new java.util.HashMap<>();
+    private final Map<Host, String> hostIds = new HashMap<>();
 
-    boolean on() {
-        return on;
-    }
-
-    /** What the door answered by itself, before the desk had the txn. */
+    /** A query was answered before it reached the dispatcher. */
     static void rejectedEarly(String what) {
         LOG.debug("door {}", what);
     }
 
-    void settings(Map<String, String> start) {
-        if (on) {
-            LOG.debug("settings {}", new java.util.TreeMap<>(start));
+    void settings(Map<String, String> settings) {
+        if (enabled) {
+            LOG.debug("settings {}", new TreeMap<>(settings));
         }
     }
 
-    void named(Host host, String id) {
-        if (on) {
-            names.put(host, id);
+    void hostNamed(Host host, String id) {
+        if (enabled) {
+            hostIds.put(host, id);
         }
     }
 
-    void taken(Request txn, String id, long now) {
-        if (on) {
-            ids.put(txn, id);
-            add("take " + id + " type=" + txn.requestClass.index() + " group=" + txn.group.id + " budget="
-                    + ms(txn.expiryNanos - txn.arrivedNanos) + " written="
-                    + (txn.sessionWritePosition == Long.MIN_VALUE ? "-" : ms(now - txn.sessionWritePosition))
-                    + " repeat=" + txn.retriedByClient);
+    void submitted(Request request, String id, long now) {
+        if (enabled) {
+            requestIds.put(request, id);
+            add("take " + id + " type=" + request.requestClass.index() + " group=" + request.group.id + " budget="
+                    + ms(request.expiryNanos - request.arrivedNanos) + " written="
+                    + (request.sessionWritePosition == Long.MIN_VALUE ? "-" : ms(now - request.sessionWritePosition))
+                    + " repeat=" + request.retriedByClient);
         }
     }
 
-    void sent(Attempt s, long timeout) {
-        if (on) {
-            Host host = s.host;
-            add("send " + id(s.request) + " n=" + s.index + " host=" + name(host) + " " + role(host) + " at="
-                    + ms(s.sentNanos - s.request.arrivedNanos) + " timeout=" + ms(timeout) + " out=" + s.hostConcurrency
-                    + " lagms=" + (host.position == Long.MIN_VALUE ? "-" : ms(s.sentNanos - host.position))
-                    + " cold=" + (host.launchedNanos > 0 ? ms(s.sentNanos - host.launchedNanos) : "-")
+    void attemptSent(Attempt attempt, long timeout) {
+        if (enabled) {
+            Host host = attempt.host;
+            add("send " + idOf(attempt.request) + " n=" + attempt.index + " host=" + idOf(host) + " " + roleOf(host)
+                    + " at="
+                    + ms(attempt.sentNanos - attempt.request.arrivedNanos) + " timeout=" + ms(timeout) + " out="
+                    + attempt.hostConcurrency
+                    + " lagms=" + (host.position == Long.MIN_VALUE ? "-" : ms(attempt.sentNanos - host.position))
+                    + " cold=" + (host.launchedNanos > 0 ? ms(attempt.sentNanos - host.launchedNanos) : "-")
                     + " tickets=" + host.slowStartTickets.size());
         }
     }
 
-    void ended(Attempt s, Outcome outcome, long now) {
-        if (on) {
-            add("end " + id(s.request) + " n=" + s.index + " host=" + name(s.host) + " " + outcome + " took="
-                    + ms(now - s.sentNanos));
+    void attemptEnded(Attempt attempt, Outcome outcome, long now) {
+        if (enabled) {
+            add("end " + idOf(attempt.request) + " n=" + attempt.index + " host=" + idOf(attempt.host) + " " + outcome
+                    + " took=" + ms(now - attempt.sentNanos));
         }
     }
 
-    void heldBack(Attempt s, DispatchCheck check, long now) {
-        if (on) {
-            add("held back " + id(s.request) + " n=" + s.index + " host=" + name(s.host) + " " + check
+    void heldBack(Attempt attempt, DispatchCheck check, long now) {
+        if (enabled) {
+            add("held back " + idOf(attempt.request) + " n=" + attempt.index + " host=" + idOf(attempt.host) + " "
+                    + check
                     + " after="
-                    + ms(now - s.sentNanos));
+                    + ms(now - attempt.sentNanos));
         }
     }
 
-    /** A client's connection has ended. */
+    /** A client's connection was closed. */
     static void clientClosed(long key, CloseCause cause, int unanswered, int unread) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
@@ -97,68 +98,69 @@
         }
     }
 
-    void finished(Request txn, String how, long now) {
-        if (on) {
-            add(how + " " + id(txn) + " at=" + ms(now - txn.arrivedNanos) + " left=" + ms(txn.expiryNanos - now)
-                    + " subs=" + txn.attempts.size() + " want=" + txn.probeNeed + " asked=" + txn.probesSent);
+    void requestEvent(Request request, String what, long now) {
+        if (enabled) {
+            add(what + " " + idOf(request) + " at=" + ms(now - request.arrivedNanos) + " left="
+                    + ms(request.expiryNanos - now) + " subs=" + request.attempts.size() + " want=" + request.probeNeed
+                    + " asked=" + request.probesSent);
         }
     }
 
-    void gone(Request txn) {
-        if (on) {
-            ids.remove(txn);
+    void forget(Request request) {
+        if (enabled) {
+            requestIds.remove(request);
         }
     }
 
-    void probe(Host host) {
-        if (on) {
-            add("probe host=" + name(host) + " " + role(host));
+    void healthCheck(Host host) {
+        if (enabled) {
+            add("probe host=" + idOf(host) + " " + roleOf(host));
         }
     }
 
-    void probed(Host host, Outcome outcome, long sent, long now) {
-        if (on) {
-            add("probed host=" + name(host) + " " + outcome + " took=" + ms(now - sent));
+    void healthCheckEnded(Host host, Outcome outcome, long sent, long now) {
+        if (enabled) {
+            add("probed host=" + idOf(host) + " " + outcome + " took=" + ms(now - sent));
         }
     }
 
-    void listed(Host host, String state, boolean leader, long launched) {
-        if (on) {
-            add("listed host=" + name(host) + " group=" + host.group.id + " zone=" + host.zone + " " + state
+    void hostListed(Host host, String state, boolean leader, long launched) {
+        if (enabled) {
+            add("listed host=" + idOf(host) + " group=" + host.group.id + " zone=" + host.zone + " " + state
                     + (leader ? " leader" : "") + " started=" + launched);
         }
     }
 
-    /** Writes what was gathered; called with the desk's lock free. */
+    /** Writes gathered lines; called without the dispatcher's lock. */
     void flush(List<String> gathered) {
         for (String line : gathered) {
             LOG.debug(line);
         }
     }
 
-    /** Hands over what was gathered under the lock, and forgets it. */
-    List<String> take() {
-        if (lines.isEmpty()) {
+    /** Removes and returns the gathered lines; the caller holds the dispatcher's lock. */
+    List<String> drain() {
+        if (pendingLines.isEmpty()) {
             return List.of();
         }
-        List<String> all = List.copyOf(lines);
-        lines.clear();
+        List<String> all = List.copyOf(pendingLines);
+        pendingLines.clear();
         return all;
     }
 
     private void add(String line) {
-        lines.add(line);
+        pendingLines.add(line);
     }
 
-    private String id(Request txn) {
-        return ids.getOrDefault(txn, "#" + txn.sequenceNumber);
+    private String idOf(Request request) {
+        return requestIds.getOrDefault(request, "#" + request.sequenceNumber);
     }
 
-    private String name(Host host) {
-        return names.getOrDefault(host, "#" + host.id);
+    private String idOf(Host host) {
+        return hostIds.getOrDefault(host, "#" + host.id);
     }
 
-    private static String role(Host host) {
+    private static String roleOf(Host host) {
         return host == host.group.primary ? "primary" : "replica";
     }
 
--- a/src/main/java/beaconladder/server/ExchangeResult.java
+++ b/src/main/java/beaconladder/server/ExchangeResult.java
@@ -6,33 +6,29 @@
 import beaconladder.routing.api.Router.Role;
 
 /**
- * How an exchange with a host ended, and how far it had come.
+ * How an exchange with a host ended, and how far it got.
  *
- * @param reach how far it had come
- * @param code the host's error code, or null
- * @param row whether a whole answer came
- * @param timedOut whether it was given up waiting
- * @param role what the host said of its role
- * @param position the position it said, in nanoseconds
- * @param load the report it gave, or null
- * @param messages the answer as it came
- * @param reusable whether the connection stands for the next
+ * @param reach how far it got
+ * @param errorCode the host's SQLSTATE, or null where it reported no error
+ * @param complete whether a complete, valid response with its row was received
+ * @param timedOut whether the wait for the response timed out
+ * @param status what the host reported about itself with the response
+ * @param messages the response as received, or null where it is not complete
+ * @param reusable whether the connection can serve another exchange
  */
 record ExchangeResult(
         Reach reach,
-        String code,
-        boolean row,
+        String errorCode,
+        boolean complete,
         boolean timedOut,
-        Role role,
-        long position,
-        String load,
+        HostStatus status,
         MessageWriter messages,
         boolean reusable) {
 
-    /** The code of an answer that gives none; for the module it is an error of a host that can be reached. */
-    private static final String SPOILT = "";
+    /** Stands for the SQLSTATE of an invalid response; the routing policy treats it as an error of a reachable host. */
+    private static final String INVALID_RESPONSE = "";
 
-    /** How far a submission had come when it ended. */
+    /** How far an exchange had got when it ended. */
     enum Reach {
         NOT_CONNECTED,
         PART_WRITTEN,
@@ -40,32 +36,53 @@
         ANSWER_BEGUN
     }
 
-    static ExchangeResult early(Reach reach) {
-        return broken(reach, false);
+    /**
+     * What a host reports about itself in parameter status messages.
+     *
+     * @param role its role, or {@link Role#UNKNOWN}
+     * @param positionNanos its replication position in nanoseconds, or {@link HostReport#NONE}
+     * @param load its load report, not yet parsed, or null
+     */
+    record HostStatus(Role role, long positionNanos, String load) {
+        static final HostStatus UNKNOWN = new HostStatus(Role.UNKNOWN, HostReport.NO_POSITION, null);
     }
 
-    /** It broke off, or was given up waiting, with no whole answer; what had come is not believed. */
-    static ExchangeResult broken(Reach reach, boolean timedOut) {
-        return new ExchangeResult(
-                reach, null, false, timedOut, Role.UNKNOWN, HostReport.NO_POSITION, null, null, false);
+    /** The exchange ended before any of the response was awaited. */
+    static ExchangeResult unanswered(Reach reach) {
+        return interrupted(reach, false);
     }
 
-    /** An answer that can't be read: it may have run, and nothing that it said counts. */
-    static ExchangeResult spoilt() {
-        return new ExchangeResult(
-                Reach.ANSWER_BEGUN, SPOILT, false, false, Role.UNKNOWN, HostReport.NO_POSITION, null, null, false);
+    /** The connection broke or the wait timed out before a complete response; what was received is discarded. */
+    static ExchangeResult interrupted(Reach reach, boolean timedOut) {
+        return new ExchangeResult(reach, null, false, timedOut, HostStatus.UNKNOWN, null, false);
     }
 
-    /** The outcome in the module's words. */
+    /** The response violates the protocol: the query may have run, and nothing that the response states counts. */
+    static ExchangeResult invalidResponse() {
+        return new ExchangeResult(Reach.ANSWER_BEGUN, INVALID_RESPONSE, false, false, HostStatus.UNKNOWN, null, false);
+    }
+
+    /** The host closed the connection, possibly after an error; the error code, if any, counts. */
+    static ExchangeResult closedByHost(Reach reach, String errorCode, HostStatus status) {
+        return new ExchangeResult(reach, errorCode, false, false, status, null, false);
+    }
+
+    /** The response ended as the protocol requires: with a row, or with an error where there is a code. */
+    static ExchangeResult finished(
+            Reach reach, String errorCode, HostStatus status, MessageWriter messages, boolean reusable) {
+        return new ExchangeResult(reach, errorCode, errorCode == null, false, status, messages, reusable);
+    }
+
+    /** The outcome in the terms of the routing policy. */
     Outcome outcome() {
         if (reach == Reach.NOT_CONNECTED || reach == Reach.PART_WRITTEN) {
             return Outcome.UNREACHABLE;
         }
-        if (row) {
+        if (complete) {
             return Outcome.COMMITTED;
         }
-        if (code != null) {
-            return switch (code) {
+        if (errorCode != null) {
+            return switch (errorCode) {
                 case "25006", "72000" -> Outcome.MISS;
                 case "53300" -> Outcome.FULL;
                 default -> Outcome.ERROR;
@@ -74,15 +91,15 @@
         return timedOut ? Outcome.TIMED_OUT : Outcome.RESET;
     }
 
-    /** What the answer itself says. */
-    HostReport word() {
-        return role == Role.UNKNOWN && position == HostReport.NO_POSITION
+    /** What the response itself states about the host: exact at the time of the response. */
+    HostReport statedByResponse() {
+        return status.role() == Role.UNKNOWN && status.positionNanos() == HostReport.NO_POSITION
                 ? HostReport.EMPTY
-                : new HostReport(role, position, -1);
+                : new HostReport(status.role(), status.positionNanos(), -1);
     }
 
-    /** What the report that came along says. */
-    HostReport report() {
-        return LoadReportParser.parse(load);
+    /** What the load report that accompanied the response states. */
+    HostReport loadReport() {
+        return LoadReportParser.parse(status.load());
     }
 }
--- a/src/main/java/beaconladder/server/HostActions.java
+++ b/src/main/java/beaconladder/server/HostActions.java
@@ -10,7 +10,7 @@
     void closeIdle(Host host);
 
     /** Starts a submission whose txn's task is out with another one. */
-    void start(InFlightRequest hand, InFlightRequest.Command command);
+    void start(InFlightRequest request, InFlightRequest.Command command);
 
     void cancel(Attempt submission);
 }
--- a/src/main/java/beaconladder/server/HostExchange.java
+++ b/src/main/java/beaconladder/server/HostExchange.java
@@ -13,184 +13,193 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A use of a connection, which can be called off. */
+/**
+ * One exchange with a host on the thread that runs it: an attempt of a request, or a health check. Any thread may
+ * cancel it; the connection and the flag of the cancellation are guarded by this object's monitor.
+ */
 final class HostExchange implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(HostExchange.class);
 
-    private final ServerConnectionPool lines;
-    private final RequestDispatcher desk;
+    private final ServerConnectionPool pool;
+    private final RequestDispatcher dispatcher;
     private final Host host;
-    private final Attempt submission;
+    private final Attempt attempt;
     private final Statement statement;
-    private final long until;
-    /** What it uses, until it has given it back. */
-    private ServerConnection line;
+    private final long untilNanos;
+    /** The connection in use, or null before and after. */
+    private ServerConnection connection;
 
     private boolean cancelled;
-    /** Whether the query may have reached the host, in part or whole. */
-    private boolean begun;
+    /** Whether the query may have reached the host, in part or completely. */
+    private boolean writeBegun;
 
     private boolean localFault;
 
     /**
-     * One that has not begun.
+     * An exchange that has not begun.
      *
-     * @param submission what is sent, or null for a probe
-     * @param until a nanoTime by which it has to be over
+     * @param attempt what is sent, or null for a health check
+     * @param untilNanos when it has to end, on System.nanoTime's clock
      */
     HostExchange(
-            ServerConnectionPool lines,
-            RequestDispatcher desk,
+            ServerConnectionPool pool,
+            RequestDispatcher dispatcher,
             Host host,
-            Attempt submission,
+            Attempt attempt,
             Statement statement,
-            long until) {
-        this.lines = lines;
-        this.desk = desk;
+            long untilNanos) {
+        this.pool = pool;
+        this.dispatcher = dispatcher;
         this.host = host;
-        this.submission = submission;
+        this.attempt = attempt;
         this.statement = statement;
-        this.until = until;
+        this.untilNanos = untilNanos;
     }
 
     @Override
     public void run() {
-        lines.begun(this);
-        ExchangeResult ending = ExchangeResult.early(Reach.NOT_CONNECTED);
-        boolean moot = false;
+        pool.register(this);
+        ExchangeResult result = ExchangeResult.unanswered(Reach.NOT_CONNECTED);
+        boolean notSent = false;
         try {
             boolean connected = connect();
-            // Where its own time ran out on the way, nothing speaks against the host.
-            moot = submission != null
-                    && (connected ? !desk.attemptEvents().mayGo(submission) : System.nanoTime() >= until);
-            if (connected && !moot) {
-                ending = exchange();
+            // Where its own time ran out before it was sent, that is no evidence against the host.
+            notSent = attempt != null
+                    && (connected ? !dispatcher.attemptEvents().maySend(attempt) : System.nanoTime() >= untilNanos);
+            if (connected && !notSent) {
+                result = exchange();
             }
         } catch (RuntimeException | Error e) {
-            // Whatever it is, the txn has to have its end, and what was written may have run.
-            LOG.error("an exchange with a host ends by a fault of this program", e);
-            ending = ExchangeResult.early(begun ? Reach.WRITTEN : Reach.NOT_CONNECTED);
+            // The request needs an outcome in any case, and what was written may have run.
+            LOG.error("an exchange with a host ends by an internal error", e);
+            result = ExchangeResult.unanswered(writeBegun ? Reach.WRITTEN : Reach.NOT_CONNECTED);
         }
-        lines.over(this);
-        boolean calledOff = finish(line != null && (moot ? line.greeted() : ending.reusable()));
-        if (submission == null) {
-            tellProbe(ending);
+        pool.unregister(this);
+        boolean wasCancelled = finish(connection != null && (notSent ? connection.isEstablished() : result.reusable()));
+        if (attempt == null) {
+            reportHealthCheck(result);
         } else {
-            tellAttempt(ending, moot, calledOff);
+            reportAttempt(result, notSent, wasCancelled);
         }
     }
 
-    private void tellProbe(ExchangeResult ending) {
-        HostReport report = lines.probeReports() && ending.row()
-                ? LoadReportParser.parse(ending.messages().cell())
-                : ending.report();
-        desk.attemptEvents().probed(host, localFault ? Outcome.LOCAL_FAULT : ending.outcome(), report);
+    private void reportHealthCheck(ExchangeResult result) {
+        HostReport report = pool.healthChecksReportLoad() && result.complete()
+                ? LoadReportParser.parse(result.messages().cell())
+                : result.loadReport();
+        dispatcher.attemptEvents().healthCheckEnded(host, localFault ? Outcome.LOCAL_FAULT : result.outcome(), report);
     }
 
-    private void tellAttempt(ExchangeResult ending, boolean moot, boolean calledOff) {
-        Outcome outcome = localFault ? Outcome.LOCAL_FAULT : ending.outcome();
-        if (moot || calledOff && (outcome == Outcome.UNREACHABLE || outcome == Outcome.LOCAL_FAULT)) {
+    private void reportAttempt(ExchangeResult result, boolean notSent, boolean wasCancelled) {
+        Outcome outcome = localFault ? Outcome.LOCAL_FAULT : result.outcome();
+        if (notSent || wasCancelled && (outcome == Outcome.UNREACHABLE || outcome == Outcome.LOCAL_FAULT)) {
             outcome = Outcome.MOOT;
-        } else if (calledOff && outcome == Outcome.RESET) {
+        } else if (wasCancelled && outcome == Outcome.RESET) {
             outcome = Outcome.CANCELLED;
         }
-        desk.attemptEvents().ended(submission, outcome, ending.word(), ending.report(), ending.messages());
+        dispatcher
+                .attemptEvents()
+                .attemptEnded(attempt, outcome, result.statedByResponse(), result.loadReport(), result.messages());
     }
 
     private ExchangeResult exchange() {
-        if (submission == null) {
-            begun = true;
-            return line.send(MessageWriter.query(lines.probeQuery()))
-                    ? line.receive(until)
-                    : ExchangeResult.early(Reach.PART_WRITTEN);
+        if (attempt == null) {
+            writeBegun = true;
+            return connection.send(MessageWriter.query(pool.healthCheckQuery()))
+                    ? connection.receive(untilNanos)
+                    : ExchangeResult.unanswered(Reach.PART_WRITTEN);
         }
-        long began = desk.nowNanos();
-        long millis = Math.max(1, desk.attemptEvents().toldTime(until - System.nanoTime()) / 1_000_000);
-        MessageWriter query = MessageWriter.query(statement.waiting(millis));
-        begun = true;
-        if (!line.send(query)) {
-            return ExchangeResult.early(Reach.PART_WRITTEN);
+        long writeBeginNanos = dispatcher.nowNanos();
+        long budgetMillis =
+                Math.max(1, dispatcher.attemptEvents().statedBudgetNanos(untilNanos - System.nanoTime()) / 1_000_000);
+        MessageWriter query = MessageWriter.query(statement.waiting(budgetMillis));
+        writeBegun = true;
+        if (!connection.send(query)) {
+            return ExchangeResult.unanswered(Reach.PART_WRITTEN);
         }
-        // Read before the check, which waits for the lock of the decisions.
-        long ended = desk.nowNanos();
-        desk.attemptEvents().sent(new SentAttempt(submission, began, ended, millis * 1_000_000));
-        return line.receive(until);
+        // Read before the check, which waits for the dispatcher's lock.
+        long writeEndNanos = dispatcher.nowNanos();
+        dispatcher
+                .attemptEvents()
+                .sent(new SentAttempt(attempt, writeBeginNanos, writeEndNanos, budgetMillis * 1_000_000));
+        return connection.receive(untilNanos);
     }
 
-    /** Gets an idle connection that still stands, or makes one; false when there is none in time. */
+    /** Takes an idle connection that is still open, or opens one; false where there is none in time. */
     private boolean connect() {
-        InetSocketAddress address = desk.address(host);
+        InetSocketAddress address = dispatcher.address(host);
         while (address != null) {
-            ServerConnection next = lines.idle().take(host, System.nanoTime() - desk.keepIdleNanos());
-            boolean fresh = next == null;
-            if (fresh) {
+            ServerConnection candidate = pool.idle().take(host, System.nanoTime() - dispatcher.keepIdleNanos());
+            boolean isNew = candidate == null;
+            if (isNew) {
                 try {
-                    next = lines.make(address, until);
+                    candidate = pool.newConnection(address, untilNanos);
                 } catch (IOException e) {
-                    return localFault();
+                    return recordLocalFault();
                 }
-                if (next == null) {
+                if (candidate == null) {
                     return false;
                 }
             }
             synchronized (this) {
-                line = next;
+                connection = candidate;
                 if (cancelled) {
                     return false;
                 }
             }
-            if (fresh) {
-                ServerConnection.Opening opening = next.open(Math.min(until, System.nanoTime() + lines.dialNanos()));
-                return opening == ServerConnection.Opening.LOCAL_FAULT
-                        ? localFault()
-                        : opening == ServerConnection.Opening.OPEN;
+            if (isNew) {
+                ServerConnection.OpenResult opened =
+                        candidate.open(Math.min(untilNanos, System.nanoTime() + pool.connectTimeoutNanos()));
+                return opened == ServerConnection.OpenResult.LOCAL_FAULT
+                        ? recordLocalFault()
+                        : opened == ServerConnection.OpenResult.OPEN;
             }
-            if (next.address.equals(address) && next.alive()) {
+            if (candidate.address.equals(address) && candidate.isAlive()) {
                 return true;
             }
-            drop();
+            discard();
         }
         return false;
     }
 
-    /** Closes what is of no use; it is no longer this call's then. */
-    private synchronized void drop() {
-        lines.idle().close(line);
-        line = null;
+    /** Closes a connection that can't be reused. */
+    private synchronized void discard() {
+        pool.idle().close(connection);
+        connection = null;
     }
 
-    /** This machine has no connection to give now: false. */
-    private boolean localFault() {
+    /** Counts a connection that failed on this machine; false, as there is no connection. */
+    private boolean recordLocalFault() {
         localFault = true;
-        desk.monitor().counters().add("network", LocalNetworkFault.CONNECT);
+        dispatcher.monitor().counters().add("network", LocalNetworkFault.CONNECT);
         return false;
     }
 
-    Attempt submission() {
-        return submission;
+    Attempt attempt() {
+        return attempt;
     }
 
-    /** The nanoTime by which it has to be over. */
-    long until() {
-        return until;
+    /** When it has to end, on System.nanoTime's clock. */
+    long untilNanos() {
+        return untilNanos;
     }
 
-    /** Stops it: its connection is closed, as what comes on it late is nobody's. */
+    /** Cancels it: its connection is closed, so that a late response can't be taken for the next one. */
     synchronized void cancel() {
         cancelled = true;
-        if (line != null) {
-            line.close();
+        if (connection != null) {
+            connection.close();
         }
     }
 
     private synchronized boolean finish(boolean reusable) {
-        if (line != null) {
+        if (connection != null) {
             if (reusable && !cancelled) {
-                lines.idle().giveBack(host, line);
+                pool.idle().release(host, connection);
             } else {
-                lines.idle().close(line);
+                pool.idle().close(connection);
             }
-            line = null;
+            connection = null;
         }
         return cancelled;
     }
--- /dev/null
+++ b/src/main/java/beaconladder/server/HostResponseReader.java
@@ -0,0 +1,125 @@
+package beaconladder.server;
+
+import beaconladder.pg.MessageReader;
+import beaconladder.pg.MessageReader.Got;
+import beaconladder.pg.MessageWriter;
+import beaconladder.routing.api.Router.HostReport;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.server.ExchangeResult.HostStatus;
+import beaconladder.server.ExchangeResult.Reach;
+import java.util.Set;
+
+/**
+ * Reads and validates one response of a host: a description of one column, one row and a command tag, or an error; then
+ * ready for query. Any other order, count or length makes the response invalid, and then nothing in it counts.
+ */
+final class HostResponseReader {
+    /** Hosts write a response at once; one that has begun and takes longer than this has been interrupted. */
+    static final long MAX_RESPONSE_NANOS = 150_000_000;
+    /** Bound of a complete response: its value, and as much again for all other messages. */
+    private static final int MAX_RESPONSE_BYTES = 2 * MessageReader.BOUND;
+    /** The command tags of a statement that affects one row. */
+    private static final Set<String> COMMAND_TAGS = Set.of("SELECT 1", "INSERT 0 1", "SHOW");
+
+    private final MessageReader in;
+    private final MessageWriter messages = new MessageWriter();
+    private Reach reach = Reach.WRITTEN;
+    private Role role = Role.UNKNOWN;
+    private long positionNanos = HostReport.NO_POSITION;
+    private String load;
+    private String errorCode;
+    /** The message type that must come next: T, D, C in turn, or E in place of T; Z after C or E. */
+    private char expected = 'T';
+
+    private int bytesRead;
+
+    HostResponseReader(MessageReader in) {
+        this.in = in;
+    }
+
+    /** Waits for the complete response until this time on System.nanoTime's clock. */
+    ExchangeResult read(long untilNanos) {
+        long deadlineNanos = untilNanos;
+        while (true) {
+            Got got = in.next(deadlineNanos, MAX_RESPONSE_NANOS);
+            if (got != Got.MESSAGE) {
+                return incomplete(got);
+            }
+            if (reach == Reach.WRITTEN) {
+                reach = Reach.ANSWER_BEGUN;
+                deadlineNanos = Math.min(untilNanos, System.nanoTime() + MAX_RESPONSE_NANOS);
+            }
+            bytesRead += in.end() - in.at();
+            if (bytesRead > MAX_RESPONSE_BYTES || !isValid(in.type())) {
+                return ExchangeResult.invalidResponse();
+            }
+            ExchangeResult result = accept(in.type());
+            if (result != null) {
+                return result;
+            }
+        }
+    }
+
+    private ExchangeResult incomplete(Got got) {
+        if (got == Got.CLOSED) {
+            // A host may close the connection right after a complete error message.
+            return ExchangeResult.closedByHost(reach, errorCode, status());
+        }
+        boolean timedOut = got == Got.TIMED_OUT && reach == Reach.WRITTEN && !in.more();
+        return timedOut || got == Got.CUT
+                ? ExchangeResult.interrupted(reach, timedOut)
+                : ExchangeResult.invalidResponse();
+    }
+
+    private boolean isValid(char type) {
+        return switch (type) {
+            case 'S' -> in.texts(2);
+            case 'N' -> in.isError();
+            case 'T' -> expected == 'T' && in.describesOneColumn();
+            case 'D' -> expected == 'D' && in.isRowOfOne();
+            case 'C' -> expected == 'C' && in.texts(1) && COMMAND_TAGS.contains(in.text(in.at()));
+            case 'E' -> expected == 'T' && in.isError();
+            case 'Z' -> expected == 'Z' && in.end() - in.at() == 1 && "ITE".indexOf(in.int8(in.at())) >= 0;
+            default -> false;
+        };
+    }
+
+    /** Takes over the content of a valid message; returns the result where it ends the response, else null. */
+    private ExchangeResult accept(char type) {
+        switch (type) {
+            case 'S' -> acceptParameter(in.text(in.at()), in.text(in.after(in.at())));
+            case 'T', 'D', 'C' -> {
+                in.copyTo(messages);
+                expected = type == 'T' ? 'D' : type == 'D' ? 'C' : 'Z';
+            }
+            case 'E' -> {
+                errorCode = in.errorField('C');
+                expected = 'Z';
+                // The host closes the connection after a fatal error, without ready for query.
+                if (!"ERROR".equals(in.errorField('S'))) {
+                    return ExchangeResult.closedByHost(reach, errorCode, status());
+                }
+            }
+            case 'Z' -> {
+                return ExchangeResult.finished(reach, errorCode, status(), messages, !in.more());
+            }
+            default -> {}
+        }
+        return null;
+    }
+
+    private void acceptParameter(String name, String value) {
+        switch (name) {
+            case "node_role" ->
+                role = value.equals("leader") ? Role.PRIMARY : value.equals("follower") ? Role.REPLICA : Role.UNKNOWN;
+            case "replay_position" ->
+                positionNanos = LoadReportParser.parsePositionNanos(value, LoadReportParser.MILLIS_TO_NANOS);
+            case "server_load" -> load = value;
+            default -> {}
+        }
+    }
+
+    private HostStatus status() {
+        return new HostStatus(role, positionNanos, load);
+    }
+}
--- a/src/main/java/beaconladder/server/IdleConnections.java
+++ b/src/main/java/beaconladder/server/IdleConnections.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The connections to hosts that wait for their next use, the newest first. */
+/** The idle connections by host, the most recently used first; guarded by the monitor of their map. */
 final class IdleConnections {
-    /** What a host writes behind its answer came within a millisecond; a connection in wait costs nothing. */
-    private static final long RESTED = 3_000_000;
+    /** Bytes a host writes behind its response arrive within a millisecond; until then a connection is not reused. */
+    private static final long MIN_IDLE_NANOS = 3_000_000;
 
     private final DescriptorLimit descriptors;
     private final Map<Host, Deque<ServerConnection>> idle = new HashMap<>();
@@ -20,19 +20,19 @@
         this.descriptors = descriptors;
     }
 
-    /** Closes the connection that has lain idle longest; false when none is idle. */
+    /** Closes the connection that has been idle longest; false where none is idle. */
     boolean closeOldest() {
         ServerConnection oldest = null;
         synchronized (idle) {
-            Deque<ServerConnection> from = null;
-            for (Deque<ServerConnection> of : idle.values()) {
-                if (!of.isEmpty() && (oldest == null || of.peekLast().usedAt < oldest.usedAt)) {
-                    oldest = of.peekLast();
-                    from = of;
+            Deque<ServerConnection> source = null;
+            for (Deque<ServerConnection> ofHost : idle.values()) {
+                if (!ofHost.isEmpty() && (oldest == null || ofHost.peekLast().lastUsedNanos < oldest.lastUsedNanos)) {
+                    oldest = ofHost.peekLast();
+                    source = ofHost;
                 }
             }
-            if (from != null) {
-                from.removeLast();
+            if (source != null) {
+                source.removeLast();
             }
         }
         if (oldest != null) {
@@ -41,35 +41,41 @@
         return oldest != null;
     }
 
-    /** The newest that has rested and was in use since then; a second copy of an answer has shown itself. */
-    ServerConnection take(Host host, long oldest) {
+    /**
+     * Takes the most recently used connection that has been idle long enough to show a duplicate response.
+     *
+     * @param oldestNanos the earliest last use to accept, on System.nanoTime's clock
+     * @return null where there is none
+     */
+    ServerConnection take(Host host, long oldestNanos) {
         long now = System.nanoTime();
         synchronized (idle) {
-            Deque<ServerConnection> of = idle.get(host);
-            for (ServerConnection line : of == null ? List.<ServerConnection>of() : of) {
-                if (line.usedAt < oldest) {
+            Deque<ServerConnection> ofHost = idle.get(host);
+            for (ServerConnection connection : ofHost == null ? List.<ServerConnection>of() : ofHost) {
+                if (connection.lastUsedNanos < oldestNanos) {
                     break;
                 }
-                if (line.usedAt <= now - RESTED) {
-                    of.remove(line);
-                    return line;
+                if (connection.lastUsedNanos <= now - MIN_IDLE_NANOS) {
+                    ofHost.remove(connection);
+                    return connection;
                 }
             }
         }
         return null;
     }
 
-    void giveBack(Host host, ServerConnection line) {
+    /** Keeps a connection for its next use, or closes it where its host is not ready. */
+    void release(Host host, ServerConnection connection) {
         synchronized (idle) {
             if (host.state == Host.State.READY) {
-                idle.computeIfAbsent(host, h -> new ArrayDeque<>()).addFirst(line);
+                idle.computeIfAbsent(host, h -> new ArrayDeque<>()).addFirst(connection);
                 return;
             }
         }
-        close(line);
+        close(connection);
     }
 
-    /** Closes all of this host. */
+    /** Closes all idle connections to this host. */
     void close(Host host) {
         Deque<ServerConnection> all;
         synchronized (idle) {
@@ -80,18 +86,20 @@
         }
     }
 
-    /** Closes those not in use since then. */
-    void sweep(long oldest) {
-        List<ServerConnection> old = new ArrayList<>();
+    /** Closes those last used before this time on System.nanoTime's clock. */
+    void sweep(long oldestNanos) {
+        List<ServerConnection> expired = new ArrayList<>();
         synchronized (idle) {
-            idle.values().forEach(of -> of.removeIf(line -> line.usedAt < oldest && old.add(line)));
+            idle.values()
+                    .forEach(ofHost -> ofHost.removeIf(
+                            connection -> connection.lastUsedNanos < oldestNanos && expired.add(connection)));
         }
-        old.forEach(this::close);
+        expired.forEach(this::close);
     }
 
-    /** Closes one that is idle or was in use, and gives its descriptor back. */
-    void close(ServerConnection line) {
-        line.release();
+    /** Closes a connection, idle or in use, and returns its descriptor. */
+    void close(ServerConnection connection) {
+        connection.release();
         descriptors.release(DescriptorLimit.Use.SERVER, 1);
     }
 }
--- a/src/main/java/beaconladder/server/LoadReportParser.java
+++ b/src/main/java/beaconladder/server/LoadReportParser.java
@@ -6,6 +6,8 @@
 
 /** Parses what hosts report about themselves: load reports (ORCA text form) and replication positions. */
 final class LoadReportParser {
+    /** Decimal exponent from milliseconds, the unit of positions in messages, to nanoseconds. */
+    static final int MILLIS_TO_NANOS = 6;
     /** Decimal exponent from seconds, the unit of a report's position, to nanoseconds. */
     private static final int SECONDS_TO_NANOS = 9;
     /** Exclusive bound of a plausible figure: far more requests than a host can have in flight. */
@@ -61,7 +63,7 @@
      *
      * @param text a decimal number in the sender's unit
      * @param powerOfTen decimal exponent from that unit to nanoseconds: 6 for milliseconds, 9 for seconds
-     * @return nanoseconds since the epoch, or {@link Word#NONE} where the text is no position
+     * @return nanoseconds since the epoch, or {@link HostReport#NONE} where the text is no position
      */
     static long parsePositionNanos(String text, int powerOfTen) {
         long nanos = Decimal.read(text, powerOfTen);
--- a/src/main/java/beaconladder/server/ParsedQuery.java
+++ b/src/main/java/beaconladder/server/ParsedQuery.java
@@ -49,7 +49,9 @@
         Group group = named ? desk.group((int) cluster) : null;
         long budget = number(statement.value("d"));
         String after = statement.value("after");
-        long written = after == null ? HostReport.NO_POSITION : LoadReportParser.parsePositionNanos(after, 6);
+        long written = after == null
+                ? HostReport.NO_POSITION
+                : LoadReportParser.parsePositionNanos(after, LoadReportParser.MILLIS_TO_NANOS);
         String wrong = id == null || id.isEmpty() || id.length() > LONGEST_ID
                 ? "id"
                 : type == null
--- a/src/main/java/beaconladder/server/PendingActions.java
+++ b/src/main/java/beaconladder/server/PendingActions.java
@@ -69,7 +69,7 @@
     @Override
     public void send(Attempt s, long timeout) {
         InFlightRequest hand = hands.get(s.request);
-        trace.sent(s, timeout);
+        trace.attemptSent(s, timeout);
         InFlightRequest.Command command = InFlightRequest.Command.send(s, s.sentNanos + timeout);
         if (!hand.enqueue(command)) {
             errands.add(to -> to.start(hand, command));
@@ -83,7 +83,7 @@
 
     @Override
     public void reject(Request txn, long comeBack, RoutingDecision.Reason reason) {
-        trace.finished(txn, "decline " + reason, desk.nowNanos());
+        trace.requestEvent(txn, "decline " + reason, desk.nowNanos());
         monitor.counters().add("refused", reason);
         monitor.invariants().refused(txn);
         hands.get(txn).enqueue(InFlightRequest.Command.rejected(comeBack));
@@ -91,15 +91,15 @@
 
     @Override
     public void rollBack(Request txn, RoutingDecision.Reason reason) {
-        trace.finished(txn, "rollback " + reason, desk.nowNanos());
+        trace.requestEvent(txn, "rollback " + reason, desk.nowNanos());
         monitor.counters().add("rolled_back", reason);
         hands.get(txn).enqueue(InFlightRequest.Command.rolledBack());
     }
 
     @Override
     public void onRequestEnded(Request txn) {
-        trace.finished(txn, "over", desk.nowNanos());
-        trace.gone(txn);
+        trace.requestEvent(txn, "over", desk.nowNanos());
+        trace.forget(txn);
         hands.remove(txn);
         overdue.remove(txn);
         if (gate != null) {
@@ -109,7 +109,7 @@
 
     @Override
     public void probe(Host host) {
-        trace.probe(host);
+        trace.healthCheck(host);
         errands.add(to -> to.probe(host));
     }
 
--- a/src/main/java/beaconladder/server/RequestDispatcher.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -115,7 +115,7 @@
     int trackedCount() {
         lock.lock();
         try {
-            return list.held() + orders.size() + ids.size();
+            return list.trackedCount() + orders.size() + ids.size();
         } finally {
             lock.unlock();
         }
@@ -156,7 +156,7 @@
                     router.requestClass(parameters.classIndex()),
                     places.tenantIndex(parameters.statement().value("t")));
             orders.add(hand);
-            trace.taken(hand.request, parameters.id(), nowNanos());
+            trace.submitted(hand.request, parameters.id(), nowNanos());
             if (parameters.permit() != null) {
                 gate.requestStarted(hand.request, parameters.permit());
             }
@@ -182,7 +182,7 @@
         applyEvent(now -> {
             hand.request.disconnectedNanos = Math.min(hand.request.disconnectedNanos, now);
             if (!hand.request.ended) {
-                trace.finished(hand.request, "left", now);
+                trace.requestEvent(hand.request, "left", now);
                 rounds.execute(hand.request, router.onClientDisconnected(hand.request, now), now);
                 hand.enqueue(InFlightRequest.Command.clientGone());
             }
@@ -218,7 +218,7 @@
             news.accept(now);
             timer.schedule(rounds.processDue(now));
             then = orders.errands();
-            traced = trace.take();
+            traced = trace.drain();
         } finally {
             lock.unlock();
         }
--- a/src/main/java/beaconladder/server/ServerConnectionPool.java
+++ b/src/main/java/beaconladder/server/ServerConnectionPool.java
@@ -12,133 +12,143 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The connections to hosts: those in use, a thread each, and those that wait for the next use. */
+/** The connections to hosts: those in use, one thread each, and the idle ones. */
 final class ServerConnectionPool implements HostActions {
-    private final RequestDispatcher desk;
-    private final TaskStarter threads;
-    private final MemoryLimit room;
-    private final long dialNanos;
-    private final String probeQuery;
-    private final boolean probeReports;
-    private final boolean cancels;
+    /** An exchange that is so long past its deadline is stuck in a write. */
+    private static final long STUCK_NANOS = 100_000_000;
+
+    private final RequestDispatcher dispatcher;
+    private final TaskStarter taskStarter;
+    private final MemoryLimit memory;
+    private final long connectTimeoutNanos;
+    private final String healthCheckQuery;
+    private final boolean healthChecksReportLoad;
+    private final boolean cancelsAttempts;
     private final Opener opener;
     private final IdleConnections idle;
-    private final Set<HostExchange> calls = ConcurrentHashMap.newKeySet();
+    private final Set<HostExchange> exchanges = ConcurrentHashMap.newKeySet();
     private final DescriptorLimit descriptors;
 
     ServerConnectionPool(
-            RequestDispatcher desk,
-            Map<String, String> start,
-            TaskStarter threads,
-            MemoryLimit room,
+            RequestDispatcher dispatcher,
+            Map<String, String> settings,
+            TaskStarter taskStarter,
+            MemoryLimit memory,
             DescriptorLimit descriptors,
             Opener opener) {
-        this.desk = desk;
+        this.dispatcher = dispatcher;
         this.descriptors = descriptors;
         this.idle = new IdleConnections(descriptors);
         this.opener = opener;
-        this.cancels = "true".equals(start.get("limits.cancel"));
-        this.room = room;
-        this.threads = threads;
-        this.dialNanos = Long.parseLong(start.getOrDefault("limits.dial_timeout_us", "250000")) * 1_000;
-        // A plain probe tells that the process runs and no more; the report tells position, role and load.
-        this.probeReports = !"off".equals(start.getOrDefault("load_report.how", "off"));
-        this.probeQuery = probeReports ? "SHOW server_load" : "SELECT 1";
+        this.cancelsAttempts = "true".equals(settings.get("limits.cancel"));
+        this.memory = memory;
+        this.taskStarter = taskStarter;
+        this.connectTimeoutNanos = Long.parseLong(settings.getOrDefault("limits.dial_timeout_us", "250000")) * 1_000;
+        // A plain query shows only that the process runs; a load report states position, role and load.
+        this.healthChecksReportLoad = !"off".equals(settings.getOrDefault("load_report.how", "off"));
+        this.healthCheckQuery = healthChecksReportLoad ? "SHOW server_load" : "SELECT 1";
     }
 
-    /** Makes a connection that is not yet open. */
+    /** Creates a connection that is not yet open. */
     interface Opener {
-        ServerConnection line(InetSocketAddress address, MemoryLimit room) throws IOException;
+        ServerConnection create(InetSocketAddress address, MemoryLimit memory) throws IOException;
     }
 
-    /** Descriptors held. */
+    /** How many descriptors the connections to hosts hold. */
     int openCount() {
         return descriptors.held(DescriptorLimit.Use.SERVER);
     }
 
-    /** Makes a connection that is not yet open, within this moment (a nanoTime); null where there is no descriptor. */
-    ServerConnection make(InetSocketAddress address, long until) throws IOException {
+    /**
+     * Creates a connection that is not yet open; closes the oldest idle one where descriptors are short.
+     *
+     * @param untilNanos how long to wait for a descriptor, on System.nanoTime's clock
+     * @return null where there is no descriptor by then
+     */
+    ServerConnection newConnection(InetSocketAddress address, long untilNanos) throws IOException {
         boolean taken = descriptors.acquire(DescriptorLimit.Use.SERVER)
                 || idle.closeOldest() && descriptors.acquire(DescriptorLimit.Use.SERVER)
-                || descriptors.acquire(DescriptorLimit.Use.SERVER, until);
+                || descriptors.acquire(DescriptorLimit.Use.SERVER, untilNanos);
         if (!taken) {
             return null;
         }
-        boolean made = false;
+        boolean created = false;
         try {
-            ServerConnection line = opener.line(address, room);
-            made = true;
-            return line;
+            ServerConnection connection = opener.create(address, memory);
+            created = true;
+            return connection;
         } finally {
-            descriptors.release(DescriptorLimit.Use.SERVER, made ? 0 : 1);
+            descriptors.release(DescriptorLimit.Use.SERVER, created ? 0 : 1);
         }
     }
 
-    /** The connections that wait for their next use. */
+    /** The connections that are not in use. */
     IdleConnections idle() {
         return idle;
     }
 
-    /** How long a connection may take to come up, in nanoseconds. */
-    long dialNanos() {
-        return dialNanos;
+    /** How long opening a connection may take. */
+    long connectTimeoutNanos() {
+        return connectTimeoutNanos;
     }
 
-    String probeQuery() {
-        return probeQuery;
+    String healthCheckQuery() {
+        return healthCheckQuery;
     }
 
-    /** Whether the answer to a probe is a report. */
-    boolean probeReports() {
-        return probeReports;
+    /** Whether the response to a health check is a load report. */
+    boolean healthChecksReportLoad() {
+        return healthChecksReportLoad;
     }
 
-    /** This call can be called off from now on. */
-    void begun(HostExchange call) {
-        calls.add(call);
+    /** From now on this exchange can be cancelled. */
+    void register(HostExchange exchange) {
+        exchanges.add(exchange);
     }
 
-    void over(HostExchange call) {
-        calls.remove(call);
+    void unregister(HostExchange exchange) {
+        exchanges.remove(exchange);
     }
 
-    /** Sees a submission through on the caller's thread; what became of it is told to the desk. */
+    /** Runs an attempt, on the caller's thread where it can be cancelled; the dispatcher is notified of its outcome. */
     void send(InFlightRequest.Command command, Statement statement) {
-        HostExchange call = new HostExchange(
+        HostExchange exchange = new HostExchange(
                 this,
-                desk,
+                dispatcher,
                 command.attempt().host,
                 command.attempt(),
                 statement,
-                desk.toNanoTime(command.deadlineNanos()));
-        // The answer of a copy must not wait for one that can't be called off, unless there is no thread for
-        // it.
-        if (cancels || !threads.tryExecute(call)) {
-            call.run();
+                dispatcher.toNanoTime(command.deadlineNanos()));
+        // A hedged request's response must not wait for an attempt that can't be cancelled, unless no thread is left.
+        if (cancelsAttempts || !taskStarter.tryExecute(exchange)) {
+            exchange.run();
         }
     }
 
     @Override
-    public void start(InFlightRequest hand, InFlightRequest.Command command) {
-        if (!threads.tryExecute(() -> send(command, hand.statement))) {
-            desk.attemptEvents().ended(command.attempt(), Outcome.MOOT, HostReport.EMPTY, HostReport.EMPTY, null);
+    public void start(InFlightRequest request, InFlightRequest.Command command) {
+        if (!taskStarter.tryExecute(() -> send(command, request.statement))) {
+            dispatcher
+                    .attemptEvents()
+                    .attemptEnded(command.attempt(), Outcome.MOOT, HostReport.EMPTY, HostReport.EMPTY, null);
         }
     }
 
-    /** One whose call has not begun yet finds its txn at an end before it writes anything. */
+    /** An attempt whose exchange has not begun is not sent either: its request has ended by then. */
     @Override
-    public void cancel(Attempt submission) {
-        for (HostExchange call : calls) {
-            if (call.submission() == submission) {
-                call.cancel();
+    public void cancel(Attempt attempt) {
+        for (HostExchange exchange : exchanges) {
+            if (exchange.attempt() == attempt) {
+                exchange.cancel();
             }
         }
     }
 
     @Override
     public void probe(Host host) {
-        if (!threads.tryExecute(new HostExchange(this, desk, host, null, null, System.nanoTime() + dialNanos))) {
-            desk.attemptEvents().probed(host, Outcome.MOOT, HostReport.EMPTY);
+        if (!taskStarter.tryExecute(
+                new HostExchange(this, dispatcher, host, null, null, System.nanoTime() + connectTimeoutNanos))) {
+            dispatcher.attemptEvents().healthCheckEnded(host, Outcome.MOOT, HostReport.EMPTY);
         }
     }
 
@@ -147,14 +157,14 @@
         idle.close(host);
     }
 
-    /** Closes what lay idle too long, and calls that hang past their time. */
+    /** Closes connections that were idle too long, and cancels exchanges that are stuck past their deadline. */
     void sweep() {
         long now = System.nanoTime();
-        idle.sweep(now - desk.keepIdleNanos());
-        for (HostExchange call : calls) {
-            // A call ends itself by its time-outs; only one stuck in a write gets here.
-            if (now - call.until() > 100_000_000) {
-                call.cancel();
+        idle.sweep(now - dispatcher.keepIdleNanos());
+        for (HostExchange exchange : exchanges) {
+            // Exchanges end by their own timeouts; only one stuck in a write gets here.
+            if (now - exchange.untilNanos() > STUCK_NANOS) {
+                exchange.cancel();
             }
         }
     }
