--- a/src/main/java/beaconladder/routing/ClusterClock.java
+++ b/src/main/java/beaconladder/routing/ClusterClock.java
@@ -27,125 +27,130 @@
     /** Replicas lag, so what several hosts show differs by that. */
     private static final long AGREEMENT = 5_000 * MILLISECOND;
 
-    private static final long EVIDENCE_AGE = 10_000 * MILLISECOND;
-    private static final long PENDING_AGE = 2_000 * MILLISECOND;
+    private static final long EVIDENCE_MAX_AGE = 10_000 * MILLISECOND;
+    private static final long PENDING_MAX_AGE = 2_000 * MILLISECOND;
     /** Wall clocks are off by an hour where a zone is set wrong; what lies beyond two is no time. */
-    private static final long PLAUSIBLE = 7_200_000 * MILLISECOND;
+    private static final long MAX_PLAUSIBLE_OFFSET = 7_200_000 * MILLISECOND;
     /** Of one host so many positions ahead in a row count; a spoilt answer comes alone. */
-    private static final int REPORTS = 2;
+    private static final int MIN_REPORTS = 2;
     /** Where no second host is heard at all, so many do. */
-    private static final int REPORTS_ALONE = 6;
+    private static final int MIN_REPORTS_SINGLE_HOST = 6;
     /** It is moved back for nothing less: the time that an attempt waits before its send lies within it. */
-    private static final long LEAST_BACK = 250 * MILLISECOND;
+    private static final long MIN_BACKWARD_STEP = 250 * MILLISECOND;
 
-    private static final int EARLY_ANSWERS = 6;
+    private static final int MIN_EARLY_ANSWERS = 6;
     /** A clock that is ahead by no more than this makes little of a slow start look over. */
-    private static final long CONFIRMING = 500 * MILLISECOND;
+    private static final long CONFIRMATION_TOLERANCE = 500 * MILLISECOND;
 
     /** Positions of one host that lay ahead, in a row. */
-    private record Ahead(int reports, long by, long at) {}
+    private record AheadEvidence(int count, long aheadNanos, long seenNanos) {}
 
-    private final Map<Host, Ahead> ahead = new HashMap<>();
-    private long offset;
+    private final Map<Host, AheadEvidence> aheadByHost = new HashMap<>();
+    private long offsetNanos;
     /** When a position was last believed. */
-    private long believedAt = Long.MIN_VALUE;
+    private long lastAcceptedNanos = Long.MIN_VALUE;
     /** Answers in a row from before their send, and the least that all of them were before it. */
     private int earlyAnswers;
 
-    private long leastEarly = Long.MAX_VALUE;
+    private long leastEarlyNanos = Long.MAX_VALUE;
     private Host earlyHost;
-    private boolean severalHosts;
-    private boolean confirmed;
+    private boolean earlyFromSeveralHosts;
+    private boolean isConfirmed;
 
     /** The time by the hosts' clock at this moment of the router's. */
-    long at(long now) {
-        return now + offset;
+    long hostTimeAt(long now) {
+        return now + offsetNanos;
     }
 
     /**
      * The latest that the hosts' clock may show at this moment, as far as any host has just said: for bounds, since a
      * target that is too late makes no read stale, and one host's word may be the first of several.
      */
-    long latest(long now) {
+    long latestHostTimeAt(long now) {
         long by = 0;
-        for (Ahead each : ahead.values()) {
-            by = now - each.at <= PENDING_AGE && each.by <= PLAUSIBLE ? Math.max(by, each.by) : by;
+        for (AheadEvidence each : aheadByHost.values()) {
+            by = now - each.seenNanos <= PENDING_MAX_AGE && each.aheadNanos <= MAX_PLAUSIBLE_OFFSET
+                    ? Math.max(by, each.aheadNanos)
+                    : by;
         }
-        return at(now) + by;
+        return hostTimeAt(now) + by;
     }
 
     /** No position that is believed lies ahead of this. */
-    long newest(long now) {
-        return at(now) + TOLERANCE;
+    long maxPlausiblePosition(long now) {
+        return hostTimeAt(now) + TOLERANCE;
     }
 
     /** Whether a host has shown that this clock is not far ahead of the hosts'. */
-    boolean confirmed() {
-        return confirmed;
+    boolean isConfirmed() {
+        return isConfirmed;
     }
 
     /** The moment of the router's clock at which the hosts' shows this. */
-    long moment(long hostTime) {
-        return hostTime - offset;
+    long routerTimeOf(long hostTime) {
+        return hostTime - offsetNanos;
     }
 
     /** Takes in what a host said at this moment that it has reached; whether that can be. */
-    boolean believes(Host host, long position, long now) {
-        long by = position - at(now);
+    boolean acceptPosition(Host host, long position, long now) {
+        long by = position - hostTimeAt(now);
         if (by <= TOLERANCE) {
-            ahead.remove(host);
-            believedAt = now;
-            confirmed |= by >= -CONFIRMING;
+            aheadByHost.remove(host);
+            lastAcceptedNanos = now;
+            isConfirmed |= by >= -CONFIRMATION_TOLERANCE;
             return true;
         }
-        if (by > PLAUSIBLE) {
+        if (by > MAX_PLAUSIBLE_OFFSET) {
             return false;
         }
-        Ahead before = ahead.get(host);
-        boolean row = before != null && Math.abs(by - before.by) <= AGREEMENT && now - before.at <= EVIDENCE_AGE;
-        Ahead own = new Ahead(row ? before.reports + 1 : 1, by, now);
-        ahead.put(host, own);
-        ahead.values().removeIf(each -> now - each.at > EVIDENCE_AGE);
-        List<Ahead> agreeing = ahead.values().stream()
-                .filter(each -> each.reports >= REPORTS && Math.abs(each.by - by) <= AGREEMENT)
+        AheadEvidence before = aheadByHost.get(host);
+        boolean row = before != null
+                && Math.abs(by - before.aheadNanos) <= AGREEMENT
+                && now - before.seenNanos <= EVIDENCE_MAX_AGE;
+        AheadEvidence own = new AheadEvidence(row ? before.count + 1 : 1, by, now);
+        aheadByHost.put(host, own);
+        aheadByHost.values().removeIf(each -> now - each.seenNanos > EVIDENCE_MAX_AGE);
+        List<AheadEvidence> agreeing = aheadByHost.values().stream()
+                .filter(each -> each.count >= MIN_REPORTS && Math.abs(each.aheadNanos - by) <= AGREEMENT)
                 .toList();
         // What was believed since then is of another host: its own would have ended its row.
-        boolean alone = ahead.size() == 1
-                && own.reports >= REPORTS_ALONE
-                && (believedAt == Long.MIN_VALUE || now - believedAt > EVIDENCE_AGE);
-        if (own.reports < REPORTS || agreeing.size() < 2 && !alone) {
+        boolean alone = aheadByHost.size() == 1
+                && own.count >= MIN_REPORTS_SINGLE_HOST
+                && (lastAcceptedNanos == Long.MIN_VALUE || now - lastAcceptedNanos > EVIDENCE_MAX_AGE);
+        if (own.count < MIN_REPORTS || agreeing.size() < 2 && !alone) {
             return false;
         }
-        // Each has reached what it says: the one furthest on lags least.
-        offset += agreeing.stream().mapToLong(Ahead::by).max().orElse(by);
-        ahead.clear();
-        confirmed = true;
+        // Each has reached what it says: the one most caught up lags least.
+        offsetNanos +=
+                agreeing.stream().mapToLong(AheadEvidence::aheadNanos).max().orElse(by);
+        aheadByHost.clear();
+        isConfirmed = true;
         return true;
     }
 
     /** A primary has answered, at this position, what was sent to it at this moment. */
-    void primaryAnswered(Host host, long position, long sent) {
-        long early = at(sent) - position;
-        if (early <= LEAST_BACK) {
-            confirmed = true;
-            forgetEarly();
+    void primaryAnswered(Host host, long position, long sentNanos) {
+        long early = hostTimeAt(sentNanos) - position;
+        if (early <= MIN_BACKWARD_STEP) {
+            isConfirmed = true;
+            clearEarlyAnswers();
             return;
         }
-        severalHosts |= earlyHost != null && earlyHost != host;
+        earlyFromSeveralHosts |= earlyHost != null && earlyHost != host;
         earlyHost = host;
-        leastEarly = Math.min(leastEarly, early);
+        leastEarlyNanos = Math.min(leastEarlyNanos, early);
         earlyAnswers++;
-        if (earlyAnswers >= (severalHosts ? EARLY_ANSWERS : 2 * EARLY_ANSWERS)) {
-            offset -= leastEarly;
-            confirmed = true;
-            forgetEarly();
+        if (earlyAnswers >= (earlyFromSeveralHosts ? MIN_EARLY_ANSWERS : 2 * MIN_EARLY_ANSWERS)) {
+            offsetNanos -= leastEarlyNanos;
+            isConfirmed = true;
+            clearEarlyAnswers();
         }
     }
 
-    private void forgetEarly() {
+    private void clearEarlyAnswers() {
         earlyAnswers = 0;
-        leastEarly = Long.MAX_VALUE;
+        leastEarlyNanos = Long.MAX_VALUE;
         earlyHost = null;
-        severalHosts = false;
+        earlyFromSeveralHosts = false;
     }
 }
--- a/src/main/java/beaconladder/routing/DeadlinePolicy.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -9,27 +9,27 @@
 import beaconladder.routing.state.SampleWindow;
 import beaconladder.routing.state.TrafficStatistics;
 
-/** How long what is worth: when a txn is in time, is released, is given up. */
-record DeadlinePolicy(TrafficStatistics traffic, OutlierDetector health) {
+/** How long what is worth: when a request is in time, is released, is timed out. */
+record DeadlinePolicy(TrafficStatistics traffic, OutlierDetector outliers) {
     /** An older answer tells of a load that may be gone. */
-    private static final long RECENT = 3_000 * MILLISECOND;
+    private static final long RECENT_RESPONSE = 3_000 * MILLISECOND;
     /**
      * So much of what is left a host is not told. A router may be held up for 0.15 s between its look at the clock and
      * its write, which is all of the slack that the protocol gives; what a part of a core takes besides has to be
      * covered here.
      */
-    private static final long KEPT_BACK = 50 * MILLISECOND;
+    private static final long TIMEOUT_MARGIN = 50 * MILLISECOND;
     /** Of little time no more than this part is kept back. */
-    private static final int LEAST_PART = 4;
+    private static final int MARGIN_DIVISOR = 4;
 
     /**
      * When the SLA time ends, counted from the client's first try. First tries of a type bring one and the same budget;
      * any other budget is what is left of the type's expiry, so the difference has already gone by. Guards against
-     * serving repeats that can earn nothing while fresh txns wait; errs on the side of serving. Where clients mark
-     * their repeats, what isn't marked is a first try; where they don't, budgets under the SLA time that are more
-     * frequent than repeats scatter are of clients that come with little time.
+     * serving retries that can earn nothing while fresh requests wait; errs on the side of serving. Where clients mark
+     * their retries, what isn't marked is a first try; where they don't, budgets under the SLA time that are more
+     * frequent than retries scatter are of clients that come with little time.
      */
-    long slaEnd(Request request) {
+    long slaEndNanos(Request request) {
         long budget = request.expiryNanos - request.arrivedNanos;
         SampleWindow budgets = request.requestClass.budgets();
         budgets.add(budget, 0, request.arrivedNanos);
@@ -55,7 +55,7 @@
      * The time within which an answer is of use: the SLA time, or, where many clients leave sooner, what they have
      * lately waited.
      */
-    double aim(Request request, long now) {
+    double latencyObjectiveNanos(Request request, long now) {
         long since = now - 10_000 * MILLISECOND;
         // A client now and then leaves on any day; three of ten in ten seconds are a habit.
         return traffic.disconnectWaits.countSince(since) >= Math.max(2, 0.3 * traffic.commits.countSince(since))
@@ -64,30 +64,32 @@
     }
 
     /**
-     * When a held read may go to the primary: the design's default, one SLA time before its expiry, or earlier where
+     * When a queued read may go to the primary: the design's default, one SLA time before its expiry, or earlier where
      * the primary's answer would else come too late. One and a half usual times cover two answers in three. A round
      * before its last use at the latest, where slower replicas set that use before the primary's answer: a release
      * after it would never come.
      */
-    long release(Request request) {
+    long primaryFallbackNanos(Request request) {
         Host primary = request.group.primary;
-        long answer = primary == null || request.group.responseTimes.size() == 0 ? 0 : health.usual(primary) * 3 / 2;
+        long answer = primary == null || request.group.responseTimes.size() == 0
+                ? 0
+                : outliers.typicalResponseNanos(primary) * 3 / 2;
         return Math.min(
                 Math.min(request.expiryNanos - request.requestClass.slaNanos(), request.slaEndNanos - answer),
-                lastUse(request) - round());
+                latestUsefulSendNanos(request) - roundNanos());
     }
 
     /**
-     * From here on a txn that is not out is not worth its work: three in five answers would come too late. A late
-     * answer that earns a quarter or less is no reason to send, since a fresh txn earns more by the same work. Guards
-     * against overload fed by work for nothing.
+     * From here on a request that is not out is not worth its work: three in five answers would come too late. A late
+     * answer that earns a quarter or less is no reason to send, since a fresh request earns more by the same work.
+     * Guards against overload fed by work for nothing.
      */
-    long lastUse(Request request) {
+    long latestUsefulSendNanos(Request request) {
         if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            return lastSafeUse(request);
+            return latestSafeSendNanos(request);
         }
         long end = request.requestClass.lateShare() > 0.25 ? request.expiryNanos : request.slaEndNanos;
-        return Math.min(end - request.group.responseTimes.quantile(0.4), lastMoment(request));
+        return Math.min(end - request.group.responseTimes.quantile(0.4), responseDeadlineNanos(request));
     }
 
     /**
@@ -95,65 +97,66 @@
      * the primary's newest answer counts too, where it is recent: a host that has just become slow shows in no quantile
      * yet. The answer has to be here by the last moment, not by the expiry.
      */
-    private long lastSafeUse(Request request) {
+    private long latestSafeSendNanos(Request request) {
         Host primary = request.group.primary;
-        boolean recent = primary != null && primary.newestResponseAtNanos >= request.arrivedNanos - RECENT;
+        boolean recent = primary != null && primary.newestResponseAtNanos >= request.arrivedNanos - RECENT_RESPONSE;
         long answer =
                 Math.max(recent ? primary.newestResponseDurationNanos : 0, request.group.responseTimes.quantile(0.4));
         // Past the time that it is told, a host may drop the write without a word.
-        long last = answer == 0 ? lastMoment(request) : lastMoment(request) - KEPT_BACK;
+        long last = answer == 0 ? responseDeadlineNanos(request) : responseDeadlineNanos(request) - TIMEOUT_MARGIN;
         return (request.requestClass.lateShare() > 0.25 ? last : Math.min(request.slaEndNanos, last)) - answer;
     }
 
     /**
-     * A txn that lives by the primary, never sent, is given up at half of its time where that is long lost, so that its
-     * client may try again: an outage of T so far ends within r with chance r / (T + r), and at under three in ten a
-     * late answer isn't worth it. Harm: an outage's end finds fewer of them here.
+     * A request that lives by the primary, never sent, is timed out at half of its time where that is long lost, so
+     * that its client may try again: an outage of T so far ends within r with chance r / (T + r), and at under three in
+     * ten a late answer isn't worth it. Harm: an outage's end finds fewer of them here.
      */
-    boolean hopeless(Request request, long now) {
+    boolean isPrimaryOutageTooLong(Request request, long now) {
         Host primary = request.group.primary;
-        boolean lost = primary == null || !primary.contacted || health.doubtful(primary, now);
+        boolean lost = primary == null || !primary.contacted || outliers.isSuspect(primary, now);
         long since = primary == null ? request.group.primaryLostNanos : primary.lastResponseNanos;
         return lost
                 && since != UNSET
                 && request.requestClass.consistency().dependsOnPrimary()
                 && request.attempts.isEmpty()
-                && now >= half(request)
-                && now - since > 2.3 * (lastUse(request) - now);
+                && now >= halfTimeNanos(request)
+                && now - since > 2.3 * (latestUsefulSendNanos(request) - now);
     }
 
-    private long half(Request request) {
-        return (request.arrivedNanos + lastMoment(request)) / 2;
+    private long halfTimeNanos(Request request) {
+        return (request.arrivedNanos + responseDeadlineNanos(request)) / 2;
     }
 
     /** Late answers that earn nothing are not waited for. */
-    long timeout(Request request, long now) {
+    long attemptTimeoutNanos(Request request, long now) {
         boolean late =
                 request.requestClass.lateShare() > 0 || request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
-        return (late ? lastMoment(request) : Math.min(request.slaEndNanos, lastMoment(request))) - now;
+        return (late ? responseDeadlineNanos(request) : Math.min(request.slaEndNanos, responseDeadlineNanos(request)))
+                - now;
     }
 
     /** How long a host is told that its answer is waited for, where so much is left of the attempt's time. */
-    long toldTime(long left) {
-        return left - Math.min(KEPT_BACK, left / LEAST_PART);
+    long advertisedTimeoutNanos(long remainingNanos) {
+        return remainingNanos - Math.min(TIMEOUT_MARGIN, remainingNanos / MARGIN_DIVISOR);
     }
 
-    private long round() {
+    private long roundNanos() {
         return (long) traffic.number("round_us", 5_000) * 1_000;
     }
 
     /** Two ticks (10 ms) before the expiry: on a busy core timers and threads were seen 7 ms late at most. */
-    private long lastMoment(Request request) {
-        return request.expiryNanos - 2 * round();
+    private long responseDeadlineNanos(Request request) {
+        return request.expiryNanos - 2 * roundNanos();
     }
 
-    long nextLook(Request request, long now) {
-        long look = lastUse(request);
-        for (long moment : new long[] {release(request), half(request)}) {
+    long nextWakeupNanos(Request request, long now) {
+        long look = latestUsefulSendNanos(request);
+        for (long moment : new long[] {primaryFallbackNanos(request), halfTimeNanos(request)}) {
             look = now < moment ? Math.min(look, moment) : look;
         }
-        // Draws for doubtful hosts and the budget of cold ones change with time alone.
-        long soon = request.probeNeed == Request.ProbeNeed.NONE ? 100 * MILLISECOND : OutlierDetector.MUTE;
+        // Draws for suspect hosts and the budget of warming-up ones change with time alone.
+        long soon = request.probeNeed == Request.ProbeNeed.NONE ? 100 * MILLISECOND : OutlierDetector.PROBE_TIMEOUT;
         return Math.max(now + 5 * MILLISECOND, Math.min(look, now + soon));
     }
 }
--- a/src/main/java/beaconladder/routing/DispatchGuard.java
+++ b/src/main/java/beaconladder/routing/DispatchGuard.java
@@ -9,7 +9,7 @@
  * The one guard of each send. Between the decision and the bytes lie a connection (250 ms) or a wait for a descriptor
  * (up to the expiry), so that all that a decision rests on is looked at again.
  */
-record DispatchGuard(RetryGuard repeats, ReadPositions targets) {
+record DispatchGuard(RetryGuard retries, ReadPositions readPositions) {
     DispatchCheck check(Attempt attempt, long now) {
         Request request = attempt.request;
         Host host = attempt.host;
@@ -25,7 +25,7 @@
         if (host.launchedNanos != attempt.hostLaunchedNanos) {
             return DispatchCheck.HOST_RESTARTED;
         }
-        if (!repeats.allows(request, attempt, now)) {
+        if (!retries.allows(request, attempt, now)) {
             return DispatchCheck.MAY_HAVE_RUN;
         }
         if (host == host.group.primary) {
@@ -34,6 +34,8 @@
         if (request.requestClass.consistency().requiresPrimary()) {
             return DispatchCheck.NOT_PRIMARY;
         }
-        return host.position >= targets.target(request, now) ? DispatchCheck.ALLOWED : DispatchCheck.POSITION_BEHIND;
+        return host.position >= readPositions.requiredPosition(request, now)
+                ? DispatchCheck.ALLOWED
+                : DispatchCheck.POSITION_BEHIND;
     }
 }
--- a/src/main/java/beaconladder/routing/OutlierDetector.java
+++ b/src/main/java/beaconladder/routing/OutlierDetector.java
@@ -8,87 +8,90 @@
 import java.util.SplittableRandom;
 
 /** Whether a host is well, as far as this router can tell. */
-record OutlierDetector(TrafficStatistics traffic, SplittableRandom chance) {
+record OutlierDetector(TrafficStatistics traffic, SplittableRandom random) {
     /** Reports are up to a quarter second old when they come; what was said before that is history. */
-    static final long YOUNG = 300 * MILLISECOND;
+    static final long REPORT_MAX_AGE = 300 * MILLISECOND;
     /** A probe answers within a few milliseconds and a tick; a member that took longer is passed over. */
-    static final long MUTE = 40 * MILLISECOND;
+    static final long PROBE_TIMEOUT = 40 * MILLISECOND;
 
     /** Whether the host told of its load lately. */
-    boolean said(Host host, long now) {
-        return host.reportedInFlight >= 0 && now - host.lastReportNanos <= YOUNG;
+    boolean hasRecentReport(Host host, long now) {
+        return host.reportedInFlight >= 0 && now - host.lastReportNanos <= REPORT_MAX_AGE;
     }
 
     /**
-     * The chance that this host answers this router in time, by how its submissions of the last twenty seconds ended:
-     * it is well and fails as rarely as hosts do that also answer, or, one in five, it is not and fails nine times in
-     * ten. Guards against reports that are not true, idle or stuck while the host is slow: what it says loses against
-     * what it does. Covers slow, ageing and hung hosts too; where answers are lost all over, hosts that answer fail
-     * often as well, and none is set aside for it. Harm: a heavy txn alone at a host counts against it.
+     * The chance that this host answers this router in time, by how its attempts of the last twenty seconds ended: it
+     * is well and fails as rarely as hosts do that also answer, or, one in five, it is not and fails nine times in ten.
+     * Guards against reports that are not true, idle or stuck while the host is slow: what it says loses against what
+     * it does. Covers slow, ageing and hung hosts too; where answers are lost all over, hosts that answer fail often as
+     * well, and none is set aside for it. Harm: a heavy request alone at a host counts against it.
      */
-    double success(Host host, long now) {
+    double successProbability(Host host, long now) {
         long since = now - 20_000 * MILLISECOND;
-        int good = (int) host.successes.sumSince(since);
-        int bad = host.successes.countSince(since) - good;
+        int successes = (int) host.successes.sumSince(since);
+        int failures = host.successes.countSince(since) - successes;
         for (Attempt attempt : host.inFlight) {
-            bad += now - attempt.sentNanos > attempt.request.requestClass.slaNanos() ? 1 : 0;
+            failures += now - attempt.sentNanos > attempt.request.requestClass.slaNanos() ? 1 : 0;
         }
-        double rarely = (1 + traffic.failuresAtLiveHosts.sumSince(since))
+        double backgroundFailureRate = (1 + traffic.failuresAtLiveHosts.sumSince(since))
                 / (10.0 + traffic.failuresAtLiveHosts.countSince(since));
-        double ill = 0.2 * Math.pow(0.9, bad) * Math.pow(0.1, good);
-        double well = 0.8 * Math.pow(rarely, bad) * Math.pow(1 - rarely, good);
-        return (0.1 * ill + (1 - rarely) * well) / (ill + well);
+        double faultyLikelihood = 0.2 * Math.pow(0.9, failures) * Math.pow(0.1, successes);
+        double healthyLikelihood =
+                0.8 * Math.pow(backgroundFailureRate, failures) * Math.pow(1 - backgroundFailureRate, successes);
+        return (0.1 * faultyLikelihood + (1 - backgroundFailureRate) * healthyLikelihood)
+                / (faultyLikelihood + healthyLikelihood);
     }
 
     /** Whether the host spoke lately, or answers this router so often that its times tell as much. */
-    boolean informed(Host host, long now) {
-        return now - host.lastReportNanos <= YOUNG || host.responseTimes.countSince(now - 3_000 * MILLISECOND) >= 4;
+    boolean hasRecentInformation(Host host, long now) {
+        return now - host.lastReportNanos <= REPORT_MAX_AGE
+                || host.responseTimes.countSince(now - 3_000 * MILLISECOND) >= 4;
     }
 
-    boolean mute(Host host, long now) {
-        return host.probeInFlight && now - host.lastProbeNanos > MUTE;
+    boolean isProbeOverdue(Host host, long now) {
+        return host.probeInFlight && now - host.lastProbeNanos > PROBE_TIMEOUT;
     }
 
     /** The usual time of an answer from this host. */
-    long usual(Host host) {
+    long typicalResponseNanos(Host host) {
         double mean = host.responseTimes.size() >= 4 ? host.responseTimes.mean() : host.group.responseTimes.mean();
         return mean == 0 ? 200 * MILLISECOND : Math.max(20 * MILLISECOND, (long) mean);
     }
 
     /**
-     * How much the silence of a host speaks against it: the waiting of all submissions out there since it last spoke,
-     * in usual times. Answers that come at random at the usual rate stay silent so long with chance e^-x.
+     * How much the silence of a host speaks against it: the waiting of all attempts out there since it last spoke, in
+     * usual times. Answers that come at random at the usual rate stay silent so long with chance e^-x.
      */
-    private double silence(Host host, long now) {
-        return (double) host.totalWaitNanos(now) / usual(host);
+    private double silenceScore(Host host, long now) {
+        return (double) host.totalWaitNanos(now) / typicalResponseNanos(host);
     }
 
-    /** Chance e^-6 a look: a heavy txn alone at a host is still given six usual times. */
-    boolean doubtful(Host host, long now) {
-        return silence(host, now) > 6
+    /** Chance e^-6 a look: a heavy request alone at a host is still given six usual times. */
+    boolean isSuspect(Host host, long now) {
+        return silenceScore(host, now) > 6
                 || host.responses.size() > 0
                         && host.responses.sumSince(host.lastResponseNanos) == 0
                         && host.responses.countSince(host.lastResponseNanos) > 0;
     }
 
-    /** A doubtful host gets one txn at a time, drawn from the posterior of its chance of success. */
-    boolean trusted(Host host, long now) {
-        if (mute(host, now)) {
+    /** A suspect host gets one request at a time, drawn from the posterior of its chance of success. */
+    boolean mayReceive(Host host, long now) {
+        if (isProbeOverdue(host, now)) {
             return false;
         }
-        if (!doubtful(host, now)) {
+        if (!isSuspect(host, now)) {
             return true;
         }
-        // Four draws a second at most, so that many held txns don't draw until one wins.
+        // Four draws a second at most, so that many queued requests don't draw until one wins.
         if (!host.inFlight.isEmpty() || now < host.lastTrialNanos + 250 * MILLISECOND) {
             return false;
         }
         host.lastTrialNanos = now;
-        return chance.nextDouble() < success(host, now);
+        return random.nextDouble() < successProbability(host, now);
     }
 
-    void learn(Attempt attempt, long now) {
-        if (attempt.hostInFlight >= 0 && attempt.sentNanos - attempt.hostReportNanos <= YOUNG) {
+    void recordResponseTime(Attempt attempt, long now) {
+        if (attempt.hostInFlight >= 0 && attempt.sentNanos - attempt.hostReportNanos <= REPORT_MAX_AGE) {
             traffic.responseTimesByLoad.add(now - attempt.sentNanos, Math.round(attempt.hostInFlight), now);
         }
     }
--- a/src/main/java/beaconladder/routing/ReadPositions.java
+++ b/src/main/java/beaconladder/routing/ReadPositions.java
@@ -14,31 +14,33 @@
 record ReadPositions(
         TrafficStatistics traffic, ClusterClock clock, SlowStart slowStart, LinkedHashMap<Long, Session> sessions) {
     /** Half of the 100 ms after which an answer counts as known, arrived or not; the rest is for the way. */
-    private static final long KNOWN = 50 * MILLISECOND;
+    private static final long ANSWER_KNOWN_AFTER = 50 * MILLISECOND;
 
-    boolean fresh(Host host, long target) {
+    boolean isFreshReplica(Host host, long requiredPosition) {
         return host.state == Host.State.READY
                 && host != host.group.primary
                 && (host.contacted || !traffic.probesAllowed())
-                && host.position >= target;
+                && host.position >= requiredPosition;
     }
 
     /** Whether an answer of this primary was not heard since it last said that it is the primary. */
-    boolean mayHaveDenied(Host primary) {
+    boolean mayHaveLostRole(Host primary) {
         return primary.lastUnansweredNanos != UNSET
-                && clock.at(primary.lastUnansweredNanos) > primary.group.primaryPosition;
+                && clock.hostTimeAt(primary.lastUnansweredNanos) > primary.group.primaryPosition;
     }
 
-    /** A cold member without a ticket can't take it: waiting for one would hold the read past its time. */
-    boolean anyFresh(Request request, long now) {
-        long target = target(request, now);
-        return request.group.members.stream().anyMatch(host -> fresh(host, target) && slowStart.allows(host, now));
+    /** A warming-up member without a ticket can't take it: waiting for one would hold the read past its time. */
+    boolean hasFreshReplica(Request request, long now) {
+        long requiredPosition = requiredPosition(request, now);
+        return request.group.members.stream()
+                .anyMatch(host -> isFreshReplica(host, requiredPosition) && slowStart.mayReceive(host, now));
     }
 
     /** The position that a replica must have reached now. Rule 5: a bound is judged at the send. */
-    long target(Request request, long now) {
+    long requiredPosition(Request request, long now) {
         return switch (request.requestClass.consistency()) {
-            case BOUNDED -> Math.max(request.minPosition, clock.latest(now) - request.requestClass.maxStalenessNanos());
+            case BOUNDED ->
+                Math.max(request.minPosition, clock.latestHostTimeAt(now) - request.requestClass.maxStalenessNanos());
             case SESSION -> Math.max(request.minPosition, Math.max(request.sessionTarget, sessionTarget(request, now)));
             default -> request.minPosition;
         };
@@ -55,22 +57,22 @@
         Session session = sessions.get(request.sessionKey);
         boolean answered = session != null
                 && session.openWrites.stream()
-                        .flatMap(w -> w.attempts.stream())
-                        .anyMatch(attempt -> !attempt.ended && attempt.sentNanos < now - KNOWN);
+                        .flatMap(write -> write.attempts.stream())
+                        .anyMatch(attempt -> !attempt.ended && attempt.sentNanos < now - ANSWER_KNOWN_AFTER);
         long commit = session != null ? session.commitPosition : request.group.evictedCommitPosition;
-        return answered ? Math.max(commit, clock.latest(now) - KNOWN) : commit;
+        return answered ? Math.max(commit, clock.latestHostTimeAt(now) - ANSWER_KNOWN_AFTER) : commit;
     }
 
     /** It goes out now. */
-    void sent(Request request) {
+    void recordSend(Request request) {
         if (request.requestClass.consistency() == Consistency.WRITE) {
-            remember(request, UNSET);
+            recordCommit(request, UNSET);
             sessions.computeIfPresent(request.sessionKey, (key, session) -> session.addWrite(request));
         }
     }
 
     /** What this write may have committed at the most. */
-    void remember(Request request, long commit) {
+    void recordCommit(Request request, long commit) {
         if (request.sessionKey == 0 || !"router".equals(traffic.settings.get("family_info.session_marks"))) {
             return;
         }
--- a/src/main/java/beaconladder/routing/RetryGuard.java
+++ b/src/main/java/beaconladder/routing/RetryGuard.java
@@ -6,7 +6,7 @@
 /** The one guard of each repeat: what may have run goes again only where its repeat does no harm. */
 record RetryGuard() {
     /**
-     * Whether this attempt may go, or, without one, a further attempt may be decided. A referenced txn is judged by
+     * Whether this attempt may go, or, without one, a further attempt may be decided. A referenced request is judged by
      * when its first attempt that may have run was decided, which is no later than when it ran.
      */
     boolean allows(Request request, Attempt attempt, long now) {
--- a/src/main/java/beaconladder/routing/RetryPolicy.java
+++ b/src/main/java/beaconladder/routing/RetryPolicy.java
@@ -8,15 +8,15 @@
 import beaconladder.routing.state.TrafficStatistics;
 import java.util.List;
 
-/** How many submissions a txn gets, and how it ends without a commit. */
+/** How many attempts a request gets, and how it ends without a commit. */
 record RetryPolicy(TrafficStatistics traffic) {
-    /** Further submissions go by value: one for the least, four for the most. */
-    int mostSubmissions(Request request) {
-        int most = (int) traffic.number("limits.max_attempts", 1);
-        return Math.min(most, 2 + (int) Math.round(3 * request.requestClass.weight() / traffic.maxWeight));
+    /** Further attempts go by value: one for the least, four for the most. */
+    int maxAttempts(Request request) {
+        int limit = (int) traffic.number("limits.max_attempts", 1);
+        return Math.min(limit, 2 + (int) Math.round(3 * request.requestClass.weight() / traffic.maxWeight));
     }
 
-    RoutingDecision giveUp(Request request, RoutingDecision.Reason reason, long now) {
+    RoutingDecision endWithoutCommit(Request request, RoutingDecision.Reason reason, long now) {
         traffic.recordSlaResult(request, false);
         traffic.recordFailure(request, now);
         Attempt possiblyExecuted = request.firstPossiblyExecuted();
@@ -25,16 +25,16 @@
                 || effect == Idempotency.IDEMPOTENT
                 || effect == Idempotency.WITH_KEY
                         && request.requestClass.deduplicationScope() == RequestClass.DeduplicationScope.ALL) {
-            long advice = traffic.isEnabled("limits.retry_after")
+            long retryAfterNanos = traffic.isEnabled("limits.retry_after")
                     ? Math.min(traffic.nanosOf("limits.max_retry_after_us"), request.requestClass.slaNanos())
                     : 0;
-            return RoutingDecision.reject(advice, reason);
+            return RoutingDecision.reject(retryAfterNanos, reason);
         }
         return RoutingDecision.rollBack(reason);
     }
 
-    /** Copies that are out when the answer is there are called off. */
-    List<Attempt> othersOut(Request request) {
+    /** Copies that are out when the answer is there are cancelled. */
+    List<Attempt> attemptsToCancel(Request request) {
         return traffic.isEnabled("limits.cancel")
                 ? request.attempts.stream().filter(attempt -> !attempt.ended).toList()
                 : List.of();
--- a/src/main/java/beaconladder/routing/RoutingPolicy.java
+++ b/src/main/java/beaconladder/routing/RoutingPolicy.java
@@ -29,151 +29,154 @@
  * Every decision of one router, with the classes beside it; docs/design.md tells why it decides so.
  *
  * <p>How to call it, by {@link Router}: make one a router from the seed and the start-up settings, tell it of hosts
- * with {@link #listed}, ask {@link #place} for each txn that comes in, and do what the verdict says. A submission that
- * was sent is added to its txn and host; its end goes to {@link #after}. When all that is known at one time has been
- * told, ask {@link #pause}: probe the members it names, {@link #place} the txns it names, repeat until it names none,
- * and come back at its time or with the next news.
+ * with {@link #listed}, ask {@link #place} for each request that comes in, and do what the decision says. An attempt
+ * that was sent is added to its request and host; its end goes to {@link #after}. When all that is known at one time
+ * has been told, ask {@link #pause}: probe the members it names, {@link #place} the requests it names, repeat until it
+ * names none, and come back at its time or with the next news.
  */
 public final class RoutingPolicy implements Router {
     /** A lack on this machine meets all hosts alike, and ends within milliseconds or not soon. */
-    private static final long LOCAL_FAULT_REST = 20 * MILLISECOND;
+    private static final long LOCAL_FAULT_BACKOFF = 20 * MILLISECOND;
 
-    private final WakeupQueue agenda = new WakeupQueue();
+    private final WakeupQueue wakeups = new WakeupQueue();
     /** Hosts with connections that this router will hardly use again soon. */
-    private final Set<Host> idle = new LinkedHashSet<>();
+    private final Set<Host> idleHosts = new LinkedHashSet<>();
 
     private final TrafficStatistics traffic;
-    private final OutlierDetector health;
+    private final OutlierDetector outliers;
     private final SlowStart slowStart;
-    private final DeadlinePolicy times;
-    private final ReadPositions targets;
-    private final ReplicaSelector choice;
-    private final PriorityWeights worth;
-    private final RetryPolicy ends;
-    private final HealthCheckScheduler probing;
-    private final HostStateTracker record;
-    private final RetryGuard repeats = new RetryGuard();
-    private final DispatchGuard sends;
-
-    public RoutingPolicy(long seed, Map<String, String> start) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        traffic = new TrafficStatistics(start);
-        health = new OutlierDetector(traffic, chance);
+    private final DeadlinePolicy deadlines;
+    private final ReadPositions readPositions;
+    private final ReplicaSelector selector;
+    private final PriorityWeights weights;
+    private final RetryPolicy retryPolicy;
+    private final HealthCheckScheduler healthChecks;
+    private final HostStateTracker hostStates;
+    private final RetryGuard retryGuard = new RetryGuard();
+    private final DispatchGuard dispatchGuard;
+
+    public RoutingPolicy(long seed, Map<String, String> settings) {
+        SplittableRandom random = new SplittableRandom(seed);
+        traffic = new TrafficStatistics(settings);
+        outliers = new OutlierDetector(traffic, random);
         ClusterClock clock = new ClusterClock();
-        slowStart = new SlowStart(traffic, clock, chance);
-        times = new DeadlinePolicy(traffic, health);
-        targets = new ReadPositions(traffic, clock, slowStart, new LinkedHashMap<>(64, 0.75f, true));
-        worth = new PriorityWeights(traffic);
-        ends = new RetryPolicy(traffic);
-        ConcurrencyLimit room = new ConcurrencyLimit(traffic, health, times);
-        choice = new ReplicaSelector(traffic, health, slowStart, times, room, targets, worth, chance);
-        probing = new HealthCheckScheduler(traffic, clock, health, targets, choice, worth, agenda, chance);
-        record = new HostStateTracker(traffic, clock, health, targets, agenda, idle);
-        sends = new DispatchGuard(repeats, targets);
+        slowStart = new SlowStart(traffic, clock, random);
+        deadlines = new DeadlinePolicy(traffic, outliers);
+        readPositions = new ReadPositions(traffic, clock, slowStart, new LinkedHashMap<>(64, 0.75f, true));
+        weights = new PriorityWeights(traffic);
+        retryPolicy = new RetryPolicy(traffic);
+        ConcurrencyLimit limit = new ConcurrencyLimit(traffic, outliers, deadlines);
+        selector = new ReplicaSelector(traffic, outliers, slowStart, deadlines, limit, readPositions, weights, random);
+        healthChecks =
+                new HealthCheckScheduler(traffic, clock, outliers, readPositions, selector, weights, wakeups, random);
+        hostStates = new HostStateTracker(traffic, clock, outliers, readPositions, wakeups, idleHosts);
+        dispatchGuard = new DispatchGuard(retryGuard, readPositions);
     }
 
     @Override
-    public void updateHost(Host host, boolean leader, Host.State state, long launched, long now) {
-        record.listed(host, leader, state, launched, now);
+    public void updateHost(Host host, boolean listedAsPrimary, Host.State state, long launchedNanos, long now) {
+        hostStates.updateHost(host, listedAsPrimary, state, launchedNanos, now);
     }
 
     @Override
     public boolean removeHost(Host host, long now) {
-        return record.forget(host, now);
+        return hostStates.removeHost(host, now);
     }
 
     @Override
     public void onHealthCheckEnded(Host host, Outcome outcome, HostReport report, long now) {
-        record.probed(host, outcome, report, now);
+        hostStates.onHealthCheckEnded(host, outcome, report, now);
     }
 
     @Override
-    public RequestClass requestClass(int place) {
-        return traffic.requestClasses.get(place);
+    public RequestClass requestClass(int index) {
+        return traffic.requestClasses.get(index);
     }
 
     @Override
     public RoutingDecision route(Request request, long now) {
         if (!request.registered) {
             request.registered = true;
-            request.sessionTarget = targets.sessionTarget(request, now);
-            request.slaEndNanos = times.slaEnd(request);
+            request.sessionTarget = readPositions.sessionTarget(request, now);
+            request.slaEndNanos = deadlines.slaEndNanos(request);
             traffic.recordArrival(request.requestClass);
             request.group.arrivals.add(0, 0, now);
             slowStart.drawTickets(request.group, now);
         }
-        agenda.remove(request);
+        wakeups.remove(request);
         RoutingDecision decision = decide(request, now);
         if (decision.step() == RoutingDecision.Step.SEND) {
             decision.host().lastSentNanos = now;
-            boolean spent = decision.host().slowStartTickets.pollFirst() != null;
-            targets.sent(request);
-            agenda.schedule(request, now + health.usual(decision.host()));
-            if (slowStart.cold(decision.host(), now)) {
-                return decision.withTicket(spent ? SlowStartTicket.USED : SlowStartTicket.MISSING);
+            boolean ticketUsed = decision.host().slowStartTickets.pollFirst() != null;
+            readPositions.recordSend(request);
+            wakeups.schedule(request, now + outliers.typicalResponseNanos(decision.host()));
+            if (slowStart.isWarmingUp(decision.host(), now)) {
+                return decision.withTicket(ticketUsed ? SlowStartTicket.USED : SlowStartTicket.MISSING);
             }
         }
         return decision;
     }
 
     private RoutingDecision decide(Request request, long now) {
-        int out = request.attemptsInFlight();
-        if (!repeats.allows(request, null, now)) {
-            return out > 0 ? RoutingDecision.waiting() : RoutingDecision.rollBack(RoutingDecision.Reason.MAY_HAVE_RUN);
+        int inFlight = request.attemptsInFlight();
+        if (!retryGuard.allows(request, null, now)) {
+            return inFlight > 0
+                    ? RoutingDecision.waiting()
+                    : RoutingDecision.rollBack(RoutingDecision.Reason.MAY_HAVE_RUN);
         }
-        if (out > 0) {
-            return copy(request, now);
+        if (inFlight > 0) {
+            return hedge(request, now);
         }
-        RoutingDecision.Reason end = request.attempts.size() - request.localFaults >= ends.mostSubmissions(request)
+        RoutingDecision.Reason end = request.attempts.size() - request.localFaults >= retryPolicy.maxAttempts(request)
                 ? RoutingDecision.Reason.ATTEMPTS_USED
-                : now >= times.lastUse(request)
+                : now >= deadlines.latestUsefulSendNanos(request)
                         ? RoutingDecision.Reason.NO_TIME
-                        : times.hopeless(request, now)
+                        : deadlines.isPrimaryOutageTooLong(request, now)
                                 ? RoutingDecision.Reason.PRIMARY_LOST
                                 : RoutingDecision.Reason.NONE;
         if (end != RoutingDecision.Reason.NONE) {
-            return ends.giveUp(request, end, now);
+            return retryPolicy.endWithoutCommit(request, end, now);
         }
         request.probeNeed = Request.ProbeNeed.NONE;
         if (now < request.retryNotBeforeNanos) {
-            agenda.enqueue(request);
-            agenda.schedule(request, request.retryNotBeforeNanos);
+            wakeups.enqueue(request);
+            wakeups.schedule(request, request.retryNotBeforeNanos);
             return RoutingDecision.waiting();
         }
-        Host host = choice.choose(request, now);
+        Host host = selector.select(request, now);
         if (host != null) {
-            return RoutingDecision.send(host, times.timeout(request, now));
+            return RoutingDecision.send(host, deadlines.attemptTimeoutNanos(request, now));
         }
-        agenda.enqueue(request);
-        agenda.schedule(request, times.nextLook(request, now));
+        wakeups.enqueue(request);
+        wakeups.schedule(request, deadlines.nextWakeupNanos(request, now));
         return RoutingDecision.waiting();
     }
 
-    /** A repeatable txn that is out at hosts gone silent gets a second copy elsewhere. */
-    private RoutingDecision copy(Request request, long now) {
+    /** A repeatable request that is out at hosts gone silent gets a hedged request elsewhere. */
+    private RoutingDecision hedge(Request request, long now) {
         if (request.requestClass.idempotency() != Idempotency.IDEMPOTENT
                 || !traffic.isEnabled("limits.second_copies")
-                || request.attempts.size() >= ends.mostSubmissions(request)
-                || now >= times.lastUse(request)) {
+                || request.attempts.size() >= retryPolicy.maxAttempts(request)
+                || now >= deadlines.latestUsefulSendNanos(request)) {
             return RoutingDecision.waiting();
         }
         for (Attempt attempt : request.attempts) {
-            if (!attempt.ended && !health.doubtful(attempt.host, now)) {
-                agenda.schedule(request, now + health.usual(attempt.host));
+            if (!attempt.ended && !outliers.isSuspect(attempt.host, now)) {
+                wakeups.schedule(request, now + outliers.typicalResponseNanos(attempt.host));
                 return RoutingDecision.waiting();
             }
         }
-        Host host = choice.choose(request, now);
+        Host host = selector.select(request, now);
         if (host != null) {
-            return RoutingDecision.send(host, times.timeout(request, now));
+            return RoutingDecision.send(host, deadlines.attemptTimeoutNanos(request, now));
         }
-        agenda.schedule(request, now + 50 * MILLISECOND);
+        wakeups.schedule(request, now + 50 * MILLISECOND);
         return RoutingDecision.waiting();
     }
 
     @Override
     public DispatchCheck checkDispatch(Attempt attempt, long now) {
-        return sends.check(attempt, now);
+        return dispatchGuard.check(attempt, now);
     }
 
     /** A second less than the stated time: a host's clock of idleness runs from an earlier byte than ours. */
@@ -183,44 +186,44 @@
     }
 
     @Override
-    public long advertisedTimeoutNanos(long left) {
-        return times.toldTime(left);
+    public long advertisedTimeoutNanos(long remainingNanos) {
+        return deadlines.advertisedTimeoutNanos(remainingNanos);
     }
 
     @Override
     public RoutingDecision onAttemptEnded(
             Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now) {
-        record.ended(attempt, outcome, answer, report, now);
+        hostStates.onAttemptEnded(attempt, outcome, answer, report, now);
         Request request = attempt.request;
         if (outcome == Outcome.LOCAL_FAULT) {
             request.localFaults++;
-            request.retryNotBeforeNanos = now + LOCAL_FAULT_REST;
+            request.retryNotBeforeNanos = now + LOCAL_FAULT_BACKOFF;
         }
         if (request.ended) {
             return RoutingDecision.waiting();
         }
         if (settled) {
-            agenda.remove(request);
+            wakeups.remove(request);
             traffic.recordSlaResult(request, outcome == Outcome.COMMITTED && now <= request.slaEndNanos);
-            slowStart.ended(attempt, outcome == Outcome.COMMITTED, now);
-            return RoutingDecision.done(ends.othersOut(request));
+            slowStart.onRequestSettled(attempt, outcome == Outcome.COMMITTED, now);
+            return RoutingDecision.done(retryPolicy.attemptsToCancel(request));
         }
         return route(request, now);
     }
 
     @Override
     public RoutingDecision onClientDisconnected(Request request, long now) {
-        agenda.remove(request);
+        wakeups.remove(request);
         traffic.disconnectWaits.add((now - request.arrivedNanos) * 1_000 / request.requestClass.slaNanos(), 0, now);
         traffic.recordFailure(request, now);
         // Work for a client that has gone keeps the next one waiting.
-        return RoutingDecision.done(ends.othersOut(request));
+        return RoutingDecision.done(retryPolicy.attemptsToCancel(request));
     }
 
     /** What may have run is waited for, as rule 2 has it, and never sent again: it would run in two places. */
     @Override
     public RoutingDecision onAdmissionLost(Request request, long now) {
-        agenda.remove(request);
+        wakeups.remove(request);
         Attempt possiblyExecuted = request.firstPossiblyExecuted();
         if (request.attemptsInFlight() > 0) {
             return RoutingDecision.waiting();
@@ -234,20 +237,20 @@
 
     @Override
     public NextWakeup nextWakeup(long now) {
-        Set<Request> again = agenda.takeDue(now);
-        agenda.takeChanged().forEach(group -> again.addAll(group.queued));
-        List<Request> order = new ArrayList<>(again);
-        double[] weights = order.size() < 2 ? new double[0] : worth.weights();
+        Set<Request> due = wakeups.takeDue(now);
+        wakeups.takeChanged().forEach(group -> due.addAll(group.queued));
+        List<Request> ordered = new ArrayList<>(due);
+        double[] classWeights = ordered.size() < 2 ? new double[0] : weights.classWeights();
         // Of equal worth the one with most time left goes first: with more work than room, the oldest first
-        // would have each txn served when it is nearly too late, and many when it is.
-        order.sort(Comparator.<Request>comparingDouble(
-                        request -> -worth.of(request, now) * weights[request.requestClass.index()])
+        // would have each request served when it is nearly too late, and many when it is.
+        ordered.sort(Comparator.<Request>comparingDouble(
+                        request -> -weights.remainingWeight(request, now) * classWeights[request.requestClass.index()])
                 .thenComparingLong(request -> -request.slaEndNanos)
                 .thenComparingLong(request -> request.sequenceNumber));
-        List<Host> probes = probing.probes(now);
-        List<Host> close = new ArrayList<>(idle);
-        idle.clear();
-        close.removeIf(host -> !host.inFlight.isEmpty());
-        return new NextWakeup(agenda.nextWakeupNanos(), probes, order, close);
+        List<Host> probes = healthChecks.takeProbes(now);
+        List<Host> toDisconnect = new ArrayList<>(idleHosts);
+        idleHosts.clear();
+        toDisconnect.removeIf(host -> !host.inFlight.isEmpty());
+        return new NextWakeup(wakeups.nextWakeupNanos(), probes, ordered, toDisconnect);
     }
 }
--- a/src/main/java/beaconladder/routing/api/DecisionLoop.java
+++ b/src/main/java/beaconladder/routing/api/DecisionLoop.java
@@ -4,20 +4,20 @@
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
 
-/** Carries out what the module answers, in the same rounds at every door: the drill and the sockets. */
+/** Carries out what the routing policy answers, in the same rounds at every door: the drill and the sockets. */
 public final class DecisionLoop {
 
-    /** What a door does with an answer of the module; it decides nothing. */
+    /** What a door does with an answer of the routing policy; it decides nothing. */
     public interface ActionHandler {
-        void send(Attempt attempt, long timeout);
+        void send(Attempt attempt, long timeoutNanos);
 
         void cancel(Attempt attempt);
 
-        void reject(Request request, long comeBack, RoutingDecision.Reason reason);
+        void reject(Request request, long retryAfterNanos, RoutingDecision.Reason reason);
 
         void rollBack(Request request, RoutingDecision.Reason reason);
 
-        /** The txn has had its final answer. */
+        /** The request has had its final answer. */
         void onRequestEnded(Request request);
 
         void probe(Host host);
@@ -33,7 +33,7 @@
         this.handler = door;
     }
 
-    /** Carries out one verdict. */
+    /** Carries out one decision. */
     public void execute(Request request, RoutingDecision decision, long now) {
         for (Attempt attempt : decision.attemptsToCancel()) {
             handler.cancel(attempt);
@@ -65,16 +65,16 @@
         }
     }
 
-    /** All known at this time has been told: asks about the txns due; returns when to come again. */
+    /** All known at this time has been told: asks about the requests due; returns when to come again. */
     public long processDue(long now) {
         while (true) {
-            NextWakeup pause = router.nextWakeup(now);
-            pause.hostsToProbe().forEach(handler::probe);
-            pause.hostsToDisconnect().forEach(handler::closeIdleConnections);
-            if (pause.requestsToRoute().isEmpty()) {
-                return pause.dueNanos();
+            NextWakeup wakeup = router.nextWakeup(now);
+            wakeup.hostsToProbe().forEach(handler::probe);
+            wakeup.hostsToDisconnect().forEach(handler::closeIdleConnections);
+            if (wakeup.requestsToRoute().isEmpty()) {
+                return wakeup.dueNanos();
             }
-            for (Request request : pause.requestsToRoute()) {
+            for (Request request : wakeup.requestsToRoute()) {
                 if (!request.ended) {
                     execute(request, router.route(request, now), now);
                 }
--- a/src/main/java/beaconladder/routing/api/DelegatingRouter.java
+++ b/src/main/java/beaconladder/routing/api/DelegatingRouter.java
@@ -14,8 +14,8 @@
     }
 
     @Override
-    public RequestClass requestClass(int place) {
-        return inner.requestClass(place);
+    public RequestClass requestClass(int index) {
+        return inner.requestClass(index);
     }
 
     @Override
@@ -29,8 +29,8 @@
     }
 
     @Override
-    public long advertisedTimeoutNanos(long left) {
-        return inner.advertisedTimeoutNanos(left);
+    public long advertisedTimeoutNanos(long remainingNanos) {
+        return inner.advertisedTimeoutNanos(remainingNanos);
     }
 
     @Override
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public void updateHost(Host host, boolean leader, Host.State state, long launched, long now) {
-        inner.updateHost(host, leader, state, launched, now);
+    public void updateHost(Host host, boolean listedAsPrimary, Host.State state, long launchedNanos, long now) {
+        inner.updateHost(host, listedAsPrimary, state, launchedNanos, now);
     }
 
     @Override
--- a/src/main/java/beaconladder/routing/api/DispatchCheck.java
+++ b/src/main/java/beaconladder/routing/api/DispatchCheck.java
@@ -12,7 +12,7 @@
     HOST_LEAVING,
     /** The host has started anew since the decision: it is in slow start, and its role is unknown. */
     HOST_RESTARTED,
-    /** An earlier attempt may have run, and what keeps a repeat harmless is no longer given. */
+    /** An earlier attempt may have run, and what keeps a retry harmless is no longer given. */
     MAY_HAVE_RUN,
     /** Only the primary may take it, and the host is that no longer. */
     NOT_PRIMARY,
--- a/src/main/java/beaconladder/routing/api/NextWakeup.java
+++ b/src/main/java/beaconladder/routing/api/NextWakeup.java
@@ -10,7 +10,7 @@
  * @param until the time of the next look, or {@link #OPEN} when nothing is due by itself
  * @param probe the members to probe now
  * @param close the members whose idle connections to close now
- * @param again the txns to ask about again now, in this order; afterwards ask for a new pause
+ * @param again the requests to ask about again now, in this order; afterwards ask for a new pause
  */
 public record NextWakeup(
         long dueNanos, List<Host> hostsToProbe, List<Request> requestsToRoute, List<Host> hostsToDisconnect) {
--- a/src/main/java/beaconladder/routing/api/Router.java
+++ b/src/main/java/beaconladder/routing/api/Router.java
@@ -20,7 +20,7 @@
         REPLICA
     }
 
-    /** How a submission or a probe ended. */
+    /** How an attempt or a probe ended. */
     enum Outcome {
         COMMITTED,
         ERROR,
@@ -34,7 +34,7 @@
         /** The router's own machine gave no connection, whatever the host. */
         LOCAL_FAULT;
 
-        /** Whether this outcome proves that the submission never ran. */
+        /** Whether this outcome proves that the attempt never ran. */
         public boolean provesNotRun() {
             return this == FULL || this == UNREACHABLE || this == MOOT || this == MISS || this == LOCAL_FAULT;
         }
@@ -50,24 +50,24 @@
      *
      * @param role its role, or {@link Role#UNKNOWN}
      * @param position the log position it has applied, in nanoseconds on the routers' clock, or {@link #NONE}
-     * @param holds how many txns of all routers it holds, or less than 0 when it did not say
+     * @param holds how many requests of all routers it holds, or less than 0 when it did not say
      */
     record HostReport(Role role, long position, double inFlight) {
         public static final long NO_POSITION = Long.MIN_VALUE;
         public static final HostReport EMPTY = new HostReport(Role.UNKNOWN, NO_POSITION, -1);
     }
 
-    /** The txn type at this place of the list handed over at start. */
-    RequestClass requestClass(int place);
+    /** The request class at this place of the list handed over at start. */
+    RequestClass requestClass(int index);
 
-    /** First question: where to send this txn, now; or not yet, or never. */
+    /** First question: where to send this request, now; or not yet, or never. */
     RoutingDecision route(Request request, long now);
 
-    /** Whether this submission may still go: asked right before its bytes, as connecting takes time. */
+    /** Whether this attempt may still go: asked right before its bytes, as connecting takes time. */
     DispatchCheck checkDispatch(Attempt attempt, long now);
 
     /** How long a host is told that its answer is waited for, where so much is left of the attempt's time. */
-    long advertisedTimeoutNanos(long left);
+    long advertisedTimeoutNanos(long remainingNanos);
 
     /** How long a connection to a host may have been idle and still be used. */
     long maxIdleNanos();
@@ -81,11 +81,11 @@
     RoutingDecision onAttemptEnded(
             Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now);
 
-    /** Third question: how long to wait; names the members to probe and the txns to ask about again. */
+    /** Third question: how long to wait; names the members to probe and the requests to ask about again. */
     NextWakeup nextWakeup(long now);
 
-    /** The roster lists a host (or no longer does: then its state is gone). */
-    void updateHost(Host host, boolean leader, Host.State state, long launched, long now);
+    /** The endpoint list lists a host (or no longer does: then its state is gone). */
+    void updateHost(Host host, boolean listedAsPrimary, Host.State state, long launchedNanos, long now);
 
     /** Lets go of a host that is gone; false while something that was sent to it may still matter. */
     boolean removeHost(Host host, long now);
@@ -93,12 +93,12 @@
     /** A probe came back. */
     void onHealthCheckEnded(Host host, Outcome outcome, HostReport report, long now);
 
-    /** The client of this txn has left: the verdict names what to call off. */
+    /** The client of this request has left: the decision names what to call off. */
     RoutingDecision onClientDisconnected(Request request, long now);
 
     /**
-     * This txn may no longer go where it was let in (its tenant has moved, or the leave has run out): the verdict ends
-     * it, or waits for what is out. Nothing more is sent for it.
+     * This request may no longer go where it was let in (its tenant has moved, or the leave has run out): the decision
+     * ends it, or waits for what is out. Nothing more is sent for it.
      */
     RoutingDecision onAdmissionLost(Request request, long now);
 }
--- a/src/main/java/beaconladder/routing/api/RoutingDecision.java
+++ b/src/main/java/beaconladder/routing/api/RoutingDecision.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /**
- * What to do with a txn now.
+ * What to do with a request now.
  *
  * @param step the step to take
  * @param host for {@link Step#SEND}: the member to send to
- * @param timeout for {@link Step#SEND}: how long this submission may take
+ * @param timeout for {@link Step#SEND}: how long this attempt may take
  * @param comeBack for {@link Step#DECLINE}: how long the client should stay away; 0 says nothing
- * @param cancel submissions to call off
+ * @param cancel attempts to call off
  * @param ticket for {@link Step#SEND}: what the host's slow start asked for
  * @param reason for {@link Step#DECLINE} and {@link Step#ROLL_BACK}: why there is no commit
  */
@@ -35,7 +35,7 @@
         NOT_ADMITTED
     }
 
-    /** The steps that a txn can take. */
+    /** The steps that a request can take. */
     public enum Step {
         SEND,
         WAIT,
@@ -46,8 +46,9 @@
 
     private static final RoutingDecision WAITING = endWith(Step.WAIT, 0, List.of(), Reason.NONE);
 
-    public static RoutingDecision send(Host host, long timeout) {
-        return new RoutingDecision(Step.SEND, host, timeout, 0, List.of(), SlowStartTicket.NOT_NEEDED, Reason.NONE);
+    public static RoutingDecision send(Host host, long timeoutNanos) {
+        return new RoutingDecision(
+                Step.SEND, host, timeoutNanos, 0, List.of(), SlowStartTicket.NOT_NEEDED, Reason.NONE);
     }
 
     public static RoutingDecision waiting() {
@@ -55,23 +56,26 @@
     }
 
     /** The same send, with what its host's slow start asked for. */
-    public RoutingDecision withTicket(SlowStartTicket now) {
-        return new RoutingDecision(step, host, timeoutNanos, retryAfterNanos, attemptsToCancel, now, reason);
+    public RoutingDecision withTicket(SlowStartTicket slowStartTicket) {
+        return new RoutingDecision(
+                step, host, timeoutNanos, retryAfterNanos, attemptsToCancel, slowStartTicket, reason);
     }
 
-    public static RoutingDecision reject(long comeBack, Reason reason) {
-        return endWith(Step.REJECT, comeBack, List.of(), reason);
+    public static RoutingDecision reject(long retryAfterNanos, Reason reason) {
+        return endWith(Step.REJECT, retryAfterNanos, List.of(), reason);
     }
 
     public static RoutingDecision rollBack(Reason reason) {
         return endWith(Step.ROLL_BACK, 0, List.of(), reason);
     }
 
-    public static RoutingDecision done(List<Attempt> cancel) {
-        return endWith(Step.DONE, 0, cancel, Reason.NONE);
+    public static RoutingDecision done(List<Attempt> attemptsToCancel) {
+        return endWith(Step.DONE, 0, attemptsToCancel, Reason.NONE);
     }
 
-    private static RoutingDecision endWith(Step step, long comeBack, List<Attempt> cancel, Reason reason) {
-        return new RoutingDecision(step, null, 0, comeBack, cancel, SlowStartTicket.NOT_NEEDED, reason);
+    private static RoutingDecision endWith(
+            Step step, long retryAfterNanos, List<Attempt> attemptsToCancel, Reason reason) {
+        return new RoutingDecision(
+                step, null, 0, retryAfterNanos, attemptsToCancel, SlowStartTicket.NOT_NEEDED, reason);
     }
 }
--- a/src/main/java/beaconladder/routing/state/Attempt.java
+++ b/src/main/java/beaconladder/routing/state/Attempt.java
@@ -1,12 +1,12 @@
 package beaconladder.routing.state;
 
-/** One sending of a txn to a host. */
+/** One sending of a request to a host. */
 public final class Attempt {
     public final Request request;
     public final int index;
     public final Host host;
     public final long sentNanos;
-    /** Submissions of this router that were out at the host once this one was. */
+    /** Attempts of this router that were out at the host once this one was. */
     public final int hostConcurrency;
     /** What the host last said that it held, and when that was. */
     public final double hostInFlight;
@@ -21,19 +21,25 @@
     /** Whether its outcome proves that it never ran. */
     public boolean neverRan;
 
-    public Attempt(Request request, int number, Host host, long sent, int beside) {
-        this(request, number, host, sent, beside, SlowStartTicket.NOT_NEEDED);
+    public Attempt(Request request, int index, Host host, long sentNanos, int hostConcurrency) {
+        this(request, index, host, sentNanos, hostConcurrency, SlowStartTicket.NOT_NEEDED);
     }
 
-    public Attempt(Request request, int number, Host host, long sent, int beside, SlowStartTicket ticket) {
+    public Attempt(
+            Request request,
+            int index,
+            Host host,
+            long sentNanos,
+            int hostConcurrency,
+            SlowStartTicket slowStartTicket) {
         this.request = request;
-        this.index = number;
+        this.index = index;
         this.host = host;
-        this.sentNanos = sent;
-        this.hostConcurrency = beside;
+        this.sentNanos = sentNanos;
+        this.hostConcurrency = hostConcurrency;
         this.hostInFlight = host.reportedInFlight;
         this.hostReportNanos = host.lastReportNanos;
         this.hostLaunchedNanos = host.launchedNanos;
-        this.slowStartTicket = ticket;
+        this.slowStartTicket = slowStartTicket;
     }
 }
--- a/src/main/java/beaconladder/routing/state/Group.java
+++ b/src/main/java/beaconladder/routing/state/Group.java
@@ -10,7 +10,7 @@
     public final int id;
     /** Which listed group of its router it is, counted from the first; less than 0 before it is listed. */
     public int listIndex = -1;
-    /** The members that the roster has named, in that order; one that is gone stays until it is let go. */
+    /** The members that the endpoint list has named, in that order; one that is gone stays until it is let go. */
     public final List<Host> members = new ArrayList<>();
     /** The member taken for the primary, or null. */
     public Host primary;
@@ -20,9 +20,9 @@
     public long primaryLostNanos = Long.MIN_VALUE;
     /** When the present primary was found. */
     public long primaryFoundNanos = Long.MIN_VALUE;
-    /** The member that the roster last named as primary. */
+    /** The member that the endpoint list last named as primary. */
     public Host listedPrimary;
-    /** Txns that wait at this router. */
+    /** Requests that wait at this router. */
     public final Set<Request> queued = new LinkedHashSet<>();
     /** Whether anything has changed for them since they were last looked at. */
     public boolean changed;
@@ -33,21 +33,21 @@
     /** What a member bears of a group that is one member alone, in the unit of the two samples below. */
     public static final long WHOLE_SHARE = 1_000_000;
     /**
-     * What one member bore of each of this router's recent txns of the group, and one warm member: a commit is the work
-     * of all members that were there then, by equal parts; what did not commit nobody bore.
+     * What one member bore of each of this router's recent requests of the group, and one warm member: a commit is the
+     * work of all members that were there then, by equal parts; what did not commit nobody bore.
      */
     public final SampleWindow commitShares = new SampleWindow(32);
 
     public final SampleWindow warmCommitShares = new SampleWindow(32);
-    /** Of the same txns: 1 for a commit at a warm member. */
+    /** Of the same requests: 1 for a commit at a warm member. */
     public final SampleWindow warmCommits = new SampleWindow(32);
-    /** The txns that came in here lately: 0 for each, 1 once it needed the primary while that was cold. */
+    /** The requests that came in here lately: 0 for each, 1 once it needed the primary while that was warming-up. */
     public final SampleWindow arrivals = new SampleWindow(64);
     /** Times of recent answers from all members. */
     public final SampleWindow responseTimes = new SampleWindow(48);
 
-    public Group(int number) {
-        this.id = number;
+    public Group(int id) {
+        this.id = id;
     }
 
     /** How many members are listed as ready. */
--- a/src/main/java/beaconladder/routing/state/Host.java
+++ b/src/main/java/beaconladder/routing/state/Host.java
@@ -9,7 +9,7 @@
 /** A database host, as one router knows it. */
 public final class Host {
 
-    /** What the roster says of a host. */
+    /** What the endpoint list says of a host. */
     public enum State {
         READY,
         DRAINING,
@@ -31,7 +31,7 @@
     public long position = Long.MIN_VALUE;
     /** The newest position at which it said itself that it is a replica. */
     public long replicaReportPosition = Long.MIN_VALUE;
-    /** When the last submission to it ended whose answer, if it gave one, was not heard; by this router. */
+    /** When the last attempt to it ended whose answer, if it gave one, was not heard; by this router. */
     public long lastUnansweredNanos = Long.MIN_VALUE;
     /** How far its position lay behind the clock at its last answer. */
     public long lagNanos;
@@ -39,23 +39,23 @@
     public boolean contacted;
 
     public long lastResponseNanos = Long.MIN_VALUE;
-    /** How many txns of all routers it last said that it held; less than 0 for never said. */
+    /** How many requests of all routers it last said that it held; less than 0 for never said. */
     public double reportedInFlight = -1;
     /** When it last said something of itself, in an answer or to a probe. */
     public long lastReportNanos = -(1L << 60);
 
     public long lastProbeNanos = Long.MIN_VALUE;
     public boolean probeInFlight;
-    /** When it last turned a txn away as full. */
+    /** When it last turned a request away as full. */
     public long lastRejectionNanos = -(1L << 60);
-    /** When it was last drawn for, while doubtful. */
+    /** When it was last drawn for, while suspect. */
     public long lastTrialNanos;
 
-    /** Submissions out, oldest first. */
+    /** Attempts out, oldest first. */
     public final Set<Attempt> inFlight = new LinkedHashSet<>();
-    /** Submissions that are waited for no longer and may still be in work there, oldest first. */
+    /** Attempts that are waited for no longer and may still be in work there, oldest first. */
     public final List<Attempt> abandoned = new ArrayList<>();
-    /** Times of recent answers, each with the submissions that were out here when it was sent. */
+    /** Times of recent answers, each with the attempts that were out here when it was sent. */
     public final SampleWindow responseTimes = new SampleWindow(16);
     /** How long the newest committed answer took, and when it came. */
     public long newestResponseDurationNanos;
@@ -63,11 +63,11 @@
     public long newestResponseAtNanos = Long.MIN_VALUE;
     /** Recent ends: 1 for an answer, 0 for none. */
     public final SampleWindow responses = new SampleWindow(16);
-    /** When each of the sends that a cold host may still get was granted, oldest first. */
+    /** When each of the sends that a warming-up host may still get was granted, oldest first. */
     public final ArrayDeque<Long> slowStartTickets = new ArrayDeque<>();
 
     public long lastSentNanos = -(1L << 60);
-    /** How the last submissions ended: 1 for an answer, 0 for none or a full queue. */
+    /** How the last attempts ended: 1 for an answer, 0 for none or a full queue. */
     public final SampleWindow successes = new SampleWindow(16);
 
     public Host(int id, Group group, int zone) {
@@ -81,7 +81,7 @@
         return reportedInFlight + countInFlightSentSince(lastReportNanos);
     }
 
-    /** How many of the submissions out were sent at or after this time. */
+    /** How many of the attempts out were sent at or after this time. */
     public int countInFlightSentSince(long time) {
         int n = 0;
         for (Attempt attempt : inFlight) {
@@ -90,12 +90,12 @@
         return n;
     }
 
-    /** How long the submissions out have waited since it last spoke, added up. */
+    /** How long the attempts out have waited since it last spoke, added up. */
     public long totalWaitNanos(long now) {
-        long sum = 0;
+        long totalNanos = 0;
         for (Attempt attempt : inFlight) {
-            sum += now - Math.max(attempt.sentNanos, lastResponseNanos);
+            totalNanos += now - Math.max(attempt.sentNanos, lastResponseNanos);
         }
-        return sum;
+        return totalNanos;
     }
 }
--- a/src/main/java/beaconladder/routing/state/Request.java
+++ b/src/main/java/beaconladder/routing/state/Request.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's txn in the hands of one router. */
+/** A client's request in the hands of one router. */
 public final class Request {
 
-    /** What a held txn may need to learn before it can go. */
+    /** What a queued request may need to learn before it can go. */
     public enum ProbeNeed {
         NONE,
         REPLICA,
@@ -25,7 +25,7 @@
     public final boolean retriedByClient;
     public final long arrivedNanos;
     public final long expiryNanos;
-    /** Which txn of this router it is, counted from the start. */
+    /** Which request of this router it is, counted from the start. */
     public final long sequenceNumber;
 
     public final List<Attempt> attempts = new ArrayList<>();
@@ -42,11 +42,11 @@
 
     public long lastProbeNanos;
     public boolean registered;
-    /** Whether it has drawn for a ticket at a cold primary. */
+    /** Whether it has drawn for a ticket at a warming-up primary. */
     public boolean ticketDrawn;
     /** Before then it is not sent again, as this machine had no connection to give. */
     public long retryNotBeforeNanos = Long.MIN_VALUE;
-    /** Submissions that never left this machine. */
+    /** Attempts that never left this machine. */
     public int localFaults;
 
     public boolean ended;
@@ -57,28 +57,28 @@
 
     public Request(
             long id,
-            RequestClass type,
+            RequestClass requestClass,
             Group group,
-            long session,
-            long written,
+            long sessionKey,
+            long sessionWritePosition,
             int tenant,
-            boolean repeated,
-            long arrived,
-            long expiry,
-            long number) {
+            boolean retriedByClient,
+            long arrivedNanos,
+            long expiryNanos,
+            long sequenceNumber) {
         this.id = id;
-        this.requestClass = type;
+        this.requestClass = requestClass;
         this.group = group;
-        this.sessionKey = session;
-        this.sessionWritePosition = written;
+        this.sessionKey = sessionKey;
+        this.sessionWritePosition = sessionWritePosition;
         this.tenant = tenant;
-        this.retriedByClient = repeated;
-        this.arrivedNanos = arrived;
-        this.expiryNanos = expiry;
-        this.sequenceNumber = number;
+        this.retriedByClient = retriedByClient;
+        this.arrivedNanos = arrivedNanos;
+        this.expiryNanos = expiryNanos;
+        this.sequenceNumber = sequenceNumber;
     }
 
-    /** How many submissions are still out. */
+    /** How many attempts are still out. */
     public int attemptsInFlight() {
         int n = 0;
         for (Attempt attempt : attempts) {
@@ -94,15 +94,15 @@
         return attempts.stream().anyMatch(attempt -> attempt.host == host && !attempt.ended);
     }
 
-    /** The first submission that may have run, or null. */
+    /** The first attempt that may have run, or null. */
     public Attempt firstPossiblyExecuted() {
         return firstPossiblyExecutedExcept(null);
     }
 
-    /** The first submission but this one that may have run, or null. */
-    public Attempt firstPossiblyExecutedExcept(Attempt next) {
+    /** The first attempt but this one that may have run, or null. */
+    public Attempt firstPossiblyExecutedExcept(Attempt excluded) {
         for (Attempt attempt : attempts) {
-            if (attempt != next && !attempt.neverRan) {
+            if (attempt != excluded && !attempt.neverRan) {
                 return attempt;
             }
         }
--- a/src/main/java/beaconladder/routing/state/RequestClass.java
+++ b/src/main/java/beaconladder/routing/state/RequestClass.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * A txn type, as stated at start.
+ * A request class, as stated at start.
  *
  * @param bound for {@link Read#BOUNDED}: how old the data may be
- * @param memory for {@link Effect#REFERENCED}: how long repeats are discarded
+ * @param memory for {@link Effect#REFERENCED}: how long retries are discarded
  * @param late the share of the value that is left after the SLA time
- * @param budgets the budgets that the last txns of this type brought
- * @param served how the last txns of this type ended: 1 for an answer in time
+ * @param budgets the budgets that the last requests of this type brought
+ * @param served how the last requests of this type ended: 1 for an answer in time
  */
 public record RequestClass(
         int index,
@@ -27,7 +27,7 @@
         SampleWindow budgets,
         SampleWindow slaResults) {
 
-    /** What data a txn type needs. */
+    /** What data a request class needs. */
     public enum Consistency {
         ANY,
         BOUNDED,
@@ -46,21 +46,21 @@
         }
     }
 
-    /** What a repeat does. */
+    /** What a retry does. */
     public enum Idempotency {
         IDEMPOTENT,
         WITH_KEY,
         NON_IDEMPOTENT
     }
 
-    /** For referenced txns: who discards a repeat. */
+    /** For referenced requests: who discards a retry. */
     public enum DeduplicationScope {
         ALL,
         ZONE,
         GROUP
     }
 
-    public static List<RequestClass> consistency(Map<String, String> start) {
+    public static List<RequestClass> parse(Map<String, String> start) {
         List<RequestClass> types = new ArrayList<>();
         int count = Integer.parseInt(start.getOrDefault("request_classes.count", "0"));
         String[] reads = start.getOrDefault("family_info.freshness", "").split(",");
--- a/src/main/java/beaconladder/routing/state/RequestClassMix.java
+++ b/src/main/java/beaconladder/routing/state/RequestClassMix.java
@@ -1,26 +1,26 @@
 package beaconladder.routing.state;
 
-/** Of which types the txns were that came last, counted as they come. */
+/** Of which types the requests were that came last, counted as they come. */
 public final class RequestClassMix {
-    private final int[] places;
+    private final int[] recentIndexes;
     private final int[] counts;
     private int size;
     private int next;
 
-    RequestClassMix(int keep, int types) {
-        places = new int[keep];
-        counts = new int[types];
+    RequestClassMix(int capacity, int classCount) {
+        recentIndexes = new int[capacity];
+        counts = new int[classCount];
     }
 
-    /** A txn of the type at this place has come; the oldest one kept makes room for it. */
-    void record(int place) {
-        if (size == places.length) {
-            counts[places[next]]--;
+    /** A request of the type at this place has come; the oldest one kept makes room for it. */
+    void record(int classIndex) {
+        if (size == recentIndexes.length) {
+            counts[recentIndexes[next]]--;
         }
-        places[next] = place;
-        counts[place]++;
-        next = (next + 1) % places.length;
-        size = Math.min(size + 1, places.length);
+        recentIndexes[next] = classIndex;
+        counts[classIndex]++;
+        next = (next + 1) % recentIndexes.length;
+        size = Math.min(size + 1, recentIndexes.length);
     }
 
     public int size() {
@@ -28,7 +28,7 @@
     }
 
     /** How many are of the type at this place. */
-    public int count(int place) {
-        return counts[place];
+    public int count(int classIndex) {
+        return counts[classIndex];
     }
 }
--- a/src/main/java/beaconladder/routing/state/SampleWindow.java
+++ b/src/main/java/beaconladder/routing/state/SampleWindow.java
@@ -14,15 +14,15 @@
 
     private long quantile;
 
-    public SampleWindow(int keep) {
-        values = new long[keep];
-        companions = new long[keep];
-        takenNanos = new long[keep];
+    public SampleWindow(int capacity) {
+        values = new long[capacity];
+        companions = new long[capacity];
+        takenNanos = new long[capacity];
     }
 
-    public void add(long value, long with, long now) {
+    public void add(long value, long companion, long now) {
         values[next] = value;
-        companions[next] = with;
+        companions[next] = companion;
         cachedShare = -1;
         takenNanos[next] = now;
         next = (next + 1) % values.length;
@@ -87,15 +87,15 @@
     }
 
     /** The value below which this share of the samples lies; 0 without samples. */
-    public long quantile(double of) {
+    public long quantile(double share) {
         if (size == 0) {
             return 0;
         }
-        if (of != cachedShare) {
+        if (share != cachedShare) {
             long[] sorted = Arrays.copyOf(values, size);
             Arrays.sort(sorted);
-            cachedShare = of;
-            quantile = sorted[Math.min(size - 1, (int) (of * size))];
+            cachedShare = share;
+            quantile = sorted[Math.min(size - 1, (int) (share * size))];
         }
         return quantile;
     }
@@ -105,14 +105,14 @@
         long[] sorted = Arrays.copyOf(values, size);
         Arrays.sort(sorted);
         int from = 0;
-        int most = 0;
+        int maxCount = 0;
         long middle = 0;
         for (int to = 0; to < size; to++) {
             while (sorted[to] - sorted[from] > width) {
                 from++;
             }
-            if (to - from + 1 > most) {
-                most = to - from + 1;
+            if (to - from + 1 > maxCount) {
+                maxCount = to - from + 1;
                 middle = (sorted[from] + sorted[to]) / 2;
             }
         }
@@ -120,24 +120,24 @@
     }
 
     /** The value to expect beside this figure, by a straight line through the samples that doesn't fall. */
-    public double predict(double with) {
-        double value = mean();
-        double middle = meanCompanion(Long.MIN_VALUE);
-        double square = 0;
-        double product = 0;
+    public double predict(double companion) {
+        double meanValue = mean();
+        double meanCompanion = meanCompanion(Long.MIN_VALUE);
+        double squares = 0;
+        double products = 0;
         for (int i = 0; i < size; i++) {
-            square += (companions[i] - middle) * (companions[i] - middle);
-            product += (companions[i] - middle) * (values[i] - value);
+            squares += (companions[i] - meanCompanion) * (companions[i] - meanCompanion);
+            products += (companions[i] - meanCompanion) * (values[i] - meanValue);
         }
-        return square == 0 || product <= 0 ? value : value + (with - middle) * product / square;
+        return squares == 0 || products <= 0 ? meanValue : meanValue + (companion - meanCompanion) * products / squares;
     }
 
-    private double mean(long[] of, long since) {
+    private double mean(long[] figures, long since) {
         double sum = 0;
         int n = 0;
         for (int i = 0; i < size; i++) {
             if (takenNanos[i] >= since) {
-                sum += of[i];
+                sum += figures[i];
                 n++;
             }
         }
--- a/src/main/java/beaconladder/routing/state/TrafficStatistics.java
+++ b/src/main/java/beaconladder/routing/state/TrafficStatistics.java
@@ -17,9 +17,9 @@
 
     public final List<RequestClass> requestClasses;
     public final double maxWeight;
-    /** The tightest bound of a txn type; a second where none is stated. */
+    /** The tightest bound of a request class; a second where none is stated. */
     public final long tightestStalenessNanos;
-    /** The types of the txns that came last. */
+    /** The types of the requests that came last. */
     public final RequestClassMix recentClasses;
     /** Their value; less than 0 while it is to be added up anew. */
     private double recentWeight = -1;
@@ -29,14 +29,14 @@
     public final SampleWindow reportedLags = new SampleWindow(32);
     /** How long the last clients that left had waited, in thousandths of their SLA time. */
     public final SampleWindow disconnectWaits = new SampleWindow(16);
-    /** How the last submissions ended at hosts that had lately answered: 1 for no good answer. */
+    /** How the last attempts ended at hosts that had lately answered: 1 for no good answer. */
     public final SampleWindow failuresAtLiveHosts = new SampleWindow(48);
-    /** How the last txns ended: 1 for a commit. */
+    /** How the last requests ended: 1 for a commit. */
     public final SampleWindow commits = new SampleWindow(32);
 
-    public TrafficStatistics(Map<String, String> start) {
-        this.settings = start;
-        this.requestClasses = RequestClass.consistency(start);
+    public TrafficStatistics(Map<String, String> settings) {
+        this.settings = settings;
+        this.requestClasses = RequestClass.parse(settings);
         this.recentClasses = new RequestClassMix(256, requestClasses.size());
         this.tightestStalenessNanos = requestClasses.stream()
                 .filter(t -> t.consistency() == Consistency.BOUNDED)
@@ -52,23 +52,23 @@
         return !"false".equals(settings.get("limits.probes"));
     }
 
-    /** The value of the txns that came last. */
+    /** The value of the requests that came last. */
     public double recentWeight() {
         if (recentWeight < 0) {
             recentWeight = requestClasses.stream()
-                    .mapToDouble(type -> recentClasses.count(type.index()) * type.weight())
+                    .mapToDouble(requestClass -> recentClasses.count(requestClass.index()) * requestClass.weight())
                     .sum();
         }
         return recentWeight;
     }
 
     /** One more has come. */
-    public void recordArrival(RequestClass type) {
-        recentClasses.record(type.index());
+    public void recordArrival(RequestClass requestClass) {
+        recentClasses.record(requestClass.index());
         recentWeight = -1;
     }
 
-    /** The mean value of the txns that come here, in which prices are reckoned. */
+    /** The mean value of the requests that come here, in which prices are reckoned. */
     public double meanWeight() {
         return recentClasses.size() == 0 ? maxWeight : recentWeight() / recentClasses.size();
     }
@@ -79,10 +79,10 @@
     }
 
     /** The number that a setting gives, or the one to take without it. */
-    public double number(String name, double without) {
-        Double given = numbers.computeIfAbsent(
+    public double number(String name, double defaultValue) {
+        Double value = numbers.computeIfAbsent(
                 name, key -> settings.containsKey(key) ? Double.valueOf(settings.get(key)) : null);
-        return given == null ? without : given;
+        return value == null ? defaultValue : value;
     }
 
     /** A time that is stated in microseconds, in nanoseconds; 0 without it. */
@@ -90,14 +90,14 @@
         return Long.parseLong(settings.getOrDefault(name, "0")) * 1_000;
     }
 
-    /** A txn whose SLA time had not ended when it came has ended, in time or not. */
-    public void recordSlaResult(Request request, boolean inTime) {
+    /** A request whose SLA time had not ended when it came has ended, in time or not. */
+    public void recordSlaResult(Request request, boolean withinSla) {
         if (request.arrivedNanos < request.slaEndNanos) {
-            request.requestClass.slaResults().add(inTime ? 1 : 0, 0, request.arrivedNanos);
+            request.requestClass.slaResults().add(withinSla ? 1 : 0, 0, request.arrivedNanos);
         }
     }
 
-    /** A txn has ended without a commit. */
+    /** A request has ended without a commit. */
     public void recordFailure(Request request, long now) {
         commits.add(0, 0, now);
         request.group.commitShares.add(0, 0, now);
@@ -106,7 +106,7 @@
     }
 
     /**
-     * A txn has been committed.
+     * A request has been committed.
      *
      * @param members how many members were there to bear it
      * @param warmMembers how many of them were warm, if a warm one did, else 0
--- a/src/main/java/beaconladder/routing/state/WakeupQueue.java
+++ b/src/main/java/beaconladder/routing/state/WakeupQueue.java
@@ -9,15 +9,15 @@
 import java.util.TreeSet;
 
 /**
- * When txns are to be looked at again, when a member may be asked next for the sake of one, and which groups are to be
- * looked at. That are those with txns on hold: a look at every group at each event would cost the more the larger the
- * fleet is, and find nothing in the others.
+ * When requests are to be looked at again, when a member may be asked next for the sake of one, and which groups are to
+ * be looked at. That are those with requests on hold: a look at every group at each event would cost the more the
+ * larger the fleet is, and find nothing in the others.
  */
 public final class WakeupQueue {
     private final TreeSet<Request> wakeups =
             new TreeSet<>(Comparator.<Request>comparingLong(request -> request.wakeupNanos)
                     .thenComparingLong(request -> request.sequenceNumber));
-    /** Listed groups with txns on hold, in the order in which groups were first listed. */
+    /** Listed groups with requests on hold, in the order in which groups were first listed. */
     private final TreeSet<Group> groupsWithQueued = new TreeSet<>(Comparator.comparingInt(group -> group.listIndex));
     /** Groups of which something has changed since the last look. */
     private final List<Group> pendingChanges = new ArrayList<>();
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Something has changed that may let the group's txns go. */
+    /** Something has changed that may let the group's requests go. */
     public void markChanged(Group group) {
         group.changed = true;
         if (!group.changePending) {
@@ -44,11 +44,11 @@
         }
     }
 
-    /** This txn waits. */
+    /** This request waits. */
     public void enqueue(Request request) {
         Group group = request.group;
         if (group.queued.isEmpty()) {
-            // No look clears the mark of a group without txns on hold, but for those touched since.
+            // No look clears the mark of a group without requests on hold, but for those touched since.
             group.changed = group.changePending;
             if (group.listIndex >= 0) {
                 groupsWithQueued.add(group);
@@ -57,7 +57,7 @@
         group.queued.add(request);
     }
 
-    /** The groups with txns on hold, in their order; not a copy. */
+    /** The groups with requests on hold, in their order; not a copy. */
     public Collection<Group> groupsWithQueued() {
         return groupsWithQueued;
     }
@@ -79,9 +79,9 @@
         return changed;
     }
 
-    public void schedule(Request request, long look) {
+    public void schedule(Request request, long atNanos) {
         wakeups.remove(request);
-        request.wakeupNanos = look;
+        request.wakeupNanos = atNanos;
         wakeups.add(request);
     }
 
@@ -105,7 +105,7 @@
         return due;
     }
 
-    /** When the next one is due, a txn or a question. */
+    /** When the next one is due, a request or a question. */
     public long nextWakeupNanos() {
         return Math.min(wakeups.isEmpty() ? Long.MAX_VALUE : wakeups.first().wakeupNanos, nextProbeNanos);
     }
--- a/src/test/java/beaconladder/cells/TenantMigrationsTest.java
+++ b/src/test/java/beaconladder/cells/TenantMigrationsTest.java
@@ -215,7 +215,7 @@
         private final List<Node> nodes = new ArrayList<>();
         private final List<long[]> ranInA = new ArrayList<>();
         private final List<Long> ranInB = new ArrayList<>();
-        private final RequestClass write = RequestClass.consistency(Map.of(
+        private final RequestClass write = RequestClass.parse(Map.of(
                         "request_classes.count",
                         "1",
                         "family_info.freshness",
--- a/src/test/java/beaconladder/invariants/InvariantsTest.java
+++ b/src/test/java/beaconladder/invariants/InvariantsTest.java
@@ -30,7 +30,7 @@
                 effect,
                 "request_classes.0.key_ttl_us",
                 "300000"));
-        return new Request(1, RequestClass.consistency(start).get(0), group, 1, Long.MIN_VALUE, 0, false, 0, SECOND, 1);
+        return new Request(1, RequestClass.parse(start).get(0), group, 1, Long.MIN_VALUE, 0, false, 0, SECOND, 1);
     }
 
     private Attempt attempt(Request txn, long decided, SlowStartTicket ticket) {
--- a/src/test/java/beaconladder/routing/ClusterClockTest.java
+++ b/src/test/java/beaconladder/routing/ClusterClockTest.java
@@ -19,36 +19,37 @@
 
     @Test
     void aPositionAheadIsBelievedOnceTwoHostsShowItTwice() {
-        assertThat(clock.believes(a, NOW + 20 * MS, NOW)).isTrue();
-        assertThat(clock.believes(a, NOW + HOUR, NOW)).isFalse();
-        assertThat(clock.believes(b, NOW + HOUR - 3_000 * MS, NOW)).isFalse();
-        assertThat(clock.believes(a, NOW + HOUR, NOW)).isFalse();
-        assertThat(clock.at(NOW)).isEqualTo(NOW);
-        assertThat(clock.believes(b, NOW + HOUR - 3_000 * MS, NOW)).isTrue();
-        assertThat(clock.at(NOW)).as("as the host furthest on has it").isEqualTo(NOW + HOUR);
-        assertThat(clock.moment(NOW + HOUR)).isEqualTo(NOW);
+        assertThat(clock.acceptPosition(a, NOW + 20 * MS, NOW)).isTrue();
+        assertThat(clock.acceptPosition(a, NOW + HOUR, NOW)).isFalse();
+        assertThat(clock.acceptPosition(b, NOW + HOUR - 3_000 * MS, NOW)).isFalse();
+        assertThat(clock.acceptPosition(a, NOW + HOUR, NOW)).isFalse();
+        assertThat(clock.hostTimeAt(NOW)).isEqualTo(NOW);
+        assertThat(clock.acceptPosition(b, NOW + HOUR - 3_000 * MS, NOW)).isTrue();
+        assertThat(clock.hostTimeAt(NOW)).as("as the host furthest on has it").isEqualTo(NOW + HOUR);
+        assertThat(clock.routerTimeOf(NOW + HOUR)).isEqualTo(NOW);
     }
 
     /** A bound that is judged too late makes no read stale. */
     @Test
     void whatOneHostShowsCountsForBoundsAtOnce() {
-        clock.believes(a, NOW + 5_000 * MS, NOW);
-        assertThat(clock.latest(NOW)).isEqualTo(NOW + 5_000 * MS);
-        assertThat(clock.latest(NOW + 2_001 * MS)).isEqualTo(NOW + 2_001 * MS);
-        clock.believes(a, NOW + 9_000 * MS, NOW + 9_000 * MS);
-        assertThat(clock.latest(NOW + 9_000 * MS)).isEqualTo(NOW + 9_000 * MS);
+        clock.acceptPosition(a, NOW + 5_000 * MS, NOW);
+        assertThat(clock.latestHostTimeAt(NOW)).isEqualTo(NOW + 5_000 * MS);
+        assertThat(clock.latestHostTimeAt(NOW + 2_001 * MS)).isEqualTo(NOW + 2_001 * MS);
+        clock.acceptPosition(a, NOW + 9_000 * MS, NOW + 9_000 * MS);
+        assertThat(clock.latestHostTimeAt(NOW + 9_000 * MS)).isEqualTo(NOW + 9_000 * MS);
     }
 
     @Test
     void spoiltPositionsMoveNothing() {
         for (int i = 0; i < 40; i++) {
             long now = NOW + 100 * i * MS;
-            assertThat(clock.believes(i % 2 == 0 ? a : b, now + (1 + i * 7L % 40) * 60_000 * MS, now))
+            assertThat(clock.acceptPosition(i % 2 == 0 ? a : b, now + (1 + i * 7L % 40) * 60_000 * MS, now))
                     .isFalse();
-            assertThat(clock.believes(i % 2 == 0 ? b : a, Long.MAX_VALUE, now)).isFalse();
-            assertThat(clock.believes(a, now, now)).isTrue();
+            assertThat(clock.acceptPosition(i % 2 == 0 ? b : a, Long.MAX_VALUE, now))
+                    .isFalse();
+            assertThat(clock.acceptPosition(a, now, now)).isTrue();
         }
-        assertThat(clock.at(NOW)).isEqualTo(NOW);
+        assertThat(clock.hostTimeAt(NOW)).isEqualTo(NOW);
     }
 
     /** Else hosts in slow start would look warm by the word of one that is wrong. */
@@ -56,19 +57,19 @@
     void oneHostThatIsAheadOfOthersThatAreNotMovesNothing() {
         for (int i = 0; i < 40; i++) {
             long now = NOW + 100 * i * MS;
-            clock.believes(a, now + HOUR, now);
-            clock.believes(b, now - 20 * MS, now);
+            clock.acceptPosition(a, now + HOUR, now);
+            clock.acceptPosition(b, now - 20 * MS, now);
         }
-        assertThat(clock.at(NOW)).isEqualTo(NOW);
+        assertThat(clock.hostTimeAt(NOW)).isEqualTo(NOW);
     }
 
     @Test
     void whereNoOtherIsHeardOneHostIsBelievedInTheEnd() {
         for (int i = 0; i < 5; i++) {
-            assertThat(clock.believes(a, NOW + HOUR, NOW)).isFalse();
+            assertThat(clock.acceptPosition(a, NOW + HOUR, NOW)).isFalse();
         }
-        assertThat(clock.believes(a, NOW + HOUR, NOW)).isTrue();
-        assertThat(clock.at(NOW)).isEqualTo(NOW + HOUR);
+        assertThat(clock.acceptPosition(a, NOW + HOUR, NOW)).isTrue();
+        assertThat(clock.hostTimeAt(NOW)).isEqualTo(NOW + HOUR);
     }
 
     @Test
@@ -76,9 +77,11 @@
         for (int i = 0; i < 5; i++) {
             clock.primaryAnswered(i % 2 == 0 ? a : b, NOW - HOUR + 30 * MS, NOW);
         }
-        assertThat(clock.at(NOW)).isEqualTo(NOW);
+        assertThat(clock.hostTimeAt(NOW)).isEqualTo(NOW);
         clock.primaryAnswered(b, NOW - HOUR + 400 * MS, NOW);
-        assertThat(clock.at(NOW)).as("no answer lies before its send by it").isEqualTo(NOW - HOUR + 400 * MS);
+        assertThat(clock.hostTimeAt(NOW))
+                .as("no answer lies before its send by it")
+                .isEqualTo(NOW - HOUR + 400 * MS);
     }
 
     @Test
@@ -87,27 +90,27 @@
             clock.primaryAnswered(a, i % 4 == 0 ? NOW + 10 * MS : NOW - 1_000 * MS, NOW);
             clock.primaryAnswered(b, NOW - 200 * MS, NOW);
         }
-        assertThat(clock.at(NOW)).isEqualTo(NOW);
+        assertThat(clock.hostTimeAt(NOW)).isEqualTo(NOW);
     }
 
     /** A clock that is ahead makes hosts in slow start look warm. */
     @Test
     void itIsConfirmedOnceAHostShowsThatItIsNotFarAhead() {
-        assertThat(clock.confirmed()).isFalse();
-        clock.believes(a, NOW - HOUR, NOW);
-        assertThat(clock.confirmed())
+        assertThat(clock.isConfirmed()).isFalse();
+        clock.acceptPosition(a, NOW - HOUR, NOW);
+        assertThat(clock.isConfirmed())
                 .as("a replica that lags, or a clock that is ahead")
                 .isFalse();
-        clock.believes(b, NOW - 400 * MS, NOW);
-        assertThat(clock.confirmed()).isTrue();
+        clock.acceptPosition(b, NOW - 400 * MS, NOW);
+        assertThat(clock.isConfirmed()).isTrue();
     }
 
     @Test
     void aClockThatWasMovedIsConfirmed() {
         for (int i = 0; i < 6; i++) {
-            assertThat(clock.confirmed()).isFalse();
+            assertThat(clock.isConfirmed()).isFalse();
             clock.primaryAnswered(i % 2 == 0 ? a : b, NOW - HOUR, NOW);
         }
-        assertThat(clock.confirmed()).isTrue();
+        assertThat(clock.isConfirmed()).isTrue();
     }
 }
--- a/src/test/java/beaconladder/routing/ColdFleet.java
+++ b/src/test/java/beaconladder/routing/ColdFleet.java
@@ -8,13 +8,13 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Many modules before one group, in virtual time; what all send to a cold host in any window. */
+/** Many modules before one group, in virtual time; what all send to a warming-up host in any window. */
 final class ColdFleet {
     static final long MS = 1_000_000L;
     static final int HOSTS = 5;
     static final long TICK = 5 * MS;
     private static final long ZERO = 100_000 * MS;
-    /** What a warm host does at once, and how long a txn takes there. */
+    /** What a warm host does at once, and how long a request takes there. */
     private static final long WORK = 150 * MS;
 
     static final long WARM = 10_000 * MS;
@@ -41,7 +41,7 @@
     private long numbered;
     /** The largest count in a window, as a share of its budget and what is put down to chance. */
     double worst;
-    /** Calls that reached cold hosts. */
+    /** Calls that reached warming-up hosts. */
     int atCold;
 
     /** So many routers; uneven ones get from a fifth to three times the mean. */
@@ -83,7 +83,7 @@
         return this;
     }
 
-    /** From now on so many times as many txns come in. */
+    /** From now on so many times as many requests come in. */
     ColdFleet times(double more) {
         rate *= more;
         return this;
@@ -97,7 +97,7 @@
         return this;
     }
 
-    /** These hosts come up cold, and all routers are told of it. */
+    /** These hosts come up warming-up, and all routers are told of it. */
     ColdFleet back(int... hosts) {
         for (int host : hosts) {
             down[host] = false;
--- a/src/test/java/beaconladder/routing/ColdFleetTest.java
+++ b/src/test/java/beaconladder/routing/ColdFleetTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * What all routers together send to a cold host stays under its budget of N calls and what is chance, 2 root of N and 2
- * more, in each window: with few routers and many, even and uneven traffic, small hosts and large ones, more work than
- * all hosts can do, one host that returns, four of five, a primary, a whole group.
+ * What all routers together send to a warming-up host stays under its budget of N calls and what is chance, 2 root of N
+ * and 2 more, in each window: with few routers and many, even and uneven traffic, small hosts and large ones, more work
+ * than all hosts can do, one host that returns, four of five, a primary, a whole group.
  */
 class ColdFleetTest {
     private static final int SEEDS = 10;
--- a/src/test/java/beaconladder/routing/RandomEvents.java
+++ b/src/test/java/beaconladder/routing/RandomEvents.java
@@ -21,8 +21,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A script of random events for one module: lists, txns, answers, probes, clients that leave, time. Every decision and
- * the contents of every pause go into a digest, so that two texts of the module can be compared.
+ * A script of random events for one module: lists, requests, answers, probes, clients that leave, time. Every decision
+ * and the contents of every pause go into a digest, so that two texts of the routing policy can be compared.
  */
 final class RandomEvents implements DecisionLoop.ActionHandler {
     private static final long MS = 1_000_000L;
@@ -40,7 +40,7 @@
     private long now = 100_000 * MS;
     private long until;
     private long taken;
-    /** Sends, probes, and txns put before the module again by a pause. */
+    /** Sends, probes, and requests put before the routing policy again by a pause. */
     int sends;
 
     int probes;
--- a/src/test/java/beaconladder/routing/RandomEventsTest.java
+++ b/src/test/java/beaconladder/routing/RandomEventsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class RandomEventsTest {
-    /** Whatever comes in whatever order, the module decides, and the same each time. */
+    /** Whatever comes in whatever order, the routing policy decides, and the same each time. */
     @Test
     void sameSeedSameDecisions() throws Exception {
         for (int seed = 1; seed <= 3; seed++) {
--- a/src/test/java/beaconladder/routing/RepeatTest.java
+++ b/src/test/java/beaconladder/routing/RepeatTest.java
@@ -11,7 +11,7 @@
 import beaconladder.routing.state.Host;
 import org.junit.jupiter.api.Test;
 
-/** When a request is sent again, refused or given up, and whether an attempt still stands. */
+/** When a request is sent again, refused or timed out, and whether an attempt still stands. */
 class RepeatTest {
     /**
      * Seen in rehearsals of restarts: hosts that answered within milliseconds took 1.2 s from one moment to the next.
@@ -52,7 +52,7 @@
         assertThat(s.quiet().end(1, Outcome.MOOT).trace()).contains("roll back 1");
     }
 
-    /** It was sent to a warm host, or on a ticket of the start before; what connects late meets a cold one. */
+    /** It was sent to a warm host, or on a ticket of the start before; what connects late meets a warming-up one. */
     @Test
     void anAttemptDoesNotStandOnceItsHostHasStartedAnew() {
         Script s = Script.warm().tick(5_000).ask(1, ANY, 0, 2000).stands(1);
@@ -170,7 +170,7 @@
                 """);
     }
 
-    /** Connecting takes time, and what held at the verdict may not hold when the bytes could go. */
+    /** Connecting takes time, and what held at the decision may not hold when the bytes could go. */
     @Test
     void aSubmissionStandsOnlyAsLongAsItsReasonsDo() {
         StringBuilder all = new StringBuilder();
--- a/src/test/java/beaconladder/routing/RoutingPolicyTest.java
+++ b/src/test/java/beaconladder/routing/RoutingPolicyTest.java
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Seen at full size in a rolling restart: a session's read held for replicas that lagged was declined at 640 of
+     * Seen at full size in a rolling restart: a session's read held for replicas that lagged was rejected at 640 of
      * 3,223 ms, with the primary answering in 56 ms, since its release to the primary came after the last moment that
      * it was worth sending, reckoned by the group's slower replicas.
      */
--- a/src/test/java/beaconladder/routing/Script.java
+++ b/src/test/java/beaconladder/routing/Script.java
@@ -13,7 +13,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Plays a script of events to the module and prints its decisions, a line each, times in milliseconds. */
+/** Plays a script of events to the routing policy and prints its decisions, a line each, times in milliseconds. */
 final class Script {
     static final long MS = 1_000_000L;
     /** The script starts at this clock, so that positions before it exist. */
@@ -43,7 +43,7 @@
         logic = new RoutingPolicy(7, start);
     }
 
-    /** A group of a (primary by the roster), b and c, all met, replicas at the present. */
+    /** A group of a (primary by the endpoint list), b and c, all met, replicas at the present. */
     static Script warm(String... settings) {
         return new Script(settings)
                 .list("a*", "b", "c")
@@ -98,7 +98,7 @@
         return this;
     }
 
-    /** The newest submission of this txn ends; a position in milliseconds goes with an answer. */
+    /** The newest attempt of this request ends; a position in milliseconds goes with an answer. */
     Script end(int id, Outcome outcome, Role role, long positionMillis) {
         Attempt attempt = null;
         for (Attempt each : txns.get(id).attempts) {
@@ -139,7 +139,7 @@
         return role == Role.UNKNOWN ? HostReport.EMPTY : new HostReport(role, ZERO + millis * MS, -1);
     }
 
-    /** Of this txn's submissions, those out at the named host time out and those elsewhere are committed. */
+    /** Of this request's attempts, those out at the named host time out and those elsewhere are committed. */
     Script silent(String name, int id) {
         for (Attempt attempt : java.util.List.copyOf(txns.get(id).attempts)) {
             if (!attempt.ended) {
@@ -180,7 +180,7 @@
         return this;
     }
 
-    /** The client of this txn leaves. */
+    /** The client of this request leaves. */
     Script left(int id) {
         say("left " + id);
         act(txns.get(id), logic.onClientDisconnected(txns.get(id), now));
@@ -193,7 +193,7 @@
         return this;
     }
 
-    /** The newest submission of this txn has its connection: whether it still stands. */
+    /** The newest attempt of this request has its connection: whether it still stands. */
     Script stands(int id) {
         Attempt attempt = txns.get(id).attempts.get(txns.get(id).attempts.size() - 1);
         say("stands " + id + "@" + (char) attempt.host.id + " "
@@ -201,7 +201,7 @@
         return this;
     }
 
-    /** How long submissions may take is traced too, from here on. */
+    /** How long attempts may take is traced too, from here on. */
     Script showTimes() {
         showsTimes = true;
         return this;
--- a/src/test/java/beaconladder/routing/ScriptSettings.java
+++ b/src/test/java/beaconladder/routing/ScriptSettings.java
@@ -7,7 +7,7 @@
 final class ScriptSettings {
     private ScriptSettings() {}
 
-    /** Six request types, one of each kind of read and write. */
+    /** Six request classes, one of each kind of read and write. */
     static Map<String, String> usual() {
         Map<String, String> start = new LinkedHashMap<>();
         start.put("family_info.freshness", "loose,recent,own_writes,latest,update,update");
--- a/src/test/java/beaconladder/routing/SlowStartTest.java
+++ b/src/test/java/beaconladder/routing/SlowStartTest.java
@@ -12,9 +12,9 @@
 /** What a host in slow start is sent. */
 class SlowStartTest {
     /**
-     * Seen at full size when six in ten hosts were replaced: reads waited for cold replicas without tickets and were
-     * declined while the warm primary had room, and cold hosts got a third of what they could, as the part of a member
-     * was reckoned over all members, cold ones too, and over the txns declined so.
+     * Seen at full size when six in ten hosts were replaced: reads waited for warming-up replicas without tickets and
+     * were rejected while the warm primary had room, and warming-up hosts got a third of what they could, as the part
+     * of a member was reckoned over all members, warming-up ones too, and over the requests rejected so.
      */
     @Test
     void aColdHostGetsItsShareOfWhatAWarmMemberBears() {
@@ -41,13 +41,14 @@
             }
             s.quiet();
         }
-        // Each cold replica may have half of what the primary bears: half of the reads, at the most.
+        // Each warming-up replica may have half of what the primary bears: half of the reads, at the most.
         assertThat(cold).isBetween(85, 115);
     }
 
     /**
-     * Seen at full size in a rolling release: a router with a txn of the group every second or two held each write for
-     * three seconds before a cold primary and declined it, while the tickets of the reads that came by lapsed unused.
+     * Seen at full size in a rolling release: a router with a request of the group every second or two held each write
+     * for three seconds before a warming-up primary and rejected it, while the tickets of the reads that came by lapsed
+     * unused.
      */
     @Test
     void theTicketsOfAColdPrimaryGoToTheTxnsThatNeedIt() {
@@ -69,7 +70,7 @@
             }
             s.quiet();
         }
-        // A warm replica bears two fifths of the txns and the cold primary may have a fifth of that: one in
+        // A warm replica bears two fifths of the requests and the warming-up primary may have a fifth of that: one in
         // twelve, which is two in five of the hundred writes. With tickets that reads drew it was none.
         assertThat(sent).isBetween(30, 55);
     }
--- a/src/test/java/beaconladder/routing/StaleReadTest.java
+++ b/src/test/java/beaconladder/routing/StaleReadTest.java
@@ -85,7 +85,7 @@
                     .ask(2, CURRENT, 0, 900)
                     .tick(431);
             assertThat(s.trace()).as(outcome.name()).contains("probe").doesNotContain("send 2");
-            // Where the host is doubtful beside it, a draw decides what comes then.
+            // Where the host is suspect beside it, a draw decides what comes then.
             s.tick(440).probed("a", Role.PRIMARY, 439);
             assertThat(s.trace().contains("send 2 to a")).isEqualTo(outcome == Outcome.CANCELLED);
         }
--- a/src/test/java/beaconladder/routing/state/WakeupQueueTest.java
+++ b/src/test/java/beaconladder/routing/state/WakeupQueueTest.java
@@ -13,7 +13,7 @@
 class WakeupQueueTest {
     private final WakeupQueue agenda = new WakeupQueue();
     private final RequestClass type =
-            RequestClass.consistency(Map.of("request_classes.count", "1")).get(0);
+            RequestClass.parse(Map.of("request_classes.count", "1")).get(0);
     private long taken;
 
     private Request txn(Group group) {
@@ -37,7 +37,7 @@
         assertThat(agenda.groupsWithQueued()).containsExactly(a);
     }
 
-    /** What changed before a look that found nothing on hold there is no reason to look at later txns. */
+    /** What changed before a look that found nothing on hold there is no reason to look at later requests. */
     @Test
     void aChangeIsForgottenByTheNextLookThoughNothingIsOnHold() {
         Group group = new Group(1);
--- a/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
+++ b/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
@@ -84,7 +84,7 @@
 
     @Test
     void everyKeyOfATypeIsRead() throws Exception {
-        List<RequestClass> types = RequestClass.consistency(settings());
+        List<RequestClass> types = RequestClass.parse(settings());
         assertThat(types)
                 .extracting(RequestClass::consistency)
                 .containsExactly(
