--- a/src/main/java/beaconladder/closing/Close.java
+++ b/src/main/java/beaconladder/closing/DailyClose.java
@@ -10,17 +10,17 @@
 import java.util.Set;
 
 /**
- * A close that comes on business days at a local time.
+ * A close on each business day at a local time.
  *
  * @param name of the close
- * @param zone whose clocks tell the time
+ * @param zone of the local time
  * @param at the local time
- * @param days of the week on which there is business
- * @param holidays on which there is none
- * @param from the first day that it is for
- * @param to the last day that it is for
+ * @param days the business days of the week
+ * @param holidays days without business
+ * @param from the first day that it applies to
+ * @param to the last day that it applies to
  */
-public record Close(
+public record DailyClose(
         String name,
         ZoneId zone,
         LocalTime at,
@@ -29,16 +29,16 @@
         LocalDate from,
         LocalDate to) {
 
-    /** Whether there is business on this day. */
-    public boolean on(LocalDate day) {
+    /** Whether this day is a business day. */
+    public boolean isBusinessDay(LocalDate day) {
         return days.contains(day.getDayOfWeek()) && !holidays.contains(day) && !day.isBefore(from) && !day.isAfter(to);
     }
 
     /**
-     * The one instant of this day's close, on any day: where clocks are put forward over it, the moment at which they
-     * are; where they show it twice, the first time, as the business was told of that one.
+     * The one instant of this day's close, on any day. Where the local time is skipped by a change of clocks, the
+     * instant of that change; where it occurs twice, the first time, which is the announced one.
      */
-    public Instant instant(LocalDate day) {
+    public Instant instantOf(LocalDate day) {
         LocalDateTime local = day.atTime(at);
         ZoneOffsetTransition change = zone.getRules().getTransition(local);
         return change != null && change.isGap()
--- a/src/main/java/beaconladder/invariants/Invariants.java
+++ b/src/main/java/beaconladder/invariants/Invariants.java
@@ -7,122 +7,138 @@
 import beaconladder.routing.state.RequestClass.Idempotency;
 import beaconladder.routing.state.SlowStartTicket;
 
-/** The checks of each rule, with the slack that the protocol gives; under the lock of the decisions. */
+/**
+ * The checks of each {@link Rule}, with the tolerances of the protocol; called under the lock of the routing decisions.
+ */
 public final class Invariants {
-    /** The protocol's slack on every time limit. */
-    private static final long SLACK = 50_000_000L;
-    /** An attempt may begin so long after its client closed. */
-    private static final long CLOSE_SLACK = 100_000_000L;
-    /** The time that is passed on may exceed what is left by so much. */
-    private static final long TIME_SLACK = 150_000_000L;
-    /** An answer later than this after its time is a lost one. */
-    private static final long LATE_ANSWER = 500_000_000L;
-    /** A restarted router is to be ready within this. */
-    private static final long READY_WITHIN = 10_000_000_000L;
+    /** The protocol's tolerance on every time limit. */
+    private static final long TOLERANCE_NANOS = 50_000_000L;
+    /** An attempt may begin this long after its client disconnected. */
+    private static final long DISCONNECT_TOLERANCE_NANOS = 100_000_000L;
+    /** The timeout stated to a host may exceed the time left by this much. */
+    private static final long TIMEOUT_TOLERANCE_NANOS = 150_000_000L;
+    /** A response later than this after its deadline counts as missing. */
+    private static final long OVERDUE_NANOS = 500_000_000L;
+    /** A restarted router must be ready within this. */
+    private static final long READY_LIMIT_NANOS = 10_000_000_000L;
 
     private final Violations violations;
-    private final long drainGrace;
+    private final long drainGraceNanos;
 
     /**
-     * Checks that count here.
+     * Checks whose violations are counted here.
      *
-     * @param drainGrace how long after its listing a draining host may still be sent to, in nanoseconds
+     * @param drainGraceNanos how long after the start of draining a host may still receive requests
      */
-    public Invariants(Violations violations, long drainGrace) {
+    public Invariants(Violations violations, long drainGraceNanos) {
         this.violations = violations;
-        this.drainGrace = drainGrace;
+        this.drainGraceNanos = drainGraceNanos;
     }
 
+    /** Where violations are counted. */
     public Violations violations() {
         return violations;
     }
 
-    /** The bytes of an attempt have gone. */
+    /** Checks an attempt whose bytes were written. */
     public void sent(SentAttempt sent) {
         Attempt attempt = sent.attempt();
-        Request txn = attempt.request;
+        Request request = attempt.request;
         Host host = attempt.host;
-        if (host.state != Host.State.READY && sent.began() > host.stateSinceNanos + drainGrace + SLACK) {
+        if (host.state != Host.State.READY
+                && sent.beganNanos() > host.stateSinceNanos + drainGraceNanos + TOLERANCE_NANOS) {
             add(
                     Rule.SENDING,
                     attempt,
-                    "to a host that leaves, ms after its listing: " + ms(sent.began() - host.stateSinceNanos));
+                    "to a host that leaves, ms after its listing: " + ms(sent.beganNanos() - host.stateSinceNanos));
         }
-        if (txn.disconnectedNanos != Long.MAX_VALUE && sent.began() > txn.disconnectedNanos + CLOSE_SLACK) {
-            add(Rule.SENDING, attempt, "after its client had gone, ms: " + ms(sent.began() - txn.disconnectedNanos));
+        if (request.disconnectedNanos != Long.MAX_VALUE
+                && sent.beganNanos() > request.disconnectedNanos + DISCONNECT_TOLERANCE_NANOS) {
+            add(
+                    Rule.SENDING,
+                    attempt,
+                    "after its client had gone, ms: " + ms(sent.beganNanos() - request.disconnectedNanos));
         }
-        if (sent.passedTime() > txn.expiryNanos - sent.ended() + TIME_SLACK) {
+        if (sent.timeoutNanos() > request.expiryNanos - sent.endedNanos() + TIMEOUT_TOLERANCE_NANOS) {
             add(
                     Rule.SENDING,
                     attempt,
                     "with more time than the client has, ms: "
-                            + ms(sent.passedTime() - (txn.expiryNanos - sent.ended())));
+                            + ms(sent.timeoutNanos() - (request.expiryNanos - sent.endedNanos())));
         }
         if (attempt.slowStartTicket == SlowStartTicket.MISSING) {
             add(Rule.STARTING, attempt, "without a ticket to a host in slow start");
         }
-        checkRepeat(sent);
+        checkRetry(sent);
     }
 
-    private void checkRepeat(SentAttempt sent) {
-        Request txn = sent.attempt().request;
-        Attempt ran = txn.firstPossiblyExecutedExcept(sent.attempt());
-        if (ran == null || ran.index > sent.attempt().index) {
+    private void checkRetry(SentAttempt sent) {
+        Request request = sent.attempt().request;
+        Attempt executed = request.firstPossiblyExecutedExcept(sent.attempt());
+        if (executed == null || executed.index > sent.attempt().index) {
             return;
         }
-        if (txn.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            add(Rule.REPEATING, sent.attempt(), "of what must not run twice and may have run at " + ran.host.id);
-        } else if (txn.requestClass.idempotency() == Idempotency.WITH_KEY
-                && sent.ended() - ran.sentNanos > txn.requestClass.keyTtlNanos() + TIME_SLACK + SLACK) {
-            add(Rule.REPEATING, sent.attempt(), "behind the memory time, ms: " + ms(sent.ended() - ran.sentNanos));
+        if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+            add(Rule.REPEATING, sent.attempt(), "of what must not run twice and may have run at " + executed.host.id);
+        } else if (request.requestClass.idempotency() == Idempotency.WITH_KEY
+                && sent.endedNanos() - executed.sentNanos
+                        > request.requestClass.keyTtlNanos() + TIMEOUT_TOLERANCE_NANOS + TOLERANCE_NANOS) {
+            add(
+                    Rule.REPEATING,
+                    sent.attempt(),
+                    "behind the memory time, ms: " + ms(sent.endedNanos() - executed.sentNanos));
         }
     }
 
-    /** The client is told that this has not run and may be tried again. */
-    public void refused(Request txn) {
-        Attempt ran = txn.firstPossiblyExecuted();
-        boolean harmless = ran == null
-                || txn.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || txn.requestClass.idempotency() == Idempotency.WITH_KEY
-                        && txn.requestClass.deduplicationScope() == RequestClass.DeduplicationScope.ALL;
+    /** Checks a rejection, by which the client learns that the request was not executed and may be retried. */
+    public void refused(Request request) {
+        Attempt executed = request.firstPossiblyExecuted();
+        boolean harmless = executed == null
+                || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || request.requestClass.idempotency() == Idempotency.WITH_KEY
+                        && request.requestClass.deduplicationScope() == RequestClass.DeduplicationScope.ALL;
         if (!harmless) {
             violations.add(
                     Rule.REPEATING,
-                    "request " + txn.sequenceNumber + " refused though it may have run at host " + ran.host.id);
+                    "request " + request.sequenceNumber + " refused though it may have run at host "
+                            + executed.host.id);
         }
     }
 
-    /** A request is still in flight; whether its answer is too late, which is counted once. */
-    public boolean overdue(Request txn, long now) {
-        if (txn.ended || now <= txn.expiryNanos + LATE_ANSWER) {
+    /**
+     * Counts a request still in flight whose response is overdue, and returns whether it is; to be called until it is.
+     */
+    public boolean overdue(Request request, long nowNanos) {
+        if (request.ended || nowNanos <= request.expiryNanos + OVERDUE_NANOS) {
             return false;
         }
         violations.add(
                 Rule.CLOSING,
-                "request " + txn.sequenceNumber + " has no answer, ms behind its time: " + ms(now - txn.expiryNanos)
-                        + ", attempts " + txn.attempts.size() + ", out " + txn.attemptsInFlight());
+                "request " + request.sequenceNumber + " has no answer, ms behind its time: "
+                        + ms(nowNanos - request.expiryNanos) + ", attempts " + request.attempts.size() + ", out "
+                        + request.attemptsInFlight());
         return true;
     }
 
-    /** The router has closed a client's connection on which so many queries that it had read have no answer. */
+    /** Checks a client connection that the router has closed, with the number of queries read but not responded to. */
     public void closed(String cause, int unanswered) {
         if (unanswered > 0) {
             violations.add(Rule.CLOSING, "a connection closed as " + cause + " with queries unanswered: " + unanswered);
         }
     }
 
-    /** The router serves, so long after its process began. */
-    public void ready(long nanos) {
-        if (nanos > READY_WITHIN) {
-            violations.add(Rule.STARTING, "ready late, ms after the start of the process: " + ms(nanos));
+    /** Checks the time from the start of the process until the router was ready. */
+    public void ready(long startupNanos) {
+        if (startupNanos > READY_LIMIT_NANOS) {
+            violations.add(Rule.STARTING, "ready late, ms after the start of the process: " + ms(startupNanos));
         }
     }
 
-    private void add(Rule rule, Attempt attempt, String what) {
+    private void add(Rule rule, Attempt attempt, String description) {
         violations.add(
                 rule,
                 "request " + attempt.request.sequenceNumber + " attempt " + attempt.index + " at host "
-                        + attempt.host.id + ": " + what);
+                        + attempt.host.id + ": " + description);
     }
 
     private static long ms(long nanos) {
--- a/src/main/java/beaconladder/invariants/Rule.java
+++ b/src/main/java/beaconladder/invariants/Rule.java
@@ -1,13 +1,13 @@
 package beaconladder.invariants;
 
-/** What is checked at run time. */
+/** What is checked at run time. The constants appear in log lines, in lower case. */
 public enum Rule {
-    /** An attempt goes to a ready host, for a client that is there, with no more time than the client has. */
+    /** An attempt goes to a ready host, for a connected client, with no more time than the client has left. */
     SENDING,
-    /** What may have run is neither repeated nor refused unless that is harmless. */
+    /** A request that may have been executed is neither retried nor rejected, unless that is harmless. */
     REPEATING,
-    /** A query that was read gets its answer, in time, before its connection is closed. */
+    /** A query that was read receives its response in time, and before its connection is closed. */
     CLOSING,
-    /** A host in slow start is sent to on tickets alone; the router itself is ready in time. */
+    /** A host in slow start receives requests on tickets only; the router itself is ready in time. */
     STARTING
 }
--- a/src/main/java/beaconladder/invariants/SentAttempt.java
+++ b/src/main/java/beaconladder/invariants/SentAttempt.java
@@ -3,11 +3,11 @@
 import beaconladder.routing.state.Attempt;
 
 /**
- * An attempt whose bytes have gone to a host.
+ * An attempt whose bytes were written to a host.
  *
- * @param attempt what was sent
- * @param began before its first byte, in nanoseconds on the clock of the decisions
- * @param ended after its last byte
- * @param passedTime how long the host was told that the router will wait, in nanoseconds
+ * @param attempt that was sent
+ * @param beganNanos before its first byte, on the clock of the routing decisions
+ * @param endedNanos after its last byte
+ * @param timeoutNanos how long the router will wait, as stated to the host
  */
-public record SentAttempt(Attempt attempt, long began, long ended, long passedTime) {}
+public record SentAttempt(Attempt attempt, long beganNanos, long endedNanos, long timeoutNanos) {}
--- a/src/main/java/beaconladder/invariants/Violations.java
+++ b/src/main/java/beaconladder/invariants/Violations.java
@@ -7,13 +7,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts violations by rule, and logs each as it comes; for several threads. */
+/** Counts violations by rule, and logs each of them; for several threads. */
 public final class Violations {
     private static final Logger LOG = LoggerFactory.getLogger(Violations.class);
 
     private final boolean logged;
     private final AtomicLongArray counts = new AtomicLongArray(Rule.values().length);
 
+    /** Counts and logs. */
     public Violations() {
         this(true);
     }
@@ -22,25 +23,25 @@
         this.logged = logged;
     }
 
-    /** One that counts alone, for what is played before any client is there. */
+    /** Counts without a log line, for the warm-up before any client is connected. */
     public static Violations unlogged() {
         return new Violations(false);
     }
 
-    /** A rule has been broken, as these words tell. */
-    public void add(Rule rule, String what) {
+    /** Counts a violation and logs its description. */
+    public void add(Rule rule, String description) {
         long count = counts.incrementAndGet(rule.ordinal());
         if (logged) {
-            LOG.error("invariant violated: rule={} count={} {}", name(rule), count, what);
+            LOG.error("invariant violated: rule={} count={} {}", name(rule), count, description);
         }
     }
 
-    /** How often this rule was broken. */
+    /** How many violations of this rule were counted. */
     public long count(Rule rule) {
         return counts.get(rule.ordinal());
     }
 
-    /** How often any of them was. */
+    /** How many violations were counted in all. */
     public long total() {
         return Arrays.stream(Rule.values()).mapToLong(this::count).sum();
     }
--- a/src/main/java/beaconladder/invariants/package-info.java
+++ b/src/main/java/beaconladder/invariants/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The rules that a router must keep, checked while it runs: an attempt after its bytes have gone, a refusal, a close, a
- * start. Nothing here decides anything; what does not hold is counted and logged.
+ * The rules that a router must keep, checked while it runs: an attempt after its bytes were written, a rejection, a
+ * closed connection, a start. Nothing here takes part in a decision; violations are counted and logged.
  */
 package beaconladder.invariants;
--- a/src/main/java/beaconladder/metrics/Counters.java
+++ b/src/main/java/beaconladder/metrics/Counters.java
@@ -8,24 +8,27 @@
 import java.util.stream.Collectors;
 
 /**
- * Counts events by what they are about and by their kind, for several threads. One line holds all of them, as
- * {@code closed.idle=3 refused.no_time=1}; what never happened is not in it.
+ * Counts events by subject and kind, for several threads. Its text holds all counts in one line, as
+ * {@code closed.idle=3 refused.no_time=1}; a kind that never occurred is absent.
  */
 public final class Counters {
     private final Map<String, LongAdder> counts = new ConcurrentHashMap<>();
 
-    /** One more event of this kind. */
-    public void add(String about, Enum<?> kind) {
-        counts.computeIfAbsent(about + "." + kind.name().toLowerCase(Locale.ROOT), name -> new LongAdder())
-                .increment();
+    /** Counts one event. */
+    public void add(String subject, Enum<?> kind) {
+        counts.computeIfAbsent(key(subject, kind), name -> new LongAdder()).increment();
     }
 
-    /** How often this kind came. */
-    public long count(String about, Enum<?> kind) {
-        LongAdder count = counts.get(about + "." + kind.name().toLowerCase(Locale.ROOT));
+    /** How many events of this kind were counted. */
+    public long count(String subject, Enum<?> kind) {
+        LongAdder count = counts.get(key(subject, kind));
         return count == null ? 0 : count.sum();
     }
 
+    private static String key(String subject, Enum<?> kind) {
+        return subject + "." + kind.name().toLowerCase(Locale.ROOT);
+    }
+
     @Override
     public String toString() {
         return new TreeMap<>(counts)
--- a/src/main/java/beaconladder/metrics/package-info.java
+++ b/src/main/java/beaconladder/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Counters of what a router did and why, told in its log. */
+/** Counters of what a router did and why, for its log. */
 package beaconladder.metrics;
--- a/src/test/java/beaconladder/closing/ClosedTest.java
+++ b/src/test/java/beaconladder/closing/ClosingRouterTest.java
@@ -23,15 +23,17 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The module under a close: a read that comes after it is never sent to a replica that is not known past it. */
-class ClosedTest {
+/**
+ * The routing policy under a close: a read that arrives after it is never sent to a replica not known to be past it.
+ */
+class ClosingRouterTest {
     private static final long MS = 1_000_000;
     private static final Instant CLOSE = Instant.parse("2026-12-02T18:00:00Z");
     private static final long CLOSE_NANOS = CLOSE.toEpochMilli() * MS;
 
     @Test
-    void aReadThatComesAfterACloseWaitsForAReplicaPastItAndOneBeforeItDoesNot() {
-        Close day = new Close(
+    void readAfterACloseNeedsAReplicaPastItAndOneBeforeDoesNot() {
+        DailyClose day = new DailyClose(
                 "day",
                 ZoneId.of("UTC"),
                 LocalTime.of(18, 0),
@@ -39,7 +41,7 @@
                 Set.of(),
                 LocalDate.MIN,
                 LocalDate.MAX);
-        Calendar calendar = new Calendar(List.of(day), Duration.ofMillis(20));
+        ClosingCalendar calendar = new ClosingCalendar(List.of(day), Duration.ofMillis(20));
         Map<String, String> start = new LinkedHashMap<>(Map.of(
                 "request_classes.count",
                 "1",
@@ -57,7 +59,7 @@
                 "east",
                 "limits.probes",
                 "true"));
-        Router router = new Closed(new RoutingPolicy(1, start), () -> calendar);
+        Router router = new ClosingRouter(new RoutingPolicy(1, start), () -> calendar);
         Group group = new Group(0);
         Host primary = new Host(0, group, 0);
         Host replica = new Host(1, group, 0);
@@ -72,7 +74,7 @@
         Request late = read(router, group, 2, CLOSE_NANOS + MS);
         assertThat(sentTo(router.route(late, CLOSE_NANOS + MS))).isNotSameAs(replica);
         assertThat(late.minPosition).isEqualTo(CLOSE_NANOS);
-        // By a clock that is late by the bound this one came before the close, and did not.
+        // By a clock that is behind by the bound this read arrived before the close; in fact it did not.
         Request near = read(router, group, 3, CLOSE_NANOS - 20 * MS);
         router.route(near, CLOSE_NANOS - 20 * MS);
         assertThat(near.minPosition).isEqualTo(CLOSE_NANOS);
@@ -96,8 +98,8 @@
                 id);
     }
 
-    /** The host of the verdict's submission, or null. */
-    private static Host sentTo(RoutingDecision verdict) {
-        return verdict.host();
+    /** The host of the attempt, or null. */
+    private static Host sentTo(RoutingDecision decision) {
+        return decision.host();
     }
 }
--- a/src/test/java/beaconladder/invariants/InvariantsTest.java
+++ b/src/test/java/beaconladder/invariants/InvariantsTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Each check sees the fault that it is for, and nothing in what the protocol allows. */
+/** Each check finds its violation, and none in what the protocol allows. */
 class InvariantsTest {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
@@ -22,7 +22,7 @@
     private final Group group = new Group(1);
     private final Host host = new Host(1, group, 0);
 
-    private Request txn(String effect) {
+    private Request request(String effect) {
         Map<String, String> start = new HashMap<>(Map.of(
                 "request_classes.count",
                 "1",
@@ -33,14 +33,14 @@
         return new Request(1, RequestClass.parse(start).get(0), group, 1, Long.MIN_VALUE, 0, false, 0, SECOND, 1);
     }
 
-    private Attempt attempt(Request txn, long decided, SlowStartTicket ticket) {
-        Attempt attempt = new Attempt(txn, txn.attempts.size(), host, decided, 1, ticket);
-        txn.attempts.add(attempt);
+    private Attempt attempt(Request request, long decided, SlowStartTicket ticket) {
+        Attempt attempt = new Attempt(request, request.attempts.size(), host, decided, 1, ticket);
+        request.attempts.add(attempt);
         return attempt;
     }
 
-    private Attempt attempt(Request txn, long decided) {
-        return attempt(txn, decided, SlowStartTicket.NOT_NEEDED);
+    private Attempt attempt(Request request, long decided) {
+        return attempt(request, decided, SlowStartTicket.NOT_NEEDED);
     }
 
     private long sent(Rule rule, Attempt attempt, long began, long passed) {
@@ -50,82 +50,81 @@
     }
 
     @Test
-    void aSendWithinTheRulesCountsNothing() {
-        assertThat(sent(Rule.SENDING, attempt(txn("side_effect"), 0), 10 * MS, 980 * MS))
+    void attemptWithinTheRulesIsNotCounted() {
+        assertThat(sent(Rule.SENDING, attempt(request("side_effect"), 0), 10 * MS, 980 * MS))
                 .isZero();
     }
 
     @Test
-    void aSendToAHostThatHasLeftLongerThanTheGrace() {
+    void attemptToAHostDrainingLongerThanTheGracePeriod() {
         host.state = Host.State.DRAINING;
         host.stateSinceNanos = 0;
-        Request txn = txn("pure");
-        assertThat(sent(Rule.SENDING, attempt(txn, 0), SECOND, MS)).isZero();
-        assertThat(sent(Rule.SENDING, attempt(txn, 0), SECOND + 51 * MS, MS)).isEqualTo(1);
+        Request request = request("pure");
+        assertThat(sent(Rule.SENDING, attempt(request, 0), SECOND, MS)).isZero();
+        assertThat(sent(Rule.SENDING, attempt(request, 0), SECOND + 51 * MS, MS))
+                .isEqualTo(1);
     }
 
     @Test
-    void aSendAfterTheClientHadGone() {
-        Request txn = txn("pure");
-        txn.disconnectedNanos = 100 * MS;
-        assertThat(sent(Rule.SENDING, attempt(txn, 0), 200 * MS, MS)).isZero();
-        assertThat(sent(Rule.SENDING, attempt(txn, 0), 201 * MS, MS)).isEqualTo(1);
+    void attemptAfterTheClientDisconnected() {
+        Request request = request("pure");
+        request.disconnectedNanos = 100 * MS;
+        assertThat(sent(Rule.SENDING, attempt(request, 0), 200 * MS, MS)).isZero();
+        assertThat(sent(Rule.SENDING, attempt(request, 0), 201 * MS, MS)).isEqualTo(1);
     }
 
     @Test
-    void moreTimePassedOnThanIsLeft() {
-        assertThat(sent(Rule.SENDING, attempt(txn("pure"), 0), 500 * MS, 649 * MS))
+    void timeoutLongerThanTheTimeLeft() {
+        assertThat(sent(Rule.SENDING, attempt(request("pure"), 0), 500 * MS, 649 * MS))
                 .isZero();
-        assertThat(sent(Rule.SENDING, attempt(txn("pure"), 0), 500 * MS, 651 * MS))
+        assertThat(sent(Rule.SENDING, attempt(request("pure"), 0), 500 * MS, 651 * MS))
                 .isEqualTo(1);
     }
 
     @Test
-    void aHostInSlowStartWithoutATicket() {
-        assertThat(sent(Rule.STARTING, attempt(txn("pure"), 0, SlowStartTicket.USED), 0, MS))
+    void attemptToAHostInSlowStartWithoutATicket() {
+        assertThat(sent(Rule.STARTING, attempt(request("pure"), 0, SlowStartTicket.USED), 0, MS))
                 .isZero();
-        assertThat(sent(Rule.STARTING, attempt(txn("pure"), 0, SlowStartTicket.MISSING), 0, MS))
+        assertThat(sent(Rule.STARTING, attempt(request("pure"), 0, SlowStartTicket.MISSING), 0, MS))
                 .isEqualTo(1);
     }
 
     @Test
-    void aRepeatOfWhatMayHaveRun() {
-        Request once = txn("side_effect");
-        Attempt first = attempt(once, 0);
+    void retryOfANonIdempotentRequestThatMayHaveRun() {
+        Request nonIdempotent = request("side_effect");
+        Attempt first = attempt(nonIdempotent, 0);
         first.neverRan = true;
-        assertThat(sent(Rule.REPEATING, attempt(once, MS), MS, MS)).isZero();
+        assertThat(sent(Rule.REPEATING, attempt(nonIdempotent, MS), MS, MS)).isZero();
         first.neverRan = false;
-        assertThat(sent(Rule.REPEATING, attempt(once, MS), MS, MS)).isEqualTo(1);
+        assertThat(sent(Rule.REPEATING, attempt(nonIdempotent, MS), MS, MS)).isEqualTo(1);
     }
 
     @Test
-    void aRepeatBehindTheMemoryTime() {
-        Request referenced = txn("token");
-        attempt(referenced, 0);
-        assertThat(sent(Rule.REPEATING, attempt(referenced, 250 * MS), 299 * MS, MS))
-                .isZero();
-        assertThat(sent(Rule.REPEATING, attempt(referenced, 250 * MS), 501 * MS, MS))
-                .isEqualTo(1);
+    void retryAfterTheKeyTtl() {
+        Request keyed = request("token");
+        attempt(keyed, 0);
+        assertThat(sent(Rule.REPEATING, attempt(keyed, 250 * MS), 299 * MS, MS)).isZero();
+        assertThat(sent(Rule.REPEATING, attempt(keyed, 250 * MS), 501 * MS, MS)).isEqualTo(1);
     }
 
     @Test
-    void aRefusalOfWhatMayHaveRun() {
-        Request once = txn("side_effect");
-        invariants.refused(once);
-        attempt(once, 0);
-        Request pure = txn("pure");
-        attempt(pure, 0);
-        invariants.refused(pure);
+    void rejectionOfARequestThatMayHaveRun() {
+        Request nonIdempotent = request("side_effect");
+        invariants.refused(nonIdempotent);
+        attempt(nonIdempotent, 0);
+        Request idempotent = request("pure");
+        attempt(idempotent, 0);
+        invariants.refused(idempotent);
         assertThat(violations.total()).isZero();
-        invariants.refused(once);
+        invariants.refused(nonIdempotent);
         assertThat(violations.count(Rule.REPEATING)).isEqualTo(1);
     }
 
     @Test
-    void anAnswerThatIsMissingAndAQueryThatIsClosedUnanswered() {
-        Request txn = txn("pure");
-        assertThat(invariants.overdue(txn, SECOND + 500 * MS)).isFalse();
-        assertThat(invariants.overdue(txn, SECOND + 501 * MS)).isTrue();
+    void overdueResponsesAndQueriesWithoutResponseOnAClosedConnection() {
+        Request request = request("pure");
+        assertThat(invariants.overdue(request, SECOND + 500 * MS)).isFalse();
+        assertThat(invariants.overdue(request, SECOND + 501 * MS)).isTrue();
         invariants.closed("IDLE", 0);
         invariants.closed("IDLE", 2);
         assertThat(violations.count(Rule.CLOSING)).isEqualTo(2);
--- a/src/test/java/beaconladder/lease/server/StoredLeaseLogTest.java
+++ b/src/test/java/beaconladder/lease/server/StoredLeaseLogTest.java
@@ -55,8 +55,8 @@
     @TempDir
     private Path folder;
 
-    private int door;
-    private int raft;
+    private int httpPort;
+    private int raftPort;
 
     /** With the newest snapshot; with the older one and the log after it; with the log alone. */
     @ParameterizedTest
@@ -122,7 +122,7 @@
                             RaftGroupId.valueOf(UUID.fromString(GROUP)),
                             RaftPeer.newBuilder()
                                     .setId("one")
-                                    .setAddress("127.0.0.1:" + raft)
+                                    .setAddress("127.0.0.1:" + raftPort)
                                     .build()))
                     .build()) {
                 assertThat(client.getSnapshotManagementApi().create(1, 10_000).isSuccess())
@@ -152,16 +152,16 @@
 
     /** Opens the store, and waits until the server leads. */
     private LeaseServer open(long now) throws Exception {
-        door = port();
-        raft = port();
+        httpPort = port();
+        raftPort = port();
         Plan.Leases plan = new Plan.Leases(
                 10_000_000_000L,
                 50_000_000L,
                 8 << 20,
                 List.of(new Plan.Grantor(
                         "one",
-                        "127.0.0.1:" + raft,
-                        new InetSocketAddress("127.0.0.1", door),
+                        "127.0.0.1:" + raftPort,
+                        new InetSocketAddress("127.0.0.1", httpPort),
                         folder.toString(),
                         null)));
         LeaseServer grantor = new LeaseServer(plan, "one", () -> now);
@@ -201,7 +201,7 @@
     }
 
     private URI uri(String path) {
-        return URI.create("http://127.0.0.1:" + door + path);
+        return URI.create("http://127.0.0.1:" + httpPort + path);
     }
 
     private static String send(HttpRequest request) throws Exception {
--- a/src/test/java/beaconladder/rollout/StagesTest.java
+++ b/src/test/java/beaconladder/rollout/RolloutStagesTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beaconladder.rollout.Stages.Place;
+import beaconladder.rollout.RolloutStages.RouterLocation;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashSet;
@@ -14,26 +14,28 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-class StagesTest {
-    /** In whatever order a process knows the routers: one in each zone first, each stage on the last. */
+class RolloutStagesTest {
+    /** In whatever order a process lists the routers: one in each zone first, each stage includes the last. */
     @Property(tries = 200, seed = "1")
-    void anyProcessReckonsTheSameStagesEachOnTopOfTheOneBefore(
+    void everyProcessComputesTheSameStagesAndEachIncludesTheOneBefore(
             @ForAll @IntRange(min = 1, max = 120) int count,
             @ForAll @IntRange(min = 1, max = 5) int zones,
             @ForAll @IntRange(min = 1, max = 1_000) int change) {
-        List<Place> routers = new ArrayList<>();
+        List<RouterLocation> routers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            routers.add(new Place("n" + i, "z" + i % zones));
+            routers.add(new RouterLocation("n" + i, "z" + i % zones));
         }
-        List<Place> shuffled = new ArrayList<>(routers);
+        List<RouterLocation> shuffled = new ArrayList<>(routers);
         Collections.shuffle(shuffled, new Random(change));
-        Set<String> before = Stages.changed(routers, change, -1);
+        Set<String> before = RolloutStages.changed(routers, change, -1);
         assertThat(before).isEmpty();
-        for (int stage = 0; stage < Stages.COUNT; stage++) {
-            Set<String> now = Stages.changed(routers, change, stage);
-            assertThat(now).isEqualTo(Stages.changed(shuffled, change, stage)).containsAll(before);
+        for (int stage = 0; stage < RolloutStages.STAGE_COUNT; stage++) {
+            Set<String> now = RolloutStages.changed(routers, change, stage);
+            assertThat(now)
+                    .isEqualTo(RolloutStages.changed(shuffled, change, stage))
+                    .containsAll(before);
             if (stage == 0) {
-                assertThat(routers.stream().filter(r -> now.contains(r.name())).map(Place::zone))
+                assertThat(routers.stream().filter(r -> now.contains(r.name())).map(RouterLocation::zone))
                         .doesNotHaveDuplicates()
                         .hasSize(Math.min(count, zones));
             }
@@ -43,14 +45,14 @@
     }
 
     @Property(tries = 20, seed = "1")
-    void anotherChangeBeginsWithOtherRouters(@ForAll @IntRange(min = 1, max = 1_000) int change) {
-        List<Place> routers = new ArrayList<>();
+    void anotherChangeStartsWithOtherRouters(@ForAll @IntRange(min = 1, max = 1_000) int change) {
+        List<RouterLocation> routers = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            routers.add(new Place("n" + i, "z" + i % 3));
+            routers.add(new RouterLocation("n" + i, "z" + i % 3));
         }
         Set<Set<String>> first = new HashSet<>();
         for (int i = 0; i < 5; i++) {
-            first.add(Stages.changed(routers, change + i, 0));
+            first.add(RolloutStages.changed(routers, change + i, 0));
         }
         assertThat(first.stream().flatMap(Set::stream).collect(Collectors.toSet()))
                 .hasSizeGreaterThan(5);
