--- a/src/main/java/beaconladder/invariants/Invariants.java
+++ b/src/main/java/beaconladder/invariants/Invariants.java
@@ -41,7 +41,7 @@
     }
 
     /** Checks an attempt whose bytes were written. */
-    public void sent(SentAttempt sent) {
+    public void checkAttempt(SentAttempt sent) {
         Attempt attempt = sent.attempt();
         Request request = attempt.request;
         Host host = attempt.host;
@@ -91,7 +91,7 @@
     }
 
     /** Checks a rejection, by which the client learns that the request was not executed and may be retried. */
-    public void refused(Request request) {
+    public void checkRejection(Request request) {
         Attempt executed = request.firstPossiblyExecuted();
         boolean harmless = executed == null
                 || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
@@ -108,7 +108,7 @@
     /**
      * Counts a request still in flight whose response is overdue, and returns whether it is; to be called until it is.
      */
-    public boolean overdue(Request request, long nowNanos) {
+    public boolean countIfOverdue(Request request, long nowNanos) {
         if (request.ended || nowNanos <= request.expiryNanos + OVERDUE_NANOS) {
             return false;
         }
@@ -121,14 +121,14 @@
     }
 
     /** Checks a client connection that the router has closed, with the number of queries read but not responded to. */
-    public void closed(String cause, int unanswered) {
+    public void checkClosedConnection(String cause, int unanswered) {
         if (unanswered > 0) {
             violations.add(Rule.CLOSING, "a connection closed as " + cause + " with queries unanswered: " + unanswered);
         }
     }
 
     /** Checks the time from the start of the process until the router was ready. */
-    public void ready(long startupNanos) {
+    public void checkStartupTime(long startupNanos) {
         if (startupNanos > READY_LIMIT_NANOS) {
             violations.add(Rule.STARTING, "ready late, ms after the start of the process: " + ms(startupNanos));
         }
--- a/src/main/java/beaconladder/server/AttemptEvents.java
+++ b/src/main/java/beaconladder/server/AttemptEvents.java
@@ -62,7 +62,7 @@
     void sent(SentAttempt sent) {
         lock.lock();
         try {
-            monitor.invariants().sent(sent);
+            monitor.invariants().checkAttempt(sent);
         } finally {
             lock.unlock();
         }
--- a/src/main/java/beaconladder/server/ClientConnection.java
+++ b/src/main/java/beaconladder/server/ClientConnection.java
@@ -172,7 +172,7 @@
         desk.monitor().counters().add("closed", cause);
         EventTrace.clientClosed(key, cause, unanswered, in.unread());
         if (!cause.byClient()) {
-            desk.monitor().invariants().closed(cause.name(), unanswered);
+            desk.monitor().invariants().checkClosedConnection(cause.name(), unanswered);
         }
         task.left();
         clients.gone(this);
--- a/src/main/java/beaconladder/server/PendingActions.java
+++ b/src/main/java/beaconladder/server/PendingActions.java
@@ -50,7 +50,7 @@
     /** Counts those whose time has gone by without an answer. */
     void checkOverdue(long now) {
         for (Request txn : hands.keySet()) {
-            if (!overdue.contains(txn) && monitor.invariants().overdue(txn, now)) {
+            if (!overdue.contains(txn) && monitor.invariants().countIfOverdue(txn, now)) {
                 overdue.add(txn);
             }
         }
@@ -85,7 +85,7 @@
     public void reject(Request txn, long comeBack, RoutingDecision.Reason reason) {
         trace.requestEvent(txn, "decline " + reason, desk.nowNanos());
         monitor.counters().add("refused", reason);
-        monitor.invariants().refused(txn);
+        monitor.invariants().checkRejection(txn);
         hands.get(txn).enqueue(InFlightRequest.Command.rejected(comeBack));
     }
 
--- a/src/main/java/beaconladder/server/RouterServer.java
+++ b/src/main/java/beaconladder/server/RouterServer.java
@@ -141,7 +141,7 @@
                 clients.listen(stated.listen());
                 threads.newThread(clients).start();
                 listens = true;
-                desk.monitor().invariants().ready(System.nanoTime() - madeAt);
+                desk.monitor().invariants().checkStartupTime(System.nanoTime() - madeAt);
                 LOG.info("{} serves at {}", stated.name(), stated.listen());
             }
         }
--- a/src/test/java/beaconladder/invariants/InvariantsTest.java
+++ b/src/test/java/beaconladder/invariants/InvariantsTest.java
@@ -44,7 +44,7 @@
     }
 
     private long sent(Rule rule, Attempt attempt, long began, long passed) {
-        invariants.sent(new SentAttempt(attempt, began, began + MS, passed));
+        invariants.checkAttempt(new SentAttempt(attempt, began, began + MS, passed));
         assertThat(violations.total()).as("other rules").isEqualTo(violations.count(rule));
         return violations.count(rule);
     }
@@ -110,26 +110,26 @@
     @Test
     void rejectionOfARequestThatMayHaveRun() {
         Request nonIdempotent = request("side_effect");
-        invariants.refused(nonIdempotent);
+        invariants.checkRejection(nonIdempotent);
         attempt(nonIdempotent, 0);
         Request idempotent = request("pure");
         attempt(idempotent, 0);
-        invariants.refused(idempotent);
+        invariants.checkRejection(idempotent);
         assertThat(violations.total()).isZero();
-        invariants.refused(nonIdempotent);
+        invariants.checkRejection(nonIdempotent);
         assertThat(violations.count(Rule.REPEATING)).isEqualTo(1);
     }
 
     @Test
     void overdueResponsesAndQueriesWithoutResponseOnAClosedConnection() {
         Request request = request("pure");
-        assertThat(invariants.overdue(request, SECOND + 500 * MS)).isFalse();
-        assertThat(invariants.overdue(request, SECOND + 501 * MS)).isTrue();
-        invariants.closed("IDLE", 0);
-        invariants.closed("IDLE", 2);
+        assertThat(invariants.countIfOverdue(request, SECOND + 500 * MS)).isFalse();
+        assertThat(invariants.countIfOverdue(request, SECOND + 501 * MS)).isTrue();
+        invariants.checkClosedConnection("IDLE", 0);
+        invariants.checkClosedConnection("IDLE", 2);
         assertThat(violations.count(Rule.CLOSING)).isEqualTo(2);
-        invariants.ready(10 * SECOND);
-        invariants.ready(11 * SECOND);
+        invariants.checkStartupTime(10 * SECOND);
+        invariants.checkStartupTime(11 * SECOND);
         assertThat(violations.toString()).isEqualTo("sending=0 repeating=0 closing=2 starting=1");
     }
 }
