--- a/src/main/java/beaconladder/app/LabFeedCommand.java
+++ b/src/main/java/beaconladder/app/LabFeedCommand.java
@@ -21,20 +21,20 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The rehearsal of the feed. */
+/** Runs the feed's scenario with injected faults. */
 @Command(
         name = "feed",
         mixinStandardHelpOptions = true,
-        description = "The feed: relays and leaders killed, stopped and cut off amid changes.",
+        description = "The feed: relays and leaders killed, stopped and partitioned during changes.",
         exitCodeList = {"0:every rule held", "1:one was broken", "2:the call is wrong"},
         exitCodeListHeading = "Exit codes:%n")
 final class LabFeedCommand implements Callable<Integer> {
-    /** Of a hollow router and its relay's side of it, as measured: docs/feed.md. */
-    private static final long ROUTER_BYTES = 384 * 1024;
+    /** Memory for a simulated router and the relay's side of its connection; measured, see docs/feed.md. */
+    private static final long BYTES_PER_ROUTER = 384 * 1024;
 
-    private static final int LEAST = 8;
+    private static final int MIN_ROUTERS = 8;
     /** Both ends of a connection, and both again where a fault relay is between. */
-    private static final int DESCRIPTORS = 2;
+    private static final int DESCRIPTORS_PER_ROUTER = 2;
 
     @Spec
     private CommandSpec spec;
@@ -81,17 +81,17 @@
                             .collect(Collectors.joining("\n")));
             return 0;
         }
-        long most = most();
-        if (routers < LEAST || routers > most) {
-            return wrong(LEAST + " to " + most + " hollow routers on this machine, not " + routers);
+        long maxRouters = maxRouters();
+        if (routers < MIN_ROUTERS || routers > maxRouters) {
+            return usageError(MIN_ROUTERS + " to " + maxRouters + " hollow routers on this machine, not " + routers);
         }
         if (relays < 2 || relays > 8 || count < 0 || count > 50 || every < 10 || steady < 100 || steady > 600_000) {
-            return wrong("2 to 8 relays, up to 50 faults, changes every 10 ms or more, for 100 ms to 10 min");
+            return usageError("2 to 8 relays, up to 50 faults, changes every 10 ms or more, for 100 ms to 10 min");
         }
         try {
             Class.forName("org.apache.ratis.server.RaftServer");
         } catch (ClassNotFoundException e) {
-            return wrong("grantors need Apache Ratis: -cp 'target/beaconladder.jar:target/grantors/*' "
+            return usageError("grantors need Apache Ratis: -cp 'target/beaconladder.jar:target/grantors/*' "
                     + "beaconladder.app.Main instead of -jar");
         }
         return new FeedScenario(
@@ -103,22 +103,24 @@
                 : 1;
     }
 
-    /** Half of the machine's memory, and the descriptors of the process that has the fault relays. */
-    private static long most() {
+    /**
+     * Bounded by half of the machine's memory, and by the descriptors of the process with the fault-injecting relays.
+     */
+    private static long maxRouters() {
         if (ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system) {
             return Math.min(
-                    system.getTotalMemorySize() / 2 / ROUTER_BYTES,
-                    (system.getMaxFileDescriptorCount() - 1_024) / DESCRIPTORS);
+                    system.getTotalMemorySize() / 2 / BYTES_PER_ROUTER,
+                    (system.getMaxFileDescriptorCount() - 1_024) / DESCRIPTORS_PER_ROUTER);
         }
         return 1_000;
     }
 
-    private int wrong(String message) {
+    private int usageError(String message) {
         spec.commandLine().getErr().println("beaconladder: " + message);
         return 2;
     }
 
-    /** A process of the rehearsal. */
+    /** A process of simulated routers; started by the scenario. */
     @Command(name = "feed-routers", hidden = true)
     static final class Routers implements Callable<Integer> {
         @Option(names = "--prefix", required = true)
@@ -138,13 +140,13 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            Map<String, InetSocketAddress> all = new TreeMap<>();
-            for (String each : relays) {
-                all.put(
-                        each.substring(0, each.indexOf('=')),
-                        EndpointWatch.parseAddress(each.substring(each.indexOf('=') + 1)));
+            Map<String, InetSocketAddress> addresses = new TreeMap<>();
+            for (String relay : relays) {
+                addresses.put(
+                        relay.substring(0, relay.indexOf('=')),
+                        EndpointWatch.parseAddress(relay.substring(relay.indexOf('=') + 1)));
             }
-            FeedRouters.run(prefix, from, count, all, journal);
+            FeedRouters.run(prefix, from, count, addresses, journal);
             return 0;
         }
     }
--- a/src/main/java/beaconladder/app/ServeCommand.java
+++ b/src/main/java/beaconladder/app/ServeCommand.java
@@ -37,12 +37,14 @@
 
     @Override
     public Integer call() {
-        return relays == null ? serve(plan) : serve(plan, file -> new FedRouter(file, plan, relays, store, journal));
+        return relays == null
+                ? serve(plan)
+                : serve(plan, file -> new FeedConfiguredRouter(file, plan, relays, store, journal));
     }
 
-    /** What a router that takes part in the feed is told of itself. */
-    private interface Feed {
-        FedRouter of(Path file) throws IOException;
+    /** Creates a router that the feed configures. */
+    private interface FeedRouterFactory {
+        FeedConfiguredRouter create(Path configFile) throws IOException;
     }
 
     /** Serves until a signal ends it. */
@@ -50,7 +52,7 @@
         return serve(plan, null);
     }
 
-    private static int serve(Path plan, Feed feed) {
+    private static int serve(Path plan, FeedRouterFactory feed) {
         Hangups hangups = new Hangups();
         String file = System.getenv("BALANCER_CONFIG");
         Thread ends = null;
@@ -58,7 +60,7 @@
             if (file == null) {
                 throw new IOException("BALANCER_CONFIG names no file");
             }
-            FedRouter fed = feed == null ? null : feed.of(Path.of(file));
+            FeedConfiguredRouter fed = feed == null ? null : feed.create(Path.of(file));
             RouterServer router = fed == null ? new RouterServer(Path.of(file), plan) : fed.router();
             hangups.run(fed == null ? router::reload : fed::reload);
             ends = new Thread(() -> {
--- a/src/test/java/beaconladder/testbed/FedRouterIT.java
+++ b/src/test/java/beaconladder/testbed/FeedConfiguredRouterIT.java
@@ -21,7 +21,7 @@
 
 /** A router that takes part in the feed: what it is told counts, is refused, and is there after a kill. */
 @Timeout(120)
-class FedRouterIT {
+class FeedConfiguredRouterIT {
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final Duration LONG = Duration.ofSeconds(30);
     private static final String HOST = "{\"id\":\"h0\",\"addr\":\"127.0.0.1:9\",\"zone\":\"east\",\"cell\":0,"
