--- a/src/main/java/beaconladder/server/Admission.java
+++ b/src/main/java/beaconladder/server/Admission.java
@@ -5,101 +5,111 @@
 import beaconladder.pg.MessageWriter;
 import java.util.function.BooleanSupplier;
 
-/** Where there are cells: gets a client's txns leave, and counts its connection as one of its tenant's. */
+/** Where there are cells: admits a client's requests, and counts its connection towards its tenant's quota. */
 final class Admission {
     /**
-     * What became of the asking.
+     * Whether a request is admitted.
      *
-     * @param pass the leave, or null
-     * @param told what the client is to be told where there is none
-     * @param last whether its connection ends with that
+     * @param permit null where it is not
+     * @param answer the answer to the client where it is not admitted
+     * @param closesConnection whether its connection closes after that answer
      */
-    record Answer(AdmissionPermit pass, MessageWriter told, boolean last) {}
+    record Result(AdmissionPermit permit, MessageWriter answer, boolean closesConnection) {
+        static Result admitted(AdmissionPermit permit) {
+            return new Result(permit, null, false);
+        }
+
+        static Result rejected(MessageWriter answer) {
+            return new Result(null, answer, false);
+        }
+    }
 
-    private final RequestDispatcher desk;
-    private final ClientChannel wire;
-    private final PipelineQueue ahead;
-    /** The leave by which the connection counts among those of a tenant, or null. */
-    private AdmissionPermit counted;
+    private final RequestDispatcher dispatcher;
+    private final ClientChannel channel;
+    private final PipelineQueue queue;
+    /** The permit by which the connection counts towards a tenant's quota, or null; guarded by this. */
+    private AdmissionPermit connectionPermit;
 
-    Admission(RequestDispatcher desk, ClientChannel wire, PipelineQueue ahead) {
-        this.desk = desk;
-        this.wire = wire;
-        this.ahead = ahead;
+    Admission(RequestDispatcher dispatcher, ClientChannel channel, PipelineQueue queue) {
+        this.dispatcher = dispatcher;
+        this.channel = channel;
+        this.queue = queue;
     }
 
-    /** Asks for leave, and waits for it as long as the client stays. */
-    Answer enter(ParsedQuery asked, int size, long arrived, long expiry, BooleanSupplier gone)
+    /** Asks the cell to admit a request, and waits for its decision until the request is abandoned. */
+    Result admit(ParsedQuery query, int size, long arrivedNanos, long expiryNanos, BooleanSupplier isAbandoned)
             throws InterruptedException {
-        String tenant = asked.statement().value("t");
-        AdmissionDecision leave = desk.cells()
+        String tenant = query.statement().value("t");
+        AdmissionDecision decision = dispatcher
+                .cells()
                 .admit(
                         tenant == null ? "" : tenant,
-                        asked.statement().session(),
-                        asked.cluster(),
-                        desk.isWrite(asked.type()) || asked.statement().writes(),
-                        asked.type(),
+                        query.statement().session(),
+                        query.groupNumber(),
+                        query.writes(dispatcher),
+                        query.classIndex(),
                         size,
-                        wire.from(),
-                        arrived,
-                        expiry,
-                        gone);
-        if (leave == null) {
-            return new Answer(null, new MessageWriter(), false);
+                        channel.remoteAddress(),
+                        arrivedNanos,
+                        expiryNanos,
+                        isAbandoned);
+        if (decision == null) {
+            return Result.rejected(new MessageWriter());
         }
-        switch (leave.kind()) {
+        switch (decision.kind()) {
             case REJECT -> {
-                return new Answer(null, ParsedQuery.declined(leave.reason(), leave.retryAfterNanos()), false);
+                return Result.rejected(ErrorResponse.rejected(decision.reason(), decision.retryAfterNanos()));
             }
             case INVALID -> {
-                return new Answer(null, ParsedQuery.error("22023", leave.reason()), false);
+                return Result.rejected(ErrorResponse.error(ErrorResponse.INVALID_PARAMETER_VALUE, decision.reason()));
             }
             default -> {
-                if (joined(leave.permit())) {
-                    return new Answer(leave.permit(), null, false);
+                if (admitConnection(decision.permit())) {
+                    return Result.admitted(decision.permit());
                 }
-                desk.cells().releasePermit(leave.permit());
-                return new Answer(
+                dispatcher.cells().releasePermit(decision.permit());
+                return new Result(
                         null,
-                        new MessageWriter()
-                                .error("FATAL", "53300", "too many connections of this tenant; it has not run", null),
+                        ErrorResponse.fatal(
+                                ErrorResponse.TOO_MANY_CONNECTIONS,
+                                "too many connections of this tenant; it has not run"),
                         true);
             }
         }
     }
 
-    /** The first txn shows whose connection this is; false when its tenant may not have one more. */
-    private boolean joined(AdmissionPermit pass) {
-        if (counted() != null || ahead.over()) {
+    /** The first request shows the connection's tenant; false when the tenant has no quota for one more connection. */
+    private boolean admitConnection(AdmissionPermit permit) {
+        if (connectionPermit() != null || queue.isClosed()) {
             return true;
         }
-        if (!desk.cells().admitConnection(pass)) {
+        if (!dispatcher.cells().admitConnection(permit)) {
             return false;
         }
         synchronized (this) {
-            if (!ahead.over()) {
-                counted = pass;
+            if (!queue.isClosed()) {
+                connectionPermit = permit;
                 return true;
             }
         }
-        desk.cells().releaseConnection(pass);
+        dispatcher.cells().releaseConnection(permit);
         return true;
     }
 
-    /** The leave by which the connection counts, or null. */
-    synchronized AdmissionPermit counted() {
-        return counted;
+    /** The permit by which the connection counts towards its tenant's quota, or null. */
+    synchronized AdmissionPermit connectionPermit() {
+        return connectionPermit;
     }
 
-    /** The connection is over. */
-    void left() {
-        AdmissionPermit connection;
+    /** The connection has closed: it no longer counts towards its tenant's quota. */
+    void releaseConnection() {
+        AdmissionPermit released;
         synchronized (this) {
-            connection = counted;
-            counted = null;
+            released = connectionPermit;
+            connectionPermit = null;
         }
-        if (connection != null) {
-            desk.cells().releaseConnection(connection);
+        if (released != null) {
+            dispatcher.cells().releaseConnection(released);
         }
     }
 }
--- a/src/main/java/beaconladder/server/ClientAcceptor.java
+++ b/src/main/java/beaconladder/server/ClientAcceptor.java
@@ -11,25 +11,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Listens for clients and takes them in, within the descriptors there are; for the reader's thread alone. */
+/** Listens for clients and accepts them, within the limit of descriptors; for the reader's thread alone. */
 final class ClientAcceptor {
     private static final Logger LOG = LoggerFactory.getLogger(ClientAcceptor.class);
     private static final int BACKLOG = 1024;
-    /** So long nobody is taken in after the system gave no connection. */
-    private static final long REST_NANOS = 50_000_000;
-    /** After so many failures on end, half a second, room is made: it may be ours that lacks. */
-    private static final int PATIENT_FAILURES = 10;
+    /** The pause after an accept that failed. */
+    private static final long RETRY_DELAY_NANOS = 50_000_000;
+    /** After this many consecutive failures, half a second, a descriptor is freed: the shortage may be our own. */
+    private static final int FAILURES_BEFORE_FREEING = 10;
 
     private final Selector selector;
     private final ServerSocketChannel listener;
     private final DescriptorLimit descriptors;
-    private final ConnectionTable crowd;
+    private final ConnectionTable connectionTable;
     private final Monitor monitor;
-    private final Consumer<SocketChannel> taker;
-    /** Whether clients wait in the listener's queue, for a descriptor or for the end of a rest. */
+    private final Consumer<SocketChannel> onAccepted;
+    /** Whether clients wait in the listener's queue, for a descriptor or for the end of a pause. */
     private boolean queued;
 
-    private long againAt = System.nanoTime();
+    private long retryNanoTime = System.nanoTime();
     private int failures;
 
     /** Listens at this address from now on. */
@@ -37,15 +37,15 @@
             Selector selector,
             InetSocketAddress address,
             DescriptorLimit descriptors,
-            ConnectionTable crowd,
+            ConnectionTable connectionTable,
             Monitor monitor,
-            Consumer<SocketChannel> taker)
+            Consumer<SocketChannel> onAccepted)
             throws IOException {
         this.selector = selector;
         this.descriptors = descriptors;
-        this.crowd = crowd;
+        this.connectionTable = connectionTable;
         this.monitor = monitor;
-        this.taker = taker;
+        this.onAccepted = onAccepted;
         listener = ServerSocketChannel.open();
         listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         listener.bind(address, BACKLOG);
@@ -53,22 +53,22 @@
         listener.register(selector, SelectionKey.OP_ACCEPT);
     }
 
-    /** Takes in who had to wait, once that may help. */
+    /** Accepts the clients that had to wait, once the pause is over. */
     void acceptQueued() {
-        if (queued && System.nanoTime() - againAt >= 0) {
+        if (queued && System.nanoTime() - retryNanoTime >= 0) {
             accept();
         }
     }
 
     /**
-     * Takes in who waits, while there are descriptors: the others stay in the listener's queue, where their time runs
-     * but nothing of theirs is lost.
+     * Accepts the clients that wait, while there are descriptors: the others stay in the listener's queue, where their
+     * time runs but nothing that they send is lost.
      */
     void accept() {
         try {
             queued = false;
             while (listener.isOpen()) {
-                crowd.makeRoomFor(descriptors.held());
+                connectionTable.freeDescriptorsForNext(descriptors.held());
                 queued = !descriptors.acquire(DescriptorLimit.Use.CLIENT);
                 SocketChannel channel = queued ? null : listener.accept();
                 if (channel == null) {
@@ -76,41 +76,41 @@
                     break;
                 }
                 failures = 0;
-                taker.accept(channel);
+                onAccepted.accept(channel);
             }
-            watch(!queued);
+            setAccepting(!queued);
         } catch (IOException e) {
             descriptors.release(DescriptorLimit.Use.CLIENT, 1);
-            failed(e);
+            onFailure(e);
         }
     }
 
     /**
-     * The system gives no connection now, for what may end by itself (a connection that was aborted, a table that is
-     * full), so nobody is ended for it at once, and the others are read on.
+     * The system accepts no connection now, for a cause that may be temporary (a connection that was aborted, a table
+     * that is full), so no connection is closed for it at once, and the others are still served.
      */
-    private void failed(IOException cause) {
+    private void onFailure(IOException cause) {
         failures++;
-        againAt = System.nanoTime() + REST_NANOS;
+        retryNanoTime = System.nanoTime() + RETRY_DELAY_NANOS;
         queued = listener.isOpen();
         monitor.counters().add("network", LocalNetworkFault.ACCEPT);
         if (failures == 1) {
             LOG.warn("no client can be taken in, tried again: {}", cause.toString());
         }
-        if (failures > PATIENT_FAILURES) {
-            crowd.makeRoom();
+        if (failures > FAILURES_BEFORE_FREEING) {
+            connectionTable.freeDescriptor();
         }
-        watch(false);
+        setAccepting(false);
     }
 
-    private void watch(boolean now) {
+    private void setAccepting(boolean accepting) {
         SelectionKey key = listener.keyFor(selector);
         if (key != null && key.isValid()) {
-            key.interestOps(now ? SelectionKey.OP_ACCEPT : 0);
+            key.interestOps(accepting ? SelectionKey.OP_ACCEPT : 0);
         }
     }
 
-    /** Ends it, with all taken in that stand in its queue: a close would reset them. */
+    /** Closes the listener after accepting all clients in its queue, which the close would reset. */
     void close() {
         accept();
         try {
--- a/src/main/java/beaconladder/server/ClientChannel.java
+++ b/src/main/java/beaconladder/server/ClientChannel.java
@@ -6,30 +6,30 @@
 import java.nio.channels.ByteChannel;
 import java.nio.channels.SocketChannel;
 
-/** A client's connection, which never makes its user wait: it reads and writes what can be done at once. */
+/** A client's non-blocking connection: reads and writes transfer what is possible at once. */
 interface ClientChannel extends ByteChannel {
-    /** Ends what is written; the other side may still write. */
+    /** Half-closes the connection; the other side may still write. */
     void shutdownOutput() throws IOException;
 
-    /** The other side's address, or null where there is none. */
-    default InetAddress from() {
+    /** The client's address, or null for a connection in memory. */
+    default InetAddress remoteAddress() {
         return null;
     }
 
-    /** Over a socket. */
-    record Real(SocketChannel channel) implements ClientChannel {
+    /** A connection over a socket. */
+    record OfSocket(SocketChannel channel) implements ClientChannel {
         @Override
-        public int read(ByteBuffer into) throws IOException {
-            return channel.read(into);
+        public int read(ByteBuffer target) throws IOException {
+            return channel.read(target);
         }
 
         @Override
-        public int write(ByteBuffer from) throws IOException {
-            return channel.write(from);
+        public int write(ByteBuffer source) throws IOException {
+            return channel.write(source);
         }
 
         @Override
-        public InetAddress from() {
+        public InetAddress remoteAddress() {
             return channel.socket().getInetAddress();
         }
 
--- a/src/main/java/beaconladder/server/ClientConnection.java
+++ b/src/main/java/beaconladder/server/ClientConnection.java
@@ -6,246 +6,241 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A client's connection as its reader sees it: messages come in, it is told to go, it leaves. */
+/**
+ * A client's connection: reads its messages, and decides when it is closed. For the reader's thread but where noted.
+ */
 final class ClientConnection {
     private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
-    /** A startup message is due so long after the connection, and the rest of a message after its first byte. */
-    private static final long OPENING = 2_000_000_000L;
-    /** So much is read of a client after its end was told, so that it sees the message. */
-    private static final int WASTE = 64 * 1024;
-    /** So much is read of a client with too many queries ahead: its end stands behind it. Some hundred. */
-    private static final int BEHIND = 128 * 1024;
-    /** What a client still sends after its end was told is read so long. */
+    /** The startup message is due this long after the connection, the rest of a message after its first byte. */
+    private static final long MESSAGE_TIMEOUT_NANOS = 2_000_000_000L;
+    /** This much is still read and discarded after the final error, so that the client receives the error. */
+    private static final int MAX_DISCARDED_BYTES = 64 * 1024;
+    /** This much is read behind a full pipeline, as the client's close may follow it: some hundred queries. */
+    private static final int MAX_BYTES_BEHIND_FULL_QUEUE = 128 * 1024;
+    /** What a client still sends after the final error is read for this long. */
     static final long LINGER_NANOS = 500_000_000L;
 
-    private final ClientServer clients;
-    private final RequestDispatcher desk;
-    private final ClientChannel wire;
+    private final ClientServer clientServer;
+    private final RequestDispatcher dispatcher;
+    private final ClientChannel channel;
     private final MessageReader in;
-    private final PipelineQueue ahead = new PipelineQueue();
+    private final PipelineQueue queue = new PipelineQueue();
+    private final ClientActivity activity = new ClientActivity();
     private final RequestTask task;
     private final ClientReader reader;
-    private int wasted;
-    /** Whether the last look at it was taken: no txn is taken in but the rest of a query that has begun. */
-    private boolean lastLook;
+    private final long cancelKey;
+    private int discardedBytes;
+    /** Whether the final read has been done: afterwards only a message that had begun is completed. */
+    private boolean finalReadDone;
+    /** Whether the message that had begun at the final read is still incomplete. */
+    private boolean restExpected;
+    /** Whether its large messages count towards the memory of its tenant's cell. */
+    private boolean chargedToCell;
+    /** When the bytes that the reader handles were read, on the dispatcher's clock. */
+    private long readNanos;
 
-    private boolean restDue;
-    /** What a request has to name to cancel what is in hand here. */
-    private final long key;
-    /** Whether its large messages count as those of its tenant's cell yet. */
-    private boolean charged;
-    /** When it last did something, on System.nanoTime's clock. */
-    private volatile long usedAt = System.nanoTime();
-    /** Whether it has asked for something that is served here. */
-    private volatile boolean known;
-
-    private long cameAt;
-    /** When its end was told, or 0. */
-    private volatile long endedAt;
-
-    ClientConnection(ClientServer clients, RequestDispatcher desk, ServerConnectionPool lines, ClientChannel wire) {
-        this.clients = clients;
-        this.desk = desk;
-        this.wire = wire;
-        this.key = clients.crowd().newKey();
-        this.in = new MessageReader(clients.room());
-        this.task = new RequestTask(this, clients, desk, lines, ahead);
-        this.reader = new ClientReader(this, clients, desk, in, ahead, task);
-    }
-
-    ClientChannel wire() {
-        return wire;
-    }
-
-    long key() {
-        return key;
-    }
-
-    long usedAt() {
-        return usedAt;
+    ClientConnection(
+            ClientServer clientServer,
+            RequestDispatcher dispatcher,
+            ServerConnectionPool serverConnections,
+            ClientChannel channel) {
+        this.clientServer = clientServer;
+        this.dispatcher = dispatcher;
+        this.channel = channel;
+        this.cancelKey = clientServer.connectionTable().newCancelKey();
+        this.in = new MessageReader(clientServer.memoryLimit());
+        this.task = new RequestTask(this, clientServer, dispatcher, serverConnections, queue);
+        this.reader = new ClientReader(this, clientServer, dispatcher, in, queue, task);
     }
 
-    void used() {
-        usedAt = System.nanoTime();
+    ClientChannel channel() {
+        return channel;
     }
 
-    /** Its end was told just now. */
-    void told() {
-        endedAt = System.nanoTime();
+    /** The key by which a CancelRequest names this connection. */
+    long cancelKey() {
+        return cancelKey;
     }
 
-    /** When what the reader looks at came in. */
-    long cameAt() {
-        return cameAt;
+    /** When the client was last active and whether the connection is closing; for any thread. */
+    ClientActivity activity() {
+        return activity;
     }
 
-    boolean known() {
-        return known;
+    /** When the bytes that the reader handles were read, on the dispatcher's clock. */
+    long readNanos() {
+        return readNanos;
     }
 
-    void known(boolean now) {
-        known = now;
+    /** Whether its tenant's cell uses more connections than its quota. */
+    boolean exceedsCellQuota() {
+        AdmissionPermit permit = task.connectionPermit();
+        return permit != null && dispatcher.cells().borrowsConnections(permit);
     }
 
-    boolean ending() {
-        return endedAt != 0;
-    }
-
-    /** Whether its tenant's cell holds more connections than its own. */
-    boolean borrows() {
-        AdmissionPermit of = task.counted();
-        return of != null && desk.cells().borrowsConnections(of);
-    }
-
-    /** Takes in what is there and does what it says; false when the connection is over. */
+    /** Reads what has arrived and handles it; false when the connection is closed. */
     boolean onReadable() {
         try {
-            AdmissionPermit tenant = charged || !desk.hasCells() ? null : task.counted();
-            if (tenant != null) {
-                in.charge(clients.room(tenant.cellIndex()));
-                charged = true;
+            chargeCell();
+            int n = in.feed(channel);
+            if (!queue.isFull()) {
+                readNanos = dispatcher.nowNanos();
             }
-            int n = in.feed(wire);
-            if (!ahead.full()) {
-                cameAt = desk.nowNanos();
-            }
-            if (endedAt != 0) {
+            if (activity.isClosing()) {
                 in.drop();
-                wasted += Math.max(0, n);
+                discardedBytes += Math.max(0, n);
                 if (n < 0) {
-                    leave(CloseCause.TOLD_TO_GO);
+                    close(CloseCause.TOLD_TO_GO);
                 }
             } else if (n >= 0) {
-                reader.pump();
-            } else if (in.more() && ahead.idle()) {
-                reader.sendAway("a message that is cut off");
+                reader.handleMessages();
+            } else if (in.more() && queue.isIdle()) {
+                reader.closeWithError("a message that is cut off");
             } else {
-                // With a txn in hand, too: a half-close can't be told from having gone.
-                leave(CloseCause.CLIENT_CLOSED);
+                // Also with a request in flight: a half-close can't be distinguished from a full one.
+                close(CloseCause.CLIENT_CLOSED);
             }
         } catch (IOException e) {
             LOG.debug("a client's connection broke: {}", e.toString());
-            leave(CloseCause.CLIENT_BROKEN);
+            close(CloseCause.CLIENT_BROKEN);
         } catch (RuntimeException | Error e) {
             LOG.error("a client's connection ends", e);
-            leave(CloseCause.FAULT);
+            close(CloseCause.FAULT);
+        }
+        return channel.isOpen();
+    }
+
+    /** From the first admitted request on, its large messages count towards its cell's memory limit. */
+    private void chargeCell() {
+        AdmissionPermit permit = chargedToCell || !dispatcher.hasCells() ? null : task.connectionPermit();
+        if (permit != null) {
+            in.charge(clientServer.memoryLimit(permit.cellIndex()));
+            chargedToCell = true;
         }
-        return wire.isOpen();
     }
 
     /**
-     * Whether more is to be read now: not of who has far too much ahead, or goes on after its end. Behind the last look
-     * only the sweep reads on.
+     * Whether more is to be read now: not from a client that has pipelined too much, or continues after the final
+     * error. After the final read only the sweep reads.
      */
-    boolean reads() {
-        return wasted < WASTE
-                && !(ahead.full() && in.holds(BEHIND))
-                && !(lastLook && endedAt == 0 && in.begunAt() == 0);
+    boolean wantsRead() {
+        return discardedBytes < MAX_DISCARDED_BYTES
+                && !(queue.isFull() && in.holds(MAX_BYTES_BEHIND_FULL_QUEUE))
+                && !(finalReadDone && !activity.isClosing() && in.begunAt() == 0);
     }
 
-    /** Whether a query that has come in now is refused, as it began behind the last look. */
-    boolean tooLate() {
-        boolean late = lastLook && !restDue;
-        restDue = false;
+    /** Whether a query that has arrived now is rejected, as its first byte came after the final read. */
+    boolean isTooLate() {
+        boolean late = finalReadDone && !restExpected;
+        restExpected = false;
         return late;
     }
 
-    /** The client wants no answer any more to what is in hand here. */
+    /** Cancels the query whose answer is due next. */
     void cancel() {
         task.cancel();
     }
 
-    /** Goes on once its task has got on; false when the connection is over. */
+    /** Handles messages again once the tasks have made progress; false when the connection is closed. */
     boolean resume() {
         try {
-            reader.pump();
+            reader.handleMessages();
         } catch (IOException e) {
-            leave(CloseCause.CLIENT_BROKEN);
+            close(CloseCause.CLIENT_BROKEN);
         }
-        return wire.isOpen();
+        return channel.isOpen();
     }
 
-    void leave(CloseCause cause) {
-        // Before anything else: what a client writes from here on stays unread, and it is told so by a reset.
-        close();
-        int unanswered = ahead.unanswered();
-        desk.monitor().counters().add("closed", cause);
-        EventTrace.clientClosed(key, cause, unanswered, in.unread());
-        if (!cause.byClient()) {
-            desk.monitor().invariants().checkClosedConnection(cause.name(), unanswered);
+    void close(CloseCause cause) {
+        // Before anything else: what a client sends from here on stays unread, and a reset informs it of that.
+        closeChannel();
+        int unanswered = queue.unansweredQueries();
+        dispatcher.monitor().counters().add("closed", cause);
+        EventTrace.clientClosed(cancelKey, cause, unanswered, in.unread());
+        if (!cause.isByClient()) {
+            dispatcher.monitor().invariants().checkClosedConnection(cause.name(), unanswered);
         }
-        task.left();
-        clients.gone(this);
+        task.onDisconnected();
+        clientServer.onClosed(this);
         in.release();
     }
 
-    void close() {
+    /** Closes the channel alone; for any thread. The reader's sweep does the rest. */
+    void closeChannel() {
         try {
-            wire.close();
+            channel.close();
         } catch (IOException e) {
             LOG.debug("a client's connection: {}", e.toString());
         }
     }
 
-    /** Sends those away that are late with what they began; false when the connection is over. */
-    boolean sweep(long now) {
-        long ended = endedAt;
-        if (!wire.isOpen() || ended != 0 && now - ended > LINGER_NANOS && !ahead.busy()) {
-            leave(ended != 0 ? CloseCause.TOLD_TO_GO : CloseCause.CLIENT_BROKEN);
+    /** Closes the connection if a time-out has passed; false when it is closed. */
+    boolean sweep(long nowNanoTime) {
+        long closingSince = activity.closingSinceNanoTime();
+        if (!channel.isOpen()
+                || closingSince != 0 && nowNanoTime - closingSince > LINGER_NANOS && !queue.hasEntries()) {
+            close(closingSince != 0 ? CloseCause.TOLD_TO_GO : CloseCause.CLIENT_BROKEN);
             return false;
         }
-        if (lastLook && ended == 0 && ahead.owes() && !onReadable()) {
+        if (finalReadDone && closingSince == 0 && queue.hasUnwritten() && !onReadable()) {
             return false;
         }
         try {
-            if (ended == 0 && !reader.greeted() && now - usedAt > OPENING) {
-                reader.greet(StartupResponse.fatal("08P01", "no startup message in time"));
-            } else if (ended == 0 && in.begunAt() != 0 && now - in.begunAt() > OPENING) {
-                reader.sendAway("a message whose rest did not come in time");
+            if (closingSince == 0
+                    && !reader.isStarted()
+                    && nowNanoTime - activity.lastUsedNanoTime() > MESSAGE_TIMEOUT_NANOS) {
+                reader.respond(StartupResponse.fatal(ErrorResponse.PROTOCOL_VIOLATION, "no startup message in time"));
+            } else if (closingSince == 0 && in.begunAt() != 0 && nowNanoTime - in.begunAt() > MESSAGE_TIMEOUT_NANOS) {
+                reader.closeWithError("a message whose rest did not come in time");
             }
         } catch (IOException e) {
-            leave(CloseCause.CLIENT_BROKEN);
+            close(CloseCause.CLIENT_BROKEN);
         }
-        return wire.isOpen();
+        return channel.isOpen();
     }
 
     /**
-     * Ends the connection if it has lain idle since before this nanoTime, with what has come in unread looked at first;
-     * the client sees its end. For the reader alone.
+     * Closes the connection if it has been idle since before this nanoTime, after a last read of what has arrived; the
+     * client sees the close.
      */
-    boolean closeIfIdle(long since) {
-        if (endedAt != 0 || !lastLook && !onReadable() || usedAt >= since || !idle(since)) {
+    boolean closeIfIdle(long sinceNanoTime) {
+        if (activity.isClosing()
+                || !finalReadDone && !onReadable()
+                || activity.lastUsedNanoTime() >= sinceNanoTime
+                || !isIdle(sinceNanoTime)) {
             return false;
         }
-        // Closed, not half-closed: a query that crosses this is answered by a reset, so it is known not to
-        // have been read. The last look comes right before the close, as this thread may stand still between
+        // Closed, not half-closed: a query that crosses the close is answered by a reset, so the client knows that
+        // it was not read. The last read comes right before the close, as this thread may be suspended between
         // any two steps.
         try {
-            if (!lastLook && in.feed(wire) > 0) {
-                cameAt = desk.nowNanos();
-                reader.pump();
+            if (!finalReadDone && in.feed(channel) > 0) {
+                readNanos = dispatcher.nowNanos();
+                reader.handleMessages();
                 return false;
             }
         } catch (IOException e) {
             LOG.debug("a client's connection broke: {}", e.toString());
         }
-        leave(lastLook || clients.draining() != null ? CloseCause.DRAINED : CloseCause.IDLE);
+        close(finalReadDone || clientServer.shutdown() != null ? CloseCause.DRAINED : CloseCause.IDLE);
         return true;
     }
 
     /**
-     * The router ends: this connection is looked at for the last time, and closed now or after the answers to what has
-     * come in by then; else a client that writes on and on would keep it open until the kill. While the last answers
-     * are due the sweep still reads what comes, for the client's end may stand behind it, and declines it; what crosses
-     * the last is unread.
+     * The router shuts down: reads the connection for the last time, and closes it now or after the answers to what has
+     * arrived by then; otherwise a client that keeps sending would keep it open until the process is killed. While the
+     * last answers are due the sweep still reads, as the client's close may follow, and rejects the queries it finds;
+     * what crosses the last answer stays unread.
      */
-    void lastLook() {
+    void readForLastTime() {
         closeIfIdle(Long.MAX_VALUE);
-        lastLook = true;
-        restDue = in.begunAt() != 0;
+        finalReadDone = true;
+        restExpected = in.begunAt() != 0;
     }
 
-    private boolean idle(long since) {
-        return ahead.idle() && endedAt == 0 && (in.begunAt() == 0 || !known && in.begunAt() < since);
+    private boolean isIdle(long sinceNanoTime) {
+        return queue.isIdle()
+                && !activity.isClosing()
+                && (in.begunAt() == 0 || !activity.hasSentRequest() && in.begunAt() < sinceNanoTime);
     }
 }
--- a/src/main/java/beaconladder/server/ClientReader.java
+++ b/src/main/java/beaconladder/server/ClientReader.java
@@ -6,153 +6,162 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** What a client's messages say, one after the other; for the one thread that reads for all clients. */
+/** Handles a client's messages, one after the other; for the one thread that reads for all clients. */
 final class ClientReader {
     private final ClientConnection client;
-    private final ClientServer clients;
-    private final RequestDispatcher desk;
-    private final ClientChannel wire;
+    private final ClientServer clientServer;
+    private final RequestDispatcher dispatcher;
+    private final ClientChannel channel;
     private final MessageReader in;
-    private final PipelineQueue ahead;
+    private final PipelineQueue queue;
     private final RequestTask task;
-    private boolean greeted;
-    private boolean skipping;
+    /** Whether the startup is complete. */
+    private boolean started;
+    /** Whether messages of the extended protocol are skipped until Sync. */
+    private boolean skippingToSync;
 
     ClientReader(
             ClientConnection client,
-            ClientServer clients,
-            RequestDispatcher desk,
+            ClientServer clientServer,
+            RequestDispatcher dispatcher,
             MessageReader in,
-            PipelineQueue ahead,
+            PipelineQueue queue,
             RequestTask task) {
         this.client = client;
-        this.clients = clients;
-        this.desk = desk;
-        this.wire = client.wire();
+        this.clientServer = clientServer;
+        this.dispatcher = dispatcher;
+        this.channel = client.channel();
         this.in = in;
-        this.ahead = ahead;
+        this.queue = queue;
         this.task = task;
     }
 
-    /** Whether the client has been greeted. */
-    boolean greeted() {
-        return greeted;
+    /** Whether the startup is complete. */
+    boolean isStarted() {
+        return started;
     }
 
-    /** Handles all messages that are there whole. */
-    void pump() throws IOException {
-        while (!client.ending()) {
-            if (ahead.pauses()) {
+    /** Handles all messages that have arrived completely. */
+    void handleMessages() throws IOException {
+        while (!client.activity().isClosing()) {
+            if (queue.pauseReaderIfFull()) {
                 in.pause();
                 return;
             }
-            Got got = in.poll(!greeted);
+            Got got = in.poll(!started);
             if (got == Got.NOTHING) {
                 return;
             }
             if (got != Got.MESSAGE) {
-                if (greeted) {
-                    sendAway(
+                if (started) {
+                    closeWithError(
                             got == Got.NO_ROOM
                                     ? "a long message while there is no room for more of them"
                                     : "a message of impossible length");
                 } else {
-                    greet(StartupResponse.fatal("08P01", "a startup message of impossible length"));
+                    respond(StartupResponse.fatal(
+                            ErrorResponse.PROTOCOL_VIOLATION, "a startup message of impossible length"));
                 }
-            } else if (greeted) {
-                client.used();
-                message();
+            } else if (started) {
+                client.activity().markUsed();
+                handleMessage();
             } else {
-                greet(StartupResponse.of(in, clients.crowd().full(), client.key()));
+                respond(StartupResponse.of(in, clientServer.connectionTable().isFull(), client.cancelKey()));
             }
         }
     }
 
-    void greet(StartupResponse greeting) throws IOException {
-        if (greeting.kind() == StartupResponse.Kind.CANCEL) {
-            clients.crowd().cancel(greeting.key());
-            client.leave(CloseCause.CANCEL_REQUEST);
+    /** Sends the response to a startup message. */
+    void respond(StartupResponse response) throws IOException {
+        if (response.kind() == StartupResponse.Kind.CANCEL) {
+            clientServer.connectionTable().cancel(response.key());
+            client.close(CloseCause.CANCEL_REQUEST);
             return;
         }
-        greeted = greeting.kind() == StartupResponse.Kind.GREETED;
-        if (greeted) {
-            client.used();
+        started = response.kind() == StartupResponse.Kind.COMPLETE;
+        if (started) {
+            client.activity().markUsed();
         }
-        sendNow(greeting.answer());
-        if (greeting.kind() == StartupResponse.Kind.FATAL) {
-            wire.shutdownOutput();
-            client.told();
+        sendNow(response.answer());
+        if (response.kind() == StartupResponse.Kind.FATAL) {
+            channel.shutdownOutput();
+            client.activity().markClosing();
         }
     }
 
-    private void message() throws IOException {
+    private void handleMessage() throws IOException {
         switch (in.type()) {
             case 'Q' -> {
                 if (!in.texts(1)) {
-                    sendAway("a query that is not one text");
-                } else if (skipping) {
+                    closeWithError("a query that is not one text");
+                } else if (skippingToSync) {
                     return;
-                } else if (client.tooLate()) {
-                    // It came after the last look: declined in its turn, and sent nowhere.
-                    refused(QueryRejection.DRAINING);
-                    add(new PipelineQueue.Work(ParsedQuery.error("57P03", "this router ends; it has not run"), false));
+                } else if (client.isTooLate()) {
+                    // It arrived after the final read: rejected in its turn, and not forwarded.
+                    QueryRejection.DRAINING.record(dispatcher.monitor());
+                    add(new PipelineEntry(
+                            ErrorResponse.error(ErrorResponse.CANNOT_CONNECT_NOW, "this router ends; it has not run"),
+                            false));
                 } else {
-                    add(new PipelineQueue.Work(in.onlyText(), client.cameAt()));
+                    add(new PipelineEntry(in.onlyText(), client.readNanos()));
                 }
             }
-            case 'X' -> client.leave(CloseCause.CLIENT_TERMINATED);
+            case 'X' -> client.close(CloseCause.CLIENT_TERMINATED);
             case 'P', 'B', 'D', 'E', 'C', 'F', 'H', 'd', 'c', 'f' -> {
-                if (!skipping) {
-                    skipping = true;
-                    add(new PipelineQueue.Work(
-                            new MessageWriter().error("ERROR", "0A000", "only simple queries are spoken here", null),
+                if (!skippingToSync) {
+                    skippingToSync = true;
+                    add(new PipelineEntry(
+                            new MessageWriter()
+                                    .error(
+                                            "ERROR",
+                                            ErrorResponse.FEATURE_NOT_SUPPORTED,
+                                            "only simple queries are spoken here",
+                                            null),
                             false));
                 }
             }
             case 'S' -> {
-                skipping = false;
-                add(new PipelineQueue.Work(new MessageWriter().ready(), false));
+                skippingToSync = false;
+                add(new PipelineEntry(new MessageWriter().ready(), false));
             }
-            default -> sendAway("a message of an unknown type");
+            default -> closeWithError("a message of an unknown type");
         }
     }
 
-    private void refused(QueryRejection why) {
-        desk.monitor().counters().add("door", why);
-        EventTrace.rejectedEarly("refused: " + why);
-    }
-
-    void sendAway(String cause) throws IOException {
-        add(new PipelineQueue.Work(new MessageWriter().error("FATAL", "08P01", cause, null), true));
-        client.told();
+    /** Sends an error in its turn, after which the connection closes. */
+    void closeWithError(String message) throws IOException {
+        add(new PipelineEntry(ErrorResponse.fatal(ErrorResponse.PROTOCOL_VIOLATION, message), true));
+        client.activity().markClosing();
     }
 
-    private void add(PipelineQueue.Work next) throws IOException {
-        switch (ahead.add(next)) {
+    private void add(PipelineEntry entry) throws IOException {
+        switch (queue.add(entry)) {
             case START_TASK -> {
-                if (!clients.execute(task) && ahead.abandon(next)) {
-                    // No thread is left to see a txn through: it is declined before it is taken in hand.
-                    refused(QueryRejection.NO_THREAD);
-                    sendNow(ParsedQuery.error("53300", "declined, as too many txns are in hand; it has not run"));
+                if (!clientServer.execute(task) && queue.releaseTask(entry)) {
+                    // No thread is left to complete the request: it is rejected before it is submitted.
+                    QueryRejection.NO_THREAD.record(dispatcher.monitor());
+                    sendNow(ErrorResponse.error(
+                            ErrorResponse.TOO_MANY_CONNECTIONS,
+                            "declined, as too many txns are in hand; it has not run"));
                 }
             }
             case WRITE_NOW -> {
-                // What needs no task is written here; nobody else writes while none is busy.
-                sendNow(next.answer());
-                if (next.last()) {
-                    wire.shutdownOutput();
+                // What needs no task is written here; no other thread writes while no task is busy.
+                sendNow(entry.answer());
+                if (entry.closesConnection()) {
+                    channel.shutdownOutput();
                 }
             }
             default -> {}
         }
     }
 
-    /** Writes a short message without waiting; who lets even that pile up is sent away. */
+    /** Writes a short message without waiting; a client that does not read even that is disconnected. */
     private void sendNow(MessageWriter out) throws IOException {
         ByteBuffer bytes = out.bytes();
-        wire.write(bytes);
+        channel.write(bytes);
         if (bytes.hasRemaining()) {
-            throw new IOException("the client takes nothing in");
+            throw new ClientStalledException();
         }
     }
 }
--- a/src/main/java/beaconladder/server/ClientServer.java
+++ b/src/main/java/beaconladder/server/ClientServer.java
@@ -13,91 +13,93 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes clients in, within the descriptors there are. */
+/** Serves clients: one thread accepts them and reads for all of them, within the limits of descriptors and memory. */
 final class ClientServer implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(ClientServer.class);
     private static final int SWEEP_MILLIS = 50;
 
-    private final RequestDispatcher desk;
-    private final ServerConnectionPool lines;
-    private final ThreadLimit threads;
-    private final MemoryLimit room;
-    /** Of it, what the clients of each cell may take for large messages; empty where there are no cells. */
-    private final List<MemoryLimit> rooms;
+    private final RequestDispatcher dispatcher;
+    private final ServerConnectionPool serverConnections;
+    private final ThreadLimit threadLimit;
+    private final MemoryLimit memoryLimit;
+    /** The part of it that the clients of each cell may use for large messages; empty where there are no cells. */
+    private final List<MemoryLimit> cellMemoryLimits;
 
     private final DescriptorLimit descriptors;
-    private final ConnectionTable crowd;
+    private final ConnectionTable connectionTable;
     private final Queue<ClientConnection> resumed = new ConcurrentLinkedQueue<>();
     private Selector selector;
     private ClientAcceptor acceptor;
-    /** Closed since the last selection began: the selector holds their descriptors until the next one. */
-    private int closing;
-    /** The planned end that has come, or null. */
-    private volatile GracefulShutdown draining;
+    /** Connections closed since the last selection began: the selector holds their descriptors until the next one. */
+    private int closedSinceSelect;
+    /** The graceful shutdown that has begun, or null. */
+    private volatile GracefulShutdown shutdown;
 
     ClientServer(
-            RequestDispatcher desk,
-            ServerConnectionPool lines,
-            ThreadLimit threads,
-            MemoryLimit room,
-            List<MemoryLimit> rooms,
+            RequestDispatcher dispatcher,
+            ServerConnectionPool serverConnections,
+            ThreadLimit threadLimit,
+            MemoryLimit memoryLimit,
+            List<MemoryLimit> cellMemoryLimits,
             DescriptorLimit descriptors,
-            int stated) {
-        this.desk = desk;
-        this.lines = lines;
-        this.threads = threads;
-        this.room = room;
-        this.rooms = rooms;
+            int maxDescriptors) {
+        this.dispatcher = dispatcher;
+        this.serverConnections = serverConnections;
+        this.threadLimit = threadLimit;
+        this.memoryLimit = memoryLimit;
+        this.cellMemoryLimits = cellMemoryLimits;
         this.descriptors = descriptors;
-        this.crowd = new ConnectionTable(lines, descriptors, stated);
+        this.connectionTable = new ConnectionTable(serverConnections, descriptors, maxDescriptors);
     }
 
+    /** Accepts clients at this address from now on. */
     void listen(InetSocketAddress address) throws IOException {
         selector = Selector.open();
-        acceptor = new ClientAcceptor(selector, address, descriptors, crowd, desk.monitor(), this::take);
+        acceptor = new ClientAcceptor(
+                selector, address, descriptors, connectionTable, dispatcher.monitor(), this::register);
     }
 
-    /** Reads for all clients until the last has gone after the end. */
+    /** Reads for all clients until, after a drain, the last connection is closed. */
     @Override
     public void run() {
-        long swept = System.nanoTime();
-        boolean ends = false;
-        while (!ends || !crowd.all().isEmpty()) {
+        long lastSweep = System.nanoTime();
+        boolean listenerClosed = false;
+        while (!listenerClosed || !connectionTable.all().isEmpty()) {
             try {
-                int closed = closing;
-                closing = 0;
+                int closed = closedSinceSelect;
+                closedSinceSelect = 0;
                 try {
-                    selector.select(this::ready, SWEEP_MILLIS);
+                    selector.select(this::onReady, SWEEP_MILLIS);
                 } finally {
                     descriptors.release(DescriptorLimit.Use.CLIENT, closed);
                 }
                 acceptor.acceptQueued();
                 resume();
-                if (draining != null && !ends) {
-                    ends = true;
+                if (shutdown != null && !listenerClosed) {
+                    listenerClosed = true;
                     acceptor.close();
-                    crowd.all().forEach(client -> {
-                        client.lastLook();
-                        interest(client);
+                    connectionTable.all().forEach(client -> {
+                        client.readForLastTime();
+                        updateInterest(client);
                     });
                 }
                 long now = System.nanoTime();
-                if (now - swept >= SWEEP_MILLIS * 1_000_000L) {
-                    swept = now;
+                if (now - lastSweep >= SWEEP_MILLIS * 1_000_000L) {
+                    lastSweep = now;
                     sweep(now);
                 }
             } catch (IOException | RuntimeException | Error e) {
                 LOG.error("reading for clients goes on after a fault", e);
-                crowd.makeRoom();
-                ConnectionTable.pause();
+                connectionTable.freeDescriptor();
+                ConnectionTable.pauseAfterFault();
             }
         }
         finishCloses();
     }
 
     /**
-     * A channel that was closed keeps its descriptor until the next selection, and what its client sent last is told
-     * unread by a reset only then. Left to the end of the process that would come some 400 ms later.
+     * A closed channel keeps its descriptor until the next selection, and only then a reset informs its client that the
+     * last bytes were not read. At the exit of the process that would happen some 400 ms later.
      */
     private void finishCloses() {
         try {
@@ -109,49 +111,50 @@
 
     private void resume() {
         for (ClientConnection client = resumed.poll(); client != null; client = resumed.poll()) {
-            if (crowd.all().contains(client) && client.resume()) {
-                interest(client);
-                if (draining != null) {
+            if (connectionTable.all().contains(client) && client.resume()) {
+                updateInterest(client);
+                if (shutdown != null) {
                     client.closeIfIdle(Long.MAX_VALUE);
                 }
             }
         }
     }
 
-    private void ready(SelectionKey key) {
+    private void onReady(SelectionKey key) {
         if (!key.isValid()) {
             return;
         }
         if (key.attachment() instanceof ClientConnection client) {
             if (client.onReadable()) {
-                interest(client);
+                updateInterest(client);
             }
         } else {
             acceptor.accept();
         }
     }
 
-    private void interest(ClientConnection client) {
-        SelectionKey key = ((ClientChannel.Real) client.wire()).channel().keyFor(selector);
+    private void updateInterest(ClientConnection client) {
+        SelectionKey key = ((ClientChannel.OfSocket) client.channel()).channel().keyFor(selector);
         if (key != null && key.isValid()) {
-            key.interestOps(client.reads() ? SelectionKey.OP_READ : 0);
+            key.interestOps(client.wantsRead() ? SelectionKey.OP_READ : 0);
         }
     }
 
-    private void take(SocketChannel channel) {
-        ClientConnection client = new ClientConnection(this, desk, lines, new ClientChannel.Real(channel));
-        crowd.all().add(client);
+    private void register(SocketChannel channel) {
+        ClientConnection client =
+                new ClientConnection(this, dispatcher, serverConnections, new ClientChannel.OfSocket(channel));
+        connectionTable.all().add(client);
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             channel.register(selector, SelectionKey.OP_READ, client);
         } catch (IOException e) {
             LOG.debug("a client's connection broke: {}", e.toString());
-            client.leave(CloseCause.CLIENT_BROKEN);
+            client.close(CloseCause.CLIENT_BROKEN);
         }
     }
 
-    /** A client's task has room again for what the client wrote ahead. */
+    /** Has the reader handle a client's messages again, as its pipeline has space again; for any thread. */
     void resume(ClientConnection client) {
         resumed.add(client);
         if (selector != null) {
@@ -160,54 +163,57 @@
     }
 
     private void sweep(long now) {
-        crowd.thin(!rooms.isEmpty());
-        for (ClientConnection client : crowd.all()) {
+        connectionTable.closeExcess(!cellMemoryLimits.isEmpty());
+        for (ClientConnection client : connectionTable.all()) {
             if (client.sweep(now)) {
-                interest(client);
-                crowd.thin(client, now);
-                if (draining != null) {
+                updateInterest(client);
+                connectionTable.closeIfLongIdle(client, now);
+                if (shutdown != null) {
                     client.closeIfIdle(Long.MAX_VALUE);
                 }
             }
         }
     }
 
-    ConnectionTable crowd() {
-        return crowd;
+    ConnectionTable connectionTable() {
+        return connectionTable;
     }
 
-    MemoryLimit room() {
-        return room;
+    /** For large messages of all clients. */
+    MemoryLimit memoryLimit() {
+        return memoryLimit;
     }
 
-    MemoryLimit room(int cell) {
-        return rooms.get(cell);
+    /** For large messages of the clients of this cell. */
+    MemoryLimit memoryLimit(int cell) {
+        return cellMemoryLimits.get(cell);
     }
 
+    /** The number of open client connections. */
     int connectionCount() {
-        return crowd.all().size();
+        return connectionTable.all().size();
     }
 
-    /** Starts a client's task; false when there is no thread left for it. */
+    /** Starts a client's task; false when no thread is available for it. */
     boolean execute(Runnable task) {
-        return threads.hasCapacity(1) && threads.tryExecute(task);
+        return threadLimit.hasCapacity(1) && threadLimit.tryExecute(task);
     }
 
-    /** For the reader alone, once the client's connection is closed. */
-    void gone(ClientConnection client) {
-        if (crowd.all().remove(client)) {
-            closing++;
+    /** Forgets a client whose connection is closed; for the reader's thread. */
+    void onClosed(ClientConnection client) {
+        if (connectionTable.all().remove(client)) {
+            closedSinceSelect++;
         }
     }
 
-    /** The planned end that has come, or null. */
-    GracefulShutdown draining() {
-        return draining;
+    /** The graceful shutdown that has begun, or null. */
+    GracefulShutdown shutdown() {
+        return shutdown;
     }
 
-    /** Takes no more clients in, and ends each connection once nothing is in hand on it. */
-    void drain(GracefulShutdown drain) {
-        draining = drain;
+    /** Accepts no more clients, and closes each connection once no request is in flight on it. */
+    void drain(GracefulShutdown begun) {
+        shutdown = begun;
         selector.wakeup();
     }
 }
--- /dev/null
+++ b/src/main/java/beaconladder/server/ClientStalledException.java
@@ -0,0 +1,12 @@
+package beaconladder.server;
+
+import java.io.IOException;
+
+/** A client does not read what is written to it. */
+final class ClientStalledException extends IOException {
+    private static final long serialVersionUID = 1;
+
+    ClientStalledException() {
+        super("the client takes nothing in");
+    }
+}
--- a/src/main/java/beaconladder/server/CloseCause.java
+++ b/src/main/java/beaconladder/server/CloseCause.java
@@ -1,26 +1,26 @@
 package beaconladder.server;
 
-/** Why a client's connection ends. */
+/** Why a client's connection is closed; the names are those of the counters and of the trace. */
 enum CloseCause {
     /** The client closed or half-closed it. */
     CLIENT_CLOSED,
     /** The client sent Terminate. */
     CLIENT_TERMINATED,
-    /** Reading or writing failed, or the client took nothing in. */
+    /** Reading or writing failed, or the client read nothing for too long. */
     CLIENT_BROKEN,
-    /** It brought a CancelRequest, and has no other use. */
+    /** The connection carried a CancelRequest, after which it closes. */
     CANCEL_REQUEST,
-    /** Its end was told in an error, and what it still sent was read on. */
+    /** A final error was sent, and what the client still sent was read and discarded. */
     TOLD_TO_GO,
-    /** It was idle, and room was needed or it had been idle long. */
+    /** It was idle, and its descriptor was needed or it had been idle for long. */
     IDLE,
-    /** It was idle, and the router ends. */
+    /** It was idle, and the router shuts down. */
     DRAINED,
     /** A fault of the router itself. */
     FAULT;
 
-    /** Whether the client ended it: then nobody is owed an answer. */
-    boolean byClient() {
+    /** Whether the client closed it: then no answer is due. */
+    boolean isByClient() {
         return this == CLIENT_CLOSED || this == CLIENT_TERMINATED || this == CLIENT_BROKEN;
     }
 }
--- a/src/main/java/beaconladder/server/ConnectionTable.java
+++ b/src/main/java/beaconladder/server/ConnectionTable.java
@@ -6,43 +6,43 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Predicate;
 
-/** The clients that are here, and who of them goes first where room is short. */
+/** The client connections that are open, and which of them are closed first where descriptors are short. */
 final class ConnectionTable {
-    /** Who was busy so lately may have a query on its way. */
-    private static final long LATELY = 100_000_000;
-    /** Clients that come back do so within a second or two; past that a connection is mostly left behind. */
-    private static final long LONG_IDLE = 2_500_000_000L;
-
-    private final ServerConnectionPool lines;
-    private final int most;
-    /** Clients hold at most a third of the descriptors for their txns. */
-    private final int share;
-    /** So many connections may be held by those who have asked for nothing yet that is served here. */
-    private final int mostStrangers;
+    /** A client that was active within this time may have a query on its way. */
+    private static final long RECENTLY_USED_NANOS = 100_000_000;
+    /** Most clients that reuse a connection do so within two seconds; one idle for longer is probably abandoned. */
+    private static final long LONG_IDLE_NANOS = 2_500_000_000L;
+
+    private final ServerConnectionPool serverConnections;
+    private final int maxServed;
+    /** Half of this many connections may stay with clients that have sent requests: of a third of the descriptors. */
+    private final int requestShare;
+    /** The limit for connections on which no valid request has arrived yet. */
+    private final int maxWithoutRequest;
 
     private final Set<ClientConnection> all = ConcurrentHashMap.newKeySet();
-    /** Decides nothing, so it needs no seed that is told; each process has other keys. */
+    /** Routing does not depend on it, so it needs no configured seed; each process has different keys. */
     private final SplittableRandom keys = new SplittableRandom(System.nanoTime());
 
     /**
-     * Nobody yet.
+     * An empty table.
      *
-     * @param stated the descriptors that the settings allow to the whole program
+     * @param maxDescriptors the descriptors that the settings allow to the whole process
      */
-    ConnectionTable(ServerConnectionPool lines, DescriptorLimit descriptors, int stated) {
-        this.lines = lines;
-        this.most = descriptors.most();
-        this.share = stated / 3;
-        this.mostStrangers = Math.max(8, most / 5);
+    ConnectionTable(ServerConnectionPool serverConnections, DescriptorLimit descriptors, int maxDescriptors) {
+        this.serverConnections = serverConnections;
+        this.maxServed = descriptors.maxServed();
+        this.requestShare = maxDescriptors / 3;
+        this.maxWithoutRequest = Math.max(8, maxServed / 5);
     }
 
-    /** Somebody asks to cancel what is in hand on the connection of this key. */
+    /** Cancels the query whose answer is due next on the connection of this key. */
     void cancel(long key) {
-        all.stream().filter(client -> client.key() == key).forEach(ClientConnection::cancel);
+        all.stream().filter(client -> client.cancelKey() == key).forEach(ClientConnection::cancel);
     }
 
-    /** A key for one more; for several threads. */
-    synchronized long newKey() {
+    /** A key for a new connection; for any thread. */
+    synchronized long newCancelKey() {
         return keys.nextLong();
     }
 
@@ -50,71 +50,76 @@
         return all;
     }
 
-    /** Before one more is taken in, so many descriptors being held. */
-    void makeRoomFor(int held) {
-        if (all.stream().filter(client -> !client.known()).count() >= mostStrangers) {
-            closeOldest(client -> !client.known());
+    /** Closes connections where descriptors are short before one more is accepted. */
+    void freeDescriptorsForNext(int held) {
+        if (all.stream().filter(client -> !client.activity().hasSentRequest()).count() >= maxWithoutRequest) {
+            closeOldest(client -> !client.activity().hasSentRequest());
         }
-        if (held >= most) {
-            makeRoom();
+        if (held >= maxServed) {
+            freeDescriptor();
         }
     }
 
-    /** Who has said nothing goes first, then idle connections to hosts, then idle clients. */
-    void makeRoom() {
-        if (!closeOldest(client -> !client.known()) && !lines.closeOldestIdle()) {
+    /** Clients without a request are closed first, then idle connections to hosts, then idle clients. */
+    void freeDescriptor() {
+        if (!closeOldest(client -> !client.activity().hasSentRequest()) && !serverConnections.closeOldestIdle()) {
             closeOldest(client -> true);
         }
     }
 
-    private boolean closeOldest(Predicate<ClientConnection> of) {
-        long lately = System.nanoTime() - LATELY;
-        // Their tasks go on meanwhile: what is sorted by must not change under the sort.
-        record Aged(ClientConnection client, long usedAt) {}
+    private boolean closeOldest(Predicate<ClientConnection> eligible) {
+        long recently = System.nanoTime() - RECENTLY_USED_NANOS;
+        // Their tasks run meanwhile: the sort key must not change during the sort.
+        record Aged(ClientConnection client, long lastUsedNanoTime) {}
 
         return all.stream()
-                .filter(of)
-                .filter(client -> !client.ending())
-                .map(client -> new Aged(client, client.usedAt()))
-                .filter(aged -> aged.usedAt() < lately)
-                .sorted(Comparator.comparingLong(Aged::usedAt))
-                .anyMatch(aged -> aged.client().closeIfIdle(lately));
+                .filter(eligible)
+                .filter(client -> !client.activity().isClosing())
+                .map(client -> new Aged(client, client.activity().lastUsedNanoTime()))
+                .filter(aged -> aged.lastUsedNanoTime() < recently)
+                .sorted(Comparator.comparingLong(Aged::lastUsedNanoTime))
+                .anyMatch(aged -> aged.client().closeIfIdle(recently));
     }
 
-    /** Whether a client that has just come can't be kept. */
-    boolean full() {
-        int held = all.size() + lines.openCount();
-        // Those who have been told to go still hold theirs for a moment, beside those that are served.
-        return held > most
-                && held - all.stream().filter(ClientConnection::ending).count() > most;
+    /** Whether a client that has just connected has to be rejected. */
+    boolean isFull() {
+        int held = all.size() + serverConnections.openCount();
+        // Closing connections hold descriptors for a moment longer, beyond those that are served.
+        return held > maxServed && held - closing() > maxServed;
+    }
+
+    private long closing() {
+        return all.stream().filter(client -> client.activity().isClosing()).count();
     }
 
     /**
-     * Ends those that hold more than their share of the connections, the longest idle first.
+     * Closes connections beyond the share that clients with requests may hold, the longest idle first.
      *
-     * @param cells whether those of a cell that holds more than its own go before others
+     * @param cells whether connections of a cell beyond its quota are closed before others
      */
-    void thin(boolean cells) {
-        // Clients that ask once and stay would leave none of their share for those who come to ask.
-        long crowd = all.stream()
-                        .filter(client -> client.known() && !client.ending())
+    void closeExcess(boolean cells) {
+        // Otherwise clients that send one request and stay would leave nothing of the share to new clients.
+        long excess = all.stream()
+                        .filter(client -> client.activity().hasSentRequest()
+                                && !client.activity().isClosing())
                         .count()
-                - share / 2;
-        while (crowd-- > 0
-                && (cells && closeOldest(ClientConnection::borrows) || closeOldest(ClientConnection::known))) {
+                - requestShare / 2;
+        while (excess-- > 0
+                && (cells && closeOldest(ClientConnection::exceedsCellQuota)
+                        || closeOldest(client -> client.activity().hasSentRequest()))) {
             continue;
         }
     }
 
-    /** Ends one that has lain idle long, while there are many. */
-    void thin(ClientConnection client, long now) {
-        if (all.size() > most / 8 && client.usedAt() < now - LONG_IDLE) {
-            client.closeIfIdle(now - LONG_IDLE);
+    /** Closes a connection that has been idle for long, while there are many. */
+    void closeIfLongIdle(ClientConnection client, long nowNanoTime) {
+        if (all.size() > maxServed / 8 && client.activity().lastUsedNanoTime() < nowNanoTime - LONG_IDLE_NANOS) {
+            client.closeIfIdle(nowNanoTime - LONG_IDLE_NANOS);
         }
     }
 
-    /** After a fault: it may go on by itself for a while. */
-    static void pause() {
+    /** Pauses the reader after a fault that may persist for a while. */
+    static void pauseAfterFault() {
         try {
             Thread.sleep(10);
         } catch (InterruptedException e) {
--- a/src/main/java/beaconladder/server/DescriptorLimit.java
+++ b/src/main/java/beaconladder/server/DescriptorLimit.java
@@ -1,13 +1,13 @@
 package beaconladder.server;
 
 /**
- * The one owner of the descriptors that the settings allow: whoever opens a connection has taken its descriptor here
- * before, and gives it back once the operating system has it again. So no call of the program meets "too many open
- * files", whatever comes at once: clients wait in the listener's queue, and txns for a connection to a host. It holds
- * no socket and reads no clock but to wait.
+ * Counts the descriptors that the settings allow: each connection acquires its descriptor here before it is opened, and
+ * releases it once the operating system has it back. So no call of the process fails with "too many open files",
+ * whatever arrives at once: clients wait in the listener's queue, and requests for a connection to a host. It holds no
+ * socket, and reads the clock only to wait.
  */
 final class DescriptorLimit {
-    /** What a descriptor is held for. */
+    /** What a descriptor is used for. */
     enum Use {
         CLIENT,
         SERVER
@@ -15,61 +15,61 @@
 
     /**
      * Jars, streams, the selector and its wake-up, the listener and the JVM's own were counted at 20; two more for
-     * discovery's old and new address, one for the keeper, one for the operators' file at a reload, and as many as that
-     * to spare.
+     * discovery's old and new address, one for the coordinator, one for the operators' file at a reload, and as many
+     * again in reserve.
      */
-    private static final int OWN = 32;
-    /** As much again is for clients that are only told that they can't stay. */
-    private static final int GUESTS = 32;
+    private static final int PROCESS_RESERVE = 32;
+    /** As many again are for clients that only receive the error that they are rejected. */
+    private static final int REJECTION_RESERVE = 32;
 
-    private final int whole;
-    private final int most;
-    private final int part;
+    private final int total;
+    private final int maxServed;
+    private final int minPerUse;
     private final int[] held = new int[Use.values().length];
 
-    /** So many as the settings allow to the whole program. */
-    DescriptorLimit(int stated) {
-        whole = Math.max(4, stated - OWN);
-        most = Math.max(1, stated - OWN - GUESTS);
-        // Neither use can lock the other out: without a client there is no txn, without a host no answer.
-        part = whole / 4;
+    /** Of the descriptors that the settings allow to the whole process. */
+    DescriptorLimit(int maxDescriptors) {
+        total = Math.max(4, maxDescriptors - PROCESS_RESERVE);
+        maxServed = Math.max(1, maxDescriptors - PROCESS_RESERVE - REJECTION_RESERVE);
+        // Neither use can starve the other: without a client there is no request, without a host no answer.
+        minPerUse = total / 4;
     }
 
-    /** How many may be held for what is served; those beyond it are for who is told to go. */
-    int most() {
-        return most;
+    /** How many may be held for connections that are served; those beyond it are for clients that are rejected. */
+    int maxServed() {
+        return maxServed;
     }
 
-    /** Held for both uses. */
+    /** How many are held for both uses together. */
     synchronized int held() {
         return held[0] + held[1];
     }
 
-    /** Held for this use. */
+    /** How many are held for this use. */
     synchronized int held(Use use) {
         return held[use.ordinal()];
     }
 
-    /** Takes one; false when there is none for this use now. */
+    /** Acquires one; false when there is none for this use now. */
     synchronized boolean acquire(Use use) {
         int other = held[1 - use.ordinal()];
-        if (held[use.ordinal()] + Math.max(other, part) >= whole) {
+        if (held[use.ordinal()] + Math.max(other, minPerUse) >= total) {
             return false;
         }
         held[use.ordinal()]++;
         return true;
     }
 
-    /** Takes one, and waits for it until this nanoTime at the latest. */
-    synchronized boolean acquire(Use use, long until) {
+    /** Acquires one, waiting until this nanoTime at the latest; false also when the thread is interrupted. */
+    synchronized boolean acquire(Use use, long deadlineNanoTime) {
         boolean interrupted = false;
         while (!acquire(use)) {
-            long left = (until - System.nanoTime()) / 1_000_000;
-            if (left <= 0 || interrupted) {
+            long leftMillis = (deadlineNanoTime - System.nanoTime()) / 1_000_000;
+            if (leftMillis <= 0 || interrupted) {
                 return false;
             }
             try {
-                wait(left);
+                wait(leftMillis);
             } catch (InterruptedException e) {
                 interrupted = true;
                 Thread.currentThread().interrupt();
@@ -78,10 +78,10 @@
         return true;
     }
 
-    /** Gives so many back, once they are closed. */
-    synchronized void release(Use use, int n) {
-        held[use.ordinal()] -= n;
-        if (n > 0) {
+    /** Releases this many, once the operating system has them back. */
+    synchronized void release(Use use, int count) {
+        held[use.ordinal()] -= count;
+        if (count > 0) {
             notifyAll();
         }
     }
--- /dev/null
+++ b/src/main/java/beaconladder/server/ErrorResponse.java
@@ -0,0 +1,46 @@
+package beaconladder.server;
+
+import beaconladder.pg.MessageWriter;
+
+/** The errors that the router itself sends to clients, by their SQLSTATE. */
+final class ErrorResponse {
+    static final String PROTOCOL_VIOLATION = "08P01";
+    static final String FEATURE_NOT_SUPPORTED = "0A000";
+    static final String CHARACTER_NOT_IN_REPERTOIRE = "22021";
+    static final String INVALID_PARAMETER_VALUE = "22023";
+    static final String STATEMENT_COMPLETION_UNKNOWN = "40003";
+    static final String SYNTAX_ERROR = "42601";
+    static final String TOO_MANY_CONNECTIONS = "53300";
+    static final String QUERY_CANCELED = "57014";
+    static final String CANNOT_CONNECT_NOW = "57P03";
+
+    private ErrorResponse() {}
+
+    /** An error that ends a query; the connection is then ready for the next one. */
+    static MessageWriter error(String sqlState, String message) {
+        return new MessageWriter().error("ERROR", sqlState, message, null).ready();
+    }
+
+    /** An error after which the connection closes. */
+    static MessageWriter fatal(String sqlState, String message) {
+        return new MessageWriter().error("FATAL", sqlState, message, null);
+    }
+
+    /** The query is rejected for this reason and has not run. */
+    static MessageWriter rejected(String reason, long retryAfterNanos) {
+        return notRun("declined, as " + reason + "; it has not run", retryAfterNanos);
+    }
+
+    /** The routing policy has rejected the query; it has not run. */
+    static MessageWriter rejected(long retryAfterNanos) {
+        return notRun("declined; it has not run, try again", retryAfterNanos);
+    }
+
+    /** The detail is the back-off in milliseconds; without one there is no detail. */
+    private static MessageWriter notRun(String message, long retryAfterNanos) {
+        String detail = retryAfterNanos > 0 ? String.valueOf(retryAfterNanos / 1_000_000) : null;
+        return new MessageWriter()
+                .error("ERROR", TOO_MANY_CONNECTIONS, message, detail)
+                .ready();
+    }
+}
--- a/src/main/java/beaconladder/server/InMemorySocket.java
+++ b/src/main/java/beaconladder/server/InMemorySocket.java
@@ -5,45 +5,46 @@
 import java.io.OutputStream;
 import java.net.Socket;
 import java.net.SocketAddress;
+import java.util.Arrays;
 import java.util.function.UnaryOperator;
 
-/** A connection in memory: its other end answers each write at once. */
+/** A socket in memory whose peer answers each write at once; for the warm-up and tests. */
 final class InMemorySocket extends Socket {
     private final UnaryOperator<byte[]> answer;
     private byte[] bytes;
-    private int at;
-    private boolean ended;
+    private int position;
+    private boolean closed;
 
     /**
-     * Makes a connection.
+     * Makes a connected socket.
      *
-     * @param first what the other end says first; may be empty
-     * @param answer what the other end says to what was written; null when it ends
+     * @param first the bytes that the peer sends first; may be empty
+     * @param answer the peer's answer to the bytes of one write; null when the peer closes
      */
     InMemorySocket(byte[] first, UnaryOperator<byte[]> answer) {
         this.bytes = first;
         this.answer = answer;
     }
 
-    private synchronized int take(byte[] into, int from, int length) throws IOException {
+    private synchronized int readAvailable(byte[] target, int offset, int length) throws IOException {
         try {
-            while (at == bytes.length && !ended) {
+            while (position == bytes.length && !closed) {
                 wait();
             }
         } catch (InterruptedException e) {
             throw new IOException("interrupted", e);
         }
-        int n = Math.min(length, bytes.length - at);
-        System.arraycopy(bytes, at, into, from, n);
-        at += n;
+        int n = Math.min(length, bytes.length - position);
+        System.arraycopy(bytes, position, target, offset, n);
+        position += n;
         return n == 0 ? -1 : n;
     }
 
-    private synchronized void put(byte[] written) {
-        byte[] next = ended ? null : answer.apply(written);
-        ended = next == null;
-        bytes = ended ? new byte[0] : next;
-        at = 0;
+    private synchronized void answerWrite(byte[] written) {
+        byte[] next = closed ? null : answer.apply(written);
+        closed = next == null;
+        bytes = closed ? new byte[0] : next;
+        position = 0;
         notifyAll();
     }
 
@@ -53,12 +54,12 @@
             @Override
             public int read() throws IOException {
                 byte[] one = new byte[1];
-                return take(one, 0, 1) < 0 ? -1 : one[0] & 0xff;
+                return readAvailable(one, 0, 1) < 0 ? -1 : one[0] & 0xff;
             }
 
             @Override
-            public int read(byte[] into, int from, int length) throws IOException {
-                return take(into, from, length);
+            public int read(byte[] target, int offset, int length) throws IOException {
+                return readAvailable(target, offset, length);
             }
         };
     }
@@ -68,29 +69,29 @@
         return new OutputStream() {
             @Override
             public void write(int b) {
-                put(new byte[] {(byte) b});
+                answerWrite(new byte[] {(byte) b});
             }
 
             @Override
-            public void write(byte[] from, int start, int length) {
-                put(java.util.Arrays.copyOfRange(from, start, start + length));
+            public void write(byte[] source, int offset, int length) {
+                answerWrite(Arrays.copyOfRange(source, offset, offset + length));
             }
         };
     }
 
     @Override
     public void connect(SocketAddress address, int millis) {
-        // It is there.
+        // Always connected.
     }
 
     @Override
     public void setTcpNoDelay(boolean on) {
-        // Nothing delays it.
+        // Writes are never delayed.
     }
 
     @Override
     public void setSoTimeout(int millis) {
-        // It answers at once.
+        // The peer answers at once.
     }
 
     @Override
@@ -100,7 +101,7 @@
 
     @Override
     public synchronized void close() {
-        ended = true;
+        closed = true;
         notifyAll();
     }
 }
--- a/src/main/java/beaconladder/server/ParsedQuery.java
+++ b/src/main/java/beaconladder/server/ParsedQuery.java
@@ -1,5 +1,6 @@
 package beaconladder.server;
 
+import beaconladder.cells.AdmissionPermit;
 import beaconladder.pg.MessageWriter;
 import beaconladder.pg.Statement;
 import beaconladder.routing.api.Router.HostReport;
@@ -7,86 +8,99 @@
 import java.util.Locale;
 
 /**
- * A query as it was read: a txn, or the answer it gets here.
+ * A query as it was parsed: a request for the hosts, or the answer that the router gives by itself.
  *
- * @param answer what is to be said at once, without a txn; null for a txn
- * @param cluster the group's number as named
+ * @param answer the answer of the router itself; null for a request, and only then the others count
+ * @param id the client's id of the request
+ * @param classIndex the index of its request class in the settings
+ * @param groupNumber the number of the group of hosts that the client names
  * @param group null where no such group is known and there are cells
- * @param written the position that the read must see, or Word.NONE
- * @param budget how long the client waits, in nanoseconds
+ * @param minPositionNanos the replication position that the read must see, or HostReport.NO_POSITION
+ * @param budgetNanos how long the client waits
  */
 record ParsedQuery(
         MessageWriter answer,
         Statement statement,
         String id,
-        int type,
-        int cluster,
+        int classIndex,
+        int groupNumber,
         Group group,
-        long written,
-        long budget) {
-    /** Ids are short, and no client waits ten minutes; what is beyond is no id and no deadline. */
-    private static final int LONGEST_ID = 128;
+        long minPositionNanos,
+        long budgetNanos) {
+    private static final int MAX_ID_LENGTH = 128;
+    private static final int MAX_BUDGET_MILLIS = 600_000;
+    /** Keeps the sum of digits well within a long. */
+    private static final int MAX_DIGITS = 15;
 
-    private static final int LONGEST_MILLIS = 600_000;
-
-    static ParsedQuery read(String query, Statement statement, RequestDispatcher desk) {
-        String plain = query.strip();
-        String first = firstWord(plain);
-        if (plain.isEmpty() || plain.equals(";")) {
-            return only(new MessageWriter().emptyQuery().ready());
+    /** Parses a query; one that is invalid has an error as its answer. */
+    static ParsedQuery parse(String query, Statement statement, RequestDispatcher dispatcher) {
+        String text = query.strip();
+        String command = firstWord(text);
+        if (text.isEmpty() || text.equals(";")) {
+            return answered(new MessageWriter().emptyQuery().ready());
         }
-        if (first.equals("SET") || first.equals("RESET") || first.equals("DISCARD")) {
-            return only(new MessageWriter().commandComplete(first).ready());
+        if (command.equals("SET") || command.equals("RESET") || command.equals("DISCARD")) {
+            return answered(new MessageWriter().commandComplete(command).ready());
         }
         String fault = statement.fault();
         if (fault != null) {
-            return only(error("42601", fault));
+            return answered(ErrorResponse.error(ErrorResponse.SYNTAX_ERROR, fault));
         }
+        return parseComment(statement, dispatcher);
+    }
+
+    /** Reads the request's parameters from the statement's comment; the first invalid one is reported. */
+    private static ParsedQuery parseComment(Statement statement, RequestDispatcher dispatcher) {
         String id = statement.value("id");
-        Integer type = desk.settingIndex().typeIndex(String.valueOf(statement.value("c")));
-        long cluster = number(statement.value("cluster"));
-        boolean named = cluster >= 0 && cluster <= Integer.MAX_VALUE;
-        Group group = named ? desk.group((int) cluster) : null;
-        long budget = number(statement.value("d"));
+        if (id == null || id.isEmpty() || id.length() > MAX_ID_LENGTH) {
+            return invalid(statement, "id");
+        }
+        Integer classIndex = dispatcher.settingIndex().typeIndex(String.valueOf(statement.value("c")));
+        if (classIndex == null) {
+            return invalid(statement, "c");
+        }
+        long groupNumber = parseDigits(statement.value("cluster"));
+        boolean isNumber = groupNumber >= 0 && groupNumber <= Integer.MAX_VALUE;
+        Group group = isNumber ? dispatcher.group((int) groupNumber) : null;
+        if (!isNumber || group == null && !dispatcher.hasCells()) {
+            return invalid(statement, "cluster");
+        }
+        long budgetMillis = parseDigits(statement.value("d"));
+        if (budgetMillis <= 0 || budgetMillis > MAX_BUDGET_MILLIS) {
+            return invalid(statement, "d");
+        }
         String after = statement.value("after");
-        long written = after == null
+        long minPositionNanos = after == null
                 ? HostReport.NO_POSITION
                 : LoadReportParser.parsePositionNanos(after, LoadReportParser.MILLIS_TO_NANOS);
-        String wrong = id == null || id.isEmpty() || id.length() > LONGEST_ID
-                ? "id"
-                : type == null
-                        ? "c"
-                        : !named || group == null && !desk.hasCells()
-                                ? "cluster"
-                                : budget <= 0 || budget > LONGEST_MILLIS
-                                        ? "d"
-                                        : after != null && written == HostReport.NO_POSITION ? "after" : null;
-        if (wrong != null) {
-            return only(
-                    statement.value(wrong) == null
-                            ? error("42601", "the comment lacks " + wrong)
-                            : error("22023", "the comment has an impossible " + wrong));
+        if (after != null && minPositionNanos == HostReport.NO_POSITION) {
+            return invalid(statement, "after");
         }
-        return new ParsedQuery(null, statement, id, type, (int) cluster, group, written, budget * 1_000_000);
+        return new ParsedQuery(
+                null, statement, id, classIndex, (int) groupNumber, group, minPositionNanos, budgetMillis * 1_000_000);
     }
 
-    static MessageWriter error(String code, String message) {
-        return new MessageWriter().error("ERROR", code, message, null).ready();
+    private static ParsedQuery invalid(Statement statement, String name) {
+        return answered(
+                statement.value(name) == null
+                        ? ErrorResponse.error(ErrorResponse.SYNTAX_ERROR, "the comment lacks " + name)
+                        : ErrorResponse.error(
+                                ErrorResponse.INVALID_PARAMETER_VALUE, "the comment has an impossible " + name));
     }
 
-    /** A decline for this reason, with when to come back, in nanoseconds, where that is known. */
-    static MessageWriter declined(String reason, long comeBack) {
-        return new MessageWriter()
-                .error(
-                        "ERROR",
-                        "53300",
-                        "declined, as " + reason + "; it has not run",
-                        comeBack > 0 ? String.valueOf(comeBack / 1_000_000) : null)
-                .ready();
+    private static ParsedQuery answered(MessageWriter answer) {
+        return new ParsedQuery(answer, null, null, 0, 0, null, 0, 0);
     }
 
-    private static ParsedQuery only(MessageWriter answer) {
-        return new ParsedQuery(answer, null, null, 0, 0, null, 0, 0);
+    /** Whether its request class or the statement itself writes. */
+    boolean writes(RequestDispatcher dispatcher) {
+        return dispatcher.isWrite(classIndex) || statement.writes();
+    }
+
+    /** What the dispatcher has to know of it, in this group and with this permit, or null without cells. */
+    RequestParameters requestParameters(Group servedBy, long arrivedNanos, long expiryNanos, AdmissionPermit permit) {
+        return new RequestParameters(
+                id, classIndex, servedBy, statement, minPositionNanos, arrivedNanos, expiryNanos, permit);
     }
 
     private static String firstWord(String text) {
@@ -97,8 +111,9 @@
         return text.substring(0, end).toUpperCase(Locale.ROOT);
     }
 
-    private static long number(String digits) {
-        if (digits == null || digits.isEmpty() || digits.length() > 15) {
+    /** A decimal number without a sign, or -1. */
+    private static long parseDigits(String digits) {
+        if (digits == null || digits.isEmpty() || digits.length() > MAX_DIGITS) {
             return -1;
         }
         long number = 0;
--- /dev/null
+++ b/src/main/java/beaconladder/server/QueryHandler.java
@@ -0,0 +1,135 @@
+package beaconladder.server;
+
+import beaconladder.cells.AdmissionPermit;
+import beaconladder.pg.MessageWriter;
+import beaconladder.routing.state.Group;
+import java.util.function.BooleanSupplier;
+
+/** Answers one client's queries: parses, admits and submits each, then runs the dispatcher's commands for it. */
+final class QueryHandler {
+    private final ClientConnection client;
+    private final ClientServer clientServer;
+    private final RequestDispatcher dispatcher;
+    private final ServerConnectionPool serverConnections;
+    private final PipelineQueue queue;
+    private final Admission admission;
+
+    QueryHandler(
+            ClientConnection client,
+            ClientServer clientServer,
+            RequestDispatcher dispatcher,
+            ServerConnectionPool serverConnections,
+            PipelineQueue queue,
+            Admission admission) {
+        this.client = client;
+        this.clientServer = clientServer;
+        this.dispatcher = dispatcher;
+        this.serverConnections = serverConnections;
+        this.queue = queue;
+        this.admission = admission;
+    }
+
+    /** The final answer to a query, after at most its time budget. */
+    QueryReply answer(PipelineEntry entry) throws InterruptedException {
+        if (entry.query() == null) {
+            return QueryReply.of(
+                    ErrorResponse.error(ErrorResponse.CHARACTER_NOT_IN_REPERTOIRE, "a query that is not UTF-8"));
+        }
+        ParsedQuery query = ParsedQuery.parse(entry.query(), entry.statement(), dispatcher);
+        if (query.answer() != null) {
+            return QueryReply.of(query.answer());
+        }
+        client.activity().setHasSentRequest(true);
+        long arrivedNanos = entry.startNanos();
+        long expiryNanos = expiryNanos(query, arrivedNanos);
+        if (expiryNanos <= dispatcher.nowNanos()) {
+            QueryRejection.NO_TIME.record(dispatcher.monitor());
+            return QueryReply.of(ErrorResponse.error(
+                    ErrorResponse.CANNOT_CONNECT_NOW, "no time is left for it here; it has not run"));
+        }
+        if (dispatcher.hasCells()) {
+            return answerWithAdmission(entry, query, arrivedNanos, expiryNanos);
+        }
+        return execute(entry, query, query.requestParameters(query.group(), arrivedNanos, expiryNanos, null));
+    }
+
+    private long expiryNanos(ParsedQuery query, long arrivedNanos) {
+        long budgetNanos = Math.min(query.budgetNanos(), dispatcher.maxRequestNanos());
+        GracefulShutdown shutdown = clientServer.shutdown();
+        return shutdown == null
+                ? arrivedNanos + budgetNanos
+                : shutdown.expiryNanos(arrivedNanos, budgetNanos, query.writes(dispatcher));
+    }
+
+    /** Where there are cells: executes the query once its cell has admitted it. */
+    private QueryReply answerWithAdmission(PipelineEntry entry, ParsedQuery query, long arrivedNanos, long expiryNanos)
+            throws InterruptedException {
+        Admission.Result admitted =
+                admission.admit(query, entry.query().length(), arrivedNanos, expiryNanos, isAbandoned(entry));
+        AdmissionPermit permit = admitted.permit();
+        if (permit == null) {
+            QueryRejection.NOT_ADMITTED.record(dispatcher.monitor());
+            return new QueryReply(entry.isCancelled() ? cancelled() : admitted.answer(), admitted.closesConnection());
+        }
+        Group group = dispatcher.group(permit.group());
+        if (group == null) {
+            dispatcher.cells().releasePermit(permit);
+            return QueryReply.of(ErrorResponse.rejected("no host of the cell is known", 0));
+        }
+        return execute(entry, query, query.requestParameters(group, arrivedNanos, expiryNanos, permit));
+    }
+
+    private QueryReply execute(PipelineEntry entry, ParsedQuery query, RequestParameters parameters)
+            throws InterruptedException {
+        InFlightRequest request = dispatcher.submit(parameters);
+        if (request == null) {
+            if (parameters.permit() != null) {
+                dispatcher.cells().releasePermit(parameters.permit());
+            }
+            QueryRejection.DUPLICATE_ID.record(dispatcher.monitor());
+            return QueryReply.of(
+                    ErrorResponse.error(ErrorResponse.INVALID_PARAMETER_VALUE, "the id of a txn that is in hand"));
+        }
+        entry.setInFlight(request);
+        if (isAbandoned(entry).getAsBoolean()) {
+            dispatcher.abandon(request);
+        }
+        try {
+            return QueryReply.of(runCommands(entry, request));
+        } finally {
+            entry.setInFlight(null);
+            dispatcher.releaseId(query.id());
+        }
+    }
+
+    private BooleanSupplier isAbandoned(PipelineEntry entry) {
+        return () -> queue.isClosed() || entry.isCancelled();
+    }
+
+    /** Runs the dispatcher's commands until the request is finished; returns the final answer. */
+    private MessageWriter runCommands(PipelineEntry entry, InFlightRequest request) throws InterruptedException {
+        while (true) {
+            InFlightRequest.Command command = request.awaitCommand();
+            switch (command.kind()) {
+                case SEND -> serverConnections.send(command, request.statement);
+                case COMMITTED -> {
+                    return command.answer().ready();
+                }
+                case REJECTED -> {
+                    return ErrorResponse.rejected(command.retryAfterNanos());
+                }
+                case ROLLED_BACK -> {
+                    return ErrorResponse.error(
+                            ErrorResponse.STATEMENT_COMPLETION_UNKNOWN, "rolled back; it may have run");
+                }
+                case CLIENT_GONE -> {
+                    return entry.isCancelled() ? cancelled() : new MessageWriter();
+                }
+            }
+        }
+    }
+
+    private static MessageWriter cancelled() {
+        return ErrorResponse.error(ErrorResponse.QUERY_CANCELED, "cancelled at the client's request; it may have run");
+    }
+}
--- a/src/main/java/beaconladder/server/StartupResponse.java
+++ b/src/main/java/beaconladder/server/StartupResponse.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /**
- * What an opening message of a client gets.
+ * The response to a startup message, or to a request for encryption or for a cancel.
  *
- * @param answer null for one that is only to be closed
- * @param kind what it means for the connection
- * @param key for CANCEL the key that it names
+ * @param answer null where the connection only closes
+ * @param kind what the connection does next
+ * @param key for CANCEL: the key of the connection whose query is to be cancelled
  */
 record StartupResponse(MessageWriter answer, Kind kind, long key) {
-    /** Whether the client is greeted, asks again, has to go, or cancels what another has in hand. */
+    /** Startup is complete, another startup message follows, the connection closes, or another's query is cancelled. */
     enum Kind {
-        GREETED,
-        AGAIN,
+        COMPLETE,
+        CONTINUE,
         FATAL,
         CANCEL
     }
@@ -26,38 +26,40 @@
     }
 
     private static final int VERSION_3 = 3 << 16;
-    private static final int CANCEL = 80877102;
-    private static final int SSL = 80877103;
-    private static final int GSSENC = 80877104;
+    private static final int CANCEL_REQUEST = 80877102;
+    private static final int SSL_REQUEST = 80877103;
+    private static final int GSSENC_REQUEST = 80877104;
 
     /**
-     * The answer to the message that stands in this inbox; a router that is full takes nobody in.
+     * The response to the message that the reader has at hand.
      *
-     * @param key what the client has to name to cancel a query on this connection
+     * @param full whether the router has no capacity for one more connection
+     * @param key the key by which a query on this connection can be cancelled
      */
     static StartupResponse of(MessageReader in, boolean full, long key) {
         int length = in.end() - in.at();
         int version = length < 4 ? 0 : in.int32(in.at());
-        if (version == SSL || version == GSSENC) {
-            return new StartupResponse(new MessageWriter().raw(new byte[] {'N'}, 0, 1), Kind.AGAIN);
-        } else if (version == CANCEL) {
+        if (version == SSL_REQUEST || version == GSSENC_REQUEST) {
+            return new StartupResponse(new MessageWriter().raw(new byte[] {'N'}, 0, 1), Kind.CONTINUE);
+        } else if (version == CANCEL_REQUEST) {
             return new StartupResponse(
                     null,
                     Kind.CANCEL,
                     length == 12 ? (long) in.int32(in.at() + 4) << 32 | in.int32(in.at() + 8) & 0xffffffffL : 0);
         } else if (version >> 16 != 3) {
             return fatal(
-                    "0A000", "protocol " + (version >> 16) + "." + (version & 0xffff) + " is not spoken here, 3.0 is");
+                    ErrorResponse.FEATURE_NOT_SUPPORTED,
+                    "protocol " + (version >> 16) + "." + (version & 0xffff) + " is not spoken here, 3.0 is");
         } else if (length < 5 || in.int8(in.end() - 1) != 0) {
-            return fatal("08P01", "a startup message without its end");
+            return fatal(ErrorResponse.PROTOCOL_VIOLATION, "a startup message without its end");
         } else if (full) {
             EventTrace.rejectedEarly("refused: no descriptor");
-            return fatal("53300", "too many connections");
+            return fatal(ErrorResponse.TOO_MANY_CONNECTIONS, "too many connections");
         }
         MessageWriter out = new MessageWriter();
-        String[] unknown = unknownOptions(in);
-        if (version != VERSION_3 || unknown.length > 0) {
-            out.negotiateVersion(unknown);
+        String[] unsupported = unsupportedOptions(in);
+        if (version != VERSION_3 || unsupported.length > 0) {
+            out.negotiateVersion(unsupported);
         }
         return new StartupResponse(
                 out.authenticationOk()
@@ -67,23 +69,24 @@
                         .parameterStatus("standard_conforming_strings", "on")
                         .backendKey((int) (key >> 32), (int) key)
                         .ready(),
-                Kind.GREETED);
+                Kind.COMPLETE);
     }
 
-    static StartupResponse fatal(String code, String message) {
-        return new StartupResponse(new MessageWriter().error("FATAL", code, message, null), Kind.FATAL);
+    /** An error after which the connection closes. */
+    static StartupResponse fatal(String sqlState, String message) {
+        return new StartupResponse(ErrorResponse.fatal(sqlState, message), Kind.FATAL);
     }
 
-    /** The options of the protocol that the client asks for; none is known here. */
-    private static String[] unknownOptions(MessageReader in) {
-        List<String> unknown = new ArrayList<>();
+    /** The protocol options that the client requests; none is supported. */
+    private static String[] unsupportedOptions(MessageReader in) {
+        List<String> unsupported = new ArrayList<>();
         for (int at = in.at() + 4; at < in.end() && in.int8(at) != 0; ) {
             String name = in.text(at);
             if (name.startsWith("_pq_.")) {
-                unknown.add(name);
+                unsupported.add(name);
             }
             at = in.after(in.after(at));
         }
-        return unknown.toArray(String[]::new);
+        return unsupported.toArray(String[]::new);
     }
 }
--- a/src/main/java/beaconladder/server/TaskStarter.java
+++ b/src/main/java/beaconladder/server/TaskStarter.java
@@ -1,7 +1,7 @@
 package beaconladder.server;
 
-/** Runs tasks on threads of their own. */
+/** Starts tasks, each on a thread of its own. */
 interface TaskStarter {
-    /** Runs a task; false where no thread can be started for it now, and then it has not begun. */
+    /** Starts a task; false where no thread is available now, and then the task has not begun. */
     boolean tryExecute(Runnable task);
 }
--- a/src/test/java/beaconladder/server/DescriptorLimitTest.java
+++ b/src/test/java/beaconladder/server/DescriptorLimitTest.java
@@ -11,7 +11,7 @@
     void neitherUseCanLockTheOtherOutAndTheProgramsOwnStayFree() {
         DescriptorLimit of = new DescriptorLimit(128);
         StringBuilder trace = new StringBuilder();
-        trace.append(of.most())
+        trace.append(of.maxServed())
                 .append(' ')
                 .append(takeAll(of, Use.CLIENT))
                 .append(' ')
--- a/src/test/java/beaconladder/server/PipelineQueueTest.java
+++ b/src/test/java/beaconladder/server/PipelineQueueTest.java
@@ -8,116 +8,116 @@
 import org.junit.jupiter.api.Test;
 
 class PipelineQueueTest {
-    private static final int MANY = Integer.MAX_VALUE;
-    private final PipelineQueue ahead = new PipelineQueue();
+    private static final int UNLIMITED = Integer.MAX_VALUE;
+    private final PipelineQueue queue = new PipelineQueue();
 
     @Test
-    void oneClientHasSixteenInHandAtTheMost() {
-        List<PipelineQueue.Turn> turns = new ArrayList<>();
+    void oneClientHasAtMostSixteenConcurrentTasks() {
+        List<PipelineQueue.AddResult> results = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            turns.add(ahead.add(read("k")));
+            results.add(queue.add(read("k")));
         }
-        assertThat(turns).startsWith(PipelineQueue.Turn.START_TASK).endsWith(PipelineQueue.Turn.WAITS);
-        assertThat(turns.stream().filter(t -> t == PipelineQueue.Turn.START_TASK))
+        assertThat(results).startsWith(PipelineQueue.AddResult.START_TASK).endsWith(PipelineQueue.AddResult.QUEUED);
+        assertThat(results.stream().filter(result -> result == PipelineQueue.AddResult.START_TASK))
                 .hasSize(16);
         for (int i = 0; i < 16; i++) {
-            assertThat(ahead.next(MANY)).isNotNull();
+            assertThat(queue.startNext(UNLIMITED)).isNotNull();
         }
-        assertThat(ahead.another(MANY)).isFalse();
+        assertThat(queue.reserveTask(UNLIMITED)).isFalse();
     }
 
     @Test
-    void aWriteWaitsForWhatNamesItsRowAndWhatNamesItsRowForIt() {
-        PipelineQueue.Work r1 = read("k");
-        PipelineQueue.Work w2 = write("k");
-        PipelineQueue.Work r3 = read("k");
-        PipelineQueue.Work w4 = write("other");
-        List<PipelineQueue.Turn> turns = List.of(ahead.add(r1), ahead.add(w2), ahead.add(r3), ahead.add(w4));
-        assertThat(turns.get(0)).isEqualTo(PipelineQueue.Turn.START_TASK);
-        assertThat(ahead.next(MANY)).isSameAs(r1);
-        assertThat(ahead.next(MANY)).isSameAs(w4);
-        assertThat(ahead.another(MANY)).isFalse();
-        done(r1);
-        assertThat(ahead.another(MANY)).isTrue();
-        assertThat(ahead.next(MANY)).isSameAs(w2);
-        assertThat(ahead.another(MANY)).isFalse();
-        done(w2);
-        assertThat(ahead.next(MANY)).isSameAs(r3);
-        assertThat(List.of(r1.begins(), w4.begins(), w2.begins(), r3.begins())).containsExactly(0L, 0L, 7L, 7L);
+    void writesAndReadsOfOneRowRunInTheirOrder() {
+        PipelineEntry r1 = read("k");
+        PipelineEntry w2 = write("k");
+        PipelineEntry r3 = read("k");
+        PipelineEntry w4 = write("other");
+        List<PipelineQueue.AddResult> results = List.of(queue.add(r1), queue.add(w2), queue.add(r3), queue.add(w4));
+        assertThat(results.get(0)).isEqualTo(PipelineQueue.AddResult.START_TASK);
+        assertThat(queue.startNext(UNLIMITED)).isSameAs(r1);
+        assertThat(queue.startNext(UNLIMITED)).isSameAs(w4);
+        assertThat(queue.reserveTask(UNLIMITED)).isFalse();
+        complete(r1);
+        assertThat(queue.reserveTask(UNLIMITED)).isTrue();
+        assertThat(queue.startNext(UNLIMITED)).isSameAs(w2);
+        assertThat(queue.reserveTask(UNLIMITED)).isFalse();
+        complete(w2);
+        assertThat(queue.startNext(UNLIMITED)).isSameAs(r3);
+        assertThat(List.of(r1.startNanos(), w4.startNanos(), w2.startNanos(), r3.startNanos()))
+                .containsExactly(0L, 0L, 7L, 7L);
     }
 
     @Test
-    void theFirstIsWrittenFirstAndByOneAlone() {
-        PipelineQueue.Work first = read("a");
-        PipelineQueue.Work second = read("b");
-        ahead.add(first);
-        ahead.add(second);
-        ahead.next(MANY);
-        ahead.next(MANY);
-        assertThat(ahead.add(new PipelineQueue.Work(new MessageWriter().ready(), false)))
-                .isEqualTo(PipelineQueue.Turn.WAITS);
-        done(second);
-        assertThat(ahead.toWrite()).isNull();
-        assertThat(ahead.current()).isSameAs(first);
-        done(first);
-        assertThat(ahead.toWrite()).isSameAs(first);
-        assertThat(ahead.toWrite()).isNull();
-        assertThat(ahead.owes()).isTrue();
-        ahead.written();
-        assertThat(ahead.toWrite()).isSameAs(second);
-        ahead.written();
-        assertThat(ahead.toWrite().query()).isNull();
-        assertThat(ahead.owes()).isFalse();
-        ahead.written();
-        assertThat(ahead.idle()).isTrue();
+    void answersAreWrittenInOrderByOneTaskAtATime() {
+        PipelineEntry first = read("a");
+        PipelineEntry second = read("b");
+        queue.add(first);
+        queue.add(second);
+        queue.startNext(UNLIMITED);
+        queue.startNext(UNLIMITED);
+        assertThat(queue.add(new PipelineEntry(new MessageWriter().ready(), false)))
+                .isEqualTo(PipelineQueue.AddResult.QUEUED);
+        complete(second);
+        assertThat(queue.beginWrite()).isNull();
+        assertThat(queue.firstUnanswered()).isSameAs(first);
+        complete(first);
+        assertThat(queue.beginWrite()).isSameAs(first);
+        assertThat(queue.beginWrite()).isNull();
+        assertThat(queue.hasUnwritten()).isTrue();
+        queue.endWrite();
+        assertThat(queue.beginWrite()).isSameAs(second);
+        queue.endWrite();
+        assertThat(queue.beginWrite().query()).isNull();
+        assertThat(queue.hasUnwritten()).isFalse();
+        queue.endWrite();
+        assertThat(queue.isIdle()).isTrue();
     }
 
     @Test
-    void whoFindsNoThreadWaitsForTheTasksThereAreAndIsLetGoOfWithoutAny() {
-        PipelineQueue.Work first = read("a");
-        PipelineQueue.Work second = read("b");
-        assertThat(ahead.add(first)).isEqualTo(PipelineQueue.Turn.START_TASK);
-        assertThat(ahead.next(MANY)).isSameAs(first);
-        assertThat(ahead.add(second)).isEqualTo(PipelineQueue.Turn.START_TASK);
-        assertThat(ahead.abandon(second)).isFalse();
-        done(first);
-        assertThat(ahead.next(MANY)).isSameAs(second);
-        done(second);
-        ahead.toWrite();
-        ahead.written();
-        ahead.toWrite();
-        ahead.written();
-        assertThat(ahead.next(MANY)).isNull();
-        PipelineQueue.Work third = read("c");
-        assertThat(ahead.add(third)).isEqualTo(PipelineQueue.Turn.START_TASK);
-        assertThat(ahead.abandon(third)).isTrue();
-        assertThat(ahead.idle()).isTrue();
+    void anEntryWithoutAThreadWaitsForARunningTaskAndIsRemovedWithoutOne() {
+        PipelineEntry first = read("a");
+        PipelineEntry second = read("b");
+        assertThat(queue.add(first)).isEqualTo(PipelineQueue.AddResult.START_TASK);
+        assertThat(queue.startNext(UNLIMITED)).isSameAs(first);
+        assertThat(queue.add(second)).isEqualTo(PipelineQueue.AddResult.START_TASK);
+        assertThat(queue.releaseTask(second)).isFalse();
+        complete(first);
+        assertThat(queue.startNext(UNLIMITED)).isSameAs(second);
+        complete(second);
+        queue.beginWrite();
+        queue.endWrite();
+        queue.beginWrite();
+        queue.endWrite();
+        assertThat(queue.startNext(UNLIMITED)).isNull();
+        PipelineEntry third = read("c");
+        assertThat(queue.add(third)).isEqualTo(PipelineQueue.AddResult.START_TASK);
+        assertThat(queue.releaseTask(third)).isTrue();
+        assertThat(queue.isIdle()).isTrue();
     }
 
     @Test
-    void nothingIsBegunOrWrittenOnceTheClientHasGone() {
-        PipelineQueue.Work first = read("a");
-        ahead.add(first);
-        ahead.next(MANY);
-        ahead.add(read("b"));
-        assertThat(ahead.end()).hasSize(2).contains(first);
-        done(first);
-        assertThat(ahead.toWrite()).isNull();
-        assertThat(ahead.next(MANY)).isNull();
-        assertThat(ahead.add(read("c"))).isEqualTo(PipelineQueue.Turn.WAITS);
+    void nothingIsStartedOrWrittenAfterTheClientDisconnects() {
+        PipelineEntry first = read("a");
+        queue.add(first);
+        queue.startNext(UNLIMITED);
+        queue.add(read("b"));
+        assertThat(queue.close()).hasSize(2).contains(first);
+        complete(first);
+        assertThat(queue.beginWrite()).isNull();
+        assertThat(queue.startNext(UNLIMITED)).isNull();
+        assertThat(queue.add(read("c"))).isEqualTo(PipelineQueue.AddResult.QUEUED);
     }
 
-    private void done(PipelineQueue.Work work) {
-        ahead.answered(work, new RequestTask.Reply(new MessageWriter().ready(), false), 7);
+    private void complete(PipelineEntry entry) {
+        queue.complete(entry, QueryReply.of(new MessageWriter().ready()), 7);
     }
 
-    private static PipelineQueue.Work read(String key) {
-        return new PipelineQueue.Work(
-                "SELECT doc FROM items WHERE id = '" + key + "' /* id=1,c=any,d=9,cluster=1 */", 0);
+    private static PipelineEntry read(String key) {
+        return new PipelineEntry("SELECT doc FROM items WHERE id = '" + key + "' /* id=1,c=any,d=9,cluster=1 */", 0);
     }
 
-    private static PipelineQueue.Work write(String key) {
-        return new PipelineQueue.Work(
+    private static PipelineEntry write(String key) {
+        return new PipelineEntry(
                 "INSERT INTO items (id, doc) VALUES ('" + key + "', '\\x00') RETURNING doc "
                         + "/* id=1,c=write,d=9,cluster=1 */",
                 0);
