--- a/src/test/java/beaconladder/coordinator/CoordinatorProtocolTest.java
+++ b/src/test/java/beaconladder/coordinator/CoordinatorProtocolTest.java
@@ -93,9 +93,9 @@
 
     @Test
     void theKeepersAnswersHaveTheseNames(@TempDir Path folder) throws Exception {
-        int port = StoredMovesTest.freePort();
+        int port = StoredMigrationsTest.freePort();
         Path file = folder.resolve("plan");
-        Files.writeString(file, StoredMovesTest.plan(folder.resolve("store"), port));
+        Files.writeString(file, StoredMigrationsTest.plan(folder.resolve("store"), port));
         StringBuilder said = new StringBuilder();
         try (Coordinator keeper = new Coordinator(file, PlanReader.read(file).plan())) {
             assertThat(keeper).isNotNull();
@@ -109,7 +109,7 @@
                     "undo?tenant=t",
                     "undo?tenant=t",
                     "cells")) {
-                said.append(StoredMovesTest.get(port, "/v1/" + path)
+                said.append(StoredMigrationsTest.get(port, "/v1/" + path)
                                 .replaceAll("(_ms\":)\\d+", "$1NOW")
                                 .replaceAll("(\"n0\":)\\d+", "$1AGO"))
                         .append('\n');
--- a/src/test/java/beaconladder/coordinator/StoredMovesTest.java
+++ b/src/test/java/beaconladder/coordinator/StoredMigrationsTest.java
@@ -1,12 +1,14 @@
 package beaconladder.coordinator;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.entry;
 
 import beaconladder.cells.MigrationObservation;
 import beaconladder.cells.MigrationStep;
 import beaconladder.cells.MigrationStep.Kind;
 import beaconladder.cells.StaticPlacement;
 import beaconladder.cells.TenantMigrations;
+import beaconladder.cells.TenantPlacement;
 import beaconladder.cells.WriteActivity;
 import beaconladder.plan.PlanReader;
 import beaconladder.storage.DurableRecords;
@@ -31,7 +33,7 @@
  * (v). It is made by {@link #generate} and is not to be made anew when the code changes.
  */
 @Timeout(60)
-class StoredMovesTest {
+class StoredMigrationsTest {
     private static final long MS = 1_000_000;
     private static final long START = 1_767_225_600_000L * MS;
 
@@ -166,22 +168,22 @@
                 moves.apply(CoordinatorProtocol.read(record, MigrationStep.class));
             }
             moves.recoveredAt(now);
-            assertThat(moves.placements().toString()).isEqualTo("""
-                    {t=Seat[cell=b, writes=true, reads=true, moving=false, floors=[1767225600041000000]], \
-                    u=Seat[cell=b, writes=true, reads=true, moving=false, floors=[1767225602041000000]], \
-                    v=Seat[cell=a, writes=false, reads=false, moving=true, floors=[]]}""");
-            assertThat(moves.statuses(now).stream().map(TenantMigrations.Shown::toString))
+            assertThat(moves.placements())
                     .containsExactly(
-                            "Shown[tenant=v, from=a, to=b, state=sealed, since=1767225601032000000, "
-                                    + "waitsFor=word from n0]",
-                            "Shown[tenant=u, from=a, to=b, state=switched, since=1767225602042000000, "
-                                    + "waitsFor=word from n0]");
+                            entry("t", new TenantPlacement("b", true, true, false, List.of(1767225600041000000L))),
+                            entry("u", new TenantPlacement("b", true, true, false, List.of(1767225602041000000L))),
+                            entry("v", new TenantPlacement("a", false, false, true, List.of())));
+            assertThat(moves.statuses(now))
+                    .containsExactly(
+                            new TenantMigrations.Shown("v", "a", "b", "sealed", 1767225601032000000L, "word from n0"),
+                            new TenantMigrations.Shown(
+                                    "u", "a", "b", "switched", 1767225602042000000L, "word from n0"));
             write(moves, records, moves.registration("n0", "run2", now));
             seen(moves, records, "v", now);
             seen(moves, records, "v", now + 10 * MS);
         }
         List<String> after = lines(store);
-        assertThat(after.subList(before, after.size()).stream().map(StoredMovesTest::kindAndTenant))
+        assertThat(after.subList(before, after.size()).stream().map(StoredMigrationsTest::kindAndTenant))
                 .containsExactly("ROUTER n0", "DONE u", "SWITCHED v", "DONE v");
         assertThat(moves.statuses(now)).isEmpty();
     }
@@ -214,7 +216,7 @@
                 {"tenant":"u","from":"a","to":"b","state":"done","at_ms":NOW,"why":null}]}""");
         List<String> after = lines(store);
         assertThat(after.subList(0, before.size())).isEqualTo(before);
-        assertThat(after.subList(before.size(), after.size()).stream().map(StoredMovesTest::kindAndTenant))
+        assertThat(after.subList(before.size(), after.size()).stream().map(StoredMigrationsTest::kindAndTenant))
                 .containsExactly(Kind.UNDONE + " v", Kind.DONE + " u");
     }
 }
