--- a/src/main/java/beaconladder/server/AttemptEvents.java
+++ b/src/main/java/beaconladder/server/AttemptEvents.java
@@ -77,7 +77,7 @@
             trace.attemptEnded(attempt, outcome, now);
             monitor.counters().add(attempt.index == 0 ? "first_attempt" : "retry", outcome);
             boolean finished = attempt.request.ended || outcome == Outcome.COMMITTED;
-            InFlightRequest request = pendingActions.of(attempt.request);
+            InFlightRequest request = pendingActions.find(attempt.request);
             decisionLoop.execute(
                     attempt.request, router.onAttemptEnded(attempt, outcome, finished, answer, report, now), now);
             if (request != null && outcome == Outcome.COMMITTED) {
--- a/src/main/java/beaconladder/server/CellDispatcher.java
+++ b/src/main/java/beaconladder/server/CellDispatcher.java
@@ -14,24 +14,28 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.BooleanSupplier;
 
-/** What a router that has cells is asked beside the txns; under the desk's lock, by its clock. */
+/** Admission to cells and their placement, under the dispatcher's lock and by its clock. */
 final class CellDispatcher {
-    /** A txn that is held looks so often whether its client is still there. */
-    private static final long LOOK_NANOS = 50_000_000;
+    /** How often a queued request checks whether its client is still connected. */
+    private static final long CLIENT_CHECK_NANOS = 50_000_000;
 
-    private final RequestDispatcher desk;
+    private final RequestDispatcher dispatcher;
     private final CellAdmission admission;
     private final ReentrantLock lock;
-    private final Condition placed;
+    private final Condition placementChanged;
 
-    CellDispatcher(RequestDispatcher desk, CellAdmission admission, ReentrantLock lock) {
-        this.desk = desk;
+    CellDispatcher(RequestDispatcher dispatcher, CellAdmission admission, ReentrantLock lock) {
+        this.dispatcher = dispatcher;
         this.admission = admission;
         this.lock = lock;
-        this.placed = lock.newCondition();
+        this.placementChanged = lock.newCondition();
     }
 
-    /** Asks for leave for a txn; waits while it is held, as long as its client stays. */
+    /**
+     * Admits or rejects a request; waits while it is queued.
+     *
+     * @param clientGone whether the client has disconnected or cancelled it: then the result is null
+     */
     AdmissionDecision admit(
             String tenant,
             long key,
@@ -42,67 +46,68 @@
             InetAddress from,
             long arrived,
             long expiry,
-            BooleanSupplier gone)
+            BooleanSupplier clientGone)
             throws InterruptedException {
         lock.lock();
         try {
-            AdmissionDecision answer = admission.admit(
+            AdmissionDecision decision = admission.admit(
                     new AdmissionRequest(
-                            tenant, key, named, write, desk.priorityWeight(type), size, from, arrived, expiry),
-                    desk.nowNanos());
-            while (answer.kind() == AdmissionDecision.Kind.QUEUE) {
-                if (gone.getAsBoolean()) {
-                    admission.release(answer.permit());
+                            tenant, key, named, write, dispatcher.priorityWeight(type), size, from, arrived, expiry),
+                    dispatcher.nowNanos());
+            while (decision.kind() == AdmissionDecision.Kind.QUEUE) {
+                if (clientGone.getAsBoolean()) {
+                    admission.release(decision.permit());
                     return null;
                 }
                 try {
-                    placed.awaitNanos(Math.min(LOOK_NANOS, Math.max(1, answer.recheckByNanos() - desk.nowNanos())));
+                    placementChanged.awaitNanos(Math.min(
+                            CLIENT_CHECK_NANOS, Math.max(1, decision.recheckByNanos() - dispatcher.nowNanos())));
                 } catch (InterruptedException e) {
-                    admission.release(answer.permit());
+                    admission.release(decision.permit());
                     throw e;
                 }
-                answer = admission.recheck(answer.permit(), desk.nowNanos());
+                decision = admission.recheck(decision.permit(), dispatcher.nowNanos());
             }
-            return answer;
+            return decision;
         } finally {
             lock.unlock();
         }
     }
 
-    /** A txn that had leave is not taken in hand after all. */
-    void releasePermit(AdmissionPermit pass) {
+    /** Returns the permit of a request that is not submitted after all. */
+    void releasePermit(AdmissionPermit permit) {
         lock.lock();
         try {
-            admission.release(pass);
+            admission.release(permit);
         } finally {
             lock.unlock();
         }
     }
 
-    /** Whether there is room for one more connection of this tenant. */
-    boolean admitConnection(AdmissionPermit pass) {
+    /** Counts one more connection of this permit's cell; false where its quota does not allow it. */
+    boolean admitConnection(AdmissionPermit permit) {
         lock.lock();
         try {
-            return admission.acquireConnection(pass, desk.nowNanos());
+            return admission.acquireConnection(permit, dispatcher.nowNanos());
         } finally {
             lock.unlock();
         }
     }
 
-    void releaseConnection(AdmissionPermit pass) {
+    void releaseConnection(AdmissionPermit permit) {
         lock.lock();
         try {
-            admission.releaseConnection(pass);
+            admission.releaseConnection(permit);
         } finally {
             lock.unlock();
         }
     }
 
-    /** Whether the cell of this leave holds more connections than its own. */
-    boolean borrowsConnections(AdmissionPermit pass) {
+    /** Whether the cell of this permit uses more connections than its own quota. */
+    boolean borrowsConnections(AdmissionPermit permit) {
         lock.lock();
         try {
-            return admission.isBorrowingConnections(pass.cellIndex());
+            return admission.isBorrowingConnections(permit.cellIndex());
         } finally {
             lock.unlock();
         }
@@ -120,26 +125,26 @@
     List<WriteActivity> busyTenants() {
         lock.lock();
         try {
-            return admission.writeActivity(desk.nowNanos());
+            return admission.writeActivity(dispatcher.nowNanos());
         } finally {
             lock.unlock();
         }
     }
 
-    /** The keeper's word. */
+    /** Applies a placement of the coordinator and wakes the queued requests. */
     void updatePlacement(PlacementTable placement) {
-        desk.applyEvent(now -> {
+        dispatcher.applyEvent(now -> {
             for (int number : admission.applyPlacement(placement)) {
-                Group group = desk.group(number);
+                Group group = dispatcher.group(number);
                 if (group != null) {
                     group.changed = true;
                 }
             }
-            placed.signalAll();
+            placementChanged.signalAll();
         });
     }
 
-    /** Another plan; what speaks against it, or null when it counts. */
+    /** Replaces the plan; returns why it can't, or null where it did. */
     String replacePlan(StaticPlacement next) {
         lock.lock();
         try {
--- a/src/main/java/beaconladder/server/HostActions.java
+++ b/src/main/java/beaconladder/server/HostActions.java
@@ -3,14 +3,17 @@
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Host;
 
-/** Does on sockets what the rounds ask for beside the txns. */
+/** Actions on connections to hosts outside the requests' own tasks; run without the dispatcher's lock. */
 interface HostActions {
+    /** Starts a health check of this host. */
     void probe(Host host);
 
+    /** Closes the idle connections to this host. */
     void closeIdle(Host host);
 
-    /** Starts a submission whose txn's task is out with another one. */
+    /** Starts an attempt whose request's task is busy with another one. */
     void start(InFlightRequest request, InFlightRequest.Command command);
 
-    void cancel(Attempt submission);
+    /** Cancels this attempt by closing its connection; without effect where it has ended. */
+    void cancel(Attempt attempt);
 }
--- a/src/main/java/beaconladder/server/PendingActions.java
+++ b/src/main/java/beaconladder/server/PendingActions.java
@@ -14,107 +14,110 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** What the rounds ask for, under the desk's lock: told to the txns' tasks, or kept until it is free. */
+/**
+ * Carries out decisions under the dispatcher's lock: commands go to the requests' tasks at once, actions on other
+ * sockets are kept until the lock is released.
+ */
 final class PendingActions implements DecisionLoop.ActionHandler {
-    private final RequestDispatcher desk;
-    private final CellAdmission gate;
+    private final RequestDispatcher dispatcher;
+    private final CellAdmission admission;
     private final EventTrace trace;
     private final Monitor monitor;
-    /** Those whose missing answer was counted. */
+    /** Requests whose missed deadline has been counted. */
     private final Set<Request> overdue = new HashSet<>();
-    /** The txns in hand. */
-    private final Map<Request, InFlightRequest> hands = new HashMap<>();
-    /** What is to be done on sockets once the lock is free. */
-    private final List<Consumer<HostActions>> errands = new ArrayList<>();
+    /** The requests in flight. */
+    private final Map<Request, InFlightRequest> requests = new HashMap<>();
+    /** Actions to run once the lock is released. */
+    private final List<Consumer<HostActions>> hostActions = new ArrayList<>();
 
-    PendingActions(RequestDispatcher desk, CellAdmission gate, EventTrace trace, Monitor monitor) {
+    PendingActions(RequestDispatcher dispatcher, CellAdmission admission, EventTrace trace, Monitor monitor) {
         this.monitor = monitor;
-        this.desk = desk;
-        this.gate = gate;
+        this.dispatcher = dispatcher;
+        this.admission = admission;
         this.trace = trace;
     }
 
-    void add(InFlightRequest hand) {
-        hands.put(hand.request, hand);
+    void add(InFlightRequest inFlight) {
+        requests.put(inFlight.request, inFlight);
     }
 
-    /** The hand of this txn, or null. */
-    InFlightRequest of(Request txn) {
-        return hands.get(txn);
+    /** The request in flight with this state, or null where it has ended. */
+    InFlightRequest find(Request request) {
+        return requests.get(request);
     }
 
     int size() {
-        return hands.size();
+        return requests.size();
     }
 
-    /** Counts those whose time has gone by without an answer. */
+    /** Counts each request that is past its deadline without an answer, once. */
     void checkOverdue(long now) {
-        for (Request txn : hands.keySet()) {
-            if (!overdue.contains(txn) && monitor.invariants().countIfOverdue(txn, now)) {
-                overdue.add(txn);
+        for (Request request : requests.keySet()) {
+            if (!overdue.contains(request) && monitor.invariants().countIfOverdue(request, now)) {
+                overdue.add(request);
             }
         }
     }
 
-    /** Hands over what is to be done on sockets. */
-    List<Consumer<HostActions>> errands() {
-        if (errands.isEmpty()) {
+    /** Removes and returns the actions to run without the lock. */
+    List<Consumer<HostActions>> drainHostActions() {
+        if (hostActions.isEmpty()) {
             return List.of();
         }
-        List<Consumer<HostActions>> then = List.copyOf(errands);
-        errands.clear();
-        return then;
+        List<Consumer<HostActions>> actions = List.copyOf(hostActions);
+        hostActions.clear();
+        return actions;
     }
 
     @Override
-    public void send(Attempt s, long timeout) {
-        InFlightRequest hand = hands.get(s.request);
-        trace.attemptSent(s, timeout);
-        InFlightRequest.Command command = InFlightRequest.Command.send(s, s.sentNanos + timeout);
-        if (!hand.enqueue(command)) {
-            errands.add(to -> to.start(hand, command));
+    public void send(Attempt attempt, long timeoutNanos) {
+        InFlightRequest inFlight = requests.get(attempt.request);
+        trace.attemptSent(attempt, timeoutNanos);
+        InFlightRequest.Command command = InFlightRequest.Command.send(attempt, attempt.sentNanos + timeoutNanos);
+        if (!inFlight.enqueue(command)) {
+            hostActions.add(actions -> actions.start(inFlight, command));
         }
     }
 
     @Override
-    public void cancel(Attempt s) {
-        errands.add(to -> to.cancel(s));
+    public void cancel(Attempt attempt) {
+        hostActions.add(actions -> actions.cancel(attempt));
     }
 
     @Override
-    public void reject(Request txn, long comeBack, RoutingDecision.Reason reason) {
-        trace.requestEvent(txn, "decline " + reason, desk.nowNanos());
+    public void reject(Request request, long retryAfterNanos, RoutingDecision.Reason reason) {
+        trace.requestEvent(request, "decline " + reason, dispatcher.nowNanos());
         monitor.counters().add("refused", reason);
-        monitor.invariants().checkRejection(txn);
-        hands.get(txn).enqueue(InFlightRequest.Command.rejected(comeBack));
+        monitor.invariants().checkRejection(request);
+        requests.get(request).enqueue(InFlightRequest.Command.rejected(retryAfterNanos));
     }
 
     @Override
-    public void rollBack(Request txn, RoutingDecision.Reason reason) {
-        trace.requestEvent(txn, "rollback " + reason, desk.nowNanos());
+    public void rollBack(Request request, RoutingDecision.Reason reason) {
+        trace.requestEvent(request, "rollback " + reason, dispatcher.nowNanos());
         monitor.counters().add("rolled_back", reason);
-        hands.get(txn).enqueue(InFlightRequest.Command.rolledBack());
+        requests.get(request).enqueue(InFlightRequest.Command.rolledBack());
     }
 
     @Override
-    public void onRequestEnded(Request txn) {
-        trace.requestEvent(txn, "over", desk.nowNanos());
-        trace.forget(txn);
-        hands.remove(txn);
-        overdue.remove(txn);
-        if (gate != null) {
-            gate.requestEnded(txn);
+    public void onRequestEnded(Request request) {
+        trace.requestEvent(request, "over", dispatcher.nowNanos());
+        trace.forget(request);
+        requests.remove(request);
+        overdue.remove(request);
+        if (admission != null) {
+            admission.requestEnded(request);
         }
     }
 
     @Override
     public void probe(Host host) {
         trace.healthCheck(host);
-        errands.add(to -> to.probe(host));
+        hostActions.add(actions -> actions.probe(host));
     }
 
     @Override
     public void closeIdleConnections(Host host) {
-        errands.add(to -> to.closeIdle(host));
+        hostActions.add(actions -> actions.closeIdle(host));
     }
 }
--- a/src/main/java/beaconladder/server/RequestDispatcher.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -22,8 +22,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Holds the module, its one lock and its one clock. Each event is told under the lock, then the rounds are played; what
- * has to be done on sockets is done by others, or here once the lock is free.
+ * Owns the routing policy, its one lock and its one clock. Each event is applied under the lock, followed by the
+ * decisions that are due; what these require on sockets is done by the requests' tasks, or here once the lock is
+ * released.
  */
 final class RequestDispatcher implements EndpointWatch.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
@@ -31,207 +32,220 @@
     private final ReentrantLock lock = new ReentrantLock();
     private final WakeupTimer timer = new WakeupTimer(this, lock);
     private final Router router;
-    private final DecisionLoop rounds;
-    /** Which cell a txn belongs to and whether it may go there; both null where there are no cells. */
-    private final CellAdmission gate;
+    private final DecisionLoop decisionLoop;
+    /** Admission to cells; both null where no cells are configured. */
+    private final CellAdmission admission;
 
     private final CellDispatcher cells;
-    private final PendingActions orders;
+    private final PendingActions pendingActions;
     private final Monitor monitor;
-    private final AttemptEvents attempts;
-    private final Set<String> ids = new HashSet<>();
-    private final EndpointList list;
-    private final SettingIndex places;
-    private final long anchor = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
-    private volatile HostActions lines;
+    private final AttemptEvents attemptEvents;
+    private final Set<String> inFlightIds = new HashSet<>();
+    private final EndpointList endpoints;
+    private final SettingIndex settingIndex;
+    private final long nanoTimeOffset = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
+    private volatile HostActions hostActions;
     private final EventTrace trace = new EventTrace();
-    private long taken;
+    private long submittedCount;
 
-    RequestDispatcher(long seed, Map<String, String> start, CellAdmission gate) {
-        this(seed, start, gate, new Monitor(start));
+    RequestDispatcher(long seed, Map<String, String> settings, CellAdmission admission) {
+        this(seed, settings, admission, new Monitor(settings));
     }
 
-    RequestDispatcher(long seed, Map<String, String> start, CellAdmission gate, Monitor monitor) {
-        this.gate = gate;
+    RequestDispatcher(long seed, Map<String, String> settings, CellAdmission admission, Monitor monitor) {
+        this.admission = admission;
         this.monitor = monitor;
-        router = gate == null ? new RoutingPolicy(seed, start) : new CellRouter(new RoutingPolicy(seed, start), gate);
-        orders = new PendingActions(this, gate, trace, monitor);
-        rounds = new DecisionLoop(router, orders);
-        list = new EndpointList(router, trace, start.getOrDefault("zones", ""));
-        cells = gate == null ? null : new CellDispatcher(this, gate, lock);
-        places = new SettingIndex(start);
-        attempts = new AttemptEvents(this, lock, router, rounds, orders, trace, monitor);
-        trace.settings(start);
+        router = admission == null
+                ? new RoutingPolicy(seed, settings)
+                : new CellRouter(new RoutingPolicy(seed, settings), admission);
+        pendingActions = new PendingActions(this, admission, trace, monitor);
+        decisionLoop = new DecisionLoop(router, pendingActions);
+        endpoints = new EndpointList(router, trace, settings.getOrDefault("zones", ""));
+        cells = admission == null ? null : new CellDispatcher(this, admission, lock);
+        settingIndex = new SettingIndex(settings);
+        attemptEvents = new AttemptEvents(this, lock, router, decisionLoop, pendingActions, trace, monitor);
+        trace.settings(settings);
     }
 
-    void setHostActions(HostActions to) {
-        lines = to;
+    /** Sets who carries out actions on connections to hosts; before the first event that may need one. */
+    void setHostActions(HostActions actions) {
+        hostActions = actions;
     }
 
     /** Unix time in nanoseconds; never runs backwards. */
     long nowNanos() {
-        return anchor + System.nanoTime();
+        return nanoTimeOffset + System.nanoTime();
     }
 
-    /** The moment of the desk's clock on System.nanoTime's. */
-    long toNanoTime(long moment) {
-        return moment - anchor;
+    /** Converts a time of this clock to System.nanoTime's. */
+    long toNanoTime(long unixNanos) {
+        return unixNanos - nanoTimeOffset;
     }
 
     Monitor monitor() {
         return monitor;
     }
 
-    /** For exchanges with hosts. */
+    /** What exchanges with hosts ask and report. */
     AttemptEvents attemptEvents() {
-        return attempts;
+        return attemptEvents;
     }
 
     SettingIndex settingIndex() {
-        return places;
+        return settingIndex;
     }
 
-    /** Whether txns of this type write. */
-    boolean isWrite(int type) {
-        return router.requestClass(type).consistency() == RequestClass.Consistency.WRITE;
+    /** Whether requests of this class write. */
+    boolean isWrite(int classIndex) {
+        return router.requestClass(classIndex).consistency() == RequestClass.Consistency.WRITE;
     }
 
-    double priorityWeight(int type) {
-        return router.requestClass(type).weight();
+    double priorityWeight(int classIndex) {
+        return router.requestClass(classIndex).weight();
     }
 
     Group group(int number) {
-        return list.group(number);
+        return endpoints.group(number);
     }
 
     InetSocketAddress address(Host host) {
-        return list.address(host);
+        return endpoints.address(host);
     }
 
+    /** How long a connection to a host may have been idle and still be used. */
     long keepIdleNanos() {
         return router.maxIdleNanos();
     }
 
+    /** How many hosts, requests and ids are held, to detect leaks. */
     int trackedCount() {
         lock.lock();
         try {
-            return list.trackedCount() + orders.size() + ids.size();
+            return endpoints.trackedCount() + pendingActions.size() + inFlightIds.size();
         } finally {
             lock.unlock();
         }
     }
 
     boolean hasEndpoints() {
-        return !list.isEmpty();
+        return !endpoints.isEmpty();
     }
 
     boolean hasCells() {
-        return gate != null;
+        return admission != null;
     }
 
-    /** What there is to ask where there are cells; null where there are none. */
+    /** Admission to cells and their placement; null where no cells are configured. */
     CellDispatcher cells() {
         return cells;
     }
 
-    /** The longest that a txn may be in hand, in nanoseconds. */
+    /** The longest that a request may be in flight. */
     long maxRequestNanos() {
-        return gate == null ? Long.MAX_VALUE : gate.maxInFlightNanos();
+        return admission == null ? Long.MAX_VALUE : admission.maxInFlightNanos();
     }
 
     /**
-     * Takes a txn in, with its leave where there are cells: its task is told through the hand what to do, and releases
-     * its id at the end. Null where another txn of this id is in hand.
+     * Accepts a request and decides on its first attempt. Its task takes its commands from the result, and releases the
+     * id at the end.
+     *
+     * @return null where another request of this id is in flight
      */
     InFlightRequest submit(RequestParameters parameters) {
         lock.lock();
-        InFlightRequest hand;
+        InFlightRequest inFlight;
         try {
-            if (!ids.add(parameters.id())) {
+            if (!inFlightIds.add(parameters.id())) {
                 return null;
             }
-            hand = InFlightRequest.of(
-                    taken++,
+            inFlight = InFlightRequest.of(
+                    submittedCount++,
                     parameters,
                     router.requestClass(parameters.classIndex()),
-                    places.tenantIndex(parameters.statement().value("t")));
-            orders.add(hand);
-            trace.submitted(hand.request, parameters.id(), nowNanos());
+                    settingIndex.tenantIndex(parameters.statement().value("t")));
+            pendingActions.add(inFlight);
+            trace.submitted(inFlight.request, parameters.id(), nowNanos());
             if (parameters.permit() != null) {
-                gate.requestStarted(hand.request, parameters.permit());
+                admission.requestStarted(inFlight.request, parameters.permit());
             }
         } finally {
             lock.unlock();
         }
-        applyEvent(now -> rounds.execute(hand.request, router.route(hand.request, now), now));
-        return hand;
+        applyEvent(now -> decisionLoop.execute(inFlight.request, router.route(inFlight.request, now), now));
+        return inFlight;
     }
 
-    /** The txn of this id has had its answer. */
+    /** The request of this id has been answered. */
     void releaseId(String id) {
         lock.lock();
         try {
-            ids.remove(id);
+            inFlightIds.remove(id);
         } finally {
             lock.unlock();
         }
     }
 
-    /** The client of this txn has left. */
-    void abandon(InFlightRequest hand) {
+    /** The client of this request has disconnected or cancelled it. */
+    void abandon(InFlightRequest inFlight) {
         applyEvent(now -> {
-            hand.request.disconnectedNanos = Math.min(hand.request.disconnectedNanos, now);
-            if (!hand.request.ended) {
-                trace.requestEvent(hand.request, "left", now);
-                rounds.execute(hand.request, router.onClientDisconnected(hand.request, now), now);
-                hand.enqueue(InFlightRequest.Command.clientGone());
+            inFlight.request.disconnectedNanos = Math.min(inFlight.request.disconnectedNanos, now);
+            if (!inFlight.request.ended) {
+                trace.requestEvent(inFlight.request, "left", now);
+                decisionLoop.execute(inFlight.request, router.onClientDisconnected(inFlight.request, now), now);
+                inFlight.enqueue(InFlightRequest.Command.clientGone());
             }
         });
     }
 
     @Override
     public void onEndpoints(boolean complete, List<EndpointWatch.Entry> entries) {
-        List<Host> moved = new ArrayList<>();
-        applyEvent(now -> moved.addAll(list.listed(complete, entries, now)));
-        if (lines != null) {
-            moved.forEach(lines::closeIdle);
+        List<Host> stale = new ArrayList<>();
+        applyEvent(now -> stale.addAll(endpoints.listed(complete, entries, now)));
+        if (hostActions != null) {
+            stale.forEach(hostActions::closeIdle);
         }
     }
 
-    /** Lets go of the hosts that are gone and that nothing needs any more. */
+    /** Forgets the hosts that are gone and that no request needs, and checks for overdue requests. */
     void sweep() {
         lock.lock();
         try {
-            list.sweep(nowNanos());
-            orders.checkOverdue(nowNanos());
+            endpoints.sweep(nowNanos());
+            pendingActions.checkOverdue(nowNanos());
         } finally {
             lock.unlock();
         }
     }
 
-    void applyEvent(LongConsumer news) {
-        List<Consumer<HostActions>> then;
-        List<String> traced;
+    /**
+     * Applies an event under the lock, carries out the decisions that are due, and runs their actions on sockets
+     * without it.
+     *
+     * @param event is given the current time of this clock
+     */
+    void applyEvent(LongConsumer event) {
+        List<Consumer<HostActions>> actions;
+        List<String> traceLines;
         lock.lock();
         try {
             long now = nowNanos();
-            news.accept(now);
-            timer.schedule(rounds.processDue(now));
-            then = orders.errands();
-            traced = trace.drain();
+            event.accept(now);
+            timer.schedule(decisionLoop.processDue(now));
+            actions = pendingActions.drainHostActions();
+            traceLines = trace.drain();
         } finally {
             lock.unlock();
         }
-        trace.flush(traced);
-        then.forEach(this::run);
+        trace.flush(traceLines);
+        actions.forEach(this::run);
     }
 
-    /** One that fails keeps no other from being done. */
-    private void run(Consumer<HostActions> errand) {
+    /** A failing action does not prevent the others. */
+    private void run(Consumer<HostActions> action) {
         try {
-            errand.accept(lines);
+            action.accept(hostActions);
         } catch (RuntimeException | Error e) {
-            LOG.error("an errand goes by a fault of this program", e);
+            LOG.error("an action on a host fails by an internal error", e);
         }
     }
 
