--- a/src/main/java/beaconladder/routing/ConcurrencyLimit.java
+++ b/src/main/java/beaconladder/routing/ConcurrencyLimit.java
@@ -55,7 +55,7 @@
 
     /** How many routers share the hosts. */
     private int routers() {
-        return (int) traffic.number("replicas_of_me", 1);
+        return traffic.settings.routers();
     }
 
     /**
--- a/src/main/java/beaconladder/routing/DeadlinePolicy.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -36,7 +36,7 @@
         // Eight samples tell a cluster from scatter; arrivals are read once a tick, so equal budgets spread
         // by one.
         long first = budgets.densestMiddle(8 * MILLISECOND);
-        boolean marked = traffic.isEnabled("clients.marks_retry");
+        boolean marked = traffic.settings.clientsMarkRetries();
         boolean usual = budgets.size() < 8 || Math.abs(budget - first) <= 8 * MILLISECOND;
         long sla = request.requestClass.slaNanos();
         boolean hurried = budget < sla
@@ -142,7 +142,7 @@
     }
 
     private long roundNanos() {
-        return (long) traffic.number("round_us", 5_000) * 1_000;
+        return traffic.settings.roundNanos();
     }
 
     /** Two ticks (10 ms) before the expiry: on a busy core timers and threads were seen 7 ms late at most. */
--- a/src/main/java/beaconladder/routing/HealthCheckScheduler.java
+++ b/src/main/java/beaconladder/routing/HealthCheckScheduler.java
@@ -47,8 +47,7 @@
                 }
                 // As many at once as a tenth of its value pays for, since one or two that answer are enough.
                 double affordable = 0.1 * weights.remainingWeight(request, now);
-                int maxPending =
-                        (int) Math.max(1, Math.min(4, affordable / traffic.maxWeight / weights.price("fees.probe")));
+                int maxPending = (int) Math.max(1, Math.min(4, affordable / traffic.maxWeight / weights.probePrice()));
                 pendingAnswers = pendingAnswers < 0 ? countPendingAnswers(group, now) : pendingAnswers;
                 for (Host host : candidates(request, now)) {
                     if (pendingAnswers >= maxPending) {
--- a/src/main/java/beaconladder/routing/PriorityWeights.java
+++ b/src/main/java/beaconladder/routing/PriorityWeights.java
@@ -7,7 +7,7 @@
 /** What requests and questions are worth, by the prices and the goal that are stated. */
 record PriorityWeights(TrafficStatistics traffic) {
     int probeBudget(Request request) {
-        double affordable = 0.15 * request.requestClass.weight() / (price("fees.probe") * traffic.meanWeight());
+        double affordable = 0.15 * request.requestClass.weight() / (probePrice() * traffic.meanWeight());
         return (int) Math.max(1, Math.min(1_000, affordable));
     }
 
@@ -17,7 +17,7 @@
      * unreachable members, queues, changed roles. Harm: the price and some milliseconds, where nothing is wrong.
      */
     boolean isProbingWorthwhile() {
-        return 2 * price("fees.probe") <= 0.03;
+        return 2 * probePrice() <= 0.03;
     }
 
     /**
@@ -40,15 +40,12 @@
             // that.
             boolean nearWorst = requestClass.slaResults().size() >= 8
                     && requestClass.slaResults().mean() <= worstSlaShare + 0.1;
-            weights[requestClass.index()] = goalWeight("whole") + (nearWorst ? goalWeight("worst_class") / share : 0);
+            weights[requestClass.index()] =
+                    traffic.settings.totalGoal() + (nearWorst ? traffic.settings.worstClassGoal() / share : 0);
         }
         return weights;
     }
 
-    private double goalWeight(String name) {
-        return traffic.number("goal." + name, name.equals("whole") ? 1 : 0);
-    }
-
     /** What an answer would still earn. */
     double remainingWeight(Request request, long now) {
         return now < request.slaEndNanos
@@ -56,8 +53,8 @@
                 : request.requestClass.weight() * request.requestClass.lateShare();
     }
 
-    /** A price, as a share of a request; never quite nothing. */
-    double price(String name) {
-        return Math.max(1e-3, traffic.number(name, 0));
+    /** The price of a probe as a share of a request; never quite 0. */
+    double probePrice() {
+        return Math.max(1e-3, traffic.settings.probePrice());
     }
 }
--- a/src/main/java/beaconladder/routing/ReadPositions.java
+++ b/src/main/java/beaconladder/routing/ReadPositions.java
@@ -51,7 +51,7 @@
      * may have been answered, and the answer lost on its way.
      */
     long sessionTarget(Request request, long now) {
-        if (!"router".equals(traffic.settings.get("family_info.session_marks"))) {
+        if (!traffic.settings.routerKeepsSessions()) {
             return request.sessionWritePosition;
         }
         Session session = sessions.get(request.sessionKey);
@@ -73,7 +73,7 @@
 
     /** What this write may have committed at the most. */
     void recordCommit(Request request, long commit) {
-        if (request.sessionKey == 0 || !"router".equals(traffic.settings.get("family_info.session_marks"))) {
+        if (request.sessionKey == 0 || !traffic.settings.routerKeepsSessions()) {
             return;
         }
         Session session = sessions.computeIfAbsent(request.sessionKey, k -> new Session());
--- a/src/main/java/beaconladder/routing/ReplicaSelector.java
+++ b/src/main/java/beaconladder/routing/ReplicaSelector.java
@@ -77,7 +77,7 @@
         double loadB = bothReported ? (b.load() + 1) / outliers.successProbability(b, now) : b.inFlight.size();
         if (loadA == loadB) {
             // A tie of the design's pick goes to the nearer one, as crossing zones has its price.
-            return b.zone == (int) traffic.number("my_zone", 0) ? b : a;
+            return b.zone == traffic.settings.zone() ? b : a;
         }
         return loadB < loadA ? b : a;
     }
--- a/src/main/java/beaconladder/routing/RetryPolicy.java
+++ b/src/main/java/beaconladder/routing/RetryPolicy.java
@@ -12,7 +12,7 @@
 record RetryPolicy(TrafficStatistics traffic) {
     /** Further attempts go by value: one for the least, four for the most. */
     int maxAttempts(Request request) {
-        int limit = (int) traffic.number("limits.max_attempts", 1);
+        int limit = traffic.settings.maxAttempts();
         return Math.min(limit, 2 + (int) Math.round(3 * request.requestClass.weight() / traffic.maxWeight));
     }
 
@@ -25,9 +25,7 @@
                 || effect == Idempotency.IDEMPOTENT
                 || effect == Idempotency.WITH_KEY
                         && request.requestClass.deduplicationScope() == RequestClass.DeduplicationScope.ALL) {
-            long retryAfterNanos = traffic.isEnabled("limits.retry_after")
-                    ? Math.min(traffic.nanosOf("limits.max_retry_after_us"), request.requestClass.slaNanos())
-                    : 0;
+            long retryAfterNanos = Math.min(traffic.settings.maxRetryAfterNanos(), request.requestClass.slaNanos());
             return RoutingDecision.reject(retryAfterNanos, reason);
         }
         return RoutingDecision.rollBack(reason);
@@ -35,7 +33,7 @@
 
     /** Copies that are out when the answer is there are cancelled. */
     List<Attempt> attemptsToCancel(Request request) {
-        return traffic.isEnabled("limits.cancel")
+        return traffic.settings.cancelAllowed()
                 ? request.attempts.stream().filter(attempt -> !attempt.ended).toList()
                 : List.of();
     }
--- a/src/main/java/beaconladder/routing/RoutingPolicy.java
+++ b/src/main/java/beaconladder/routing/RoutingPolicy.java
@@ -13,6 +13,7 @@
 import beaconladder.routing.state.Request;
 import beaconladder.routing.state.RequestClass;
 import beaconladder.routing.state.RequestClass.Idempotency;
+import beaconladder.routing.state.RouterSettings;
 import beaconladder.routing.state.SlowStartTicket;
 import beaconladder.routing.state.TrafficStatistics;
 import beaconladder.routing.state.WakeupQueue;
@@ -57,7 +58,7 @@
 
     public RoutingPolicy(long seed, Map<String, String> settings) {
         SplittableRandom random = new SplittableRandom(seed);
-        traffic = new TrafficStatistics(settings);
+        traffic = new TrafficStatistics(RouterSettings.parse(settings));
         outliers = new OutlierDetector(traffic, random);
         ClusterClock clock = new ClusterClock();
         slowStart = new SlowStart(traffic, clock, random);
@@ -155,7 +156,7 @@
     /** A repeatable request that is out at hosts gone silent gets a hedged request elsewhere. */
     private RoutingDecision hedge(Request request, long now) {
         if (request.requestClass.idempotency() != Idempotency.IDEMPOTENT
-                || !traffic.isEnabled("limits.second_copies")
+                || !traffic.settings.hedgingAllowed()
                 || request.attempts.size() >= retryPolicy.maxAttempts(request)
                 || now >= deadlines.latestUsefulSendNanos(request)) {
             return RoutingDecision.waiting();
@@ -182,7 +183,7 @@
     /** A second less than the stated time: a host's clock of idleness runs from an earlier byte than ours. */
     @Override
     public long maxIdleNanos() {
-        return Math.max(0, traffic.nanosOf("limits.conn_idle_us") - 1_000 * MILLISECOND);
+        return Math.max(0, traffic.settings.connectionIdleNanos() - 1_000 * MILLISECOND);
     }
 
     @Override
--- a/src/main/java/beaconladder/routing/SlowStart.java
+++ b/src/main/java/beaconladder/routing/SlowStart.java
@@ -108,7 +108,7 @@
      * all that were did, as far as they can; so does a warming-up one, as far as chance leaves of its budget.
      */
     private double ticketShare(Group group, long now) {
-        double multiple = traffic.number("rules.fall_multiple", 2);
+        double multiple = traffic.settings.slowStartMultiple();
         double safeFactor = Math.min(1, SAFETY_FACTOR * multiple);
         int warm = countWarm(group, now);
         if (warm == 0) {
@@ -123,15 +123,15 @@
 
     /** One draw, where so many requests of the group come in for each that draws. */
     private void drawTicket(Host host, double arrivalsPerDraw, long now) {
-        double minShare = traffic.number("rules.cold_share", 0);
-        double share = minShare + (1 - minShare) * ageNanos(host, now) / traffic.nanosOf("rules.warm_within_us");
+        double minShare = traffic.settings.slowStartMinShare();
+        double share = minShare + (1 - minShare) * ageNanos(host, now) / traffic.settings.slowStartNanos();
         if (random.nextDouble() < arrivalsPerDraw * share * ticketShare(host.group, now)) {
             host.slowStartTickets.addLast(now);
         }
     }
 
     boolean isWarmingUp(Host host, long now) {
-        return host.launchedNanos > 0 && ageNanos(host, now) < traffic.nanosOf("rules.warm_within_us");
+        return host.launchedNanos > 0 && ageNanos(host, now) < traffic.settings.slowStartNanos();
     }
 
     /**
@@ -147,7 +147,7 @@
         if (!isWarmingUp(host, now)) {
             return true;
         }
-        long ticketTtlNanos = traffic.nanosOf("rules.fall_us");
+        long ticketTtlNanos = traffic.settings.slowStartTicketNanos();
         while (!host.slowStartTickets.isEmpty() && host.slowStartTickets.peekFirst() < now - ticketTtlNanos) {
             host.slowStartTickets.removeFirst();
         }
--- a/src/main/java/beaconladder/routing/state/TrafficStatistics.java
+++ b/src/main/java/beaconladder/routing/state/TrafficStatistics.java
@@ -1,9 +1,7 @@
 package beaconladder.routing.state;
 
 import beaconladder.routing.state.RequestClass.Consistency;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 
 /** What this router is told at start, and what came here and ended lately. */
 public final class TrafficStatistics {
@@ -11,9 +9,7 @@
     public static final long NEVER = Long.MAX_VALUE;
     public static final long UNSET = Long.MIN_VALUE;
 
-    public final Map<String, String> settings;
-    /** Those settings that are numbers, read once: they are asked for at every event. */
-    private final Map<String, Double> numbers = new HashMap<>();
+    public final RouterSettings settings;
 
     public final List<RequestClass> requestClasses;
     public final double maxWeight;
@@ -34,9 +30,9 @@
     /** How the last requests ended: 1 for a commit. */
     public final SampleWindow commits = new SampleWindow(32);
 
-    public TrafficStatistics(Map<String, String> settings) {
+    public TrafficStatistics(RouterSettings settings) {
         this.settings = settings;
-        this.requestClasses = RequestClass.parse(settings);
+        this.requestClasses = settings.requestClasses();
         this.recentClasses = new RequestClassMix(256, requestClasses.size());
         this.tightestStalenessNanos = requestClasses.stream()
                 .filter(t -> t.consistency() == Consistency.BOUNDED)
@@ -49,7 +45,7 @@
 
     /** Allowed unless the settings say no; there, members are trusted without one. */
     public boolean probesAllowed() {
-        return !"false".equals(settings.get("limits.probes"));
+        return settings.probesAllowed();
     }
 
     /** The value of the requests that came last. */
@@ -73,23 +69,6 @@
         return recentClasses.size() == 0 ? maxWeight : recentWeight() / recentClasses.size();
     }
 
-    /** Whether this setting says yes. */
-    public boolean isEnabled(String name) {
-        return "true".equals(settings.get(name));
-    }
-
-    /** The number that a setting gives, or the one to take without it. */
-    public double number(String name, double defaultValue) {
-        Double value = numbers.computeIfAbsent(
-                name, key -> settings.containsKey(key) ? Double.valueOf(settings.get(key)) : null);
-        return value == null ? defaultValue : value;
-    }
-
-    /** A time that is stated in microseconds, in nanoseconds; 0 without it. */
-    public long nanosOf(String name) {
-        return Long.parseLong(settings.getOrDefault(name, "0")) * 1_000;
-    }
-
     /** A request whose SLA time had not ended when it came has ended, in time or not. */
     public void recordSlaResult(Request request, boolean withinSla) {
         if (request.arrivedNanos < request.slaEndNanos) {
