--- a/src/main/java/beaconladder/cells/TenantMigrations.java
+++ b/src/main/java/beaconladder/cells/TenantMigrations.java
@@ -191,25 +191,19 @@
         List<SlotQuery> queries = new ArrayList<>();
         for (Migration migration : state.migrations().values()) {
             boolean copies = migration.state() == Kind.COPYING || migration.state() == Kind.FENCED;
-            addSlotQueries(queries, migration.tenant, migration.fromCell, migration.toCell, copies);
+            queries.addAll(slotQueries(migration.tenant, migration.fromCell, migration.toCell, copies));
         }
         return queries;
     }
 
     /** The slots of a migration that has ended, whose hosts are to be notified. */
     public List<SlotQuery> slotQueries(MigrationStep end) {
-        List<SlotQuery> queries = new ArrayList<>();
-        addSlotQueries(queries, end.tenant(), end.fromCell(), end.toCell(), false);
-        return queries;
+        return slotQueries(end.tenant(), end.fromCell(), end.toCell(), false);
     }
 
-    private void addSlotQueries(
-            List<SlotQuery> queries, String tenant, String fromCell, String toCell, boolean copies) {
-        List<Integer> sources = state.staticPlacement().groupsOf(fromCell);
-        List<Integer> targets = state.staticPlacement().groupsOf(toCell);
-        for (int slot = 0; slot < sources.size(); slot++) {
-            queries.add(new SlotQuery(tenant, slot, sources.get(slot), targets.get(slot), copies));
-        }
+    private List<SlotQuery> slotQueries(String tenant, String fromCell, String toCell, boolean copies) {
+        StaticPlacement cells = state.staticPlacement();
+        return SlotQuery.forSlots(tenant, cells.groupsOf(fromCell), cells.groupsOf(toCell), copies);
     }
 
     // ---- State for operators and for the records ----------------------------------------------------------
--- a/src/test/java/beaconladder/cells/CellQuotasTest.java
+++ b/src/test/java/beaconladder/cells/CellQuotasTest.java
@@ -10,15 +10,14 @@
     private static final long MS = 1_000_000;
 
     @Test
-    void aFloodTakesWhatOthersDoNotUseButNeverTheirFirst() {
+    void oneTenantMayBorrowWhatOthersDoNotUseExceptTheirReserve() {
         CellQuotas quotas = new CellQuotas(100, 0.25, 0.25, 0.25, 0.25);
         int taken = 0;
         while (quotas.tryAcquire(0, "flood", 1, 1, 1, 0) == Result.ACQUIRED) {
             taken++;
         }
-        // A quarter of each other cell's own is never lent: 100 less three times seven; of the 79 that are
-        // left a
-        // quarter is kept for the other tenants of the cell.
+        // A quarter of each other cell's quota is never lent: 100 less three times seven. Of the remaining 79 a quarter
+        // is reserved for the other tenants of the cell.
         assertThat(taken).isEqualTo(59);
         for (int i = 0; i < 7; i++) {
             assertThat(quotas.tryAcquire(1, "usual", 1, 1, 1, 1)).isEqualTo(Result.ACQUIRED);
@@ -26,12 +25,12 @@
     }
 
     @Test
-    void loansEndWhenTheLenderComesBack() {
+    void loansEndWhenTheLenderNeedsItsQuotaAgain() {
         CellQuotas quotas = new CellQuotas(100, 0.5, 0.5);
         for (int i = 0; i < 20; i++) {
             assertThat(quotas.tryAcquire(1, "usual", 1, 1, 1, 0)).isEqualTo(Result.ACQUIRED);
         }
-        // What was used lately is kept twice over: only 50 of the second cell's own are spoken for.
+        // Twice the recent use is reserved: with 20 used, the second cell's whole quota of 50.
         int taken = 0;
         while (quotas.tryAcquire(0, "flood", 1, 1, 1, 0) == Result.ACQUIRED) {
             taken++;
@@ -41,7 +40,7 @@
         for (int i = 0; i < 20; i++) {
             quotas.release(1, "usual", 1);
         }
-        // Two windows later nothing tells of them any more.
+        // Two windows later they do not count as recent use any more.
         long later = 3_000 * MS;
         while (quotas.tryAcquire(0, "flood", 1, 1, 1, later) == Result.ACQUIRED) {
             taken++;
@@ -50,7 +49,7 @@
         assertThat(quotas.isBorrowing(0)).isTrue();
         quotas.release(0, "flood", 1);
         assertThat(quotas.tryAcquire(1, "usual", 1, 1, 1, later)).isEqualTo(Result.ACQUIRED);
-        // While the other is back, what the flood gives up is not its to take again.
+        // While the lender uses its quota, the borrower may not acquire again what it releases.
         quotas.release(0, "flood", 1);
         assertThat(quotas.tryAcquire(0, "flood", 1, 1, 1, later)).isEqualTo(Result.TENANT_FULL);
     }
@@ -69,7 +68,7 @@
     }
 
     @Test
-    void theLastPartIsForWhatIsWorthMore() {
+    void theLastTenthIsForRequestsOfUsualValueOrMore() {
         CellQuotas quotas = new CellQuotas(100, 0.5, 0.5);
         for (int i = 0; i < 200; i++) {
             if (quotas.tryAcquire(0, "t", 1, 1, 3, 0) == Result.ACQUIRED) {
@@ -84,9 +83,9 @@
         assertThat(quotas.tryAcquire(0, "t", 1, 1, 3, 0)).isEqualTo(Result.ACQUIRED);
     }
 
-    /** Whatever comes and goes: never more than there is, and all is free at the end. */
+    /** Random acquires and releases never exceed the capacity, and the counts agree at each step. */
     @Test
-    void noOrderOfTakingAndGivingLosesAny() {
+    void noOrderOfAcquiringAndReleasingLosesCapacity() {
         SplittableRandom random = new SplittableRandom(5);
         CellQuotas quotas = new CellQuotas(64, 0.1, 0.2, 0.3, 0.4);
         int[][] held = new int[4][5];
--- /dev/null
+++ b/src/test/java/beaconladder/cells/MigrationSimulation.java
@@ -0,0 +1,281 @@
+package beaconladder.cells;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import beaconladder.cells.MigrationStep.Kind;
+import beaconladder.routing.api.Router.HostReport;
+import beaconladder.routing.api.Router.Outcome;
+import beaconladder.routing.api.Router.Role;
+import beaconladder.routing.state.Attempt;
+import beaconladder.routing.state.Group;
+import beaconladder.routing.state.Host;
+import beaconladder.routing.state.Request;
+import beaconladder.routing.state.RequestClass;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.stream.Collectors;
+
+/**
+ * One migration against three routers in virtual time, from a seed: coordinators that crash before and after each
+ * record, routers that stall, restart, and lose placements or receive them late, writes that run long after they were
+ * sent. It checks that no write runs in the old cell behind the fence, and none in the new cell before the switch.
+ */
+final class MigrationSimulation {
+    private static final long MS = 1_000_000;
+
+    private final SplittableRandom random;
+    private final List<MigrationStep> records = new ArrayList<>();
+    private final List<SimulatedRouter> routers = new ArrayList<>();
+    private final List<Long> ranInA = new ArrayList<>();
+    private final List<Long> ranInB = new ArrayList<>();
+    private final RequestClass write = RequestClass.parse(Map.of(
+                    "request_classes.count",
+                    "1",
+                    "family_info.freshness",
+                    "update",
+                    "request_classes.0.effect",
+                    "side_effect",
+                    "request_classes.0.give_up_us",
+                    "300000"))
+            .get(0);
+    private TenantMigrations coordinator;
+    private final StaticPlacement staticPlacement;
+    private final long start;
+    private long now;
+    private long copied;
+    private String source = "s0";
+    private boolean sourceUp = true;
+    private final int seed;
+
+    private final class SimulatedRouter {
+        private final String name;
+        private int run;
+        private CellAdmission admission;
+        private long stalledUntil;
+        private final List<Delivery> inbox = new ArrayList<>();
+        private final List<Request> admitted = new ArrayList<>();
+
+        SimulatedRouter(String name) {
+            this.name = name;
+            restart();
+        }
+
+        /** What was sent to hosts may still run; everything else is lost. */
+        void restart() {
+            run++;
+            admission = new CellAdmission(name, staticPlacement, new RouterCapacity(100, 100, 1 << 20));
+            inbox.clear();
+            admitted.clear();
+        }
+    }
+
+    /** A placement that a router receives at this time. */
+    private record Delivery(long at, PlacementTable placement) {}
+
+    /** A write on its way to a host or queued there: it runs at its time, if that is before its expiry. */
+    private record WriteInTransit(long at, long expiry, int cell, SimulatedRouter router, int run, Request request) {}
+
+    private final List<WriteInTransit> inTransit = new ArrayList<>();
+
+    MigrationSimulation(StaticPlacement staticPlacement, long startNanos, int seed) {
+        this.staticPlacement = staticPlacement;
+        this.start = startNanos;
+        now = startNanos;
+        this.seed = seed;
+        random = new SplittableRandom(seed);
+        coordinator = new TenantMigrations(staticPlacement);
+        for (int i = 0; i < 3; i++) {
+            routers.add(new SimulatedRouter("n" + i));
+        }
+    }
+
+    /** Runs four seconds of virtual time, checks all, and counts how migrations ended by kind. */
+    void run(Map<Kind, Integer> ends) {
+        applyDueSteps();
+        long proposed = start + 300 * MS;
+        int crashes = random.nextInt(4);
+        while (now < start + 4_000 * MS) {
+            now += random.nextInt(1, 12) * MS;
+            if (proposed > 0 && now > proposed) {
+                recordAndApply(coordinator.propose("t", "b", "me", now));
+                proposed = 0;
+            }
+            if (sourceUp) {
+                copied = Math.max(copied, now - random.nextInt(30) * MS);
+            }
+            coordinator.recordObservation(
+                    "t", 0, new MigrationObservation(now, sourceUp ? source : null, now, "d", now, List.of(copied)));
+            applyDueSteps();
+            if (crashes > 0 && random.nextInt(60) == 0) {
+                crashes--;
+                coordinator = new TenantMigrations(staticPlacement);
+                now += random.nextInt(400) * MS;
+                records.forEach(coordinator::apply);
+                coordinator.recoveredAt(now);
+            }
+            if (seed % 5 == 0 && random.nextInt(150) == 0) {
+                sourceUp = !sourceUp;
+                source = sourceUp ? source + "x" : source;
+            }
+            routers.forEach(this::stepRouter);
+            runDueWrites();
+            if (seed % 7 == 0 && random.nextInt(400) == 0 && proposed == 0) {
+                try {
+                    coordinator.requestUndo("t", "me");
+                } catch (MigrationRejectedException e) {
+                    // The migration has ended or switched.
+                }
+            }
+        }
+        check(ends);
+    }
+
+    private void applyDueSteps() {
+        for (MigrationStep step = coordinator.nextStep(now); step != null; step = coordinator.nextStep(now)) {
+            recordAndApply(step);
+        }
+    }
+
+    private void recordAndApply(MigrationStep step) {
+        records.add(step);
+        coordinator.apply(step);
+    }
+
+    private void stepRouter(SimulatedRouter router) {
+        if (now < router.stalledUntil) {
+            return;
+        }
+        if (random.nextInt(250) == 0) {
+            router.stalledUntil = now + random.nextInt(900) * MS;
+            return;
+        }
+        if (random.nextInt(400) == 0) {
+            router.restart();
+        }
+        if (random.nextInt(4) == 0) {
+            MigrationStep registration = coordinator.registration(router.name, String.valueOf(router.run), now);
+            if (registration != null) {
+                recordAndApply(registration);
+            }
+            PlacementTable granted = coordinator.grantLease(
+                    router.name, router.admission.placement().version(), router.admission.writeActivity(now), now);
+            PlacementTable copy = new PlacementTable(
+                    granted.version(),
+                    granted.validUntilNanos(),
+                    granted.planFingerprint(),
+                    Map.copyOf(granted.placements()));
+            if (random.nextInt(10) > 0) {
+                router.inbox.add(new Delivery(now + random.nextInt(random.nextInt(20) == 0 ? 400 : 10) * MS, copy));
+            }
+        }
+        router.inbox.removeIf(each -> {
+            boolean due = each.at() <= now;
+            if (due) {
+                router.admission.applyPlacement(each.placement());
+            }
+            return due;
+        });
+        if (random.nextInt(3) == 0) {
+            AdmissionDecision decision = router.admission.admit(
+                    new AdmissionRequest("t", 1, 0, true, 1, 50, null, now, now + 300 * MS), now);
+            if (decision.kind() == AdmissionDecision.Kind.ADMIT) {
+                Request request = new Request(
+                        now, write, new Group(decision.permit().group()), 1, 0, 0, false, now, now + 300 * MS, now);
+                router.admission.requestStarted(request, decision.permit());
+                router.admitted.add(request);
+            } else if (decision.kind() == AdmissionDecision.Kind.QUEUE) {
+                router.admission.release(decision.permit());
+            }
+        }
+        // Each admitted request waits a while, is checked again, and is then sent.
+        for (Request request : List.copyOf(router.admitted)) {
+            if (random.nextInt(4) == 0) {
+                router.admitted.remove(request);
+                if (router.admission.isStillAdmitted(request, now) && now < request.expiryNanos) {
+                    request.attempts.add(new Attempt(request, 0, new Host(0, request.group, 0), now, 1));
+                    inTransit.add(new WriteInTransit(
+                            now + random.nextInt(random.nextInt(5) == 0 ? 350 : 20) * MS,
+                            request.expiryNanos,
+                            request.group.id,
+                            router,
+                            router.run,
+                            request));
+                } else {
+                    router.admission.requestEnded(request);
+                }
+            }
+        }
+    }
+
+    private void runDueWrites() {
+        inTransit.removeIf(each -> {
+            Attempt attempt = each.request().attempts.get(0);
+            if (!each.request().ended && each.router().run == each.run() && random.nextInt(12) == 0) {
+                // Its client disconnects: the attempt is cancelled, but a host may still run it.
+                each.request().ended = true;
+                each.router().admission.requestEnded(each.request());
+                attempt.ended = true;
+                each.router().admission.attemptEnded(attempt, Outcome.CANCELLED, HostReport.EMPTY, now);
+            }
+            boolean isSameRun = each.router().run == each.run();
+            if (each.at() > now) {
+                // Its router abandons it at its expiry; its host may still run it until then.
+                if (isSameRun && now >= each.expiry() && !each.request().ended) {
+                    each.request().ended = true;
+                    each.router().admission.attemptEnded(attempt, Outcome.TIMED_OUT, HostReport.EMPTY, now);
+                    each.router().admission.requestEnded(each.request());
+                }
+                return false;
+            }
+            if (each.at() <= each.expiry()) {
+                if (each.cell() == 0) {
+                    ranInA.add(each.at());
+                } else {
+                    ranInB.add(each.at());
+                }
+            }
+            if (isSameRun && !each.request().ended) {
+                each.request().ended = true;
+                boolean answered = random.nextInt(8) > 0;
+                each.router()
+                        .admission
+                        .attemptEnded(
+                                attempt,
+                                answered ? Outcome.COMMITTED : Outcome.RESET,
+                                answered ? new HostReport(Role.PRIMARY, each.at(), -1) : HostReport.EMPTY,
+                                now);
+                each.router().admission.requestEnded(each.request());
+            }
+            return true;
+        });
+    }
+
+    private void check(Map<Kind, Integer> ends) {
+        MigrationStep switched = records.stream()
+                .filter(s -> s.kind() == Kind.SWITCHED)
+                .findFirst()
+                .orElse(null);
+        String history = "seed " + seed + " "
+                + records.stream()
+                        .map(s -> s.kind() + "@" + (s.atNanos() - start) / MS)
+                        .collect(Collectors.joining(" "));
+        if (switched == null) {
+            assertThat(ranInB).as(history).isEmpty();
+        } else {
+            assertThat(ranInB).as(history).allMatch(at -> at >= switched.atNanos());
+            assertThat(ranInA)
+                    .as(history)
+                    .allMatch(at -> at <= switched.fences().get(0));
+        }
+        records.stream()
+                .map(MigrationStep::kind)
+                .filter(k -> k == Kind.DONE || k == Kind.UNDONE)
+                .forEach(k -> ends.merge(k, 1, Integer::sum));
+        assertThat(coordinator.statuses(now).stream()
+                        .noneMatch(m -> m.state().equals("fenced") && now > m.since() + 1_500 * MS))
+                .as(history)
+                .isTrue();
+    }
+}
--- a/src/test/java/beaconladder/cells/PlacementPlannerTest.java
+++ b/src/test/java/beaconladder/cells/PlacementPlannerTest.java
@@ -7,21 +7,21 @@
 import org.junit.jupiter.api.Test;
 
 class PlacementPlannerTest {
-    private static PlacementProposal propose(String plan, int most) {
+    private static PlacementProposal propose(String plan, int maxMigrations) {
         return PlacementPlanner.propose(
-                PlacementProblem.of(PlanReader.read("p", plan).plan()), most, 5, 1);
+                PlacementProblem.of(PlanReader.read("p", plan).plan()), maxMigrations, 5, 1);
     }
 
-    private static String moves(PlacementProposal proposal) {
+    private static String migrations(PlacementProposal proposal) {
         return proposal.migrations().stream()
                 .map(m -> m.tenant() + ">" + m.toCell())
                 .sorted()
                 .collect(Collectors.joining(" "));
     }
 
-    /** Greedy sees no single move that helps here: the two have to swap. */
+    /** No single migration lowers the cost here: two tenants have to swap. */
     @Test
-    void theSolverFindsWhatNoSingleMoveShows() {
+    void theSolverFindsASwapThatNoSingleMigrationLeadsTo() {
         String plan = """
                 (cell a (groups 0)) (cell b (groups 1))
                 (tenant a1 (cell a) (load 6txns/s)) (tenant a2 (cell a) (load 4txns/s))
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aLostCellIsLeftByAllEvenTheFixedOrThereIsNoProposal() {
+    void aLostCellIsEmptiedOfAllTenantsEvenFixedOnesOrThereIsNoProposal() {
         String plan = """
                 (cell a (groups 0)) (cell b (groups 1)) (cell c (groups 2))
                 (tenant a1 (cell a) (load 3txns/s)) (tenant a2 (cell a) (load 2txns/s))
@@ -53,17 +53,17 @@
     }
 
     @Test
-    void thoseWhoShouldBeApartArePartedAndAGoodPlacementStays() {
+    void pairsThatShouldBeApartAreSeparatedAndAGoodPlacementStays() {
         String plan = """
                 (cell a (groups 0)) (cell b (groups 1)) (cell c (groups 2))
                 (tenant x (cell a) (apart-from y)) (tenant y (cell a)) (tenant z (cell b))
                 """;
         PlacementProposal proposal = propose(plan, 3);
-        assertThat(moves(proposal)).isIn("x>c", "y>c");
+        assertThat(migrations(proposal)).isIn("x>c", "y>c");
         assertThat(proposal.optimal()).isTrue();
         assertThat(proposal.survives()).isTrue();
-        assertThat(moves(propose(plan, 0))).isEmpty();
-        assertThat(moves(propose(plan.replace("(tenant y (cell a))", "(tenant y (cell c))"), 3)))
+        assertThat(migrations(propose(plan, 0))).isEmpty();
+        assertThat(migrations(propose(plan.replace("(tenant y (cell a))", "(tenant y (cell c))"), 3)))
                 .isEmpty();
         assertThat(propose(plan, 3)).isEqualTo(proposal);
     }
