--- a/src/main/java/beaconladder/discovery/DiscoverySchedule.java
+++ b/src/main/java/beaconladder/discovery/DiscoverySchedule.java
@@ -1,36 +1,47 @@
 package beaconladder.discovery;
 
-/** When discovery is asked next, and how long each call may take: of a pushed list, or of one asked for. */
+/**
+ * When discovery is called next, and how long each call may take: a strategy for agents and one for a shared service.
+ */
 interface DiscoverySchedule {
-    /** The protocol's figure: what could be reached counts as told so long after discovery had it. */
-    int TOLD_MILLIS = 6_000;
-    /** With tries of over half the time in which news count, those behind a snapshot come too late. */
-    int LONGEST_MILLIS = 2_500;
+    /** The protocol's limit: so long after discovery has a change, a router counts as notified of it. */
+    int NOTIFIED_MILLIS = 6_000;
+    /** Calls of more than half the notification limit would leave no time for the changes behind a complete list. */
+    int MAX_CALL_MILLIS = 2_500;
 
     /**
-     * A call.
+     * One call.
      *
-     * @param waits how long discovery may wait for news, in milliseconds; 0 asks for an answer at once
-     * @param all after how many milliseconds it is given up, quiet or silent; tail counts from the first byte of its
-     *     answer
+     * @param waitMillis how long discovery may wait for a change before it answers; 0 for an immediate answer
+     * @param timeoutMillis after how long the call times out
+     * @param responseMillis the limit from the first byte of the answer to its last
      */
-    record Call(int waits, int all, int tail) {}
+    record Call(int waitMillis, int timeoutMillis, int responseMillis) {}
 
-    /** Another address: nothing is known of it. */
-    void moved();
+    /** Forgets everything learned about the previous address. */
+    void reset();
 
-    /** The next call, of a watch that goes on or has to begin anew. */
-    Call call(boolean goesOn);
+    /**
+     * The next call.
+     *
+     * @param isWatching whether the previous call was answered, so that this one may wait for changes
+     */
+    Call nextCall(boolean isWatching);
 
-    /** A call was answered after so many nanoseconds, with news or not; milliseconds to rest then. */
-    int answered(Call call, long took, boolean news);
+    /**
+     * A call was answered.
+     *
+     * @param changed whether the answer has a new version
+     * @return milliseconds to rest before the next call, as for all methods below
+     */
+    int onAnswer(Call call, long elapsedNanos, boolean changed);
 
-    /** A call brought nothing in its time; milliseconds to rest before the next. */
-    int silent(Call call);
+    /** A call timed out. */
+    int onTimeout(Call call);
 
-    /** A call was cut off or answered with nonsense, or nobody was there; milliseconds to rest. */
-    int failed();
+    /** The connection was refused or broken, or the answer was invalid. */
+    int onFailure();
 
-    /** Discovery was there and turned the call away; milliseconds to rest before the next. */
-    int refused(Call call);
+    /** Discovery is reachable and has rejected the call as too many or failed itself. */
+    int onRejected(Call call);
 }
--- a/src/main/java/beaconladder/discovery/EndpointListReader.java
+++ b/src/main/java/beaconladder/discovery/EndpointListReader.java
@@ -12,14 +12,16 @@
 import java.util.Map;
 
 /**
- * Reads a list of hosts as discovery sends it, entry by entry from its bytes; nothing but the entries is held. Whole or
- * not at all: one entry that can't be read makes all of it void.
+ * Reads a list of hosts as discovery sends it, by streaming: only the entries are kept in memory. One invalid entry
+ * invalidates the complete list.
  */
 final class EndpointListReader {
-    /** Over three times the 5,800 hosts that are in sight; entries hold some 200 bytes each. */
-    static final int MOST_ENTRIES = 20_000;
+    /** Over three times the 5,800 hosts of the largest expected deployment; an entry takes some 200 bytes of memory. */
+    static final int MAX_ENTRIES = 20_000;
 
-    /** An answer that is JSON and no list, or does not fit what is held; only the whole list helps. */
+    /**
+     * The answer is JSON but no valid list, or does not continue the list that is held; recover with a complete list.
+     */
     static final class InvalidListException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -28,31 +30,35 @@
         }
     }
 
-    /** An answer of discovery: the whole list, or what has changed up to this version. */
-    record EndpointUpdate(long version, boolean whole, List<EndpointWatch.Entry> entries) {}
+    /**
+     * An answer of discovery.
+     *
+     * @param complete whether the entries are the complete list, or only what has changed up to this version
+     */
+    record EndpointUpdate(long version, boolean complete, List<EndpointWatch.Entry> entries) {}
 
     private EndpointListReader() {}
 
-    /** The news in these bytes, read up to their end. */
+    /** Reads one answer up to its end. */
     static EndpointUpdate read(InputStream in) throws IOException, JsonReader.ParseException {
         try (JsonParser json = JsonReader.parser(in)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
                 throw new InvalidListException("no list of hosts");
             }
             BigDecimal version = null;
-            boolean whole = false;
+            boolean complete = false;
             List<EndpointWatch.Entry> entries = null;
             while (json.nextToken() != JsonToken.END_OBJECT) {
                 String name = json.currentName();
                 if (json.nextToken() == JsonToken.START_ARRAY && name.equals("servers")) {
-                    entries = entries(json);
+                    entries = readEntries(json);
                     continue;
                 }
                 Object value = JsonReader.value(json);
                 if (name.equals("version")) {
                     version = value instanceof BigDecimal number ? number : null;
                 } else if (name.equals("full")) {
-                    whole = Boolean.TRUE.equals(value);
+                    complete = Boolean.TRUE.equals(value);
                 }
             }
             if (json.nextToken() != null) {
@@ -61,52 +67,53 @@
             if (entries == null) {
                 throw new InvalidListException("no list of hosts");
             }
-            // Without a version the next call would ask for the whole list again, in a spin.
+            // Without a version the next call would request the complete list again at once, in a busy loop.
             if (version == null || version.signum() < 0) {
                 throw new InvalidListException("a list without its version");
             }
-            return new EndpointUpdate(version.longValue(), whole, entries);
+            return new EndpointUpdate(version.longValue(), complete, entries);
         } catch (JsonProcessingException e) {
             throw JsonReader.fault(e);
         }
     }
 
-    private static List<EndpointWatch.Entry> entries(JsonParser json) throws IOException, JsonReader.ParseException {
+    private static List<EndpointWatch.Entry> readEntries(JsonParser json)
+            throws IOException, JsonReader.ParseException {
         List<EndpointWatch.Entry> entries = new ArrayList<>();
         while (json.nextToken() != JsonToken.END_ARRAY) {
-            if (entries.size() == MOST_ENTRIES) {
-                throw new InvalidListException("a list of more than " + MOST_ENTRIES + " hosts");
+            if (entries.size() == MAX_ENTRIES) {
+                throw new InvalidListException("a list of more than " + MAX_ENTRIES + " hosts");
             }
-            entries.add(entry(JsonReader.value(json)));
+            entries.add(parseEntry(JsonReader.value(json)));
         }
         return entries;
     }
 
-    /** An entry as JSON has it. */
-    static EndpointWatch.Entry entry(Object value) throws IOException {
-        if (!(value instanceof Map<?, ?> e)
-                || !(e.get("id") instanceof String id)
-                || !(e.get("cell") instanceof BigDecimal cell)) {
+    /** Converts an entry that has been read as a JSON value. */
+    static EndpointWatch.Entry parseEntry(Object value) throws IOException {
+        if (!(value instanceof Map<?, ?> fields)
+                || !(fields.get("id") instanceof String id)
+                || !(fields.get("cell") instanceof BigDecimal group)) {
             throw new InvalidListException("an entry without id or group");
         }
-        EndpointWatch.State state = switch (String.valueOf(e.get("state"))) {
+        EndpointWatch.State state = switch (String.valueOf(fields.get("state"))) {
             case "Ready" -> EndpointWatch.State.READY;
             case "Terminating" -> EndpointWatch.State.DRAINING;
             case "Gone" -> EndpointWatch.State.GONE;
-            default -> throw new InvalidListException("an unknown state " + e.get("state"));
+            default -> throw new InvalidListException("an unknown state " + fields.get("state"));
         };
-        InetSocketAddress address = e.get("addr") instanceof String a ? EndpointWatch.parseAddress(a) : null;
+        InetSocketAddress address = fields.get("addr") instanceof String text ? EndpointWatch.parseAddress(text) : null;
         if (address == null && state != EndpointWatch.State.GONE) {
             throw new InvalidListException("no address of " + id);
         }
-        long launched = e.get("started_ms") instanceof BigDecimal started ? started.longValue() : 0;
+        long launched = fields.get("started_ms") instanceof BigDecimal started ? started.longValue() : 0;
         return new EndpointWatch.Entry(
                 id,
                 address,
-                String.valueOf(e.get("zone")),
-                cell.intValue(),
+                String.valueOf(fields.get("zone")),
+                group.intValue(),
                 state,
-                "leader".equals(e.get("role")),
+                "leader".equals(fields.get("role")),
                 launched);
     }
 }
--- a/src/main/java/beaconladder/discovery/EndpointWatch.java
+++ b/src/main/java/beaconladder/discovery/EndpointWatch.java
@@ -12,11 +12,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps the watch on discovery: the whole list first, then what changes, for as long as the program runs. */
+/**
+ * Watches discovery for as long as the program runs: fetches the complete list of endpoints first and then its changes.
+ * Calls are made by the thread that runs this; the other methods may be called by any thread.
+ */
 public final class EndpointWatch implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
+    /** No version is known: the next call requests the complete list. */
+    private static final long NO_VERSION = -1;
 
-    /** One host as discovery lists it. */
+    /**
+     * One host as discovery lists it.
+     *
+     * @param address null for a host that is {@link State#GONE}
+     * @param group the replication group that it belongs to
+     * @param leader whether it is its group's primary
+     * @param launchedMillis when it was launched, in milliseconds since the epoch; 0 if discovery does not state it
+     */
     public record Entry(
             String id,
             InetSocketAddress address,
@@ -26,37 +38,53 @@
             boolean leader,
             long launchedMillis) {}
 
-    /** What discovery says of a host. */
+    /** A host's state in discovery. The names are written to the trace. */
     public enum State {
         READY,
         DRAINING,
         GONE
     }
 
-    /** Takes the news. */
+    /** Receives what discovery answers, on the watch's thread. */
     public interface Listener {
+        /**
+         * Called for each answer that brings something.
+         *
+         * @param complete whether the entries are all endpoints, or only those that have changed
+         */
         void onEndpoints(boolean complete, List<Entry> entries);
     }
 
     private final Listener listener;
     private final DiscoverySchedule schedule;
-    /** The calls to the present address; those to an earlier one are ended. */
+    /** The connection to the present address; that to an earlier one is closed. */
     private volatile HttpFetcher http;
 
-    private final long madeAt = System.nanoTime();
+    private final long createdAtNanos = System.nanoTime();
     private volatile boolean answered;
     private volatile boolean stopped;
 
-    /** One for who has no fleet beside it and no rule on drains. */
+    // Only the thread of run() uses the fields below.
+
+    /** The connection that the state below belongs to. */
+    private HttpFetcher current;
+    /** The version of the last answer; changes since then can be requested. */
+    private long version = NO_VERSION;
+    /** Whether the last call was answered, so that the next one may wait for changes. */
+    private boolean isWatching;
+    /** Faults that have been logged since discovery last answered. */
+    private final Set<String> loggedFaults = new HashSet<>();
+
+    /** A watch for a process that is not one of a fleet and has no grace period for draining hosts. */
     public EndpointWatch(InetSocketAddress discovery, Listener listener) {
-        this(discovery, WatchSchedule.TOLD_MILLIS, 0, listener);
+        this(discovery, WatchSchedule.NOTIFIED_MILLIS, 0, listener);
     }
 
     /**
-     * One that has not begun.
+     * A watch of a discovery agent on the same machine, not yet running.
      *
-     * @param graceMillis how long after it counts as told a drain may still be unheeded
-     * @param seed for the moments at which it asks
+     * @param graceMillis how long after the notification limit requests may still be sent to a draining host
+     * @param seed for the random parts of the schedule
      */
     public EndpointWatch(InetSocketAddress discovery, long graceMillis, long seed, Listener listener) {
         this(discovery, new WatchSchedule(graceMillis, seed), listener);
@@ -69,147 +97,180 @@
     }
 
     /**
-     * One of a discovery that is one service for all routers and tells nobody who does not ask.
+     * A watch of a discovery that is one service for all routers, which its schedule must not overload.
      *
-     * @param everyMillis how often the rules want to be asked by who has no watch
-     * @param seed for the moments at which it asks
+     * @param everyMillis the period at which a client without a watch should poll
+     * @param seed for the random parts of the schedule
      */
     public static EndpointWatch polling(InetSocketAddress discovery, long everyMillis, long seed, Listener listener) {
         return new EndpointWatch(discovery, new PollSchedule(everyMillis, seed), listener);
     }
 
-    /** Discovery is to be asked at this address from now on, for the whole list first. */
+    /** Sets the address of discovery; a change cancels the call in flight and requests the complete list again. */
     public synchronized void changeAddress(InetSocketAddress discovery) {
-        HttpFetcher before = http;
-        if (!before.address().equals(discovery)) {
+        HttpFetcher previous = http;
+        if (!previous.address().equals(discovery)) {
             http = new HttpFetcher(discovery);
-            before.close();
+            previous.close();
             notifyAll();
         }
     }
 
     @Override
     public void run() {
-        HttpFetcher asked = null;
-        // What was last heard; changes since then can be asked for. A watch goes on behind an answer.
-        long version = -1;
-        boolean goesOn = false;
-        Set<String> troubles = new HashSet<>();
         while (!stopped) {
-            if (asked != http) {
-                // Versions are of the address that gave them.
-                asked = http;
-                version = -1;
-                goesOn = false;
-                schedule.moved();
-            }
-            DiscoverySchedule.Call call = schedule.call(goesOn);
-            long from = System.nanoTime();
+            resetIfAddressChanged();
+            DiscoverySchedule.Call call = schedule.nextCall(isWatching);
+            long startNanos = System.nanoTime();
+            int restMillis;
             try {
-                EndpointListReader.EndpointUpdate news = asked.get(
-                        version < 0 ? "/v1/servers" : "/v1/servers?index=" + version + "&wait=" + call.waits(),
-                        call.all(),
-                        call.tail(),
-                        EndpointListReader::read);
-                if (asked != http) {
+                EndpointListReader.EndpointUpdate update = fetch(call);
+                if (isAddressChanged()) {
                     continue;
                 }
-                long before = version;
-                version = take(news, before);
-                goesOn = true;
-                if (!troubles.isEmpty()) {
-                    LOG.info("discovery answers again");
-                    troubles.clear();
-                }
-                rest(asked, schedule.answered(call, System.nanoTime() - from, version != before));
+                restMillis = onUpdate(update, call, startNanos);
             } catch (IOException | JsonReader.ParseException e) {
-                if (asked != http) {
+                if (isAddressChanged()) {
                     continue;
                 }
-                goesOn = false;
-                // A call that waits is given up when it is quiet, too: only the next one tells.
-                boolean quiet = call.waits() > 0 && e instanceof SocketTimeoutException;
-                // Once for each is enough until it answers again: it is tried twice a second.
-                if (!quiet && troubles.add(String.valueOf(e.getMessage()))) {
-                    LOG.warn("discovery: {}; the last list stands", e.getMessage());
-                }
-                if (e instanceof SocketTimeoutException) {
-                    rest(asked, schedule.silent(call));
-                } else if (e instanceof HttpFetcher.StatusException status && status.isRetryable()) {
-                    rest(asked, schedule.refused(call));
-                } else {
-                    // What can't be read, or does not fit what is held, is asked for whole.
-                    version = e instanceof EndpointListReader.InvalidListException
-                                    || e instanceof JsonReader.ParseException
-                                    || e instanceof HttpFetcher.StatusException
-                            ? -1
-                            : version;
-                    rest(asked, schedule.failed());
-                }
+                restMillis = onFault(e, call);
             } catch (RuntimeException | Error e) {
                 LOG.error("discovery: the last list stands", e);
-                version = -1;
-                goesOn = false;
-                rest(asked, schedule.failed());
+                startOver();
+                restMillis = schedule.onFailure();
             }
+            rest(restMillis);
         }
         http.close();
     }
 
-    /** Whether discovery has not answered yet, and still has some of its time to, from when this was made. */
+    private boolean isAddressChanged() {
+        return current != http;
+    }
+
+    /** Versions are only comparable within the address that gave them. */
+    private void resetIfAddressChanged() {
+        if (isAddressChanged()) {
+            current = http;
+            startOver();
+            schedule.reset();
+        }
+    }
+
+    private void startOver() {
+        version = NO_VERSION;
+        isWatching = false;
+    }
+
+    private EndpointListReader.EndpointUpdate fetch(DiscoverySchedule.Call call)
+            throws IOException, JsonReader.ParseException {
+        String path = version < 0 ? "/v1/servers" : "/v1/servers?index=" + version + "&wait=" + call.waitMillis();
+        return current.get(path, call.timeoutMillis(), call.responseMillis(), EndpointListReader::read);
+    }
+
+    /** Applies an answer; returns the milliseconds to rest before the next call. */
+    private int onUpdate(EndpointListReader.EndpointUpdate update, DiscoverySchedule.Call call, long startNanos)
+            throws IOException {
+        checkVersion(update);
+        if (update.complete() || !update.entries().isEmpty()) {
+            listener.onEndpoints(update.complete(), update.entries());
+        }
+        answered = true;
+        boolean changed = update.version() != version;
+        version = update.version();
+        isWatching = true;
+        if (!loggedFaults.isEmpty()) {
+            LOG.info("discovery answers again");
+            loggedFaults.clear();
+        }
+        return schedule.onAnswer(call, System.nanoTime() - startNanos, changed);
+    }
+
+    /**
+     * Refuses changes that do not continue the list that is held: with a lower version they are of a discovery that has
+     * restarted and does not know that list, and with the same version there can be none.
+     */
+    private void checkVersion(EndpointListReader.EndpointUpdate update) throws IOException {
+        if (!update.complete()
+                && (update.version() < version
+                        || update.version() == version && !update.entries().isEmpty())) {
+            throw new EndpointListReader.InvalidListException(
+                    "changes up to version " + update.version() + " since " + version);
+        }
+    }
+
+    /** Handles a call that brought no valid answer; returns the milliseconds to rest before the next call. */
+    private int onFault(Exception fault, DiscoverySchedule.Call call) {
+        isWatching = false;
+        boolean isTimeout = fault instanceof SocketTimeoutException;
+        // A watch also times out when nothing has changed: only the call after it shows whether there is a fault.
+        boolean isQuietWatch = call.waitMillis() > 0 && isTimeout;
+        // Each fault is logged once until discovery answers again: calls are repeated twice a second.
+        if (!isQuietWatch && loggedFaults.add(String.valueOf(fault.getMessage()))) {
+            LOG.warn("discovery: {}; the last list stands", fault.getMessage());
+        }
+        if (isTimeout) {
+            return schedule.onTimeout(call);
+        }
+        if (fault instanceof HttpFetcher.StatusException status && status.isRetryable()) {
+            return schedule.onRejected(call);
+        }
+        // After an answer that is invalid, or does not continue the held list, the complete list is needed.
+        if (fault instanceof EndpointListReader.InvalidListException
+                || fault instanceof JsonReader.ParseException
+                || fault instanceof HttpFetcher.StatusException) {
+            version = NO_VERSION;
+        }
+        return schedule.onFailure();
+    }
+
+    /** Whether the first answer is still to be waited for: there was none yet, and the time limit has not passed. */
     public boolean isAwaitingFirstAnswer() {
-        return !answered && System.nanoTime() - madeAt < WatchSchedule.START_MILLIS * 1_000_000L;
+        return !answered && System.nanoTime() - createdAtNanos < WatchSchedule.START_MILLIS * 1_000_000L;
     }
 
+    /** Ends the watch after the call in flight. */
     public synchronized void stop() {
         stopped = true;
         notifyAll();
     }
 
-    /** Rests so long, unless there is another address to ask than this one. */
-    private synchronized void rest(HttpFetcher asked, int millis) {
-        long until = System.nanoTime() + millis * 1_000_000L;
+    /** Waits until the next call is due, the address changes or the watch is stopped. */
+    private synchronized void rest(int millis) {
+        long untilNanos = System.nanoTime() + millis * 1_000_000L;
         try {
-            for (long left = until - System.nanoTime();
-                    left > 0 && !stopped && asked == http;
-                    left = until - System.nanoTime()) {
-                TimeUnit.NANOSECONDS.timedWait(this, left);
+            for (long remaining = untilNanos - System.nanoTime();
+                    remaining > 0 && !stopped && !isAddressChanged();
+                    remaining = untilNanos - System.nanoTime()) {
+                TimeUnit.NANOSECONDS.timedWait(this, remaining);
             }
         } catch (InterruptedException e) {
             stopped = true;
         }
     }
 
-    /** Tells the news since that version, or since ever; returns their version. */
-    private long take(EndpointListReader.EndpointUpdate news, long since) throws IOException {
-        // One that goes back is of a discovery that began anew, and knows nothing of what we hold; nor can
-        // there be changes without a newer version.
-        if (!news.whole()
-                && (news.version() < since
-                        || news.version() == since && !news.entries().isEmpty())) {
-            throw new EndpointListReader.InvalidListException(
-                    "changes up to version " + news.version() + " since " + since);
-        }
-        if (news.whole() || !news.entries().isEmpty()) {
-            listener.onEndpoints(news.whole(), news.entries());
-        }
-        answered = true;
-        return news.version();
-    }
-
-    /** The entries of a list; one that can't be read makes the whole of it void. */
-    public static List<Entry> parseEntries(Map<?, ?> news) throws IOException {
-        if (!(news.get("servers") instanceof List<?> list)) {
+    /**
+     * The entries of a list that has been read as JSON.
+     *
+     * @param list the list as a map, as in a configuration file
+     * @throws IOException if any entry is invalid; there are no partial results
+     */
+    public static List<Entry> parseEntries(Map<?, ?> list) throws IOException {
+        if (!(list.get("servers") instanceof List<?> servers)) {
             throw new IOException("no list of hosts");
         }
         List<Entry> entries = new ArrayList<>();
-        for (Object each : list) {
-            entries.add(EndpointListReader.entry(each));
+        for (Object each : servers) {
+            entries.add(EndpointListReader.parseEntry(each));
         }
         return entries;
     }
 
-    /** An address of the form 10.0.0.4:5432; names are not looked up. Null for any other text. */
+    /**
+     * Parses an address such as 10.0.0.4:5432 or [::1]:5432.
+     *
+     * @return null for any other text; host names are not resolved
+     */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         try {
--- a/src/main/java/beaconladder/discovery/PollSchedule.java
+++ b/src/main/java/beaconladder/discovery/PollSchedule.java
@@ -3,124 +3,131 @@
 import java.util.SplittableRandom;
 
 /**
- * The schedule of a list that is asked for: discovery is one service of fixed capacity for all routers, and every call
- * costs it work, also one that nobody waits for any more. So calls are waited for; who is refused comes again later
- * each time, by chance, and its watches get longer; while nobody is refused a silent watch is found before its news
- * count.
+ * The schedule for a discovery that is one service of fixed capacity for all routers: every call costs it work, also
+ * one that has timed out at the client. So timeouts are long; after a rejection the backoff grows, with jitter, and
+ * watches become longer; and while there are no rejections, a watch that was lost is detected before its changes count.
  */
 final class PollSchedule implements DiscoverySchedule {
-    /** A silent watch that should have ended so soon, and a call behind it, are over before news count. */
+    /** A lost watch of this length and the call after it are over before the changes it missed count as notified. */
     private static final int WAIT_MILLIS = 3_000;
-    /** The protocol's bound. */
-    private static final int LONGEST_WAIT_MILLIS = 60_000;
-    /** Watches end this much later by chance: a fleet that began together does not ask as one. */
+    /** The longest wait that the protocol permits. */
+    private static final int MAX_WAIT_MILLIS = 60_000;
+    /** Random extension of a watch: routers that started together must not call at the same time. */
     private static final int JITTER_MILLIS = 500;
-    /** What an answer may take beyond its wait and what the last one took: a slow process of our own. */
+    /** Added to the duration of the last answer, as this process itself may be slow. */
     private static final int MARGIN_MILLIS = 500;
-    /** What is left for a call that has to wait its turn, and one behind it, before its news count. */
-    private static final int QUEUE_MILLIS = TOLD_MILLIS - WAIT_MILLIS - JITTER_MILLIS - MARGIN_MILLIS;
-    /** After a refusal: the mean is as long as a call takes that waits its turn, then doubled. */
-    private static final int REFUSED_MILLIS = 500;
-    /** Three times, to what leaves time for a call more before news count. */
+    /** Time for a call that is queued at discovery, and for one after it, before missed changes count as notified. */
+    private static final int QUEUE_MILLIS = NOTIFIED_MILLIS - WAIT_MILLIS - JITTER_MILLIS - MARGIN_MILLIS;
+    /** Upper bound of the first backoff after a rejection: its mean is the duration of a queued call. */
+    private static final int REJECTED_MILLIS = 500;
+    /** Doublings of that bound that still leave time for one more call before changes count as notified. */
     private static final int DOUBLINGS = 3;
-    /** After so many refusals there is no hope of that for all: doubled again, up to what the rules give. */
-    private static final int HOPEFUL = 10;
-    /** The rules' period after a failed call, in periods. */
-    private static final int LONG = 4;
-    /** After a break, which the whole fleet may have seen: as long as leaves time for two calls more. */
-    private static final int BROKEN_MILLIS = 1_000;
+    /** After so many rejections the overload takes precedence: the bound doubles again, up to the configured limit. */
+    private static final int OVERLOAD_REJECTIONS = 10;
+    /** The longest backoff and watch, in configured periods. */
+    private static final int MAX_PERIODS = 4;
+    /**
+     * Bound of the first backoff after a failure, which the complete fleet may have seen: it leaves time for two calls.
+     */
+    private static final int FAILURE_MILLIS = 1_000;
 
-    private static final int LONGEST_REST_MILLIS = TOLD_MILLIS - LONGEST_MILLIS;
-    /** Calls that bring nothing for so long, over half a minute, are as much as nobody there bears. */
-    private static final int PATIENT = 16;
-    /** Watches get shorter by so much at each quiet end: two minutes after one refusal they are back. */
-    private static final int RETURN_MILLIS = 200;
-    /** A discovery that answers at once without any news is not asked again in a spin. */
-    private static final long SHORTEST_NANOS = 100_000_000;
+    private static final int MAX_FAILURE_MILLIS = NOTIFIED_MILLIS - MAX_CALL_MILLIS;
+    /**
+     * After so many failures in a row, over half a minute, an overload is assumed and the configured period applies.
+     */
+    private static final int MAX_COUNTED = 16;
+    /** How much a watch is shortened after each one without a change: two minutes after one rejection all are reset. */
+    private static final int WAIT_DECREASE_MILLIS = 200;
+    /** A watch that ends sooner without a change is followed by a rest, to prevent a busy loop. */
+    private static final long MIN_WATCH_NANOS = 100_000_000;
 
-    private final SplittableRandom chance;
-    private final int period;
-    private final int longest;
-    private int waits;
-    private int beyond;
-    private int refusals;
-    private int breaks;
-    private boolean again;
+    private final SplittableRandom random;
+    private final int periodMillis;
+    private final int maxWatchMillis;
+    private int watchMillis;
+    private int latencyMillis;
+    private int rejections;
+    private int failures;
+    private boolean isRepeated;
 
     /**
-     * One for a discovery of which nothing is known.
+     * A schedule for a discovery of which nothing is known.
      *
-     * @param everyMillis how often the rules want to be asked by who has no watch
+     * @param everyMillis the configured period for clients without a watch
+     * @param seed for jitter and backoff
      */
     PollSchedule(long everyMillis, long seed) {
-        chance = new SplittableRandom(seed);
-        period = (int) Math.max(WAIT_MILLIS, Math.min(everyMillis, LONGEST_WAIT_MILLIS));
-        longest = Math.min(LONGEST_WAIT_MILLIS, LONG * period);
-        moved();
+        random = new SplittableRandom(seed);
+        periodMillis = (int) Math.max(WAIT_MILLIS, Math.min(everyMillis, MAX_WAIT_MILLIS));
+        maxWatchMillis = Math.min(MAX_WAIT_MILLIS, MAX_PERIODS * periodMillis);
+        reset();
     }
 
     @Override
-    public void moved() {
-        waits = WAIT_MILLIS;
-        beyond = 0;
-        refusals = 0;
-        breaks = 0;
-        again = false;
+    public void reset() {
+        watchMillis = WAIT_MILLIS;
+        latencyMillis = 0;
+        rejections = 0;
+        failures = 0;
+        isRepeated = false;
     }
 
     @Override
-    public Call call(boolean goesOn) {
-        // A watch that was refused missed nothing yet: it is one call to ask again, and not two.
-        if (!goesOn && !again) {
-            return new Call(0, LONGEST_MILLIS, LONGEST_MILLIS);
+    public Call nextCall(boolean isWatching) {
+        // A rejected watch has missed nothing yet: it is repeated as a watch, which saves fetching the complete list.
+        if (!isWatching && !isRepeated) {
+            return new Call(0, MAX_CALL_MILLIS, MAX_CALL_MILLIS);
         }
-        // One that was refused may have to queue; where that is rare, its silence is still found in time.
-        int now = (again && waits <= 2 * WAIT_MILLIS ? WAIT_MILLIS : waits) + chance.nextInt(JITTER_MILLIS);
-        int tail = again ? QUEUE_MILLIS : Math.min(LONGEST_MILLIS, MARGIN_MILLIS + beyond);
-        return new Call(now, now + tail, tail);
+        // A repeated watch may be queued; while watches are short, its loss is still detected in time.
+        int waitMillis = (isRepeated && watchMillis <= 2 * WAIT_MILLIS ? WAIT_MILLIS : watchMillis)
+                + random.nextInt(JITTER_MILLIS);
+        int responseMillis = isRepeated ? QUEUE_MILLIS : Math.min(MAX_CALL_MILLIS, MARGIN_MILLIS + latencyMillis);
+        return new Call(waitMillis, waitMillis + responseMillis, responseMillis);
     }
 
     @Override
-    public int answered(Call call, long took, boolean news) {
-        // One answer does not show that all are heard.
-        refusals /= 2;
-        breaks = 0;
-        again = false;
-        if (call.waits() == 0 || !news) {
-            beyond = (int) Math.max(0, Math.min(LONGEST_MILLIS, took / 1_000_000 - call.waits()));
+    public int onAnswer(Call call, long elapsedNanos, boolean changed) {
+        // One answer does not show that the overload is over.
+        rejections /= 2;
+        failures = 0;
+        isRepeated = false;
+        if (call.waitMillis() == 0 || !changed) {
+            latencyMillis = (int) Math.max(0, Math.min(MAX_CALL_MILLIS, elapsedNanos / 1_000_000 - call.waitMillis()));
         }
-        if (call.waits() == 0 || news) {
+        if (call.waitMillis() == 0 || changed) {
             return 0;
         }
-        waits = Math.max(WAIT_MILLIS, waits - RETURN_MILLIS);
-        return took >= SHORTEST_NANOS ? 0 : chance.nextInt(BROKEN_MILLIS);
+        watchMillis = Math.max(WAIT_MILLIS, watchMillis - WAIT_DECREASE_MILLIS);
+        return elapsedNanos >= MIN_WATCH_NANOS ? 0 : random.nextInt(FAILURE_MILLIS);
     }
 
     @Override
-    public int silent(Call call) {
-        again = false;
-        // A watch that has fallen silent has used up its time; the next call shows whether all is.
-        return call.waits() > 0 ? 0 : failed();
+    public int onTimeout(Call call) {
+        isRepeated = false;
+        // A watch that timed out has used up its time; the next call shows whether discovery is unreachable.
+        return call.waitMillis() > 0 ? 0 : onFailure();
     }
 
     @Override
-    public int failed() {
-        again = false;
-        int most = breaks >= PATIENT ? period : Math.min(LONGEST_REST_MILLIS, BROKEN_MILLIS << breaks);
-        breaks = Math.min(PATIENT, breaks + 1);
-        return chance.nextInt(most);
+    public int onFailure() {
+        isRepeated = false;
+        int boundMillis =
+                failures >= MAX_COUNTED ? periodMillis : Math.min(MAX_FAILURE_MILLIS, FAILURE_MILLIS << failures);
+        failures = Math.min(MAX_COUNTED, failures + 1);
+        return random.nextInt(boundMillis);
     }
 
     @Override
-    public int refused(Call call) {
-        if (call.waits() > 0 && !again) {
-            // Once, however often it is refused then: what is too much is calls of watches that go on.
-            waits = Math.min(longest, 2 * waits);
-            again = true;
+    public int onRejected(Call call) {
+        if (call.waitMillis() > 0 && !isRepeated) {
+            // Only once for each watch, however often it is rejected: the load to reduce is that of running watches.
+            watchMillis = Math.min(maxWatchMillis, 2 * watchMillis);
+            isRepeated = true;
         }
-        int doubled = REFUSED_MILLIS << Math.min(refusals, DOUBLINGS);
-        int most = Math.min(LONG * period, doubled << Math.max(0, refusals - HOPEFUL));
-        refusals = Math.min(PATIENT, refusals + 1);
-        return chance.nextInt(most);
+        int usualMillis = REJECTED_MILLIS << Math.min(rejections, DOUBLINGS);
+        int boundMillis =
+                Math.min(MAX_PERIODS * periodMillis, usualMillis << Math.max(0, rejections - OVERLOAD_REJECTIONS));
+        rejections = Math.min(MAX_COUNTED, rejections + 1);
+        return random.nextInt(boundMillis);
     }
 }
--- a/src/main/java/beaconladder/discovery/WatchSchedule.java
+++ b/src/main/java/beaconladder/discovery/WatchSchedule.java
@@ -3,114 +3,117 @@
 import java.util.SplittableRandom;
 
 /**
- * When discovery is asked, and how long each call may take. What discovery has, and what could be had of it, counts as
- * told {@link #TOLD_MILLIS} later whatever became of the calls; and at the return of a discovery that was down it may
- * count at once, so that what is left then is the grace of drains.
+ * The schedule for a discovery agent on the same machine. A change in discovery counts as notified after
+ * {@link #NOTIFIED_MILLIS}, whatever happened to the calls; and when a discovery that was down returns, a change may
+ * count at once, so that only the grace period of draining hosts remains.
  */
 final class WatchSchedule implements DiscoverySchedule {
-    /** What a call says that it may wait: what nobody could get does not count until 2 s behind that. */
-    static final int SAID_MILLIS = 20_000;
+    /** The wait that a watch requests: a change that could not be fetched does not count until 2 s after that. */
+    static final int REQUESTED_WAIT_MILLIS = 20_000;
     /**
-     * How long it is waited for all the same. A call that begins at t and falls silent at once is given up at t + 3,500
-     * + 510 ms (the try of a quick discovery, grace 2 s); the next try, one for a slow discovery, fails by t + 5,510,
-     * and one more is answered before t + 6,000. For a slower one see {@link #call}.
+     * How long the client waits at most. A watch that starts at t and is lost at once times out at t + 3,500 + 510 ms
+     * (the usual timeout for a fast discovery, grace 2 s); the next call, with the timeout for a slow discovery, fails
+     * by t + 5,510, and one more is answered before t + 6,000. For a slower discovery see {@link #nextCall}.
      */
     static final int WAIT_MILLIS = 3_500;
 
-    private static final int LEAST_WAIT_MILLIS = 500;
-    /** Waits end this much earlier by chance: a fleet whose watches began together does not ask as one. */
+    private static final int MIN_WAIT_MILLIS = 500;
+    /** Random reduction of a wait: routers whose watches started together must not call at the same time. */
     private static final int JITTER_MILLIS = 500;
-    /** Agents answer within milliseconds; on a part of a core the router itself takes tens of them. */
-    private static final int TRY_MILLIS = 500;
+    /** Agents answer within milliseconds; a router with a fraction of a core itself needs tens of milliseconds. */
+    private static final int CALL_MILLIS = 500;
 
-    private static final int SHORTEST_TRY_MILLIS = 100;
-    /** A process that has just begun is slow itself: its first calls take several times what others do. */
+    private static final int MIN_TIMEOUT_MILLIS = 100;
+    /** A process that has just started is slow itself: its first calls take several times as long as later ones. */
     static final int FIRST_MILLIS = 1_000;
 
-    private static final int FIRST_TRIES = 2;
-    /** What the agent has counts from a process's first moment: a start waits for it, two such tries. */
-    static final int START_MILLIS = FIRST_TRIES * FIRST_MILLIS;
-    /** One in so many silent tries is longer, for who is slow, and still fits into the grace with another. */
-    private static final int EVEN_TRIES = 12;
-    /** One in so many is longer than that, once a minute: whoever answers at all is heard. */
-    private static final int RARE_TRIES = 128;
+    private static final int FIRST_CALLS = 2;
+    /** The agent's list counts from a process's start, which therefore waits for it, for two such calls. */
+    static final int START_MILLIS = FIRST_CALLS * FIRST_MILLIS;
+    /** One in so many timed-out calls is longer, for a slow agent, but still fits into the grace with another. */
+    private static final int LONG_CALL_INTERVAL = 12;
+    /** One in so many, about one a minute, has the longest timeout, so that any answering agent is reached. */
+    private static final int LONGEST_CALL_INTERVAL = 128;
 
-    private static final int FIRST_REST_MILLIS = 50;
-    /** An agent that answers at once without any news is not asked again in a spin. */
-    private static final long SHORTEST_NANOS = 100_000_000;
+    private static final int MIN_REST_MILLIS = 50;
+    /** A watch that ends sooner without a change is followed by a rest, to prevent a busy loop. */
+    private static final long MIN_WATCH_NANOS = 100_000_000;
 
-    private final SplittableRandom chance;
-    private final int grace;
-    /** A try of this length that fails and one that is answered fit into the grace of drains. */
-    private final int least;
+    private final SplittableRandom random;
+    private final int graceLimitMillis;
+    /** The shortest timeout: a call that times out and one that is answered fit into the grace period. */
+    private final int minTimeoutMillis;
 
-    private int answer;
-    private int silences;
-    private int rest;
+    private int answerMillis;
+    private int timeouts;
+    private int backoffMillis;
 
     WatchSchedule(long graceMillis, long seed) {
-        chance = new SplittableRandom(seed);
-        // With a longer grace, what counts is the silence.
-        grace = (int) Math.min(graceMillis, TOLD_MILLIS / 3);
-        least = Math.max(SHORTEST_TRY_MILLIS, Math.min(TRY_MILLIS, grace / 2 - 25));
-        moved();
+        random = new SplittableRandom(seed);
+        // With a longer grace the limit is the notification limit.
+        graceLimitMillis = (int) Math.min(graceMillis, NOTIFIED_MILLIS / 3);
+        minTimeoutMillis = Math.max(MIN_TIMEOUT_MILLIS, Math.min(CALL_MILLIS, graceLimitMillis / 2 - 25));
+        reset();
     }
 
     @Override
-    public void moved() {
-        answer = 0;
-        silences = 0;
-        rest = FIRST_REST_MILLIS;
+    public void reset() {
+        answerMillis = 0;
+        timeouts = 0;
+        backoffMillis = MIN_REST_MILLIS;
     }
 
     @Override
-    public Call call(boolean goesOn) {
-        int usual = answer > 0 ? answer : silences < FIRST_TRIES ? FIRST_MILLIS : least;
-        if (!goesOn) {
-            int all = Math.max(usual, longer());
-            return new Call(0, all, all);
+    public Call nextCall(boolean isWatching) {
+        int responseMillis = answerMillis > 0 ? answerMillis : timeouts < FIRST_CALLS ? FIRST_MILLIS : minTimeoutMillis;
+        if (!isWatching) {
+            int timeoutMillis = Math.max(responseMillis, longTimeoutMillis());
+            return new Call(0, timeoutMillis, timeoutMillis);
         }
-        int room = Math.min(WAIT_MILLIS, TOLD_MILLIS - TRY_MILLIS / 2 - 3 * usual);
-        int waits = Math.max(LEAST_WAIT_MILLIS, room) - chance.nextInt(JITTER_MILLIS);
-        return new Call(SAID_MILLIS, waits + usual, usual);
+        int longestWait = Math.min(WAIT_MILLIS, NOTIFIED_MILLIS - CALL_MILLIS / 2 - 3 * responseMillis);
+        int waitMillis = Math.max(MIN_WAIT_MILLIS, longestWait) - random.nextInt(JITTER_MILLIS);
+        return new Call(REQUESTED_WAIT_MILLIS, waitMillis + responseMillis, responseMillis);
     }
 
-    /** A try for who is slow: an outage's end is rarely met by one that outlasts the grace. */
-    private int longer() {
-        if (silences == 0 || silences != 1 && silences % EVEN_TRIES != 0 && silences % RARE_TRIES != 0) {
+    /** The timeout of a call for a slow agent, or 0: few, as one that meets the end of an outage outlasts the grace. */
+    private int longTimeoutMillis() {
+        if (timeouts == 0
+                || timeouts != 1 && timeouts % LONG_CALL_INTERVAL != 0 && timeouts % LONGEST_CALL_INTERVAL != 0) {
             return 0;
         }
-        return answer == 0 || silences % RARE_TRIES == 0 ? LONGEST_MILLIS : Math.min(LONGEST_MILLIS, grace - least);
+        return answerMillis == 0 || timeouts % LONGEST_CALL_INTERVAL == 0
+                ? MAX_CALL_MILLIS
+                : Math.min(MAX_CALL_MILLIS, graceLimitMillis - minTimeoutMillis);
     }
 
     @Override
-    public int answered(Call call, long took, boolean news) {
-        rest = FIRST_REST_MILLIS;
-        silences = 0;
-        if (call.waits() == 0) {
-            // A slow discovery is not cut off at each call.
-            answer = (int) Math.min(LONGEST_MILLIS, least + took / 1_000_000);
+    public int onAnswer(Call call, long elapsedNanos, boolean changed) {
+        backoffMillis = MIN_REST_MILLIS;
+        timeouts = 0;
+        if (call.waitMillis() == 0) {
+            // The timeout adapts to a slow discovery, which would otherwise miss it in each call.
+            answerMillis = (int) Math.min(MAX_CALL_MILLIS, minTimeoutMillis + elapsedNanos / 1_000_000);
         }
-        return news || call.waits() == 0 || took >= SHORTEST_NANOS ? 0 : FIRST_REST_MILLIS;
+        return changed || call.waitMillis() == 0 || elapsedNanos >= MIN_WATCH_NANOS ? 0 : MIN_REST_MILLIS;
     }
 
-    /** The next comes at once. */
+    /** The next call follows immediately. */
     @Override
-    public int silent(Call call) {
-        silences++;
+    public int onTimeout(Call call) {
+        timeouts++;
         return 0;
     }
 
     @Override
-    public int failed() {
-        int now = rest;
-        rest = Math.min(2 * rest, least);
-        return now / 2 + chance.nextInt(now / 2 + 1);
+    public int onFailure() {
+        int backoff = backoffMillis;
+        backoffMillis = Math.min(2 * backoffMillis, minTimeoutMillis);
+        return backoff / 2 + random.nextInt(backoff / 2 + 1);
     }
 
-    /** An agent on the same machine serves nobody else: what it refuses is no sign of load. */
+    /** An agent on the same machine serves no other client: a rejection does not indicate an overload. */
     @Override
-    public int refused(Call call) {
-        return failed();
+    public int onRejected(Call call) {
+        return onFailure();
     }
 }
--- a/src/test/java/beaconladder/discovery/EndpointListLiteralTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointListLiteralTest.java
@@ -26,7 +26,7 @@
         EndpointListReader.EndpointUpdate news =
                 EndpointListReader.read(new ByteArrayInputStream(LIST.getBytes(StandardCharsets.UTF_8)));
         assertThat(news.version()).isEqualTo(42);
-        assertThat(news.whole()).isTrue();
+        assertThat(news.complete()).isTrue();
         assertThat(news.entries())
                 .containsExactly(
                         new EndpointWatch.Entry(
--- a/src/test/java/beaconladder/discovery/EndpointListReaderTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointListReaderTest.java
@@ -32,7 +32,7 @@
         List<EndpointWatch.Entry> entries = EndpointWatch.parseEntries((Map<?, ?>) JsonReader.parse(text));
         EndpointListReader.EndpointUpdate news = read(text);
         assertThat(news.entries()).isEqualTo(entries);
-        assertThat(news.whole()).isEqualTo(list.get("full"));
+        assertThat(news.complete()).isEqualTo(list.get("full"));
         assertThat(news.version()).isEqualTo(((Number) list.get("version")).longValue());
         assertThat(read(WRITER.writerWithDefaultPrettyPrinter().writeValueAsString(list)))
                 .isEqualTo(news);
@@ -84,7 +84,7 @@
     /** A body that would fill the memory with entries ends before it does. */
     @Test
     void aListOfTooManyHostsIsRefused() {
-        String some = IntStream.range(0, EndpointListReader.MOST_ENTRIES + 1)
+        String some = IntStream.range(0, EndpointListReader.MAX_ENTRIES + 1)
                 .mapToObj(EndpointListReaderTest::entry)
                 .collect(Collectors.joining(","));
         assertThatThrownBy(() -> read("{\"version\":1,\"servers\":[" + some + "]}"))
--- a/src/test/java/beaconladder/discovery/EndpointWatchMovesTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchMovesTest.java
@@ -29,7 +29,7 @@
         CountDownLatch told = new CountDownLatch(WATCHES);
         List<EndpointWatch> watches = new ArrayList<>();
         for (int seed = 0; seed < WATCHES; seed++) {
-            watches.add(EndpointWatch.polling(nobody, 10_000, seed, (whole, entries) -> told.countDown()));
+            watches.add(EndpointWatch.polling(nobody, 10_000, seed, (complete, entries) -> told.countDown()));
             start(watches.get(seed));
         }
         // Each failure lets them rest longer; by now they do for seconds.
--- a/src/test/java/beaconladder/discovery/EndpointWatchTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchTest.java
@@ -75,7 +75,7 @@
             discovery.waitMillis = 60_000;
             discovery.list(true, host("Ready"));
             AtomicLong heard = new AtomicLong();
-            start(new EndpointWatch(at(discovery), GRACE, 7, (whole, entries) -> {
+            start(new EndpointWatch(at(discovery), GRACE, 7, (complete, entries) -> {
                 if (entries.get(0).state() == EndpointWatch.State.DRAINING) {
                     heard.compareAndSet(0, System.nanoTime());
                 }
@@ -116,7 +116,7 @@
         old.list(true, host("Ready"));
         List<EndpointWatch.State> heard = new ArrayList<>();
         EndpointWatch watch =
-                new EndpointWatch(at(old), GRACE, 7, (whole, entries) -> entries.forEach(e -> heard.add(e.state())));
+                new EndpointWatch(at(old), GRACE, 7, (complete, entries) -> entries.forEach(e -> heard.add(e.state())));
         start(watch);
         Awaitility.await().until(() -> old.calls.get() >= 2);
         DiscoveryStandIn next = discovery();
@@ -141,7 +141,7 @@
         ServerSocket mute = new ServerSocket(0);
         open.add(mute);
         EndpointWatch watch = new EndpointWatch(
-                new InetSocketAddress("127.0.0.1", mute.getLocalPort()), GRACE, 7, (whole, all) -> {});
+                new InetSocketAddress("127.0.0.1", mute.getLocalPort()), GRACE, 7, (complete, all) -> {});
         start(watch);
         long from = System.nanoTime();
         Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> !watch.isAwaitingFirstAnswer());
--- a/src/test/java/beaconladder/discovery/FleetWatchTest.java
+++ b/src/test/java/beaconladder/discovery/FleetWatchTest.java
@@ -50,7 +50,7 @@
             watches.add(watch(
                     new InetSocketAddress("127.0.0.1", discovery.port()),
                     i,
-                    (whole, entries) -> entries.stream()
+                    (complete, entries) -> entries.stream()
                             .filter(e -> e.id().equals("s-0"))
                             .forEach(e -> last.set((int) e.launchedMillis()))));
         }
--- a/src/test/java/beaconladder/discovery/PollScheduleTest.java
+++ b/src/test/java/beaconladder/discovery/PollScheduleTest.java
@@ -46,21 +46,21 @@
 
         private void call(int i, double at) {
             events.add(new Event(at, i, () -> {
-                DiscoverySchedule.Call call = schedules[i].call(goesOn[i]);
+                DiscoverySchedule.Call call = schedules[i].nextCall(goesOn[i]);
                 calls++;
                 double cost = (CALL_LINES + (listed[i] ? 0 : HOSTS)) * lineMillis;
                 double served = Math.max(busyUntil, now) + cost;
                 if (served - now > QUEUE_MILLIS) {
                     refused++;
                     goesOn[i] = false;
-                    call(i, now + 1 + schedules[i].refused(call));
+                    call(i, now + 1 + schedules[i].onRejected(call));
                     return;
                 }
                 busyUntil = served;
-                double answer = served + call.waits();
-                if (answer - now > call.all()) {
+                double answer = served + call.waitMillis();
+                if (answer - now > call.timeoutMillis()) {
                     goesOn[i] = false;
-                    later(i, now + call.all(), () -> schedules[i].silent(call));
+                    later(i, now + call.timeoutMillis(), () -> schedules[i].onTimeout(call));
                 } else {
                     boolean news = !listed[i];
                     double took = answer - now;
@@ -70,7 +70,7 @@
                         if (news && ++heard == schedules.length) {
                             allHeardAt = now;
                         }
-                        return schedules[i].answered(call, (long) (took * 1e6), news);
+                        return schedules[i].onAnswer(call, (long) (took * 1e6), news);
                     });
                 }
             }));
@@ -138,11 +138,11 @@
     void aSilentWatchIsFoundBeforeItsNewsCount(
             @ForAll @IntRange(max = 1_000) int seed, @ForAll @IntRange(max = 400) int beyond) {
         PollSchedule schedule = new PollSchedule(10_000, seed);
-        schedule.answered(schedule.call(false), beyond * 1_000_000L, true);
-        DiscoverySchedule.Call watch = schedule.call(true);
-        int rest = schedule.silent(watch);
-        assertThat(watch.all() + rest + 2 * beyond).isLessThan(DiscoverySchedule.TOLD_MILLIS);
-        assertThat(schedule.call(false).waits()).isZero();
+        schedule.onAnswer(schedule.nextCall(false), beyond * 1_000_000L, true);
+        DiscoverySchedule.Call watch = schedule.nextCall(true);
+        int rest = schedule.onTimeout(watch);
+        assertThat(watch.timeoutMillis() + rest + 2 * beyond).isLessThan(DiscoverySchedule.NOTIFIED_MILLIS);
+        assertThat(schedule.nextCall(false).waitMillis()).isZero();
     }
 
     /** Nor does a refusal before it change that: the watch behind it says a short wait. */
@@ -152,17 +152,19 @@
             @ForAll @IntRange(max = 400) int beyond,
             @ForAll @IntRange(min = 1, max = 5) int refusals) {
         PollSchedule schedule = new PollSchedule(10_000, seed);
-        schedule.answered(schedule.call(false), beyond * 1_000_000L, true);
-        schedule.refused(schedule.call(true));
+        schedule.onAnswer(schedule.nextCall(false), beyond * 1_000_000L, true);
+        schedule.onRejected(schedule.nextCall(true));
         for (int i = 1; i < refusals; i++) {
-            schedule.refused(schedule.call(false));
+            schedule.onRejected(schedule.nextCall(false));
         }
-        DiscoverySchedule.Call watch = schedule.call(false);
-        assertThat(watch.all() + schedule.silent(watch) + beyond).isLessThan(DiscoverySchedule.TOLD_MILLIS);
+        DiscoverySchedule.Call watch = schedule.nextCall(false);
+        assertThat(watch.timeoutMillis() + schedule.onTimeout(watch) + beyond)
+                .isLessThan(DiscoverySchedule.NOTIFIED_MILLIS);
         // What a longer one misses counts two seconds after its wait.
-        schedule.answered(watch, watch.waits() * 1_000_000L, false);
-        DiscoverySchedule.Call longer = schedule.call(true);
-        assertThat(longer.all() + schedule.silent(longer) + beyond).isLessThan(longer.waits() + 2_000);
+        schedule.onAnswer(watch, watch.waitMillis() * 1_000_000L, false);
+        DiscoverySchedule.Call longer = schedule.nextCall(true);
+        assertThat(longer.timeoutMillis() + schedule.onTimeout(longer) + beyond)
+                .isLessThan(longer.waitMillis() + 2_000);
     }
 
     /** An outage's end is heard within what counts as told, however long it was, up to half a minute. */
@@ -171,10 +173,11 @@
             @ForAll @IntRange(max = 1_000) int seed, @ForAll @IntRange(max = 14) int failures) {
         PollSchedule schedule = new PollSchedule(10_000, seed);
         for (int i = 0; i < failures; i++) {
-            schedule.failed();
+            schedule.onFailure();
         }
-        int lost = schedule.call(false).all();
-        assertThat(lost + schedule.silent(schedule.call(false))).isLessThanOrEqualTo(DiscoverySchedule.TOLD_MILLIS);
+        int lost = schedule.nextCall(false).timeoutMillis();
+        assertThat(lost + schedule.onTimeout(schedule.nextCall(false)))
+                .isLessThanOrEqualTo(DiscoverySchedule.NOTIFIED_MILLIS);
     }
 
     /** Who is refused comes again later and later by the mean, and then, without hope, later still. */
@@ -187,7 +190,7 @@
                 PollSchedule schedule = new PollSchedule(10_000, seed * 1_009L + i);
                 int rest = 0;
                 for (int k = 0; k < refusals; k++) {
-                    rest = schedule.refused(schedule.call(false));
+                    rest = schedule.onRejected(schedule.nextCall(false));
                 }
                 assertThat(rest).isBetween(0, 40_000);
                 sum += rest;
--- a/src/test/java/beaconladder/discovery/WatchScheduleTest.java
+++ b/src/test/java/beaconladder/discovery/WatchScheduleTest.java
@@ -25,35 +25,37 @@
         int slowest = 0;
         boolean listed = false;
         for (int took : before) {
-            DiscoverySchedule.Call call = schedule.call(listed);
+            DiscoverySchedule.Call call = schedule.nextCall(listed);
             if (took == -2) {
-                assertThat(schedule.failed()).isBetween(1, 500);
+                assertThat(schedule.onFailure()).isBetween(1, 500);
                 listed = false;
-            } else if (took == -1 || took > call.all()) {
-                schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
+            } else if (took == -1 || took > call.timeoutMillis()) {
+                schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
                 listed = false;
             } else {
-                assertThat(schedule.answered(call, took * 1_000_000L, took % 2 == 0))
+                assertThat(schedule.onAnswer(call, took * 1_000_000L, took % 2 == 0))
                         .isBetween(0, 200);
-                slowest = call.waits() == 0 ? took : slowest;
+                slowest = call.waitMillis() == 0 ? took : slowest;
                 listed = true;
             }
         }
         if (!listed) {
-            schedule.answered(schedule.call(false), 5_000_000, true);
+            schedule.onAnswer(schedule.nextCall(false), 5_000_000, true);
             slowest = 5;
         }
-        DiscoverySchedule.Call watch = schedule.call(true);
-        schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
-        DiscoverySchedule.Call next = schedule.call(false);
-        schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
+        DiscoverySchedule.Call watch = schedule.nextCall(true);
+        schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
+        DiscoverySchedule.Call next = schedule.nextCall(false);
+        schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
         // An answer as quick as the last whole list was; one that is slower than a second is heard at once.
-        int heard = slowest > 1_000 ? watch.all() + slowest : watch.all() + next.all() + slowest;
-        assertThat(heard).isLessThan(DiscoverySchedule.TOLD_MILLIS);
-        assertThat(schedule.call(false).all()).isGreaterThan(slowest);
+        int heard = slowest > 1_000
+                ? watch.timeoutMillis() + slowest
+                : watch.timeoutMillis() + next.timeoutMillis() + slowest;
+        assertThat(heard).isLessThan(DiscoverySchedule.NOTIFIED_MILLIS);
+        assertThat(schedule.nextCall(false).timeoutMillis()).isGreaterThan(slowest);
         // Long said, and given up by the router itself; news have time to come meanwhile.
-        assertThat(watch.waits()).isEqualTo(20_000);
-        assertThat(watch.all()).isBetween(slowest + 1, 4_600);
+        assertThat(watch.waitMillis()).isEqualTo(20_000);
+        assertThat(watch.timeoutMillis()).isBetween(slowest + 1, 4_600);
     }
 
     /** At the return of a quick discovery that was silent so long its list is heard within the grace. */
@@ -63,14 +65,14 @@
             @ForAll @IntRange(min = 450, max = 5_000) int grace,
             @ForAll @IntRange(max = 20) int took) {
         WatchSchedule schedule = new WatchSchedule(grace, 1);
-        schedule.answered(schedule.call(false), took * 1_000_000L, true);
+        schedule.onAnswer(schedule.nextCall(false), took * 1_000_000L, true);
         for (int i = 0; i < silences; i++) {
-            schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
+            schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
         }
         // It returns right after this call was let go unheard.
-        int lost = schedule.call(false).all();
-        schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
-        assertThat(schedule.call(false).all()).isGreaterThan(took);
+        int lost = schedule.nextCall(false).timeoutMillis();
+        schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
+        assertThat(schedule.nextCall(false).timeoutMillis()).isGreaterThan(took);
         assertThat(lost + took).isLessThanOrEqualTo(grace + 50);
     }
 
@@ -80,8 +82,8 @@
         Set<Integer> waits = new HashSet<>();
         for (int i = 0; i < 100; i++) {
             WatchSchedule schedule = new WatchSchedule(2_000, seed + i);
-            schedule.answered(schedule.call(false), 5_000_000, true);
-            waits.add(schedule.call(true).all() / 50);
+            schedule.onAnswer(schedule.nextCall(false), 5_000_000, true);
+            waits.add(schedule.nextCall(true).timeoutMillis() / 50);
         }
         assertThat(waits).hasSizeGreaterThanOrEqualTo(9);
     }
@@ -91,16 +93,16 @@
      * one call at a time knows in six seconds what began behind a call's snapshot.
      */
     @Property(seed = "1")
-    void aSlowDiscoveryIsHeard(@ForAll @IntRange(min = 1, max = DiscoverySchedule.LONGEST_MILLIS) int millis) {
+    void aSlowDiscoveryIsHeard(@ForAll @IntRange(min = 1, max = DiscoverySchedule.MAX_CALL_MILLIS) int millis) {
         WatchSchedule schedule = new WatchSchedule(2_000, 1);
         int heard = 0;
         for (int i = 0; i < CALLS; i++) {
-            DiscoverySchedule.Call call = schedule.call(false);
-            if (millis <= call.all()) {
+            DiscoverySchedule.Call call = schedule.nextCall(false);
+            if (millis <= call.timeoutMillis()) {
                 heard++;
-                schedule.answered(call, millis * 1_000_000L, true);
+                schedule.onAnswer(call, millis * 1_000_000L, true);
             } else {
-                schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
+                schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
             }
         }
         assertThat(heard).isGreaterThan(CALLS - 25);
@@ -110,14 +112,14 @@
     @Property(seed = "1")
     void aDiscoveryThatBecomesSlowIsHeard(@ForAll @IntRange(min = 1, max = 2_500) int millis) {
         WatchSchedule schedule = new WatchSchedule(2_000, 1);
-        schedule.answered(schedule.call(false), 1_000_000, true);
-        int spent = schedule.call(true).all();
-        schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
-        while (millis > schedule.call(false).all()) {
-            spent += schedule.call(false).all();
-            schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
+        schedule.onAnswer(schedule.nextCall(false), 1_000_000, true);
+        int spent = schedule.nextCall(true).timeoutMillis();
+        schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
+        while (millis > schedule.nextCall(false).timeoutMillis()) {
+            spent += schedule.nextCall(false).timeoutMillis();
+            schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
         }
-        assertThat(spent + millis).isLessThan(millis <= 1_500 ? DiscoverySchedule.TOLD_MILLIS : 90_000);
+        assertThat(spent + millis).isLessThan(millis <= 1_500 ? DiscoverySchedule.NOTIFIED_MILLIS : 90_000);
     }
 
     /** A move forgets how slow the old address was. */
@@ -125,11 +127,11 @@
     void aMoveBeginsAnew(@ForAll @IntRange(max = 20) int silences) {
         WatchSchedule schedule = new WatchSchedule(2_000, 1);
         for (int i = 0; i < silences; i++) {
-            schedule.silent(new DiscoverySchedule.Call(0, 1, 1));
-            schedule.failed();
+            schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
+            schedule.onFailure();
         }
-        schedule.moved();
-        assertThat(schedule.call(false).all()).isEqualTo(WatchSchedule.FIRST_MILLIS);
-        assertThat(schedule.failed()).isBetween(25, 50);
+        schedule.reset();
+        assertThat(schedule.nextCall(false).timeoutMillis()).isEqualTo(WatchSchedule.FIRST_MILLIS);
+        assertThat(schedule.onFailure()).isBetween(25, 50);
     }
 }
--- a/src/test/java/beaconladder/discovery/WatchedDiscovery.java
+++ b/src/test/java/beaconladder/discovery/WatchedDiscovery.java
@@ -30,7 +30,7 @@
     List<EndpointWatch.State> watch(DiscoveryStandIn discovery) {
         List<EndpointWatch.State> heard = new CopyOnWriteArrayList<>();
         start(new EndpointWatch(
-                at(discovery), GRACE, 7, (whole, entries) -> entries.forEach(e -> heard.add(e.state()))));
+                at(discovery), GRACE, 7, (complete, entries) -> entries.forEach(e -> heard.add(e.state()))));
         return heard;
     }
 
