--- a/src/main/java/beaconladder/discovery/EndpointListReader.java
+++ b/src/main/java/beaconladder/discovery/EndpointListReader.java
@@ -73,7 +73,7 @@
             }
             return new EndpointUpdate(version.longValue(), complete, entries);
         } catch (JsonProcessingException e) {
-            throw JsonReader.fault(e);
+            throw JsonReader.parseException(e);
         }
     }
 
--- a/src/main/java/beaconladder/discovery/JsonReader.java
+++ b/src/main/java/beaconladder/discovery/JsonReader.java
@@ -14,34 +14,41 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON into maps, lists, texts, exact numbers, truths and null, by Jackson's streaming parser. */
+/**
+ * Parses JSON with Jackson's streaming parser into maps in the order of the text, lists, strings, exact
+ * {@link BigDecimal} numbers, booleans and null.
+ */
 public final class JsonReader {
-
-    /** Text that is no JSON; the message names the place. */
+    /** The text is not valid JSON; the message states the position. */
     public static final class ParseException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        ParseException(long at, String cause) {
-            super("bad JSON at character " + at + ": " + cause);
+        ParseException(long position, String cause) {
+            super("bad JSON at character " + position + ": " + cause);
         }
     }
 
-    /** Deeper than anything in use, and shallow enough for a small stack. */
-    private static final int DEEPEST = 64;
-    /** Beyond this a number is no figure of ours, and writing it out would cost memory. */
-    private static final int LONGEST_NUMBER = 400;
+    /** Deeper than any document in use, and shallow enough for a small thread stack. */
+    private static final int MAX_DEPTH = 64;
+    /** Digits or scale of a number: no valid value exceeds this, and writing a longer one out would take memory. */
+    private static final int MAX_NUMBER_LENGTH = 400;
 
-    /** A name told twice makes the whole void: nobody knows which of them was meant. */
+    /** Duplicate names are rejected, as it is unclear which value applies. */
     private static final JsonFactory FACTORY = JsonFactory.builder()
             .streamReadConstraints(StreamReadConstraints.builder()
-                    .maxNestingDepth(DEEPEST)
-                    .maxNumberLength(LONGEST_NUMBER)
+                    .maxNestingDepth(MAX_DEPTH)
+                    .maxNumberLength(MAX_NUMBER_LENGTH)
                     .build())
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
     private JsonReader() {}
 
+    /**
+     * Parses a text that is one JSON value.
+     *
+     * @throws ParseException if it is not
+     */
     public static Object parse(String text) throws ParseException {
         try (JsonParser json = FACTORY.createParser(text)) {
             if (json.nextToken() == null) {
@@ -53,27 +60,27 @@
             }
             return value;
         } catch (JsonProcessingException e) {
-            throw fault(e);
+            throw parseException(e);
         } catch (IOException e) {
             throw new ParseException(0, e.toString());
         }
     }
 
-    /** Reads bytes as they come; the place in a fault is then that of a byte. */
+    /** A parser for bytes as they arrive; the position in an exception is then that of a byte. */
     static JsonParser parser(InputStream in) throws IOException {
         return FACTORY.createParser(in);
     }
 
-    static ParseException fault(JsonProcessingException e) {
-        long at = e.getLocation() == null
+    static ParseException parseException(JsonProcessingException e) {
+        long position = e.getLocation() == null
                 ? 0
                 : Math.max(e.getLocation().getCharOffset(), e.getLocation().getByteOffset());
-        // Where it began, of a text that ends too soon, is of no help to who is told the place.
+        // For a text that ends early Jackson adds where the value started, which is not the position of the error.
         return new ParseException(
-                at, e.getOriginalMessage().replaceFirst(" \\((start marker|for \\w+ starting) at .*", ""));
+                position, e.getOriginalMessage().replaceFirst(" \\((start marker|for \\w+ starting) at .*", ""));
     }
 
-    /** The value that begins with the present token. */
+    /** Reads the value that starts with the current token. */
     static Object value(JsonParser json) throws IOException, ParseException {
         switch (json.currentToken()) {
             case START_OBJECT -> {
@@ -96,7 +103,7 @@
                 return json.getText();
             }
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> {
-                return number(json);
+                return readNumber(json);
             }
             case VALUE_TRUE, VALUE_FALSE -> {
                 return json.getBooleanValue();
@@ -107,25 +114,28 @@
         }
     }
 
-    private static BigDecimal number(JsonParser json) throws IOException, ParseException {
+    private static BigDecimal readNumber(JsonParser json) throws IOException, ParseException {
         try {
             BigDecimal number = new BigDecimal(json.getText());
-            if (Math.abs((long) number.scale()) <= LONGEST_NUMBER) {
+            if (Math.abs((long) number.scale()) <= MAX_NUMBER_LENGTH) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // An exponent that no figure has.
+            // The exponent does not fit an int.
         }
         throw new ParseException(json.currentTokenLocation().getCharOffset(), "a number out of range");
     }
 
     /**
-     * A value as the drill's flat lines have it: plain values of a list are joined by commas, a list of objects states
-     * its length under count, spaces and commas inside of values become underscores.
+     * Flattens a value to dotted names, the form of the simulator's settings: plain values of a list are joined by
+     * commas, a list of objects has its length under count, and spaces and commas within values become underscores.
+     *
+     * @param name the name of the value, empty for the root
+     * @param into receives the names and values
      */
     public static void flatten(String name, Object value, Map<String, String> into) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((k, v) -> flatten(name.isEmpty() ? (String) k : name + "." + k, v, into));
+            map.forEach((key, member) -> flatten(name.isEmpty() ? (String) key : name + "." + key, member, into));
         } else if (value instanceof List<?> list) {
             if (!list.isEmpty() && list.get(0) instanceof Map) {
                 into.put(name + ".count", String.valueOf(list.size()));
--- a/src/main/java/beaconladder/membership/transport/GossipJson.java
+++ b/src/main/java/beaconladder/membership/transport/GossipJson.java
@@ -7,20 +7,21 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.util.regex.Pattern;
 
-/** Messages between members as datagrams of JSON, checked whole before any of it counts. */
+/** Encodes messages between members as datagrams of JSON, and validates received ones completely before their use. */
 final class GossipJson {
     private static final ObjectMapper MAPPER = new ObjectMapper()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
-    private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
-    private static final String ADDRESS = "[A-Za-z0-9.-]{1,255}:[0-9]{1,5}";
-    /** Ten words and the sender's: what is longer is no message of ours. */
-    private static final int MOST_NEWS = 16;
+    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
+    private static final Pattern ADDRESS = Pattern.compile("[A-Za-z0-9.-]{1,255}:[0-9]{1,5}");
+    /** Senders put at most ten updates and the target's state on a message; the rest is a reserve. */
+    private static final int MAX_UPDATES = 16;
 
     private GossipJson() {}
 
-    static byte[] bytes(Message message) {
+    static byte[] encode(Message message) {
         try {
             return MAPPER.writeValueAsBytes(message);
         } catch (JsonProcessingException e) {
@@ -28,28 +29,39 @@
         }
     }
 
-    static Message read(byte[] bytes, int length) throws IOException {
+    /**
+     * Decodes the first bytes of a buffer.
+     *
+     * @throws IOException if they are not a valid message
+     */
+    static Message decode(byte[] bytes, int length) throws IOException {
         Message message = MAPPER.readValue(new String(bytes, 0, length, StandardCharsets.UTF_8), Message.class);
-        if (message == null
-                || message.kind() == null
-                || message.target() == null
-                || !message.target().isEmpty() && !message.target().matches(NAME)
-                || !whole(message.sender())
-                || message.updates() == null
-                || message.updates().size() > MOST_NEWS
-                || !message.updates().stream().allMatch(GossipJson::whole)) {
+        if (!isValid(message)) {
             throw new IOException("a message that is not whole");
         }
         return message;
     }
 
-    private static boolean whole(Member member) {
+    private static boolean isValid(Message message) {
+        return message != null
+                && message.kind() != null
+                && message.target() != null
+                && (message.target().isEmpty() || matches(NAME, message.target()))
+                && isValid(message.sender())
+                && message.updates() != null
+                && message.updates().size() <= MAX_UPDATES
+                && message.updates().stream().allMatch(GossipJson::isValid);
+    }
+
+    private static boolean isValid(Member member) {
         return member != null
                 && member.state() != null
-                && member.name() != null
-                && member.name().matches(NAME)
-                && member.address() != null
-                && member.address().matches(ADDRESS)
+                && matches(NAME, member.name())
+                && matches(ADDRESS, member.address())
                 && member.incarnation() >= 0;
     }
+
+    private static boolean matches(Pattern pattern, String text) {
+        return text != null && pattern.matcher(text).matches();
+    }
 }
--- a/src/main/java/beaconladder/membership/transport/GossipService.java
+++ b/src/main/java/beaconladder/membership/transport/GossipService.java
@@ -1,5 +1,6 @@
 package beaconladder.membership.transport;
 
+import beaconladder.membership.Member;
 import beaconladder.membership.MembershipView;
 import beaconladder.membership.Message;
 import beaconladder.membership.OutgoingMessage;
@@ -14,31 +15,40 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A process's place in the fleet: one thread, one datagram socket. */
+/**
+ * A process's membership in the fleet: one thread that calls {@link #run} and one UDP socket. The other methods may be
+ * called by any thread.
+ */
 public final class GossipService implements Runnable, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(GossipService.class);
-    private static final int LONGEST = 8 * 1024;
-    private static final int LOOK_MILLIS = 50;
+    private static final int MAX_DATAGRAM_BYTES = 8 * 1024;
+    /** The longest wait for a datagram, after which the timers and the end of the service are checked. */
+    private static final int MAX_RECEIVE_MILLIS = 50;
 
     private final DatagramSocket socket;
+    /** Guarded by itself. */
     private final SwimProtocol swim;
+
     private volatile boolean closed;
 
     /**
-     * A member that listens from now on and takes part once it runs.
+     * A member whose socket is open, and which takes part once it runs.
      *
-     * @param at where it listens
-     * @param known the host and port under which the others reach it
-     * @param seeds where others may be
+     * @param listenAddress where it receives datagrams
+     * @param advertisedAddress the host and port at which the others reach it
+     * @param seeds addresses at which other members may be
+     * @throws IOException if the socket can't be bound
      */
-    public GossipService(String name, InetSocketAddress at, String known, Collection<String> seeds) throws IOException {
-        socket = new DatagramSocket(at);
-        // A later life counts over an earlier one.
+    public GossipService(
+            String name, InetSocketAddress listenAddress, String advertisedAddress, Collection<String> seeds)
+            throws IOException {
+        socket = new DatagramSocket(listenAddress);
+        // With the time as incarnation a restarted process supersedes what is known of its earlier one.
         swim = new SwimProtocol(
-                name, known, System.currentTimeMillis(), seeds, name.hashCode() * 31L + System.nanoTime());
+                name, advertisedAddress, System.currentTimeMillis(), seeds, name.hashCode() * 31L + System.nanoTime());
     }
 
-    /** Who is there, as known here now. */
+    /** The participating members as known now. */
     public MembershipView view() {
         synchronized (swim) {
             return swim.view(System.nanoTime());
@@ -47,37 +57,13 @@
 
     @Override
     public void run() {
-        DatagramPacket packet = new DatagramPacket(new byte[LONGEST], LONGEST);
-        long told = -1;
+        DatagramPacket packet = new DatagramPacket(new byte[MAX_DATAGRAM_BYTES], MAX_DATAGRAM_BYTES);
+        long loggedVersion = -1;
         while (!closed) {
             try {
-                List<OutgoingMessage> sends;
-                long wake;
-                synchronized (swim) {
-                    sends = swim.tick(System.nanoTime());
-                    wake = swim.nextWakeNanos();
-                }
-                send(sends);
-                MembershipView view = view();
-                if (view.version() != told) {
-                    told = view.version();
-                    LOG.info(
-                            "view {}: {}",
-                            told,
-                            view.members().stream()
-                                    .map(each -> each.name()
-                                            + (each.state() == beaconladder.membership.Member.State.SUSPECT ? "?" : ""))
-                                    .toList());
-                }
-                long left = (wake - System.nanoTime()) / 1_000_000;
-                socket.setSoTimeout((int) Math.max(1, Math.min(LOOK_MILLIS, left)));
-                packet.setLength(LONGEST);
-                socket.receive(packet);
-                Message message = GossipJson.read(packet.getData(), packet.getLength());
-                synchronized (swim) {
-                    sends = swim.receive(message, System.nanoTime());
-                }
-                send(sends);
+                long wakeNanos = runTimers();
+                loggedVersion = logIfChanged(loggedVersion);
+                receive(packet, wakeNanos);
             } catch (SocketTimeoutException e) {
                 continue;
             } catch (IOException e) {
@@ -88,24 +74,63 @@
         }
     }
 
+    /** Returns when the timers are due next. */
+    private long runTimers() {
+        List<OutgoingMessage> sends;
+        long wakeNanos;
+        synchronized (swim) {
+            sends = swim.tick(System.nanoTime());
+            wakeNanos = swim.nextWakeNanos();
+        }
+        send(sends);
+        return wakeNanos;
+    }
+
+    /** Logs a view with a new version, suspected members with a question mark; returns the version. */
+    private long logIfChanged(long loggedVersion) {
+        MembershipView view = view();
+        if (view.version() != loggedVersion) {
+            LOG.info(
+                    "view {}: {}",
+                    view.version(),
+                    view.members().stream()
+                            .map(member -> member.name() + (member.state() == Member.State.SUSPECT ? "?" : ""))
+                            .toList());
+        }
+        return view.version();
+    }
+
+    private void receive(DatagramPacket packet, long wakeNanos) throws IOException {
+        long remainingMillis = (wakeNanos - System.nanoTime()) / 1_000_000;
+        socket.setSoTimeout((int) Math.max(1, Math.min(MAX_RECEIVE_MILLIS, remainingMillis)));
+        packet.setLength(MAX_DATAGRAM_BYTES);
+        socket.receive(packet);
+        Message message = GossipJson.decode(packet.getData(), packet.getLength());
+        List<OutgoingMessage> sends;
+        synchronized (swim) {
+            sends = swim.receive(message, System.nanoTime());
+        }
+        send(sends);
+    }
+
     private void send(List<OutgoingMessage> sends) {
         for (OutgoingMessage each : sends) {
             int colon = each.address().lastIndexOf(':');
-            byte[] bytes = GossipJson.bytes(each.message());
+            byte[] bytes = GossipJson.encode(each.message());
             try {
-                InetSocketAddress to = new InetSocketAddress(
+                InetSocketAddress receiver = new InetSocketAddress(
                         each.address().substring(0, colon),
                         Integer.parseInt(each.address().substring(colon + 1)));
-                if (!to.isUnresolved()) {
-                    socket.send(new DatagramPacket(bytes, bytes.length, to));
+                if (!receiver.isUnresolved()) {
+                    socket.send(new DatagramPacket(bytes, bytes.length, receiver));
                 }
             } catch (IOException | IllegalArgumentException e) {
-                // A datagram may be lost at any time; the machine bears it.
+                // The protocol tolerates the loss of any datagram.
             }
         }
     }
 
-    /** Leaves, so that the others need not find out. */
+    /** Leaves the fleet gracefully, so that the others need not detect a failure. */
     @Override
     public void close() {
         closed = true;
--- a/src/main/java/beaconladder/membership/transport/package-info.java
+++ b/src/main/java/beaconladder/membership/transport/package-info.java
@@ -1,2 +1,5 @@
-/** Members on sockets: datagrams and a clock for {@link beaconladder.members.Swim}, which decides all. */
+/**
+ * Membership over UDP: datagrams of JSON, a socket and a clock for {@link beaconladder.membership.SwimProtocol}, which
+ * makes all decisions.
+ */
 package beaconladder.membership.transport;
--- a/src/main/java/beaconladder/storage/DurableRecords.java
+++ b/src/main/java/beaconladder/storage/DurableRecords.java
@@ -12,21 +12,21 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * Records that survive a kill at any instant: once {@link #append} has returned, a record is there whatever happens,
- * and one whose append did not return is there whole or not at all. Kept by H2's MVStore; each record carries a hash of
- * its own, as pages do not.
+ * An append-only sequence of records that survives a crash at any time: once {@link #append} has returned, the record
+ * is durable, and one whose append did not return is stored completely or not at all. Stored by H2's MVStore; each
+ * record has a checksum, as MVStore's pages have none. Not thread-safe.
  */
 public final class DurableRecords implements AutoCloseable {
     private static final String FILE = "records.mv";
-    private static final int HASH = Long.BYTES;
+    private static final int CHECKSUM_BYTES = Long.BYTES;
 
     private final Path file;
-    /** Null between a write that failed and the next that finds the file in order. */
+    /** Null after a failed write, until a later one can open the file again. */
     private MVStore store;
 
     private MVMap<Long, byte[]> map;
-    private final List<byte[]> found = new ArrayList<>();
-    private long next;
+    private final List<byte[]> recovered = new ArrayList<>();
+    private long nextNumber;
     private boolean closed;
 
     private DurableRecords(Path file) {
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Opens the records of a folder, which is made if there is none.
+     * Opens the records in a folder, which is created if it does not exist.
      *
-     * @throws IOException where the folder can't be used, another process has it open, or a record is damaged; the
-     *     message says which
+     * @throws IOException if the folder can't be used, another process has it open, or a record is damaged; the message
+     *     states which
      */
     public static DurableRecords open(Path folder) throws IOException {
         Files.createDirectories(folder);
@@ -45,8 +45,8 @@
         records.openStore();
         try {
             for (Long number : records.map.keyList()) {
-                records.found.add(body(records.file, number, records.map.get(number)));
-                records.next = number + 1;
+                records.recovered.add(verifiedBody(records.file, number, records.map.get(number)));
+                records.nextNumber = number + 1;
             }
             return records;
         } catch (IOException | MVStoreException e) {
@@ -79,62 +79,68 @@
         }
     }
 
-    /** Lets go of a store that has met a fault: it has closed itself, and what it holds in memory is void. */
+    /** Discards a store after an error: it has closed itself, and its state in memory is no longer valid. */
     private void abandonStore() {
-        MVStore old = store;
+        MVStore failed = store;
         store = null;
         map = null;
-        if (old != null) {
-            old.closeImmediately();
+        if (failed != null) {
+            failed.closeImmediately();
         }
     }
 
-    private static byte[] body(Path file, long number, byte[] stored) throws IOException {
-        if (stored.length < HASH
+    private static byte[] verifiedBody(Path file, long number, byte[] stored) throws IOException {
+        if (stored.length < CHECKSUM_BYTES
                 || ByteBuffer.wrap(stored).getLong()
-                        != Hashing.xxh3_64().hashBytesToLong(stored, HASH, stored.length - HASH)) {
+                        != Hashing.xxh3_64().hashBytesToLong(stored, CHECKSUM_BYTES, stored.length - CHECKSUM_BYTES)) {
             throw new IOException("record " + number + " in " + file + " is damaged");
         }
-        byte[] body = new byte[stored.length - HASH];
-        System.arraycopy(stored, HASH, body, 0, body.length);
+        byte[] body = new byte[stored.length - CHECKSUM_BYTES];
+        System.arraycopy(stored, CHECKSUM_BYTES, body, 0, body.length);
         return body;
     }
 
-    /** What was there when it was opened, oldest first. */
+    /** The records that were stored when this was opened, oldest first. */
     public List<byte[]> recovered() {
-        return found;
+        return recovered;
     }
 
-    /** What is to be done to the map before it is committed. */
+    /** A change of the map that is to be committed. */
     private interface Change {
         void apply();
     }
 
     /**
-     * Writes one record; it is on the disk when this returns. Where it can't be written, it is not there once a later
-     * write has succeeded, and the next call finds out whether the disk is well again.
+     * Writes one record, which is durable when this returns.
+     *
+     * @throws IOException if it can't be written; it is then not stored once a later write has succeeded, and the next
+     *     call tries again
      */
     public void append(byte[] record) throws IOException {
-        long number = next;
-        commit(() -> map.put(number, hashed(record)), "the record could not be written");
-        next = number + 1;
+        long number = nextNumber;
+        commit(() -> map.put(number, withChecksum(record)), "the record could not be written");
+        nextNumber = number + 1;
     }
 
-    /** Puts these in the place of all records, at once: after a kill there are the old ones or the new ones. */
+    /**
+     * Replaces all records atomically: after a crash either the old or the new ones are stored.
+     *
+     * @throws IOException if they can't be written, as with {@link #append}
+     */
     public void replace(List<byte[]> records) throws IOException {
-        long from = next;
+        long firstNumber = nextNumber;
         commit(
                 () -> {
                     map.clear();
                     for (int i = 0; i < records.size(); i++) {
-                        map.put(from + i, hashed(records.get(i)));
+                        map.put(firstNumber + i, withChecksum(records.get(i)));
                     }
                 },
                 "the snapshot could not be written");
-        next = from + records.size();
+        nextNumber = firstNumber + records.size();
     }
 
-    /** A second try, on a store that is opened anew, sees what the first has left and writes over it. */
+    /** Retries once on a store that is opened again; the retry overwrites what the first attempt may have left. */
     private void commit(Change change, String failure) throws IOException {
         if (closed) {
             throw new IOException(file + " is closed");
@@ -166,13 +172,14 @@
         }
     }
 
-    private static byte[] hashed(byte[] record) {
-        return ByteBuffer.allocate(HASH + record.length)
+    private static byte[] withChecksum(byte[] record) {
+        return ByteBuffer.allocate(CHECKSUM_BYTES + record.length)
                 .putLong(Hashing.xxh3_64().hashBytesToLong(record, 0, record.length))
                 .put(record)
                 .array();
     }
 
+    /** Closes the file; further writes fail. */
     @Override
     public void close() {
         closed = true;
--- a/src/test/java/beaconladder/discovery/EndpointListLiteralTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointListLiteralTest.java
@@ -22,12 +22,12 @@
             """;
 
     @Test
-    void aListIsItsVersionAndItsHosts() throws Exception {
-        EndpointListReader.EndpointUpdate news =
+    void listHasItsVersionAndHosts() throws Exception {
+        EndpointListReader.EndpointUpdate update =
                 EndpointListReader.read(new ByteArrayInputStream(LIST.getBytes(StandardCharsets.UTF_8)));
-        assertThat(news.version()).isEqualTo(42);
-        assertThat(news.complete()).isTrue();
-        assertThat(news.entries())
+        assertThat(update.version()).isEqualTo(42);
+        assertThat(update.complete()).isTrue();
+        assertThat(update.entries())
                 .containsExactly(
                         new EndpointWatch.Entry(
                                 "s-1",
@@ -47,11 +47,11 @@
                                 0),
                         new EndpointWatch.Entry("s-3", null, "null", 8, EndpointWatch.State.GONE, false, 0));
         assertThat(EndpointWatch.parseEntries((Map<?, ?>) JsonReader.parse(LIST)))
-                .isEqualTo(news.entries());
+                .isEqualTo(update.entries());
     }
 
     @Test
-    void aListOfChangesIsNotWhole() throws Exception {
+    void listOfChangesIsNotComplete() throws Exception {
         String changes = "{\"servers\":[],\"version\":43}";
         assertThat(EndpointListReader.read(new ByteArrayInputStream(changes.getBytes(StandardCharsets.UTF_8))))
                 .isEqualTo(new EndpointListReader.EndpointUpdate(43, false, List.of()));
--- a/src/test/java/beaconladder/discovery/EndpointListReaderTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointListReaderTest.java
@@ -25,42 +25,42 @@
 class EndpointListReaderTest {
     private static final ObjectMapper WRITER = new ObjectMapper();
 
-    /** Entry by entry, indented or not, a list is what its tree says. */
+    /** Read by streaming, indented or not, a list equals the one from its JSON tree. */
     @Property(tries = 300, seed = "1")
-    void aListIsReadAsItsTreeIs(@ForAll("lists") Map<String, Object> list) throws Exception {
+    void streamedListEqualsItsTree(@ForAll("lists") Map<String, Object> list) throws Exception {
         String text = WRITER.writeValueAsString(list);
         List<EndpointWatch.Entry> entries = EndpointWatch.parseEntries((Map<?, ?>) JsonReader.parse(text));
-        EndpointListReader.EndpointUpdate news = read(text);
-        assertThat(news.entries()).isEqualTo(entries);
-        assertThat(news.complete()).isEqualTo(list.get("full"));
-        assertThat(news.version()).isEqualTo(((Number) list.get("version")).longValue());
+        EndpointListReader.EndpointUpdate update = read(text);
+        assertThat(update.entries()).isEqualTo(entries);
+        assertThat(update.complete()).isEqualTo(list.get("full"));
+        assertThat(update.version()).isEqualTo(((Number) list.get("version")).longValue());
         assertThat(read(WRITER.writerWithDefaultPrettyPrinter().writeValueAsString(list)))
-                .isEqualTo(news);
+                .isEqualTo(update);
     }
 
-    /** Whatever is missing at its end, however whole its entries: it is no list. */
+    /** A truncated list is rejected, even if all its entries are complete. */
     @Property(tries = 300, seed = "1")
-    void whatBreaksOffIsNoList(@ForAll("lists") Map<String, Object> list, @ForAll int at) throws Exception {
+    void truncatedListIsRejected(@ForAll("lists") Map<String, Object> list, @ForAll int at) throws Exception {
         String text = WRITER.writeValueAsString(list);
         assertThatThrownBy(() -> read(text.substring(0, Math.floorMod(at, text.length()))))
                 .isInstanceOfAny(JsonReader.ParseException.class, EndpointListReader.InvalidListException.class);
     }
 
-    /** Any bytes at all are a list or refused, never anything else. */
+    /** Any bytes are a list or rejected with an expected exception. */
     @Property(tries = 500, seed = "1")
-    void anyBytesAreReadOrRefused(@ForAll byte[] bytes) throws IOException {
+    void anyBytesAreReadOrRejected(@ForAll byte[] bytes) throws IOException {
         try {
             EndpointListReader.read(new ByteArrayInputStream(bytes));
         } catch (JsonReader.ParseException | EndpointListReader.InvalidListException e) {
             assertThat(e.getMessage()).isNotEmpty();
         } catch (CharConversionException e) {
-            // Bytes that are no text in any encoding.
+            // The bytes are not text in any encoding.
             assertThat(e.getMessage()).isNotEmpty();
         }
     }
 
     @Test
-    void whatIsNoListIsNamed() {
+    void invalidListIsDescribed() {
         String good = entry(1);
         Map<String, String> cases = new LinkedHashMap<>();
         cases.put("[]", "no list of hosts");
@@ -81,9 +81,9 @@
         cases.forEach((text, cause) -> assertThatThrownBy(() -> read(text)).hasMessageContaining(cause));
     }
 
-    /** A body that would fill the memory with entries ends before it does. */
+    /** The number of entries is limited, to bound the memory. */
     @Test
-    void aListOfTooManyHostsIsRefused() {
+    void listOfTooManyHostsIsRejected() {
         String some = IntStream.range(0, EndpointListReader.MAX_ENTRIES + 1)
                 .mapToObj(EndpointListReaderTest::entry)
                 .collect(Collectors.joining(","));
@@ -91,7 +91,7 @@
                 .hasMessageContaining("more than");
     }
 
-    /** As many hosts as there will be, indented by anyone. */
+    /** The largest expected deployment fits, even with wide indentation. */
     @Test
     void fiveThousandEightHundredIndentedHostsFit() throws Exception {
         String text = "{\"version\":1,\"full\":true,\"servers\":["
@@ -103,7 +103,7 @@
                 .replace("{\"", "{" + margin)
                 .replace(":", " : ")
                 .replace("127.0.0.1 : ", "127.0.0.1:");
-        assertThat(indented.length()).isBetween(4 << 20, HttpFetcher.LONGEST_STREAM);
+        assertThat(indented.length()).isBetween(4 << 20, HttpFetcher.MAX_STREAM_BYTES);
         assertThat(read(indented).entries()).hasSize(5_800).isEqualTo(read(text).entries());
     }
 
--- a/src/test/java/beaconladder/discovery/EndpointWatchMovesTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchMovesTest.java
@@ -19,7 +19,7 @@
     private static final int WATCHES = 8;
 
     @Test
-    void aWatchThatRestsAsksTheNewAddressAtOnce() throws Exception {
+    void restingWatchCallsANewAddressAtOnce() throws Exception {
         InetSocketAddress nobody;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
--- a/src/test/java/beaconladder/discovery/EndpointWatchTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchTest.java
@@ -21,27 +21,26 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The clock of the list: what discovery has, and what could be had of it, counts as told 6 s later, and at the end of
- * an outage what is left is the grace of drains. By then the watch has asked again and knows it, over every way in
- * which a call can fail.
+ * A change in discovery counts as notified 6 s later, and at the end of an outage only the grace period of draining
+ * hosts remains. By then the watch has fetched it, whichever way a call fails.
  */
 @Timeout(90)
 class EndpointWatchTest extends WatchedDiscovery {
-    private static final long TOLD = 6_000;
+    private static final long NOTIFIED = 6_000;
     private static final long SLACK = 50;
     /**
-     * A fault that begins while a call waits, and the draining of a host right behind it.
+     * A fault that starts while a watch waits, and the draining of a host right after it.
      *
-     * @param lasts how long nothing can be had of discovery
+     * @param lasts how long discovery is unavailable, in milliseconds
      */
     private record Case(String name, Consumer<DiscoveryStandIn> fault, long lasts) {
         long bound() {
-            return lasts == 0 ? TOLD : lasts + GRACE + SLACK;
+            return lasts == 0 ? NOTIFIED : lasts + GRACE + SLACK;
         }
     }
 
     @TestFactory
-    Stream<DynamicTest> aDrainingIsKnownBeforeItCountsAsTold() throws Exception {
+    Stream<DynamicTest> drainingIsReceivedBeforeItCountsAsNotified() throws Exception {
         List<Case> cases = List.of(
                 new Case("the link is cut and says nothing", DiscoveryStandIn::silenceOpenConnections, 0),
                 new Case("half an answer, then silence", d -> d.manner = Manner.HALF, 500),
@@ -55,7 +54,7 @@
         Map<String, Long> took = new ConcurrentHashMap<>();
         List<Thread> all = new ArrayList<>();
         for (Case each : cases) {
-            Thread thread = new Thread(() -> took.put(each.name(), heardAfter(each)));
+            Thread thread = new Thread(() -> took.put(each.name(), millisUntilReceived(each)));
             thread.start();
             all.add(thread);
         }
@@ -68,21 +67,21 @@
                         () -> assertThat(took.get(each.name())).isNotNull().isLessThan(each.bound())));
     }
 
-    /** Milliseconds from the silence, at its latest moment for a watch, to the news. */
-    private long heardAfter(Case each) {
+    /** Milliseconds from the start of the fault to the receipt of the change. */
+    private long millisUntilReceived(Case each) {
         try {
             DiscoveryStandIn discovery = discovery();
             discovery.waitMillis = 60_000;
             discovery.list(true, host("Ready"));
-            AtomicLong heard = new AtomicLong();
+            AtomicLong receivedAtNanos = new AtomicLong();
             start(new EndpointWatch(at(discovery), GRACE, 7, (complete, entries) -> {
                 if (entries.get(0).state() == EndpointWatch.State.DRAINING) {
-                    heard.compareAndSet(0, System.nanoTime());
+                    receivedAtNanos.compareAndSet(0, System.nanoTime());
                 }
             }));
             Awaitility.await().until(() -> discovery.calls.get() >= 2);
             each.fault().accept(discovery);
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             discovery.list(true, host("Terminating"));
             if (each.lasts() > 0) {
                 Thread.sleep(each.lasts());
@@ -93,30 +92,30 @@
             Awaitility.await()
                     .atMost(Duration.ofSeconds(30))
                     .pollInterval(Duration.ofMillis(5))
-                    .until(() -> heard.get() != 0);
-            return (heard.get() - from) / 1_000_000;
+                    .until(() -> receivedAtNanos.get() != 0);
+            return (receivedAtNanos.get() - startNanos) / 1_000_000;
         } catch (Exception e) {
             throw new IllegalStateException(each.name(), e);
         }
     }
 
     @Test
-    void aDiscoveryThatIsAlwaysSlowIsHeardAllTheSame() throws Exception {
+    void constantlySlowDiscoveryIsReached() throws Exception {
         DiscoveryStandIn discovery = discovery();
         discovery.list(true, host("Ready"));
         discovery.lateMillis = 1_500;
-        List<EndpointWatch.State> heard = watch(discovery);
-        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(EndpointWatch.State.READY));
+        List<EndpointWatch.State> received = watch(discovery);
+        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> received.contains(EndpointWatch.State.READY));
     }
 
     @Test
-    void aMoveEndsTheOldCallAtOnceAndListsThatAreIndentedAreRead() throws Exception {
+    void changedAddressCancelsTheCallAndIndentedListsAreRead() throws Exception {
         DiscoveryStandIn old = discovery();
         old.waitMillis = 60_000;
         old.list(true, host("Ready"));
-        List<EndpointWatch.State> heard = new ArrayList<>();
-        EndpointWatch watch =
-                new EndpointWatch(at(old), GRACE, 7, (complete, entries) -> entries.forEach(e -> heard.add(e.state())));
+        List<EndpointWatch.State> received = new ArrayList<>();
+        EndpointWatch watch = new EndpointWatch(
+                at(old), GRACE, 7, (complete, entries) -> entries.forEach(e -> received.add(e.state())));
         start(watch);
         Awaitility.await().until(() -> old.calls.get() >= 2);
         DiscoveryStandIn next = discovery();
@@ -126,30 +125,32 @@
                         .replace(",", ",\n\t    ")
                         .replace(":", " :\r\n ")
                         .replace("127.0.0.1 :\r\n ", "127.0.0.1:"));
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         watch.changeAddress(at(next));
-        Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> heard.contains(EndpointWatch.State.DRAINING));
-        assertThat(System.nanoTime() - from).isLessThan(1_000_000_000L);
+        Awaitility.await()
+                .pollInterval(Duration.ofMillis(5))
+                .until(() -> received.contains(EndpointWatch.State.DRAINING));
+        assertThat(System.nanoTime() - startNanos).isLessThan(1_000_000_000L);
         int calls = old.calls.get();
         Thread.sleep(300);
         assertThat(old.calls.get()).isEqualTo(calls);
     }
 
-    /** Nobody answers at the door, though the operating system takes connections in. */
+    /** No process answers, though the operating system accepts connections. */
     @Test
-    void aStartWaitsForTheFirstListNoLongerThanItsBound() throws Exception {
+    void startWaitsForTheFirstListNoLongerThanItsBound() throws Exception {
         ServerSocket mute = new ServerSocket(0);
         open.add(mute);
         EndpointWatch watch = new EndpointWatch(
                 new InetSocketAddress("127.0.0.1", mute.getLocalPort()), GRACE, 7, (complete, all) -> {});
         start(watch);
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> !watch.isAwaitingFirstAnswer());
-        assertThat(System.nanoTime() - from).isBetween(1_800_000_000L, 2_500_000_000L);
+        assertThat(System.nanoTime() - startNanos).isBetween(1_800_000_000L, 2_500_000_000L);
     }
 
     @Test
-    void callsAreRareWhileNothingHappensAndNeverASpin() throws Exception {
+    void immediateAnswersDoNotCauseABusyLoop() throws Exception {
         DiscoveryStandIn discovery = discovery();
         discovery.waitMillis = 0;
         discovery.list(true, host("Ready"));
--- a/src/test/java/beaconladder/discovery/EndpointWatchVersionsTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchVersionsTest.java
@@ -10,26 +10,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a watch lost is asked for from what it has, the whole list only where nothing else fits. */
+/** Missed changes are requested from the held version, the complete list only if that is impossible. */
 @Timeout(90)
 class EndpointWatchVersionsTest extends WatchedDiscovery {
-    /** A quiet watch, a broken one and one that fell silent ask for what changed; nothing is sent twice. */
+    /** After a timeout, a broken connection and a lost answer only changes are requested; nothing is sent twice. */
     @Test
-    void whatAWatchLostIsAskedForFromTheVersionItHas() throws Exception {
+    void changesMissedByAWatchAreRequestedFromItsVersion() throws Exception {
         DiscoveryStandIn discovery = discovery();
         discovery.waitMillis = 60_000;
         String[] hosts = new String[40];
         Arrays.setAll(hosts, i -> host("Ready").replace("s-1", "s-" + (i + 1)));
         discovery.list(true, hosts);
-        List<EndpointWatch.State> heard = watch(discovery);
+        List<EndpointWatch.State> received = watch(discovery);
         Awaitility.await().until(() -> discovery.calls.get() >= 2);
         long first = discovery.bytes.get();
-        // Given up quietly, then asked again without a wait.
+        // Times out without a change, then calls again without a wait.
         Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> discovery.calls.get() >= 4);
         discovery.silenceOpenConnections();
         discovery.list(false, host("Terminating"));
-        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(EndpointWatch.State.DRAINING));
-        assertThat(heard).hasSize(hosts.length + 1);
+        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> received.contains(EndpointWatch.State.DRAINING));
+        assertThat(received).hasSize(hosts.length + 1);
         assertThat(discovery.paths.get(0)).isEqualTo("/v1/servers");
         assertThat(discovery.paths.subList(1, discovery.paths.size()))
                 .allMatch(path -> path.startsWith("/v1/servers?index="));
@@ -38,24 +38,24 @@
 
     /** One that has begun anew, with fewer versions than we heard of, is heard whole. */
     @Test
-    void aVersionThatWentBackIsAskedForWhole() throws Exception {
+    void lowerVersionLeadsToARequestForTheCompleteList() throws Exception {
         DiscoveryStandIn discovery = discovery();
         discovery.waitMillis = 60_000;
         discovery.list(true, host("Ready"));
         discovery.list(false, host("Ready"));
         discovery.list(false, host("Ready"));
-        List<EndpointWatch.State> heard = watch(discovery);
+        List<EndpointWatch.State> received = watch(discovery);
         Awaitility.await().until(() -> discovery.calls.get() >= 2);
         discovery.restart(host("Terminating"));
-        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> heard.contains(EndpointWatch.State.DRAINING));
+        Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> received.contains(EndpointWatch.State.DRAINING));
     }
 
     /** Nonsense may have been news. */
     @Test
-    void whatCannotBeReadIsAskedForWhole() throws Exception {
+    void invalidAnswerLeadsToARequestForTheCompleteList() throws Exception {
         DiscoveryStandIn discovery = discovery();
         discovery.list(true, host("Ready"));
-        List<EndpointWatch.State> heard = watch(discovery);
+        List<EndpointWatch.State> received = watch(discovery);
         Awaitility.await().until(() -> discovery.calls.get() >= 2);
         discovery.garbage = "HTTP/1.1 200 OK\r\nContent-Length: 51\r\n\r\n"
                 + "{\"version\":9,\"full\":false,\"servers\":[{\"id\":\"s-1\"}]}".substring(0, 51);
@@ -64,6 +64,6 @@
                         discovery.paths.stream().filter("/v1/servers"::equals).count() > 1);
         discovery.garbage = null;
         discovery.list(false, host("Terminating"));
-        Awaitility.await().until(() -> heard.contains(EndpointWatch.State.DRAINING));
+        Awaitility.await().until(() -> received.contains(EndpointWatch.State.DRAINING));
     }
 }
--- a/src/test/java/beaconladder/discovery/FleetWatchTest.java
+++ b/src/test/java/beaconladder/discovery/FleetWatchTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Thirty watches before one discovery that bears a call of each in three seconds and not more: whatever made them all
- * call at once, each hears the next change, and none is turned away when it is over.
+ * Thirty watches of one discovery that can serve a call of each in three seconds: whatever made them all call at once,
+ * each receives the next change, and none is rejected afterwards.
  */
 @Timeout(180)
 class FleetWatchTest {
@@ -28,13 +28,13 @@
     private static final int CALL_LINES = 30;
     private static final int LINES = WATCHES * (HOSTS + CALL_LINES) / 3;
     private static final int QUEUE_MILLIS = 1_000;
-    /** Twice what counts as told, as this machine may be busy. */
-    private static final Duration HEARD = Duration.ofSeconds(12);
+    /** Twice the notification limit, as this machine may be busy. */
+    private static final Duration RECEIVED_WITHIN = Duration.ofSeconds(12);
 
     private DiscoveryStandIn discovery;
     private final List<EndpointWatch> watches = new ArrayList<>();
-    /** The launch of the first host that each watch heard last. */
-    private final List<AtomicInteger> heard = new ArrayList<>();
+    /** The launch of the first host that each watch received last. */
+    private final List<AtomicInteger> lastLaunches = new ArrayList<>();
 
     private int launch;
 
@@ -46,7 +46,7 @@
         discovery.list(true, IntStream.range(0, HOSTS).mapToObj(i -> host(i, 0)).toArray(String[]::new));
         for (int i = 0; i < WATCHES; i++) {
             AtomicInteger last = new AtomicInteger(-1);
-            heard.add(last);
+            lastLaunches.add(last);
             watches.add(watch(
                     new InetSocketAddress("127.0.0.1", discovery.port()),
                     i,
@@ -62,16 +62,16 @@
         discovery.close();
     }
 
-    /** All routers of a place come up at once. */
+    /** All routers of a site start at the same time. */
     @Test
-    void aStartTogether() throws Exception {
+    void watchesRecoverAfterSimultaneousStart() throws Exception {
         startAll();
-        calmAfterwards();
+        assertSteadyAfterwards();
     }
 
-    /** It says nothing for as long as it takes that every watch has broken, and comes back. */
+    /** Discovery is silent until every watch has timed out, and returns. */
     @Test
-    void anOutage() throws Exception {
+    void watchesRecoverAfterOutage() throws Exception {
         startAll();
         discovery.capacity = null;
         discovery.manner = Manner.SILENT;
@@ -79,12 +79,12 @@
         Thread.sleep(7_000);
         discovery.capacity = capacity();
         discovery.manner = Manner.ANSWER;
-        calmAfterwards();
+        assertSteadyAfterwards();
     }
 
-    /** Others take up all that it bears while every watch has just been broken. */
+    /** Other clients use the complete capacity just after every watch was broken. */
     @Test
-    void aBurstOfRefusals() throws Exception {
+    void watchesRecoverAfterBurstOfRejections() throws Exception {
         startAll();
         discovery.garbage = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
         discovery.list(false, host(1, 1));
@@ -93,7 +93,7 @@
         discovery.garbage = null;
         Thread.sleep(4_000);
         assertThat(discovery.capacity.refused()).isGreaterThan(WATCHES);
-        calmAfterwards();
+        assertSteadyAfterwards();
     }
 
     // ---- Helpers ------------------------------------------------------------------------------------------
@@ -112,16 +112,16 @@
             thread.setDaemon(true);
             thread.start();
         }
-        allHear(0);
+        awaitAllNotified(0);
     }
 
-    /** A change is heard by all, then a second; between them nobody is turned away any more. */
-    private void calmAfterwards() throws Exception {
+    /** All receive one change and then a second; in between there are no more rejections than watches. */
+    private void assertSteadyAfterwards() throws Exception {
         change();
-        long refused = discovery.capacity.refused();
+        long rejected = discovery.capacity.refused();
         Thread.sleep(5_000);
-        assertThat(discovery.capacity.refused() - refused)
-                .as("turned away in calm")
+        assertThat(discovery.capacity.refused() - rejected)
+                .as("rejected in steady state")
                 .isLessThan(WATCHES);
         change();
     }
@@ -129,18 +129,18 @@
     private void change() {
         launch++;
         discovery.list(false, host(0, launch));
-        allHear(launch);
+        awaitAllNotified(launch);
     }
 
-    private void allHear(int launched) {
+    private void awaitAllNotified(int launched) {
         Awaitility.await()
-                .atMost(HEARD)
+                .atMost(RECEIVED_WITHIN)
                 .pollInterval(Duration.ofMillis(20))
-                .untilAsserted(() -> assertThat(heard.stream()
+                .untilAsserted(() -> assertThat(lastLaunches.stream()
                                 .filter(each -> each.get() == launched)
                                 .count())
-                        .as("watches that heard of launch " + launched + "; " + discovery.calls.get() + " calls, "
-                                + discovery.capacity.refused() + " turned away")
+                        .as("watches that received launch " + launched + "; " + discovery.calls.get() + " calls, "
+                                + discovery.capacity.refused() + " rejected")
                         .isEqualTo(WATCHES));
     }
 
--- a/src/test/java/beaconladder/discovery/JsonReaderTest.java
+++ b/src/test/java/beaconladder/discovery/JsonReaderTest.java
@@ -19,7 +19,7 @@
 
     /** What another writer wrote, indented or not, is read as it was. */
     @Property(tries = 300, seed = "1")
-    void whatIsWrittenIsReadBack(@ForAll("trees") Map<String, Object> tree) throws Exception {
+    void writtenValueIsParsedBack(@ForAll("trees") Map<String, Object> tree) throws Exception {
         assertThat(JsonReader.parse(WRITER.writeValueAsString(tree))).isEqualTo(tree);
         assertThat(JsonReader.parse(WRITER.writerWithDefaultPrettyPrinter().writeValueAsString(tree)))
                 .isEqualTo(tree);
@@ -27,7 +27,7 @@
 
     /** An answer that broke off anywhere is no list. */
     @Property(tries = 300, seed = "1")
-    void whatBreaksOffIsNoValue(@ForAll("trees") Map<String, Object> tree, @ForAll int at) throws Exception {
+    void truncatedTextIsRejected(@ForAll("trees") Map<String, Object> tree, @ForAll int at) throws Exception {
         String text = WRITER.writeValueAsString(tree);
         assertThatThrownBy(() -> JsonReader.parse(text.substring(0, Math.floorMod(at, text.length()))))
                 .isInstanceOf(JsonReader.ParseException.class)
@@ -36,7 +36,7 @@
 
     /** Any text at all is read or refused, never anything else. */
     @Property(tries = 500, seed = "1")
-    void anyTextIsReadOrRefused(@ForAll("texts") String text) {
+    void anyTextIsParsedOrRejected(@ForAll("texts") String text) {
         try {
             JsonReader.parse(text);
         } catch (JsonReader.ParseException e) {
@@ -70,7 +70,7 @@
                 .map(m -> (Map<String, Object>) new LinkedHashMap<>(m));
     }
 
-    /** Kept as a list: order counts in what the settings hold. */
+    /** The order of lists is significant in settings. */
     @Property(tries = 20, seed = "1")
     void listsKeepTheirOrder(@ForAll List<Integer> numbers) throws Exception {
         assertThat(JsonReader.parse(numbers.toString()))
--- a/src/test/java/beaconladder/discovery/WatchScheduleTest.java
+++ b/src/test/java/beaconladder/discovery/WatchScheduleTest.java
@@ -14,32 +14,32 @@
     private static final int CALLS = 200;
 
     /**
-     * Whatever came before, and however short the grace of drains: a watch that falls silent as it begins is broken so
-     * early that a try for slow answers and one more fit in before its news count.
+     * Whatever happened before, and however short the grace period: a watch that is lost as it starts times out so
+     * early that a call for a slow discovery and one more fit in before its changes count.
      */
     @Property(seed = "1")
-    void aSilentWatchIsAskedAgainTwiceBeforeItsNewsCount(
+    void lostWatchIsFollowedByTwoCallsBeforeItsChangesCount(
             @ForAll @Size(max = 40) List<@IntRange(min = -2, max = 2_400) Integer> before,
             @ForAll @IntRange(min = 100, max = 5_000) int grace) {
         WatchSchedule schedule = new WatchSchedule(grace, 1);
         int slowest = 0;
-        boolean listed = false;
-        for (int took : before) {
-            DiscoverySchedule.Call call = schedule.nextCall(listed);
-            if (took == -2) {
+        boolean isWatching = false;
+        for (int elapsedMillis : before) {
+            DiscoverySchedule.Call call = schedule.nextCall(isWatching);
+            if (elapsedMillis == -2) {
                 assertThat(schedule.onFailure()).isBetween(1, 500);
-                listed = false;
-            } else if (took == -1 || took > call.timeoutMillis()) {
+                isWatching = false;
+            } else if (elapsedMillis == -1 || elapsedMillis > call.timeoutMillis()) {
                 schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
-                listed = false;
+                isWatching = false;
             } else {
-                assertThat(schedule.onAnswer(call, took * 1_000_000L, took % 2 == 0))
+                assertThat(schedule.onAnswer(call, elapsedMillis * 1_000_000L, elapsedMillis % 2 == 0))
                         .isBetween(0, 200);
-                slowest = call.waitMillis() == 0 ? took : slowest;
-                listed = true;
+                slowest = call.waitMillis() == 0 ? elapsedMillis : slowest;
+                isWatching = true;
             }
         }
-        if (!listed) {
+        if (!isWatching) {
             schedule.onAnswer(schedule.nextCall(false), 5_000_000, true);
             slowest = 5;
         }
@@ -47,38 +47,38 @@
         schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
         DiscoverySchedule.Call next = schedule.nextCall(false);
         schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
-        // An answer as quick as the last whole list was; one that is slower than a second is heard at once.
-        int heard = slowest > 1_000
+        // An answer as fast as the last complete list; a discovery slower than a second is reached by the first call.
+        int receivedMillis = slowest > 1_000
                 ? watch.timeoutMillis() + slowest
                 : watch.timeoutMillis() + next.timeoutMillis() + slowest;
-        assertThat(heard).isLessThan(DiscoverySchedule.NOTIFIED_MILLIS);
+        assertThat(receivedMillis).isLessThan(DiscoverySchedule.NOTIFIED_MILLIS);
         assertThat(schedule.nextCall(false).timeoutMillis()).isGreaterThan(slowest);
-        // Long said, and given up by the router itself; news have time to come meanwhile.
+        // A long wait is requested, and the router itself times out earlier; changes have time to arrive in between.
         assertThat(watch.waitMillis()).isEqualTo(20_000);
         assertThat(watch.timeoutMillis()).isBetween(slowest + 1, 4_600);
     }
 
-    /** At the return of a quick discovery that was silent so long its list is heard within the grace. */
+    /** After an outage the list of a fast discovery is fetched within the grace period. */
     @Property(seed = "1")
-    void theEndOfAnOutageIsHeardWithinTheGrace(
-            @ForAll @IntRange(max = 100) int silences,
+    void listIsFetchedWithinTheGraceAfterAnOutage(
+            @ForAll @IntRange(max = 100) int timeouts,
             @ForAll @IntRange(min = 450, max = 5_000) int grace,
-            @ForAll @IntRange(max = 20) int took) {
+            @ForAll @IntRange(max = 20) int elapsedMillis) {
         WatchSchedule schedule = new WatchSchedule(grace, 1);
-        schedule.onAnswer(schedule.nextCall(false), took * 1_000_000L, true);
-        for (int i = 0; i < silences; i++) {
+        schedule.onAnswer(schedule.nextCall(false), elapsedMillis * 1_000_000L, true);
+        for (int i = 0; i < timeouts; i++) {
             schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
         }
-        // It returns right after this call was let go unheard.
+        // Discovery returns right after this call was lost.
         int lost = schedule.nextCall(false).timeoutMillis();
         schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
-        assertThat(schedule.nextCall(false).timeoutMillis()).isGreaterThan(took);
-        assertThat(lost + took).isLessThanOrEqualTo(grace + 50);
+        assertThat(schedule.nextCall(false).timeoutMillis()).isGreaterThan(elapsedMillis);
+        assertThat(lost + elapsedMillis).isLessThanOrEqualTo(grace + 50);
     }
 
-    /** A fleet whose watches began together asks again spread over half a second. */
+    /** Watches that started together call again spread over half a second. */
     @Property(seed = "1", tries = 20)
-    void aFleetDoesNotAskAsOne(@ForAll @IntRange(min = 0, max = 1_000_000) int seed) {
+    void watchesOfAFleetSpreadTheirCalls(@ForAll @IntRange(min = 0, max = 1_000_000) int seed) {
         Set<Integer> waits = new HashSet<>();
         for (int i = 0; i < 100; i++) {
             WatchSchedule schedule = new WatchSchedule(2_000, seed + i);
@@ -89,28 +89,28 @@
     }
 
     /**
-     * However slow discovery is, its list is heard, and then at each call. Beyond two and a half seconds no schedule of
-     * one call at a time knows in six seconds what began behind a call's snapshot.
+     * However slow discovery is, its list is fetched, and then at each call. Beyond two and a half seconds no schedule
+     * of one call at a time fetches within six seconds a change that follows a call's snapshot.
      */
     @Property(seed = "1")
-    void aSlowDiscoveryIsHeard(@ForAll @IntRange(min = 1, max = DiscoverySchedule.MAX_CALL_MILLIS) int millis) {
+    void slowDiscoveryIsReached(@ForAll @IntRange(min = 1, max = DiscoverySchedule.MAX_CALL_MILLIS) int millis) {
         WatchSchedule schedule = new WatchSchedule(2_000, 1);
-        int heard = 0;
+        int answers = 0;
         for (int i = 0; i < CALLS; i++) {
             DiscoverySchedule.Call call = schedule.nextCall(false);
             if (millis <= call.timeoutMillis()) {
-                heard++;
+                answers++;
                 schedule.onAnswer(call, millis * 1_000_000L, true);
             } else {
                 schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
             }
         }
-        assertThat(heard).isGreaterThan(CALLS - 25);
+        assertThat(answers).isGreaterThan(CALLS - 25);
     }
 
-    /** One that was quick and has become slow is heard too. */
+    /** A discovery that was fast and becomes slow is reached, too. */
     @Property(seed = "1")
-    void aDiscoveryThatBecomesSlowIsHeard(@ForAll @IntRange(min = 1, max = 2_500) int millis) {
+    void discoveryThatBecomesSlowIsReached(@ForAll @IntRange(min = 1, max = 2_500) int millis) {
         WatchSchedule schedule = new WatchSchedule(2_000, 1);
         schedule.onAnswer(schedule.nextCall(false), 1_000_000, true);
         int spent = schedule.nextCall(true).timeoutMillis();
@@ -122,11 +122,11 @@
         assertThat(spent + millis).isLessThan(millis <= 1_500 ? DiscoverySchedule.NOTIFIED_MILLIS : 90_000);
     }
 
-    /** A move forgets how slow the old address was. */
+    /** A new address starts with the initial timeouts. */
     @Property(seed = "1")
-    void aMoveBeginsAnew(@ForAll @IntRange(max = 20) int silences) {
+    void resetForgetsThePreviousAddress(@ForAll @IntRange(max = 20) int timeouts) {
         WatchSchedule schedule = new WatchSchedule(2_000, 1);
-        for (int i = 0; i < silences; i++) {
+        for (int i = 0; i < timeouts; i++) {
             schedule.onTimeout(new DiscoverySchedule.Call(0, 1, 1));
             schedule.onFailure();
         }
--- a/src/test/java/beaconladder/discovery/WatchedDiscovery.java
+++ b/src/test/java/beaconladder/discovery/WatchedDiscovery.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.AfterEach;
 
-/** Watches before a stand-in for discovery. */
+/** Base of tests that watch a stand-in for discovery. */
 abstract class WatchedDiscovery {
     static final long GRACE = 2_000;
     final List<AutoCloseable> open = new ArrayList<>();
@@ -28,10 +28,10 @@
     }
 
     List<EndpointWatch.State> watch(DiscoveryStandIn discovery) {
-        List<EndpointWatch.State> heard = new CopyOnWriteArrayList<>();
+        List<EndpointWatch.State> received = new CopyOnWriteArrayList<>();
         start(new EndpointWatch(
-                at(discovery), GRACE, 7, (complete, entries) -> entries.forEach(e -> heard.add(e.state()))));
-        return heard;
+                at(discovery), GRACE, 7, (complete, entries) -> entries.forEach(e -> received.add(e.state()))));
+        return received;
     }
 
     void start(EndpointWatch watch) {
--- a/src/test/java/beaconladder/membership/SwimProtocolTest.java
+++ b/src/test/java/beaconladder/membership/SwimProtocolTest.java
@@ -16,39 +16,39 @@
 class SwimProtocolTest {
     private static final long MS = 1_000_000L;
 
-    /** In whatever order, how often and through whom words come, all end with the same. */
+    /** In whatever order, how often and through whom updates arrive, the result is the same. */
     @Test
-    void wordsOfOneProcessAreInOneOrderWhateverWayTheyCome() {
-        List<Member> words = new ArrayList<>();
+    void updatesOfOneMemberAreTotallyOrdered() {
+        List<Member> updates = new ArrayList<>();
         for (long incarnation = 1; incarnation <= 3; incarnation++) {
             for (State state : State.values()) {
-                words.add(new Member("a", "x", incarnation, state));
+                updates.add(new Member("a", "x", incarnation, state));
             }
         }
-        for (Member a : words) {
+        for (Member a : updates) {
             assertThat(a.supersedes(a)).isFalse();
-            for (Member b : words) {
+            for (Member b : updates) {
                 assertThat(a.supersedes(b) ^ b.supersedes(a)).isEqualTo(!a.equals(b));
-                for (Member c : words) {
-                    assertThat(last(last(a, b), c)).isEqualTo(last(a, last(c, b)));
+                for (Member c : updates) {
+                    assertThat(latest(latest(a, b), c)).isEqualTo(latest(a, latest(c, b)));
                 }
             }
         }
     }
 
-    private static Member last(Member a, Member b) {
+    private static Member latest(Member a, Member b) {
         return a.supersedes(b) ? a : b;
     }
 
     @Test
-    void allFindEachOtherThroughOneSeed() {
+    void membersDiscoverEachOtherThroughOneSeed() {
         Fleet fleet = new Fleet(20, 1);
         fleet.run(15_000);
         assertThat(fleet.views()).containsOnly(fleet.names());
     }
 
     @Test
-    void oneThatDiesIsFoundByAllAndOneThatLeavesIsNeverSuspected() {
+    void failedMemberIsDetectedByAllAndDepartedOneIsNeverSuspected() {
         Fleet fleet = new Fleet(20, 2);
         fleet.run(15_000);
         fleet.down.add(7);
@@ -63,9 +63,9 @@
         assertThat(fleet.all.get(0).member("n3").state()).isEqualTo(State.LEFT);
     }
 
-    /** A tenth of all messages lost, and nobody is found dead for it. */
+    /** A tenth of all messages is lost, and no member is declared dead. */
     @Test
-    void lossAloneKillsNobody() {
+    void packetLossAloneLeadsToNoDeath() {
         Fleet fleet = new Fleet(20, 3);
         fleet.run(15_000);
         fleet.lossPerMille = 100;
@@ -74,9 +74,9 @@
         assertThat(fleet.views()).containsOnly(fleet.names());
     }
 
-    /** One that stood still blames itself first: its suspicions last longer, and it comes back under a new life. */
+    /** After a pause of 20 s a member refutes its death with a higher incarnation. */
     @Test
-    void oneThatStoodStillComesBack() {
+    void pausedMemberRejoinsWithAHigherIncarnation() {
         Fleet fleet = new Fleet(12, 4);
         fleet.run(15_000);
         fleet.down.add(5);
@@ -87,22 +87,22 @@
         assertThat(fleet.all.get(5).member("n5").incarnation()).isGreaterThan(5);
     }
 
-    /** Two halves that held each other for dead are one again. */
+    /** Two halves that declared each other dead merge after the partition. */
     @Test
-    void halvesThatWereCutOffFindTogether() {
+    void partitionedHalvesMerge() {
         Fleet fleet = new Fleet(12, 5);
         fleet.run(15_000);
-        fleet.cutAt = 6;
+        fleet.partitionAt = 6;
         fleet.run(60_000);
         assertThat(fleet.views()).hasSize(2);
-        fleet.cutAt = 0;
+        fleet.partitionAt = 0;
         fleet.run(60_000);
         assertThat(fleet.views()).containsOnly(fleet.names());
     }
 
-    /** One that hears nothing while it can speak does not take the others with it. */
+    /** A member that sends but receives nothing raises its own timeouts instead of declaring the others dead. */
     @Test
-    void oneThatIsDeafFindsFewDead() {
+    void memberThatReceivesNothingLowersItsLocalHealth() {
         Fleet fleet = new Fleet(20, 6);
         fleet.run(15_000);
         fleet.deaf = 4;
@@ -114,12 +114,12 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameCourse() {
-        String first = course();
-        assertThat(course()).isEqualTo(first).isNotEmpty();
+    void sameSeedGivesTheSameRun() {
+        String first = simulate();
+        assertThat(simulate()).isEqualTo(first).isNotEmpty();
     }
 
-    private static String course() {
+    private static String simulate() {
         Fleet fleet = new Fleet(8, 9);
         fleet.lossPerMille = 50;
         fleet.run(20_000);
@@ -130,26 +130,26 @@
                 .collect(Collectors.joining("\n"));
     }
 
-    /** Processes and a network between them, on a clock of their own. */
+    /** Simulated members and a network between them, with a simulated clock. */
     private static final class Fleet {
         private record Due(long at, long order, int to, Message message) {}
 
         private final List<SwimProtocol> all = new ArrayList<>();
         private final PriorityQueue<Due> network =
                 new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
-        private final SplittableRandom chance;
+        private final SplittableRandom random;
         private final Set<Integer> down = new HashSet<>();
         private int lossPerMille;
-        private int cutAt;
+        private int partitionAt;
         private int deaf = -1;
         private int deaths;
         private long now;
         private long order;
 
         Fleet(int size, long seed) {
-            chance = new SplittableRandom(seed);
+            random = new SplittableRandom(seed);
             for (int i = 0; i < size; i++) {
-                all.add(new SwimProtocol("n" + i, String.valueOf(i), i, List.of("0"), chance.nextLong()));
+                all.add(new SwimProtocol("n" + i, String.valueOf(i), i, List.of("0"), random.nextLong()));
             }
         }
 
@@ -188,9 +188,9 @@
         private void send(int from, List<OutgoingMessage> sends) {
             for (OutgoingMessage each : sends) {
                 int to = Integer.parseInt(each.address());
-                boolean cut = cutAt > 0 && from < cutAt != to < cutAt;
-                if (!cut && chance.nextInt(1_000) >= lossPerMille) {
-                    network.add(new Due(now + (1 + chance.nextInt(10)) * MS, order++, to, each.message()));
+                boolean isPartitioned = partitionAt > 0 && from < partitionAt != to < partitionAt;
+                if (!isPartitioned && random.nextInt(1_000) >= lossPerMille) {
+                    network.add(new Due(now + (1 + random.nextInt(10)) * MS, order++, to, each.message()));
                 }
             }
         }
@@ -203,7 +203,7 @@
             return names;
         }
 
-        /** The different views of those that run. */
+        /** The distinct views of the running members. */
         Set<Set<String>> views() {
             Set<Set<String>> views = new HashSet<>();
             for (int i = 0; i < all.size(); i++) {
--- a/src/test/java/beaconladder/membership/transport/GossipJsonLiteralTest.java
+++ b/src/test/java/beaconladder/membership/transport/GossipJsonLiteralTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The datagrams of members as literal JSON, in both directions: members of two releases have to understand each other,
- * so the names on the wire must outlive the names in the code.
+ * The datagrams of members as literal JSON, in both directions: members of two releases must be compatible, so the
+ * names on the wire are independent of the names in the code.
  */
 class GossipJsonLiteralTest {
     private static final Member FROM = new Member("r1", "10.0.0.4:7301", 1767225600123L, Member.State.ALIVE);
 
-    /** A message and its only form on the wire. */
+    /** Messages and their form on the wire. */
     private static final Map<Message, String> WIRE = new LinkedHashMap<>();
 
     static {
@@ -53,8 +53,8 @@
     }
 
     @Test
-    void eachKindOfMessageIsWrittenInItsLiteralForm() {
-        WIRE.forEach((message, text) -> assertThat(new String(GossipJson.bytes(message), StandardCharsets.UTF_8))
+    void eachMessageIsWrittenInItsLiteralForm() {
+        WIRE.forEach((message, text) -> assertThat(new String(GossipJson.encode(message), StandardCharsets.UTF_8))
                 .isEqualTo(text));
     }
 
@@ -62,11 +62,11 @@
     void eachLiteralFormIsReadAsItsMessage() throws IOException {
         for (Map.Entry<Message, String> each : WIRE.entrySet()) {
             byte[] bytes = each.getValue().getBytes(StandardCharsets.UTF_8);
-            assertThat(GossipJson.read(bytes, bytes.length)).isEqualTo(each.getKey());
+            assertThat(GossipJson.decode(bytes, bytes.length)).isEqualTo(each.getKey());
         }
     }
 
-    /** The literals above are complete: a kind or state that is added needs one of its own. */
+    /** The literals above are complete: a new kind or state needs a literal. */
     @Test
     void everyKindAndStateHasALiteral() {
         assertThat(WIRE.keySet()).extracting(Message::kind).containsExactly(Message.Kind.values());
--- a/src/test/java/beaconladder/membership/transport/GossipJsonTest.java
+++ b/src/test/java/beaconladder/membership/transport/GossipJsonTest.java
@@ -17,11 +17,11 @@
     private static final Message GOOD = new Message(Message.Kind.PING_REQ, A, 7, "b", List.of(A, B));
 
     @Test
-    void whatIsWrittenIsReadAsTheSameAndFitsADatagram() throws IOException {
-        byte[] bytes = GossipJson.bytes(GOOD);
-        assertThat(GossipJson.read(bytes, bytes.length)).isEqualTo(GOOD);
+    void encodedMessageIsDecodedAndFitsADatagram() throws IOException {
+        byte[] bytes = GossipJson.encode(GOOD);
+        assertThat(GossipJson.decode(bytes, bytes.length)).isEqualTo(GOOD);
         Member longest = new Member("n".repeat(64), "h".repeat(60) + ":65535", Long.MAX_VALUE, Member.State.SUSPECT);
-        assertThat(GossipJson.bytes(new Message(
+        assertThat(GossipJson.encode(new Message(
                         Message.Kind.PING_REQ,
                         longest,
                         Long.MAX_VALUE,
@@ -31,8 +31,8 @@
     }
 
     @Test
-    void whatIsNotWholeIsPassedOver() {
-        String good = new String(GossipJson.bytes(GOOD), StandardCharsets.UTF_8);
+    void invalidMessageIsRejected() {
+        String good = new String(GossipJson.encode(GOOD), StandardCharsets.UTF_8);
         for (String wrong : List.of(
                 "",
                 "{}",
@@ -48,12 +48,12 @@
                 good.replaceAll("\"news\":.*]", "\"news\":[null]"),
                 good.replaceAll("\"news\":.*]", "\"news\":null"))) {
             byte[] bytes = wrong.getBytes(StandardCharsets.UTF_8);
-            assertThatThrownBy(() -> GossipJson.read(bytes, bytes.length))
+            assertThatThrownBy(() -> GossipJson.decode(bytes, bytes.length))
                     .as(wrong)
                     .isInstanceOf(IOException.class);
         }
-        Message crowd = new Message(Message.Kind.ACK, A, 1, "", Collections.nCopies(17, B));
-        byte[] bytes = GossipJson.bytes(crowd);
-        assertThatThrownBy(() -> GossipJson.read(bytes, bytes.length)).isInstanceOf(IOException.class);
+        Message tooManyUpdates = new Message(Message.Kind.ACK, A, 1, "", Collections.nCopies(17, B));
+        byte[] bytes = GossipJson.encode(tooManyUpdates);
+        assertThatThrownBy(() -> GossipJson.decode(bytes, bytes.length)).isInstanceOf(IOException.class);
     }
 }
--- a/src/test/java/beaconladder/storage/DurableRecordsFaultTest.java
+++ b/src/test/java/beaconladder/storage/DurableRecordsFaultTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Writes and syncs below a records folder that fail for a while, in a process of its own. */
+/** Temporary faults of writes and syncs in a records folder, in a separate process. */
 @Timeout(120)
 class DurableRecordsFaultTest {
     private static final int ENOSPC = 28;
@@ -26,7 +26,7 @@
     @TempDir
     Path folder;
 
-    /** Appends the numbers from 0 on, again and again the one that failed, and says each once it is written. */
+    /** Appends the numbers from 0 on, retries failed ones, and prints each when it is written. */
     public static void main(String[] args) throws IOException, InterruptedException {
         try (DurableRecords records = DurableRecords.open(Path.of(args[0]))) {
             for (int i = 0; ; ) {
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aWhileInWhichWritesFailEndsNothingForGood() throws Exception {
+    void writesSucceedAgainAfterTemporaryFaults() throws Exception {
         FaultPlan plan = new FaultPlan(folder.resolve("plan"));
         Path store = Files.createDirectory(folder.resolve("store"));
         Path out = folder.resolve("out");
@@ -74,15 +74,16 @@
         } finally {
             process.destroyForcibly().onExit().join();
         }
-        List<Integer> said = numbers(Files.readString(out));
-        List<Integer> found = new ArrayList<>();
+        List<Integer> written = numbers(Files.readString(out));
+        List<Integer> recovered = new ArrayList<>();
         try (DurableRecords records = DurableRecords.open(store)) {
-            records.recovered().forEach(each -> found.add(Integer.parseInt(new String(each, StandardCharsets.UTF_8))));
+            records.recovered()
+                    .forEach(each -> recovered.add(Integer.parseInt(new String(each, StandardCharsets.UTF_8))));
         }
-        assertThat(found).containsAll(said);
-        // One whose append failed may be there as well, and is written again then.
-        assertThat(found).isSorted();
-        assertThat(found.size() - said.size()).isBetween(0, 20);
+        assertThat(recovered).containsAll(written);
+        // A record whose append failed may be stored as well, and is then written twice.
+        assertThat(recovered).isSorted();
+        assertThat(recovered.size() - written.size()).isBetween(0, 20);
     }
 
     private static List<Integer> numbers(String text) {
--- a/src/test/java/beaconladder/storage/DurableRecordsTest.java
+++ b/src/test/java/beaconladder/storage/DurableRecordsTest.java
@@ -18,7 +18,7 @@
     @TempDir
     Path folder;
 
-    /** For the test of kills: appends records and says each once it is written. */
+    /** The process to be killed: appends records and prints each number when it is written. */
     public static void main(String[] args) throws IOException {
         try (DurableRecords records = DurableRecords.open(Path.of(args[0]))) {
             for (int i = records.recovered().size(); ; i++) {
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void whatWasSaidToBeWrittenIsThereAfterAKillAtAnyInstant() throws Exception {
+    void appendedRecordsSurviveAKillAtAnyTime() throws Exception {
         int before = 0;
         Path out = folder.resolve("said");
         for (int round = 0; round < 8; round++) {
@@ -55,15 +55,15 @@
                     .redirectError(ProcessBuilder.Redirect.INHERIT)
                     .redirectOutput(out.toFile())
                     .start();
-            while (said(out) < before + 3 + 5 * round) {
+            while (lastPrinted(out) < before + 3 + 5 * round) {
                 Thread.sleep(1);
             }
             Thread.sleep(round);
             process.destroyForcibly().onExit().join();
-            int said = said(out);
+            int lastPrinted = lastPrinted(out);
             try (DurableRecords records = DurableRecords.open(folder)) {
                 before = records.recovered().size();
-                assertThat(before).isBetween(said + 1, said + 2);
+                assertThat(before).isBetween(lastPrinted + 1, lastPrinted + 2);
                 for (int i = 0; i < before; i++) {
                     assertThat(records.recovered().get(i)).isEqualTo(text(i));
                 }
@@ -71,16 +71,16 @@
         }
     }
 
-    /** The last number that stands whole in the file, or -1. */
-    private static int said(Path out) throws IOException {
+    /** The last complete number in the file, or -1. */
+    private static int lastPrinted(Path out) throws IOException {
         String text = Files.readString(out);
         String[] lines = text.substring(0, text.lastIndexOf('\n') + 1).split("\n");
         return lines[lines.length - 1].isEmpty() ? -1 : Integer.parseInt(lines[lines.length - 1]);
     }
 
-    /** What the disk holds when a write stops at any byte: the old bytes behind the new ones, or none. */
+    /** The file as left by a write that stops at any byte: followed by the old bytes, if there were any. */
     @Test
-    void aWriteThatStopsAtAnyByteLosesNoRecordOfBefore() throws Exception {
+    void tornWriteLosesNoEarlierRecord() throws Exception {
         List<byte[]> images = new ArrayList<>();
         try (DurableRecords records = DurableRecords.open(folder)) {
             for (int i = 0; i < 24; i++) {
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void aRecordWhoseBytesHaveChangedIsNotTakenForGood() throws Exception {
+    void damagedRecordIsDetected() throws Exception {
         try (DurableRecords records = DurableRecords.open(folder)) {
             records.append("the record that will be spoilt".getBytes(StandardCharsets.UTF_8));
         }
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void twoProcessesCannotHaveTheSameRecords() throws Exception {
+    void recordsCannotBeOpenedTwice() throws Exception {
         try (DurableRecords records = DurableRecords.open(folder)) {
             records.append(new byte[] {1});
             assertThatThrownBy(() -> DurableRecords.open(folder))
