--- a/src/main/java/beaconladder/app/LeaseCommand.java
+++ b/src/main/java/beaconladder/app/LeaseCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Leases for tasks of the fleet. */
+/** Shows and hands over leases for tasks of the fleet, or runs a lease server. */
 @Command(
         name = "lease",
         mixinStandardHelpOptions = true,
@@ -29,7 +29,7 @@
         exitCodeList = {"0:done", "1:it could not be done", "2:the call is wrong"},
         exitCodeListHeading = "Exit codes:%n")
 final class LeaseCommand implements Runnable {
-    private static final int CALL_MILLIS = 3_000;
+    private static final int TIMEOUT_MILLIS = 3_000;
     private static final String NO_LEADER = "no grantor answers with a leader; is a quorum of them up?";
 
     @Spec
@@ -50,35 +50,35 @@
                     String name,
             @Option(names = "--clock", hidden = true) Path clock)
             throws IOException, InterruptedException {
-        Plan plan = stated(file);
+        Plan plan = planWithLeases(file);
         if (plan == null) {
             return 1;
         }
-        LeaseServer grantor;
+        LeaseServer server;
         try {
-            grantor = new LeaseServer(plan.leases(), name, new AnchoredClock(clock));
+            server = new LeaseServer(plan.leases(), name, new AnchoredClock(clock));
         } catch (NoClassDefFoundError e) {
             throw new IOException(
                     "a grantor needs Apache Ratis: start it with -cp "
                             + "'target/beaconladder.jar:target/grantors/*' beaconladder.app.Main instead of -jar",
                     e);
         }
-        Runtime.getRuntime().addShutdownHook(new Thread(grantor::close));
+        Runtime.getRuntime().addShutdownHook(new Thread(server::close));
         new CountDownLatch(1).await();
         return 0;
     }
 
     @Command(name = "status", mixinStandardHelpOptions = true, description = "Show who holds which task.")
     int status(@Mixin CheckCommand.PlanOption file) throws IOException {
-        Plan plan = stated(file);
+        Plan plan = planWithLeases(file);
         if (plan == null) {
             return 1;
         }
-        try (LeaseClient doors = doors(plan)) {
-            LeaseTable all = leases(doors);
+        try (LeaseClient client = client(plan)) {
+            LeaseTable table = leases(client);
             PrintWriter out = spec.commandLine().getOut();
             long now = new AnchoredClock().getAsLong();
-            all.leases()
+            table.leases()
                     .values()
                     .forEach(lease -> out.printf(
                             "%s: %s, token %d, %s%s%n",
@@ -93,7 +93,7 @@
                             lease.successor().isEmpty() || lease.reservedUntilNanos() < now
                                     ? ""
                                     : ", kept for " + lease.successor()));
-            if (all.leases().isEmpty()) {
+            if (table.leases().isEmpty()) {
                 out.println("no task has been asked for yet");
             }
         }
@@ -107,42 +107,43 @@
     int handOver(
             @Mixin CheckCommand.PlanOption file,
             @Parameters(paramLabel = "TASK") String task,
-            @Parameters(paramLabel = "NAME") String heir)
+            @Parameters(paramLabel = "NAME") String successor)
             throws IOException {
-        Plan plan = stated(file);
+        Plan plan = planWithLeases(file);
         if (plan == null) {
             return 1;
         }
-        try (LeaseClient doors = doors(plan)) {
-            LeaseResponse answer = sendToAny(
-                    doors,
-                    LeaseRequest.handOver(task, heir, plan.leases().length()),
+        try (LeaseClient client = client(plan)) {
+            LeaseResponse response = sendToAny(
+                    client,
+                    LeaseRequest.handOver(task, successor, plan.leases().length()),
                     plan.leases().grantors().size());
             spec.commandLine()
                     .getOut()
                     .println(
-                            answer.holder().isEmpty()
-                                    ? task + " is kept for " + heir
-                                    : answer.holder() + " is told to give it up; at the latest " + heir
-                                            + " may take it in " + answer.availableInNanos() / 1_000_000 + " ms");
+                            response.holder().isEmpty()
+                                    ? task + " is kept for " + successor
+                                    : response.holder() + " is told to give it up; at the latest " + successor
+                                            + " may take it in " + response.availableInNanos() / 1_000_000 + " ms");
         }
         return 0;
     }
 
-    private static LeaseTable leases(LeaseClient doors) throws IOException {
+    private static LeaseTable leases(LeaseClient client) throws IOException {
         try {
-            return doors.leases();
+            return client.leases();
         } catch (LeaseServersUnavailableException e) {
             throw new IOException(NO_LEADER, e);
         }
     }
 
     /** Sends a request until a server responds, at most once to each of them. */
-    private static LeaseResponse sendToAny(LeaseClient doors, LeaseRequest request, int servers) throws IOException {
+    private static LeaseResponse sendToAny(LeaseClient client, LeaseRequest request, int serverCount)
+            throws IOException {
         LeaseRequestException last = null;
-        for (int i = 0; i < servers; i++) {
+        for (int i = 0; i < serverCount; i++) {
             try {
-                return doors.send(request);
+                return client.send(request);
             } catch (LeaseRequestException e) {
                 last = e;
             }
@@ -150,12 +151,12 @@
         throw new IOException(NO_LEADER, last);
     }
 
-    private static LeaseClient doors(Plan plan) {
+    private static LeaseClient client(Plan plan) {
         return new LeaseClient(
-                plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0, CALL_MILLIS);
+                plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0, TIMEOUT_MILLIS);
     }
 
-    private Plan stated(CheckCommand.PlanOption file) throws IOException {
+    private Plan planWithLeases(CheckCommand.PlanOption file) throws IOException {
         Plan plan = CheckCommand.plan(file.file(), spec.commandLine());
         if (plan != null && plan.leases() == null) {
             throw new IOException(file.file() + " states no leases");
--- a/src/main/java/beaconladder/app/MembersCommand.java
+++ b/src/main/java/beaconladder/app/MembersCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Who is in the fleet. */
+/** Shows the members of the fleet. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
@@ -21,7 +21,7 @@
         exitCodeList = {"0:done", "1:it could not be done", "2:the call is wrong"},
         exitCodeListHeading = "Exit codes:%n")
 final class MembersCommand implements Callable<Integer> {
-    private static final int CALL_MILLIS = 3_000;
+    private static final int TIMEOUT_MILLIS = 3_000;
 
     @Spec
     private CommandSpec spec;
@@ -38,9 +38,9 @@
         if (plan.leases() == null) {
             throw new IOException(file.file() + " states no leases, and so no grantors to ask");
         }
-        try (LeaseClient doors = new LeaseClient(
-                plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0, CALL_MILLIS)) {
-            MembershipView view = members(doors);
+        try (LeaseClient client = new LeaseClient(
+                plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0, TIMEOUT_MILLIS)) {
+            MembershipView view = members(client);
             PrintWriter out = spec.commandLine().getOut();
             out.println("view " + view.version()
                     + (view.sinceLastMessageNanos() == Long.MAX_VALUE
@@ -53,9 +53,9 @@
         return 0;
     }
 
-    private static MembershipView members(LeaseClient doors) throws IOException {
+    private static MembershipView members(LeaseClient client) throws IOException {
         try {
-            return doors.members();
+            return client.members();
         } catch (LeaseServersUnavailableException e) {
             throw new IOException("no grantor answers that takes part in the fleet's membership", e);
         }
--- a/src/main/java/beaconladder/simulation/SimulatedRouter.java
+++ b/src/main/java/beaconladder/simulation/SimulatedRouter.java
@@ -4,14 +4,11 @@
 import beaconladder.routing.api.DecisionLoop;
 import beaconladder.routing.api.Router;
 import beaconladder.routing.api.Router.HostReport;
-import beaconladder.routing.api.Router.Outcome;
-import beaconladder.routing.api.Router.Role;
 import beaconladder.routing.api.RoutingDecision;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Group;
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
-import java.util.Arrays;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -19,220 +16,216 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One instance on the wire: keeps its txns in hand and its timer, and passes questions and answers. */
+/**
+ * One router instance of the simulation: keeps its hosts, in-flight requests and timer, passes the simulator's events
+ * to the routing policy, and writes the actions into the reply. Times on the wire are microseconds.
+ */
 final class SimulatedRouter implements DecisionLoop.ActionHandler {
-    private static final long LONGEST_TIMER_MICROS = 71L * 60 * 1_000_000;
+    private static final long NANOS_PER_MICRO = 1_000;
+    /** The longest timer of the wire: its micros are a 32-bit number. */
+    private static final long MAX_TIMER_MICROS = 71L * 60 * 1_000_000;
 
     final long number;
-    boolean touched;
+    /** Whether the current batch has an event for this instance. */
+    boolean hasEvents;
 
     private final BatchWriter reply;
     private Router router;
-    private DecisionLoop rounds;
+    private DecisionLoop decisionLoop;
     private Map<Integer, Host> hosts = Map.of();
     private Map<Integer, Group> groups = Map.of();
-    private Map<Long, Request> txns = Map.of();
-    private long zeroMicros;
-    private int positionField;
-    private int primaryField;
-    private int loadField;
-    private boolean asks;
-    private long taken;
+    private Map<Long, Request> inFlight = Map.of();
+    private ReportDecoder reports;
+    private boolean pollsDiscovery;
+    private long requestCount;
     private long timerHandle;
-    private long timerAt;
+    private long timerAtNanos;
 
     SimulatedRouter(long number, BatchWriter reply) {
         this.number = number;
         this.reply = reply;
     }
 
-    void start(long seed, String settings, long clock) {
-        Map<String, String> start = new LinkedHashMap<>();
-        settings.lines().forEach(line -> {
-            int at = line.indexOf('=');
-            if (at > 0) {
-                start.put(line.substring(0, at), line.substring(at + 1));
-            }
-        });
+    /** Starts the instance anew with these settings, as KEY=VALUE lines. */
+    void start(long seed, String settingLines) {
+        Map<String, String> settings = parseSettings(settingLines);
         hosts = new LinkedHashMap<>();
         groups = new LinkedHashMap<>();
-        txns = new HashMap<>();
-        zeroMicros = Long.parseLong(start.getOrDefault("family_info.position_zero_us", "0"));
-        List<String> fields =
-                Arrays.asList(start.getOrDefault("load_report.fields", "").split(","));
-        positionField = fields.indexOf("x0");
-        primaryField = fields.indexOf("x1");
-        loadField = fields.indexOf("rif");
-        asks = "ask".equals(start.get("discovery"));
-        taken = 0;
-        timerAt = Long.MAX_VALUE;
-        router = new RoutingPolicy(seed, start);
-        rounds = new DecisionLoop(router, this);
-        if (asks) {
-            reply.tail();
+        inFlight = new HashMap<>();
+        reports = new ReportDecoder(settings);
+        pollsDiscovery = "ask".equals(settings.get("discovery"));
+        requestCount = 0;
+        timerAtNanos = Long.MAX_VALUE;
+        router = new RoutingPolicy(seed, settings);
+        decisionLoop = new DecisionLoop(router, this);
+        if (pollsDiscovery) {
+            reply.pollEndpoints();
         }
     }
 
+    private static Map<String, String> parseSettings(String lines) {
+        Map<String, String> settings = new LinkedHashMap<>();
+        lines.lines().forEach(line -> {
+            int equals = line.indexOf('=');
+            if (equals > 0) {
+                settings.put(line.substring(0, equals), line.substring(equals + 1));
+            }
+        });
+        return settings;
+    }
+
+    /** Ends the instance; later events are ignored until it starts again. */
     void shutdown() {
         router = null;
         hosts = Map.of();
         groups = Map.of();
-        txns = Map.of();
+        inFlight = Map.of();
     }
 
-    void view(boolean whole, List<SimulatorSession.Entry> entries, long clock) {
-        if (router == null) {
-            return;
+    /**
+     * An endpoint list has arrived.
+     *
+     * @param isComplete whether hosts that it does not name are gone
+     */
+    void onEndpointView(boolean isComplete, List<EndpointEntry> entries, long clockMicros) {
+        if (router != null) {
+            guard(() -> updateHosts(isComplete, entries, nanos(clockMicros)));
         }
-        guard(() -> {
-            Set<Integer> named = new HashSet<>();
-            for (SimulatorSession.Entry e : entries) {
-                named.add(e.host());
-                Group group = groups.computeIfAbsent(e.group(), Group::new);
-                Host host = hosts.computeIfAbsent(e.host(), id -> new Host(id, group, e.zone()));
-                Host.State state = switch (e.state()) {
-                    case 1 -> Host.State.READY;
-                    case 2 -> Host.State.DRAINING;
-                    default -> Host.State.GONE;
-                };
-                router.updateHost(host, e.leader(), state, e.launchedMicros() * 1_000, clock * 1_000);
-            }
-            if (whole) {
-                for (Host host : hosts.values()) {
-                    if (!named.contains(host.id) && host.state != Host.State.GONE) {
-                        router.updateHost(host, false, Host.State.GONE, host.launchedNanos, clock * 1_000);
-                    }
+    }
+
+    private void updateHosts(boolean isComplete, List<EndpointEntry> entries, long nowNanos) {
+        Set<Integer> listed = new HashSet<>();
+        for (EndpointEntry entry : entries) {
+            listed.add(entry.host());
+            Group group = groups.computeIfAbsent(entry.group(), Group::new);
+            Host host = hosts.computeIfAbsent(entry.host(), id -> new Host(id, group, entry.zone()));
+            router.updateHost(host, entry.isPrimary(), entry.state(), nanos(entry.launchedMicros()), nowNanos);
+        }
+        if (isComplete) {
+            for (Host host : hosts.values()) {
+                if (!listed.contains(host.id) && host.state != Host.State.GONE) {
+                    router.updateHost(host, false, Host.State.GONE, host.launchedNanos, nowNanos);
                 }
             }
-        });
+        }
     }
 
-    void viewFailed() {
-        if (router != null && asks) {
-            reply.tail();
+    void onEndpointViewFailed() {
+        if (router != null && pollsDiscovery) {
+            reply.pollEndpoints();
         }
     }
 
-    void request(
-            long call,
-            int type,
-            long session,
-            float sinceWriteMillis,
-            int tenant,
-            int group,
-            long budget,
-            boolean repeated,
-            long clock) {
+    void onRequest(RequestEvent event, long clockMicros) {
         if (router == null) {
             return;
         }
         guard(() -> {
-            long now = clock * 1_000;
-            // The age of a write is rounded down, that is, toward the newer position.
-            long written = sinceWriteMillis > 0
-                    ? now - Math.max(1, (long) (Math.nextDown(sinceWriteMillis) * 1e6))
-                    : HostReport.NO_POSITION;
-            Group of = groups.computeIfAbsent(group, Group::new);
-            Request txn = new Request(
-                    call,
-                    router.requestClass(type),
-                    of,
-                    session,
-                    written,
-                    tenant,
-                    repeated,
-                    now,
-                    now + budget * 1_000,
-                    taken++);
-            txns.put(call, txn);
-            rounds.execute(txn, router.route(txn, now), now);
+            long nowNanos = nanos(clockMicros);
+            Request request = new Request(
+                    event.id(),
+                    router.requestClass(event.requestClass()),
+                    groups.computeIfAbsent(event.group(), Group::new),
+                    event.session(),
+                    event.writtenPosition(nowNanos),
+                    event.tenant(),
+                    event.isRetry(),
+                    nowNanos,
+                    nowNanos + nanos(event.budgetMicros()),
+                    requestCount++);
+            inFlight.put(event.id(), request);
+            decisionLoop.execute(request, router.route(request, nowNanos), nowNanos);
         });
     }
 
-    void done(long call, int copy, int reason, boolean settled, long note, float[] pressure, long clock) {
-        Attempt submission = find(call, copy);
-        if (submission == null || submission.ended) {
+    void onAttemptEnded(AttemptEndedEvent event, long clockMicros) {
+        Attempt attempt = findAttempt(event.requestId(), event.attemptIndex());
+        if (attempt == null || attempt.ended) {
             return;
         }
         guard(() -> {
-            long now = clock * 1_000;
-            HostReport answer = note == 0
-                    ? HostReport.EMPTY
-                    : new HostReport(
-                            note % 4 == 1 ? Role.PRIMARY : note % 4 == 2 ? Role.REPLICA : Role.UNKNOWN,
-                            note / 4 == 0 ? HostReport.NO_POSITION : zeroMicros * 1_000 + note / 4 * 1_000_000,
-                            -1);
-            Request txn = submission.request;
-            rounds.execute(
-                    txn, router.onAttemptEnded(submission, outcome(reason), settled, answer, word(pressure), now), now);
-            if (txn.ended && txn.attemptsInFlight() == 0) {
-                txns.remove(call);
+            long nowNanos = nanos(clockMicros);
+            Request request = attempt.request;
+            RoutingDecision decision = router.onAttemptEnded(
+                    attempt,
+                    ReportDecoder.outcome(event.outcomeCode()),
+                    event.isSettled(),
+                    reports.responseReport(event.responsePosition()),
+                    reports.loadReport(event.loadReport()),
+                    nowNanos);
+            decisionLoop.execute(request, decision, nowNanos);
+            if (request.ended && request.attemptsInFlight() == 0) {
+                inFlight.remove(event.requestId());
             }
         });
     }
 
-    void sampled(int host, int reason, float[] pressure, long clock) {
-        Host of = hosts.get(host);
-        if (router != null && of != null) {
-            guard(() -> router.onHealthCheckEnded(of, outcome(reason), word(pressure), clock * 1_000));
+    void onHealthCheckEnded(int hostId, int outcomeCode, float[] loadReport, long clockMicros) {
+        Host host = hosts.get(hostId);
+        if (router != null && host != null) {
+            guard(() -> router.onHealthCheckEnded(
+                    host, ReportDecoder.outcome(outcomeCode), reports.loadReport(loadReport), nanos(clockMicros)));
         }
     }
 
-    void left(long call, long clock) {
-        Request txn = txns.get(call);
-        if (txn != null && !txn.ended) {
+    void onClientDisconnected(long requestId, long clockMicros) {
+        Request request = inFlight.get(requestId);
+        if (request != null && !request.ended) {
             guard(() -> {
-                rounds.execute(txn, router.onClientDisconnected(txn, clock * 1_000), clock * 1_000);
+                long nowNanos = nanos(clockMicros);
+                decisionLoop.execute(request, router.onClientDisconnected(request, nowNanos), nowNanos);
             });
         }
     }
 
-    void timer(long handle) {
+    /** A timer has fired; one that was replaced by a later one is ignored. */
+    void onTimer(long handle) {
         if (handle == timerHandle) {
-            timerAt = Long.MAX_VALUE;
+            timerAtNanos = Long.MAX_VALUE;
         }
     }
 
-    /** All events of a batch are in: asks how long to wait, and about those due. */
-    void settle(long clock) {
+    /** All events of a batch have been processed: processes what is due, and sets the timer for the next wakeup. */
+    void onBatchEnd(long clockMicros) {
         if (router == null) {
             return;
         }
         guard(() -> {
-            long now = clock * 1_000;
-            long until = rounds.processDue(now);
-            if (until < timerAt) {
-                timerAt = until;
-                long micros = (Math.max(1_000, until - now) + 999) / 1_000;
-                reply.wakeMe(++timerHandle, Math.min(micros, LONGEST_TIMER_MICROS));
+            long nowNanos = nanos(clockMicros);
+            long wakeupNanos = decisionLoop.processDue(nowNanos);
+            if (wakeupNanos < timerAtNanos) {
+                timerAtNanos = wakeupNanos;
+                long micros =
+                        (Math.max(NANOS_PER_MICRO, wakeupNanos - nowNanos) + NANOS_PER_MICRO - 1) / NANOS_PER_MICRO;
+                reply.setTimer(++timerHandle, Math.min(micros, MAX_TIMER_MICROS));
             }
         });
     }
 
     @Override
-    public void send(Attempt s, long timeout) {
-        reply.issue(s.request.id, s.host.id, Math.max(1, timeout / 1_000));
+    public void send(Attempt attempt, long timeoutNanos) {
+        reply.sendAttempt(attempt.request.id, attempt.host.id, Math.max(1, timeoutNanos / NANOS_PER_MICRO));
     }
 
     @Override
-    public void cancel(Attempt s) {
-        reply.dropAttempt(s.request.id, s.index);
+    public void cancel(Attempt attempt) {
+        reply.cancelAttempt(attempt.request.id, attempt.index);
     }
 
     @Override
-    public void reject(Request txn, long comeBack, RoutingDecision.Reason reason) {
-        reply.sayNo(txn.id, comeBack / 1_000);
+    public void reject(Request request, long retryAfterNanos, RoutingDecision.Reason reason) {
+        reply.reject(request.id, retryAfterNanos / NANOS_PER_MICRO);
     }
 
     @Override
-    public void rollBack(Request txn, RoutingDecision.Reason reason) {
-        reply.fail(txn.id);
+    public void rollBack(Request request, RoutingDecision.Reason reason) {
+        reply.rollBack(request.id);
     }
 
     @Override
-    public void onRequestEnded(Request txn) {
-        if (txn.attemptsInFlight() == 0) {
-            txns.remove(txn.id);
+    public void onRequestEnded(Request request) {
+        if (request.attemptsInFlight() == 0) {
+            inFlight.remove(request.id);
         }
     }
 
@@ -243,53 +236,30 @@
 
     @Override
     public void closeIdleConnections(Host host) {
-        reply.hangUp(host.id);
-    }
-
-    private Attempt find(long call, int copy) {
-        Request txn = txns.get(call);
-        return txn == null || copy >= txn.attempts.size() ? null : txn.attempts.get(copy);
+        reply.closeIdleConnections(host.id);
     }
 
-    /** A report; a field that is missing or can't be true (not a number, negative) counts as not reported. */
-    HostReport word(float[] pressure) {
-        float position = field(pressure, positionField);
-        float primary = field(pressure, primaryField);
-        // One step down, since the nearest float may lie above the true position.
-        return new HostReport(
-                primary < 0 ? Role.UNKNOWN : primary >= 0.5f ? Role.PRIMARY : Role.REPLICA,
-                position < 0 ? HostReport.NO_POSITION : zeroMicros * 1_000 + (long) (Math.nextDown(position) * 1e9),
-                field(pressure, loadField));
+    /** Reads a host's load report by the settings of this instance. */
+    HostReport loadReport(float[] values) {
+        return reports.loadReport(values);
     }
 
-    private static float field(float[] pressure, int place) {
-        // A million stands far above what a host can hold and above a clock's seconds in use here.
-        return place >= 0 && place < pressure.length && pressure[place] >= 0 && pressure[place] < 1e6f
-                ? pressure[place]
-                : -1;
+    private Attempt findAttempt(long requestId, int index) {
+        Request request = inFlight.get(requestId);
+        return request == null || index >= request.attempts.size() ? null : request.attempts.get(index);
     }
 
-    private static Outcome outcome(int reason) {
-        return switch (reason) {
-            case 0 -> Outcome.COMMITTED;
-            case 1 -> Outcome.CANCELLED;
-            case 4 -> Outcome.TIMED_OUT;
-            case 5 -> Outcome.MISS;
-            case 8 -> Outcome.FULL;
-            case 9 -> Outcome.MOOT;
-            case 10 -> Outcome.RESET;
-            case 14 -> Outcome.UNREACHABLE;
-            default -> Outcome.ERROR;
-        };
+    private static long nanos(long micros) {
+        return micros * NANOS_PER_MICRO;
     }
 
-    /** A fault in the decisions ends the day with its text. */
+    /** An exception in the routing policy ends the simulation with its text. */
     private void guard(Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            reply.bailOut(e + (trace.length > 0 ? " at " + trace[0] : ""));
+            reply.fail(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 }
--- a/src/main/java/beaconladder/simulation/SimulatorSession.java
+++ b/src/main/java/beaconladder/simulation/SimulatorSession.java
@@ -7,159 +7,183 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Plays the simulator's wire: reads batches, hands each event to its instance, writes one reply a batch. */
+/** A session on the simulator's wire: reads batches, passes each event to its instance, writes one reply per batch. */
 public final class SimulatorSession {
-
-    /** An entry of a numbered list of hosts. */
-    record Entry(boolean leader, int host, int zone, int group, int state, long launchedMicros) {}
-
+    private static final int ENDPOINT_LISTS = 16;
     private static final int ENTRY_BYTES = 25;
+    /** Scopes of an endpoint view. */
+    private static final int PARTIAL_VIEW = 0;
+
+    private static final int FAILED_VIEW = 3;
+    /** The bit of a request that the client repeats. */
+    private static final int RETRY_FLAG = 2;
 
     private final BatchReader in;
     private final OutputStream out;
     private final BatchWriter reply = new BatchWriter();
-    private final List<List<Entry>> lists = new ArrayList<>();
+    private final List<List<EndpointEntry>> endpointLists = new ArrayList<>();
     private final TreeMap<Long, SimulatedRouter> instances = new TreeMap<>();
-    private final List<SimulatedRouter> touched = new ArrayList<>();
+    private final List<SimulatedRouter> instancesOfBatch = new ArrayList<>();
 
+    /** A session between these streams; neither is closed. */
     public SimulatorSession(InputStream in, OutputStream out) {
         this.in = new BatchReader(in);
         this.out = out;
-        for (int i = 0; i < 16; i++) {
-            lists.add(List.of());
+        for (int i = 0; i < ENDPOINT_LISTS; i++) {
+            endpointLists.add(List.of());
         }
     }
 
-    /** Runs until the clean end of the input. */
+    /**
+     * Runs until the clean end of the input.
+     *
+     * @throws WireException where the input is malformed
+     */
     public void run() throws IOException, WireException {
         while (in.next()) {
-            long clock = in.clock();
-            SimulatedRouter instance = null;
-            for (long i = 0; i < in.records(); i++) {
-                long position = in.position();
-                int code = in.u16();
-                if (code == 1110) {
-                    long number = in.u32();
-                    instance = instances.computeIfAbsent(number, n -> new SimulatedRouter(n, reply));
-                    touch(instance);
-                } else if (code == 1100) {
-                    readList(position);
-                } else if (instance == null) {
-                    throw new WireException(position, "record " + code + " before any instance was named");
-                } else {
-                    event(position, code, instance, clock);
-                }
-            }
-            if (in.left() > 0) {
-                throw new WireException(
-                        in.position(), in.left() + " bytes after the last of " + in.records() + " records");
+            readRecords();
+            for (SimulatedRouter instance : instancesOfBatch) {
+                instance.hasEvents = false;
+                reply.forInstance(instance.number);
+                instance.onBatchEnd(in.clockMicros());
             }
-            for (SimulatedRouter each : touched) {
-                each.touched = false;
-                reply.at(each.number);
-                each.settle(clock);
-            }
-            touched.clear();
+            instancesOfBatch.clear();
             reply.send(out);
         }
     }
 
-    private void touch(SimulatedRouter instance) {
-        if (!instance.touched) {
-            instance.touched = true;
-            touched.add(instance);
+    private void readRecords() throws WireException {
+        SimulatedRouter instance = null;
+        for (long i = 0; i < in.recordCount(); i++) {
+            long position = in.position();
+            int code = in.u16();
+            if (code == RecordCode.INSTANCE) {
+                instance = selectInstance(in.u32());
+            } else if (code == RecordCode.ENDPOINT_LIST) {
+                readEndpointList(position);
+            } else if (instance == null) {
+                throw new WireException(position, "record " + code + " before any instance was named");
+            } else {
+                readEvent(position, code, instance);
+            }
+        }
+        if (in.remaining() > 0) {
+            throw new WireException(
+                    in.position(), in.remaining() + " bytes after the last of " + in.recordCount() + " records");
         }
-        reply.at(instance.number);
     }
 
-    private void readList(long position) throws WireException {
+    private SimulatedRouter selectInstance(long number) {
+        SimulatedRouter instance = instances.computeIfAbsent(number, n -> new SimulatedRouter(n, reply));
+        if (!instance.hasEvents) {
+            instance.hasEvents = true;
+            instancesOfBatch.add(instance);
+        }
+        reply.forInstance(instance.number);
+        return instance;
+    }
+
+    private void readEndpointList(long position) throws WireException {
         int number = in.u8();
-        if (number >= lists.size()) {
+        if (number >= endpointLists.size()) {
             throw new WireException(position, "a list numbered " + number);
         }
-        int n = in.count(in.u32(), ENTRY_BYTES);
-        List<Entry> entries = new ArrayList<>(n);
-        for (int i = 0; i < n; i++) {
-            boolean leader = in.f32() == 1f;
+        int count = in.requireCount(in.u32(), ENTRY_BYTES);
+        List<EndpointEntry> entries = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            boolean isPrimary = in.f32() == 1f;
             int host = (int) in.u32();
             int zone = in.u8();
             in.u8();
             int group = in.u16();
-            int state = in.u8();
+            int stateCode = in.u8();
             in.f32();
-            entries.add(new Entry(leader, host, zone, group, state, in.u64()));
+            entries.add(new EndpointEntry(isPrimary, host, zone, group, stateCode, in.u64()));
         }
-        lists.set(number, entries);
+        endpointLists.set(number, entries);
     }
 
-    private void event(long position, int code, SimulatedRouter to, long clock) throws WireException {
+    private void readEvent(long position, int code, SimulatedRouter instance) throws WireException {
+        long clockMicros = in.clockMicros();
         switch (code) {
-            case 1000 -> {
+            case RecordCode.START -> {
                 long seed = in.u64();
-                to.start(seed, in.text(in.u32()), clock);
-            }
-            case 1010 -> {
-                int scope = in.u8();
-                int list = in.u8();
-                in.u64();
-                if (scope > 3 || scope != 3 && list >= lists.size()) {
-                    throw new WireException(position, "a view of kind " + scope + " of list " + list);
-                }
-                if (scope != 3) {
-                    to.view(scope != 0, lists.get(list), clock);
-                } else {
-                    to.viewFailed();
-                }
-            }
-            case 1020 -> {
-                long call = in.u64();
-                int type = in.u8();
-                in.u32();
-                long session = in.u64();
-                float sinceWriteMillis = in.f32();
-                int tenant = (int) in.u32();
-                int group = (int) in.f32();
-                long budget = in.u32();
-                int bits = in.u8();
-                to.request(call, type, session, sinceWriteMillis, tenant, group, budget, (bits & 2) != 0, clock);
-            }
-            case 1030 -> {
-                in.u64();
-                in.u8();
-                in.u32();
-                in.u32();
-            }
-            case 1040 -> {
-                long call = in.u64();
-                int copy = in.u8();
-                in.u32();
-                int reason = in.u16();
-                in.u32();
-                boolean settled = in.u8() != 0;
-                long note = in.u32();
-                to.done(call, copy, reason, settled, note, floats(), clock);
-            }
-            case 1050 -> to.left(in.u64(), clock);
-            case 1060 -> to.timer(in.u64());
-            case 1070 -> {
-                int host = (int) in.u32();
-                in.u32();
-                int reason = in.u16();
-                to.sampled(host, reason, floats(), clock);
+                instance.start(seed, in.text(in.u32()));
             }
-            case 1080 -> {
-                in.u16();
-                in.text(in.u16());
-            }
-            case 1090 -> to.shutdown();
+            case RecordCode.ENDPOINT_VIEW -> readEndpointView(position, instance);
+            case RecordCode.REQUEST -> instance.onRequest(readRequest(), clockMicros);
+            case RecordCode.ATTEMPT_SENT -> skipAttemptSent();
+            case RecordCode.ATTEMPT_ENDED -> instance.onAttemptEnded(readAttemptEnded(), clockMicros);
+            case RecordCode.CLIENT_DISCONNECTED -> instance.onClientDisconnected(in.u64(), clockMicros);
+            case RecordCode.TIMER -> instance.onTimer(in.u64());
+            case RecordCode.HEALTH_CHECK_ENDED -> readHealthCheckEnded(instance);
+            case RecordCode.MESSAGE -> skipMessage();
+            case RecordCode.SHUTDOWN -> instance.shutdown();
             default -> throw new WireException(position, "unknown record code " + code);
         }
     }
 
-    private float[] floats() throws WireException {
-        int n = in.count(in.u8(), 4);
-        float[] values = new float[n];
-        for (int i = 0; i < n; i++) {
+    private void readEndpointView(long position, SimulatedRouter instance) throws WireException {
+        int scope = in.u8();
+        int list = in.u8();
+        in.u64();
+        if (scope > FAILED_VIEW || scope != FAILED_VIEW && list >= endpointLists.size()) {
+            throw new WireException(position, "a view of kind " + scope + " of list " + list);
+        }
+        if (scope == FAILED_VIEW) {
+            instance.onEndpointViewFailed();
+        } else {
+            instance.onEndpointView(scope != PARTIAL_VIEW, endpointLists.get(list), in.clockMicros());
+        }
+    }
+
+    private RequestEvent readRequest() throws WireException {
+        long id = in.u64();
+        int requestClass = in.u8();
+        in.u32();
+        long session = in.u64();
+        float sinceWriteMillis = in.f32();
+        int tenant = (int) in.u32();
+        int group = (int) in.f32();
+        long budgetMicros = in.u32();
+        boolean isRetry = (in.u8() & RETRY_FLAG) != 0;
+        return new RequestEvent(id, requestClass, session, sinceWriteMillis, tenant, group, budgetMicros, isRetry);
+    }
+
+    private AttemptEndedEvent readAttemptEnded() throws WireException {
+        long requestId = in.u64();
+        int attemptIndex = in.u8();
+        in.u32();
+        int outcomeCode = in.u16();
+        in.u32();
+        boolean isSettled = in.u8() != 0;
+        long responsePosition = in.u32();
+        return new AttemptEndedEvent(requestId, attemptIndex, outcomeCode, isSettled, responsePosition, readFloats());
+    }
+
+    private void readHealthCheckEnded(SimulatedRouter instance) throws WireException {
+        int host = (int) in.u32();
+        in.u32();
+        int outcomeCode = in.u16();
+        instance.onHealthCheckEnded(host, outcomeCode, readFloats(), in.clockMicros());
+    }
+
+    private void skipAttemptSent() throws WireException {
+        in.u64();
+        in.u8();
+        in.u32();
+        in.u32();
+    }
+
+    private void skipMessage() throws WireException {
+        in.u16();
+        in.text(in.u16());
+    }
+
+    private float[] readFloats() throws WireException {
+        int count = in.requireCount(in.u8(), Float.BYTES);
+        float[] values = new float[count];
+        for (int i = 0; i < count; i++) {
             values[i] = in.f32();
         }
         return values;
--- a/src/test/java/beaconladder/simulation/SimulatorSessionTest.java
+++ b/src/test/java/beaconladder/simulation/SimulatorSessionTest.java
@@ -27,16 +27,16 @@
             + "03f2 02 03 0000000000000001";
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws Exception {
-        assertThat(drill(batch(0, ""))).isEqualTo("0000000000000000");
+    void emptyBatchGetsAnEmptyReply() throws Exception {
+        assertThat(run(batch(0, ""))).isEqualTo("0000000000000000");
     }
 
     @Test
-    void eachInstanceStartsProbesAndSendsAfterItsOwnProbe() throws Exception {
+    void eachInstanceSendsAfterItsOwnHealthCheck() throws Exception {
         String request =
                 "03fc ff07843b5d3a91c4 00 00000000 0000000000000000" + "00000000 00000000 3f800000 00061a80 00";
         String sampled = "042e 00000012 00000100 0000 00";
-        assertThat(drill(batch(
+        assertThat(run(batch(
                                 9,
                                 "0456 00000000" + start() + "0456 00000003" + start() + LIST + request
                                         + "0456 00000000 0424 0000000000000063")
@@ -48,11 +48,11 @@
                         .replace(" ", ""));
     }
 
-    /** The settings name neither prices nor limits nor rules: their defaults serve all the same. */
+    /** The settings name neither weights nor limits nor rules: their defaults apply. */
     @Test
-    void aReportThatCannotBeTrueCountsAsNone() {
+    void impossibleReportFieldsCountAsNotReported() {
         SimulatedRouter instance = new SimulatedRouter(0, new BatchWriter());
-        instance.start(7, SETTINGS + "load_report.fields=x0,x1,rif\n", 0);
+        instance.start(7, SETTINGS + "load_report.fields=x0,x1,rif\n");
         StringBuilder trace = new StringBuilder();
         float[][] reports = {
             {2, 1, 3},
@@ -64,10 +64,10 @@
             {2, Float.NaN, Float.POSITIVE_INFINITY}
         };
         for (float[] report : reports) {
-            HostReport word = instance.word(report);
-            trace.append(word.role())
-                    .append(word.position() == HostReport.NO_POSITION ? " nowhere" : " placed")
-                    .append(word.inFlight() < 0 ? " silent" : " holds " + Math.round(word.inFlight()))
+            HostReport read = instance.loadReport(report);
+            trace.append(read.role())
+                    .append(read.position() == HostReport.NO_POSITION ? " nowhere" : " placed")
+                    .append(read.inFlight() < 0 ? " silent" : " holds " + Math.round(read.inFlight()))
                     .append('\n');
         }
         assertThat(trace.toString()).isEqualTo("""
@@ -82,18 +82,18 @@
     }
 
     @Test
-    void badInputIsNamedWithItsPosition() {
-        assertThatThrownBy(() -> drill("00000001"))
+    void malformedInputIsReportedWithItsPosition() {
+        assertThatThrownBy(() -> run("00000001"))
                 .hasMessage("bad input at byte 4: the input ends inside a batch header");
-        assertThatThrownBy(() -> drill(batch(1, "0456 00000003").substring(0, 40)))
+        assertThatThrownBy(() -> run(batch(1, "0456 00000003").substring(0, 40)))
                 .hasMessage("bad input at byte 20: the input ends inside a batch of 6 bytes");
-        assertThatThrownBy(() -> drill(batch(2, "0456 00000003 0999")))
+        assertThatThrownBy(() -> run(batch(2, "0456 00000003 0999")))
                 .hasMessage("bad input at byte 22: unknown record code 2457");
-        assertThatThrownBy(() -> drill(batch(1, "0456 0000")))
+        assertThatThrownBy(() -> run(batch(1, "0456 0000")))
                 .hasMessage("bad input at byte 18: a record that runs past the batch");
-        assertThatThrownBy(() -> drill(batch(1, "044c 00 00000009 00")))
+        assertThatThrownBy(() -> run(batch(1, "044c 00 00000009 00")))
                 .hasMessage("bad input at byte 23: a count of 9 that runs past the batch");
-        assertThatThrownBy(() -> drill(batch(1, "0456 00000003 00")))
+        assertThatThrownBy(() -> run(batch(1, "0456 00000003 00")))
                 .hasMessage("bad input at byte 22: 1 bytes after the last of 1 records");
     }
 
@@ -108,7 +108,7 @@
         return String.format("%08x%08x", records, bytes.length() / 2) + CLOCK + bytes;
     }
 
-    private static String drill(String hex) throws Exception {
+    private static String run(String hex) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorSession(new ByteArrayInputStream(HexFormat.of().parseHex(hex)), out).run();
         return HexFormat.of().formatHex(out.toByteArray());
--- a/src/test/java/beaconladder/simulation/SimulatorWireTest.java
+++ b/src/test/java/beaconladder/simulation/SimulatorWireTest.java
@@ -14,15 +14,15 @@
         BatchReader in = new BatchReader(new ByteArrayInputStream(bytes("00000002 0000001a 0000000000805c5a"
                 + "ff 03fc fffffffe ff07843b5d3a91c4 3f800000 0003 613d62 01 02")));
         assertThat(in.next()).isTrue();
-        assertThat(in.records()).isEqualTo(2);
-        assertThat(in.clock()).isEqualTo(8_412_250);
+        assertThat(in.recordCount()).isEqualTo(2);
+        assertThat(in.clockMicros()).isEqualTo(8_412_250);
         assertThat(in.u8()).isEqualTo(255);
         assertThat(in.u16()).isEqualTo(1020);
         assertThat(in.u32()).isEqualTo(4_294_967_294L);
         assertThat(in.u64()).isEqualTo(0xff07843b5d3a91c4L);
         assertThat(in.f32()).isEqualTo(1f);
         assertThat(in.text(in.u16())).isEqualTo("a=b");
-        assertThat(in.left()).isEqualTo(2);
+        assertThat(in.remaining()).isEqualTo(2);
         assertThat(in.position()).isEqualTo(40);
         assertThat(in.u16()).isEqualTo(258);
         assertThat(in.next()).isFalse();
@@ -31,17 +31,17 @@
     @Test
     void everyActionHasItsCodeAndFields() throws Exception {
         BatchWriter reply = new BatchWriter();
-        reply.at(3);
-        reply.issue(1, 18, 300_000);
-        reply.sayNo(2, 40_000);
-        reply.fail(3);
-        reply.dropAttempt(4, 1);
-        reply.at(5);
-        reply.wakeMe(6, 40_000);
+        reply.forInstance(3);
+        reply.sendAttempt(1, 18, 300_000);
+        reply.reject(2, 40_000);
+        reply.rollBack(3);
+        reply.cancelAttempt(4, 1);
+        reply.forInstance(5);
+        reply.setTimer(6, 40_000);
         reply.healthCheck(19);
-        reply.hangUp(20);
-        reply.bailOut("ü!");
-        reply.tail();
+        reply.closeIdleConnections(20);
+        reply.fail("ü!");
+        reply.pollEndpoints();
         assertThat(sent(reply))
                 .isEqualTo(hex("00000065 0000000b"
                         + "0460 00000003"
