--- a/src/main/java/beaconladder/testbed/FeedChecker.java
+++ b/src/main/java/beaconladder/testbed/FeedChecker.java
@@ -12,13 +12,13 @@
 
 /** Judges the feed by what routers wrote when they put a version in force, and by what the log answered. */
 final class FeedChecker {
-    /** More lines of one kind tell nothing new. */
-    private static final int MOST_LINES = 5;
+    /** Further violations of one kind give no new information. */
+    private static final int MAX_LINES_PER_KIND = 5;
 
-    /** A router put a version in force. */
-    record Applied(long at, String router, long life, long version, String digest) {
-        /** A line of a journal, or null where it is of another kind or cut off. */
-        static Applied of(String line) {
+    /** A router put a version in force; the time is in Unix nanoseconds. */
+    record Applied(long atNanos, String router, long incarnation, long version, String digest) {
+        /** Parses a line of a journal; null if it is of another kind or truncated. */
+        static Applied parse(String line) {
             String[] words = line.split(" ");
             return words.length != 6 || !words[0].equals("A") || words[5].length() != 32
                     ? null
@@ -31,10 +31,10 @@
         }
     }
 
-    /** These routers could reach nothing; what was written meanwhile counts from the end of it. */
-    record Outage(Predicate<String> routers, long from, long to) {}
+    /** These routers were partitioned; times of versions committed meanwhile count from its end. Unix nanoseconds. */
+    record Outage(Predicate<String> routers, long startNanos, long endNanos) {}
 
-    /** What a run came to. */
+    /** The result of a run: violations of the rules, and how often a version was late or never in force at a router. */
     record Verdict(List<String> broken, int late, int never) {}
 
     private final List<String> broken = new ArrayList<>();
@@ -48,17 +48,17 @@
         this.log = log;
         this.outages = outages;
         byRouter = journal.stream()
-                .sorted(Comparator.comparingLong(Applied::at))
+                .sorted(Comparator.comparingLong(Applied::atNanos))
                 .collect(Collectors.groupingBy(Applied::router));
     }
 
-    private void broke(String kind, String line) {
-        if (broken.stream().filter(each -> each.startsWith(kind)).count() < MOST_LINES) {
+    private void addViolation(String kind, String line) {
+        if (broken.stream().filter(each -> each.startsWith(kind)).count() < MAX_LINES_PER_KIND) {
             broken.add(kind + ": " + line);
         }
     }
 
-    /** Versions never go back, and each has the contents that the log has. */
+    /** Checks that no router reverts to an older version, and that each version has the contents of the log. */
     FeedChecker contents() {
         Map<Long, String> digests = new HashMap<>();
         log.forEach(each -> digests.put(each.version(), each.digest()));
@@ -66,12 +66,12 @@
             Applied before = null;
             for (Applied each : all) {
                 if (before != null && each.version() < before.version()) {
-                    broke("a version went back", each + " after " + before);
+                    addViolation("a version went back", each + " after " + before);
                 }
-                // One that was being written when the rehearsal ended is the first that a router tells of.
+                // A version that was being committed when the scenario ended may appear in the journals only.
                 String digest = digests.putIfAbsent(each.version(), each.digest());
                 if (digest != null && !digest.equals(each.digest())) {
-                    broke("two contents under one version", each + ", elsewhere " + digest);
+                    addViolation("two contents under one version", each + ", elsewhere " + digest);
                 }
                 before = each;
             }
@@ -80,75 +80,85 @@
     }
 
     /**
-     * Each version, or a newer one, is in force in time, counted from when the log answered or a first router had it.
+     * Checks that each version, or a newer one, is in force in time, counted from when the log confirmed it or the
+     * first router applied it.
      *
-     * @param share of the routers, as one in so many, that may take longer than the first bar
-     * @param first nanoseconds
-     * @param all nanoseconds in which it has to be in force at all of them
-     * @param times takes each time
+     * @param share of the routers, as one in so many, that may take longer than {@code firstNanos}
+     * @param firstNanos in which it has to be in force at the others
+     * @param allNanos in which it has to be in force at all of them
+     * @param times receives each time, in nanoseconds
      */
     FeedChecker inForce(
-            List<String> routers, int share, long first, long all, LongConsumer times, Predicate<Logged> judged) {
+            List<String> routers,
+            int share,
+            long firstNanos,
+            long allNanos,
+            LongConsumer times,
+            Predicate<Logged> included) {
         Map<Long, Long> firsts = new HashMap<>();
         byRouter.values()
-                .forEach(each -> each.forEach(applied -> firsts.merge(applied.version(), applied.at(), Math::min)));
+                .forEach(
+                        each -> each.forEach(applied -> firsts.merge(applied.version(), applied.atNanos(), Math::min)));
         Map<String, Integer> next = new HashMap<>();
         for (Logged version : log) {
-            if (!judged.test(version)) {
+            if (!included.test(version)) {
                 continue;
             }
-            long from = Math.min(version.at(), firsts.getOrDefault(version.version(), Long.MAX_VALUE));
-            int lateNow = 0;
+            long fromNanos =
+                    Math.min(version.committedAtNanos(), firsts.getOrDefault(version.version(), Long.MAX_VALUE));
+            int lateRouters = 0;
             for (String router : routers) {
-                long at = at(router, version.version(), next);
-                long nanos = at - reachable(router, from, at, all);
-                if (at == Long.MAX_VALUE) {
+                long atNanos = appliedAt(router, version.version(), next);
+                long nanos = atNanos - reachableSince(router, fromNanos, atNanos, allNanos);
+                if (atNanos == Long.MAX_VALUE) {
                     never++;
-                    broke("never in force", router + ", version " + version.version());
+                    addViolation("never in force", router + ", version " + version.version());
                     continue;
                 }
                 times.accept(Math.max(0, nanos));
-                lateNow += nanos > first ? 1 : 0;
-                if (nanos > all) {
-                    broke(
+                lateRouters += nanos > firstNanos ? 1 : 0;
+                if (nanos > allNanos) {
+                    addViolation(
                             "in force too late",
                             router + ", version " + version.version() + " (" + version.phase() + ") after "
                                     + nanos / 1_000_000 + " ms");
                 }
             }
-            late += lateNow;
-            if ((long) lateNow * share > routers.size()) {
-                broke(
+            late += lateRouters;
+            if ((long) lateRouters * share > routers.size()) {
+                addViolation(
                         "at too many too late",
-                        lateNow + " of " + routers.size() + " had version "
+                        lateRouters + " of " + routers.size() + " had version "
                                 + version.version() + " (" + version.phase() + ") after more than "
-                                + first / 1_000_000 + " ms");
+                                + firstNanos / 1_000_000 + " ms");
             }
         }
         return this;
     }
 
-    /** When a router had this version or a newer one, first; the log is walked in order. */
-    private long at(String router, long version, Map<String, Integer> next) {
+    /** When a router first applied this version or a newer one; versions have to be passed in order. */
+    private long appliedAt(String router, long version, Map<String, Integer> next) {
         List<Applied> all = byRouter.getOrDefault(router, List.of());
         int i = next.getOrDefault(router, 0);
         while (i < all.size() && all.get(i).version() < version) {
             i++;
         }
         next.put(router, i);
-        return i < all.size() ? all.get(i).at() : Long.MAX_VALUE;
+        return i < all.size() ? all.get(i).atNanos() : Long.MAX_VALUE;
     }
 
-    /** Since when a router that had a version at that time could have had it. */
-    private long reachable(String router, long from, long at, long all) {
-        long since = from;
+    /** From when on a router could have applied a version, given when it did. */
+    private long reachableSince(String router, long fromNanos, long atNanos, long allNanos) {
+        long sinceNanos = fromNanos;
         for (Outage outage : outages) {
-            boolean during = outage.from() < since + all && outage.to() > since && outage.from() < at;
+            boolean during = outage.startNanos() < sinceNanos + allNanos
+                    && outage.endNanos() > sinceNanos
+                    && outage.startNanos() < atNanos;
             if (during && outage.routers().test(router)) {
-                since = outage.to();
+                sinceNanos = outage.endNanos();
             }
         }
-        return since;
+        return sinceNanos;
     }
 
     void fault(String line) {
--- a/src/main/java/beaconladder/testbed/FeedFault.java
+++ b/src/main/java/beaconladder/testbed/FeedFault.java
@@ -1,22 +1,22 @@
 package beaconladder.testbed;
 
-/** What may happen in the feed's rehearsal. */
+/** Faults that the feed's scenario can inject. */
 public enum FeedFault {
-    /** A relay is killed amid a burst of changes, and comes back. */
+    /** A relay is killed during a burst of changes, and restarted. */
     KILL_RELAY,
     /** A relay is stopped, and goes on with what it had. */
     PAUSE_RELAY,
     /** A relay hears nothing from the log, and its routers still hear it. */
     CUT_RELAY,
-    /** A relay comes back with an old disk, and hears nothing from the log at first. */
+    /** A relay is restarted with an old stored state while it cannot reach the log at first. */
     OLD_RELAY,
-    /** The grantors' leader is killed amid a burst of changes, and comes back. */
+    /** The lease servers' leader is killed during a burst of changes, and restarted. */
     KILL_LEADER,
     /** The grantors' leader is stopped, and goes on. */
     PAUSE_LEADER,
-    /** The grantors' leader is cut off from the other grantors, and relays still hear it. */
+    /** The lease servers' leader is partitioned from the others, and relays still reach it. */
     CUT_LEADER,
-    /** A region is cut off, routers and relays, and heals. */
+    /** A region, routers and relays, is partitioned and recovers. */
     CUT_REGION,
     /** A router is killed and starts again. */
     RESTART_ROUTER,
--- a/src/main/java/beaconladder/testbed/FeedFaults.java
+++ b/src/main/java/beaconladder/testbed/FeedFaults.java
@@ -221,9 +221,9 @@
     private void await(int real, long since, long version, long millis) throws IOException, InterruptedException {
         long until = System.nanoTime() + millis * 1_000_000;
         while (Files.readAllLines(folder.resolve("m" + real + ".journal")).stream()
-                .map(Applied::of)
+                .map(Applied::parse)
                 .filter(Objects::nonNull)
-                .noneMatch(each -> each.at() >= since && each.version() >= version)) {
+                .noneMatch(each -> each.atNanos() >= since && each.version() >= version)) {
             if (System.nanoTime() > until) {
                 broken.add("router m" + real + " has not put version " + version + " in force since");
                 return;
@@ -235,7 +235,7 @@
     /** The router that refuses goes on with what it had; the sums say so. */
     private void refusal(String phase) throws IOException, InterruptedException {
         writer.change(phase);
-        writer.refusal("n0", phase);
+        writer.proposeRejectedBy("n0", phase);
         long version = writer.log().size();
         long until = System.nanoTime() + 2 * lasts * 1_000_000L;
         long from = FeedRouters.unix();
@@ -248,7 +248,7 @@
             }
             Thread.sleep(50);
         }
-        writer.refusal(null, phase);
+        writer.proposeRejectedBy(null, phase);
         outages.add(new Outage("n0"::equals, from - 1_000_000_000L, FeedRouters.unix()));
     }
 }
--- a/src/main/java/beaconladder/testbed/FeedFigures.java
+++ b/src/main/java/beaconladder/testbed/FeedFigures.java
@@ -8,49 +8,60 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** What the processes of a fleet cost between two looks: of the system's own counts, and of the sockets. */
+/** What the processes of a fleet consume between two samples: processor, memory, and bytes on the sockets. */
 final class FeedFigures {
-    /** Ticks of the processor a second, as Linux counts them for processes. */
-    private static final double TICKS = 100;
+    /** Unit of the processor times in {@code /proc/PID/stat}, per second. */
+    private static final double TICKS_PER_SECOND = 100;
 
-    /** One look. */
-    private record Look(long nanos, long bytes, long answers, long[] ticks) {}
+    /** Counters at one time; ticks by group of processes. */
+    private record Sample(long nanos, long bytes, long answers, long[] ticks) {}
 
     private final FeedFleet fleet;
-    private Look from;
+    private Sample start;
 
     FeedFigures(FeedFleet fleet) {
         this.fleet = fleet;
     }
 
     void begin() {
-        from = look();
+        start = sample();
     }
 
-    /** What it cost since the beginning. */
+    /** Adds the consumption since {@link #begin}, per router or process. */
     void end(ObjectNode into, int routers) {
-        Look to = look();
-        double seconds = (to.nanos - from.nanos) / 1e9;
+        Sample end = sample();
+        double seconds = (end.nanos - start.nanos) / 1e9;
         into.put("seconds", round(seconds));
-        into.put("bytes_s_router", round((to.bytes - from.bytes) / seconds / routers));
-        into.put("polls_s_router", round((to.answers - from.answers) / seconds / routers));
+        into.put("bytes_s_router", round((end.bytes - start.bytes) / seconds / routers));
+        into.put("polls_s_router", round((end.answers - start.answers) / seconds / routers));
         List<List<Program>> groups = groups();
         String[] names = {"hollow_core_percent_router", "relay_core_percent", "grantor_core_percent"};
         for (int i = 0; i < groups.size(); i++) {
-            double cores = (to.ticks[i] - from.ticks[i]) / TICKS / seconds;
+            double cores = (end.ticks[i] - start.ticks[i]) / TICKS_PER_SECOND / seconds;
             into.put(
                     names[i],
                     round(100 * cores / (i == 0 ? routers : groups.get(i).size())));
         }
         into.put(
                 "relay_mb_most",
-                fleet.relays.stream().mapToLong(each -> kilobytes(each)).max().orElse(0) / 1024);
+                fleet.relays.stream()
+                                .mapToLong(each -> residentKilobytes(each))
+                                .max()
+                                .orElse(0)
+                        / 1024);
         into.put(
                 "grantor_mb_most",
-                fleet.grantors.stream().mapToLong(each -> kilobytes(each)).max().orElse(0) / 1024);
+                fleet.grantors.stream()
+                                .mapToLong(each -> residentKilobytes(each))
+                                .max()
+                                .orElse(0)
+                        / 1024);
         into.put(
                 "hollow_kb_router",
-                round(fleet.hollow.stream().mapToLong(each -> kilobytes(each)).sum() / (double) routers));
+                round(fleet.hollow.stream()
+                                .mapToLong(each -> residentKilobytes(each))
+                                .sum()
+                        / (double) routers));
     }
 
     private static double round(double value) {
@@ -61,9 +72,9 @@
         return List.of(fleet.hollow, fleet.relays, fleet.grantors);
     }
 
-    private Look look() {
+    private Sample sample() {
         List<Relay.Status> all = fleet.statuses();
-        return new Look(
+        return new Sample(
                 System.nanoTime(),
                         all.stream()
                                 .mapToLong(each -> each.bytesIn() + each.bytesOut())
@@ -86,7 +97,7 @@
         }
     }
 
-    private static long kilobytes(Program program) {
+    private static long residentKilobytes(Program program) {
         try {
             return Files.readAllLines(Path.of("/proc/" + program.pid() + "/status")).stream()
                     .filter(line -> line.startsWith("VmRSS"))
--- a/src/main/java/beaconladder/testbed/FeedRouters.java
+++ b/src/main/java/beaconladder/testbed/FeedRouters.java
@@ -16,12 +16,12 @@
 
 /**
  * A process of subscribers, each with its own task and connection as in a router, and no clients or hosts behind them:
- * hollow routers. What each puts in force it writes to a journal, which is all that is judged.
+ * hollow routers. Each appends the versions it applies to a journal, which the scenario checks.
  */
 public final class FeedRouters {
-    /** As a router's tasks have it; with half of it, the loading of HttpCore's classes ran out of stack. */
-    private static final long STACK = 256 * 1024;
-    /** So often the journal is written out and the ages are told. */
+    /** As for a router's threads; with half of it, loading HttpCore's classes overflowed the stack. */
+    private static final long STACK_BYTES = 256 * 1024;
+    /** Interval of flushing the journal, with the ages of the states. */
     private static final int FLUSH_MILLIS = 200;
 
     private FeedRouters() {}
@@ -32,8 +32,8 @@
         return now.getEpochSecond() * 1_000_000_000L + now.getNano();
     }
 
-    /** Writes what a router puts in force; a document named {@code refuse} that names it is refused. */
-    private record Journal(String router, long life, BufferedWriter out) implements Applier {
+    /** Records what a router applies; it rejects a state whose document {@code refuse} names it. */
+    private record Journal(String router, long incarnation, BufferedWriter out) implements Applier {
         @Override
         public void validate(VersionedState next) throws IOException {
             if (router.equals(next.entries().get("refuse"))) {
@@ -43,36 +43,38 @@
 
         @Override
         public void apply(VersionedState next) throws IOException {
-            String line = "A " + unix() + ' ' + router + ' ' + life + ' ' + next.version() + ' ' + next.computeDigest()
-                    + '\n';
+            String line = "A " + unix() + ' ' + router + ' ' + incarnation + ' ' + next.version() + ' '
+                    + next.computeDigest() + '\n';
             synchronized (out) {
                 out.write(line);
             }
         }
     }
 
-    /** Runs them until a signal ends the process, on no disk: two thousand of them would be all it does. */
+    /** Runs them until a signal ends the process; without a disk, which two thousand of them would overload. */
     public static void run(String prefix, int from, int count, Map<String, InetSocketAddress> relays, Path journal)
             throws IOException, InterruptedException {
         BufferedWriter out = Files.newBufferedWriter(journal, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-        long life = System.currentTimeMillis();
-        List<Subscriber> all = new ArrayList<>();
+        long incarnation = System.currentTimeMillis();
+        List<Subscriber> subscribers = new ArrayList<>();
         for (int i = from; i < from + count; i++) {
             String name = prefix + i;
-            all.add(new Subscriber(name, life, relays, null, new Journal(name, life, out)));
+            subscribers.add(new Subscriber(name, incarnation, relays, null, new Journal(name, incarnation, out)));
         }
-        for (Subscriber each : all) {
-            Thread thread = new Thread(null, each, "subscriber", STACK);
+        for (Subscriber each : subscribers) {
+            Thread thread = new Thread(null, each, "subscriber", STACK_BYTES);
             thread.setDaemon(true);
             thread.start();
         }
-        // Bounded, whoever forgets to end it.
+        // Bounded, in case nobody ends the process.
         for (int i = 0; i < 3_000; i++) {
             Thread.sleep(FLUSH_MILLIS);
-            long least = all.stream().mapToLong(Subscriber::ageMillis).min().orElse(0);
-            long most = all.stream().mapToLong(Subscriber::ageMillis).max().orElse(0);
+            long minAgeMillis =
+                    subscribers.stream().mapToLong(Subscriber::ageMillis).min().orElse(0);
+            long maxAgeMillis =
+                    subscribers.stream().mapToLong(Subscriber::ageMillis).max().orElse(0);
             synchronized (out) {
-                out.write("G " + unix() + ' ' + prefix + from + ' ' + least + ' ' + most + '\n');
+                out.write("G " + unix() + ' ' + prefix + from + ' ' + minAgeMillis + ' ' + maxAgeMillis + '\n');
                 out.flush();
             }
         }
--- a/src/main/java/beaconladder/testbed/FeedScenario.java
+++ b/src/main/java/beaconladder/testbed/FeedScenario.java
@@ -201,7 +201,7 @@
             broken.add("the log ends with " + told + ", and answered " + last);
         }
         List<Applied> applied =
-                journal.stream().map(Applied::of).filter(Objects::nonNull).toList();
+                journal.stream().map(Applied::parse).filter(Objects::nonNull).toList();
         FeedChecker judge = new FeedChecker(log, applied, outages).contents();
         ObjectNode times = figures.putObject("in_force_ms");
         for (String phase : new TreeSet<>(log.stream().map(Logged::phase).toList())) {
@@ -228,7 +228,11 @@
         figures.put("late", judge.verdict().late());
         figures.put(
                 "propose_ms_most",
-                log.stream().mapToLong(each -> each.at() - each.from()).max().orElse(0) / MS);
+                log.stream()
+                                .mapToLong(each -> each.committedAtNanos() - each.proposedAtNanos())
+                                .max()
+                                .orElse(0)
+                        / MS);
         figures.put(
                 "bases_told",
                 fleet.statuses().stream()
--- a/src/main/java/beaconladder/testbed/FeedWriter.java
+++ b/src/main/java/beaconladder/testbed/FeedWriter.java
@@ -11,35 +11,35 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The operator of a rehearsal: proposes changes, one after the other, and keeps what the log answered. */
+/** The operator in a scenario: proposes one change after the other, and records what the log committed. */
 final class FeedWriter {
-    /** A document as settings are: a few kilobytes, of which there are some. */
+    /** How many settings documents there are, of a few kilobytes each as in an installation. */
     private static final int DOCUMENTS = 8;
 
-    private static final int LEAST = 500;
-    private static final int MOST = 3_000;
-    /** A leader that answers does so at once; one that is gone is not waited for. */
-    private static final int CALL_MILLIS = 1_200;
+    private static final int MIN_CHARACTERS = 500;
+    private static final int MAX_CHARACTERS = 3_000;
+    /** For each lease server: a leader responds at once, and a failed one must not delay the next attempt. */
+    private static final int CALL_TIMEOUT_MILLIS = 1_200;
 
-    private static final int GIVE_UP_MILLIS = 12_000;
+    private static final int PROPOSAL_TIMEOUT_MILLIS = 12_000;
 
     /**
-     * A version that the log has written.
+     * A committed version. Times are Unix nanoseconds.
      *
-     * @param from when it was proposed, in Unix nanoseconds
-     * @param at when the log said so
-     * @param phase the part of the script
+     * @param proposedAtNanos when it was proposed first
+     * @param committedAtNanos when the log confirmed it
+     * @param phase the phase of the scenario
      */
-    record Logged(long version, String digest, long from, long at, String phase) {}
+    record Logged(long version, String digest, long proposedAtNanos, long committedAtNanos, String phase) {}
 
     private final LogClient logClient;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final List<Logged> log = new ArrayList<>();
     private long version;
 
     FeedWriter(List<InetSocketAddress> grantors, long seed) {
-        logClient = new LogClient(grantors, CALL_MILLIS);
-        chance = new SplittableRandom(seed);
+        logClient = new LogClient(grantors, CALL_TIMEOUT_MILLIS);
+        random = new SplittableRandom(seed);
     }
 
     synchronized List<Logged> log() {
@@ -50,21 +50,21 @@
         return logClient;
     }
 
-    /** Proposes a change and waits until the log has it. */
+    /** Proposes a change, and retries until the log has committed it. */
     void change(String phase) throws IOException, InterruptedException {
         StringBuilder text = new StringBuilder();
-        int length = LEAST + chance.nextInt(MOST - LEAST);
+        int length = MIN_CHARACTERS + random.nextInt(MAX_CHARACTERS - MIN_CHARACTERS);
         while (text.length() < length) {
-            text.append(Long.toHexString(chance.nextLong())).append(' ');
+            text.append(Long.toHexString(random.nextLong())).append(' ');
         }
-        write(
-                new Proposal(version, Map.of("settings-" + chance.nextInt(DOCUMENTS), text.toString()), List.of()),
+        propose(
+                new Proposal(version, Map.of("settings-" + random.nextInt(DOCUMENTS), text.toString()), List.of()),
                 phase);
     }
 
-    /** Has one router refuse a version, or none any more. */
-    void refusal(String router, String phase) throws IOException, InterruptedException {
-        write(
+    /** Proposes a version that one router rejects, or with null one that none rejects. */
+    void proposeRejectedBy(String router, String phase) throws IOException, InterruptedException {
+        propose(
                 new Proposal(
                         version,
                         router == null ? Map.of() : Map.of("refuse", router),
@@ -72,23 +72,23 @@
                 phase);
     }
 
-    private void write(Proposal proposal, String phase) throws IOException, InterruptedException {
-        long from = FeedRouters.unix();
+    private void propose(Proposal proposal, String phase) throws IOException, InterruptedException {
+        long proposedAtNanos = FeedRouters.unix();
         while (true) {
             try {
-                CommitResult written = logClient.propose(proposal);
-                if (written.outcome() != CommitResult.Outcome.COMMITTED || written.version() != version + 1) {
-                    throw new IllegalStateException("the log says " + written + " after version " + version);
+                CommitResult result = logClient.propose(proposal);
+                if (result.outcome() != CommitResult.Outcome.COMMITTED || result.version() != version + 1) {
+                    throw new IllegalStateException("the log says " + result + " after version " + version);
                 }
                 version++;
                 synchronized (this) {
-                    log.add(new Logged(version, written.digest(), from, FeedRouters.unix(), phase));
+                    log.add(new Logged(version, result.digest(), proposedAtNanos, FeedRouters.unix(), phase));
                 }
                 return;
             } catch (InvalidProposalException e) {
                 throw new IllegalStateException(e);
             } catch (IOException e) {
-                if (FeedRouters.unix() - from > GIVE_UP_MILLIS * 1_000_000L) {
+                if (FeedRouters.unix() - proposedAtNanos > PROPOSAL_TIMEOUT_MILLIS * 1_000_000L) {
                     throw e;
                 }
                 Thread.sleep(20);
--- a/src/test/java/beaconladder/testbed/FeedConfiguredRouterIT.java
+++ b/src/test/java/beaconladder/testbed/FeedConfiguredRouterIT.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A router that takes part in the feed: what it is told counts, is refused, and is there after a kill. */
+/** A router that the feed configures applies or rejects versions, and restarts with the applied one after a kill. */
 @Timeout(120)
 class FeedConfiguredRouterIT {
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -28,7 +28,7 @@
             + "\"state\":\"Ready\",\"started_ms\":0,\"role\":\"leader\"}";
 
     @Test
-    void whatItIsToldCountsOrIsRefusedAndIsThereAfterAKill(@TempDir Path folder) throws Exception {
+    void versionsAreAppliedOrRejectedAndSurviveAKill(@TempDir Path folder) throws Exception {
         try (InMemoryLog log = new InMemoryLog();
                 DiscoveryStandIn first = new DiscoveryStandIn();
                 DiscoveryStandIn second = new DiscoveryStandIn();
@@ -49,22 +49,22 @@
             assertThat(second.calls.get()).isZero();
 
             // Discovery's address counts at once.
-            LogClient proposer = new LogClient(List.of(log.at()), 5_000);
+            LogClient logClient = new LogClient(List.of(log.at()), 5_000);
             String moved = "{\"discovery\":\"127.0.0.1:" + second.port() + "\"}";
-            proposer.propose(new Proposal(0, Map.of("router.json", moved), List.of()));
+            logClient.propose(new Proposal(0, Map.of("router.json", moved), List.of()));
             await().atMost(LONG).until(() -> second.calls.get() > 0);
             await().atMost(LONG)
-                    .until(() -> proposer.status().counts().equals(List.of(new RelayReport.Count(1, 1, 0))));
+                    .until(() -> logClient.status().counts().equals(List.of(new RelayReport.Count(1, 1, 0))));
 
             // What can't be read, or is not the feed's, is refused, and said so.
-            proposer.propose(new Proposal(1, Map.of("router.json", "{\"discovery\":\"nowhere\"}"), List.of()));
+            logClient.propose(new Proposal(1, Map.of("router.json", "{\"discovery\":\"nowhere\"}"), List.of()));
             await().atMost(LONG)
-                    .until(() -> proposer.status()
+                    .until(() -> logClient.status()
                             .counts()
                             .equals(List.of(new RelayReport.Count(2, 0, 1), new RelayReport.Count(1, 1, 0))));
-            proposer.propose(new Proposal(2, Map.of("router.json", "{\"listen\":\"127.0.0.1:1\"}"), List.of()));
+            logClient.propose(new Proposal(2, Map.of("router.json", "{\"listen\":\"127.0.0.1:1\"}"), List.of()));
             await().atMost(LONG)
-                    .until(() -> proposer.status()
+                    .until(() -> logClient.status()
                             .counts()
                             .equals(List.of(new RelayReport.Count(3, 0, 1), new RelayReport.Count(1, 1, 0))));
 
--- a/src/test/java/beaconladder/testbed/FeedMutantsTest.java
+++ b/src/test/java/beaconladder/testbed/FeedMutantsTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The judge of the feed's rehearsal finds what is wrong, from journals and the log alone. */
+/** The checker of the feed's scenario finds faulty subscribers, from journals and the log alone. */
 @Timeout(60)
 class FeedMutantsTest {
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aRouterThatSkipsAChangeHasOtherContentsUnderTheVersion() throws Exception {
+    void aRouterThatSkipsAChangeIsFoundByItsDigests() throws Exception {
         play(FaultySubscribers::right);
         assertThat(verdict()).isEmpty();
         journal.clear();
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aRouterThatTakesAnOlderBaseGoesBack() throws Exception {
+    void aRouterThatRevertsToAnOlderVersionIsFound() throws Exception {
         play(FaultySubscribers::goesBack);
         assertThat(verdict()).anyMatch(line -> line.startsWith("a version went back"));
     }
@@ -100,7 +100,7 @@
     }
 
     private static boolean first(String name) {
-        // As Rendezvous has it, told from outside: which of two relays a subscriber polls first.
+        // As Rendezvous has it, seen from outside: which of two relays a subscriber polls first.
         return beaconladder.feed.RelayOrder.first(name, List.of("a", "b")).equals("a");
     }
 
@@ -153,10 +153,10 @@
 
     @Test
     void aJournalsLineIsReadWholeOrNotAtAll() {
-        assertThat(Applied.of("A 5 n1 1 2 0123456789abcdef0123456789abcdef"))
+        assertThat(Applied.parse("A 5 n1 1 2 0123456789abcdef0123456789abcdef"))
                 .isEqualTo(new Applied(5, "n1", 1, 2, "0123456789abcdef0123456789abcdef"));
         for (String cut : List.of("", "A 5", "A 5 n1 1 2 0123456789ab", "G 5 n1 1 2")) {
-            assertThat(Applied.of(cut)).isNull();
+            assertThat(Applied.parse(cut)).isNull();
         }
     }
 }
