--- a/src/test/java/beaconladder/testbed/FeedConfiguredRouterIT.java
+++ b/src/test/java/beaconladder/testbed/FeedConfiguredRouterIT.java
@@ -59,12 +59,14 @@
             // What can't be read, or is not the feed's, is refused, and said so.
             logClient.propose(new Proposal(1, Map.of("router.json", "{\"discovery\":\"nowhere\"}"), List.of()));
             await().atMost(LONG)
-                    .until(() -> logClient.status()
+                    .until(() -> logClient
+                            .status()
                             .counts()
                             .equals(List.of(new RelayReport.Count(2, 0, 1), new RelayReport.Count(1, 1, 0))));
             logClient.propose(new Proposal(2, Map.of("router.json", "{\"listen\":\"127.0.0.1:1\"}"), List.of()));
             await().atMost(LONG)
-                    .until(() -> logClient.status()
+                    .until(() -> logClient
+                            .status()
                             .counts()
                             .equals(List.of(new RelayReport.Count(3, 0, 1), new RelayReport.Count(1, 1, 0))));
 
