--- a/src/main/java/beaconladder/server/RouterServer.java
+++ b/src/main/java/beaconladder/server/RouterServer.java
@@ -17,105 +17,117 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A router on sockets: start it with what the operators state, and drain it at the end. */
+/** A router on sockets: created from the operators' files, started once, and drained at the end. */
 public final class RouterServer {
     private static final Logger LOG = LoggerFactory.getLogger(RouterServer.class);
     private static final int SWEEP_MILLIS = 100;
-    /** Time for answers that lie in sockets to reach their clients before the program ends. */
-    private static final int LAST_MILLIS = 100;
+    /** Time for responses in socket buffers to reach their clients before the process ends. */
+    private static final int FLUSH_MILLIS = 100;
 
-    /** Of the heap, for large messages on their way in; their texts and answers take as much again. */
-    private static final int LARGE_SHARE = 6;
+    /** The divisor of the heap for large incoming messages; their texts and responses take as much again. */
+    private static final int MESSAGE_MEMORY_DIVISOR = 6;
+    /** The divisor of the descriptors for the connections that cells share. */
+    private static final int CELL_CONNECTION_DIVISOR = 3;
+
+    private static final int POLL_MILLIS = 5;
 
     private final Path file;
-    private final RouterConfiguration stated;
+    private final RouterConfiguration configuration;
     private final ThreadLimit threads;
-    private final RequestDispatcher desk;
-    private final ServerConnectionPool lines;
+    private final RequestDispatcher dispatcher;
+    private final ServerConnectionPool pool;
     private final ClientServer clients;
-    private final EndpointWatch watch;
-    /** The operators' plan, or null: there are no cells. */
-    private final Path plan;
-    /** The keeper's word, or null: there is no keeper. */
-    private final PlacementWatcher placements;
-    /** The longest that a txn can be in hand. */
-    private final long longest;
-    /** Shortly after its process began: the virtual machine takes some tenths of a second before. */
-    private final long madeAt = System.nanoTime();
+    private final EndpointWatch endpointWatch;
+    /** The file of the operators' plan, or null where there are no cells. */
+    private final Path planFile;
+    /** Follows the coordinator's placement, or null where there is no coordinator. */
+    private final PlacementWatcher placementWatcher;
+    /** The longest that a request can be in flight. */
+    private final long maxRequestNanos;
+    /** Shortly after the start of the process: the virtual machine takes some tenths of a second before. */
+    private final long createdNanos = System.nanoTime();
 
     private volatile boolean stopped;
-    /** Whether clients may have come, and whether the end has been asked for; what both wait for is this. */
-    private boolean listens;
+    /** Whether it accepts clients; guarded by this, like the request to shut down. */
+    private boolean listening;
 
-    private boolean ends;
+    private boolean shutdownRequested;
 
     /**
-     * Makes a router that does not yet listen.
+     * Creates a router that does not yet listen.
      *
      * @param file name, listen, discovery, seed, limits, known and settings as JSON
-     * @param plan cells and who lives in them, or null for none
+     * @param planFile cells and their tenants, or null for none
+     * @throws IOException where a file can't be read or is invalid
      */
-    public RouterServer(Path file, Path plan) throws IOException {
+    public RouterServer(Path file, Path planFile) throws IOException {
         this.file = file;
-        this.plan = plan;
-        stated = RouterConfiguration.read(file);
-        threads = new ThreadLimit(stated.memoryMb());
-        long bytes = Runtime.getRuntime().maxMemory() / LARGE_SHARE;
-        MemoryLimit room = new MemoryLimit(bytes);
-        StaticPlacement territory = plan == null ? null : territory(plan);
-        desk = new RequestDispatcher(
-                stated.seed(),
-                stated.start(),
-                territory == null
+        this.planFile = planFile;
+        configuration = RouterConfiguration.read(file);
+        threads = new ThreadLimit(configuration.memoryMb());
+        long messageBytes = Runtime.getRuntime().maxMemory() / MESSAGE_MEMORY_DIVISOR;
+        MemoryLimit memory = new MemoryLimit(messageBytes);
+        StaticPlacement placement = planFile == null ? null : readPlan(planFile);
+        dispatcher = new RequestDispatcher(
+                configuration.seed(),
+                configuration.settings(),
+                placement == null
                         ? null
                         : new CellAdmission(
-                                stated.name(),
-                                territory,
-                                RouterCapacity.ofThreads(threads.maxThreads(), stated.descriptors() / 3, bytes)));
-        DescriptorLimit descriptors = new DescriptorLimit(stated.descriptors());
-        lines = new ServerConnectionPool(desk, stated.start(), threads, room, descriptors, ServerConnection::new);
-        desk.setHostActions(lines);
+                                configuration.name(),
+                                placement,
+                                RouterCapacity.ofThreads(
+                                        threads.maxThreads(),
+                                        configuration.descriptors() / CELL_CONNECTION_DIVISOR,
+                                        messageBytes)));
+        DescriptorLimit descriptors = new DescriptorLimit(configuration.descriptors());
+        pool = new ServerConnectionPool(
+                dispatcher, configuration.settings(), threads, memory, descriptors, ServerConnection::new);
+        dispatcher.setHostActions(pool);
         clients = new ClientServer(
-                desk,
-                lines,
+                dispatcher,
+                pool,
                 threads,
-                room,
-                territory == null
-                        ? List.of()
-                        : territory.plan().cells().stream()
-                                .map(cell -> new MemoryLimit((long) (cell.share() * bytes), room))
-                                .toList(),
+                memory,
+                cellMemoryLimits(placement, memory, messageBytes),
                 descriptors,
-                stated.descriptors());
-        watch = stated.asks()
-                ? EndpointWatch.polling(stated.discovery(), stated.askEveryMillis(), stated.seed(), desk)
-                : new EndpointWatch(stated.discovery(), stated.drainGraceMillis(), stated.seed(), desk);
-        if (!stated.known().isEmpty()) {
-            desk.onEndpoints(true, stated.known());
-        }
-        long expiry = 0;
-        for (int i = 0; stated.start().containsKey("request_classes." + i + ".give_up_us"); i++) {
-            expiry = Math.max(expiry, Long.parseLong(stated.start().get("request_classes." + i + ".give_up_us")));
-        }
-        longest = expiry * 1_000;
-        Plan.Keeper keeper = territory == null ? null : territory.plan().keeper();
-        if (keeper != null && keeper.expiry() < expiry * 1_000) {
-            throw new IOException(plan + ": the keeper's expiry (" + keeper.expiry() / 1_000_000
-                    + "ms) is shorter than that of a txn type (" + expiry / 1_000 + "ms)");
-        }
-        placements = keeper == null
+                configuration.descriptors());
+        endpointWatch = configuration.pollsDiscovery()
+                ? EndpointWatch.polling(
+                        configuration.discovery(), configuration.pollIntervalMillis(), configuration.seed(), dispatcher)
+                : new EndpointWatch(
+                        configuration.discovery(), configuration.drainGraceMillis(), configuration.seed(), dispatcher);
+        if (!configuration.knownEndpoints().isEmpty()) {
+            dispatcher.onEndpoints(true, configuration.knownEndpoints());
+        }
+        maxRequestNanos = configuration.maxRequestMicros() * 1_000;
+        Plan.Keeper coordinator = placement == null ? null : placement.plan().keeper();
+        if (coordinator != null && coordinator.expiry() < maxRequestNanos) {
+            throw new IOException(planFile + ": the keeper's expiry (" + coordinator.expiry() / 1_000_000
+                    + "ms) is shorter than that of a txn type (" + maxRequestNanos / 1_000_000 + "ms)");
+        }
+        placementWatcher = coordinator == null
                 ? null
                 : new PlacementWatcher(
-                        keeper.at(),
-                        keeper.lease(),
-                        stated.name(),
+                        coordinator.at(),
+                        coordinator.lease(),
+                        configuration.name(),
                         Long.toHexString(System.currentTimeMillis()) + "-"
                                 + ProcessHandle.current().pid(),
-                        desk);
+                        dispatcher);
     }
 
-    private static StaticPlacement territory(Path plan) throws IOException {
-        PlanReader.Result read = PlanReader.read(plan);
+    private static List<MemoryLimit> cellMemoryLimits(StaticPlacement placement, MemoryLimit memory, long bytes) {
+        if (placement == null) {
+            return List.of();
+        }
+        return placement.plan().cells().stream()
+                .map(cell -> new MemoryLimit((long) (cell.share() * bytes), memory))
+                .toList();
+    }
+
+    private static StaticPlacement readPlan(Path planFile) throws IOException {
+        PlanReader.Result read = PlanReader.read(planFile);
         if (read.plan() == null) {
             throw new IOException(
                     read.faults().stream().map(PlanError::toString).collect(Collectors.joining("\n")));
@@ -123,65 +135,59 @@
         return new StaticPlacement(read.plan());
     }
 
-    /** Listens once it knows hosts, unless its end has been asked for; returns then. */
+    /** Warms up and listens once it knows hosts, unless a shutdown was requested; returns then. */
     public void start() throws IOException, InterruptedException {
-        threads.newThread(desk.timer()).start();
-        threads.newThread(watch).start();
+        threads.newThread(dispatcher.timer()).start();
+        threads.newThread(endpointWatch).start();
         threads.newThread(this::sweep).start();
-        if (placements != null) {
-            threads.newThread(placements).start();
+        if (placementWatcher != null) {
+            threads.newThread(placementWatcher).start();
         }
-        WarmUp.run(stated, threads);
-        // What was known may be out of date, and what discovery's agent has counts as told: it comes first.
-        while (!desk.hasEndpoints() || watch.isAwaitingFirstAnswer()) {
-            Thread.sleep(5);
+        WarmUp.run(configuration, threads);
+        // The known hosts may be out of date, and the agent's list is binding from its notice on: wait for it.
+        while (!dispatcher.hasEndpoints() || endpointWatch.isAwaitingFirstAnswer()) {
+            Thread.sleep(POLL_MILLIS);
         }
         synchronized (this) {
-            if (!ends) {
-                clients.listen(stated.listen());
+            if (!shutdownRequested) {
+                clients.listen(configuration.listen());
                 threads.newThread(clients).start();
-                listens = true;
-                desk.monitor().invariants().checkStartupTime(System.nanoTime() - madeAt);
-                LOG.info("{} serves at {}", stated.name(), stated.listen());
+                listening = true;
+                dispatcher.monitor().invariants().checkStartupTime(System.nanoTime() - createdNanos);
+                LOG.info("{} serves at {}", configuration.name(), configuration.listen());
             }
         }
     }
 
-    /** Looks at a file, and a plan or null, as a start would; what is wrong is the exception's message. */
-    public static void check(Path file, Path plan) throws IOException {
+    /** Validates a file, and a plan or null, as a start would; the exception's message states what is wrong. */
+    public static void check(Path file, Path planFile) throws IOException {
         RouterConfiguration.read(file);
-        if (plan != null) {
-            territory(plan);
+        if (planFile != null) {
+            readPlan(planFile);
         }
     }
 
     /**
-     * Reads the file again. Discovery's address counts at once, and all that the router holds stays; what else has
-     * changed waits for a restart. A file that can't be read whole changes nothing.
+     * Reads the files again. Discovery's address and the plan take effect at once, and all state stays; other changes
+     * wait for a restart. A file that is invalid changes nothing.
      *
-     * @return whether it counts now
+     * @return whether the files have taken effect
      */
     public synchronized boolean reload() {
         try {
             RouterConfiguration next = RouterConfiguration.read(file);
-            List<String> waits = new ArrayList<>();
-            waits.addAll(next.listen().equals(stated.listen()) ? List.of() : List.of("listen"));
-            waits.addAll(next.start().equals(stated.start()) ? List.of() : List.of("settings"));
-            waits.addAll(
-                    next.memoryMb() == stated.memoryMb() && next.descriptors() == stated.descriptors()
-                            ? List.of()
-                            : List.of("limits"));
-            if (plan != null) {
-                String objection = desk.cells().replacePlan(territory(plan));
+            List<String> restartOnly = changesThatNeedRestart(next);
+            if (planFile != null) {
+                String objection = dispatcher.cells().replacePlan(readPlan(planFile));
                 if (objection != null) {
-                    throw new IOException(plan + ": " + objection);
+                    throw new IOException(planFile + ": " + objection);
                 }
             }
-            watch.changeAddress(next.discovery());
+            endpointWatch.changeAddress(next.discovery());
             LOG.info(
                     "reloaded: discovery is at {}{}",
                     next.discovery(),
-                    waits.isEmpty() ? "" : "; for a restart: " + String.join(", ", waits));
+                    restartOnly.isEmpty() ? "" : "; for a restart: " + String.join(", ", restartOnly));
             return true;
         } catch (IOException | RuntimeException e) {
             LOG.warn("not reloaded, all stays as it was: {}", e.toString());
@@ -189,45 +195,63 @@
         }
     }
 
+    private List<String> changesThatNeedRestart(RouterConfiguration next) {
+        List<String> changes = new ArrayList<>();
+        if (!next.listen().equals(configuration.listen())) {
+            changes.add("listen");
+        }
+        if (!next.settings().equals(configuration.settings())) {
+            changes.add("settings");
+        }
+        if (next.memoryMb() != configuration.memoryMb() || next.descriptors() != configuration.descriptors()) {
+            changes.add("limits");
+        }
+        return changes;
+    }
+
     private void sweep() {
         while (!stopped) {
             try {
                 Thread.sleep(SWEEP_MILLIS);
-                lines.sweep();
-                desk.sweep();
-                desk.monitor().sweep();
+                pool.sweep();
+                dispatcher.sweep();
+                dispatcher.monitor().sweep();
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException | Error e) {
-                LOG.error("the sweep goes on after a fault", e);
+                LOG.error("the sweep continues after an internal error", e);
             }
         }
     }
 
-    /** Serves on until others know that it ends, then ends connections between txns, until all are gone. */
+    /**
+     * Shuts down gracefully: serves as before until clients can know of it, then closes each connection once its
+     * requests are answered; returns when all are closed or their time is over.
+     */
     public void drain() throws InterruptedException {
         synchronized (this) {
-            ends = true;
-            if (!listens) {
+            shutdownRequested = true;
+            if (!listening) {
                 LOG.info("ended before it served");
                 return;
             }
         }
-        LOG.info("draining with {} clients and {} connections to hosts", clients.connectionCount(), lines.openCount());
-        GracefulShutdown drain = new GracefulShutdown(desk.nowNanos(), longest);
+        LOG.info("draining with {} clients and {} connections to hosts", clients.connectionCount(), pool.openCount());
+        GracefulShutdown shutdown = new GracefulShutdown(dispatcher.nowNanos(), maxRequestNanos);
         TimeUnit.NANOSECONDS.sleep(GracefulShutdown.NOTICE_NANOS);
-        clients.drain(drain);
-        while (clients.connectionCount() > 0 && desk.nowNanos() < drain.endNanos() + ClientConnection.LINGER_NANOS) {
-            Thread.sleep(5);
+        clients.drain(shutdown);
+        while (clients.connectionCount() > 0
+                && dispatcher.nowNanos() < shutdown.endNanos() + ClientConnection.LINGER_NANOS) {
+            Thread.sleep(POLL_MILLIS);
         }
-        Thread.sleep(LAST_MILLIS);
+        Thread.sleep(FLUSH_MILLIS);
         stopped = true;
-        watch.stop();
-        if (placements != null) {
-            placements.stop();
+        endpointWatch.stop();
+        if (placementWatcher != null) {
+            placementWatcher.stop();
         }
-        desk.stop();
-        desk.monitor().logChanges();
+        dispatcher.stop();
+        dispatcher.monitor().logChanges();
         LOG.info("drained");
     }
 }
--- a/src/main/java/beaconladder/server/WarmUp.java
+++ b/src/main/java/beaconladder/server/WarmUp.java
@@ -31,16 +31,16 @@
         MemoryLimit room = new MemoryLimit(1 << 20);
         RequestDispatcher desk = new RequestDispatcher(
                 1,
-                stated.start(),
+                stated.settings(),
                 null,
                 // Cold code is slow, and no client is there yet: what it takes too long for is no violation.
-                new Monitor(stated.start(), Violations.unlogged()));
+                new Monitor(stated.settings(), Violations.unlogged()));
         InetSocketAddress nowhere = new InetSocketAddress("127.0.0.1", 1);
         InetSocketAddress primary = new InetSocketAddress("127.0.0.1", 2);
         DescriptorLimit descriptors = new DescriptorLimit(stated.descriptors());
         ServerConnectionPool lines = new ServerConnectionPool(
                 desk,
-                stated.start(),
+                stated.settings(),
                 threads,
                 room,
                 descriptors,
@@ -58,7 +58,7 @@
         ClientServer clients =
                 new ClientServer(desk, lines, threads, room, List.of(), descriptors, stated.descriptors());
         List<String> types = new ArrayList<>();
-        for (String name; (name = stated.start().get("request_classes." + types.size() + ".name")) != null; ) {
+        for (String name; (name = stated.settings().get("request_classes." + types.size() + ".name")) != null; ) {
             types.add(name);
         }
         if (types.isEmpty()) {
--- a/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
+++ b/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
@@ -45,10 +45,10 @@
         assertThat(stated.seed()).isEqualTo(0xff07843b5d3a91c4L);
         assertThat(stated.memoryMb()).isEqualTo(256);
         assertThat(stated.descriptors()).isEqualTo(2048);
-        assertThat(stated.asks()).isTrue();
+        assertThat(stated.pollsDiscovery()).isTrue();
         assertThat(stated.drainGraceMillis()).isEqualTo(3_000);
-        assertThat(stated.askEveryMillis()).isEqualTo(4_000);
-        assertThat(stated.known())
+        assertThat(stated.pollIntervalMillis()).isEqualTo(4_000);
+        assertThat(stated.knownEndpoints())
                 .containsExactly(new EndpointWatch.Entry(
                         "s-1", new InetSocketAddress("10.0.0.4", 5432), "a", 7, EndpointWatch.State.READY, true, 12));
     }
@@ -67,9 +67,9 @@
                         192,
                         1024,
                         List.of()));
-        assertThat(stated.asks()).isFalse();
+        assertThat(stated.pollsDiscovery()).isFalse();
         assertThat(stated.drainGraceMillis()).isEqualTo(2_000);
-        assertThat(stated.askEveryMillis()).isEqualTo(10_000);
+        assertThat(stated.pollIntervalMillis()).isEqualTo(10_000);
     }
 
     @Test
@@ -116,6 +116,6 @@
     }
 
     private static Map<String, String> settings() throws Exception {
-        return RouterConfiguration.of((Map<?, ?>) JsonReader.parse(FILE)).start();
+        return RouterConfiguration.of((Map<?, ?>) JsonReader.parse(FILE)).settings();
     }
 }
