--- a/src/main/java/beaconladder/routing/ClusterClock.java
+++ b/src/main/java/beaconladder/routing/ClusterClock.java
@@ -10,7 +10,7 @@
 /**
  * What time it is by the clock that hosts stamp positions and starts with. The router's own time is the wall clock as
  * it stood at the start, moved on by the monotonic clock: it never steps, but it is wrong for good where the wall was
- * wrong then. Hosts tell by how much:
+ * wrong then. Hosts show by how much:
  *
  * <p>A position that was heard at {@code now} has been reached, so the hosts' clock shows it at the least. Too late a
  * time is safe for a bound, too early a one makes reads stale, so that two hosts that agree are enough to move it
@@ -91,7 +91,7 @@
         return hostTime - offsetNanos;
     }
 
-    /** Takes in what a host said at this moment that it has reached; whether that can be. */
+    /** Takes in a position reported at this time; returns whether it is plausible. */
     boolean acceptPosition(Host host, long position, long now) {
         long by = position - hostTimeAt(now);
         if (by <= TOLERANCE) {
--- a/src/main/java/beaconladder/routing/DeadlinePolicy.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -9,17 +9,16 @@
 import beaconladder.routing.state.SampleWindow;
 import beaconladder.routing.state.TrafficStatistics;
 
-/** How long what is worth: when a request is in time, is released, is timed out. */
+/** The time limits of a request: latency objective, fallback to the primary, last useful send, timeout. */
 record DeadlinePolicy(TrafficStatistics traffic, OutlierDetector outliers) {
-    /** An older answer tells of a load that may be gone. */
+    /** An older response time reflects a load that may be over. */
     private static final long RECENT_RESPONSE = 3_000 * MILLISECOND;
     /**
-     * So much of what is left a host is not told. A router may be held up for 0.15 s between its look at the clock and
-     * its write, which is all of the slack that the protocol gives; what a part of a core takes besides has to be
-     * covered here.
+     * Kept back from the timeout that is stated to a host. A router may be delayed by 0.15 s between reading the clock
+     * and writing, which is all of the slack that the protocol gives; further delays on a shared core are covered here.
      */
     private static final long TIMEOUT_MARGIN = 50 * MILLISECOND;
-    /** Of little time no more than this part is kept back. */
+    /** At most this fraction (one in so many) of the remaining time is kept back. */
     private static final int MARGIN_DIVISOR = 4;
 
     /**
@@ -33,7 +32,7 @@
         long budget = request.expiryNanos - request.arrivedNanos;
         SampleWindow budgets = request.requestClass.budgets();
         budgets.add(budget, 0, request.arrivedNanos);
-        // Eight samples tell a cluster from scatter; arrivals are read once a tick, so equal budgets spread
+        // Eight samples distinguish a cluster from scatter; arrivals are read once a tick, so equal budgets spread
         // by one.
         long first = budgets.densestMiddle(8 * MILLISECOND);
         boolean marked = traffic.settings.clientsMarkRetries();
@@ -52,8 +51,8 @@
     }
 
     /**
-     * The time within which an answer is of use: the SLA time, or, where many clients leave sooner, what they have
-     * lately waited.
+     * The latency objective in nanoseconds: the SLA time, or, where many clients disconnect sooner, how long they have
+     * waited lately.
      */
     double latencyObjectiveNanos(Request request, long now) {
         long since = now - 10_000 * MILLISECOND;
@@ -102,7 +101,7 @@
         boolean recent = primary != null && primary.newestResponseAtNanos >= request.arrivedNanos - RECENT_RESPONSE;
         long answer =
                 Math.max(recent ? primary.newestResponseDurationNanos : 0, request.group.responseTimes.quantile(0.4));
-        // Past the time that it is told, a host may drop the write without a word.
+        // Past the stated timeout a host may drop the write silently.
         long last = answer == 0 ? responseDeadlineNanos(request) : responseDeadlineNanos(request) - TIMEOUT_MARGIN;
         return (request.requestClass.lateShare() > 0.25 ? last : Math.min(request.slaEndNanos, last)) - answer;
     }
@@ -128,7 +127,7 @@
         return (request.arrivedNanos + responseDeadlineNanos(request)) / 2;
     }
 
-    /** Late answers that earn nothing are not waited for. */
+    /** How long an attempt may take; late answers without any weight are not waited for. */
     long attemptTimeoutNanos(Request request, long now) {
         boolean late =
                 request.requestClass.lateShare() > 0 || request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
@@ -136,7 +135,7 @@
                 - now;
     }
 
-    /** How long a host is told that its answer is waited for, where so much is left of the attempt's time. */
+    /** The timeout to state to a host when an attempt has this much time left, in nanoseconds. */
     long advertisedTimeoutNanos(long remainingNanos) {
         return remainingNanos - Math.min(TIMEOUT_MARGIN, remainingNanos / MARGIN_DIVISOR);
     }
--- a/src/main/java/beaconladder/routing/HealthCheckScheduler.java
+++ b/src/main/java/beaconladder/routing/HealthCheckScheduler.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Which members are asked for the sake of queued requests, and when. */
+/** Schedules probes of hosts on behalf of queued requests. */
 record HealthCheckScheduler(
         TrafficStatistics traffic,
         ClusterClock clock,
@@ -101,7 +101,7 @@
             if (host.state == Host.State.READY
                     && !host.probeInFlight
                     && (toPrimary || host != group.primary)
-                    // One that has just spoken has told what it can, but for a position not there yet.
+                    // A host that has just reported has nothing new to report, unless its position was too low.
                     && (host.lastReportNanos
                                     < Math.max(
                                             now - OutlierDetector.REPORT_MAX_AGE,
--- a/src/main/java/beaconladder/routing/OutlierDetector.java
+++ b/src/main/java/beaconladder/routing/OutlierDetector.java
@@ -7,14 +7,14 @@
 import beaconladder.routing.state.TrafficStatistics;
 import java.util.SplittableRandom;
 
-/** Whether a host is well, as far as this router can tell. */
+/** Detects faulty hosts from how the attempts and probes of this router ended. */
 record OutlierDetector(TrafficStatistics traffic, SplittableRandom random) {
-    /** Reports are up to a quarter second old when they come; what was said before that is history. */
+    /** Reports are up to a quarter second old on arrival; older ones are obsolete. */
     static final long REPORT_MAX_AGE = 300 * MILLISECOND;
-    /** A probe answers within a few milliseconds and a tick; a member that took longer is passed over. */
+    /** A probe is answered within a few milliseconds and a tick; a host that takes longer is passed over. */
     static final long PROBE_TIMEOUT = 40 * MILLISECOND;
 
-    /** Whether the host told of its load lately. */
+    /** Whether the host reported its load lately. */
     boolean hasRecentReport(Host host, long now) {
         return host.reportedInFlight >= 0 && now - host.lastReportNanos <= REPORT_MAX_AGE;
     }
@@ -42,7 +42,7 @@
                 / (faultyLikelihood + healthyLikelihood);
     }
 
-    /** Whether the host spoke lately, or answers this router so often that its times tell as much. */
+    /** Whether the host reported lately, or answers this router so often that its response times are as informative. */
     boolean hasRecentInformation(Host host, long now) {
         return now - host.lastReportNanos <= REPORT_MAX_AGE
                 || host.responseTimes.countSince(now - 3_000 * MILLISECOND) >= 4;
@@ -52,7 +52,7 @@
         return host.probeInFlight && now - host.lastProbeNanos > PROBE_TIMEOUT;
     }
 
-    /** The usual time of an answer from this host. */
+    /** The mean response time of this host in nanoseconds, or of its group while it has too few samples. */
     long typicalResponseNanos(Host host) {
         double mean = host.responseTimes.size() >= 4 ? host.responseTimes.mean() : host.group.responseTimes.mean();
         return mean == 0 ? 200 * MILLISECOND : Math.max(20 * MILLISECOND, (long) mean);
@@ -74,7 +74,7 @@
                         && host.responses.countSince(host.lastResponseNanos) > 0;
     }
 
-    /** A suspect host gets one request at a time, drawn from the posterior of its chance of success. */
+    /** A suspect host gets one request at a time, drawn with its estimated probability of success. */
     boolean mayReceive(Host host, long now) {
         if (isProbeOverdue(host, now)) {
             return false;
--- a/src/main/java/beaconladder/routing/PriorityWeights.java
+++ b/src/main/java/beaconladder/routing/PriorityWeights.java
@@ -4,7 +4,7 @@
 import beaconladder.routing.state.RequestClass;
 import beaconladder.routing.state.TrafficStatistics;
 
-/** What requests and questions are worth, by the prices and the goal that are stated. */
+/** The priority weights of requests and the budget of probes, by the stated prices and goal. */
 record PriorityWeights(TrafficStatistics traffic) {
     int probeBudget(Request request) {
         double affordable = 0.15 * request.requestClass.weight() / (probePrice() * traffic.meanWeight());
@@ -46,7 +46,7 @@
         return weights;
     }
 
-    /** What an answer would still earn. */
+    /** The weight that an answer at this time would still have. */
     double remainingWeight(Request request, long now) {
         return now < request.slaEndNanos
                 ? request.requestClass.weight()
--- a/src/main/java/beaconladder/routing/ReplicaSelector.java
+++ b/src/main/java/beaconladder/routing/ReplicaSelector.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Which host gets a request now. */
+/** Selects the host that gets a request now. */
 record ReplicaSelector(
         TrafficStatistics traffic,
         OutlierDetector outliers,
@@ -18,7 +18,7 @@
         ReadPositions readPositions,
         PriorityWeights weights,
         SplittableRandom random) {
-    /** The host that gets this request now, or null: it waits. */
+    /** The host that gets this request now, or null if the request waits. */
     Host select(Request request, long now) {
         if (request.requestClass.consistency().requiresPrimary()) {
             return selectPrimary(request, now);
@@ -67,7 +67,7 @@
         int j = random.nextInt(eligible.size() - 1);
         Host a = eligible.get(i);
         Host b = eligible.get(j >= i ? j + 1 : j);
-        // A member too far behind for bounded reads is of use for any reads alone, and those leave the others
+        // A replica too far behind for bounded reads can serve unbounded reads only, and those leave the others
         // to the reads that need them, and to catching up.
         if (request.requestClass.consistency() == Consistency.ANY && limit.lagsFarBehind(a) != limit.lagsFarBehind(b)) {
             return limit.lagsFarBehind(a) ? a : b;
--- a/src/main/java/beaconladder/routing/RetryGuard.java
+++ b/src/main/java/beaconladder/routing/RetryGuard.java
@@ -3,7 +3,7 @@
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Request;
 
-/** The one guard of each repeat: what may have run goes again only where its repeat does no harm. */
+/** Guards every retry: an attempt that may have run is repeated only where that is safe. */
 record RetryGuard() {
     /**
      * Whether this attempt may go, or, without one, a further attempt may be decided. A referenced request is judged by
--- a/src/main/java/beaconladder/routing/RetryPolicy.java
+++ b/src/main/java/beaconladder/routing/RetryPolicy.java
@@ -8,9 +8,22 @@
 import beaconladder.routing.state.TrafficStatistics;
 import java.util.List;
 
-/** How many attempts a request gets, and how it ends without a commit. */
-record RetryPolicy(TrafficStatistics traffic) {
-    /** Further attempts go by value: one for the least, four for the most. */
+/** Limits the attempts of a request and decides how it ends without a commit. */
+record RetryPolicy(TrafficStatistics traffic, DeadlinePolicy deadlines) {
+    /** Why this request, which has no attempt in flight, gets no further one; NONE if it may. */
+    RoutingDecision.Reason endReason(Request request, long now) {
+        if (request.attempts.size() - request.localFaults >= maxAttempts(request)) {
+            return RoutingDecision.Reason.ATTEMPTS_USED;
+        }
+        if (now >= deadlines.latestUsefulSendNanos(request)) {
+            return RoutingDecision.Reason.NO_TIME;
+        }
+        return deadlines.isPrimaryOutageTooLong(request, now)
+                ? RoutingDecision.Reason.PRIMARY_LOST
+                : RoutingDecision.Reason.NONE;
+    }
+
+    /** Retries by priority weight: one for the lowest weight, four for the highest. */
     int maxAttempts(Request request) {
         int limit = traffic.settings.maxAttempts();
         return Math.min(limit, 2 + (int) Math.round(3 * request.requestClass.weight() / traffic.maxWeight));
@@ -31,7 +44,7 @@
         return RoutingDecision.rollBack(reason);
     }
 
-    /** Copies that are out when the answer is there are cancelled. */
+    /** The attempts still in flight once the final answer has arrived. */
     List<Attempt> attemptsToCancel(Request request) {
         return traffic.settings.cancelAllowed()
                 ? request.attempts.stream().filter(attempt -> !attempt.ended).toList()
--- a/src/main/java/beaconladder/routing/RoutingPolicy.java
+++ b/src/main/java/beaconladder/routing/RoutingPolicy.java
@@ -27,22 +27,21 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of one router, with the classes beside it; docs/design.md tells why it decides so.
+ * Every decision of one router, with the classes beside it; docs/design.md gives the reasons.
  *
- * <p>How to call it, by {@link Router}: make one a router from the seed and the start-up settings, tell it of hosts
- * with {@link #listed}, ask {@link #place} for each request that comes in, and do what the decision says. An attempt
- * that was sent is added to its request and host; its end goes to {@link #after}. When all that is known at one time
- * has been told, ask {@link #pause}: probe the members it names, {@link #place} the requests it names, repeat until it
- * names none, and come back at its time or with the next news.
+ * <p>How to call it, by {@link Router}: create it from the seed and the settings, report hosts with
+ * {@link #updateHost}, call {@link #route} for each request that arrives, and execute the decision. An attempt that was
+ * sent is added to its request and host; its end goes to {@link #onAttemptEnded}. When all events known at one time are
+ * reported, call {@link #nextWakeup}: probe the hosts it names, {@link #route} the requests it names, and repeat until
+ * it names none. {@link beaconladder.routing.api.DecisionLoop} does this.
  */
 public final class RoutingPolicy implements Router {
-    /** A lack on this machine meets all hosts alike, and ends within milliseconds or not soon. */
+    /** A lack of connections on this machine concerns all hosts, and ends within milliseconds or not soon. */
     private static final long LOCAL_FAULT_BACKOFF = 20 * MILLISECOND;
 
     private final WakeupQueue wakeups = new WakeupQueue();
-    /** Hosts with connections that this router will hardly use again soon. */
+    /** Hosts whose connections this router is unlikely to reuse soon. */
     private final Set<Host> idleHosts = new LinkedHashSet<>();
-
     private final TrafficStatistics traffic;
     private final OutlierDetector outliers;
     private final SlowStart slowStart;
@@ -65,7 +64,7 @@
         deadlines = new DeadlinePolicy(traffic, outliers);
         readPositions = new ReadPositions(traffic, clock, slowStart, new LinkedHashMap<>(64, 0.75f, true));
         weights = new PriorityWeights(traffic);
-        retryPolicy = new RetryPolicy(traffic);
+        retryPolicy = new RetryPolicy(traffic, deadlines);
         ConcurrencyLimit limit = new ConcurrencyLimit(traffic, outliers, deadlines);
         selector = new ReplicaSelector(traffic, outliers, slowStart, deadlines, limit, readPositions, weights, random);
         healthChecks =
@@ -128,13 +127,7 @@
         if (inFlight > 0) {
             return hedge(request, now);
         }
-        RoutingDecision.Reason end = request.attempts.size() - request.localFaults >= retryPolicy.maxAttempts(request)
-                ? RoutingDecision.Reason.ATTEMPTS_USED
-                : now >= deadlines.latestUsefulSendNanos(request)
-                        ? RoutingDecision.Reason.NO_TIME
-                        : deadlines.isPrimaryOutageTooLong(request, now)
-                                ? RoutingDecision.Reason.PRIMARY_LOST
-                                : RoutingDecision.Reason.NONE;
+        RoutingDecision.Reason end = retryPolicy.endReason(request, now);
         if (end != RoutingDecision.Reason.NONE) {
             return retryPolicy.endWithoutCommit(request, end, now);
         }
@@ -153,7 +146,7 @@
         return RoutingDecision.waiting();
     }
 
-    /** A repeatable request that is out at hosts gone silent gets a hedged request elsewhere. */
+    /** An idempotent request in flight only at suspect hosts gets a hedge at another host. */
     private RoutingDecision hedge(Request request, long now) {
         if (request.requestClass.idempotency() != Idempotency.IDEMPOTENT
                 || !traffic.settings.hedgingAllowed()
@@ -180,7 +173,7 @@
         return dispatchGuard.check(attempt, now);
     }
 
-    /** A second less than the stated time: a host's clock of idleness runs from an earlier byte than ours. */
+    /** A second less than the stated time, since a host counts idle time from an earlier byte than this router. */
     @Override
     public long maxIdleNanos() {
         return Math.max(0, traffic.settings.connectionIdleNanos() - 1_000 * MILLISECOND);
@@ -217,11 +210,11 @@
         wakeups.remove(request);
         traffic.disconnectWaits.add((now - request.arrivedNanos) * 1_000 / request.requestClass.slaNanos(), 0, now);
         traffic.recordFailure(request, now);
-        // Work for a client that has gone keeps the next one waiting.
+        // Work for a client that has disconnected delays the requests of others.
         return RoutingDecision.done(retryPolicy.attemptsToCancel(request));
     }
 
-    /** What may have run is waited for, as rule 2 has it, and never sent again: it would run in two places. */
+    /** What may have run is waited for (rule 2) and never sent again, since it would run in two cells. */
     @Override
     public RoutingDecision onAdmissionLost(Request request, long now) {
         wakeups.remove(request);
@@ -242,7 +235,7 @@
         wakeups.takeChanged().forEach(group -> due.addAll(group.queued));
         List<Request> ordered = new ArrayList<>(due);
         double[] classWeights = ordered.size() < 2 ? new double[0] : weights.classWeights();
-        // Of equal worth the one with most time left goes first: with more work than room, the oldest first
+        // Of equal weight the one with most time left goes first: with more work than capacity, the oldest first
         // would have each request served when it is nearly too late, and many when it is.
         ordered.sort(Comparator.<Request>comparingDouble(
                         request -> -weights.remainingWeight(request, now) * classWeights[request.requestClass.index()])
--- a/src/main/java/beaconladder/routing/SlowStart.java
+++ b/src/main/java/beaconladder/routing/SlowStart.java
@@ -10,7 +10,7 @@
 import beaconladder.routing.state.TrafficStatistics;
 import java.util.SplittableRandom;
 
-/** What a host that has just started may be sent, over all routers. */
+/** Limits what all routers together send to a host that has just started. */
 record SlowStart(TrafficStatistics traffic, ClusterClock clock, SplittableRandom random) {
     private static final long RECENT_PERIOD = 10_000 * MILLISECOND;
     /** Two fifths of the stated multiple leave room for chance and for tickets of two windows. */
@@ -59,7 +59,7 @@
             since = Math.max(since, Math.max(group.primaryFoundNanos, primary.startNotifiedNanos));
         }
         int priorWeight = noneWarm ? PRIOR_WEIGHT : 1;
-        // Where the group has told little, the share of types that need the primary among what comes here.
+        // Where the group has few samples, the share of types that need the primary among what comes here.
         double primaryClassShare = (1.0
                         + traffic.requestClasses.stream()
                                 .filter(requestClass ->
@@ -73,7 +73,7 @@
         drawTicket(primary, request.arrivedNanos > group.primaryFoundNanos ? Math.max(1, arrivalsPerDraw) : 1, now);
     }
 
-    /** An attempt has brought its request to an end: what that tells of the work that members bear. */
+    /** Records a settled request as load of the members that were ready or warm at that time. */
     void onRequestSettled(Attempt attempt, boolean committed, long now) {
         if (!committed) {
             traffic.recordFailure(attempt.request, now);
@@ -136,7 +136,7 @@
 
     /**
      * How long ago the host started. By a clock that may be far ahead it would be warm at once, so that until the clock
-     * is confirmed its age is at most the time since this router was told of the start.
+     * is confirmed its age is at most the time since this router was notified of the start.
      */
     private long ageNanos(Host host, long now) {
         long byClockNanos = Math.max(0, clock.hostTimeAt(now) - host.launchedNanos);
--- a/src/main/java/beaconladder/routing/api/DecisionLoop.java
+++ b/src/main/java/beaconladder/routing/api/DecisionLoop.java
@@ -4,10 +4,10 @@
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
 
-/** Carries out what the routing policy answers, in the same rounds at every door: the drill and the sockets. */
+/** Executes the decisions of the routing policy in the same order for the real router and the simulation. */
 public final class DecisionLoop {
 
-    /** What a door does with an answer of the routing policy; it decides nothing. */
+    /** Carries out the actions of a decision; it decides nothing itself. */
     public interface ActionHandler {
         void send(Attempt attempt, long timeoutNanos);
 
@@ -17,7 +17,7 @@
 
         void rollBack(Request request, RoutingDecision.Reason reason);
 
-        /** The request has had its final answer. */
+        /** The request has its final answer. */
         void onRequestEnded(Request request);
 
         void probe(Host host);
@@ -33,7 +33,7 @@
         this.handler = door;
     }
 
-    /** Carries out one decision. */
+    /** Executes one decision for this request. */
     public void execute(Request request, RoutingDecision decision, long now) {
         for (Attempt attempt : decision.attemptsToCancel()) {
             handler.cancel(attempt);
@@ -65,7 +65,7 @@
         }
     }
 
-    /** All known at this time has been told: asks about the requests due; returns when to come again. */
+    /** Routes all requests due, once all events up to now are reported; returns when to call again, in nanoseconds. */
     public long processDue(long now) {
         while (true) {
             NextWakeup wakeup = router.nextWakeup(now);
--- a/src/main/java/beaconladder/routing/api/DelegatingRouter.java
+++ b/src/main/java/beaconladder/routing/api/DelegatingRouter.java
@@ -5,7 +5,7 @@
 import beaconladder.routing.state.Request;
 import beaconladder.routing.state.RequestClass;
 
-/** Decisions within bounds: each question goes on to another router's, but for those that a bound changes. */
+/** Delegates every call to another router; subclasses override the decisions that they restrict. */
 public abstract class DelegatingRouter implements Router {
     protected final Router inner;
 
--- a/src/main/java/beaconladder/routing/api/DispatchCheck.java
+++ b/src/main/java/beaconladder/routing/api/DispatchCheck.java
@@ -1,25 +1,25 @@
 package beaconladder.routing.api;
 
-/** Whether an attempt that was decided may still go, and if not, why; judged right before its bytes. */
+/** Whether an attempt may still be sent, and if not, why; checked right before its bytes. */
 public enum DispatchCheck {
     ALLOWED,
-    /** The request has its final answer, or its client has gone. */
+    /** The request has its final answer, or its client has disconnected. */
     REQUEST_ENDED,
     EXPIRED,
-    /** The request's leave for its cell has ended. */
+    /** The request's admission to its cell has ended. */
     NOT_ADMITTED,
-    /** The host drains or is gone. */
+    /** The host is draining or gone. */
     HOST_LEAVING,
-    /** The host has started anew since the decision: it is in slow start, and its role is unknown. */
+    /** The host has restarted since the decision: it is in slow start, and its role is unknown. */
     HOST_RESTARTED,
-    /** An earlier attempt may have run, and what keeps a retry harmless is no longer given. */
+    /** An earlier attempt may have run, and a retry is no longer safe. */
     MAY_HAVE_RUN,
-    /** Only the primary may take it, and the host is that no longer. */
+    /** Only the primary may take it, and the host no longer is it. */
     NOT_PRIMARY,
-    /** The replica's record does not reach the target any more, as a bound moves on with the clock. */
+    /** The replica's position no longer meets a staleness bound, which advances with the clock. */
     POSITION_BEHIND;
 
-    /** Whether the attempt may go. */
+    /** Whether the attempt may be sent. */
     public boolean isAllowed() {
         return this == ALLOWED;
     }
--- a/src/main/java/beaconladder/routing/api/NextWakeup.java
+++ b/src/main/java/beaconladder/routing/api/NextWakeup.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * How long to wait before asking again.
+ * When to call the router again, and what to do until then.
  *
- * @param until the time of the next look, or {@link #OPEN} when nothing is due by itself
- * @param probe the members to probe now
- * @param close the members whose idle connections to close now
- * @param again the requests to ask about again now, in this order; afterwards ask for a new pause
+ * @param dueNanos the time of the next call, or {@link #NEVER} when only an event can change something
+ * @param hostsToProbe the hosts to probe now
+ * @param hostsToDisconnect the hosts whose idle connections to close now
+ * @param requestsToRoute the requests to route again now, in this order; then ask for the next wakeup again
  */
 public record NextWakeup(
         long dueNanos, List<Host> hostsToProbe, List<Request> requestsToRoute, List<Host> hostsToDisconnect) {
--- a/src/main/java/beaconladder/routing/api/Router.java
+++ b/src/main/java/beaconladder/routing/api/Router.java
@@ -6,14 +6,15 @@
 import beaconladder.routing.state.RequestClass;
 
 /**
- * The decisions of one router, asked like a client library: three questions and a few plain notices.
+ * The decisions of one router, called like a client library: the caller asks what to do ({@link #route},
+ * {@link #onAttemptEnded}, {@link #nextWakeup}) and reports events.
  *
- * <p>Every call carries the clock, in nanoseconds, which never runs backwards. An instance belongs to one router and
- * one thread.
+ * <p>Every call carries the time in nanoseconds on the router's own clock, which never runs backwards. An instance
+ * belongs to one router and is not thread-safe.
  */
 public interface Router {
 
-    /** What is known of a host's role from an answer or a report. */
+    /** A host's role as stated by an answer or a load report. */
     enum Role {
         UNKNOWN,
         PRIMARY,
@@ -39,66 +40,67 @@
             return this == FULL || this == UNREACHABLE || this == MOOT || this == MISS || this == LOCAL_FAULT;
         }
 
-        /** Whether the host itself spoke. */
+        /** Whether the host itself responded. */
         public boolean isFromHost() {
             return this == COMMITTED || this == ERROR || this == FULL || this == MISS;
         }
     }
 
     /**
-     * What a host said of itself.
+     * What a host stated about itself, in an answer or a load report.
      *
      * @param role its role, or {@link Role#UNKNOWN}
-     * @param position the log position it has applied, in nanoseconds on the routers' clock, or {@link #NONE}
-     * @param holds how many requests of all routers it holds, or less than 0 when it did not say
+     * @param position the log position it has applied, in nanoseconds on the routers' clock, or {@link #NO_POSITION}
+     * @param inFlight how many requests of all routers are in flight at it; less than 0 when it did not say
      */
     record HostReport(Role role, long position, double inFlight) {
         public static final long NO_POSITION = Long.MIN_VALUE;
         public static final HostReport EMPTY = new HostReport(Role.UNKNOWN, NO_POSITION, -1);
     }
 
-    /** The request class at this place of the list handed over at start. */
+    /** The request class with this index in the settings. */
     RequestClass requestClass(int index);
 
-    /** First question: where to send this request, now; or not yet, or never. */
+    /** Decides where to send this request now, or that it waits or ends. */
     RoutingDecision route(Request request, long now);
 
-    /** Whether this attempt may still go: asked right before its bytes, as connecting takes time. */
+    /** Whether this attempt may still be sent; called right before its bytes, since connecting takes time. */
     DispatchCheck checkDispatch(Attempt attempt, long now);
 
-    /** How long a host is told that its answer is waited for, where so much is left of the attempt's time. */
+    /** The timeout to state to a host, in nanoseconds, when an attempt has this much time left. */
     long advertisedTimeoutNanos(long remainingNanos);
 
-    /** How long a connection to a host may have been idle and still be used. */
+    /** How long a connection may have been idle and still be reused, in nanoseconds. */
     long maxIdleNanos();
 
     /**
-     * Second question: what to do after this outcome.
+     * Updates the state of the host and decides what the request does after this outcome.
      *
+     * @param settled whether this outcome is the request's final answer
      * @param answer what the answer itself says (exact when it was given)
-     * @param report a report that came along, of some age
+     * @param report the load report sent along, which may be some hundred milliseconds old
      */
     RoutingDecision onAttemptEnded(
             Attempt attempt, Outcome outcome, boolean settled, HostReport answer, HostReport report, long now);
 
-    /** Third question: how long to wait; names the members to probe and the requests to ask about again. */
+    /** When to call again, which hosts to probe or disconnect, and which requests to {@link #route} again now. */
     NextWakeup nextWakeup(long now);
 
-    /** The endpoint list lists a host (or no longer does: then its state is gone). */
+    /** Takes over the listed state of a host; one that is no longer listed has the state {@link Host.State#GONE}. */
     void updateHost(Host host, boolean listedAsPrimary, Host.State state, long launchedNanos, long now);
 
-    /** Lets go of a host that is gone; false while something that was sent to it may still matter. */
+    /** Removes a host that is gone; returns false while an attempt or a probe sent to it may still matter. */
     boolean removeHost(Host host, long now);
 
-    /** A probe came back. */
+    /** Records how a probe ended. */
     void onHealthCheckEnded(Host host, Outcome outcome, HostReport report, long now);
 
-    /** The client of this request has left: the decision names what to call off. */
+    /** The client of this request has disconnected; the decision names the attempts to cancel. */
     RoutingDecision onClientDisconnected(Request request, long now);
 
     /**
-     * This request may no longer go where it was let in (its tenant has moved, or the leave has run out): the decision
-     * ends it, or waits for what is out. Nothing more is sent for it.
+     * This request is no longer admitted to its cell, since its tenant has migrated or the admission has expired. The
+     * decision ends it, or waits for the attempts in flight; nothing more is sent for it.
      */
     RoutingDecision onAdmissionLost(Request request, long now);
 }
--- a/src/main/java/beaconladder/routing/api/RoutingDecision.java
+++ b/src/main/java/beaconladder/routing/api/RoutingDecision.java
@@ -6,15 +6,15 @@
 import java.util.List;
 
 /**
- * What to do with a request now.
+ * What a request does now.
  *
  * @param step the step to take
- * @param host for {@link Step#SEND}: the member to send to
- * @param timeout for {@link Step#SEND}: how long this attempt may take
- * @param comeBack for {@link Step#DECLINE}: how long the client should stay away; 0 says nothing
- * @param cancel attempts to call off
- * @param ticket for {@link Step#SEND}: what the host's slow start asked for
- * @param reason for {@link Step#DECLINE} and {@link Step#ROLL_BACK}: why there is no commit
+ * @param host for {@link Step#SEND}: the host to send to
+ * @param timeoutNanos for {@link Step#SEND}: how long this attempt may take
+ * @param retryAfterNanos for {@link Step#REJECT}: how long the client should wait before a retry; 0 for no advice
+ * @param attemptsToCancel attempts in flight to cancel
+ * @param slowStartTicket for {@link Step#SEND}: whether the host's slow start requires a ticket, and one was used
+ * @param reason for {@link Step#REJECT} and {@link Step#ROLL_BACK}: why there is no commit
  */
 public record RoutingDecision(
         Step step,
@@ -55,7 +55,7 @@
         return WAITING;
     }
 
-    /** The same send, with what its host's slow start asked for. */
+    /** The same decision with this state of the slow-start ticket. */
     public RoutingDecision withTicket(SlowStartTicket slowStartTicket) {
         return new RoutingDecision(
                 step, host, timeoutNanos, retryAfterNanos, attemptsToCancel, slowStartTicket, reason);
--- /dev/null
+++ b/src/main/java/beaconladder/routing/api/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * The interface between the routing policy and the programs that run it: the real router, the simulation and test beds.
+ */
+package beaconladder.routing.api;
--- a/src/test/java/beaconladder/routing/HostHealthTest.java
+++ b/src/test/java/beaconladder/routing/HostHealthTest.java
@@ -13,7 +13,7 @@
 class HostHealthTest {
     /** Its own times are work, not queue, while it alone keeps a host busy; the host's report tells so. */
     @Test
-    void aHostThatSaysItHoldsLittleHasRoomThoughItsTimesScaledWouldBeTooLong() {
+    void aHostThatReportsLowLoadHasCapacityThoughItsScaledTimesWouldBeTooLong() {
         Script s = Script.warm("replicas_of_me=3");
         for (int i = 1; i <= 12; i++) {
             s.ask(i, ANY, 0, 2000).tick(170 * i).end(i, Outcome.COMMITTED, Role.REPLICA, 170 * i);
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aRouterWithoutATxnAsksNobody() {
+    void aRouterWithoutARequestProbesNoHost() {
         Script s = new Script().list("a*", "b", "c").tick(5000);
         assertThat(s.trace()).isEqualTo("");
     }
@@ -162,7 +162,7 @@
     }
 
     @Test
-    void aHostThatSaysItIsIdleAndAnswersNothingLosesAgainstItsTimes() {
+    void aSilentHostThatReportsToBeIdleIsJudgedByItsResponseTimes() {
         Script s = Script.warm("fees.probe=0.01");
         for (int i = 0; i < 8; i++) {
             s.tick(1000 + 400 * i)
--- a/src/test/java/beaconladder/routing/PrimaryClockTest.java
+++ b/src/test/java/beaconladder/routing/PrimaryClockTest.java
@@ -109,7 +109,7 @@
 
     /** One that another has followed still calls itself the primary, and its log stands still. */
     @Test
-    void aPrimaryWhoseReplicasAreAheadOfItTellsNothingOfTheTime() {
+    void aPrimaryBehindItsReplicasIsNoEvidenceOfTheTime() {
         Script script = Script.warm();
         int at = 2_000;
         for (int i = 0; i <= READS; i++) {
--- a/src/test/java/beaconladder/routing/RepeatTest.java
+++ b/src/test/java/beaconladder/routing/RepeatTest.java
@@ -39,7 +39,7 @@
 
     /** The decision was inside the memory time of 300 ms; the connection that it waited for came up behind it. */
     @Test
-    void aRepeatDoesNotStandOnceItsMemoryTimeIsOver() {
+    void aRetryIsNotDispatchedOnceItsKeyTtlIsOver() {
         Script s = Script.warm()
                 .tick(100)
                 .ask(1, REFERENCED, 0, 2000)
@@ -54,7 +54,7 @@
 
     /** It was sent to a warm host, or on a ticket of the start before; what connects late meets a warming-up one. */
     @Test
-    void anAttemptDoesNotStandOnceItsHostHasStartedAnew() {
+    void anAttemptIsNotDispatchedOnceItsHostHasRestarted() {
         Script s = Script.warm().tick(5_000).ask(1, ANY, 0, 2000).stands(1);
         String host = s.trace().replaceAll("(?s).*send 1 to (.).*", "$1");
         s.list(host, false, Host.State.READY, 5_000).stands(1);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aOnceOnlyTxnIsRepeatedOnlyWhereItIsKnownNotToHaveRun() {
+    void aNonIdempotentRequestIsRetriedOnlyWhereItIsKnownNotToHaveRun() {
         StringBuilder all = new StringBuilder();
         for (Outcome outcome : Outcome.values()) {
             all.append(Script.warm()
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aReferencedTxnIsRepeatedOnlyInsideTheMemoryOfItsGroup() {
+    void aRequestWithAKeyIsRetriedOnlyWithinTheKeyTtlOfItsGroup() {
         Script s = Script.warm()
                 .ask(1, REFERENCED, 0, 2000)
                 .tick(100)
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void aRepeatableTxnAtAHostGoneSilentGetsACopyElsewhere() {
+    void anIdempotentRequestAtASilentHostIsHedgedElsewhere() {
         Script s = Script.warm()
                 .list("c", false, Host.State.GONE, 0)
                 .ask(1, ANY, 0, 2000)
@@ -246,7 +246,7 @@
 
     /** The primary is lost at 100: a write of then may outlast that, one of four seconds later is told. */
     @Test
-    void aWriteInALongOutageIsGivenUpAtHalfOfItsTime() {
+    void aWriteInALongOutageIsRejectedAtHalfOfItsTime() {
         Script s = Script.warm()
                 .ask(1, WRITE, 0, 2000)
                 .tick(90)
--- a/src/test/java/beaconladder/routing/RoutingPolicyTest.java
+++ b/src/test/java/beaconladder/routing/RoutingPolicyTest.java
@@ -14,7 +14,7 @@
 /** Which host a request goes to, when, and which of several goes first. */
 class RoutingPolicyTest {
     @Test
-    void aReadIsHeldUntilAReplicaIsKnownAtItsTarget() {
+    void aReadIsQueuedUntilAReplicaIsKnownAtItsTarget() {
         Script s = Script.warm()
                 .tick(400)
                 .ask(1, SESSION, 100, 2000)
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aBoundIsJudgedAtTheSendSoTheTargetMovesUpWhileHeld() {
+    void aStalenessBoundIsCheckedAtTheSendSoTheTargetAdvancesWhileQueued() {
         Script s = Script.warm()
                 .tick(600)
                 .ask(1, BOUNDED, 0, 2000)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aHeldReadGoesToThePrimaryNearItsExpiry() {
+    void aQueuedReadGoesToThePrimaryNearItsExpiry() {
         Script s = Script.warm().tick(600).quiet().ask(1, BOUNDED, 0, 1000).tick(1000);
         assertThat(s.trace()).isEqualTo("""
                 600 ask 1 bounded
@@ -64,7 +64,7 @@
      * it was worth sending, reckoned by the group's slower replicas.
      */
     @Test
-    void aHeldReadIsReleasedToThePrimaryBeforeItIsNoLongerWorthSending() {
+    void aQueuedReadIsReleasedToThePrimaryBeforeItsLatestUsefulSend() {
         Script s = Script.warm();
         long t = 0;
         for (int i = 1; i <= 12; i++) {
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void ofHeldTxnsTheOneWithMostTimeLeftGoesFirst() {
+    void ofQueuedRequestsTheOneWithMostTimeLeftGoesFirst() {
         Script s = Script.warm()
                 .list("b", false, Host.State.GONE, 0)
                 .list("c", false, Host.State.DRAINING, 0)
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void aClientsRepeatWhoseSlaTimeIsOverIsDeclinedAtOnce() {
+    void aClientsRetryPastItsSlaTimeIsRejectedAtOnce() {
         Script s = Script.warm("limits.retry_after=true", "limits.max_retry_after_us=500000");
         for (int i = 0; i < 8; i++) {
             s.ask(i, ANY, 0, 1500).end(i, Outcome.COMMITTED, Role.REPLICA, 0);
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void whatAClientThatLeftIsOutForIsCalledOff() {
+    void attemptsOfADisconnectedClientAreCancelled() {
         Script s = Script.warm().ask(1, ANY, 0, 2000).tick(300).left(1);
         assertThat(s.trace()).isEqualTo("""
                 0 ask 1 any
@@ -227,7 +227,7 @@
     }
 
     @Test
-    void aHeldTxnIsGivenUpWhenMostAnswersWouldComeTooLate() {
+    void aQueuedRequestIsRejectedWhenMostAnswersWouldComeTooLate() {
         Script s = Script.warm();
         for (int i = 0; i < 8; i++) {
             s.tick(200 * i).ask(i, ANY, 0, 2000).tick(200 * i + 190).end(i, Outcome.COMMITTED);
--- a/src/test/java/beaconladder/routing/SlowStartTest.java
+++ b/src/test/java/beaconladder/routing/SlowStartTest.java
@@ -17,7 +17,7 @@
      * of a member was reckoned over all members, warming-up ones too, and over the requests rejected so.
      */
     @Test
-    void aColdHostGetsItsShareOfWhatAWarmMemberBears() {
+    void aHostInSlowStartGetsItsShareOfAWarmMembersLoad() {
         Script s = Script.warm("rules.cold_share=0.5", "rules.warm_within_us=600000000", "rules.fall_multiple=3")
                 .tick(10)
                 .list("b", false, Host.State.READY, 10)
@@ -51,7 +51,7 @@
      * unused.
      */
     @Test
-    void theTicketsOfAColdPrimaryGoToTheTxnsThatNeedIt() {
+    void theTicketsOfAPrimaryInSlowStartGoToTheRequestsThatNeedIt() {
         Script s = Script.warm("rules.cold_share=0.2", "rules.warm_within_us=360000000000", "rules.fall_multiple=3")
                 .tick(10)
                 .list("a", true, Host.State.READY, 10)
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aColdHostIsSentToOnTicketsAlone() {
+    void aHostInSlowStartIsSentToOnlyWithTickets() {
         Script s = Script.warm()
                 .tick(10)
                 .list("b", false, Host.State.READY, 10)
--- a/src/test/java/beaconladder/routing/state/WakeupQueueTest.java
+++ b/src/test/java/beaconladder/routing/state/WakeupQueueTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void groupsWithTxnsOnHoldComeInTheOrderInWhichGroupsWereListed() {
+    void groupsWithQueuedRequestsKeepTheOrderInWhichGroupsWereListed() {
         Group a = new Group(9);
         Group b = new Group(3);
         Group never = new Group(1);
