--- a/src/main/java/beaconladder/routing/RoutingPolicy.java
+++ b/src/main/java/beaconladder/routing/RoutingPolicy.java
@@ -42,6 +42,7 @@
     private final WakeupQueue wakeups = new WakeupQueue();
     /** Hosts whose connections this router is unlikely to reuse soon. */
     private final Set<Host> idleHosts = new LinkedHashSet<>();
+
     private final TrafficStatistics traffic;
     private final OutlierDetector outliers;
     private final SlowStart slowStart;
