--- a/src/main/java/beaconladder/app/CellsCommand.java
+++ b/src/main/java/beaconladder/app/CellsCommand.java
@@ -191,7 +191,7 @@
 
     private Plan kept(CheckCommand.PlanOption file) throws IOException {
         Plan plan = CheckCommand.plan(file.file(), spec.commandLine());
-        if (plan != null && plan.keeper() == null) {
+        if (plan != null && plan.coordinator() == null) {
             throw new IOException(file.file() + " states no keeper");
         }
         return plan;
@@ -199,7 +199,7 @@
 
     private static Map<?, ?> call(Plan plan, String path) throws IOException {
         try {
-            Object answer = JsonReader.parse(new HttpFetcher(plan.keeper().at(), true).get(path, CALL_MILLIS));
+            Object answer = JsonReader.parse(new HttpFetcher(plan.coordinator().address(), true).get(path, CALL_MILLIS));
             if (answer instanceof Map<?, ?> map) {
                 if (map.get("error") != null) {
                     throw new IOException(String.valueOf(map.get("error")));
@@ -209,7 +209,7 @@
         } catch (JsonReader.ParseException e) {
             throw new IOException("the keeper's answer can't be read: " + e.getMessage());
         } catch (java.net.ConnectException e) {
-            throw new IOException("no keeper answers at " + plan.keeper().at());
+            throw new IOException("no keeper answers at " + plan.coordinator().address());
         }
         throw new IOException("the keeper's answer can't be read");
     }
--- a/src/main/java/beaconladder/app/CheckCommand.java
+++ b/src/main/java/beaconladder/app/CheckCommand.java
@@ -39,16 +39,16 @@
                         file,
                         plan.cells().size(),
                         plan.tenants().size(),
-                        plan.keeper() == null
+                        plan.coordinator() == null
                                 ? "no keeper"
-                                : "a keeper at " + plan.keeper().at());
+                                : "a keeper at " + plan.coordinator().address());
         return 0;
     }
 
     /** Reads a plan; null where it has mistakes, which are told. */
     static Plan plan(Path file, CommandLine line) {
         PlanReader.Result read = PlanReader.read(file);
-        for (PlanError fault : read.faults()) {
+        for (PlanError fault : read.errors()) {
             line.getErr().println(fault);
         }
         return read.plan();
--- a/src/main/java/beaconladder/app/FeedCommand.java
+++ b/src/main/java/beaconladder/app/FeedCommand.java
@@ -192,12 +192,12 @@
     private List<InetSocketAddress> leaseServers(CheckCommand.PlanOption file) throws FeedInputException {
         PlanReader.Result result = PlanReader.read(file.file());
         if (result.plan() == null) {
-            throw new FeedInputException(String.valueOf(result.faults().get(0)));
+            throw new FeedInputException(String.valueOf(result.errors().get(0)));
         }
         if (result.plan().leases() == null) {
             throw new FeedInputException(file.file() + " states no grantors, and so nobody who could be asked");
         }
-        return result.plan().leases().grantors().stream().map(Plan.Grantor::at).toList();
+        return result.plan().leases().servers().stream().map(Plan.LeaseServer::clientAddress).toList();
     }
 
     private int invalidInput(String message) {
--- a/src/main/java/beaconladder/app/FeedDocumentReader.java
+++ b/src/main/java/beaconladder/app/FeedDocumentReader.java
@@ -30,7 +30,7 @@
         if (name.equals(PLAN)) {
             PlanReader.Result result = PlanReader.read(file.toString(), text);
             if (result.plan() == null) {
-                throw new FeedInputException(String.valueOf(result.faults().get(0)));
+                throw new FeedInputException(String.valueOf(result.errors().get(0)));
             }
         }
         if (name.endsWith(JSON_SUFFIX)) {
--- a/src/main/java/beaconladder/app/LeaseCommand.java
+++ b/src/main/java/beaconladder/app/LeaseCommand.java
@@ -116,8 +116,8 @@
         try (LeaseClient client = client(plan)) {
             LeaseResponse response = sendToAny(
                     client,
-                    LeaseRequest.handOver(task, successor, plan.leases().length()),
-                    plan.leases().grantors().size());
+                    LeaseRequest.handOver(task, successor, plan.leases().durationNanos()),
+                    plan.leases().servers().size());
             spec.commandLine()
                     .getOut()
                     .println(
@@ -153,7 +153,7 @@
 
     private static LeaseClient client(Plan plan) {
         return new LeaseClient(
-                plan.leases().grantors().stream().map(Plan.Grantor::at).toList(), 0, TIMEOUT_MILLIS);
+                plan.leases().servers().stream().map(Plan.LeaseServer::clientAddress).toList(), 0, TIMEOUT_MILLIS);
     }
 
     private Plan planWithLeases(CheckCommand.PlanOption file) throws IOException {
--- a/src/main/java/beaconladder/cells/CellAdmission.java
+++ b/src/main/java/beaconladder/cells/CellAdmission.java
@@ -51,7 +51,7 @@
     }
 
     private List<Integer> servedCells(StaticPlacement next) {
-        List<String> names = next.plan().serves().get(router);
+        List<String> names = next.plan().cellsByRouter().get(router);
         return names == null ? null : names.stream().map(next::cellIndex).toList();
     }
 
@@ -125,7 +125,7 @@
 
     /** The most that a request may be in flight, in nanoseconds: a write fence waits this long for unknown outcomes. */
     public long maxInFlightNanos() {
-        return placement.isCoordinated() ? staticPlacement().plan().keeper().expiry() : Long.MAX_VALUE;
+        return placement.isCoordinated() ? staticPlacement().plan().coordinator().requestExpiryNanos() : Long.MAX_VALUE;
     }
 
     /** An admitted request is in flight from now on. */
--- a/src/main/java/beaconladder/cells/MigrationTransitions.java
+++ b/src/main/java/beaconladder/cells/MigrationTransitions.java
@@ -17,10 +17,10 @@
     private final long maxCopyNanos;
     private final long maxFenceNanos;
 
-    MigrationTransitions(Plan.Keeper limits, RouterLeases routers) {
+    MigrationTransitions(Plan.Coordinator limits, RouterLeases routers) {
         this.routers = routers;
-        maxCopyNanos = limits.copy();
-        maxFenceNanos = limits.fence();
+        maxCopyNanos = limits.maxCopyNanos();
+        maxFenceNanos = limits.maxFenceNanos();
     }
 
     /** The step that is due, or null. */
--- a/src/main/java/beaconladder/cells/PlacementProblem.java
+++ b/src/main/java/beaconladder/cells/PlacementProblem.java
@@ -38,9 +38,9 @@
         int tenantCount = plan.tenants().size();
         int cellCount = plan.cells().size();
         double totalLoad =
-                plan.tenants().stream().mapToDouble(Plan.Tenant::load).sum();
+                plan.tenants().stream().mapToDouble(Plan.Tenant::requestsPerSecond).sum();
         double totalValue =
-                plan.tenants().stream().mapToDouble(t -> t.load() * t.value()).sum();
+                plan.tenants().stream().mapToDouble(t -> t.requestsPerSecond() * t.priorityWeight()).sum();
         Map<String, Integer> cellIndices = new HashMap<>();
         for (int i = 0; i < cellCount; i++) {
             cellIndices.put(plan.cells().get(i).name(), i);
@@ -52,8 +52,8 @@
         for (int i = 0; i < tenantCount; i++) {
             Plan.Tenant tenant = plan.tenants().get(i);
             currentCell[i] = cellIndices.get(tenant.cell());
-            load[i] = scaled(cellCount * tenant.load(), totalLoad);
-            valueAtRisk[i] = scaled(cellCount * tenant.load() * tenant.value(), totalValue);
+            load[i] = scaled(cellCount * tenant.requestsPerSecond(), totalLoad);
+            valueAtRisk[i] = scaled(cellCount * tenant.requestsPerSecond() * tenant.priorityWeight(), totalValue);
             movable[i] = !tenant.fixed();
         }
         int[] capacity = plan.cells().stream()
@@ -81,7 +81,7 @@
         }
         List<int[]> pairs = new ArrayList<>();
         for (int i = 0; i < tenants.size(); i++) {
-            for (String other : tenants.get(i).apart()) {
+            for (String other : tenants.get(i).apartFrom()) {
                 pairs.add(new int[] {i, indices.get(other)});
             }
         }
--- a/src/main/java/beaconladder/cells/PlanCompatibility.java
+++ b/src/main/java/beaconladder/cells/PlanCompatibility.java
@@ -20,7 +20,7 @@
     }
 
     private static boolean isCoordinated(StaticPlacement placement) {
-        return placement.plan().keeper() != null;
+        return placement.plan().coordinator() != null;
     }
 
     private static String cellsIncompatibility(StaticPlacement current, StaticPlacement next) {
--- a/src/main/java/beaconladder/cells/RouterPlacement.java
+++ b/src/main/java/beaconladder/cells/RouterPlacement.java
@@ -23,7 +23,7 @@
 
     void replacePlan(StaticPlacement next) {
         staticPlacement = next;
-        coordinated = next.plan().keeper() != null;
+        coordinated = next.plan().coordinator() != null;
         planMatches = next.fingerprint().equals(granted.planFingerprint());
     }
 
--- a/src/main/java/beaconladder/cells/StaticPlacement.java
+++ b/src/main/java/beaconladder/cells/StaticPlacement.java
@@ -136,7 +136,7 @@
             return cached;
         }
         long hash = Hashing.xxh3_64().hashCharsToLong(tenant);
-        int size = Math.min(plan.others().spread(), cells.size());
+        int size = Math.min(plan.others().cellsPerTenant(), cells.size());
         int[] shard = new int[size];
         long[] weights = new long[size];
         int filled = 0;
@@ -185,7 +185,7 @@
             cell.groups().forEach(stream::putInt);
             stream.putInt(-1);
         }
-        stream.putInt(plan.others() == null ? 0 : plan.others().spread());
+        stream.putInt(plan.others() == null ? 0 : plan.others().cellsPerTenant());
         return Long.toHexString(stream.getAsLong());
     }
 }
--- a/src/main/java/beaconladder/cells/TenantMigrations.java
+++ b/src/main/java/beaconladder/cells/TenantMigrations.java
@@ -44,8 +44,8 @@
 
     /** No records applied yet; the plan must state a coordinator, whose time limits hold for good. */
     public TenantMigrations(StaticPlacement staticPlacement) {
-        Plan.Keeper limits = staticPlacement.plan().keeper();
-        routers = new RouterLeases(limits.lease(), limits.expiry());
+        Plan.Coordinator limits = staticPlacement.plan().coordinator();
+        routers = new RouterLeases(limits.leaseNanos(), limits.requestExpiryNanos());
         transitions = new MigrationTransitions(limits, routers);
         state = new MigrationState(staticPlacement, routers);
     }
--- a/src/main/java/beaconladder/coordinator/Coordinator.java
+++ b/src/main/java/beaconladder/coordinator/Coordinator.java
@@ -65,17 +65,17 @@
      */
     public Coordinator(Path file, Plan plan) throws IOException {
         this.file = file;
-        if (plan.keeper() == null) {
+        if (plan.coordinator() == null) {
             throw new IOException(file + " states no keeper");
         }
-        records = DurableRecords.open(Path.of(plan.keeper().store()));
+        records = DurableRecords.open(Path.of(plan.coordinator().recordsDirectory()));
         moves = new TenantMigrations(new StaticPlacement(plan));
         try {
             for (byte[] record : records.recovered()) {
                 moves.apply(CoordinatorProtocol.read(record, MigrationStep.class));
             }
             moves.recoveredAt(now());
-            server = HttpServer.create(plan.keeper().at(), 512);
+            server = HttpServer.create(plan.coordinator().address(), 512);
         } catch (IOException | RuntimeException e) {
             records.close();
             throw e instanceof IOException fault ? fault : new IOException("a record makes no sense: " + e, e);
@@ -84,7 +84,7 @@
                 "{} records, {} moves under way",
                 records.recovered().size(),
                 moves.statuses(now()).size());
-        watch = new EndpointWatch(plan.keeper().discovery(), hosts);
+        watch = new EndpointWatch(plan.coordinator().discoveryAddress(), hosts);
         server.setExecutor(threads);
         server.createContext("/v1/placement", exchange -> answer(exchange, this::placement));
         server.createContext("/v1/cells", exchange -> answer(exchange, this::cells));
@@ -97,7 +97,7 @@
         loop.setDaemon(true);
         loop.start();
         server.start();
-        LOG.info("the keeper answers at {}", plan.keeper().at());
+        LOG.info("the keeper answers at {}", plan.coordinator().address());
     }
 
     /** Unix time in nanoseconds, of the clock that all machines read. */
@@ -109,8 +109,8 @@
     /** Reads the plan again, whole or not at all. */
     public void reload() {
         PlanReader.Result read = PlanReader.read(file);
-        if (read.plan() == null || read.plan().keeper() == null) {
-            read.faults().forEach(fault -> LOG.warn("{}", fault));
+        if (read.plan() == null || read.plan().coordinator() == null) {
+            read.errors().forEach(fault -> LOG.warn("{}", fault));
             LOG.warn("not reloaded, all stays as it was");
             return;
         }
@@ -125,11 +125,11 @@
     private synchronized void propose(Plan plan) {
         try {
             settle(now());
-            for (Plan.Relocation move : plan.moves()) {
+            for (Plan.Relocation move : plan.relocations()) {
                 try {
-                    write(moves.propose(move.tenant(), move.to(), file.toString(), now()));
+                    write(moves.propose(move.tenant(), move.targetCell(), file.toString(), now()));
                 } catch (IllegalArgumentException e) {
-                    LOG.info("the plan's move of {} to {}: {}", move.tenant(), move.to(), e.getMessage());
+                    LOG.info("the plan's move of {} to {}: {}", move.tenant(), move.targetCell(), e.getMessage());
                 }
             }
         } catch (IOException e) {
--- a/src/main/java/beaconladder/coordinator/HostQueries.java
+++ b/src/main/java/beaconladder/coordinator/HostQueries.java
@@ -142,13 +142,13 @@
             }
             long copied = tenant == null
                     ? Long.MIN_VALUE
-                    : Decimal.read(
+                    : Decimal.parseScaled(
                             line.ask(
                                             "SELECT copied FROM beaconladder_feeds WHERE tenant = '" + tenant + "'",
                                             ASK_MILLIS)
                                     .cell(),
                             6);
-            return new Said(host, "1".equals(fields.get("x1")), Decimal.read(fields.get("x0"), 9), copied);
+            return new Said(host, "1".equals(fields.get("x1")), Decimal.parseScaled(fields.get("x0"), 9), copied);
         } catch (IOException e) {
             drop(host);
             throw e;
--- a/src/main/java/beaconladder/coordinator/HostQuery.java
+++ b/src/main/java/beaconladder/coordinator/HostQuery.java
@@ -2,7 +2,7 @@
 
 import beaconladder.pg.MemoryLimit;
 import beaconladder.pg.MessageReader;
-import beaconladder.pg.MessageReader.Got;
+import beaconladder.pg.MessageReader.ReadStatus;
 import beaconladder.pg.MessageWriter;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -45,24 +45,24 @@
         String error = null;
         long until = System.nanoTime() + millis * 1_000_000L;
         while (true) {
-            Got got = in.next(until, millis * 1_000_000L);
-            if (got != Got.MESSAGE) {
+            ReadStatus got = in.readMessage(until, millis * 1_000_000L);
+            if (got != ReadStatus.MESSAGE) {
                 throw new IOException("no whole answer: " + got);
             }
             switch (in.type()) {
                 case 'S' -> {
-                    if (!in.texts(2)) {
+                    if (!in.isCStrings(2)) {
                         throw new IOException("a report that can't be read");
                     }
-                    said.put(in.text(in.at()), in.text(in.after(in.at())));
+                    said.put(in.cString(in.bodyStart()), in.cString(in.afterCString(in.bodyStart())));
                 }
                 case 'D' -> {
-                    if (!in.isRowOfOne()) {
+                    if (!in.isSingleColumnRow()) {
                         throw new IOException("a row that is not of one column");
                     }
                     MessageWriter row = new MessageWriter();
                     in.copyTo(row);
-                    cell = row.cell();
+                    cell = row.firstValue();
                 }
                 case 'E' -> error = in.isError() ? in.errorField('C') + " " + in.errorField('M') : "an error";
                 case 'Z' -> {
--- a/src/main/java/beaconladder/lease/server/LeaseServer.java
+++ b/src/main/java/beaconladder/lease/server/LeaseServer.java
@@ -50,24 +50,24 @@
      *     damaged
      */
     public LeaseServer(Plan.Leases plan, String name, LongSupplier clock) throws IOException {
-        Plan.Grantor self = plan.grantor(name);
+        Plan.LeaseServer self = plan.server(name);
         if (self == null) {
             throw new IOException("no grantor '" + name + "' is stated");
         }
-        List<RaftPeer> peers = plan.grantors().stream()
+        List<RaftPeer> peers = plan.servers().stream()
                 .map(each -> RaftPeer.newBuilder()
                         .setId(each.name())
-                        .setAddress(each.raft())
+                        .setAddress(each.raftAddress())
                         .build())
                 .toList();
         RaftGroup group = RaftGroup.valueOf(RaftSettings.GROUP, peers);
-        Path folder = Path.of(self.store());
+        Path folder = Path.of(self.logDirectory());
         RaftStorage.StartupOption startup = startupOption(folder);
         Files.createDirectories(folder);
         RaftProperties properties = RaftSettings.properties(plan, self, folder);
-        LeaseStateMachine stateMachine = new LeaseStateMachine(clock, plan.bound());
+        LeaseStateMachine stateMachine = new LeaseStateMachine(clock, plan.maxClockErrorNanos());
         server = RaftServer.newBuilder()
-                .setServerId(peers.get(plan.grantors().indexOf(self)).getId())
+                .setServerId(peers.get(plan.servers().indexOf(self)).getId())
                 .setGroup(group)
                 .setProperties(properties)
                 .setStateMachine(stateMachine)
@@ -80,8 +80,8 @@
                 .setRetryPolicy(RaftSettings.retryPolicy())
                 .build();
         gossip = startGossip(plan, self);
-        http = startHttp(self.at(), stateMachine);
-        LOG.info("lease server {} listens at {}, {} of them at {}", name, self.at(), peers.size(), self.raft());
+        http = startHttp(self.clientAddress(), stateMachine);
+        LOG.info("lease server {} listens at {}, {} of them at {}", name, self.clientAddress(), peers.size(), self.raftAddress());
     }
 
     private static RaftStorage.StartupOption startupOption(Path folder) {
@@ -90,12 +90,12 @@
     }
 
     /** Lease servers are the seeds of the fleet's membership. */
-    private static GossipService startGossip(Plan.Leases plan, Plan.Grantor self) throws IOException {
-        if (self.gossip() == null) {
+    private static GossipService startGossip(Plan.Leases plan, Plan.LeaseServer self) throws IOException {
+        if (self.gossipAddress() == null) {
             return null;
         }
-        InetSocketAddress bind = new InetSocketAddress(self.at().getAddress(), RaftSettings.port(self.gossip()));
-        GossipService gossip = new GossipService(self.name(), bind, self.gossip(), plan.seeds());
+        InetSocketAddress bind = new InetSocketAddress(self.clientAddress().getAddress(), RaftSettings.port(self.gossipAddress()));
+        GossipService gossip = new GossipService(self.name(), bind, self.gossipAddress(), plan.gossipSeeds());
         Thread thread = new Thread(gossip, "gossip");
         thread.setDaemon(true);
         thread.start();
--- a/src/main/java/beaconladder/lease/server/RaftSettings.java
+++ b/src/main/java/beaconladder/lease/server/RaftSettings.java
@@ -39,14 +39,14 @@
 
     private RaftSettings() {}
 
-    static RaftProperties properties(Plan.Leases plan, Plan.Grantor self, Path folder) {
+    static RaftProperties properties(Plan.Leases plan, Plan.LeaseServer self, Path folder) {
         RaftProperties properties = new RaftProperties();
         RaftServerConfigKeys.setStorageDir(properties, List.of(folder.toFile()));
         RaftConfigKeys.Rpc.setType(properties, SupportedRpcType.GRPC);
-        GrpcConfigKeys.Server.setHost(properties, self.at().getAddress().getHostAddress());
-        GrpcConfigKeys.Server.setPort(properties, port(self.raft()));
-        setTimeouts(properties, plan.length());
-        setLog(properties, plan.disk());
+        GrpcConfigKeys.Server.setHost(properties, self.clientAddress().getAddress().getHostAddress());
+        GrpcConfigKeys.Server.setPort(properties, port(self.raftAddress()));
+        setTimeouts(properties, plan.durationNanos());
+        setLog(properties, plan.maxDiskBytes());
         RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
         RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, ENTRIES_PER_SNAPSHOT);
         RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, SNAPSHOTS_KEPT);
--- a/src/main/java/beaconladder/pg/Decimal.java
+++ b/src/main/java/beaconladder/pg/Decimal.java
@@ -19,7 +19,7 @@
      *
      * @return {@link #NONE} where the text is no decimal number or the result no long
      */
-    public static long read(String text, int power) {
+    public static long parseScaled(String text, int power) {
         if (text == null || text.length() > LONGEST_TEXT) {
             return NONE;
         }
--- a/src/main/java/beaconladder/pg/MemoryLimit.java
+++ b/src/main/java/beaconladder/pg/MemoryLimit.java
@@ -18,23 +18,23 @@
     }
 
     /** Takes so many bytes; false when they are not to be had. */
-    boolean take(int bytes) {
-        if (left.addAndGet(-bytes) >= 0 && (whole == null || whole.take(bytes))) {
+    boolean tryReserve(int bytes) {
+        if (left.addAndGet(-bytes) >= 0 && (whole == null || whole.tryReserve(bytes))) {
             return true;
         }
         left.addAndGet(bytes);
         return false;
     }
 
-    void give(int bytes) {
+    void release(int bytes) {
         left.addAndGet(bytes);
         if (whole != null) {
-            whole.give(bytes);
+            whole.release(bytes);
         }
     }
 
     /** How much is free. */
-    public long left() {
+    public long availableBytes() {
         return left.get();
     }
 }
--- a/src/main/java/beaconladder/pg/MessageReader.java
+++ b/src/main/java/beaconladder/pg/MessageReader.java
@@ -12,18 +12,18 @@
 public final class MessageReader extends MessageView {
 
     /** What became of a wait for a message. */
-    public enum Got {
+    public enum ReadStatus {
         MESSAGE,
         CLOSED,
-        CUT,
+        TRUNCATED,
         TIMED_OUT,
         MALFORMED,
-        NO_ROOM,
-        NOTHING
+        OUT_OF_MEMORY,
+        INCOMPLETE
     }
 
     /** A value of 64 KiB is twice that in hex; the rest leaves room for the statement round it. */
-    public static final int BOUND = 256 * 1024;
+    public static final int MAX_MESSAGE_BYTES = 256 * 1024;
     /** Holds the statements in use; larger values make it grow for as long as they are there. */
     private static final int USUAL = 2048;
 
@@ -65,22 +65,22 @@
      * @param until a nanoTime by which it has to be there, or 0 for no end
      * @param whole once it has begun, all of it has to be there within so many nanoseconds
      */
-    public Got next(long until, long whole) {
-        return next(1, until, whole, BOUND);
+    public ReadStatus readMessage(long until, long whole) {
+        return readMessage(1, until, whole, MAX_MESSAGE_BYTES);
     }
 
-    private Got next(int head, long until, long whole, int most) {
+    private ReadStatus readMessage(int head, long until, long whole, int most) {
         begunAt = 0;
-        Got got = parse(head, most);
-        while (got == Got.NOTHING) {
+        ReadStatus got = parse(head, most);
+        while (got == ReadStatus.INCOMPLETE) {
             got = fill(needed, until, whole);
-            got = got == Got.MESSAGE ? parse(head, most) : got;
+            got = got == ReadStatus.MESSAGE ? parse(head, most) : got;
         }
         return got;
     }
 
     /** Takes in what the channel has, as long as there is room; how much, or -1 at the end. */
-    public int feed(ReadableByteChannel channel) throws IOException {
+    public int readFrom(ReadableByteChannel channel) throws IOException {
         refused = !makeSpace();
         if (refused) {
             return 0;
@@ -91,53 +91,53 @@
     }
 
     /** The next message of those fed, if all of it is there. */
-    public Got poll(boolean opening) {
-        Got got = opening ? parse(0, LONGEST_OPENING) : parse(1, BOUND);
-        begunAt = got != Got.NOTHING || to == from ? 0 : begunAt == 0 ? System.nanoTime() : begunAt;
-        return got == Got.NOTHING && to - from == buffer.length && !makeSpace() ? Got.NO_ROOM : got;
+    public ReadStatus nextMessage(boolean opening) {
+        ReadStatus got = opening ? parse(0, LONGEST_OPENING) : parse(1, MAX_MESSAGE_BYTES);
+        begunAt = got != ReadStatus.INCOMPLETE || to == from ? 0 : begunAt == 0 ? System.nanoTime() : begunAt;
+        return got == ReadStatus.INCOMPLETE && to - from == buffer.length && !makeSpace() ? ReadStatus.OUT_OF_MEMORY : got;
     }
 
     /** What comes is taken in, but looked at later: a message that has begun is not waited for meanwhile. */
-    public void pause() {
+    public void pauseMessageTimer() {
         begunAt = 0;
     }
 
     /** Whether so much has come in that nobody has looked at, or there was no space for more. */
-    public boolean holds(int bytes) {
+    public boolean hasUnreadAtLeast(int bytes) {
         return refused || to - end >= bytes;
     }
 
     /** When the message began that has not come in whole, or 0. */
-    public long begunAt() {
+    public long messageStartNanos() {
         return begunAt;
     }
 
     /** What has come in is of no interest. */
-    public void drop() {
+    public void discard() {
         from = to;
         end = to;
         begunAt = 0;
     }
 
     /** The message that starts where the current one ends, if all of it is there. */
-    private Got parse(int head, int most) {
+    private ReadStatus parse(int head, int most) {
         from = end;
         needed = head + 4;
         if (to - from < needed) {
-            return Got.NOTHING;
+            return ReadStatus.INCOMPLETE;
         }
         int length = int32(from + head);
         if (length < 4 || length > most) {
-            return Got.MALFORMED;
+            return ReadStatus.MALFORMED;
         }
         needed = head + length;
         if (to - from < needed) {
-            return Got.NOTHING;
+            return ReadStatus.INCOMPLETE;
         }
         type = head == 0 ? 0 : (char) (buffer[from] & 0xff);
         at = from + head + 4;
         end = from + needed;
-        return Got.MESSAGE;
+        return ReadStatus.MESSAGE;
     }
 
     /** Moves what is left to the front, and grows where that is not enough; false without room to. */
@@ -152,8 +152,8 @@
             }
         }
         if (to == buffer.length) {
-            int larger = Math.min(2 * buffer.length, BOUND + 5);
-            if (larger == buffer.length || !room.take(larger - buffer.length)) {
+            int larger = Math.min(2 * buffer.length, MAX_MESSAGE_BYTES + 5);
+            if (larger == buffer.length || !room.tryReserve(larger - buffer.length)) {
                 return false;
             }
             buffer = Arrays.copyOf(buffer, larger);
@@ -162,10 +162,10 @@
     }
 
     /** Reads until this many bytes of the message are there; the buffer grows by what came, not by claims. */
-    private Got fill(int bytes, long until, long whole) {
+    private ReadStatus fill(int bytes, long until, long whole) {
         while (to - from < bytes) {
             if (!makeSpace()) {
-                return Got.NO_ROOM;
+                return ReadStatus.OUT_OF_MEMORY;
             }
             long now = System.nanoTime();
             long left = until == 0 ? Long.MAX_VALUE : until - now;
@@ -178,7 +178,7 @@
             try {
                 // What is there already counts as in time: it may be this thread that comes late.
                 if (left <= 0 && in.available() == 0) {
-                    return Got.TIMED_OUT;
+                    return ReadStatus.TIMED_OUT;
                 }
                 // The kernel may end a wait late by a two-hundredth of its length (15 ms of 3 s were
                 // seen), so all but a sixty-fourth is waited for first and then the rest.
@@ -187,21 +187,21 @@
                         left == Long.MAX_VALUE ? 0 : (int) Math.min(Integer.MAX_VALUE, millis - millis / 64));
                 int n = in.read(buffer, to, buffer.length - to);
                 if (n < 0) {
-                    return to == from ? Got.CLOSED : Got.CUT;
+                    return to == from ? ReadStatus.CLOSED : ReadStatus.TRUNCATED;
                 }
                 to += n;
             } catch (SocketTimeoutException e) {
                 continue;
             } catch (IOException e) {
-                return to == from ? Got.CLOSED : Got.CUT;
+                return to == from ? ReadStatus.CLOSED : ReadStatus.TRUNCATED;
             }
         }
-        return Got.MESSAGE;
+        return ReadStatus.MESSAGE;
     }
 
     /** Gives back the memory of large messages; to be called at the end, too. */
     public void release() {
-        room.give(buffer.length - USUAL);
+        room.release(buffer.length - USUAL);
         buffer = new byte[USUAL];
         from = 0;
         to = 0;
@@ -209,24 +209,24 @@
     }
 
     /** Large messages count here from now on; for one that is on its way, from the next one on. */
-    public void charge(MemoryLimit to) {
+    public void chargeTo(MemoryLimit to) {
         if (buffer.length == USUAL) {
             room = to;
         }
     }
 
     /** How many bytes have come in beyond the current message. */
-    public int unread() {
+    public int unreadBytes() {
         return to - end;
     }
 
     /** Whether bytes beyond the current message have come in. */
-    public boolean more() {
+    public boolean hasUnread() {
         return to > end;
     }
 
     /** The current message as it came, type and length included. */
     public void copyTo(MessageWriter out) {
-        out.raw(buffer, from, end - from);
+        out.append(buffer, from, end - from);
     }
 }
--- a/src/main/java/beaconladder/pg/MessageView.java
+++ b/src/main/java/beaconladder/pg/MessageView.java
@@ -20,12 +20,12 @@
     }
 
     /** Where the body of the current message begins. */
-    public int at() {
+    public int bodyStart() {
         return at;
     }
 
     /** Where the current message ends. */
-    public int end() {
+    public int messageEnd() {
         return end;
     }
 
@@ -41,7 +41,7 @@
     }
 
     /** The text that starts here and ends with a zero byte, or with the message. */
-    public String text(int place) {
+    public String cString(int place) {
         int zero = place;
         while (zero < end && buffer[zero] != 0) {
             zero++;
@@ -50,7 +50,7 @@
     }
 
     /** Where the text that starts here has ended, its zero byte included. */
-    public int after(int place) {
+    public int afterCString(int place) {
         int zero = place;
         while (zero < end && buffer[zero] != 0) {
             zero++;
@@ -59,7 +59,7 @@
     }
 
     /** Whether the current message is this many texts, each with its zero byte, and nothing else. */
-    public boolean texts(int count) {
+    public boolean isCStrings(int count) {
         int zeros = 0;
         for (int i = at; i < end; i++) {
             zeros += buffer[i] == 0 ? 1 : 0;
@@ -68,8 +68,8 @@
     }
 
     /** The text of a message that is one valid UTF-8 text with its zero byte, or null. */
-    public String onlyText() {
-        if (!texts(1)) {
+    public String singleCString() {
+        if (!isCStrings(1)) {
             return null;
         }
         try {
@@ -83,7 +83,7 @@
     }
 
     /** Whether the current message describes rows of one column. */
-    public boolean describesOneColumn() {
+    public boolean isSingleColumnDescription() {
         int named = at + 2;
         while (named < end && buffer[named] != 0) {
             named++;
@@ -92,7 +92,7 @@
     }
 
     /** Whether the current message is a row of one column, with a value. */
-    public boolean isRowOfOne() {
+    public boolean isSingleColumnRow() {
         return end - at >= 6 && int16(at) == 1 && int32(at + 2) == end - at - 6;
     }
 
@@ -100,7 +100,7 @@
     public boolean isError() {
         int i = at;
         while (i < end && buffer[i] != 0) {
-            int next = after(i);
+            int next = afterCString(i);
             if (buffer[next - 1] != 0) {
                 return false;
             }
@@ -122,9 +122,9 @@
     public String errorField(char name) {
         for (int i = at; i < end && buffer[i] != 0; ) {
             if (buffer[i] == name) {
-                return text(i + 1);
+                return cString(i + 1);
             }
-            i = after(i);
+            i = afterCString(i);
         }
         return null;
     }
--- a/src/main/java/beaconladder/pg/MessageWriter.java
+++ b/src/main/java/beaconladder/pg/MessageWriter.java
@@ -11,7 +11,7 @@
     private byte[] buffer = new byte[256];
     private int size;
 
-    public MessageWriter raw(byte[] bytes, int at, int length) {
+    public MessageWriter append(byte[] bytes, int at, int length) {
         room(length);
         System.arraycopy(bytes, at, buffer, size, length);
         size += length;
@@ -19,7 +19,7 @@
     }
 
     public MessageWriter append(MessageWriter other) {
-        return raw(other.buffer, 0, other.size);
+        return append(other.buffer, 0, other.size);
     }
 
     /** What a client says first. */
@@ -51,12 +51,12 @@
         return text(name).text(value).end(at);
     }
 
-    public MessageWriter backendKey(int process, int secret) {
+    public MessageWriter backendKeyData(int process, int secret) {
         int at = begin('K');
         return int32(process).int32(secret).end(at);
     }
 
-    public MessageWriter ready() {
+    public MessageWriter readyForQuery() {
         int at = begin('Z');
         return int8('I').end(at);
     }
@@ -99,7 +99,7 @@
     }
 
     /** A row description and a row of one column, in text. */
-    public MessageWriter row(String column, byte[] value) {
+    public MessageWriter singleColumnResult(String column, byte[] value) {
         int at = begin('T');
         int8(0).int8(1)
                 .text(column)
@@ -114,14 +114,14 @@
                 .int8(0)
                 .end(at);
         at = begin('D');
-        return int8(0).int8(1).int32(value.length).raw(value, 0, value.length).end(at);
+        return int8(0).int8(1).int32(value.length).append(value, 0, value.length).end(at);
     }
 
     public int size() {
         return size;
     }
 
-    public ByteBuffer bytes() {
+    public ByteBuffer asByteBuffer() {
         return ByteBuffer.wrap(buffer, 0, size);
     }
 
@@ -130,8 +130,8 @@
     }
 
     /** The cell of the row of one column in here, or null. */
-    public String cell() {
-        ByteBuffer all = bytes();
+    public String firstValue() {
+        ByteBuffer all = asByteBuffer();
         for (int at = 0; at + 5 <= size; at += 1 + all.getInt(at + 1)) {
             if (buffer[at] == 'D'
                     && all.getInt(at + 1) >= 10
@@ -172,7 +172,7 @@
 
     private MessageWriter text(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        return raw(bytes, 0, bytes.length).int8(0);
+        return append(bytes, 0, bytes.length).int8(0);
     }
 
     private void room(int bytes) {
--- a/src/main/java/beaconladder/pg/Statement.java
+++ b/src/main/java/beaconladder/pg/Statement.java
@@ -30,7 +30,7 @@
     }
 
     /** Reads the statement; what is wrong with it is told by {@link #fault}. */
-    public static Statement read(String text) {
+    public static Statement parse(String text) {
         Statement statement = new Statement(text);
         Matcher form = FORM.matcher(text);
         if (!text.contains("/*")) {
@@ -74,22 +74,22 @@
     }
 
     /** What can't be read in it, or null. */
-    public String fault() {
+    public String parseError() {
         return fault;
     }
 
     /** The value of this name, or null. */
-    public String value(String name) {
+    public String parameter(String name) {
         return values.get(name);
     }
 
     /** The quoted key, which names the session, as a number that is not 0. */
-    public long session() {
+    public long sessionId() {
         return session;
     }
 
     /** Whether it writes. */
-    public boolean writes() {
+    public boolean isWrite() {
         return writes;
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** The statement as it came, but for the time that the sender will wait. */
-    public String waiting(long millis) {
+    public String withDelayMillis(long millis) {
         return text.substring(0, delayFrom)
                 + millis
                 + (text.substring(delayFrom, delayTo).endsWith(" ") ? " " : "")
--- a/src/main/java/beaconladder/plan/PlanReader.java
+++ b/src/main/java/beaconladder/plan/PlanReader.java
@@ -29,7 +29,7 @@
     private static final long MS = 1_000_000;
 
     /** The plan, or null and what is wrong. */
-    public record Result(Plan plan, List<PlanError> faults) {}
+    public record Result(Plan plan, List<PlanError> errors) {}
 
     private final String file;
     private final List<PlanError> faults = new ArrayList<>();
@@ -41,10 +41,10 @@
     private final Map<Object, SyntaxNode> places = new HashMap<>();
 
     private final Set<String> unshared = new HashSet<>();
-    private Plan.Others others;
-    private Plan.Keeper keeper;
+    private Plan.OtherTenants others;
+    private Plan.Coordinator keeper;
     private Plan.Leases leases;
-    private final List<Plan.Grantor> grantors = new ArrayList<>();
+    private final List<Plan.LeaseServer> grantors = new ArrayList<>();
 
     private PlanReader(String file) {
         this.file = file;
@@ -86,9 +86,9 @@
                         reader.leases == null
                                 ? null
                                 : new Plan.Leases(
-                                        reader.leases.length(),
-                                        reader.leases.bound(),
-                                        reader.leases.disk(),
+                                        reader.leases.durationNanos(),
+                                        reader.leases.maxClockErrorNanos(),
+                                        reader.leases.maxDiskBytes(),
                                         List.copyOf(reader.grantors)))
                 : null;
         return new Result(plan, List.copyOf(reader.faults));
@@ -217,7 +217,7 @@
         if (others != null) {
             fault(list, "others are stated twice");
         }
-        others = new Plan.Others(spread, share);
+        others = new Plan.OtherTenants(spread, share);
     }
 
     private void router(SyntaxNode list) {
@@ -275,7 +275,7 @@
                             + "ms), or a move could never finish while"
                             + " a router is silent");
         }
-        keeper = new Plan.Keeper(
+        keeper = new Plan.Coordinator(
                 at, discovery, store, times.get("lease"), times.get("expiry"), times.get("copy"), times.get("fence"));
     }
 
@@ -324,7 +324,7 @@
             fault(list, "a grantor needs (raft HOST:PORT), (at ADDRESS:PORT) and (store \"FOLDER\")");
         }
         if (unique(list, "grantor", name)) {
-            grantors.add(new Plan.Grantor(name, raft, at, store, gossip));
+            grantors.add(new Plan.LeaseServer(name, raft, at, store, gossip));
         }
     }
 
@@ -399,7 +399,7 @@
         for (Plan.Tenant tenant : tenants) {
             known(names, tenant.cell(), "cell of " + tenant.name());
             sums.merge(tenant.cell(), tenant.share() < 1 ? tenant.share() : 0, Double::sum);
-            for (String other : tenant.apart()) {
+            for (String other : tenant.apartFrom()) {
                 Plan.Tenant with = byName.get(other);
                 if (with == null || other.equals(tenant.name())) {
                     fault(
@@ -419,7 +419,7 @@
         });
         overlaps();
         serves.forEach((router, served) -> served.forEach(cell -> known(names, cell, "serves " + router + " " + cell)));
-        if (others != null && (others.spread() < 1 || others.spread() > cells.size())) {
+        if (others != null && (others.cellsPerTenant() < 1 || others.cellsPerTenant() > cells.size())) {
             fault(places.get("spread"), "others can be spread over 1 to " + cells.size() + " cells");
         }
         Set<String> moved = new HashSet<>();
@@ -428,17 +428,17 @@
             Plan.Tenant tenant = byName.get(move.tenant());
             if (tenant == null) {
                 fault(place, "no tenant '" + move.tenant() + "' is stated" + nearest(move.tenant(), byName.keySet()));
-            } else if (!names.contains(move.to())) {
-                fault(place, "no cell '" + move.to() + "' is stated" + nearest(move.to(), names));
-            } else if (tenant.cell().equals(move.to())) {
-                fault(place, move.tenant() + " lives in " + move.to() + " as it is");
+            } else if (!names.contains(move.targetCell())) {
+                fault(place, "no cell '" + move.targetCell() + "' is stated" + nearest(move.targetCell(), names));
+            } else if (tenant.cell().equals(move.targetCell())) {
+                fault(place, move.tenant() + " lives in " + move.targetCell() + " as it is");
             } else if (tenant.fixed()) {
                 fault(place, move.tenant() + " is fixed and can't be moved");
-            } else if (groups(tenant.cell()) != groups(move.to())) {
+            } else if (groups(tenant.cell()) != groups(move.targetCell())) {
                 fault(
                         place,
-                        tenant.cell() + " has " + groups(tenant.cell()) + " groups and " + move.to() + " has "
-                                + groups(move.to()) + "; a move needs as many");
+                        tenant.cell() + " has " + groups(tenant.cell()) + " groups and " + move.targetCell() + " has "
+                                + groups(move.targetCell()) + "; a move needs as many");
             }
             if (!moved.add(move.tenant())) {
                 fault(place, move.tenant() + " is moved twice");
--- a/src/main/java/beaconladder/server/Admission.java
+++ b/src/main/java/beaconladder/server/Admission.java
@@ -39,12 +39,12 @@
     /** Asks the cell to admit a request, and waits for its decision until the request is abandoned. */
     Result admit(ParsedQuery query, int size, long arrivedNanos, long expiryNanos, BooleanSupplier isAbandoned)
             throws InterruptedException {
-        String tenant = query.statement().value("t");
+        String tenant = query.statement().parameter("t");
         AdmissionDecision decision = dispatcher
                 .cells()
                 .admit(
                         tenant == null ? "" : tenant,
-                        query.statement().session(),
+                        query.statement().sessionId(),
                         query.groupNumber(),
                         query.writes(dispatcher),
                         query.classIndex(),
--- a/src/main/java/beaconladder/server/ClientConnection.java
+++ b/src/main/java/beaconladder/server/ClientConnection.java
@@ -82,19 +82,19 @@
     boolean onReadable() {
         try {
             chargeCell();
-            int n = in.feed(channel);
+            int n = in.readFrom(channel);
             if (!queue.isFull()) {
                 readNanos = dispatcher.nowNanos();
             }
             if (activity.isClosing()) {
-                in.drop();
+                in.discard();
                 discardedBytes += Math.max(0, n);
                 if (n < 0) {
                     close(CloseCause.TOLD_TO_GO);
                 }
             } else if (n >= 0) {
                 reader.handleMessages();
-            } else if (in.more() && queue.isIdle()) {
+            } else if (in.hasUnread() && queue.isIdle()) {
                 reader.closeWithError("a message that is cut off");
             } else {
                 // Also with a request in flight: a half-close can't be distinguished from a full one.
@@ -114,7 +114,7 @@
     private void chargeCell() {
         AdmissionPermit permit = chargedToCell || !dispatcher.hasCells() ? null : task.connectionPermit();
         if (permit != null) {
-            in.charge(clientServer.memoryLimit(permit.cellIndex()));
+            in.chargeTo(clientServer.memoryLimit(permit.cellIndex()));
             chargedToCell = true;
         }
     }
@@ -125,8 +125,8 @@
      */
     boolean wantsRead() {
         return discardedBytes < MAX_DISCARDED_BYTES
-                && !(queue.isFull() && in.holds(MAX_BYTES_BEHIND_FULL_QUEUE))
-                && !(finalReadDone && !activity.isClosing() && in.begunAt() == 0);
+                && !(queue.isFull() && in.hasUnreadAtLeast(MAX_BYTES_BEHIND_FULL_QUEUE))
+                && !(finalReadDone && !activity.isClosing() && in.messageStartNanos() == 0);
     }
 
     /** Whether a query that has arrived now is rejected, as its first byte came after the final read. */
@@ -156,7 +156,7 @@
         closeChannel();
         int unanswered = queue.unansweredQueries();
         dispatcher.monitor().counters().add("closed", cause);
-        EventTrace.clientClosed(cancelKey, cause, unanswered, in.unread());
+        EventTrace.clientClosed(cancelKey, cause, unanswered, in.unreadBytes());
         if (!cause.isByClient()) {
             dispatcher.monitor().invariants().checkClosedConnection(cause.name(), unanswered);
         }
@@ -190,7 +190,7 @@
                     && !reader.isStarted()
                     && nowNanoTime - activity.lastUsedNanoTime() > MESSAGE_TIMEOUT_NANOS) {
                 reader.respond(StartupResponse.fatal(ErrorResponse.PROTOCOL_VIOLATION, "no startup message in time"));
-            } else if (closingSince == 0 && in.begunAt() != 0 && nowNanoTime - in.begunAt() > MESSAGE_TIMEOUT_NANOS) {
+            } else if (closingSince == 0 && in.messageStartNanos() != 0 && nowNanoTime - in.messageStartNanos() > MESSAGE_TIMEOUT_NANOS) {
                 reader.closeWithError("a message whose rest did not come in time");
             }
         } catch (IOException e) {
@@ -214,7 +214,7 @@
         // it was not read. The last read comes right before the close, as this thread may be suspended between
         // any two steps.
         try {
-            if (!finalReadDone && in.feed(channel) > 0) {
+            if (!finalReadDone && in.readFrom(channel) > 0) {
                 readNanos = dispatcher.nowNanos();
                 reader.handleMessages();
                 return false;
@@ -235,12 +235,12 @@
     void readForLastTime() {
         closeIfIdle(Long.MAX_VALUE);
         finalReadDone = true;
-        restExpected = in.begunAt() != 0;
+        restExpected = in.messageStartNanos() != 0;
     }
 
     private boolean isIdle(long sinceNanoTime) {
         return queue.isIdle()
                 && !activity.isClosing()
-                && (in.begunAt() == 0 || !activity.hasSentRequest() && in.begunAt() < sinceNanoTime);
+                && (in.messageStartNanos() == 0 || !activity.hasSentRequest() && in.messageStartNanos() < sinceNanoTime);
     }
 }
--- a/src/main/java/beaconladder/server/ClientReader.java
+++ b/src/main/java/beaconladder/server/ClientReader.java
@@ -1,7 +1,7 @@
 package beaconladder.server;
 
 import beaconladder.pg.MessageReader;
-import beaconladder.pg.MessageReader.Got;
+import beaconladder.pg.MessageReader.ReadStatus;
 import beaconladder.pg.MessageWriter;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -45,17 +45,17 @@
     void handleMessages() throws IOException {
         while (!client.activity().isClosing()) {
             if (queue.pauseReaderIfFull()) {
-                in.pause();
+                in.pauseMessageTimer();
                 return;
             }
-            Got got = in.poll(!started);
-            if (got == Got.NOTHING) {
+            ReadStatus got = in.nextMessage(!started);
+            if (got == ReadStatus.INCOMPLETE) {
                 return;
             }
-            if (got != Got.MESSAGE) {
+            if (got != ReadStatus.MESSAGE) {
                 if (started) {
                     closeWithError(
-                            got == Got.NO_ROOM
+                            got == ReadStatus.OUT_OF_MEMORY
                                     ? "a long message while there is no room for more of them"
                                     : "a message of impossible length");
                 } else {
@@ -92,7 +92,7 @@
     private void handleMessage() throws IOException {
         switch (in.type()) {
             case 'Q' -> {
-                if (!in.texts(1)) {
+                if (!in.isCStrings(1)) {
                     closeWithError("a query that is not one text");
                 } else if (skippingToSync) {
                     return;
@@ -103,7 +103,7 @@
                             ErrorResponse.error(ErrorResponse.CANNOT_CONNECT_NOW, "this router ends; it has not run"),
                             false));
                 } else {
-                    add(new PipelineEntry(in.onlyText(), client.readNanos()));
+                    add(new PipelineEntry(in.singleCString(), client.readNanos()));
                 }
             }
             case 'X' -> client.close(CloseCause.CLIENT_TERMINATED);
@@ -122,7 +122,7 @@
             }
             case 'S' -> {
                 skippingToSync = false;
-                add(new PipelineEntry(new MessageWriter().ready(), false));
+                add(new PipelineEntry(new MessageWriter().readyForQuery(), false));
             }
             default -> closeWithError("a message of an unknown type");
         }
@@ -158,7 +158,7 @@
 
     /** Writes a short message without waiting; a client that does not read even that is disconnected. */
     private void sendNow(MessageWriter out) throws IOException {
-        ByteBuffer bytes = out.bytes();
+        ByteBuffer bytes = out.asByteBuffer();
         channel.write(bytes);
         if (bytes.hasRemaining()) {
             throw new ClientStalledException();
--- a/src/main/java/beaconladder/server/ErrorResponse.java
+++ b/src/main/java/beaconladder/server/ErrorResponse.java
@@ -18,7 +18,7 @@
 
     /** An error that ends a query; the connection is then ready for the next one. */
     static MessageWriter error(String sqlState, String message) {
-        return new MessageWriter().error("ERROR", sqlState, message, null).ready();
+        return new MessageWriter().error("ERROR", sqlState, message, null).readyForQuery();
     }
 
     /** An error after which the connection closes. */
@@ -41,6 +41,6 @@
         String detail = retryAfterNanos > 0 ? String.valueOf(retryAfterNanos / 1_000_000) : null;
         return new MessageWriter()
                 .error("ERROR", TOO_MANY_CONNECTIONS, message, detail)
-                .ready();
+                .readyForQuery();
     }
 }
--- a/src/main/java/beaconladder/server/HostExchange.java
+++ b/src/main/java/beaconladder/server/HostExchange.java
@@ -85,7 +85,7 @@
 
     private void reportHealthCheck(ExchangeResult result) {
         HostReport report = pool.healthChecksReportLoad() && result.complete()
-                ? LoadReportParser.parse(result.messages().cell())
+                ? LoadReportParser.parse(result.messages().firstValue())
                 : result.loadReport();
         dispatcher.attemptEvents().healthCheckEnded(host, localFault ? Outcome.LOCAL_FAULT : result.outcome(), report);
     }
@@ -112,7 +112,7 @@
         long writeBeginNanos = dispatcher.nowNanos();
         long budgetMillis =
                 Math.max(1, dispatcher.attemptEvents().statedBudgetNanos(untilNanos - System.nanoTime()) / 1_000_000);
-        MessageWriter query = MessageWriter.query(statement.waiting(budgetMillis));
+        MessageWriter query = MessageWriter.query(statement.withDelayMillis(budgetMillis));
         writeBegun = true;
         if (!connection.send(query)) {
             return ExchangeResult.unanswered(Reach.PART_WRITTEN);
--- a/src/main/java/beaconladder/server/HostResponseReader.java
+++ b/src/main/java/beaconladder/server/HostResponseReader.java
@@ -1,7 +1,7 @@
 package beaconladder.server;
 
 import beaconladder.pg.MessageReader;
-import beaconladder.pg.MessageReader.Got;
+import beaconladder.pg.MessageReader.ReadStatus;
 import beaconladder.pg.MessageWriter;
 import beaconladder.routing.api.Router.HostReport;
 import beaconladder.routing.api.Router.Role;
@@ -17,7 +17,7 @@
     /** Hosts write a response at once; one that has begun and takes longer than this has been interrupted. */
     static final long MAX_RESPONSE_NANOS = 150_000_000;
     /** Bound of a complete response: its value, and as much again for all other messages. */
-    private static final int MAX_RESPONSE_BYTES = 2 * MessageReader.BOUND;
+    private static final int MAX_RESPONSE_BYTES = 2 * MessageReader.MAX_MESSAGE_BYTES;
     /** The command tags of a statement that affects one row. */
     private static final Set<String> COMMAND_TAGS = Set.of("SELECT 1", "INSERT 0 1", "SHOW");
 
@@ -41,15 +41,15 @@
     ExchangeResult read(long untilNanos) {
         long deadlineNanos = untilNanos;
         while (true) {
-            Got got = in.next(deadlineNanos, MAX_RESPONSE_NANOS);
-            if (got != Got.MESSAGE) {
+            ReadStatus got = in.readMessage(deadlineNanos, MAX_RESPONSE_NANOS);
+            if (got != ReadStatus.MESSAGE) {
                 return incomplete(got);
             }
             if (reach == Reach.WRITTEN) {
                 reach = Reach.ANSWER_BEGUN;
                 deadlineNanos = Math.min(untilNanos, System.nanoTime() + MAX_RESPONSE_NANOS);
             }
-            bytesRead += in.end() - in.at();
+            bytesRead += in.messageEnd() - in.bodyStart();
             if (bytesRead > MAX_RESPONSE_BYTES || !isValid(in.type())) {
                 return ExchangeResult.invalidResponse();
             }
@@ -60,26 +60,26 @@
         }
     }
 
-    private ExchangeResult incomplete(Got got) {
-        if (got == Got.CLOSED) {
+    private ExchangeResult incomplete(ReadStatus got) {
+        if (got == ReadStatus.CLOSED) {
             // A host may close the connection right after a complete error message.
             return ExchangeResult.closedByHost(reach, errorCode, status());
         }
-        boolean timedOut = got == Got.TIMED_OUT && reach == Reach.WRITTEN && !in.more();
-        return timedOut || got == Got.CUT
+        boolean timedOut = got == ReadStatus.TIMED_OUT && reach == Reach.WRITTEN && !in.hasUnread();
+        return timedOut || got == ReadStatus.TRUNCATED
                 ? ExchangeResult.interrupted(reach, timedOut)
                 : ExchangeResult.invalidResponse();
     }
 
     private boolean isValid(char type) {
         return switch (type) {
-            case 'S' -> in.texts(2);
+            case 'S' -> in.isCStrings(2);
             case 'N' -> in.isError();
-            case 'T' -> expected == 'T' && in.describesOneColumn();
-            case 'D' -> expected == 'D' && in.isRowOfOne();
-            case 'C' -> expected == 'C' && in.texts(1) && COMMAND_TAGS.contains(in.text(in.at()));
+            case 'T' -> expected == 'T' && in.isSingleColumnDescription();
+            case 'D' -> expected == 'D' && in.isSingleColumnRow();
+            case 'C' -> expected == 'C' && in.isCStrings(1) && COMMAND_TAGS.contains(in.cString(in.bodyStart()));
             case 'E' -> expected == 'T' && in.isError();
-            case 'Z' -> expected == 'Z' && in.end() - in.at() == 1 && "ITE".indexOf(in.int8(in.at())) >= 0;
+            case 'Z' -> expected == 'Z' && in.messageEnd() - in.bodyStart() == 1 && "ITE".indexOf(in.int8(in.bodyStart())) >= 0;
             default -> false;
         };
     }
@@ -87,7 +87,7 @@
     /** Takes over the content of a valid message; returns the result where it ends the response, else null. */
     private ExchangeResult accept(char type) {
         switch (type) {
-            case 'S' -> acceptParameter(in.text(in.at()), in.text(in.after(in.at())));
+            case 'S' -> acceptParameter(in.cString(in.bodyStart()), in.cString(in.afterCString(in.bodyStart())));
             case 'T', 'D', 'C' -> {
                 in.copyTo(messages);
                 expected = type == 'T' ? 'D' : type == 'D' ? 'C' : 'Z';
@@ -101,7 +101,7 @@
                 }
             }
             case 'Z' -> {
-                return ExchangeResult.finished(reach, errorCode, status(), messages, !in.more());
+                return ExchangeResult.finished(reach, errorCode, status(), messages, !in.hasUnread());
             }
             default -> {}
         }
--- a/src/main/java/beaconladder/server/InFlightRequest.java
+++ b/src/main/java/beaconladder/server/InFlightRequest.java
@@ -74,13 +74,13 @@
      */
     static InFlightRequest of(long number, RequestParameters parameters, RequestClass requestClass, int tenant) {
         Statement statement = parameters.statement();
-        boolean retriedByClient = "1".equals(statement.value("r"));
+        boolean retriedByClient = "1".equals(statement.parameter("r"));
         return new InFlightRequest(
                 new Request(
                         number,
                         requestClass,
                         parameters.group(),
-                        statement.session(),
+                        statement.sessionId(),
                         parameters.minPositionNanos(),
                         tenant,
                         retriedByClient,
--- a/src/main/java/beaconladder/server/LoadReportParser.java
+++ b/src/main/java/beaconladder/server/LoadReportParser.java
@@ -66,7 +66,7 @@
      * @return nanoseconds since the epoch, or {@link HostReport#NONE} where the text is no position
      */
     static long parsePositionNanos(String text, int powerOfTen) {
-        long nanos = Decimal.read(text, powerOfTen);
+        long nanos = Decimal.parseScaled(text, powerOfTen);
         return nanos > 0 ? nanos : HostReport.NO_POSITION;
     }
 }
--- a/src/main/java/beaconladder/server/ParsedQuery.java
+++ b/src/main/java/beaconladder/server/ParsedQuery.java
@@ -37,12 +37,12 @@
         String text = query.strip();
         String command = firstWord(text);
         if (text.isEmpty() || text.equals(";")) {
-            return answered(new MessageWriter().emptyQuery().ready());
+            return answered(new MessageWriter().emptyQuery().readyForQuery());
         }
         if (command.equals("SET") || command.equals("RESET") || command.equals("DISCARD")) {
-            return answered(new MessageWriter().commandComplete(command).ready());
+            return answered(new MessageWriter().commandComplete(command).readyForQuery());
         }
-        String fault = statement.fault();
+        String fault = statement.parseError();
         if (fault != null) {
             return answered(ErrorResponse.error(ErrorResponse.SYNTAX_ERROR, fault));
         }
@@ -51,25 +51,25 @@
 
     /** Reads the request's parameters from the statement's comment; the first invalid one is reported. */
     private static ParsedQuery parseComment(Statement statement, RequestDispatcher dispatcher) {
-        String id = statement.value("id");
+        String id = statement.parameter("id");
         if (id == null || id.isEmpty() || id.length() > MAX_ID_LENGTH) {
             return invalid(statement, "id");
         }
-        Integer classIndex = dispatcher.settingIndex().typeIndex(String.valueOf(statement.value("c")));
+        Integer classIndex = dispatcher.settingIndex().typeIndex(String.valueOf(statement.parameter("c")));
         if (classIndex == null) {
             return invalid(statement, "c");
         }
-        long groupNumber = parseDigits(statement.value("cluster"));
+        long groupNumber = parseDigits(statement.parameter("cluster"));
         boolean isNumber = groupNumber >= 0 && groupNumber <= Integer.MAX_VALUE;
         Group group = isNumber ? dispatcher.group((int) groupNumber) : null;
         if (!isNumber || group == null && !dispatcher.hasCells()) {
             return invalid(statement, "cluster");
         }
-        long budgetMillis = parseDigits(statement.value("d"));
+        long budgetMillis = parseDigits(statement.parameter("d"));
         if (budgetMillis <= 0 || budgetMillis > MAX_BUDGET_MILLIS) {
             return invalid(statement, "d");
         }
-        String after = statement.value("after");
+        String after = statement.parameter("after");
         long minPositionNanos = after == null
                 ? HostReport.NO_POSITION
                 : LoadReportParser.parsePositionNanos(after, LoadReportParser.MILLIS_TO_NANOS);
@@ -82,7 +82,7 @@
 
     private static ParsedQuery invalid(Statement statement, String name) {
         return answered(
-                statement.value(name) == null
+                statement.parameter(name) == null
                         ? ErrorResponse.error(ErrorResponse.SYNTAX_ERROR, "the comment lacks " + name)
                         : ErrorResponse.error(
                                 ErrorResponse.INVALID_PARAMETER_VALUE, "the comment has an impossible " + name));
@@ -94,7 +94,7 @@
 
     /** Whether its request class or the statement itself writes. */
     boolean writes(RequestDispatcher dispatcher) {
-        return dispatcher.isWrite(classIndex) || statement.writes();
+        return dispatcher.isWrite(classIndex) || statement.isWrite();
     }
 
     /** What the dispatcher has to know of it, in this group and with this permit, or null without cells. */
--- a/src/main/java/beaconladder/server/PipelineEntry.java
+++ b/src/main/java/beaconladder/server/PipelineEntry.java
@@ -52,7 +52,7 @@
     /** The parsed query; parsed once, by the first thread that needs it. */
     synchronized Statement statement() {
         if (statement == null) {
-            statement = Statement.read(query);
+            statement = Statement.parse(query);
         }
         return statement;
     }
@@ -82,7 +82,7 @@
     boolean conflictsWith(PipelineEntry other) {
         return query != null
                 && other.query != null
-                && (statement().writes() || other.statement().writes())
-                && statement().session() == other.statement().session();
+                && (statement().isWrite() || other.statement().isWrite())
+                && statement().sessionId() == other.statement().sessionId();
     }
 }
--- a/src/main/java/beaconladder/server/PipelineQueue.java
+++ b/src/main/java/beaconladder/server/PipelineQueue.java
@@ -12,7 +12,7 @@
     /** This many pipelined queries are read; further ones wait in the socket. */
     private static final int MAX_ENTRIES = 64;
     /** Their characters together are bounded by those of one query of the maximum length. */
-    private static final int MAX_CHARS = MessageReader.BOUND / 2;
+    private static final int MAX_CHARS = MessageReader.MAX_MESSAGE_BYTES / 2;
     /** Concurrent tasks of one client: a quarter of the smallest thread limit that is possible. */
     private static final int MAX_TASKS = 16;
 
--- a/src/main/java/beaconladder/server/QueryHandler.java
+++ b/src/main/java/beaconladder/server/QueryHandler.java
@@ -113,7 +113,7 @@
             switch (command.kind()) {
                 case SEND -> serverConnections.send(command, request.statement);
                 case COMMITTED -> {
-                    return command.answer().ready();
+                    return command.answer().readyForQuery();
                 }
                 case REJECTED -> {
                     return ErrorResponse.rejected(command.retryAfterNanos());
--- a/src/main/java/beaconladder/server/RequestDispatcher.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -162,7 +162,7 @@
                     submittedCount++,
                     parameters,
                     router.requestClass(parameters.classIndex()),
-                    settingIndex.tenantIndex(parameters.statement().value("t")));
+                    settingIndex.tenantIndex(parameters.statement().parameter("t")));
             pendingActions.add(inFlight);
             trace.submitted(inFlight.request, parameters.id(), nowNanos());
             if (parameters.permit() != null) {
--- a/src/main/java/beaconladder/server/RequestTask.java
+++ b/src/main/java/beaconladder/server/RequestTask.java
@@ -132,7 +132,7 @@
 
     /** Writes all of it, and waits for a client that reads slowly. */
     private void write(MessageWriter out) throws IOException, InterruptedException {
-        ByteBuffer bytes = out.bytes();
+        ByteBuffer bytes = out.asByteBuffer();
         long lastProgress = System.nanoTime();
         while (bytes.hasRemaining()) {
             if (channel.write(bytes) > 0) {
--- a/src/main/java/beaconladder/server/RouterServer.java
+++ b/src/main/java/beaconladder/server/RouterServer.java
@@ -101,16 +101,16 @@
             dispatcher.onEndpoints(true, configuration.knownEndpoints());
         }
         maxRequestNanos = configuration.maxRequestMicros() * 1_000;
-        Plan.Keeper coordinator = placement == null ? null : placement.plan().keeper();
-        if (coordinator != null && coordinator.expiry() < maxRequestNanos) {
-            throw new IOException(planFile + ": the keeper's expiry (" + coordinator.expiry() / 1_000_000
+        Plan.Coordinator coordinator = placement == null ? null : placement.plan().coordinator();
+        if (coordinator != null && coordinator.requestExpiryNanos() < maxRequestNanos) {
+            throw new IOException(planFile + ": the keeper's expiry (" + coordinator.requestExpiryNanos() / 1_000_000
                     + "ms) is shorter than that of a txn type (" + maxRequestNanos / 1_000_000 + "ms)");
         }
         placementWatcher = coordinator == null
                 ? null
                 : new PlacementWatcher(
-                        coordinator.at(),
-                        coordinator.lease(),
+                        coordinator.address(),
+                        coordinator.leaseNanos(),
                         configuration.name(),
                         Long.toHexString(System.currentTimeMillis()) + "-"
                                 + ProcessHandle.current().pid(),
@@ -130,7 +130,7 @@
         PlanReader.Result read = PlanReader.read(planFile);
         if (read.plan() == null) {
             throw new IOException(
-                    read.faults().stream().map(PlanError::toString).collect(Collectors.joining("\n")));
+                    read.errors().stream().map(PlanError::toString).collect(Collectors.joining("\n")));
         }
         return new StaticPlacement(read.plan());
     }
--- a/src/main/java/beaconladder/server/ServerConnection.java
+++ b/src/main/java/beaconladder/server/ServerConnection.java
@@ -2,7 +2,7 @@
 
 import beaconladder.pg.MemoryLimit;
 import beaconladder.pg.MessageReader;
-import beaconladder.pg.MessageReader.Got;
+import beaconladder.pg.MessageReader.ReadStatus;
 import beaconladder.pg.MessageWriter;
 import java.io.IOException;
 import java.net.ConnectException;
@@ -74,16 +74,16 @@
             in = new MessageReader(socket, memory);
             write(MessageWriter.startup("app", "shop"));
             while (true) {
-                if (in.next(untilNanos, HostResponseReader.MAX_RESPONSE_NANOS) != Got.MESSAGE) {
+                if (in.readMessage(untilNanos, HostResponseReader.MAX_RESPONSE_NANOS) != ReadStatus.MESSAGE) {
                     return false;
                 }
                 switch (in.type()) {
                     case 'Z' -> {
-                        established = !in.more();
+                        established = !in.hasUnread();
                         return established;
                     }
                     case 'R' -> {
-                        if (in.end() - in.at() < 4 || in.int32(in.at()) != 0) {
+                        if (in.messageEnd() - in.bodyStart() < 4 || in.int32(in.bodyStart()) != 0) {
                             return false;
                         }
                     }
@@ -105,7 +105,7 @@
 
     /** Whether an idle connection can be reused: still open, and without bytes that nobody asked for. */
     boolean isAlive() {
-        if (in.more()) {
+        if (in.hasUnread()) {
             return false;
         }
         if (channel == null) {
--- a/src/main/java/beaconladder/server/StartupResponse.java
+++ b/src/main/java/beaconladder/server/StartupResponse.java
@@ -37,20 +37,20 @@
      * @param key the key by which a query on this connection can be cancelled
      */
     static StartupResponse of(MessageReader in, boolean full, long key) {
-        int length = in.end() - in.at();
-        int version = length < 4 ? 0 : in.int32(in.at());
+        int length = in.messageEnd() - in.bodyStart();
+        int version = length < 4 ? 0 : in.int32(in.bodyStart());
         if (version == SSL_REQUEST || version == GSSENC_REQUEST) {
-            return new StartupResponse(new MessageWriter().raw(new byte[] {'N'}, 0, 1), Kind.CONTINUE);
+            return new StartupResponse(new MessageWriter().append(new byte[] {'N'}, 0, 1), Kind.CONTINUE);
         } else if (version == CANCEL_REQUEST) {
             return new StartupResponse(
                     null,
                     Kind.CANCEL,
-                    length == 12 ? (long) in.int32(in.at() + 4) << 32 | in.int32(in.at() + 8) & 0xffffffffL : 0);
+                    length == 12 ? (long) in.int32(in.bodyStart() + 4) << 32 | in.int32(in.bodyStart() + 8) & 0xffffffffL : 0);
         } else if (version >> 16 != 3) {
             return fatal(
                     ErrorResponse.FEATURE_NOT_SUPPORTED,
                     "protocol " + (version >> 16) + "." + (version & 0xffff) + " is not spoken here, 3.0 is");
-        } else if (length < 5 || in.int8(in.end() - 1) != 0) {
+        } else if (length < 5 || in.int8(in.messageEnd() - 1) != 0) {
             return fatal(ErrorResponse.PROTOCOL_VIOLATION, "a startup message without its end");
         } else if (full) {
             EventTrace.rejectedEarly("refused: no descriptor");
@@ -67,8 +67,8 @@
                         .parameterStatus("client_encoding", "UTF8")
                         .parameterStatus("server_encoding", "UTF8")
                         .parameterStatus("standard_conforming_strings", "on")
-                        .backendKey((int) (key >> 32), (int) key)
-                        .ready(),
+                        .backendKeyData((int) (key >> 32), (int) key)
+                        .readyForQuery(),
                 Kind.COMPLETE);
     }
 
@@ -80,12 +80,12 @@
     /** The protocol options that the client requests; none is supported. */
     private static String[] unsupportedOptions(MessageReader in) {
         List<String> unsupported = new ArrayList<>();
-        for (int at = in.at() + 4; at < in.end() && in.int8(at) != 0; ) {
-            String name = in.text(at);
+        for (int at = in.bodyStart() + 4; at < in.messageEnd() && in.int8(at) != 0; ) {
+            String name = in.cString(at);
             if (name.startsWith("_pq_.")) {
                 unsupported.add(name);
             }
-            at = in.after(in.after(at));
+            at = in.afterCString(in.afterCString(at));
         }
         return unsupported.toArray(String[]::new);
     }
--- a/src/main/java/beaconladder/server/WarmUp.java
+++ b/src/main/java/beaconladder/server/WarmUp.java
@@ -105,7 +105,7 @@
     /** What a host says to this: the startup message, a probe, or a statement. */
     private static byte[] host(byte[] written, boolean primary) {
         if (written[0] != 'Q') {
-            return bytes(new MessageWriter().authenticationOk().ready());
+            return bytes(new MessageWriter().authenticationOk().readyForQuery());
         }
         long millis = System.currentTimeMillis();
         String load = "x0=" + millis / 1_000 + ",x1=" + (primary ? 1 : 0) + ",inflight=1";
@@ -114,14 +114,14 @@
                 .parameterStatus("node_role", primary ? "leader" : "follower")
                 .parameterStatus("replay_position", String.valueOf(millis))
                 .parameterStatus("server_load", load)
-                .row("doc", probe ? load.getBytes(StandardCharsets.US_ASCII) : new byte[64])
+                .singleColumnResult("doc", probe ? load.getBytes(StandardCharsets.US_ASCII) : new byte[64])
                 .commandComplete(probe ? "SHOW" : "SELECT 1")
-                .ready());
+                .readyForQuery());
     }
 
     private static byte[] bytes(MessageWriter out) {
         byte[] bytes = new byte[out.size()];
-        out.bytes().get(bytes);
+        out.asByteBuffer().get(bytes);
         return bytes;
     }
 
--- a/src/main/java/beaconladder/testbed/CellSizes.java
+++ b/src/main/java/beaconladder/testbed/CellSizes.java
@@ -73,7 +73,7 @@
     private static StaticPlacement territory(String text) {
         PlanReader.Result read = PlanReader.read("made", text);
         if (read.plan() == null) {
-            throw new IllegalStateException(read.faults().get(0).toString());
+            throw new IllegalStateException(read.errors().get(0).toString());
         }
         return new StaticPlacement(read.plan());
     }
--- a/src/main/java/beaconladder/testbed/HostStandIn.java
+++ b/src/main/java/beaconladder/testbed/HostStandIn.java
@@ -145,7 +145,7 @@
             if (vanished) {
                 StandInThreads.sleep(60_000);
             }
-            new MessageWriter().authenticationOk().ready().writeTo(socket.getOutputStream());
+            new MessageWriter().authenticationOk().readyForQuery().writeTo(socket.getOutputStream());
             while (in.readUnsignedByte() == 'Q') {
                 byte[] body = new byte[in.readInt() - 4];
                 in.readFully(body);
@@ -158,9 +158,9 @@
                     byte[] cell =
                             text.equals("SELECT 1") ? new byte[] {'1'} : load().getBytes(StandardCharsets.US_ASCII);
                     new MessageWriter()
-                            .row("x", cell)
+                            .singleColumnResult("x", cell)
                             .commandComplete("SELECT 1")
-                            .ready()
+                            .readyForQuery()
                             .writeTo(socket.getOutputStream());
                     continue;
                 }
@@ -201,7 +201,7 @@
 
     /** Runs a txn; the answer up to its ready, or null: it is lost. */
     protected MessageWriter run(String text) {
-        return said().row("doc", value).commandComplete("SELECT 1");
+        return said().singleColumnResult("doc", value).commandComplete("SELECT 1");
     }
 
     private boolean answer(Socket socket, String text) throws IOException {
@@ -212,21 +212,21 @@
                 if (answer == null) {
                     return false;
                 }
-                answer.ready().writeTo(out);
+                answer.readyForQuery().writeTo(out);
             }
             case MISS ->
-                said().error("ERROR", "25006", "no primary", null).ready().writeTo(out);
+                said().error("ERROR", "25006", "no primary", null).readyForQuery().writeTo(out);
             case BEHIND ->
-                said().error("ERROR", "72000", "behind", null).ready().writeTo(out);
-            case ERROR -> said().error("ERROR", "XX000", "broken", null).ready().writeTo(out);
-            case FULL -> said().error("ERROR", "53300", "full", null).ready().writeTo(out);
+                said().error("ERROR", "72000", "behind", null).readyForQuery().writeTo(out);
+            case ERROR -> said().error("ERROR", "XX000", "broken", null).readyForQuery().writeTo(out);
+            case FULL -> said().error("ERROR", "53300", "full", null).readyForQuery().writeTo(out);
             case CUT -> out.write(new byte[] {'D', 0, 0, 1, 0, 0, 1, 0, 0});
             case GARBAGE -> out.write("HTTP/1.1 400 Bad\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             case TWO_ROWS ->
-                said().row("doc", value)
-                        .row("doc", value)
+                said().singleColumnResult("doc", value)
+                        .singleColumnResult("doc", value)
                         .commandComplete("SELECT")
-                        .ready()
+                        .readyForQuery()
                         .writeTo(out);
             case HUGE ->
                 out.write(ByteBuffer.allocate(5)
@@ -235,35 +235,35 @@
                         .array());
             case UNKNOWN -> out.write(new byte[] {'G', 0, 0, 0, 4});
             case NO_DESCRIPTION -> {
-                byte[] row = new byte[new MessageWriter().row("doc", value).size() - 28];
-                new MessageWriter().row("doc", value).bytes().get(28, row);
-                said().raw(row, 0, row.length)
+                byte[] row = new byte[new MessageWriter().singleColumnResult("doc", value).size() - 28];
+                new MessageWriter().singleColumnResult("doc", value).asByteBuffer().get(28, row);
+                said().append(row, 0, row.length)
                         .commandComplete("SELECT 1")
-                        .ready()
+                        .readyForQuery()
                         .writeTo(out);
             }
             case TWO_COLUMNS -> out.write(new byte[] {'T', 0, 0, 0, 6, 0, 2});
             case INNER_LENGTH -> {
-                MessageWriter row = said().row("doc", value);
-                row.bytes().put(row.size() - value.length - 1, (byte) (value.length - 1));
-                row.commandComplete("SELECT 1").ready().writeTo(out);
+                MessageWriter row = said().singleColumnResult("doc", value);
+                row.asByteBuffer().put(row.size() - value.length - 1, (byte) (value.length - 1));
+                row.commandComplete("SELECT 1").readyForQuery().writeTo(out);
             }
             case ERROR_BEHIND_ROW ->
-                said().row("doc", value)
+                said().singleColumnResult("doc", value)
                         .error("ERROR", "53300", "full", null)
-                        .ready()
+                        .readyForQuery()
                         .writeTo(out);
             case HALF_AN_ERROR -> out.write(HexFormat.of().parseHex("45000000095335333330" + "30" + "5a0000000549"));
             case ODD_TAG ->
-                said().row("doc", value).commandComplete("GARBAGE").ready().writeTo(out);
+                said().singleColumnResult("doc", value).commandComplete("GARBAGE").readyForQuery().writeTo(out);
             case STALL -> out.write(new byte[] {'T', 0, 0, 0, 28, 0, 1, 'd'});
             case TWICE ->
-                said().row("doc", value)
+                said().singleColumnResult("doc", value)
                         .commandComplete("SELECT 1")
-                        .ready()
-                        .append(said().row("doc", value)
+                        .readyForQuery()
+                        .append(said().singleColumnResult("doc", value)
                                 .commandComplete("SELECT 1")
-                                .ready())
+                                .readyForQuery())
                         .writeTo(out);
             case RESET -> socket.setSoLinger(true, 0);
             case SILENT -> {
--- a/src/main/java/beaconladder/testbed/LeaseHolder.java
+++ b/src/main/java/beaconladder/testbed/LeaseHolder.java
@@ -32,10 +32,10 @@
         // A life of its own: what an earlier one of this name held is not this one's.
         String holder = name + "#" + System.currentTimeMillis();
         LeaseClient doors =
-                new LeaseClient(leases.grantors().stream().map(Plan.Grantor::at).toList(), name.hashCode(), (int)
-                        (leases.length() / 4_000_000));
+                new LeaseClient(leases.servers().stream().map(Plan.LeaseServer::clientAddress).toList(), name.hashCode(), (int)
+                        (leases.durationNanos() / 4_000_000));
         LeaseSession holding = new LeaseSession(
-                LeaseHolderState.initial(new LeaseTerms(task, holder, leases.length(), leases.bound())), doors, clock);
+                LeaseHolderState.initial(new LeaseTerms(task, holder, leases.durationNanos(), leases.maxClockErrorNanos())), doors, clock);
         Thread loop = new Thread(holding, "holding");
         loop.setDaemon(true);
         loop.start();
@@ -45,7 +45,7 @@
                     name,
                     new InetSocketAddress("127.0.0.1", Integer.parseInt(gossipAt.substring(gossipAt.indexOf(':') + 1))),
                     gossipAt,
-                    leases.seeds());
+                    leases.gossipSeeds());
             Thread talk = new Thread(gossip, "gossip");
             talk.setDaemon(true);
             talk.start();
--- a/src/main/java/beaconladder/testbed/ReplicatedHost.java
+++ b/src/main/java/beaconladder/testbed/ReplicatedHost.java
@@ -294,7 +294,7 @@
                     }
                 }
             }
-            return new MessageWriter().commandComplete("SET").ready();
+            return new MessageWriter().commandComplete("SET").readyForQuery();
         }
         Matcher copied = COPIED.matcher(text);
         if (copied.matches()) {
@@ -303,9 +303,9 @@
                 at = copies.get(copied.group(1));
             }
             return new MessageWriter()
-                    .row("copied", (at == null ? "" : String.valueOf(at)).getBytes(StandardCharsets.US_ASCII))
+                    .singleColumnResult("copied", (at == null ? "" : String.valueOf(at)).getBytes(StandardCharsets.US_ASCII))
                     .commandComplete("SELECT 1")
-                    .ready();
+                    .readyForQuery();
         }
         return null;
     }
@@ -327,14 +327,14 @@
     @Override
     protected void saw(String text) {
         arrived.set(System.currentTimeMillis());
-        ground.reached.add(new HostFleet.Reached(id, Statement.read(text).value("id"), arrived.get()));
+        ground.reached.add(new HostFleet.Reached(id, Statement.parse(text).parameter("id"), arrived.get()));
     }
 
     @Override
     protected MessageWriter run(String text) {
-        Statement statement = Statement.read(text);
-        Matcher form = KEY.matcher(text.substring(text.indexOf('\'') - (statement.writes() ? 8 : 5)));
-        if (statement.fault() != null || !form.matches()) {
+        Statement statement = Statement.parse(text);
+        Matcher form = KEY.matcher(text.substring(text.indexOf('\'') - (statement.isWrite() ? 8 : 5)));
+        if (statement.parseError() != null || !form.matches()) {
             return new MessageWriter().error("ERROR", "08P01", "no statement of this form", null);
         }
         if (held.incrementAndGet() > MOST_HELD) {
@@ -348,10 +348,10 @@
             } finally {
                 cores.release();
             }
-            if (System.currentTimeMillis() - arrived.get() > Long.parseLong(statement.value("d"))) {
+            if (System.currentTimeMillis() - arrived.get() > Long.parseLong(statement.parameter("d"))) {
                 return said().error("ERROR", "53300", "the request is over", null);
             }
-            return statement.writes() ? write(statement, form.group(1), form.group(2)) : read(statement, form.group(1));
+            return statement.isWrite() ? write(statement, form.group(1), form.group(2)) : read(statement, form.group(1));
         } finally {
             held.decrementAndGet();
         }
@@ -361,12 +361,12 @@
         Entry entry;
         MessageWriter said;
         synchronized (this) {
-            entry = data.get(statement.value("t") + "/" + key);
+            entry = data.get(statement.parameter("t") + "/" + key);
             said = said();
         }
         long version = entry == null ? 0 : entry.version();
         ran(statement, key, false, version);
-        return said.row("doc", ByteBuffer.allocate(8).putLong(version).array()).commandComplete("SELECT 1");
+        return said.singleColumnResult("doc", ByteBuffer.allocate(8).putLong(version).array()).commandComplete("SELECT 1");
     }
 
     private MessageWriter write(Statement statement, String key, String hex) {
@@ -377,8 +377,8 @@
             if (!primary) {
                 return said().error("ERROR", "25006", "no primary", null);
             }
-            Entry before = "token".equals(statement.value("c")) ? known.get(statement.value("id")) : null;
-            entry = before != null ? before : append(statement.value("id"), statement.value("t"), key, version, 0);
+            Entry before = "token".equals(statement.parameter("c")) ? known.get(statement.parameter("id")) : null;
+            entry = before != null ? before : append(statement.parameter("id"), statement.parameter("t"), key, version, 0);
             length = log.size();
             if (before == null) {
                 ran(statement, key, true, version);
@@ -400,14 +400,14 @@
         return new MessageWriter()
                 .parameterStatus("node_role", "leader")
                 .parameterStatus("replay_position", String.valueOf(entry.position()))
-                .row("doc", HexFormat.of().parseHex(hex))
+                .singleColumnResult("doc", HexFormat.of().parseHex(hex))
                 .commandComplete("INSERT 0 1");
     }
 
     private void ran(Statement statement, String key, boolean write, long version) {
         ground.ran.add(new HostFleet.Ran(
-                statement.value("id"),
-                statement.value("t"),
+                statement.parameter("id"),
+                statement.parameter("t"),
                 key,
                 write,
                 version,
--- a/src/main/java/beaconladder/testbed/soak/SoakClients.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakClients.java
@@ -220,7 +220,7 @@
 
     private static byte[] bytes(MessageWriter out) {
         byte[] bytes = new byte[out.size()];
-        out.bytes().get(bytes);
+        out.asByteBuffer().get(bytes);
         return bytes;
     }
 }
--- a/src/main/java/beaconladder/testbed/soak/SoakHost.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakHost.java
@@ -149,9 +149,9 @@
                 }
                 byte[] row = Statements.value(text, "id").getBytes(StandardCharsets.US_ASCII);
                 String tag = text.startsWith("INSERT") ? "INSERT 0 1" : "SELECT 1";
-                MessageWriter answer = said().row("doc", row).commandComplete(tag);
+                MessageWriter answer = said().singleColumnResult("doc", row).commandComplete(tag);
                 return taken.get() == Behavior.ANSWERS_TWICE
-                        ? answer.ready().append(said().row("doc", row).commandComplete(tag))
+                        ? answer.readyForQuery().append(said().singleColumnResult("doc", row).commandComplete(tag))
                         : answer;
             }
         }
--- a/src/test/java/beaconladder/cells/CellAdmissionTest.java
+++ b/src/test/java/beaconladder/cells/CellAdmissionTest.java
@@ -19,7 +19,7 @@
 
     private static StaticPlacement placementOf(String plan) {
         PlanReader.Result read = PlanReader.read("p", plan);
-        assertThat(read.faults()).isEmpty();
+        assertThat(read.errors()).isEmpty();
         return new StaticPlacement(read.plan());
     }
 
--- a/src/test/java/beaconladder/lease/server/StoredLeaseLogTest.java
+++ b/src/test/java/beaconladder/lease/server/StoredLeaseLogTest.java
@@ -158,7 +158,7 @@
                 10_000_000_000L,
                 50_000_000L,
                 8 << 20,
-                List.of(new Plan.Grantor(
+                List.of(new Plan.LeaseServer(
                         "one",
                         "127.0.0.1:" + raftPort,
                         new InetSocketAddress("127.0.0.1", httpPort),
--- a/src/test/java/beaconladder/plan/PlanLiteralTest.java
+++ b/src/test/java/beaconladder/plan/PlanLiteralTest.java
@@ -35,7 +35,7 @@
     @Test
     void everyWordOfAPlanIsRead() {
         PlanReader.Result read = PlanReader.read("p", TEXT);
-        assertThat(read.faults()).isEmpty();
+        assertThat(read.errors()).isEmpty();
         assertThat(read.plan())
                 .isEqualTo(new Plan(
                         "p",
@@ -53,9 +53,9 @@
                                         3,
                                         true),
                                 new Plan.Tenant("beta", "south", 1, List.of(), List.of(), 1, 1, false)),
-                        new Plan.Others(2, 0.5),
+                        new Plan.OtherTenants(2, 0.5),
                         Map.of("n3", List.of("south", "north")),
-                        new Plan.Keeper(
+                        new Plan.Coordinator(
                                 at(7070),
                                 at(8500),
                                 "records",
@@ -68,21 +68,21 @@
                                 2_000_000_000L,
                                 50_000_000L,
                                 1L << 30,
-                                List.of(new Plan.Grantor("k0", "k0:7101", at(7201), "s0", "g0:7301")))));
+                                List.of(new Plan.LeaseServer("k0", "k0:7101", at(7201), "s0", "g0:7301")))));
     }
 
     @Test
     void whatIsNotStatedHasItsDefault() {
         PlanReader.Result read = PlanReader.read("p", PLAINEST);
-        assertThat(read.faults()).isEmpty();
+        assertThat(read.errors()).isEmpty();
         assertThat(read.plan())
                 .isEqualTo(new Plan(
                         "p",
                         List.of(new Plan.Cell("only", List.of(5), 1)),
                         List.of(),
-                        new Plan.Others(1, 0.1),
+                        new Plan.OtherTenants(1, 0.1),
                         Map.of(),
-                        new Plan.Keeper(
+                        new Plan.Coordinator(
                                 at(7070),
                                 at(8500),
                                 "records",
@@ -95,7 +95,7 @@
                                 5_000_000_000L,
                                 100_000_000L,
                                 64L << 20,
-                                List.of(new Plan.Grantor("k0", "k0:7101", at(7201), "s0", null)))));
+                                List.of(new Plan.LeaseServer("k0", "k0:7101", at(7201), "s0", null)))));
     }
 
     private static InetSocketAddress at(int port) {
--- a/src/test/java/beaconladder/plan/PlanReaderTest.java
+++ b/src/test/java/beaconladder/plan/PlanReaderTest.java
@@ -26,10 +26,10 @@
         assertThat(plan.cells()).extracting(Plan.Cell::share).containsExactly(0.6, 0.4);
         assertThat(plan.tenant("acme").networks()).hasSize(2);
         assertThat(plan.tenant("beta").fixed()).isTrue();
-        assertThat(plan.keeper().lease()).isEqualTo(500_000_000L);
-        assertThat(plan.keeper().copy()).isEqualTo(60_000_000_000L);
-        assertThat(plan.serves().get("n3")).containsExactly("south");
-        assertThat(plan.moves()).containsExactly(new Plan.Relocation("acme", "south"));
+        assertThat(plan.coordinator().leaseNanos()).isEqualTo(500_000_000L);
+        assertThat(plan.coordinator().maxCopyNanos()).isEqualTo(60_000_000_000L);
+        assertThat(plan.cellsByRouter().get("n3")).containsExactly("south");
+        assertThat(plan.relocations()).containsExactly(new Plan.Relocation("acme", "south"));
     }
 
     @Test
@@ -91,11 +91,11 @@
                                 + three.replace("(raft k1", "(gossip g1:7301) (raft k1"))
                 .plan()
                 .leases();
-        assertThat(leases.length()).isEqualTo(2_000_000_000L);
-        assertThat(leases.bound()).isEqualTo(50_000_000L);
-        assertThat(leases.disk()).isEqualTo(8 << 20);
-        assertThat(leases.grantor("k2").raft()).isEqualTo("k2:7101");
-        assertThat(leases.seeds()).containsExactly("g1:7301");
+        assertThat(leases.durationNanos()).isEqualTo(2_000_000_000L);
+        assertThat(leases.maxClockErrorNanos()).isEqualTo(50_000_000L);
+        assertThat(leases.maxDiskBytes()).isEqualTo(8 << 20);
+        assertThat(leases.server("k2").raftAddress()).isEqualTo("k2:7101");
+        assertThat(leases.gossipSeeds()).containsExactly("g1:7301");
         assertThat(PlanReader.read("p", "(cell a (groups 0))").plan().leases()).isNull();
         assertThat(faults(three)).isEqualTo("p:1:1: grantors need (leases ...)");
         assertThat(faults("(leases)\n" + grantor.replace("%d", "0") + grantor.replace("%d", "1")))
@@ -112,6 +112,6 @@
     private static String faults(String text) {
         PlanReader.Result read = PlanReader.read("p", text);
         assertThat(read.plan()).isNull();
-        return read.faults().stream().map(PlanError::toString).collect(Collectors.joining("\n"));
+        return read.errors().stream().map(PlanError::toString).collect(Collectors.joining("\n"));
     }
 }
--- a/src/test/java/beaconladder/server/ClientConnectionTest.java
+++ b/src/test/java/beaconladder/server/ClientConnectionTest.java
@@ -113,7 +113,7 @@
 
         private static byte[] bytes(MessageWriter out) {
             byte[] bytes = new byte[out.size()];
-            out.bytes().get(bytes);
+            out.asByteBuffer().get(bytes);
             return bytes;
         }
     }
--- a/src/test/java/beaconladder/server/FaultySocket.java
+++ b/src/test/java/beaconladder/server/FaultySocket.java
@@ -20,9 +20,9 @@
     FaultySocket(Throwable fault, AtomicInteger queries) {
         this.fault = fault;
         this.queries = queries;
-        MessageWriter out = new MessageWriter().authenticationOk().ready();
+        MessageWriter out = new MessageWriter().authenticationOk().readyForQuery();
         greeting = new byte[out.size()];
-        out.bytes().get(greeting);
+        out.asByteBuffer().get(greeting);
     }
 
     @Override
--- a/src/test/java/beaconladder/server/PartsTest.java
+++ b/src/test/java/beaconladder/server/PartsTest.java
@@ -137,13 +137,13 @@
     @Test
     void onlyTheTimeToWaitChangesInAStatementThatIsPassedOn() {
         String text = "SELECT doc FROM items WHERE id = 'it/d=1,/' " + "/* id=9,c=x , d=480,cluster=2,after=5,k=z */ ";
-        Statement statement = Statement.read(text);
-        assertThat(statement.fault()).isNull();
-        assertThat(statement.value("id") + statement.value("c") + statement.value("k"))
+        Statement statement = Statement.parse(text);
+        assertThat(statement.parseError()).isNull();
+        assertThat(statement.parameter("id") + statement.parameter("c") + statement.parameter("k"))
                 .isEqualTo("9xz");
-        assertThat(statement.waiting(7)).isEqualTo(text.replace(" d=480,", " d=7,"));
-        assertThat(Statement.read(text.replace("9,c", "8,c")).session()).isEqualTo(statement.session());
-        assertThat(Statement.read(text.replace("it", "is")).session()).isNotEqualTo(statement.session());
+        assertThat(statement.withDelayMillis(7)).isEqualTo(text.replace(" d=480,", " d=7,"));
+        assertThat(Statement.parse(text.replace("9,c", "8,c")).sessionId()).isEqualTo(statement.sessionId());
+        assertThat(Statement.parse(text.replace("it", "is")).sessionId()).isNotEqualTo(statement.sessionId());
     }
 
     /** The place, at which a file is to be mended; the words are the parser's. */
@@ -238,7 +238,7 @@
                                     "s" + i, address, "east", i % 2, EndpointWatch.State.READY, false, 0),
                             new EndpointWatch.Entry(
                                     "s" + (i - 5), null, "east", i % 2, EndpointWatch.State.GONE, false, 0)));
-            Statement read = Statement.read("SELECT doc FROM items WHERE id = 'k' /* id=1,c=x,d=9 */");
+            Statement read = Statement.parse("SELECT doc FROM items WHERE id = 'k' /* id=1,c=x,d=9 */");
             InFlightRequest hand = desk.submit(new RequestParameters(
                     "t" + i,
                     0,
@@ -301,20 +301,20 @@
         MemoryLimit whole = new MemoryLimit(8_192);
         MemoryLimit part = new MemoryLimit(2_048, whole);
         MessageReader in = new MessageReader(whole);
-        in.charge(part);
+        in.chargeTo(part);
         byte[] message = new byte[6_000];
         message[0] = 'Q';
         message[3] = 0x20;
         ReadableByteChannel channel = Channels.newChannel(new ByteArrayInputStream(message));
-        MessageReader.Got got = MessageReader.Got.NOTHING;
-        while (got == MessageReader.Got.NOTHING && in.feed(channel) > 0) {
-            got = in.poll(false);
+        MessageReader.ReadStatus got = MessageReader.ReadStatus.INCOMPLETE;
+        while (got == MessageReader.ReadStatus.INCOMPLETE && in.readFrom(channel) > 0) {
+            got = in.nextMessage(false);
         }
-        assertThat(got).isEqualTo(MessageReader.Got.NO_ROOM);
-        assertThat(part.left()).isZero();
-        assertThat(whole.left()).isEqualTo(8_192 - 2_048);
+        assertThat(got).isEqualTo(MessageReader.ReadStatus.OUT_OF_MEMORY);
+        assertThat(part.availableBytes()).isZero();
+        assertThat(whole.availableBytes()).isEqualTo(8_192 - 2_048);
         in.release();
-        assertThat(whole.left()).isEqualTo(8_192);
-        assertThat(part.left()).isEqualTo(2_048);
+        assertThat(whole.availableBytes()).isEqualTo(8_192);
+        assertThat(part.availableBytes()).isEqualTo(2_048);
     }
 }
--- a/src/test/java/beaconladder/server/PipelineQueueTest.java
+++ b/src/test/java/beaconladder/server/PipelineQueueTest.java
@@ -55,7 +55,7 @@
         queue.add(second);
         queue.startNext(UNLIMITED);
         queue.startNext(UNLIMITED);
-        assertThat(queue.add(new PipelineEntry(new MessageWriter().ready(), false)))
+        assertThat(queue.add(new PipelineEntry(new MessageWriter().readyForQuery(), false)))
                 .isEqualTo(PipelineQueue.AddResult.QUEUED);
         complete(second);
         assertThat(queue.beginWrite()).isNull();
@@ -109,7 +109,7 @@
     }
 
     private void complete(PipelineEntry entry) {
-        queue.complete(entry, QueryReply.of(new MessageWriter().ready()), 7);
+        queue.complete(entry, QueryReply.of(new MessageWriter().readyForQuery()), 7);
     }
 
     private static PipelineEntry read(String key) {
--- a/src/test/java/beaconladder/server/ServeClientsIT.java
+++ b/src/test/java/beaconladder/server/ServeClientsIT.java
@@ -70,7 +70,7 @@
         TimeUnit.MILLISECONDS.sleep(200);
         MessageWriter query = MessageWriter.query(write("pieces", 2000).replace("9f03", "9f03".repeat(1500)));
         byte[] bytes = new byte[query.size()];
-        query.bytes().get(bytes);
+        query.asByteBuffer().get(bytes);
         slow.out.write(bytes, 0, 2500);
         for (int i = 0; i < 10; i++) {
             caller();
@@ -139,7 +139,7 @@
     void otherOpeningsAndFramesGetWhatTheProtocolGives() throws Exception {
         start();
         MessageWriter parse = new MessageWriter()
-                .raw(
+                .append(
                         new byte[] {'P', 0, 0, 0, 8, 0, 0, 0, 0, 'B', 0, 0, 0, 4, 'd', 0, 0, 0, 4, 'S', 0, 0, 0, 4},
                         0,
                         24);
--- a/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
+++ b/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
@@ -69,7 +69,7 @@
         timer.start();
         long now = desk.nowNanos();
         expiry = now + BUDGET_MILLIS * 1_000_000L;
-        Statement statement = Statement.read(WRITE);
+        Statement statement = Statement.parse(WRITE);
         InFlightRequest hand = desk.submit(
                 new RequestParameters("w1", 0, desk.group(1), statement, HostReport.NO_POSITION, now, expiry, null));
         for (InFlightRequest.Command command = hand.awaitCommand(); ; command = hand.awaitCommand()) {
@@ -113,7 +113,7 @@
                     if (query[0] == 'Q') {
                         sleep(HOLD_UP_MILLIS + REST_OF_THE_WAY_MILLIS);
                         String text = new String(query, 5, query.length - 6, StandardCharsets.UTF_8);
-                        long told = Long.parseLong(Statement.read(text).value("d"));
+                        long told = Long.parseLong(Statement.parse(text).parameter("d"));
                         excess.add(told - (expiry - desk.nowNanos()) / 1_000_000);
                     }
                     return answer(query, new InetSocketAddress("127.0.0.1", 1));
@@ -175,7 +175,7 @@
                 });
         desk.setHostActions(lines);
         desk.onEndpoints(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
-        Statement statement = Statement.read(WRITE);
+        Statement statement = Statement.parse(WRITE);
         // Connections to a host that was used less are not kept.
         for (int i = 0; i <= USES; i++) {
             InFlightRequest hand = desk.submit(new RequestParameters(
@@ -205,12 +205,12 @@
             if (written.incrementAndGet() == USES) {
                 desk.onEndpoints(false, List.of(entry(moved)));
             }
-            out.row("doc", new byte[] {1}).commandComplete("INSERT 0 1").ready();
+            out.singleColumnResult("doc", new byte[] {1}).commandComplete("INSERT 0 1").readyForQuery();
         } else {
-            out.authenticationOk().ready();
+            out.authenticationOk().readyForQuery();
         }
         byte[] bytes = new byte[out.size()];
-        out.bytes().get(bytes);
+        out.asByteBuffer().get(bytes);
         return bytes;
     }
 
