--- a/src/main/java/beaconladder/app/CellsCommand.java
+++ b/src/main/java/beaconladder/app/CellsCommand.java
@@ -199,7 +199,8 @@
 
     private static Map<?, ?> call(Plan plan, String path) throws IOException {
         try {
-            Object answer = JsonReader.parse(new HttpFetcher(plan.coordinator().address(), true).get(path, CALL_MILLIS));
+            Object answer =
+                    JsonReader.parse(new HttpFetcher(plan.coordinator().address(), true).get(path, CALL_MILLIS));
             if (answer instanceof Map<?, ?> map) {
                 if (map.get("error") != null) {
                     throw new IOException(String.valueOf(map.get("error")));
--- a/src/main/java/beaconladder/app/FeedCommand.java
+++ b/src/main/java/beaconladder/app/FeedCommand.java
@@ -197,7 +197,9 @@
         if (result.plan().leases() == null) {
             throw new FeedInputException(file.file() + " states no grantors, and so nobody who could be asked");
         }
-        return result.plan().leases().servers().stream().map(Plan.LeaseServer::clientAddress).toList();
+        return result.plan().leases().servers().stream()
+                .map(Plan.LeaseServer::clientAddress)
+                .toList();
     }
 
     private int invalidInput(String message) {
--- a/src/main/java/beaconladder/app/LeaseCommand.java
+++ b/src/main/java/beaconladder/app/LeaseCommand.java
@@ -153,7 +153,11 @@
 
     private static LeaseClient client(Plan plan) {
         return new LeaseClient(
-                plan.leases().servers().stream().map(Plan.LeaseServer::clientAddress).toList(), 0, TIMEOUT_MILLIS);
+                plan.leases().servers().stream()
+                        .map(Plan.LeaseServer::clientAddress)
+                        .toList(),
+                0,
+                TIMEOUT_MILLIS);
     }
 
     private Plan planWithLeases(CheckCommand.PlanOption file) throws IOException {
--- a/src/main/java/beaconladder/app/MembersCommand.java
+++ b/src/main/java/beaconladder/app/MembersCommand.java
@@ -39,7 +39,11 @@
             throw new IOException(file.file() + " states no leases, and so no grantors to ask");
         }
         try (LeaseClient client = new LeaseClient(
-                plan.leases().servers().stream().map(Plan.LeaseServer::clientAddress).toList(), 0, TIMEOUT_MILLIS)) {
+                plan.leases().servers().stream()
+                        .map(Plan.LeaseServer::clientAddress)
+                        .toList(),
+                0,
+                TIMEOUT_MILLIS)) {
             MembershipView view = members(client);
             PrintWriter out = spec.commandLine().getOut();
             out.println("view " + view.version()
--- a/src/main/java/beaconladder/cells/CellAdmission.java
+++ b/src/main/java/beaconladder/cells/CellAdmission.java
@@ -125,7 +125,9 @@
 
     /** The most that a request may be in flight, in nanoseconds: a write fence waits this long for unknown outcomes. */
     public long maxInFlightNanos() {
-        return placement.isCoordinated() ? staticPlacement().plan().coordinator().requestExpiryNanos() : Long.MAX_VALUE;
+        return placement.isCoordinated()
+                ? staticPlacement().plan().coordinator().requestExpiryNanos()
+                : Long.MAX_VALUE;
     }
 
     /** An admitted request is in flight from now on. */
--- a/src/main/java/beaconladder/cells/PlacementProblem.java
+++ b/src/main/java/beaconladder/cells/PlacementProblem.java
@@ -37,10 +37,12 @@
     public static PlacementProblem of(Plan plan) {
         int tenantCount = plan.tenants().size();
         int cellCount = plan.cells().size();
-        double totalLoad =
-                plan.tenants().stream().mapToDouble(Plan.Tenant::requestsPerSecond).sum();
-        double totalValue =
-                plan.tenants().stream().mapToDouble(t -> t.requestsPerSecond() * t.priorityWeight()).sum();
+        double totalLoad = plan.tenants().stream()
+                .mapToDouble(Plan.Tenant::requestsPerSecond)
+                .sum();
+        double totalValue = plan.tenants().stream()
+                .mapToDouble(t -> t.requestsPerSecond() * t.priorityWeight())
+                .sum();
         Map<String, Integer> cellIndices = new HashMap<>();
         for (int i = 0; i < cellCount; i++) {
             cellIndices.put(plan.cells().get(i).name(), i);
--- a/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
+++ b/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
@@ -1,6 +1,7 @@
 package beaconladder.coordinator;
 
 import beaconladder.cells.PlacementTable;
+import beaconladder.cells.TenantMigrations;
 import beaconladder.cells.WriteActivity;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -8,19 +9,20 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 
-/** What a keeper and its routers say to each other, as text; docs/cells.md has the form. */
+/** The texts that a coordinator stores and exchanges with routers and operators; docs/cells.md has the form. */
 final class CoordinatorProtocol {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     private CoordinatorProtocol() {}
 
-    /** A placement; the seats are left out for who has them. */
+    /** A placement; the seats are omitted for a router that has them already. */
     static String text(PlacementTable placement, boolean withSeats) {
         ObjectNode all = MAPPER.createObjectNode();
         all.put("version", placement.version())
-                .put("until_ms", placement.validUntilNanos() / MS)
+                .put("until_ms", placement.validUntilNanos() / NANOS_PER_MILLI)
                 .put("basis", placement.planFingerprint());
         if (withSeats) {
             ArrayNode seats = all.putArray("seats");
@@ -32,15 +34,48 @@
                         .put("reads", seat.reads())
                         .put("moving", seat.moving());
                 ArrayNode floors = one.putArray("floors_ms");
-                seat.floors().forEach(floor -> floors.add(ceiling(floor)));
+                seat.floors().forEach(floor -> floors.add(ceilingMillis(floor)));
             });
         }
         return text(all);
     }
 
-    /** A floor is rounded up: a member that lacks a part of a millisecond lacks something. */
-    private static long ceiling(long nanos) {
-        return Math.floorDiv(nanos + MS - 1, MS);
+    /** A floor in milliseconds, rounded up: a host behind by a fraction of a millisecond is still behind. */
+    private static long ceilingMillis(long nanos) {
+        return Math.floorDiv(nanos + NANOS_PER_MILLI - 1, NANOS_PER_MILLI);
+    }
+
+    /** The state of all migrations and routers, for operators; the monitor that guards them must be held. */
+    static ObjectNode cells(TenantMigrations migrations, long nowNanos) {
+        ObjectNode all = MAPPER.createObjectNode();
+        all.put("version", migrations.version());
+        ObjectNode seats = all.putObject("seats");
+        migrations.placements().forEach((tenant, placement) -> seats.put(tenant, placement.cell()));
+        ObjectNode routers = all.putObject("routers");
+        migrations
+                .nanosSinceLastReport(nowNanos)
+                .forEach((name, nanos) -> routers.put(name, nanos < 0 ? -1 : nanos / NANOS_PER_MILLI));
+        ArrayNode moves = all.putArray("moves");
+        migrations
+                .statuses(nowNanos)
+                .forEach(status -> moves.addObject()
+                        .put("tenant", status.tenant())
+                        .put("from", status.from())
+                        .put("to", status.to())
+                        .put("state", status.state())
+                        .put("waits_for", status.waitsFor())
+                        .put("since_ms", status.since() / NANOS_PER_MILLI));
+        ArrayNode ended = all.putArray("ended");
+        migrations
+                .endedMigrations()
+                .forEach(step -> ended.addObject()
+                        .put("tenant", step.tenant())
+                        .put("from", step.fromCell())
+                        .put("to", step.toCell())
+                        .put("state", step.kind().name().toLowerCase(Locale.ROOT))
+                        .put("at_ms", step.atNanos() / NANOS_PER_MILLI)
+                        .put("why", step.detail()));
+        return all;
     }
 
     static String text(Object value) {
@@ -55,14 +90,14 @@
         return MAPPER.createObjectNode();
     }
 
-    /** A router's word of its tenants that are moved: tenant:writes:commit:commit, one behind the other. */
+    /** A router's writes of migrating tenants: tenant:writes:commit:commit (commits in ms), separated by commas. */
     static List<WriteActivity> busy(String text) {
         List<WriteActivity> all = new ArrayList<>();
         for (String each : text.isEmpty() ? new String[0] : text.split(",")) {
             String[] parts = each.split(":");
             List<Long> commits = new ArrayList<>();
             for (int i = 2; i < parts.length; i++) {
-                commits.add(Long.parseLong(parts[i]) * MS);
+                commits.add(Long.parseLong(parts[i]) * NANOS_PER_MILLI);
             }
             all.add(new WriteActivity(parts[0], Integer.parseInt(parts[1]), commits));
         }
--- a/src/main/java/beaconladder/coordinator/HostQueries.java
+++ b/src/main/java/beaconladder/coordinator/HostQueries.java
@@ -19,17 +19,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Asks hosts for roles and positions, and has new cells' primaries copy; it decides nothing. */
+/** Queries hosts for roles and replication positions, and makes target cells' primaries copy; it decides nothing. */
 final class HostQueries implements EndpointWatch.Listener, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(HostQueries.class);
-    /** Hosts answer within milliseconds or are in trouble; a move then waits and asks again. */
-    private static final int ASK_MILLIS = 400;
+    /** Hosts respond within milliseconds unless they are faulty; the migration then waits for the next round. */
+    private static final int TIMEOUT_MILLIS = 400;
 
-    private static final String REPORT = "SHOW server_load";
+    private static final String LOAD_REPORT_QUERY = "SHOW server_load";
 
     private final Map<String, EndpointWatch.Entry> entries = new LinkedHashMap<>();
-    private final Map<String, HostQuery> lines = new ConcurrentHashMap<>();
-    private final Map<String, String> fed = new HashMap<>();
+    private final Map<String, HostConnection> connections = new ConcurrentHashMap<>();
+    /** Source and target host of each copy that was started, by tenant and slot; used by the loop's thread only. */
+    private final Map<String, String> startedCopies = new HashMap<>();
+
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "asks");
         thread.setDaemon(true);
@@ -37,11 +39,11 @@
     });
 
     @Override
-    public synchronized void onEndpoints(boolean complete, List<EndpointWatch.Entry> news) {
+    public synchronized void onEndpoints(boolean complete, List<EndpointWatch.Entry> changes) {
         if (complete) {
             entries.clear();
         }
-        for (EndpointWatch.Entry entry : news) {
+        for (EndpointWatch.Entry entry : changes) {
             if (entry.state() == EndpointWatch.State.GONE) {
                 entries.remove(entry.id());
             } else {
@@ -54,87 +56,93 @@
         return entries.values().stream().filter(entry -> entry.group() == group).toList();
     }
 
-    /** What one host says: of itself, and, where asked, how far the tenant's copy has come there. */
-    private record Said(EndpointWatch.Entry host, boolean primary, long position, long copied) {}
-
-    /** Asks both groups of a slot; who does not answer is not in it. */
-    MigrationObservation look(SlotQuery errand, long now) {
-        List<EndpointWatch.Entry> targets = members(errand.targetGroup());
-        List<Callable<Said>> questions = new ArrayList<>();
-        for (EndpointWatch.Entry host : members(errand.sourceGroup())) {
-            questions.add(() -> ask(host, null));
+    /**
+     * A host's response.
+     *
+     * @param positionNanos its replication position
+     * @param copiedNanos how far the tenant's copy has reached there, or the least long if not queried
+     */
+    private record HostState(EndpointWatch.Entry host, boolean isPrimary, long positionNanos, long copiedNanos) {}
+
+    /** Queries both groups of a slot, at this Unix time in nanoseconds; a host that does not respond is left out. */
+    MigrationObservation observe(SlotQuery slot, long nowNanos) {
+        List<EndpointWatch.Entry> targets = members(slot.targetGroup());
+        List<Callable<HostState>> queries = new ArrayList<>();
+        for (EndpointWatch.Entry host : members(slot.sourceGroup())) {
+            queries.add(() -> queryState(host, null));
         }
-        int sources = questions.size();
+        int sourceCount = queries.size();
         for (EndpointWatch.Entry host : targets) {
-            questions.add(() -> ask(host, errand.tenant()));
+            queries.add(() -> queryState(host, slot.tenant()));
         }
-        List<Said> said = all(questions);
-        List<Said> source = said.subList(0, sources).stream()
-                .filter(s -> s != null && s.primary())
+        List<HostState> states = runAll(queries);
+        List<HostState> sourcePrimaries = states.subList(0, sourceCount).stream()
+                .filter(s -> s != null && s.isPrimary())
                 .toList();
-        List<Said> answered = said.subList(sources, said.size());
-        List<Said> target =
-                answered.stream().filter(s -> s != null && s.primary()).toList();
-        if (errand.copies() && source.size() == 1 && target.size() == 1) {
-            feed(errand, source.get(0).host(), target.get(0).host());
+        List<HostState> targetStates = states.subList(sourceCount, states.size());
+        List<HostState> targetPrimaries =
+                targetStates.stream().filter(s -> s != null && s.isPrimary()).toList();
+        if (slot.copies() && sourcePrimaries.size() == 1 && targetPrimaries.size() == 1) {
+            startCopy(
+                    slot, sourcePrimaries.get(0).host(), targetPrimaries.get(0).host());
         }
         List<Long> copied = new ArrayList<>();
         for (int i = 0; i < targets.size(); i++) {
-            // A member that is listed as ready may become primary: it has to show that it has the copy.
+            // A host that is ready may become primary, so its copy has to be complete, too.
             if (targets.get(i).state() == EndpointWatch.State.READY) {
                 copied.add(
-                        answered.get(i) == null
+                        targetStates.get(i) == null
                                 ? Long.MIN_VALUE
-                                : answered.get(i).copied());
+                                : targetStates.get(i).copiedNanos());
             }
         }
         return new MigrationObservation(
-                now,
-                source.size() == 1 ? source.get(0).host().id() : null,
-                source.size() == 1 ? source.get(0).position() : Long.MIN_VALUE,
-                target.size() == 1 ? target.get(0).host().id() : null,
-                target.size() == 1 ? target.get(0).position() : Long.MIN_VALUE,
+                nowNanos,
+                sourcePrimaries.size() == 1 ? sourcePrimaries.get(0).host().id() : null,
+                sourcePrimaries.size() == 1 ? sourcePrimaries.get(0).positionNanos() : Long.MIN_VALUE,
+                targetPrimaries.size() == 1 ? targetPrimaries.get(0).host().id() : null,
+                targetPrimaries.size() == 1 ? targetPrimaries.get(0).positionNanos() : Long.MIN_VALUE,
                 copied);
     }
 
-    /** Tells the target's primary to copy from this source; again whenever one of the two is another. */
-    private void feed(SlotQuery errand, EndpointWatch.Entry source, EndpointWatch.Entry target) {
-        String key = errand.tenant() + "/" + errand.slot();
+    /** Makes the target's primary copy from this source, again whenever one of the two has changed. */
+    private void startCopy(SlotQuery slot, EndpointWatch.Entry source, EndpointWatch.Entry target) {
+        String key = slot.tenant() + "/" + slot.slot();
         String pair = source.id() + ">" + target.id();
-        if (pair.equals(fed.get(key))) {
+        if (pair.equals(startedCopies.get(key))) {
             return;
         }
-        tell(
+        setFeed(
                 target,
-                errand.tenant() + " on " + source.address().getHostString() + ":"
+                slot.tenant() + " on " + source.address().getHostString() + ":"
                         + source.address().getPort(),
-                () -> fed.put(key, pair));
+                () -> startedCopies.put(key, pair));
     }
 
-    /** Ends the copying of a move that has ended; what was copied is dropped where the tenant stays away. */
-    void end(SlotQuery errand, boolean drop) {
-        fed.remove(errand.tenant() + "/" + errand.slot());
-        for (EndpointWatch.Entry host : members(errand.targetGroup())) {
-            tell(host, errand.tenant() + (drop ? " drop" : " off"), () -> {});
+    /** Stops the copy of a migration that has ended; the copied data is dropped if the migration was undone. */
+    void endCopy(SlotQuery slot, boolean drop) {
+        startedCopies.remove(slot.tenant() + "/" + slot.slot());
+        for (EndpointWatch.Entry host : members(slot.targetGroup())) {
+            setFeed(host, slot.tenant() + (drop ? " drop" : " off"), () -> {});
         }
     }
 
-    private void tell(EndpointWatch.Entry host, String what, Runnable done) {
+    private void setFeed(EndpointWatch.Entry host, String feed, Runnable onSuccess) {
         try {
-            line(host).ask("SET beaconladder.feed = '" + what + "'", ASK_MILLIS);
-            done.run();
+            connection(host).query("SET beaconladder.feed = '" + feed + "'", TIMEOUT_MILLIS);
+            onSuccess.run();
         } catch (IOException e) {
-            drop(host);
-            LOG.warn("{} was not told of the feed '{}': {}", host.id(), what, e.toString());
+            disconnect(host);
+            LOG.warn("{} was not told of the feed '{}': {}", host.id(), feed, e.toString());
         }
     }
 
-    private Said ask(EndpointWatch.Entry host, String tenant) throws IOException {
+    private HostState queryState(EndpointWatch.Entry host, String tenant) throws IOException {
         try {
-            HostQuery line = line(host);
-            HostQuery.Answer report = line.ask(REPORT, ASK_MILLIS);
+            HostConnection connection = connection(host);
+            String report = connection.query(LOAD_REPORT_QUERY, TIMEOUT_MILLIS);
             Map<String, String> fields = new HashMap<>();
-            for (String pair : String.valueOf(report.cell()).split(",")) {
+            for (String pair : String.valueOf(report).split(",")) {
                 int equals = pair.indexOf('=');
                 fields.put(
                         pair.substring(0, Math.max(0, equals)).strip(),
@@ -143,59 +151,58 @@
             long copied = tenant == null
                     ? Long.MIN_VALUE
                     : Decimal.parseScaled(
-                            line.ask(
-                                            "SELECT copied FROM beaconladder_feeds WHERE tenant = '" + tenant + "'",
-                                            ASK_MILLIS)
-                                    .cell(),
+                            connection.query(
+                                    "SELECT copied FROM beaconladder_feeds WHERE tenant = '" + tenant + "'",
+                                    TIMEOUT_MILLIS),
                             6);
-            return new Said(host, "1".equals(fields.get("x1")), Decimal.parseScaled(fields.get("x0"), 9), copied);
+            return new HostState(host, "1".equals(fields.get("x1")), Decimal.parseScaled(fields.get("x0"), 9), copied);
         } catch (IOException e) {
-            drop(host);
+            disconnect(host);
             throw e;
         }
     }
 
-    private HostQuery line(EndpointWatch.Entry host) throws IOException {
-        HostQuery line = lines.get(host.id());
-        if (line == null) {
-            line = new HostQuery(host.address(), ASK_MILLIS);
-            HostQuery before = lines.put(host.id(), line);
-            if (before != null) {
-                before.close();
+    private HostConnection connection(EndpointWatch.Entry host) throws IOException {
+        HostConnection connection = connections.get(host.id());
+        if (connection == null) {
+            connection = new HostConnection(host.address(), TIMEOUT_MILLIS);
+            HostConnection previous = connections.put(host.id(), connection);
+            if (previous != null) {
+                previous.close();
             }
         }
-        return line;
+        return connection;
     }
 
-    private void drop(EndpointWatch.Entry host) {
-        HostQuery line = lines.remove(host.id());
-        if (line != null) {
-            line.close();
+    private void disconnect(EndpointWatch.Entry host) {
+        HostConnection connection = connections.remove(host.id());
+        if (connection != null) {
+            connection.close();
         }
     }
 
-    private List<Said> all(List<Callable<Said>> questions) {
-        List<Said> said = new ArrayList<>();
+    private List<HostState> runAll(List<Callable<HostState>> queries) {
+        List<HostState> states = new ArrayList<>();
         try {
-            for (Future<Said> answer : threads.invokeAll(questions)) {
+            for (Future<HostState> response : threads.invokeAll(queries)) {
                 try {
-                    said.add(answer.get());
+                    states.add(response.get());
                 } catch (ExecutionException e) {
-                    said.add(null);
+                    states.add(null);
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        while (said.size() < questions.size()) {
-            said.add(null);
+        while (states.size() < queries.size()) {
+            states.add(null);
         }
-        return said;
+        return states;
     }
 
     @Override
     public void close() {
         threads.shutdownNow();
-        lines.values().forEach(HostQuery::close);
+        connections.values().forEach(HostConnection::close);
     }
 }
--- a/src/main/java/beaconladder/lease/server/LeaseServer.java
+++ b/src/main/java/beaconladder/lease/server/LeaseServer.java
@@ -81,7 +81,12 @@
                 .build();
         gossip = startGossip(plan, self);
         http = startHttp(self.clientAddress(), stateMachine);
-        LOG.info("lease server {} listens at {}, {} of them at {}", name, self.clientAddress(), peers.size(), self.raftAddress());
+        LOG.info(
+                "lease server {} listens at {}, {} of them at {}",
+                name,
+                self.clientAddress(),
+                peers.size(),
+                self.raftAddress());
     }
 
     private static RaftStorage.StartupOption startupOption(Path folder) {
@@ -94,7 +99,8 @@
         if (self.gossipAddress() == null) {
             return null;
         }
-        InetSocketAddress bind = new InetSocketAddress(self.clientAddress().getAddress(), RaftSettings.port(self.gossipAddress()));
+        InetSocketAddress bind =
+                new InetSocketAddress(self.clientAddress().getAddress(), RaftSettings.port(self.gossipAddress()));
         GossipService gossip = new GossipService(self.name(), bind, self.gossipAddress(), plan.gossipSeeds());
         Thread thread = new Thread(gossip, "gossip");
         thread.setDaemon(true);
--- a/src/main/java/beaconladder/lease/server/RaftSettings.java
+++ b/src/main/java/beaconladder/lease/server/RaftSettings.java
@@ -43,7 +43,8 @@
         RaftProperties properties = new RaftProperties();
         RaftServerConfigKeys.setStorageDir(properties, List.of(folder.toFile()));
         RaftConfigKeys.Rpc.setType(properties, SupportedRpcType.GRPC);
-        GrpcConfigKeys.Server.setHost(properties, self.clientAddress().getAddress().getHostAddress());
+        GrpcConfigKeys.Server.setHost(
+                properties, self.clientAddress().getAddress().getHostAddress());
         GrpcConfigKeys.Server.setPort(properties, port(self.raftAddress()));
         setTimeouts(properties, plan.durationNanos());
         setLog(properties, plan.maxDiskBytes());
--- a/src/main/java/beaconladder/pg/Decimal.java
+++ b/src/main/java/beaconladder/pg/Decimal.java
@@ -3,29 +3,29 @@
 import java.math.BigDecimal;
 import java.math.RoundingMode;
 
-/** Decimal numbers in texts from outside: read exactly, at a cost that their length bounds. */
+/** Parses decimal numbers in untrusted text exactly, at a cost bounded by their length. */
 public final class Decimal {
-    /** No value that is read here, or what could not be read. */
+    /** No parsed value; returned for text that could not be parsed. */
     public static final long NONE = Long.MIN_VALUE;
-    /** A long has 19 digits; as many again may stand behind the point. */
-    private static final int LONGEST_TEXT = 64;
-    /** Beyond this exponent a number is 0 or no long; written out, its digits would fill the memory. */
-    private static final int LARGEST_SCALE = 64;
+    /** A long has 19 digits; as many again may follow the decimal point. */
+    private static final int MAX_TEXT_CHARS = 64;
+    /** Beyond this exponent a number is 0 or exceeds a long; expanding its digits could exhaust the memory. */
+    private static final int MAX_SCALE = 64;
 
     private Decimal() {}
 
     /**
      * The number times a power of ten, rounded down.
      *
-     * @return {@link #NONE} where the text is no decimal number or the result no long
+     * @return {@link #NONE} where the text is no decimal number or the result exceeds a long
      */
     public static long parseScaled(String text, int power) {
-        if (text == null || text.length() > LONGEST_TEXT) {
+        if (text == null || text.length() > MAX_TEXT_CHARS) {
             return NONE;
         }
         try {
             BigDecimal number = new BigDecimal(text);
-            if (Math.abs((long) number.scale()) > LARGEST_SCALE) {
+            if (Math.abs((long) number.scale()) > MAX_SCALE) {
                 return NONE;
             }
             return number.movePointRight(power).setScale(0, RoundingMode.FLOOR).longValueExact();
--- a/src/main/java/beaconladder/pg/MemoryLimit.java
+++ b/src/main/java/beaconladder/pg/MemoryLimit.java
@@ -2,39 +2,41 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The memory that all connections together may take for messages larger than usual. */
+/** Limits the memory that all connections together use for messages larger than usual; safe for concurrent use. */
 public final class MemoryLimit {
-    private final AtomicLong left;
-    private final MemoryLimit whole;
+    private final AtomicLong available;
+    private final MemoryLimit parent;
 
+    /** A limit of its own. */
     public MemoryLimit(long bytes) {
         this(bytes, null);
     }
 
-    /** A part of a whole: what is taken here is taken there, too. */
-    public MemoryLimit(long bytes, MemoryLimit whole) {
-        this.left = new AtomicLong(bytes);
-        this.whole = whole;
+    /** A limit within another one: what is reserved here is reserved in the parent, too. */
+    public MemoryLimit(long bytes, MemoryLimit parent) {
+        this.available = new AtomicLong(bytes);
+        this.parent = parent;
     }
 
-    /** Takes so many bytes; false when they are not to be had. */
+    /** Reserves this many bytes; returns false, with nothing reserved, if they are not available. */
     boolean tryReserve(int bytes) {
-        if (left.addAndGet(-bytes) >= 0 && (whole == null || whole.tryReserve(bytes))) {
+        if (available.addAndGet(-bytes) >= 0 && (parent == null || parent.tryReserve(bytes))) {
             return true;
         }
-        left.addAndGet(bytes);
+        available.addAndGet(bytes);
         return false;
     }
 
+    /** Returns bytes that were reserved. */
     void release(int bytes) {
-        left.addAndGet(bytes);
-        if (whole != null) {
-            whole.release(bytes);
+        available.addAndGet(bytes);
+        if (parent != null) {
+            parent.release(bytes);
         }
     }
 
-    /** How much is free. */
+    /** Bytes that can still be reserved here, whatever the parent allows. */
     public long availableBytes() {
-        return left.get();
+        return available.get();
     }
 }
--- a/src/main/java/beaconladder/pg/MessageReader.java
+++ b/src/main/java/beaconladder/pg/MessageReader.java
@@ -8,10 +8,12 @@
 import java.nio.channels.ReadableByteChannel;
 import java.util.Arrays;
 
-/** The messages that come in on one connection: one buffer, growing as bytes come, compacted in place. */
+/**
+ * Reads the messages of one connection into one buffer that grows with the bytes received and is compacted in place.
+ */
 public final class MessageReader extends MessageView {
 
-    /** What became of a wait for a message. */
+    /** Outcome of reading a message. */
     public enum ReadStatus {
         MESSAGE,
         CLOSED,
@@ -25,135 +27,142 @@
     /** A value of 64 KiB is twice that in hex; the rest leaves room for the statement round it. */
     public static final int MAX_MESSAGE_BYTES = 256 * 1024;
     /** Holds the statements in use; larger values make it grow for as long as they are there. */
-    private static final int USUAL = 2048;
+    private static final int INITIAL_BYTES = 2048;
 
     /** Names and options alone; PostgreSQL takes as much. */
-    private static final int LONGEST_OPENING = 10_000;
+    private static final int MAX_STARTUP_BYTES = 10_000;
 
     private final Socket socket;
     private final InputStream in;
-    private MemoryLimit room;
-    /** Whether there was no space for what the channel may have. */
-    private boolean refused;
-    /** How many bytes the message that is coming in needs, as far as that is known. */
+    private MemoryLimit memory;
+    /** Whether the last read from the channel was skipped because the buffer could not grow. */
+    private boolean isFull;
+    /** Bytes that the incomplete message needs, as far as that is known. */
     private int needed;
-    /** When the message that is coming in began, or 0. */
-    private long begunAt;
+    /** nanoTime at which the first byte of the incomplete message was seen, or 0. */
+    private long messageStartNanos;
 
-    private int from;
-    private int to;
+    private int messageStart;
+    private int bytesEnd;
 
-    /** One that is fed; it waits for nothing. */
-    public MessageReader(MemoryLimit room) {
-        super(USUAL);
+    /** A reader for {@link #readFrom} and {@link #nextMessage}, which do not block. */
+    public MessageReader(MemoryLimit memory) {
+        super(INITIAL_BYTES);
         this.socket = null;
         this.in = null;
-        this.room = room;
+        this.memory = memory;
     }
 
-    /** One that reads from a socket and waits. */
-    public MessageReader(Socket socket, MemoryLimit room) throws IOException {
-        super(USUAL);
+    /** A reader for {@link #readMessage}, which blocks on the socket. */
+    public MessageReader(Socket socket, MemoryLimit memory) throws IOException {
+        super(INITIAL_BYTES);
         this.socket = socket;
-        this.room = room;
+        this.memory = memory;
         this.in = socket.getInputStream();
     }
 
     /**
      * Waits for the next message.
      *
-     * @param until a nanoTime by which it has to be there, or 0 for no end
-     * @param whole once it has begun, all of it has to be there within so many nanoseconds
+     * @param deadlineNanos the nanoTime by which it has to be complete, or 0 for no deadline
+     * @param timeoutNanos limit from its first byte to its last, or Long.MAX_VALUE for none
      */
-    public ReadStatus readMessage(long until, long whole) {
-        return readMessage(1, until, whole, MAX_MESSAGE_BYTES);
+    public ReadStatus readMessage(long deadlineNanos, long timeoutNanos) {
+        return readMessage(1, deadlineNanos, timeoutNanos, MAX_MESSAGE_BYTES);
     }
 
-    private ReadStatus readMessage(int head, long until, long whole, int most) {
-        begunAt = 0;
-        ReadStatus got = parse(head, most);
-        while (got == ReadStatus.INCOMPLETE) {
-            got = fill(needed, until, whole);
-            got = got == ReadStatus.MESSAGE ? parse(head, most) : got;
+    private ReadStatus readMessage(int typeBytes, long deadlineNanos, long timeoutNanos, int maxBytes) {
+        messageStartNanos = 0;
+        ReadStatus status = parse(typeBytes, maxBytes);
+        while (status == ReadStatus.INCOMPLETE) {
+            status = fill(needed, deadlineNanos, timeoutNanos);
+            status = status == ReadStatus.MESSAGE ? parse(typeBytes, maxBytes) : status;
         }
-        return got;
+        return status;
     }
 
-    /** Takes in what the channel has, as long as there is room; how much, or -1 at the end. */
+    /**
+     * Reads the bytes available in the channel while the buffer may grow; returns their number, or -1 at the end of the
+     * stream.
+     */
     public int readFrom(ReadableByteChannel channel) throws IOException {
-        refused = !makeSpace();
-        if (refused) {
+        isFull = !makeSpace();
+        if (isFull) {
             return 0;
         }
-        int n = channel.read(ByteBuffer.wrap(buffer, to, buffer.length - to));
-        to += Math.max(0, n);
+        int n = channel.read(ByteBuffer.wrap(buffer, bytesEnd, buffer.length - bytesEnd));
+        bytesEnd += Math.max(0, n);
         return n;
     }
 
-    /** The next message of those fed, if all of it is there. */
-    public ReadStatus nextMessage(boolean opening) {
-        ReadStatus got = opening ? parse(0, LONGEST_OPENING) : parse(1, MAX_MESSAGE_BYTES);
-        begunAt = got != ReadStatus.INCOMPLETE || to == from ? 0 : begunAt == 0 ? System.nanoTime() : begunAt;
-        return got == ReadStatus.INCOMPLETE && to - from == buffer.length && !makeSpace() ? ReadStatus.OUT_OF_MEMORY : got;
+    /** Moves to the next message, if it has been received completely; a startup message has no type byte. */
+    public ReadStatus nextMessage(boolean isStartup) {
+        ReadStatus status = isStartup ? parse(0, MAX_STARTUP_BYTES) : parse(1, MAX_MESSAGE_BYTES);
+        messageStartNanos = status != ReadStatus.INCOMPLETE || bytesEnd == messageStart
+                ? 0
+                : messageStartNanos == 0 ? System.nanoTime() : messageStartNanos;
+        return status == ReadStatus.INCOMPLETE && bytesEnd - messageStart == buffer.length && !makeSpace()
+                ? ReadStatus.OUT_OF_MEMORY
+                : status;
     }
 
-    /** What comes is taken in, but looked at later: a message that has begun is not waited for meanwhile. */
+    /** Stops measuring the time of an incomplete message while the caller is not going to parse it. */
     public void pauseMessageTimer() {
-        begunAt = 0;
+        messageStartNanos = 0;
     }
 
-    /** Whether so much has come in that nobody has looked at, or there was no space for more. */
+    /** Whether at least this many bytes beyond the current message have been received, or the buffer could not grow. */
     public boolean hasUnreadAtLeast(int bytes) {
-        return refused || to - end >= bytes;
+        return isFull || bytesEnd - messageEnd >= bytes;
     }
 
-    /** When the message began that has not come in whole, or 0. */
+    /** nanoTime at which the first byte of the incomplete message was seen, or 0. */
     public long messageStartNanos() {
-        return begunAt;
+        return messageStartNanos;
     }
 
-    /** What has come in is of no interest. */
+    /** Discards all bytes received. */
     public void discard() {
-        from = to;
-        end = to;
-        begunAt = 0;
+        messageStart = bytesEnd;
+        messageEnd = bytesEnd;
+        messageStartNanos = 0;
     }
 
-    /** The message that starts where the current one ends, if all of it is there. */
-    private ReadStatus parse(int head, int most) {
-        from = end;
-        needed = head + 4;
-        if (to - from < needed) {
+    /** Moves to the message behind the current one, if it has been received completely. */
+    private ReadStatus parse(int typeBytes, int maxBytes) {
+        messageStart = messageEnd;
+        needed = typeBytes + 4;
+        if (bytesEnd - messageStart < needed) {
             return ReadStatus.INCOMPLETE;
         }
-        int length = int32(from + head);
-        if (length < 4 || length > most) {
+        int length = int32(messageStart + typeBytes);
+        if (length < 4 || length > maxBytes) {
             return ReadStatus.MALFORMED;
         }
-        needed = head + length;
-        if (to - from < needed) {
+        needed = typeBytes + length;
+        if (bytesEnd - messageStart < needed) {
             return ReadStatus.INCOMPLETE;
         }
-        type = head == 0 ? 0 : (char) (buffer[from] & 0xff);
-        at = from + head + 4;
-        end = from + needed;
+        type = typeBytes == 0 ? 0 : (char) (buffer[messageStart] & 0xff);
+        bodyStart = messageStart + typeBytes + 4;
+        messageEnd = messageStart + needed;
         return ReadStatus.MESSAGE;
     }
 
-    /** Moves what is left to the front, and grows where that is not enough; false without room to. */
+    /** Compacts the buffer, and grows it if that is not enough; false if it may not grow. */
     private boolean makeSpace() {
-        if (from > 0 && (from == to || to == buffer.length)) {
-            System.arraycopy(buffer, from, buffer, 0, to - from);
-            to -= from;
-            end -= from;
-            from = 0;
-            if (to == 0 && buffer.length > USUAL) {
+        if (messageStart > 0 && (messageStart == bytesEnd || bytesEnd == buffer.length)) {
+            System.arraycopy(buffer, messageStart, buffer, 0, bytesEnd - messageStart);
+            bytesEnd -= messageStart;
+            messageEnd -= messageStart;
+            messageStart = 0;
+            if (bytesEnd == 0 && buffer.length > INITIAL_BYTES) {
                 release();
             }
         }
-        if (to == buffer.length) {
+        if (bytesEnd == buffer.length) {
             int larger = Math.min(2 * buffer.length, MAX_MESSAGE_BYTES + 5);
-            if (larger == buffer.length || !room.tryReserve(larger - buffer.length)) {
+            if (larger == buffer.length || !memory.tryReserve(larger - buffer.length)) {
                 return false;
             }
             buffer = Arrays.copyOf(buffer, larger);
@@ -161,72 +170,80 @@
         return true;
     }
 
-    /** Reads until this many bytes of the message are there; the buffer grows by what came, not by claims. */
-    private ReadStatus fill(int bytes, long until, long whole) {
-        while (to - from < bytes) {
+    /**
+     * Reads until this many bytes of the message have been received; the buffer grows with the bytes received, not with
+     * the length announced.
+     */
+    private ReadStatus fill(int bytes, long deadlineNanos, long timeoutNanos) {
+        while (bytesEnd - messageStart < bytes) {
             if (!makeSpace()) {
                 return ReadStatus.OUT_OF_MEMORY;
             }
             long now = System.nanoTime();
-            long left = until == 0 ? Long.MAX_VALUE : until - now;
-            if (to > from) {
-                begunAt = begunAt == 0 ? now : begunAt;
-                left = Math.min(left, whole == Long.MAX_VALUE ? left : begunAt + whole - now);
+            long remainingNanos = deadlineNanos == 0 ? Long.MAX_VALUE : deadlineNanos - now;
+            if (bytesEnd > messageStart) {
+                messageStartNanos = messageStartNanos == 0 ? now : messageStartNanos;
+                remainingNanos = Math.min(
+                        remainingNanos,
+                        timeoutNanos == Long.MAX_VALUE ? remainingNanos : messageStartNanos + timeoutNanos - now);
             } else {
-                begunAt = 0;
+                messageStartNanos = 0;
             }
             try {
-                // What is there already counts as in time: it may be this thread that comes late.
-                if (left <= 0 && in.available() == 0) {
+                // Bytes already received count as in time: it may be this thread that was late.
+                if (remainingNanos <= 0 && in.available() == 0) {
                     return ReadStatus.TIMED_OUT;
                 }
                 // The kernel may end a wait late by a two-hundredth of its length (15 ms of 3 s were
                 // seen), so all but a sixty-fourth is waited for first and then the rest.
-                long millis = Math.max(1, (left + 999_999) / 1_000_000);
+                long millis = Math.max(1, (remainingNanos + 999_999) / 1_000_000);
                 socket.setSoTimeout(
-                        left == Long.MAX_VALUE ? 0 : (int) Math.min(Integer.MAX_VALUE, millis - millis / 64));
-                int n = in.read(buffer, to, buffer.length - to);
+                        remainingNanos == Long.MAX_VALUE ? 0 : (int) Math.min(Integer.MAX_VALUE, millis - millis / 64));
+                int n = in.read(buffer, bytesEnd, buffer.length - bytesEnd);
                 if (n < 0) {
-                    return to == from ? ReadStatus.CLOSED : ReadStatus.TRUNCATED;
+                    return bytesEnd == messageStart ? ReadStatus.CLOSED : ReadStatus.TRUNCATED;
                 }
-                to += n;
+                bytesEnd += n;
             } catch (SocketTimeoutException e) {
                 continue;
             } catch (IOException e) {
-                return to == from ? ReadStatus.CLOSED : ReadStatus.TRUNCATED;
+                return bytesEnd == messageStart ? ReadStatus.CLOSED : ReadStatus.TRUNCATED;
             }
         }
         return ReadStatus.MESSAGE;
     }
 
-    /** Gives back the memory of large messages; to be called at the end, too. */
+    /**
+     * Releases the memory of large messages and discards the bytes received; also to be called when the connection is
+     * closed.
+     */
     public void release() {
-        room.release(buffer.length - USUAL);
-        buffer = new byte[USUAL];
-        from = 0;
-        to = 0;
-        end = 0;
+        memory.release(buffer.length - INITIAL_BYTES);
+        buffer = new byte[INITIAL_BYTES];
+        messageStart = 0;
+        bytesEnd = 0;
+        messageEnd = 0;
     }
 
-    /** Large messages count here from now on; for one that is on its way, from the next one on. */
-    public void chargeTo(MemoryLimit to) {
-        if (buffer.length == USUAL) {
-            room = to;
+    /** Counts large messages against this limit; ignored while a large message is in the buffer. */
+    public void chargeTo(MemoryLimit limit) {
+        if (buffer.length == INITIAL_BYTES) {
+            memory = limit;
         }
     }
 
-    /** How many bytes have come in beyond the current message. */
+    /** Number of bytes received beyond the current message. */
     public int unreadBytes() {
-        return to - end;
+        return bytesEnd - messageEnd;
     }
 
-    /** Whether bytes beyond the current message have come in. */
+    /** Whether bytes beyond the current message have been received. */
     public boolean hasUnread() {
-        return to > end;
+        return bytesEnd > messageEnd;
     }
 
-    /** The current message as it came, type and length included. */
+    /** Appends the current message unchanged, type and length included. */
     public void copyTo(MessageWriter out) {
-        out.append(buffer, from, end - from);
+        out.append(buffer, messageStart, messageEnd - messageStart);
     }
 }
--- a/src/main/java/beaconladder/pg/MessageWriter.java
+++ b/src/main/java/beaconladder/pg/MessageWriter.java
@@ -6,74 +6,83 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Messages on their way out, built one behind the other. */
+/** Builds outgoing messages, one after the other, in a growing buffer. */
 public final class MessageWriter {
     private byte[] buffer = new byte[256];
     private int size;
 
-    public MessageWriter append(byte[] bytes, int at, int length) {
-        room(length);
-        System.arraycopy(bytes, at, buffer, size, length);
+    /** Appends bytes that form complete messages. */
+    public MessageWriter append(byte[] bytes, int offset, int length) {
+        ensureCapacity(length);
+        System.arraycopy(bytes, offset, buffer, size, length);
         size += length;
         return this;
     }
 
+    /** Appends the messages of another writer. */
     public MessageWriter append(MessageWriter other) {
         return append(other.buffer, 0, other.size);
     }
 
-    /** What a client says first. */
+    /** A client's StartupMessage. */
     public static MessageWriter startup(String user, String database) {
         MessageWriter out = new MessageWriter();
-        int at = out.begin((char) 0);
+        int start = out.begin((char) 0);
         out.int32(3 << 16)
                 .text("user")
                 .text(user)
                 .text("database")
                 .text(database)
                 .int8(0);
-        return out.end(at);
+        return out.end(start);
     }
 
+    /** A simple Query. */
     public static MessageWriter query(String statement) {
         MessageWriter out = new MessageWriter();
-        int at = out.begin('Q');
-        return out.text(statement).end(at);
+        int start = out.begin('Q');
+        return out.text(statement).end(start);
     }
 
+    /** AuthenticationOk. */
     public MessageWriter authenticationOk() {
-        int at = begin('R');
-        return int32(0).end(at);
+        int start = begin('R');
+        return int32(0).end(start);
     }
 
+    /** ParameterStatus. */
     public MessageWriter parameterStatus(String name, String value) {
-        int at = begin('S');
-        return text(name).text(value).end(at);
+        int start = begin('S');
+        return text(name).text(value).end(start);
     }
 
+    /** BackendKeyData. */
     public MessageWriter backendKeyData(int process, int secret) {
-        int at = begin('K');
-        return int32(process).int32(secret).end(at);
+        int start = begin('K');
+        return int32(process).int32(secret).end(start);
     }
 
+    /** ReadyForQuery, outside a transaction. */
     public MessageWriter readyForQuery() {
-        int at = begin('Z');
-        return int8('I').end(at);
+        int start = begin('Z');
+        return int8('I').end(start);
     }
 
+    /** EmptyQueryResponse. */
     public MessageWriter emptyQuery() {
-        int at = begin('I');
-        return end(at);
+        int start = begin('I');
+        return end(start);
     }
 
+    /** CommandComplete. */
     public MessageWriter commandComplete(String tag) {
-        int at = begin('C');
-        return text(tag).end(at);
+        int start = begin('C');
+        return text(tag).end(start);
     }
 
-    /** An error; the detail may be null. */
+    /** ErrorResponse; the detail may be null. */
     public MessageWriter error(String severity, String code, String message, String detail) {
-        int at = begin('E');
+        int start = begin('E');
         int8('S')
                 .text(severity)
                 .int8('V')
@@ -85,22 +94,22 @@
         if (detail != null) {
             int8('D').text(detail);
         }
-        return int8(0).end(at);
+        return int8(0).end(start);
     }
 
-    /** The version that is spoken here, and the options that are not known. */
+    /** NegotiateProtocolVersion: the supported version and the options that were not recognized. */
     public MessageWriter negotiateVersion(String... unknown) {
-        int at = begin('v');
+        int start = begin('v');
         int32(3 << 16).int32(unknown.length);
         for (String option : unknown) {
             text(option);
         }
-        return end(at);
+        return end(start);
     }
 
-    /** A row description and a row of one column, in text. */
+    /** RowDescription and one DataRow with a single column, in text format. */
     public MessageWriter singleColumnResult(String column, byte[] value) {
-        int at = begin('T');
+        int start = begin('T');
         int8(0).int8(1)
                 .text(column)
                 .int32(0)
@@ -112,32 +121,38 @@
                 .int32(-1)
                 .int8(0)
                 .int8(0)
-                .end(at);
-        at = begin('D');
-        return int8(0).int8(1).int32(value.length).append(value, 0, value.length).end(at);
+                .end(start);
+        start = begin('D');
+        return int8(0).int8(1)
+                .int32(value.length)
+                .append(value, 0, value.length)
+                .end(start);
     }
 
+    /** Number of bytes written. */
     public int size() {
         return size;
     }
 
+    /** The bytes written, sharing the buffer: valid until the next message is added. */
     public ByteBuffer asByteBuffer() {
         return ByteBuffer.wrap(buffer, 0, size);
     }
 
+    /** Writes all bytes to the stream. */
     public void writeTo(OutputStream out) throws IOException {
         out.write(buffer, 0, size);
     }
 
-    /** The cell of the row of one column in here, or null. */
+    /** The value of the first single-column DataRow in here, or null. */
     public String firstValue() {
         ByteBuffer all = asByteBuffer();
-        for (int at = 0; at + 5 <= size; at += 1 + all.getInt(at + 1)) {
-            if (buffer[at] == 'D'
-                    && all.getInt(at + 1) >= 10
-                    && all.getInt(at + 7) >= 0
-                    && all.getInt(at + 7) <= all.getInt(at + 1) - 10) {
-                return new String(buffer, at + 11, all.getInt(at + 7), StandardCharsets.UTF_8);
+        for (int index = 0; index + 5 <= size; index += 1 + all.getInt(index + 1)) {
+            if (buffer[index] == 'D'
+                    && all.getInt(index + 1) >= 10
+                    && all.getInt(index + 7) >= 0
+                    && all.getInt(index + 7) <= all.getInt(index + 1) - 10) {
+                return new String(buffer, index + 11, all.getInt(index + 7), StandardCharsets.UTF_8);
             }
         }
         return null;
@@ -152,19 +167,19 @@
         return at;
     }
 
-    private MessageWriter end(int at) {
-        ByteBuffer.wrap(buffer).putInt(at, size - at);
+    private MessageWriter end(int start) {
+        ByteBuffer.wrap(buffer).putInt(start, size - start);
         return this;
     }
 
     private MessageWriter int8(int value) {
-        room(1);
+        ensureCapacity(1);
         buffer[size++] = (byte) value;
         return this;
     }
 
     private MessageWriter int32(int value) {
-        room(4);
+        ensureCapacity(4);
         ByteBuffer.wrap(buffer).putInt(size, value);
         size += 4;
         return this;
@@ -175,7 +190,7 @@
         return append(bytes, 0, bytes.length).int8(0);
     }
 
-    private void room(int bytes) {
+    private void ensureCapacity(int bytes) {
         if (size + bytes > buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, size + bytes));
         }
--- a/src/main/java/beaconladder/pg/Statement.java
+++ b/src/main/java/beaconladder/pg/Statement.java
@@ -6,44 +6,44 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A client's statement with the names and values of its comment. */
+/** A client's statement, parsed, with the parameters of its comment. */
 public final class Statement {
-    /** The two statements of the protocol; whatever else a client writes, no host sees it. */
+    /** The two statements of the protocol; any other is rejected and never forwarded. */
     private static final Pattern FORM = Pattern.compile("\\s*+(?:"
             + "SELECT doc FROM items WHERE id = '(?<read>[^'\\\\\\p{Cntrl}]++)'"
             + "|INSERT INTO items \\(id, doc\\) VALUES \\('(?<write>[^'\\\\\\p{Cntrl}]++)', "
             + "'\\\\x(?<value>[0-9a-fA-F]*+)'\\) RETURNING doc"
             + ") /\\*(?<comment>[^*\\p{Cntrl}]*+)\\*/\\s*+");
 
-    private static final int LONGEST_VALUE = 64 * 1024;
+    private static final int MAX_VALUE_BYTES = 64 * 1024;
 
     private final String text;
-    private boolean writes;
-    private long session;
-    private final Map<String, String> values = new HashMap<>();
-    private int delayFrom = -1;
-    private int delayTo;
-    private String fault;
+    private boolean isWrite;
+    private long sessionId;
+    private final Map<String, String> parameters = new HashMap<>();
+    private int delayStart = -1;
+    private int delayEnd;
+    private String parseError;
 
     private Statement(String text) {
         this.text = text;
     }
 
-    /** Reads the statement; what is wrong with it is told by {@link #fault}. */
+    /** Reads the statement; an error in it is reported by {@link #parseError}. */
     public static Statement parse(String text) {
         Statement statement = new Statement(text);
         Matcher form = FORM.matcher(text);
         if (!text.contains("/*")) {
-            statement.fault = "the statement has no comment with id, c, d and cluster";
+            statement.parseError = "the statement has no comment with id, c, d and cluster";
         } else if (!text.contains("*/")) {
-            statement.fault = "the comment is not closed";
+            statement.parseError = "the comment is not closed";
         } else if (!form.matches()) {
-            statement.fault = "the statement is neither a SELECT nor an INSERT as they are taken here";
+            statement.parseError = "the statement is neither a SELECT nor an INSERT as they are taken here";
         } else {
-            statement.writes = form.start("value") >= 0;
-            statement.session = hash(form.start("write") >= 0 ? form.group("write") : form.group("read"));
+            statement.isWrite = form.start("value") >= 0;
+            statement.sessionId = hash(form.start("write") >= 0 ? form.group("write") : form.group("read"));
             int digits = form.end("value") - form.start("value");
-            statement.fault = digits % 2 != 0 || digits > 2 * LONGEST_VALUE
+            statement.parseError = digits % 2 != 0 || digits > 2 * MAX_VALUE_BYTES
                     ? "the value is no hexadecimal text of at most 64 KiB"
                     : null;
             statement.readComment(form.start("comment"), form.end("comment"));
@@ -52,45 +52,45 @@
     }
 
     private void readComment(int from, int to) {
-        for (int at = from; at <= to && fault == null; ) {
+        for (int at = from; at <= to && parseError == null; ) {
             int comma = text.indexOf(',', at);
             int end = comma < 0 || comma > to ? to : comma;
             String pair = text.substring(at, end);
             int equals = pair.indexOf('=');
             if (equals <= 0) {
-                fault = "the comment holds '" + pair.strip() + "' where a name and its value belong";
+                parseError = "the comment holds '" + pair.strip() + "' where a name and its value belong";
                 return;
             }
             String name = pair.substring(0, equals).strip();
-            if (values.put(name, pair.substring(equals + 1).strip()) != null) {
-                fault = "the comment holds " + name + " twice";
+            if (parameters.put(name, pair.substring(equals + 1).strip()) != null) {
+                parseError = "the comment holds " + name + " twice";
             }
             if (name.equals("d")) {
-                delayFrom = at + equals + 1;
-                delayTo = end;
+                delayStart = at + equals + 1;
+                delayEnd = end;
             }
             at = end + 1;
         }
     }
 
-    /** What can't be read in it, or null. */
+    /** The error in the statement, or null; without one, the other accessors hold. */
     public String parseError() {
-        return fault;
+        return parseError;
     }
 
-    /** The value of this name, or null. */
+    /** The value of this parameter of the comment, or null. */
     public String parameter(String name) {
-        return values.get(name);
+        return parameters.get(name);
     }
 
-    /** The quoted key, which names the session, as a number that is not 0. */
+    /** A 64-bit hash of the quoted key, which identifies the session; never 0. */
     public long sessionId() {
-        return session;
+        return sessionId;
     }
 
-    /** Whether it writes. */
+    /** Whether it is an INSERT. */
     public boolean isWrite() {
-        return writes;
+        return isWrite;
     }
 
     private static long hash(String key) {
@@ -102,11 +102,11 @@
         return hash == 0 ? 1 : hash;
     }
 
-    /** The statement as it came, but for the time that the sender will wait. */
+    /** The statement unchanged except for its parameter d, the time the sender waits, in milliseconds. */
     public String withDelayMillis(long millis) {
-        return text.substring(0, delayFrom)
+        return text.substring(0, delayStart)
                 + millis
-                + (text.substring(delayFrom, delayTo).endsWith(" ") ? " " : "")
-                + text.substring(delayTo);
+                + (text.substring(delayStart, delayEnd).endsWith(" ") ? " " : "")
+                + text.substring(delayEnd);
     }
 }
--- a/src/main/java/beaconladder/server/ClientConnection.java
+++ b/src/main/java/beaconladder/server/ClientConnection.java
@@ -190,7 +190,9 @@
                     && !reader.isStarted()
                     && nowNanoTime - activity.lastUsedNanoTime() > MESSAGE_TIMEOUT_NANOS) {
                 reader.respond(StartupResponse.fatal(ErrorResponse.PROTOCOL_VIOLATION, "no startup message in time"));
-            } else if (closingSince == 0 && in.messageStartNanos() != 0 && nowNanoTime - in.messageStartNanos() > MESSAGE_TIMEOUT_NANOS) {
+            } else if (closingSince == 0
+                    && in.messageStartNanos() != 0
+                    && nowNanoTime - in.messageStartNanos() > MESSAGE_TIMEOUT_NANOS) {
                 reader.closeWithError("a message whose rest did not come in time");
             }
         } catch (IOException e) {
@@ -241,6 +243,7 @@
     private boolean isIdle(long sinceNanoTime) {
         return queue.isIdle()
                 && !activity.isClosing()
-                && (in.messageStartNanos() == 0 || !activity.hasSentRequest() && in.messageStartNanos() < sinceNanoTime);
+                && (in.messageStartNanos() == 0
+                        || !activity.hasSentRequest() && in.messageStartNanos() < sinceNanoTime);
     }
 }
--- a/src/main/java/beaconladder/server/HostResponseReader.java
+++ b/src/main/java/beaconladder/server/HostResponseReader.java
@@ -79,7 +79,8 @@
             case 'D' -> expected == 'D' && in.isSingleColumnRow();
             case 'C' -> expected == 'C' && in.isCStrings(1) && COMMAND_TAGS.contains(in.cString(in.bodyStart()));
             case 'E' -> expected == 'T' && in.isError();
-            case 'Z' -> expected == 'Z' && in.messageEnd() - in.bodyStart() == 1 && "ITE".indexOf(in.int8(in.bodyStart())) >= 0;
+            case 'Z' ->
+                expected == 'Z' && in.messageEnd() - in.bodyStart() == 1 && "ITE".indexOf(in.int8(in.bodyStart())) >= 0;
             default -> false;
         };
     }
--- a/src/main/java/beaconladder/server/RouterServer.java
+++ b/src/main/java/beaconladder/server/RouterServer.java
@@ -101,7 +101,8 @@
             dispatcher.onEndpoints(true, configuration.knownEndpoints());
         }
         maxRequestNanos = configuration.maxRequestMicros() * 1_000;
-        Plan.Coordinator coordinator = placement == null ? null : placement.plan().coordinator();
+        Plan.Coordinator coordinator =
+                placement == null ? null : placement.plan().coordinator();
         if (coordinator != null && coordinator.requestExpiryNanos() < maxRequestNanos) {
             throw new IOException(planFile + ": the keeper's expiry (" + coordinator.requestExpiryNanos() / 1_000_000
                     + "ms) is shorter than that of a txn type (" + maxRequestNanos / 1_000_000 + "ms)");
--- a/src/main/java/beaconladder/server/StartupResponse.java
+++ b/src/main/java/beaconladder/server/StartupResponse.java
@@ -45,7 +45,9 @@
             return new StartupResponse(
                     null,
                     Kind.CANCEL,
-                    length == 12 ? (long) in.int32(in.bodyStart() + 4) << 32 | in.int32(in.bodyStart() + 8) & 0xffffffffL : 0);
+                    length == 12
+                            ? (long) in.int32(in.bodyStart() + 4) << 32 | in.int32(in.bodyStart() + 8) & 0xffffffffL
+                            : 0);
         } else if (version >> 16 != 3) {
             return fatal(
                     ErrorResponse.FEATURE_NOT_SUPPORTED,
--- a/src/main/java/beaconladder/testbed/HostStandIn.java
+++ b/src/main/java/beaconladder/testbed/HostStandIn.java
@@ -215,11 +215,15 @@
                 answer.readyForQuery().writeTo(out);
             }
             case MISS ->
-                said().error("ERROR", "25006", "no primary", null).readyForQuery().writeTo(out);
+                said().error("ERROR", "25006", "no primary", null)
+                        .readyForQuery()
+                        .writeTo(out);
             case BEHIND ->
                 said().error("ERROR", "72000", "behind", null).readyForQuery().writeTo(out);
-            case ERROR -> said().error("ERROR", "XX000", "broken", null).readyForQuery().writeTo(out);
-            case FULL -> said().error("ERROR", "53300", "full", null).readyForQuery().writeTo(out);
+            case ERROR ->
+                said().error("ERROR", "XX000", "broken", null).readyForQuery().writeTo(out);
+            case FULL ->
+                said().error("ERROR", "53300", "full", null).readyForQuery().writeTo(out);
             case CUT -> out.write(new byte[] {'D', 0, 0, 1, 0, 0, 1, 0, 0});
             case GARBAGE -> out.write("HTTP/1.1 400 Bad\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             case TWO_ROWS ->
@@ -235,8 +239,12 @@
                         .array());
             case UNKNOWN -> out.write(new byte[] {'G', 0, 0, 0, 4});
             case NO_DESCRIPTION -> {
-                byte[] row = new byte[new MessageWriter().singleColumnResult("doc", value).size() - 28];
-                new MessageWriter().singleColumnResult("doc", value).asByteBuffer().get(28, row);
+                byte[] row = new byte
+                        [new MessageWriter().singleColumnResult("doc", value).size() - 28];
+                new MessageWriter()
+                        .singleColumnResult("doc", value)
+                        .asByteBuffer()
+                        .get(28, row);
                 said().append(row, 0, row.length)
                         .commandComplete("SELECT 1")
                         .readyForQuery()
@@ -255,7 +263,10 @@
                         .writeTo(out);
             case HALF_AN_ERROR -> out.write(HexFormat.of().parseHex("45000000095335333330" + "30" + "5a0000000549"));
             case ODD_TAG ->
-                said().singleColumnResult("doc", value).commandComplete("GARBAGE").readyForQuery().writeTo(out);
+                said().singleColumnResult("doc", value)
+                        .commandComplete("GARBAGE")
+                        .readyForQuery()
+                        .writeTo(out);
             case STALL -> out.write(new byte[] {'T', 0, 0, 0, 28, 0, 1, 'd'});
             case TWICE ->
                 said().singleColumnResult("doc", value)
--- a/src/main/java/beaconladder/testbed/LeaseHolder.java
+++ b/src/main/java/beaconladder/testbed/LeaseHolder.java
@@ -31,11 +31,14 @@
         Plan.Leases leases = plan.leases();
         // A life of its own: what an earlier one of this name held is not this one's.
         String holder = name + "#" + System.currentTimeMillis();
-        LeaseClient doors =
-                new LeaseClient(leases.servers().stream().map(Plan.LeaseServer::clientAddress).toList(), name.hashCode(), (int)
+        LeaseClient doors = new LeaseClient(
+                leases.servers().stream().map(Plan.LeaseServer::clientAddress).toList(), name.hashCode(), (int)
                         (leases.durationNanos() / 4_000_000));
         LeaseSession holding = new LeaseSession(
-                LeaseHolderState.initial(new LeaseTerms(task, holder, leases.durationNanos(), leases.maxClockErrorNanos())), doors, clock);
+                LeaseHolderState.initial(
+                        new LeaseTerms(task, holder, leases.durationNanos(), leases.maxClockErrorNanos())),
+                doors,
+                clock);
         Thread loop = new Thread(holding, "holding");
         loop.setDaemon(true);
         loop.start();
--- a/src/main/java/beaconladder/testbed/ReplicatedHost.java
+++ b/src/main/java/beaconladder/testbed/ReplicatedHost.java
@@ -303,7 +303,8 @@
                 at = copies.get(copied.group(1));
             }
             return new MessageWriter()
-                    .singleColumnResult("copied", (at == null ? "" : String.valueOf(at)).getBytes(StandardCharsets.US_ASCII))
+                    .singleColumnResult(
+                            "copied", (at == null ? "" : String.valueOf(at)).getBytes(StandardCharsets.US_ASCII))
                     .commandComplete("SELECT 1")
                     .readyForQuery();
         }
@@ -351,7 +352,9 @@
             if (System.currentTimeMillis() - arrived.get() > Long.parseLong(statement.parameter("d"))) {
                 return said().error("ERROR", "53300", "the request is over", null);
             }
-            return statement.isWrite() ? write(statement, form.group(1), form.group(2)) : read(statement, form.group(1));
+            return statement.isWrite()
+                    ? write(statement, form.group(1), form.group(2))
+                    : read(statement, form.group(1));
         } finally {
             held.decrementAndGet();
         }
@@ -366,7 +369,9 @@
         }
         long version = entry == null ? 0 : entry.version();
         ran(statement, key, false, version);
-        return said.singleColumnResult("doc", ByteBuffer.allocate(8).putLong(version).array()).commandComplete("SELECT 1");
+        return said.singleColumnResult(
+                        "doc", ByteBuffer.allocate(8).putLong(version).array())
+                .commandComplete("SELECT 1");
     }
 
     private MessageWriter write(Statement statement, String key, String hex) {
@@ -378,7 +383,9 @@
                 return said().error("ERROR", "25006", "no primary", null);
             }
             Entry before = "token".equals(statement.parameter("c")) ? known.get(statement.parameter("id")) : null;
-            entry = before != null ? before : append(statement.parameter("id"), statement.parameter("t"), key, version, 0);
+            entry = before != null
+                    ? before
+                    : append(statement.parameter("id"), statement.parameter("t"), key, version, 0);
             length = log.size();
             if (before == null) {
                 ran(statement, key, true, version);
--- a/src/main/java/beaconladder/testbed/soak/SoakHost.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakHost.java
@@ -151,7 +151,8 @@
                 String tag = text.startsWith("INSERT") ? "INSERT 0 1" : "SELECT 1";
                 MessageWriter answer = said().singleColumnResult("doc", row).commandComplete(tag);
                 return taken.get() == Behavior.ANSWERS_TWICE
-                        ? answer.readyForQuery().append(said().singleColumnResult("doc", row).commandComplete(tag))
+                        ? answer.readyForQuery()
+                                .append(said().singleColumnResult("doc", row).commandComplete(tag))
                         : answer;
             }
         }
--- a/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
+++ b/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
@@ -205,7 +205,9 @@
             if (written.incrementAndGet() == USES) {
                 desk.onEndpoints(false, List.of(entry(moved)));
             }
-            out.singleColumnResult("doc", new byte[] {1}).commandComplete("INSERT 0 1").readyForQuery();
+            out.singleColumnResult("doc", new byte[] {1})
+                    .commandComplete("INSERT 0 1")
+                    .readyForQuery();
         } else {
             out.authenticationOk().readyForQuery();
         }
