--- a/src/main/java/beaconladder/server/StartupResponse.java
+++ b/src/main/java/beaconladder/server/StartupResponse.java
@@ -31,7 +31,7 @@
     private static final int GSSENC_REQUEST = 80877104;
 
     /**
-     * The response to the message that the reader has at hand.
+     * The response to the message that the reader has just parsed.
      *
      * @param full whether the router has no capacity for one more connection
      * @param key the key by which a query on this connection can be cancelled
--- a/src/test/java/beaconladder/server/ClientConnectionTest.java
+++ b/src/test/java/beaconladder/server/ClientConnectionTest.java
@@ -13,37 +13,38 @@
 
 class ClientConnectionTest {
     /**
-     * On a part of a core the reader may stand still between any two steps. Wherever a query comes in while an idle
-     * client is ended, it is either answered, or stays unread in the socket, which the operating system tells the
-     * client by a reset.
+     * On a fraction of a core the reader may be suspended between any two steps. Whenever a query arrives while an idle
+     * connection is closed, it is either answered, or stays unread in the socket, of which the operating system informs
+     * the client by a reset.
      */
     @Test
-    void aQueryThatComesWhileAnIdleClientIsEndedIsAnsweredOrStaysUnread() throws Exception {
+    void aQueryThatArrivesWhileAnIdleConnectionIsClosedIsAnsweredOrStaysUnread() throws Exception {
         Map<String, String> start = new LinkedHashMap<>(
                 Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east"));
-        RequestDispatcher desk = new RequestDispatcher(1, start, null);
-        ThreadLimit threads = new ThreadLimit(192);
-        MemoryLimit room = new MemoryLimit(1 << 20);
+        RequestDispatcher dispatcher = new RequestDispatcher(1, start, null);
+        ThreadLimit threadLimit = new ThreadLimit(192);
+        MemoryLimit memoryLimit = new MemoryLimit(1 << 20);
         DescriptorLimit descriptors = new DescriptorLimit(128);
-        ServerConnectionPool lines =
-                new ServerConnectionPool(desk, start, threads, room, descriptors, ServerConnection::new);
-        ClientServer clients = new ClientServer(desk, lines, threads, room, List.of(), descriptors, 128);
+        ServerConnectionPool serverConnections = new ServerConnectionPool(
+                dispatcher, start, threadLimit, memoryLimit, descriptors, ServerConnection::new);
+        ClientServer clientServer =
+                new ClientServer(dispatcher, serverConnections, threadLimit, memoryLimit, List.of(), descriptors, 128);
         StringBuilder trace = new StringBuilder();
-        // The startup message is the first read; two looks come before the close; the third is never taken.
+        // The first read gets the startup message; two reads come before the close; a third never happens.
         for (int read = 2; read <= 4; read++) {
-            Late wire = new Late(read);
-            ClientConnection client = new ClientConnection(clients, desk, lines, wire);
+            LateQueryChannel channel = new LateQueryChannel(read);
+            ClientConnection client = new ClientConnection(clientServer, dispatcher, serverConnections, channel);
             client.onReadable();
-            wire.clear();
+            channel.clear();
             boolean ended = client.closeIfIdle(Long.MAX_VALUE);
-            for (int i = 0; i < 500 && !wire.said().contains("Z") && !ended; i++) {
+            for (int i = 0; i < 500 && !channel.writtenTypes().contains("Z") && !ended; i++) {
                 Thread.sleep(10);
             }
             trace.append(read)
                     .append(ended ? " ended " : " stays ")
-                    .append(wire.unread)
+                    .append(channel.unread)
                     .append(" unread, ")
-                    .append(wire.said())
+                    .append(channel.writtenTypes())
                     .append('\n');
         }
         assertThat(trace.toString()).isEqualTo("""
@@ -53,16 +54,16 @@
                 """);
     }
 
-    /** A client whose query comes right before the reader's read of this number, or its close. */
-    private static final class Late implements ClientChannel {
-        private final int at;
+    /** A client whose query arrives right before the read of this number, or before the close. */
+    private static final class LateQueryChannel implements ClientChannel {
+        private final int queryAtRead;
         private int reads;
         private int unread;
         private boolean closed;
         private final ByteBuffer written = ByteBuffer.allocate(4096);
 
-        Late(int at) {
-            this.at = at;
+        LateQueryChannel(int queryAtRead) {
+            this.queryAtRead = queryAtRead;
         }
 
         @Override
@@ -70,7 +71,7 @@
             reads++;
             byte[] bytes = reads == 1
                     ? bytes(MessageWriter.startup("app", "shop"))
-                    : reads == at ? bytes(MessageWriter.query("")) : new byte[0];
+                    : reads == queryAtRead ? bytes(MessageWriter.query("")) : new byte[0];
             into.put(bytes);
             return bytes.length;
         }
@@ -87,7 +88,7 @@
         }
 
         /** The types of the messages written. */
-        synchronized String said() {
+        synchronized String writtenTypes() {
             StringBuilder types = new StringBuilder();
             for (int i = 0; i < written.position(); i += 1 + written.getInt(i + 1)) {
                 types.append(new String(written.array(), i, 1, StandardCharsets.US_ASCII));
@@ -105,7 +106,7 @@
 
         @Override
         public synchronized void close() {
-            if (!closed && reads < at) {
+            if (!closed && reads < queryAtRead) {
                 unread = MessageWriter.query("").size();
             }
             closed = true;
--- a/src/test/java/beaconladder/server/FaultySocket.java
+++ b/src/test/java/beaconladder/server/FaultySocket.java
@@ -8,15 +8,15 @@
 import java.net.SocketAddress;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A host that greets, takes a query, and whose answer can't be read for a fault of this kind. */
+/** A host that completes the startup and reads a query, and reading whose answer throws this fault. */
 final class FaultySocket extends Socket {
     private final Throwable fault;
     private final AtomicInteger queries;
     private final byte[] greeting;
-    private int at;
-    private volatile boolean asked;
+    private int position;
+    private volatile boolean querySent;
 
-    /** One that counts the queries written to it here. */
+    /** Counts the queries that are written to it. */
     FaultySocket(Throwable fault, AtomicInteger queries) {
         this.fault = fault;
         this.queries = queries;
@@ -27,17 +27,17 @@
 
     @Override
     public void connect(SocketAddress address, int millis) {
-        // It is there.
+        // Always connected.
     }
 
     @Override
     public void setTcpNoDelay(boolean on) {
-        // Nothing delays it.
+        // Writes are never delayed.
     }
 
     @Override
     public void setSoTimeout(int millis) {
-        // It answers at once.
+        // The peer answers at once.
     }
 
     @Override
@@ -49,16 +49,16 @@
             }
 
             @Override
-            public int read(byte[] into, int from, int most) throws IOException {
-                if (asked) {
+            public int read(byte[] target, int offset, int length) throws IOException {
+                if (querySent) {
                     if (fault instanceof Error error) {
                         throw error;
                     }
                     throw (RuntimeException) fault;
                 }
-                int n = Math.min(most, greeting.length - at);
-                System.arraycopy(greeting, at, into, from, n);
-                at += n;
+                int n = Math.min(length, greeting.length - position);
+                System.arraycopy(greeting, position, target, offset, n);
+                position += n;
                 return n;
             }
         };
@@ -73,9 +73,9 @@
             }
 
             @Override
-            public void write(byte[] from, int start, int length) {
-                if (from[start] == 'Q') {
-                    asked = true;
+            public void write(byte[] source, int offset, int length) {
+                if (source[offset] == 'Q') {
+                    querySent = true;
                     queries.incrementAndGet();
                 }
             }
--- a/src/test/java/beaconladder/server/FullHouseIT.java
+++ b/src/test/java/beaconladder/server/FullHouseIT.java
@@ -23,7 +23,7 @@
     private static final int IDLE = 2 * LIMIT;
 
     @Test
-    void discoveryIsReachedAtItsReturnAndAtANewAddressAndTheEndIsADrain() throws Exception {
+    void discoveryIsReachedAfterItsOutageAndAtANewAddressAndTheRouterDrains() throws Exception {
         sockets = LIMIT;
         int port = Program.freePort();
         router = keep(new Program(folder, config(port), port, "ulimit -n " + LIMIT + "; "))
@@ -34,21 +34,21 @@
         discovery.silenceOpenConnections();
         List<Socket> idle = new ArrayList<>();
         fill(idle);
-        // Longer than a silent watch is waited for: it has been asked anew, and that is silent too.
+        // Longer than the time-out of a silent watch: it has been retried, and the retry is silent too.
         TimeUnit.MILLISECONDS.sleep(5_500);
         fill(idle);
 
         HostStandIn d = keep(new HostStandIn("follower"));
         discovery.list(true, a.entry("a", "Ready"), b.entry("b", "Terminating"), d.entry("d", "Ready"));
         discovery.manner = Manner.ANSWER;
-        heard(d, 2_050);
+        awaitServed(d, 2_050);
 
         HostStandIn e = keep(new HostStandIn("follower"));
         discovery = keep(new DiscoveryStandIn());
         discovery.list(true, a.entry("a", "Ready"), d.entry("d", "Terminating"), e.entry("e", "Ready"));
         fill(idle);
         router.reload(config(port));
-        heard(e, 4_000);
+        awaitServed(e, 4_000);
         assertThat(router.files()).isLessThanOrEqualTo(LIMIT);
 
         router.signal("TERM");
@@ -57,7 +57,7 @@
         assertThat(router.log()).contains("drained").doesNotContain("Too many open files", "ERROR");
     }
 
-    /** Keeps so many open, each greeted or told that there is no room; who was sent away comes again. */
+    /** Keeps this many connections open, each served or rejected; a rejected client connects again. */
     private void fill(List<Socket> idle) throws IOException {
         idle.removeIf(socket -> !open(socket));
         while (idle.size() < IDLE) {
@@ -81,8 +81,8 @@
         }
     }
 
-    /** Within so many milliseconds a read of somebody who comes and asks is served at this host. */
-    private void heard(HostStandIn host, long millis) throws Exception {
+    /** Within this many milliseconds a read of a new client is served at this host. */
+    private void awaitServed(HostStandIn host, long millis) throws Exception {
         long until = System.nanoTime() + millis * 1_000_000;
         for (int i = 0; host.queries.isEmpty(); i++) {
             assertThat(System.nanoTime()).as(router.log()).isLessThan(until);
--- a/src/test/java/beaconladder/server/GoneClientsIT.java
+++ b/src/test/java/beaconladder/server/GoneClientsIT.java
@@ -19,32 +19,31 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A client that closes or cancels has gone: no attempt for it begins more than a tenth of a second later, by what the
- * hosts saw.
+ * After a client closes or cancels, no attempt for it begins more than a tenth of a second later, as seen by the hosts.
  */
 @Timeout(60)
 class GoneClientsIT extends ServedProgram {
-    private static final long LATE = 100;
+    private static final long MAX_DELAY_MILLIS = 100;
 
-    /** Its end stands behind queries that nobody has looked at yet. */
+    /** Its close follows queries that have not been read yet. */
     @Test
-    void nothingIsSentOnOfAPipelineThatIsFullOnceItsClientHasGone() throws Exception {
+    void nothingIsForwardedFromAFullPipelineAfterItsClientHasClosed() throws Exception {
         start();
         TestClient c = caller();
         ask(c, read("warm", 2000));
         a.delayMillis = 400;
         b.delayMillis = 400;
         pipeline("p", 200).writeTo(c.out);
-        // It has read what it got, so that its close is an end and no reset.
+        // It has read what it received, so that its close is orderly and no reset.
         c.answer();
         await(() -> seen("p").size() >= 2);
         c.close();
         nothingAfter(System.currentTimeMillis(), "p", 1_500);
     }
 
-    /** Half a message was the last that came of it. */
+    /** The last that arrives from it is half a message. */
     @Test
-    void nothingIsSentOnOfAClientThatGoesInTheMiddleOfAMessage() throws Exception {
+    void nothingIsForwardedForAClientThatClosesInTheMiddleOfAMessage() throws Exception {
         start();
         TestClient c = caller();
         ask(c, read("warm", 2000));
@@ -58,9 +57,9 @@
         nothingAfter(System.currentTimeMillis(), "h", 1_500);
     }
 
-    /** The router ends, and has taken its last look at the connection. */
+    /** The router is draining, and has read the connection for the last time. */
     @Test
-    void nothingIsSentOnOfAClientThatGoesBehindADrainsLastLook() throws Exception {
+    void nothingIsForwardedForAClientThatClosesAfterTheFinalReadOfADrain() throws Exception {
         start();
         TestClient c = caller();
         ask(c, read("warm", 2000));
@@ -69,15 +68,15 @@
         router.signal("TERM");
         TimeUnit.MILLISECONDS.sleep(450);
         pipeline("d", 4).writeTo(c.out);
-        await(() -> !takesIn());
+        await(() -> !acceptsClients());
         c.close();
         nothingAfter(System.currentTimeMillis(), "d", 1_500);
         assertThat(router.process.waitFor(10, TimeUnit.SECONDS)).isTrue();
     }
 
-    /** What comes behind a drain's last look while an answer is due is declined, and sent nowhere. */
+    /** What arrives after the final read of a drain while an answer is due is rejected, and not forwarded. */
     @Test
-    void whatComesBehindADrainsLastLookIsDeclinedInItsTurn() throws Exception {
+    void whatArrivesAfterTheFinalReadOfADrainIsRejectedInItsTurn() throws Exception {
         start();
         TestClient c = caller();
         ask(c, read("warm", 2000));
@@ -86,16 +85,16 @@
         router.signal("TERM");
         TimeUnit.MILLISECONDS.sleep(450);
         pipeline("in", 1).writeTo(c.out);
-        await(() -> !takesIn());
+        await(() -> !acceptsClients());
         pipeline("late", 2).writeTo(c.out);
         say(c.answer(), c.answer(), c.answer(), c.answer());
         assertThat(trace.toString()).isEqualTo("T D:00ff27 C:SELECT 1 Z\nE:57P03 Z\nE:57P03 Z\nclosed\n");
         assertThat(seen("late")).isEmpty();
     }
 
-    /** The host is slow to greet, and the client goes meanwhile. */
+    /** The host is slow to complete the startup, and the client closes meanwhile. */
     @Test
-    void nothingIsSentOverAConnectionThatComesUpOnceTheClientHasGone() throws Exception {
+    void nothingIsSentOverAConnectionThatOpensAfterTheClientHasClosed() throws Exception {
         start();
         TestClient c = caller();
         a.closesAfterAnswer = true;
@@ -111,9 +110,9 @@
         nothingAfter(System.currentTimeMillis(), "g", 1_000);
     }
 
-    /** They wait for a primary, all go at once, and then there is one again. */
+    /** They wait for a primary, all close at once, and then there is a primary again. */
     @Test
-    void nothingIsSentOnOfManyThatGoAtOnceWhileTheyWait() throws Exception {
+    void nothingIsForwardedForManyClientsThatCloseAtOnceWhileTheyWait() throws Exception {
         start();
         TestClient first = caller();
         ask(first, write("warm", 2000));
@@ -135,7 +134,7 @@
     }
 
     @Test
-    void aCancelEndsWhatIsInHandOnItsConnectionAlone() throws Exception {
+    void aCancelRequestCancelsTheQueryInFlightOnItsConnectionOnly() throws Exception {
         start();
         Keyed c = new Keyed();
         a.manner = Manner.SILENT;
@@ -168,7 +167,7 @@
         return all;
     }
 
-    /** The ids with this beginning that a host saw. */
+    /** The ids with this prefix that a host saw. */
     private List<String> seen(String name) {
         List<String> ids = new ArrayList<>();
         for (HostStandIn host : List.of(a, b)) {
@@ -184,13 +183,13 @@
     private void nothingAfter(long gone, String name, long watch) throws InterruptedException {
         TimeUnit.MILLISECONDS.sleep(watch);
         for (String id : seen(name)) {
-            assertThat(a.sawBefore(id, gone + LATE) || b.sawBefore(id, gone + LATE))
+            assertThat(a.sawBefore(id, gone + MAX_DELAY_MILLIS) || b.sawBefore(id, gone + MAX_DELAY_MILLIS))
                     .as(id)
                     .isTrue();
         }
     }
 
-    private boolean takesIn() {
+    private boolean acceptsClients() {
         try (Socket one = new Socket(InetAddress.getLoopbackAddress(), router.port)) {
             return one.isConnected();
         } catch (IOException e) {
@@ -211,7 +210,7 @@
         }
     }
 
-    /** A client that keeps the key by which it may cancel. */
+    /** A client that keeps its cancel key. */
     private final class Keyed {
         private final Socket socket = keep(new Socket(InetAddress.getLoopbackAddress(), router.port));
         private final java.io.OutputStream out = socket.getOutputStream();
--- a/src/test/java/beaconladder/server/LastCloseIT.java
+++ b/src/test/java/beaconladder/server/LastCloseIT.java
@@ -7,19 +7,17 @@
 import java.net.SocketException;
 import org.junit.jupiter.api.Test;
 
-/** The close of the last connection of a drain, crossed by a query. */
+/** A query that crosses the close of the last connection of a drain. */
 class LastCloseIT extends ServedProgram {
-    /**
-     * The program rests for 100 ms after the last answer, and the JVM waits up to 300 ms for threads in system calls.
-     */
+    /** The router waits for 100 ms after the last answer, and the JVM up to 300 ms for threads in system calls. */
     private static final int SOON_MILLIS = 80;
 
     /**
-     * Seen in a rehearsal of restarts: queries written ahead were neither answered nor, within 450 ms, told by a reset
-     * that they were unread.
+     * Seen in a scenario of restarts: pipelined queries were neither answered nor, within 450 ms, reported as unread by
+     * a reset.
      */
     @Test
-    void aQueryThatCrossesItIsToldByAResetAtOnce() throws Exception {
+    void aQueryThatCrossesTheCloseIsResetAtOnce() throws Exception {
         start();
         TestClient c = caller();
         a.delayMillis = 1_200;
@@ -37,6 +35,6 @@
         } catch (SocketException e) {
             reset = true;
         }
-        assertThat(reset).as("told by a reset within " + SOON_MILLIS + " ms").isTrue();
+        assertThat(reset).as("reset within " + SOON_MILLIS + " ms").isTrue();
     }
 }
--- a/src/test/java/beaconladder/server/PipelineIT.java
+++ b/src/test/java/beaconladder/server/PipelineIT.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Queries written ahead: the time of each runs from its own last byte, answers go out in their order. */
+/** Pipelined queries: the time budget of each runs from its own last byte, answers are written in order. */
 @Timeout(60)
 class PipelineIT extends ServedProgram {
     private static final String ROW = "T D:00ff27 C:SELECT 1 Z";
 
-    /** One after the other they would take 2.4 s; a client that has waited for one of them so long goes. */
+    /** One after the other they would take 2.4 s, longer than a client waits for one of them. */
     @Test
-    void readsWrittenAheadAreInHandSideBySide() throws Exception {
+    void pipelinedReadsRunConcurrently() throws Exception {
         start();
         TestClient c = caller();
         ask(c, read("warm", 2000));
@@ -34,9 +34,9 @@
         assertThat(trace.toString()).isEqualTo((ROW + "\n").repeat(8));
     }
 
-    /** The first is the slowest: those behind it have their answers before, and wait with them. */
+    /** The first is the slowest: the answers to those behind it are ready before, and wait. */
     @Test
-    void answersGoOutInTheOrderOfTheirQueries() throws Exception {
+    void answersAreWrittenInTheOrderOfTheirQueries() throws Exception {
         start();
         TestClient c = caller();
         ask(c, read("warm", 2000));
@@ -56,9 +56,9 @@
         assertThat(trace.toString()).isEqualTo(ROW + "\n" + ROW + "\nE:42601 Z\nI Z\n");
     }
 
-    /** A read of the row that a write before it writes is sent once that has its answer, and not before. */
+    /** A read of a row that an earlier write changes is forwarded only once the write has its answer. */
     @Test
-    void whatNamesTheSameRowKeepsItsOrderAroundAWrite() throws Exception {
+    void queriesOfOneRowKeepTheirOrderAroundAWrite() throws Exception {
         start();
         TestClient c = caller();
         ask(c, read("warm", 2000));
@@ -78,9 +78,9 @@
         assertThat(trace.toString()).isEqualTo((ROW + "\n").repeat(4));
     }
 
-    /** The time spent waiting for an answer before it does not count. */
+    /** The time spent waiting for an earlier answer does not count. */
     @Test
-    void aQueryThatHadToWaitForOneBeforeItHasItsWholeTime() throws Exception {
+    void aQueryThatHadToWaitForAnEarlierOneHasItsCompleteBudget() throws Exception {
         start();
         TestClient c = caller();
         ask(c, write("warm", 2000));
--- a/src/test/java/beaconladder/server/ServeClientsIT.java
+++ b/src/test/java/beaconladder/server/ServeClientsIT.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that stay, write in pieces, or say what cannot be read. */
+/** Clients that stay connected, send in fragments, or send what is invalid. */
 @Timeout(60)
 class ServeClientsIT extends ServedProgram {
-    /** Clients hold at most a third of the descriptors; those who stay leave half of it to who comes. */
+    /** Clients hold at most a third of the descriptors; those that stay leave half of it to new clients. */
     @Test
-    void clientsThatAskOnceAndStayMakeRoomAndWhatCrossesTheirEndIsReset() throws Exception {
+    void idleClientsAreClosedForNewOnesAndWhatCrossesTheCloseIsReset() throws Exception {
         sockets = 120;
         start();
         List<TestClient> stay = new ArrayList<>();
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void queriesWrittenAheadThatTakeLongerTogetherThanOneMayAreAllServed() throws Exception {
+    void pipelinedQueriesThatTogetherTakeLongerThanOneBudgetAreAllServed() throws Exception {
         start();
         TestClient c = caller();
         ask(c, read("warm", 2000));
@@ -59,9 +59,9 @@
         assertThat(trace.toString()).isEqualTo("T D:00ff27 C:SELECT 1 Z\n".repeat(6));
     }
 
-    /** The first part of it was read; a look for idle connections came before the rest. */
+    /** Its first fragment was read; idle connections were closed before the rest arrived. */
     @Test
-    void aQueryThatComesInPiecesIsServedAlsoNearTheLimit() throws Exception {
+    void aQueryInFragmentsIsServedAlsoNearTheDescriptorLimit() throws Exception {
         sockets = 76;
         start();
         TestClient slow = new TestClient(keep(new Socket(InetAddress.getLoopbackAddress(), router.port)));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void whatCannotBeReadIsRefusedByNameAndNoHostSeesIt() throws Exception {
+    void invalidQueriesAreRejectedWithTheirFaultAndNotForwarded() throws Exception {
         start();
         TestClient c = caller();
         String tail = "t=acme,d=480,cluster=1 */";
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void otherOpeningsAndFramesGetWhatTheProtocolGives() throws Exception {
+    void otherStartupMessagesAndFramesAreAnsweredAsTheProtocolStates() throws Exception {
         start();
         MessageWriter parse = new MessageWriter()
                 .append(
@@ -180,9 +180,9 @@
                 """);
     }
 
-    /** A wait of the kernel's ends late by a share of its length; the router's must not. */
+    /** A wait in the kernel ends late in proportion to its length; that of the router must not. */
     @Test
-    void theAnswerToATxnWhoseHostIsSilentLeavesBeforeItsExpiry() throws Exception {
+    void theAnswerToARequestWhoseHostIsSilentIsSentBeforeItsDeadline() throws Exception {
         start();
         TestClient c = caller();
         ask(c, write("warm", 2000));
