--- a/src/main/java/beaconladder/feed/RelaySelector.java
+++ b/src/main/java/beaconladder/feed/RelaySelector.java
@@ -14,7 +14,7 @@
  */
 final class RelaySelector implements AutoCloseable {
     /** Mean time from another relay back to the first, by a jitter of half to one and a half of it: 3 to 9 s. */
-    private static final long FAILBACK_MILLIS = 6_000;
+    private static final long PREFERRED_RETRY_MILLIS = 6_000;
 
     private final List<String> order;
     private final Map<String, InetSocketAddress> addresses;
@@ -27,7 +27,7 @@
 
     private boolean probing = true;
     private boolean settledOnStale;
-    private long failbackAtNanos;
+    private long preferredRetryAtNanos;
     /** The relay that may count this router, and from when on; see {@link AcknowledgementSummary}. */
     private int countingRelay = -1;
 
@@ -87,10 +87,10 @@
      * @param fresh whether it knows the log's newest version, and that is not older than the router's
      */
     synchronized void onResponse(boolean fresh) {
-        boolean failbackDue = System.nanoTime() - failbackAtNanos >= 0;
-        if (fresh && current == 0 || settledOnStale && !failbackDue) {
+        boolean preferredRetryDue = System.nanoTime() - preferredRetryAtNanos >= 0;
+        if (fresh && current == 0 || settledOnStale && !preferredRetryDue) {
             settle(current, !fresh);
-        } else if (settledOnStale || fresh && !probing && failbackDue) {
+        } else if (settledOnStale || fresh && !probing && preferredRetryDue) {
             settledOnStale = false;
             probeFromFirst();
         } else if (fresh) {
@@ -118,7 +118,7 @@
         current = 0;
         probing = true;
         firstStale = -1;
-        scheduleFailback();
+        schedulePreferredRetry();
     }
 
     private boolean probeNext() {
@@ -137,7 +137,7 @@
 
     private void settle(int relay, boolean stale) {
         if (probing || settledOnStale != stale) {
-            scheduleFailback();
+            schedulePreferredRetry();
         }
         current = relay;
         probing = false;
@@ -149,9 +149,9 @@
         }
     }
 
-    private void scheduleFailback() {
-        long delayMillis = FAILBACK_MILLIS / 2 + random.nextLong(FAILBACK_MILLIS);
-        failbackAtNanos = System.nanoTime() + delayMillis * 1_000_000;
+    private void schedulePreferredRetry() {
+        long delayMillis = PREFERRED_RETRY_MILLIS / 2 + random.nextLong(PREFERRED_RETRY_MILLIS);
+        preferredRetryAtNanos = System.nanoTime() + delayMillis * 1_000_000;
     }
 
     private void disconnect() {
--- a/src/main/java/beaconladder/feed/Subscriber.java
+++ b/src/main/java/beaconladder/feed/Subscriber.java
@@ -12,7 +12,7 @@
 /**
  * A router's client of the feed: one task that polls one relay, applies or rejects each new version, and acknowledges
  * it with the next poll. It never polls the log: four thousand routers that lost all relays would overload the lease
- * servers, which leases depend on. Meanwhile the applied version remains, and {@link #ageMillis} tells its age.
+ * servers, which leases depend on. Meanwhile the applied version remains, and {@link #ageMillis} is its age.
  */
 public final class Subscriber extends PollLoop {
     private static final Logger LOG = LoggerFactory.getLogger(Subscriber.class);
--- a/src/main/java/beaconladder/lease/LeaseTerms.java
+++ b/src/main/java/beaconladder/lease/LeaseTerms.java
@@ -1,7 +1,7 @@
 package beaconladder.lease;
 
 /**
- * What a process asks for each time it requests the lease of a task; fixed for the life of the process.
+ * What a process asks for each time it requests the lease of a task; fixed while the process runs.
  *
  * @param task the name of the task
  * @param holder this process, by name and incarnation
--- a/src/main/java/beaconladder/routing/ClusterClock.java
+++ b/src/main/java/beaconladder/routing/ClusterClock.java
@@ -91,7 +91,7 @@
         return hostTime - offsetNanos;
     }
 
-    /** Takes in a position reported at this time; returns whether it is plausible. */
+    /** Records a position reported at this time; returns whether it is plausible. */
     boolean acceptPosition(Host host, long position, long now) {
         long by = position - hostTimeAt(now);
         if (by <= TOLERANCE) {
--- a/src/main/java/beaconladder/routing/ConcurrencyLimit.java
+++ b/src/main/java/beaconladder/routing/ConcurrencyLimit.java
@@ -87,7 +87,7 @@
         if (meanNanos <= limitNanos && (inFlight == 0 || recent && unfinished <= usualConcurrency)) {
             return true;
         }
-        // Where this router alone keeps the host from being busier, its own response times can't tell queueing
+        // Where this router alone keeps the host from being busier, its own response times can't distinguish queueing
         // from work; the load that the host reports can.
         if (isLightlyLoadedByReport(host, limitNanos, now)) {
             return true;
--- a/src/main/java/beaconladder/routing/DeadlinePolicy.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -79,9 +79,9 @@
     }
 
     /**
-     * From here on a request that is not out is not worth its work: three in five answers would come too late. A late
-     * answer that earns a quarter or less is no reason to send, since a fresh request earns more by the same work.
-     * Guards against overload fed by work for nothing.
+     * From here on a request that is not in flight does not repay its work: three in five answers would come too late.
+     * A late answer that earns a quarter or less is no reason to send, since a fresh request earns more by the same
+     * work. Guards against overload fed by work for nothing.
      */
     long latestUsefulSendNanos(Request request) {
         if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
@@ -109,7 +109,7 @@
     /**
      * A request that lives by the primary, never sent, is timed out at half of its time where that is long lost, so
      * that its client may try again: an outage of T so far ends within r with chance r / (T + r), and at under three in
-     * ten a late answer isn't worth it. Harm: an outage's end finds fewer of them here.
+     * ten a late answer does not repay the wait. Harm: an outage's end finds fewer of them here.
      */
     boolean isPrimaryOutageTooLong(Request request, long now) {
         Host primary = request.group.primary;
--- a/src/main/java/beaconladder/routing/PriorityWeights.java
+++ b/src/main/java/beaconladder/routing/PriorityWeights.java
@@ -16,7 +16,7 @@
      * in a hundred, as knowing the load brings more than that by far. Covers whatever shows in a probe: dead and
      * unreachable members, queues, changed roles. Harm: the price and some milliseconds, where nothing is wrong.
      */
-    boolean isProbingWorthwhile() {
+    boolean isProbingCheap() {
         return 2 * probePrice() <= 0.03;
     }
 
--- a/src/main/java/beaconladder/routing/ReplicaSelector.java
+++ b/src/main/java/beaconladder/routing/ReplicaSelector.java
@@ -49,7 +49,7 @@
         if (mayProbe(request)) {
             if (eligible.isEmpty()) {
                 request.probeNeed = Request.ProbeNeed.REPLICA;
-            } else if (weights.isProbingWorthwhile()) {
+            } else if (weights.isProbingCheap()) {
                 List<Host> informed = new ArrayList<>(eligible);
                 informed.removeIf(host -> !outliers.hasRecentInformation(host, now));
                 if (informed.size() < 2
@@ -117,7 +117,7 @@
         boolean mayHaveLostRole =
                 request.requestClass.consistency() != Consistency.WRITE && readPositions.mayHaveLostRole(primary);
         if (mayHaveLostRole
-                || !outliers.hasRecentInformation(primary, now) && mayProbe(request) && weights.isProbingWorthwhile()) {
+                || !outliers.hasRecentInformation(primary, now) && mayProbe(request) && weights.isProbingCheap()) {
             request.probeNeed = mayProbe(request) ? Request.ProbeNeed.PRIMARY : Request.ProbeNeed.NONE;
             return null;
         }
--- a/src/main/java/beaconladder/routing/SlowStart.java
+++ b/src/main/java/beaconladder/routing/SlowStart.java
@@ -13,7 +13,7 @@
 /** Limits what all routers together send to a host that has just started. */
 record SlowStart(TrafficStatistics traffic, ClusterClock clock, SplittableRandom random) {
     private static final long RECENT_PERIOD = 10_000 * MILLISECOND;
-    /** Two fifths of the stated multiple leave room for chance and for tickets of two windows. */
+    /** Two fifths of the stated multiple leave a margin for chance and for tickets of two windows. */
     private static final double SAFETY_FACTOR = 0.4;
     /** Where the members that are warm have to bear more than they did, so does a warming-up one, up to this. */
     private static final double MAX_SHARE = 0.75;
@@ -27,7 +27,7 @@
      * that sums to the host's part, with no router counting the others; a ticket that isn't used within the rule's
      * window lapses, so that waiting requests can't save up for a burst. Guards against any return of hosts, single or
      * of a whole group; harm: a host is kept small for the longest time it may need, and to what warm ones bear where
-     * they have room.
+     * they have capacity.
      */
     void drawTickets(Group group, long now) {
         for (Host host : group.members) {
--- a/src/main/java/beaconladder/routing/api/DecisionLoop.java
+++ b/src/main/java/beaconladder/routing/api/DecisionLoop.java
@@ -28,9 +28,9 @@
     private final Router router;
     private final ActionHandler handler;
 
-    public DecisionLoop(Router router, ActionHandler door) {
+    public DecisionLoop(Router router, ActionHandler handler) {
         this.router = router;
-        this.handler = door;
+        this.handler = handler;
     }
 
     /** Executes one decision for this request. */
--- a/src/main/java/beaconladder/routing/state/Host.java
+++ b/src/main/java/beaconladder/routing/state/Host.java
@@ -25,7 +25,7 @@
     public long stateSinceNanos = Long.MIN_VALUE;
     /** When it last started; 0 for long ago. */
     public long launchedNanos;
-    /** When this router was first told of that start. */
+    /** When this router was first notified of that start. */
     public long startNotifiedNanos;
     /** Newest log position that it is known to have applied. */
     public long position = Long.MIN_VALUE;
--- a/src/main/java/beaconladder/routing/state/Request.java
+++ b/src/main/java/beaconladder/routing/state/Request.java
@@ -18,7 +18,7 @@
     public final Group group;
     /** The session's key; 0 for none. */
     public final long sessionKey;
-    /** The position of the session's last write, as its client tells; Long.MIN_VALUE for none. */
+    /** The position of the session's last write, as its client states it; Long.MIN_VALUE for none. */
     public final long sessionWritePosition;
 
     public final int tenant;
--- a/src/main/java/beaconladder/routing/state/RequestClassMix.java
+++ b/src/main/java/beaconladder/routing/state/RequestClassMix.java
@@ -12,7 +12,7 @@
         counts = new int[classCount];
     }
 
-    /** A request of the type at this place has come; the oldest one kept makes room for it. */
+    /** A request of the class at this index has arrived; it replaces the oldest one recorded. */
     void record(int classIndex) {
         if (size == recentIndexes.length) {
             counts[recentIndexes[next]]--;
--- a/src/main/java/beaconladder/routing/state/TrafficStatistics.java
+++ b/src/main/java/beaconladder/routing/state/TrafficStatistics.java
@@ -3,7 +3,7 @@
 import beaconladder.routing.state.RequestClass.Consistency;
 import java.util.List;
 
-/** What this router is told at start, and what came here and ended lately. */
+/** The settings of this router, and statistics of the requests that arrived and ended lately. */
 public final class TrafficStatistics {
     public static final long MILLISECOND = 1_000_000L;
     public static final long NEVER = Long.MAX_VALUE;
@@ -17,7 +17,7 @@
     public final long tightestStalenessNanos;
     /** The types of the requests that came last. */
     public final RequestClassMix recentClasses;
-    /** Their value; less than 0 while it is to be added up anew. */
+    /** Their value; less than 0 while it is to be summed again. */
     private double recentWeight = -1;
     /** Times of the last answers, each with what its host had said that it held when it was sent. */
     public final SampleWindow responseTimesByLoad = new SampleWindow(48);
