--- a/src/main/java/beaconladder/lease/server/LeaseJson.java
+++ b/src/main/java/beaconladder/lease/server/LeaseJson.java
@@ -58,7 +58,7 @@
     static LeaseRequest readRequest(String text) throws InvalidLeaseMessageException {
         LeaseRequest request = read(text, LeaseRequest.class);
         if (!isValid(request)) {
-            throw new InvalidLeaseMessageException("an invalid lease request");
+            throw new InvalidLeaseMessageException("an ask that is not whole");
         }
         return request;
     }
