--- a/src/main/java/beaconladder/testbed/soak/Soak.java
+++ b/src/main/java/beaconladder/testbed/soak/Soak.java
@@ -28,9 +28,8 @@
     /** Of what clients sent while all was well again, so much has to be served. */
     private static final double SERVED_AT_END = 0.9;
     /** What no router may log. */
-    private static final Pattern FAULT =
-            Pattern.compile("invariant violated: rule|goes on after a fault|by a fault of this program"
-                    + "|a client's connection ends|OutOfMemoryError|Exception in thread");
+    private static final Pattern FAULT = Pattern.compile("invariant violated: rule|goes on after a fault|internal error"
+            + "|a client's connection ends|OutOfMemoryError|Exception in thread");
 
     private final SoakPlan plan;
     private final PrintWriter out;
