--- a/src/main/java/beaconladder/routing/DeadlinePolicy.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -9,64 +9,90 @@
 import beaconladder.routing.state.SampleWindow;
 import beaconladder.routing.state.TrafficStatistics;
 
-/** The time limits of a request: latency objective, fallback to the primary, last useful send, timeout. */
+/** Computes the time limits of a request: latency objective, fallback to the primary, last useful send, timeout. */
 record DeadlinePolicy(TrafficStatistics traffic, OutlierDetector outliers) {
-    /** An older response time reflects a load that may be over. */
-    private static final long RECENT_RESPONSE = 3_000 * MILLISECOND;
+    /** How old a response time may be before it counts as caused by a load that has passed. */
+    private static final long RECENT_RESPONSE_NANOS = 3_000 * MILLISECOND;
     /**
-     * Kept back from the timeout that is stated to a host. A router may be delayed by 0.15 s between reading the clock
-     * and writing, which is all of the slack that the protocol gives; further delays on a shared core are covered here.
+     * How much less than the remaining time is stated to a host as timeout. The protocol tolerates 0.15 s, and the
+     * delay of a router between reading the clock and writing may use all of it; this margin covers further delays on a
+     * shared core.
      */
-    private static final long TIMEOUT_MARGIN = 50 * MILLISECOND;
-    /** At most this fraction (one in so many) of the remaining time is kept back. */
+    private static final long TIMEOUT_MARGIN_NANOS = 50 * MILLISECOND;
+    /** The margin is at most the remaining time divided by this. */
     private static final int MARGIN_DIVISOR = 4;
+    /** Time budgets within this of each other count as equal: arrivals are read once a tick, so they spread. */
+    private static final long BUDGET_TOLERANCE_NANOS = 8 * MILLISECOND;
+    /** With fewer time budgets than this, a cluster of equal ones can't be told from scatter. */
+    private static final int MIN_BUDGETS = 8;
+    /** Budgets below the SLA time count as first tries if they are more than this times as dense as those above it. */
+    private static final int SHORT_BUDGET_FACTOR = 2;
+    /** The period over which disconnecting clients are counted. */
+    private static final long DISCONNECT_PERIOD_NANOS = 10_000 * MILLISECOND;
+    /** Disconnects per ended request from which on they shorten the latency objective; a single one is no evidence. */
+    private static final double DISCONNECT_SHARE = 0.3;
+
+    private static final int MIN_DISCONNECTS = 2;
+    /** A late answer whose share of the weight is not above this is no reason to send a request. */
+    private static final double WORTHWHILE_LATE_SHARE = 0.25;
+    /** The response time that is expected of an attempt, as a quantile: three in five attempts take longer. */
+    private static final double EXPECTED_RESPONSE_QUANTILE = 0.4;
+    /** An outage this many times as long as the time left ends within that time with a chance of 1 / 3.3 = 0.3. */
+    private static final double OUTAGE_FACTOR = 2.3;
+
+    private static final long QUEUED_CHECK_NANOS = 100 * MILLISECOND;
+    private static final long MIN_WAKEUP_DELAY_NANOS = 5 * MILLISECOND;
 
     /**
-     * When the SLA time ends, counted from the client's first try. First tries of a type bring one and the same budget;
-     * any other budget is what is left of the type's expiry, so the difference has already gone by. Guards against
-     * serving retries that can earn nothing while fresh requests wait; errs on the side of serving. Where clients mark
-     * their retries, what isn't marked is a first try; where they don't, budgets under the SLA time that are more
-     * frequent than retries scatter are of clients that come with little time.
+     * Returns when the SLA time of the request ends, counted from the client's first try.
+     *
+     * <p>First tries of a request class arrive with the same time budget. Any other budget is what a retry has left of
+     * the class's timeout, so the difference has already passed. This avoids serving retries that can no longer be in
+     * time while new requests wait; in doubt the request counts as a first try. Where clients mark their retries, an
+     * unmarked request is a first try. Where they don't, budgets below the SLA time that are more frequent than the
+     * scatter of retries explains belong to clients whose first tries have little time.
      */
     long slaEndNanos(Request request) {
         long budget = request.expiryNanos - request.arrivedNanos;
         SampleWindow budgets = request.requestClass.budgets();
         budgets.add(budget, 0, request.arrivedNanos);
-        // Eight samples distinguish a cluster from scatter; arrivals are read once a tick, so equal budgets spread
-        // by one.
-        long first = budgets.densestMiddle(8 * MILLISECOND);
-        boolean marked = traffic.settings.clientsMarkRetries();
-        boolean usual = budgets.size() < 8 || Math.abs(budget - first) <= 8 * MILLISECOND;
+        long firstTryBudget = budgets.densestMiddle(BUDGET_TOLERANCE_NANOS);
+        boolean retriesMarked = traffic.settings.clientsMarkRetries();
+        boolean usualBudget =
+                budgets.size() < MIN_BUDGETS || Math.abs(budget - firstTryBudget) <= BUDGET_TOLERANCE_NANOS;
         long sla = request.requestClass.slaNanos();
-        boolean hurried = budget < sla
-                && budgets.countBetween(0, sla) * (first - sla)
-                        > 2 * budgets.countBetween(sla, first - 8 * MILLISECOND) * sla;
-        boolean firstTry = marked ? !request.retriedByClient : usual || hurried;
-        long gone = firstTry
+        boolean shortFirstTry = budget < sla
+                && budgets.countBetween(0, sla) * (firstTryBudget - sla)
+                        > SHORT_BUDGET_FACTOR
+                                * budgets.countBetween(sla, firstTryBudget - BUDGET_TOLERANCE_NANOS)
+                                * sla;
+        boolean firstTry = retriesMarked ? !request.retriedByClient : usualBudget || shortFirstTry;
+        long elapsedNanos = firstTry
                 ? 0
-                : usual
+                : usualBudget
                         ? (long) (sla * traffic.disconnectWaits.mean() / 1_000)
                         : Math.max(0, request.requestClass.timeoutNanos() - budget);
-        return Math.min(request.arrivedNanos + sla - gone, request.expiryNanos);
+        return Math.min(request.arrivedNanos + sla - elapsedNanos, request.expiryNanos);
     }
 
     /**
-     * The latency objective in nanoseconds: the SLA time, or, where many clients disconnect sooner, how long they have
-     * waited lately.
+     * Returns the latency objective in nanoseconds: the SLA time, or, where many clients disconnect sooner, the mean
+     * time that they recently waited.
      */
     double latencyObjectiveNanos(Request request, long now) {
-        long since = now - 10_000 * MILLISECOND;
-        // A client now and then leaves on any day; three of ten in ten seconds are a habit.
-        return traffic.disconnectWaits.countSince(since) >= Math.max(2, 0.3 * traffic.commits.countSince(since))
+        long since = now - DISCONNECT_PERIOD_NANOS;
+        // Single clients disconnect at any time; three in ten within ten seconds show that clients wait less long.
+        return traffic.disconnectWaits.countSince(since)
+                        >= Math.max(MIN_DISCONNECTS, DISCONNECT_SHARE * traffic.commits.countSince(since))
                 ? request.requestClass.slaNanos() * Math.min(1, traffic.disconnectWaits.mean(since) / 1_000)
                 : request.requestClass.slaNanos();
     }
 
     /**
-     * When a queued read may go to the primary: the design's default, one SLA time before its expiry, or earlier where
-     * the primary's answer would else come too late. One and a half usual times cover two answers in three. A round
-     * before its last use at the latest, where slower replicas set that use before the primary's answer: a release
-     * after it would never come.
+     * Returns when a queued read may go to the primary: one SLA time before its expiry, or earlier where the primary's
+     * answer would otherwise be late. One and a half typical response times cover two answers in three. The time is at
+     * most one round before the last useful send, which slow replicas can move ahead of the fallback: a request that is
+     * released after its last useful send is not sent.
      */
     long primaryFallbackNanos(Request request) {
         Host primary = request.group.primary;
@@ -79,37 +105,44 @@
     }
 
     /**
-     * From here on a request that is not in flight does not repay its work: three in five answers would come too late.
-     * A late answer that earns a quarter or less is no reason to send, since a fresh request earns more by the same
-     * work. Guards against overload fed by work for nothing.
+     * Returns the time from which on sending the request is no longer worthwhile, as three in five answers would be too
+     * late. If a late answer keeps a quarter of the weight or less, the time counts up to the end of the SLA time,
+     * since a new request gains more by the same work. This avoids feeding an overload with useless work.
      */
     long latestUsefulSendNanos(Request request) {
         if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return latestSafeSendNanos(request);
         }
-        long end = request.requestClass.lateShare() > 0.25 ? request.expiryNanos : request.slaEndNanos;
-        return Math.min(end - request.group.responseTimes.quantile(0.4), responseDeadlineNanos(request));
+        long end = request.requestClass.lateShare() > WORTHWHILE_LATE_SHARE ? request.expiryNanos : request.slaEndNanos;
+        return Math.min(
+                end - request.group.responseTimes.quantile(EXPECTED_RESPONSE_QUANTILE), responseDeadlineNanos(request));
     }
 
     /**
-     * What must not run twice and runs into its time ends as one that may have run, which is worse than a refusal. So
-     * the primary's newest answer counts too, where it is recent: a host that has just become slow shows in no quantile
-     * yet. The answer has to be here by the last moment, not by the expiry.
+     * Returns the last useful send of a non-idempotent request. If its attempt times out, it ends as one that may have
+     * run, which is worse for the client than a rejection. So the primary's newest response time counts too, if it is
+     * recent: a host that has just become slow does not show in the quantile yet. The answer has to arrive by the
+     * response deadline, not by the expiry.
      */
     private long latestSafeSendNanos(Request request) {
         Host primary = request.group.primary;
-        boolean recent = primary != null && primary.newestResponseAtNanos >= request.arrivedNanos - RECENT_RESPONSE;
-        long answer =
-                Math.max(recent ? primary.newestResponseDurationNanos : 0, request.group.responseTimes.quantile(0.4));
-        // Past the stated timeout a host may drop the write silently.
-        long last = answer == 0 ? responseDeadlineNanos(request) : responseDeadlineNanos(request) - TIMEOUT_MARGIN;
-        return (request.requestClass.lateShare() > 0.25 ? last : Math.min(request.slaEndNanos, last)) - answer;
+        boolean recent =
+                primary != null && primary.newestResponseAtNanos >= request.arrivedNanos - RECENT_RESPONSE_NANOS;
+        long answer = Math.max(
+                recent ? primary.newestResponseDurationNanos : 0,
+                request.group.responseTimes.quantile(EXPECTED_RESPONSE_QUANTILE));
+        // A host may silently drop a write after the timeout stated to it, which is earlier by the margin.
+        long last =
+                answer == 0 ? responseDeadlineNanos(request) : responseDeadlineNanos(request) - TIMEOUT_MARGIN_NANOS;
+        return (request.requestClass.lateShare() > WORTHWHILE_LATE_SHARE ? last : Math.min(request.slaEndNanos, last))
+                - answer;
     }
 
     /**
-     * A request that lives by the primary, never sent, is timed out at half of its time where that is long lost, so
-     * that its client may try again: an outage of T so far ends within r with chance r / (T + r), and at under three in
-     * ten a late answer does not repay the wait. Harm: an outage's end finds fewer of them here.
+     * Whether a request that depends on the primary and was never sent should end after half of its time, since the
+     * primary has been lost for long, so that its client may retry. An outage that has lasted T ends within r with
+     * probability r / (T + r); below 0.3 waiting is not worthwhile. The drawback is that fewer requests are waiting
+     * here when the outage ends.
      */
     boolean isPrimaryOutageTooLong(Request request, long now) {
         Host primary = request.group.primary;
@@ -120,14 +153,14 @@
                 && request.requestClass.consistency().dependsOnPrimary()
                 && request.attempts.isEmpty()
                 && now >= halfTimeNanos(request)
-                && now - since > 2.3 * (latestUsefulSendNanos(request) - now);
+                && now - since > OUTAGE_FACTOR * (latestUsefulSendNanos(request) - now);
     }
 
     private long halfTimeNanos(Request request) {
         return (request.arrivedNanos + responseDeadlineNanos(request)) / 2;
     }
 
-    /** How long an attempt may take; late answers without any weight are not waited for. */
+    /** Returns how long an attempt may take, in nanoseconds; late answers without any weight are not waited for. */
     long attemptTimeoutNanos(Request request, long now) {
         boolean late =
                 request.requestClass.lateShare() > 0 || request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
@@ -135,27 +168,31 @@
                 - now;
     }
 
-    /** The timeout to state to a host when an attempt has this much time left, in nanoseconds. */
+    /** Returns the timeout to state to a host, in nanoseconds, when an attempt has this much time left. */
     long advertisedTimeoutNanos(long remainingNanos) {
-        return remainingNanos - Math.min(TIMEOUT_MARGIN, remainingNanos / MARGIN_DIVISOR);
+        return remainingNanos - Math.min(TIMEOUT_MARGIN_NANOS, remainingNanos / MARGIN_DIVISOR);
     }
 
     private long roundNanos() {
         return traffic.settings.roundNanos();
     }
 
-    /** Two ticks (10 ms) before the expiry: on a busy core timers and threads were seen 7 ms late at most. */
+    /**
+     * Returns the time two rounds (10 ms) before the expiry: on a busy core, timers and threads were up to 7 ms late.
+     */
     private long responseDeadlineNanos(Request request) {
         return request.expiryNanos - 2 * roundNanos();
     }
 
+    /** Returns when a queued request has to be routed again even if no event concerns it. */
     long nextWakeupNanos(Request request, long now) {
-        long look = latestUsefulSendNanos(request);
+        long wakeup = latestUsefulSendNanos(request);
         for (long moment : new long[] {primaryFallbackNanos(request), halfTimeNanos(request)}) {
-            look = now < moment ? Math.min(look, moment) : look;
+            wakeup = now < moment ? Math.min(wakeup, moment) : wakeup;
         }
-        // Draws for suspect hosts and the budget of warming-up ones change with time alone.
-        long soon = request.probeNeed == Request.ProbeNeed.NONE ? 100 * MILLISECOND : OutlierDetector.PROBE_TIMEOUT;
-        return Math.max(now + 5 * MILLISECOND, Math.min(look, now + soon));
+        // Trials of suspect hosts and tickets for hosts in slow start become available by the passing of time alone.
+        long maxDelayNanos =
+                request.probeNeed == Request.ProbeNeed.NONE ? QUEUED_CHECK_NANOS : OutlierDetector.PROBE_TIMEOUT_NANOS;
+        return Math.max(now + MIN_WAKEUP_DELAY_NANOS, Math.min(wakeup, now + maxDelayNanos));
     }
 }
--- a/src/main/java/beaconladder/routing/HealthCheckScheduler.java
+++ b/src/main/java/beaconladder/routing/HealthCheckScheduler.java
@@ -25,11 +25,31 @@
         PriorityWeights weights,
         WakeupQueue wakeups,
         SplittableRandom random) {
+    /** The share of a request's weight that the probes pending at one time may cost. */
+    private static final double PENDING_PROBES_SHARE = 0.1;
+
+    private static final int MAX_PENDING_PROBES = 4;
+    /** So many probes of a request are sent without a pause. */
+    private static final int FIRST_PROBES = 2;
+    /** Fewer reported lags than this are no basis for a median. */
+    private static final int MIN_LAG_SAMPLES = 4;
+    /** Replicas whose lags are in the same step of this size count as equally fresh. */
+    private static final long LAG_STEP_NANOS = 1_000 * MILLISECOND;
+    /**
+     * The shortest time between two probes of a host, doubled with each failure. Load reports are refreshed every 50 to
+     * 250 ms, so probing more often brings little.
+     */
+    private static final long MIN_PROBE_INTERVAL_NANOS = 100 * MILLISECOND;
+
+    private static final int MAX_DOUBLINGS = 5;
+    private static final long MAX_FAILURE_INTERVAL_NANOS = 2_000 * MILLISECOND;
+    private static final long MAX_LAG_INTERVAL_NANOS = 1_000 * MILLISECOND;
+
     /**
-     * Members to ask, each for the sake of a queued request that pays for it: for one that needs the primary the member
-     * taken for it, or, where that is lost, the member most caught up; for a read the members that may be fresh enough.
-     * A router asks nobody without such a request: hundreds of them asking at each start and each return would be a
-     * flood of its own.
+     * Returns the hosts to probe now, each on behalf of a queued request whose weight covers the price. For a request
+     * that needs the primary this is the presumed primary, or, if that is lost, the most caught-up members; for a read
+     * it is the replicas that may be fresh enough. Without such a request nothing is probed: hundreds of routers that
+     * probe at every start and every return of a host would cause a flood of probes.
      */
     List<Host> takeProbes(long now) {
         List<Host> toProbe = new ArrayList<>();
@@ -45,9 +65,10 @@
                     wakeups.nextProbeNanos = Math.min(wakeups.nextProbeNanos, earliestNanos);
                     continue;
                 }
-                // As many at once as a tenth of its value pays for, since one or two that answer are enough.
-                double affordable = 0.1 * weights.remainingWeight(request, now);
-                int maxPending = (int) Math.max(1, Math.min(4, affordable / traffic.maxWeight / weights.probePrice()));
+                // As many at once as a tenth of its weight covers, since one or two answers are enough.
+                double affordable = PENDING_PROBES_SHARE * weights.remainingWeight(request, now);
+                int maxPending = (int) Math.max(
+                        1, Math.min(MAX_PENDING_PROBES, affordable / traffic.maxWeight / weights.probePrice()));
                 pendingAnswers = pendingAnswers < 0 ? countPendingAnswers(group, now) : pendingAnswers;
                 for (Host host : candidates(request, now)) {
                     if (pendingAnswers >= maxPending) {
@@ -72,18 +93,18 @@
         return pending;
     }
 
-    /** When this request may ask again: its first two probes at once, the rest an SLA time for all. */
+    /** Returns when a host may be probed for this request again: twice at once, then at intervals over an SLA time. */
     private long earliestProbeNanos(Request request) {
-        if (request.probesSent >= 2) {
+        if (request.probesSent >= FIRST_PROBES) {
             return request.lastProbeNanos + request.requestClass.slaNanos() / weights.probeBudget(request);
         }
-        // Before a healthy replica's report can show the session's write there is nothing to learn.
+        // A probe brings nothing before the report of a healthy replica can include the session's write.
         return request.requestClass.consistency() != Consistency.SESSION
                         || request.sessionTarget == UNSET
-                        || traffic.reportedLags.size() < 4
+                        || traffic.reportedLags.size() < MIN_LAG_SAMPLES
                 ? request.arrivedNanos
                 : clock.routerTimeOf(request.sessionTarget)
-                        + Math.min(OutlierDetector.REPORT_MAX_AGE, traffic.reportedLags.quantile(0.5));
+                        + Math.min(OutlierDetector.REPORT_MAX_AGE_NANOS, traffic.reportedLags.quantile(0.5));
     }
 
     private List<Host> candidates(Request request, long now) {
@@ -101,25 +122,25 @@
             if (host.state == Host.State.READY
                     && !host.probeInFlight
                     && (toPrimary || host != group.primary)
-                    // A host that has just reported has nothing new to report, unless its position was too low.
+                    // A probe of a host with a recent report brings nothing new, unless its position was too low.
                     && (host.lastReportNanos
                                     < Math.max(
-                                            now - OutlierDetector.REPORT_MAX_AGE,
+                                            now - OutlierDetector.REPORT_MAX_AGE_NANOS,
                                             toPrimary ? group.primaryLostNanos : UNSET)
                             || !toPrimary && host.position < readPositions.requiredPosition(request, now))) {
                 candidates.add(host);
             }
         }
-        // Shuffled, so that routers don't all ask the same one; then those most caught up in steps of a second,
-        // as members that lag little are as good as each other.
+        // Shuffled, so that the routers don't all probe the same host; then sorted by lag in steps of one second, as
+        // replicas that lag little are equally suitable.
         for (int i = candidates.size() - 1; i > 0; i--) {
             java.util.Collections.swap(candidates, i, random.nextInt(i + 1));
         }
-        candidates.sort(Comparator.comparingLong(h -> h.lagNanos / (1_000 * MILLISECOND)));
+        candidates.sort(Comparator.comparingLong(h -> h.lagNanos / LAG_STEP_NANOS));
         return candidates;
     }
 
-    /** How long a member is left alone after a probe: longer after failures, and while it must be behind. */
+    /** Returns the shortest time between two probes of this host: longer after failures, and while it must lag. */
     private long probeIntervalNanos(Host host, Request request, long now) {
         long failures =
                 host.responses.countSince(host.lastResponseNanos) - host.responses.sumSince(host.lastResponseNanos);
@@ -129,11 +150,11 @@
                         ? 0
                         : (requiredPosition - host.position) / 2;
         return Math.max(
-                Math.min(2_000 * MILLISECOND, 100 * MILLISECOND << Math.min(5, failures)),
-                Math.min(1_000 * MILLISECOND, missingNanos));
+                Math.min(MAX_FAILURE_INTERVAL_NANOS, MIN_PROBE_INTERVAL_NANOS << Math.min(MAX_DOUBLINGS, failures)),
+                Math.min(MAX_LAG_INTERVAL_NANOS, missingNanos));
     }
 
-    /** Reports are refreshed every 50 to 250 ms, so asking more often than each 100 ms brings little. */
+    /** Adds the host to those to probe and returns true, unless its last probe was less than this interval ago. */
     private boolean tryProbe(Host host, long intervalNanos, List<Host> toProbe, long now) {
         if (host.lastProbeNanos != UNSET && now < host.lastProbeNanos + intervalNanos) {
             wakeups.nextProbeNanos = Math.min(wakeups.nextProbeNanos, host.lastProbeNanos + intervalNanos);
--- a/src/main/java/beaconladder/routing/ReplicaSelector.java
+++ b/src/main/java/beaconladder/routing/ReplicaSelector.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Selects the host that gets a request now. */
+/** Selects the host to which a request is sent now. */
 record ReplicaSelector(
         TrafficStatistics traffic,
         OutlierDetector outliers,
@@ -18,7 +18,12 @@
         ReadPositions readPositions,
         PriorityWeights weights,
         SplittableRandom random) {
-    /** The host that gets this request now, or null if the request waits. */
+    /** With fewer replicas of known load than this, a request may wait for the answer to a probe. */
+    private static final int MIN_INFORMED_REPLICAS = 2;
+    /** So many probes of a request are sent although one replica of known load is already eligible. */
+    private static final int FIRST_PROBES = 2;
+
+    /** Returns the host to which this request is sent now, or null if it has to wait. */
     Host select(Request request, long now) {
         if (request.requestClass.consistency().requiresPrimary()) {
             return selectPrimary(request, now);
@@ -33,7 +38,7 @@
         return replica;
     }
 
-    /** The design's two-choice pick among the replicas known to meet the target. */
+    /** Picks the less loaded of two random replicas that are known to have reached the required position; or null. */
     private Host selectReplica(Request request, long now) {
         long requiredPosition = readPositions.requiredPosition(request, now);
         List<Host> eligible = new ArrayList<>();
@@ -52,8 +57,8 @@
             } else if (weights.isProbingCheap()) {
                 List<Host> informed = new ArrayList<>(eligible);
                 informed.removeIf(host -> !outliers.hasRecentInformation(host, now));
-                if (informed.size() < 2
-                        && isAnswerExpected(request, request.probesSent < 2 || informed.isEmpty(), now)) {
+                if (informed.size() < MIN_INFORMED_REPLICAS
+                        && isAnswerExpected(request, request.probesSent < FIRST_PROBES || informed.isEmpty(), now)) {
                     request.probeNeed = Request.ProbeNeed.REPLICA;
                     return null;
                 }
@@ -67,8 +72,8 @@
         int j = random.nextInt(eligible.size() - 1);
         Host a = eligible.get(i);
         Host b = eligible.get(j >= i ? j + 1 : j);
-        // A replica too far behind for bounded reads can serve unbounded reads only, and those leave the others
-        // to the reads that need them, and to catching up.
+        // A replica too far behind for bounded reads can serve unbounded reads only. Sending those there leaves the
+        // other replicas free for bounded reads and for applying the log.
         if (request.requestClass.consistency() == Consistency.ANY && limit.lagsFarBehind(a) != limit.lagsFarBehind(b)) {
             return limit.lagsFarBehind(a) ? a : b;
         }
@@ -76,13 +81,16 @@
         double loadA = bothReported ? (a.load() + 1) / outliers.successProbability(a, now) : a.inFlight.size();
         double loadB = bothReported ? (b.load() + 1) / outliers.successProbability(b, now) : b.inFlight.size();
         if (loadA == loadB) {
-            // A tie of the design's pick goes to the nearer one, as crossing zones has its price.
+            // On a tie the replica in this zone is preferred, as traffic between zones costs more.
             return b.zone == traffic.settings.zone() ? b : a;
         }
         return loadB < loadA ? b : a;
     }
 
-    /** Whether an answer to a probe is under way, or, if more may be asked, a member is there to ask. */
+    /**
+     * Whether the answer to a probe of a replica is still expected, or, if {@code mayProbeMore}, a replica can be
+     * probed now.
+     */
     private boolean isAnswerExpected(Request request, boolean mayProbeMore, long now) {
         for (Host host : request.group.members) {
             if (host.state == Host.State.READY
@@ -90,14 +98,14 @@
                     && !outliers.hasRecentInformation(host, now)
                     && (host.probeInFlight
                             ? !outliers.isProbeOverdue(host, now)
-                            : mayProbeMore && now >= host.lastProbeNanos + OutlierDetector.REPORT_MAX_AGE / 3)) {
+                            : mayProbeMore && now >= host.lastProbeNanos + OutlierDetector.REPORT_MAX_AGE_NANOS / 3)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** A queued request pays for as many probes as a seventh of its value buys, one at the least. */
+    /** Whether the probe budget of this queued request, at least one probe, allows another one. */
     boolean mayProbe(Request request) {
         return request.attemptsInFlight() == 0
                 && request.probesSent < weights.probeBudget(request)
@@ -113,7 +121,8 @@
             request.probeNeed = mayProbe(request) ? Request.ProbeNeed.PRIMARY : Request.ProbeNeed.NONE;
             return null;
         }
-        // An answer not heard may have denied it, and counts as known; a write learns that by a miss.
+        // An answer that did not arrive may have said that the host is no longer the primary, and counts as known. Only
+        // reads are held back: a write at a host that is no longer the primary ends with a MISS.
         boolean mayHaveLostRole =
                 request.requestClass.consistency() != Consistency.WRITE && readPositions.mayHaveLostRole(primary);
         if (mayHaveLostRole
