--- a/src/main/java/beaconladder/routing/ClusterClock.java
+++ b/src/main/java/beaconladder/routing/ClusterClock.java
@@ -8,148 +8,153 @@
 import java.util.Map;
 
 /**
- * What time it is by the clock that hosts stamp positions and starts with. The router's own time is the wall clock as
- * it stood at the start, moved on by the monotonic clock: it never steps, but it is wrong for good where the wall was
- * wrong then. Hosts show by how much:
+ * Estimates the hosts' clock, by which hosts stamp log positions and their start. The router's own clock is the wall
+ * clock at the router's start, advanced by the monotonic clock: it never steps, but an error of the wall clock at the
+ * start stays. The hosts' positions show that error:
  *
- * <p>A position that was heard at {@code now} has been reached, so the hosts' clock shows it at the least. Too late a
- * time is safe for a bound, too early a one makes reads stale, so that two hosts that agree are enough to move it
- * forward; a position ahead of it is believed only then, as an answer may be spoilt. The answer of a primary gives the
- * other side: a primary stands at the present, so what it answers is no earlier than the send. The clock is moved back
- * only by several such answers in a row, and stays ahead of what they allow.
+ * <p>A position that was received at {@code now} has been reached, so the hosts' clock is at least there. An estimate
+ * that is too late is safe for a staleness bound, while one that is too early makes reads stale, so two hosts that
+ * agree are enough to move the estimate forward. A position ahead of the estimate is accepted only then, as an answer
+ * may be corrupt. The answers of a primary limit the estimate from the other side: a primary's position is at the
+ * present, so its answer is no earlier than the send. Several answers in a row that are earlier than their send move
+ * the estimate back, as little as all of them require.
  *
- * <p>Until a host has shown that this clock is not far ahead, it is not confirmed, and no start of a host counts as
- * long ago by it.
+ * <p>The estimate is unconfirmed until a host has shown that it is not far ahead. Until then, no host counts as started
+ * long ago on the evidence of this clock.
  */
 final class ClusterClock {
-    /** Clocks read in whole milliseconds by two processes; nothing applied can lie further ahead. */
-    private static final long TOLERANCE = 20 * MILLISECOND;
-    /** Replicas lag, so what several hosts show differs by that. */
-    private static final long AGREEMENT = 5_000 * MILLISECOND;
-
-    private static final long EVIDENCE_MAX_AGE = 10_000 * MILLISECOND;
-    private static final long PENDING_MAX_AGE = 2_000 * MILLISECOND;
-    /** Wall clocks are off by an hour where a zone is set wrong; what lies beyond two is no time. */
-    private static final long MAX_PLAUSIBLE_OFFSET = 7_200_000 * MILLISECOND;
-    /** Of one host so many positions ahead in a row count; a spoilt answer comes alone. */
+    /** How far ahead a valid position may be, as two processes read their clocks in whole milliseconds. */
+    private static final long TOLERANCE_NANOS = 20 * MILLISECOND;
+    /** How far the offsets shown by several hosts may differ, as replicas lag. */
+    private static final long AGREEMENT_NANOS = 5_000 * MILLISECOND;
+    /** How long a position ahead counts as evidence for moving the clock. */
+    private static final long EVIDENCE_MAX_AGE_NANOS = 10_000 * MILLISECOND;
+    /** How long a position ahead of the clock counts for staleness bounds while the clock has not been moved. */
+    private static final long PENDING_MAX_AGE_NANOS = 2_000 * MILLISECOND;
+    /** A wrong time zone puts a wall clock off by an hour; a position over two hours ahead is not a time. */
+    private static final long MAX_PLAUSIBLE_OFFSET_NANOS = 7_200_000 * MILLISECOND;
+    /** So many positions ahead in a row are required of each host, as a corrupt answer is a single one. */
     private static final int MIN_REPORTS = 2;
-    /** Where no second host is heard at all, so many do. */
+    /** So many are required where no other host reports. */
     private static final int MIN_REPORTS_SINGLE_HOST = 6;
-    /** It is moved back for nothing less: the time that an attempt waits before its send lies within it. */
-    private static final long MIN_BACKWARD_STEP = 250 * MILLISECOND;
-
+    /** The least error for which the clock is moved back; it covers the time that an attempt waits before its send. */
+    private static final long MIN_BACKWARD_STEP_NANOS = 250 * MILLISECOND;
+    /**
+     * So many answers in a row that are earlier than their send move the clock back; of a single host, twice as many.
+     */
     private static final int MIN_EARLY_ANSWERS = 6;
-    /** A clock that is ahead by no more than this makes little of a slow start look over. */
-    private static final long CONFIRMATION_TOLERANCE = 500 * MILLISECOND;
+    /** A clock that is ahead by no more than this shortens a slow start only a little. */
+    private static final long CONFIRMATION_TOLERANCE_NANOS = 500 * MILLISECOND;
 
-    /** Positions of one host that lay ahead, in a row. */
+    /** Consecutive positions of one host that were ahead of the clock by about the same offset. */
     private record AheadEvidence(int count, long aheadNanos, long seenNanos) {}
 
     private final Map<Host, AheadEvidence> aheadByHost = new HashMap<>();
     private long offsetNanos;
-    /** When a position was last believed. */
+    /** When a position was last accepted without moving the clock. */
     private long lastAcceptedNanos = Long.MIN_VALUE;
-    /** Answers in a row from before their send, and the least that all of them were before it. */
+    /** The number of consecutive primary answers earlier than their send, and by how much each was earlier at least. */
     private int earlyAnswers;
 
-    private long leastEarlyNanos = Long.MAX_VALUE;
+    private long minEarlyNanos = Long.MAX_VALUE;
     private Host earlyHost;
     private boolean earlyFromSeveralHosts;
-    private boolean isConfirmed;
+    private boolean confirmed;
 
-    /** The time by the hosts' clock at this moment of the router's. */
+    /** Returns the estimated time of the hosts' clock at this time of the router's clock, in nanoseconds. */
     long hostTimeAt(long now) {
         return now + offsetNanos;
     }
 
     /**
-     * The latest that the hosts' clock may show at this moment, as far as any host has just said: for bounds, since a
-     * target that is too late makes no read stale, and one host's word may be the first of several.
+     * Returns the latest time that the hosts' clock may show now, by the recent positions of any single host. It is for
+     * staleness bounds, since a target that is too late makes no read stale, and the position of one host may be the
+     * first of several.
      */
     long latestHostTimeAt(long now) {
-        long by = 0;
+        long aheadNanos = 0;
         for (AheadEvidence each : aheadByHost.values()) {
-            by = now - each.seenNanos <= PENDING_MAX_AGE && each.aheadNanos <= MAX_PLAUSIBLE_OFFSET
-                    ? Math.max(by, each.aheadNanos)
-                    : by;
+            aheadNanos = now - each.seenNanos <= PENDING_MAX_AGE_NANOS && each.aheadNanos <= MAX_PLAUSIBLE_OFFSET_NANOS
+                    ? Math.max(aheadNanos, each.aheadNanos)
+                    : aheadNanos;
         }
-        return hostTimeAt(now) + by;
+        return hostTimeAt(now) + aheadNanos;
     }
 
-    /** No position that is believed lies ahead of this. */
+    /** Returns the newest position that is accepted without moving the clock. */
     long maxPlausiblePosition(long now) {
-        return hostTimeAt(now) + TOLERANCE;
+        return hostTimeAt(now) + TOLERANCE_NANOS;
     }
 
-    /** Whether a host has shown that this clock is not far ahead of the hosts'. */
+    /** Whether a host has shown that this clock is not far ahead of the hosts' clock. */
     boolean isConfirmed() {
-        return isConfirmed;
+        return confirmed;
     }
 
-    /** The moment of the router's clock at which the hosts' shows this. */
+    /** Returns the time of the router's clock at which the hosts' clock shows this time. */
     long routerTimeOf(long hostTime) {
         return hostTime - offsetNanos;
     }
 
-    /** Records a position reported at this time; returns whether it is plausible. */
+    /** Records a position that was received now, which may move the clock forward; returns whether it is plausible. */
     boolean acceptPosition(Host host, long position, long now) {
-        long by = position - hostTimeAt(now);
-        if (by <= TOLERANCE) {
+        long aheadNanos = position - hostTimeAt(now);
+        if (aheadNanos <= TOLERANCE_NANOS) {
             aheadByHost.remove(host);
             lastAcceptedNanos = now;
-            isConfirmed |= by >= -CONFIRMATION_TOLERANCE;
+            confirmed |= aheadNanos >= -CONFIRMATION_TOLERANCE_NANOS;
             return true;
         }
-        if (by > MAX_PLAUSIBLE_OFFSET) {
+        if (aheadNanos > MAX_PLAUSIBLE_OFFSET_NANOS) {
             return false;
         }
-        AheadEvidence before = aheadByHost.get(host);
-        boolean row = before != null
-                && Math.abs(by - before.aheadNanos) <= AGREEMENT
-                && now - before.seenNanos <= EVIDENCE_MAX_AGE;
-        AheadEvidence own = new AheadEvidence(row ? before.count + 1 : 1, by, now);
-        aheadByHost.put(host, own);
-        aheadByHost.values().removeIf(each -> now - each.seenNanos > EVIDENCE_MAX_AGE);
+        AheadEvidence previous = aheadByHost.get(host);
+        boolean consecutive = previous != null
+                && Math.abs(aheadNanos - previous.aheadNanos) <= AGREEMENT_NANOS
+                && now - previous.seenNanos <= EVIDENCE_MAX_AGE_NANOS;
+        AheadEvidence current = new AheadEvidence(consecutive ? previous.count + 1 : 1, aheadNanos, now);
+        aheadByHost.put(host, current);
+        aheadByHost.values().removeIf(each -> now - each.seenNanos > EVIDENCE_MAX_AGE_NANOS);
         List<AheadEvidence> agreeing = aheadByHost.values().stream()
-                .filter(each -> each.count >= MIN_REPORTS && Math.abs(each.aheadNanos - by) <= AGREEMENT)
+                .filter(each -> each.count >= MIN_REPORTS && Math.abs(each.aheadNanos - aheadNanos) <= AGREEMENT_NANOS)
                 .toList();
-        // What was believed since then is of another host: its own would have ended its row.
-        boolean alone = aheadByHost.size() == 1
-                && own.count >= MIN_REPORTS_SINGLE_HOST
-                && (lastAcceptedNanos == Long.MIN_VALUE || now - lastAcceptedNanos > EVIDENCE_MAX_AGE);
-        if (own.count < MIN_REPORTS || agreeing.size() < 2 && !alone) {
+        // A position accepted since this row began is of another host: one of this host would have ended the row.
+        boolean onlyHost = aheadByHost.size() == 1
+                && current.count >= MIN_REPORTS_SINGLE_HOST
+                && (lastAcceptedNanos == Long.MIN_VALUE || now - lastAcceptedNanos > EVIDENCE_MAX_AGE_NANOS);
+        if (current.count < MIN_REPORTS || agreeing.size() < 2 && !onlyHost) {
             return false;
         }
-        // Each has reached what it says: the one most caught up lags least.
+        // Each host has reached its reported position, so the one furthest ahead lags least.
         offsetNanos +=
-                agreeing.stream().mapToLong(AheadEvidence::aheadNanos).max().orElse(by);
+                agreeing.stream().mapToLong(AheadEvidence::aheadNanos).max().orElse(aheadNanos);
         aheadByHost.clear();
-        isConfirmed = true;
+        confirmed = true;
         return true;
     }
 
-    /** A primary has answered, at this position, what was sent to it at this moment. */
-    void primaryAnswered(Host host, long position, long sentNanos) {
-        long early = hostTimeAt(sentNanos) - position;
-        if (early <= MIN_BACKWARD_STEP) {
-            isConfirmed = true;
+    /** Records the position in the answer of a primary to an attempt; may confirm the clock or move it back. */
+    void onPrimaryAnswer(Host host, long position, long sentNanos) {
+        long earlyNanos = hostTimeAt(sentNanos) - position;
+        if (earlyNanos <= MIN_BACKWARD_STEP_NANOS) {
+            confirmed = true;
             clearEarlyAnswers();
             return;
         }
         earlyFromSeveralHosts |= earlyHost != null && earlyHost != host;
         earlyHost = host;
-        leastEarlyNanos = Math.min(leastEarlyNanos, early);
+        minEarlyNanos = Math.min(minEarlyNanos, earlyNanos);
         earlyAnswers++;
         if (earlyAnswers >= (earlyFromSeveralHosts ? MIN_EARLY_ANSWERS : 2 * MIN_EARLY_ANSWERS)) {
-            offsetNanos -= leastEarlyNanos;
-            isConfirmed = true;
+            offsetNanos -= minEarlyNanos;
+            confirmed = true;
             clearEarlyAnswers();
         }
     }
 
     private void clearEarlyAnswers() {
         earlyAnswers = 0;
-        leastEarlyNanos = Long.MAX_VALUE;
+        minEarlyNanos = Long.MAX_VALUE;
         earlyHost = null;
         earlyFromSeveralHosts = false;
     }
--- a/src/main/java/beaconladder/routing/HostStateTracker.java
+++ b/src/main/java/beaconladder/routing/HostStateTracker.java
@@ -16,9 +16,7 @@
 import beaconladder.routing.state.WakeupQueue;
 import java.util.Set;
 
-/**
- * Keeps what is known of the positions, roles and states of hosts, from answers, load reports and the endpoint list.
- */
+/** Tracks the positions, roles and states of hosts, from answers, load reports and the endpoint list. */
 record HostStateTracker(
         TrafficStatistics traffic,
         ClusterClock clock,
@@ -26,12 +24,21 @@
         ReadPositions readPositions,
         WakeupQueue wakeups,
         Set<Host> idleHosts) {
-    /** A host with fewer than three responses in this time may have its idle connections closed. */
-    private static final long IDLE_PERIOD = 10_000 * MILLISECOND;
+    /** A host with too few responses in this time may have its idle connections closed. */
+    private static final long IDLE_PERIOD_NANOS = 10_000 * MILLISECOND;
+
+    private static final int MIN_BUSY_RESPONSES = 3;
     /** Hosts that succeeded within this time count as live. */
-    private static final long SUCCESS_PERIOD = 20_000 * MILLISECOND;
+    private static final long SUCCESS_PERIOD_NANOS = 20_000 * MILLISECOND;
+    /** A timeout at a host with over this many times the mean load, and so many requests more, is due to the load. */
+    private static final int OVERLOAD_FACTOR = 2;
+
+    private static final int OVERLOAD_ALLOWANCE = 2;
 
-    /** Drops an implausible position from a direct answer; drops a report with an implausible position altogether. */
+    /**
+     * Returns the report without its position if that is implausible in a direct answer, and an empty report if it is
+     * implausible in a load report.
+     */
     private HostReport validate(Host host, HostReport report, boolean direct, long now) {
         if (report.position() == HostReport.NO_POSITION || clock.acceptPosition(host, report.position(), now)) {
             return report;
@@ -56,7 +63,7 @@
         // Positions recorded before the clock was corrected can lie ahead of the present.
         host.replicaReportPosition = Math.min(host.replicaReportPosition, clock.maxPlausiblePosition(now));
         group.primaryPosition = Math.min(group.primaryPosition, clock.maxPlausiblePosition(now));
-        // A load report is older than the answer that carried it, so it does not overrule the role in that answer.
+        // A load report is older than the answer that carries it, so it does not override the role in that answer.
         host.replicaReportPosition =
                 direct && report.role() == Role.REPLICA ? reportedPosition : host.replicaReportPosition;
         if (report.role() == Role.PRIMARY
@@ -81,7 +88,7 @@
             return;
         }
         if (outcome == Outcome.COMMITTED) {
-            // Reaching an unreachable host clears its failed connects; a host that stayed silent keeps its failures.
+            // A host that was unreachable loses its failed connects; one that was only silent keeps its failures.
             if (!host.contacted) {
                 host.responses.clear();
             }
@@ -96,6 +103,7 @@
         }
     }
 
+    /** Applies the state that the endpoint list gives a host, and what follows from a restart or a new primary. */
     void updateHost(Host host, boolean listedAsPrimary, Host.State state, long launchedNanos, long now) {
         Group group = host.group;
         wakeups.markChanged(group);
@@ -105,7 +113,7 @@
             host.launchedNanos = launchedNanos;
             host.startNotifiedNanos = now;
         } else if (launchedNanos > host.launchedNanos) {
-            // After a restart the known health and role are void; positions stay valid.
+            // After a restart the known health and role are no longer valid; positions are.
             host.launchedNanos = launchedNanos;
             host.startNotifiedNanos = now;
             host.contacted = false;
@@ -119,7 +127,7 @@
         host.state = state;
         if (listedAsPrimary && group.listedPrimary != host) {
             group.listedPrimary = host;
-            // Lists are seconds late, so a host that reported to be a replica is probed first.
+            // Endpoint lists are seconds late, so a host that reported to be a replica is probed first.
             boolean reportedReplica = host.replicaReportPosition != UNSET;
             if ((group.primary == null
                             || group.primary.state != Host.State.READY
@@ -132,7 +140,7 @@
         }
     }
 
-    /** Removes a host that left the list; false while its attempts or a probe may still matter. */
+    /** Removes a host that is no longer listed; returns false while its attempts or a probe may still matter. */
     boolean removeHost(Host host, long now) {
         host.abandoned.removeIf(old -> now > old.request.expiryNanos);
         if (!host.inFlight.isEmpty() || !host.abandoned.isEmpty() || host.probeInFlight) {
@@ -155,7 +163,7 @@
         attempt.neverRan = outcome.provesNotRun();
         host.inFlight.remove(attempt);
         wakeups.markChanged(host.group);
-        if (host.inFlight.isEmpty() && host.responseTimes.countSince(now - IDLE_PERIOD) < 3) {
+        if (host.inFlight.isEmpty() && host.responseTimes.countSince(now - IDLE_PERIOD_NANOS) < MIN_BUSY_RESPONSES) {
             idleHosts.add(host);
         }
         host.lastUnansweredNanos = outcome.isFromHost() || attempt.neverRan ? host.lastUnansweredNanos : now;
@@ -171,7 +179,7 @@
             recordSuccess(attempt, outcome, now);
         }
         if (outcome == Outcome.COMMITTED && isFromCurrentPrimary(attempt, answer)) {
-            clock.primaryAnswered(host, answer.position(), attempt.sentNanos);
+            clock.onPrimaryAnswer(host, answer.position(), attempt.sentNanos);
         }
         applyReport(host, answer, true, now);
         applyReport(host, report, false, now);
@@ -185,7 +193,7 @@
         host.contacted = true;
         host.lastResponseNanos = now;
         host.responses.add(1, 0, now);
-        // Responses come about in the order of the sends, so what was abandoned before this send has ended.
+        // A host responds roughly in the order of the sends, so attempts abandoned before this send have ended.
         host.abandoned.removeIf(old -> old.sentNanos < attempt.sentNanos);
         if (outcome == Outcome.COMMITTED) {
             long tookNanos = now - attempt.sentNanos;
@@ -209,30 +217,33 @@
             return;
         }
         host.responseTimes.add(now - attempt.sentNanos, attempt.hostConcurrency, now);
-        // At a host with far more load than usual a timeout is evidence of the load, elsewhere of a fault of the host.
-        if (attempt.hostInFlight > 2 * traffic.responseTimesByLoad.meanCompanion(UNSET) + 2) {
+        // At a host with far more load than usual a timeout shows the load, elsewhere a fault of the host.
+        if (attempt.hostInFlight
+                > OVERLOAD_FACTOR * traffic.responseTimesByLoad.meanCompanion(UNSET) + OVERLOAD_ALLOWANCE) {
             outliers.recordResponseTime(attempt, now);
         }
     }
 
-    /** A host that fails at once looks idle and fast, so errors at all hosts weigh as lost responses do. */
+    /**
+     * Records whether the attempt succeeded. Errors count as lost responses, as a host that fails at once looks fast.
+     */
     private void recordSuccess(Attempt attempt, Outcome outcome, long now) {
         Host host = attempt.host;
         boolean withinSla = now - attempt.sentNanos <= attempt.request.requestClass.slaNanos();
         int success = outcome == Outcome.COMMITTED && withinSla || outcome == Outcome.MISS ? 1 : 0;
-        if (host.successes.sumSince(now - SUCCESS_PERIOD) > 0) {
+        if (host.successes.sumSince(now - SUCCESS_PERIOD_NANOS) > 0) {
             traffic.failuresAtLiveHosts.add(1 - success, 0, now);
         }
         host.successes.add(success, 0, now);
     }
 
-    /** Whether the position in this answer is the primary's at present, so that it bounds the hosts' clock. */
+    /** Whether this answer states the primary's position at the time of the answer, which bounds the hosts' clock. */
     private static boolean isFromCurrentPrimary(Attempt attempt, HostReport answer) {
         RequestClass requestClass = attempt.request.requestClass;
-        // The commit of a write with an idempotency key may be that of an earlier attempt, before this one was sent.
+        // For a write with an idempotency key, the commit may be that of an earlier attempt, before this one was sent.
         boolean committedNow = requestClass.consistency() != Consistency.WRITE
                 || requestClass.idempotency() == Idempotency.NON_IDEMPOTENT;
-        // A primary whose replicas have a later position has been replaced by another.
+        // A primary whose replicas have a later position has been replaced by another one.
         return answer.role() == Role.PRIMARY
                 && committedNow
                 && answer.position() != HostReport.NO_POSITION
@@ -245,7 +256,7 @@
             group.markPrimaryLost(now);
         }
         if (!attempt.neverRan) {
-            // Without an answer it may have committed up to now; a later commit's answer can't reach this router.
+            // Without an answer it may have committed up to now; the answer to a later commit can't reach this router.
             boolean positionKnown = outcome == Outcome.COMMITTED && answer.position() != HostReport.NO_POSITION;
             readPositions.recordCommit(
                     attempt.request, positionKnown ? answer.position() : clock.latestHostTimeAt(now));
--- a/src/test/java/beaconladder/routing/ClusterClockTest.java
+++ b/src/test/java/beaconladder/routing/ClusterClockTest.java
@@ -75,10 +75,10 @@
     @Test
     void answersFromBeforeTheirSendMoveItBackAndNotTooFar() {
         for (int i = 0; i < 5; i++) {
-            clock.primaryAnswered(i % 2 == 0 ? a : b, NOW - HOUR + 30 * MS, NOW);
+            clock.onPrimaryAnswer(i % 2 == 0 ? a : b, NOW - HOUR + 30 * MS, NOW);
         }
         assertThat(clock.hostTimeAt(NOW)).isEqualTo(NOW);
-        clock.primaryAnswered(b, NOW - HOUR + 400 * MS, NOW);
+        clock.onPrimaryAnswer(b, NOW - HOUR + 400 * MS, NOW);
         assertThat(clock.hostTimeAt(NOW))
                 .as("no answer lies before its send by it")
                 .isEqualTo(NOW - HOUR + 400 * MS);
@@ -87,8 +87,8 @@
     @Test
     void aSlowAnswerOrOneThatIsEarlyMovesNothing() {
         for (int i = 0; i < 30; i++) {
-            clock.primaryAnswered(a, i % 4 == 0 ? NOW + 10 * MS : NOW - 1_000 * MS, NOW);
-            clock.primaryAnswered(b, NOW - 200 * MS, NOW);
+            clock.onPrimaryAnswer(a, i % 4 == 0 ? NOW + 10 * MS : NOW - 1_000 * MS, NOW);
+            clock.onPrimaryAnswer(b, NOW - 200 * MS, NOW);
         }
         assertThat(clock.hostTimeAt(NOW)).isEqualTo(NOW);
     }
@@ -109,7 +109,7 @@
     void aClockThatWasMovedIsConfirmed() {
         for (int i = 0; i < 6; i++) {
             assertThat(clock.isConfirmed()).isFalse();
-            clock.primaryAnswered(i % 2 == 0 ? a : b, NOW - HOUR, NOW);
+            clock.onPrimaryAnswer(i % 2 == 0 ? a : b, NOW - HOUR, NOW);
         }
         assertThat(clock.isConfirmed()).isTrue();
     }
