--- a/src/main/java/beaconladder/routing/DispatchGuard.java
+++ b/src/main/java/beaconladder/routing/DispatchGuard.java
@@ -6,10 +6,11 @@
 import beaconladder.routing.state.Request;
 
 /**
- * The one guard of each send. Between the decision and the bytes lie a connection (250 ms) or a wait for a descriptor
- * (up to the expiry), so that all that a decision rests on is looked at again.
+ * Checks each attempt right before it is sent. Between the decision and the send there may be a connect (250 ms) or a
+ * wait for a file descriptor (up to the expiry), so all conditions of the decision are checked again.
  */
-record DispatchGuard(RetryGuard retries, ReadPositions readPositions) {
+record DispatchGuard(RetryGuard retryGuard, ReadPositions readPositions) {
+    /** Returns whether this attempt may still be sent, or the first reason why not. */
     DispatchCheck check(Attempt attempt, long now) {
         Request request = attempt.request;
         Host host = attempt.host;
@@ -25,7 +26,7 @@
         if (host.launchedNanos != attempt.hostLaunchedNanos) {
             return DispatchCheck.HOST_RESTARTED;
         }
-        if (!retries.allows(request, attempt, now)) {
+        if (!retryGuard.allows(request, attempt, now)) {
             return DispatchCheck.MAY_HAVE_RUN;
         }
         if (host == host.group.primary) {
--- a/src/main/java/beaconladder/routing/PriorityWeights.java
+++ b/src/main/java/beaconladder/routing/PriorityWeights.java
@@ -4,56 +4,71 @@
 import beaconladder.routing.state.RequestClass;
 import beaconladder.routing.state.TrafficStatistics;
 
-/** The priority weights of requests and the budget of probes, by the stated prices and goal. */
+/** Computes the priority weights of requests and their probe budgets, from the prices and the goal in the settings. */
 record PriorityWeights(TrafficStatistics traffic) {
+    /** The share of a request's weight that its probes may cost. */
+    private static final double PROBE_BUDGET_SHARE = 0.15;
+
+    private static final int MAX_PROBE_BUDGET = 1_000;
+    /** The share of a request's weight up to which two probes ahead of a send are cheap. */
+    private static final double CHEAP_PROBES_SHARE = 0.03;
+    /** Fewer results than this are no basis for a share in time. */
+    private static final int MIN_SLA_RESULTS = 8;
+    /** The share of the recent weight that a request class counts for at least. */
+    private static final double MIN_CLASS_SHARE = 0.05;
+    /** A class within this of the worst one may soon be the worst: shares from 64 samples are that inexact. */
+    private static final double NEAR_WORST_DISTANCE = 0.1;
+
+    /** Returns how many probes may be sent for this request: about a seventh of its weight's worth, at least one. */
     int probeBudget(Request request) {
-        double affordable = 0.15 * request.requestClass.weight() / (probePrice() * traffic.meanWeight());
-        return (int) Math.max(1, Math.min(1_000, affordable));
+        double affordable = PROBE_BUDGET_SHARE * request.requestClass.weight() / (probePrice() * traffic.meanWeight());
+        return (int) Math.max(1, Math.min(MAX_PROBE_BUDGET, affordable));
     }
 
     /**
-     * Whether to ask before a send to members that were not heard of lately: where two probes cost under three points
-     * in a hundred, as knowing the load brings more than that by far. Covers whatever shows in a probe: dead and
-     * unreachable members, queues, changed roles. Harm: the price and some milliseconds, where nothing is wrong.
+     * Whether to probe hosts without recent reports before a send. This is so where two probes cost at most three
+     * hundredths of a request, as knowing the load brings far more than that. It covers all that a probe shows: dead
+     * and unreachable hosts, queues, changed roles. The drawback is the price and some milliseconds where nothing is
+     * wrong.
      */
     boolean isProbingCheap() {
-        return 2 * probePrice() <= 0.03;
+        return 2 * probePrice() <= CHEAP_PROBES_SHARE;
     }
 
     /**
-     * What a unit of value counts in the goal, by request class: its part of the whole, and for the types served worst
-     * their part of that term, spread over the little value that such a type asks for. Guards against starving a type
-     * for another of higher value; harm: a type that nobody can serve still goes first, at no cost to the hosts.
+     * Returns what a unit of weight counts in the goal, by request class: its part in the total, plus, for the worst
+     * served classes, the part of the worst class divided by the class's share of the recent weight. This avoids
+     * starving a class for another one of higher weight. The drawback is that a class that can't be served at all still
+     * goes first, at no cost to the hosts.
      */
     double[] classWeights() {
         double[] weights = new double[traffic.requestClasses.size()];
         double recentWeight = Math.max(1, traffic.recentWeight());
         double worstSlaShare = traffic.requestClasses.stream()
-                .filter(requestClass -> requestClass.slaResults().size() >= 8)
+                .filter(requestClass -> requestClass.slaResults().size() >= MIN_SLA_RESULTS)
                 .mapToDouble(requestClass -> requestClass.slaResults().mean())
                 .min()
                 .orElse(1);
         for (RequestClass requestClass : traffic.requestClasses) {
             double share = Math.max(
-                    0.05, traffic.recentClasses.count(requestClass.index()) * requestClass.weight() / recentWeight);
-            // Within a tenth of the worst a type may be the worst one soon: samples of 64 are as rough as
-            // that.
-            boolean nearWorst = requestClass.slaResults().size() >= 8
-                    && requestClass.slaResults().mean() <= worstSlaShare + 0.1;
+                    MIN_CLASS_SHARE,
+                    traffic.recentClasses.count(requestClass.index()) * requestClass.weight() / recentWeight);
+            boolean nearWorst = requestClass.slaResults().size() >= MIN_SLA_RESULTS
+                    && requestClass.slaResults().mean() <= worstSlaShare + NEAR_WORST_DISTANCE;
             weights[requestClass.index()] =
                     traffic.settings.totalGoal() + (nearWorst ? traffic.settings.worstClassGoal() / share : 0);
         }
         return weights;
     }
 
-    /** The weight that an answer at this time would still have. */
+    /** Returns the weight that an answer at this time would still have. */
     double remainingWeight(Request request, long now) {
         return now < request.slaEndNanos
                 ? request.requestClass.weight()
                 : request.requestClass.weight() * request.requestClass.lateShare();
     }
 
-    /** The price of a probe as a share of a request; never quite 0. */
+    /** Returns the price of a probe as a share of a request; at least 0.001. */
     double probePrice() {
         return Math.max(1e-3, traffic.settings.probePrice());
     }
--- a/src/main/java/beaconladder/routing/RoutingPolicy.java
+++ b/src/main/java/beaconladder/routing/RoutingPolicy.java
@@ -27,20 +27,28 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of one router, with the classes beside it; docs/design.md gives the reasons.
+ * Makes all routing decisions of one router, by way of the other classes of this package; docs/design.md gives the
+ * reasons.
  *
- * <p>How to call it, by {@link Router}: create it from the seed and the settings, report hosts with
- * {@link #updateHost}, call {@link #route} for each request that arrives, and execute the decision. An attempt that was
- * sent is added to its request and host; its end goes to {@link #onAttemptEnded}. When all events known at one time are
- * reported, call {@link #nextWakeup}: probe the hosts it names, {@link #route} the requests it names, and repeat until
- * it names none. {@link beaconladder.routing.api.DecisionLoop} does this.
+ * <p>Usage: create it from a seed and the settings, report hosts with {@link #updateHost}, call {@link #route} for each
+ * request that arrives, and execute the decision. Add each attempt that is sent to its request and its host, and report
+ * its end to {@link #onAttemptEnded}. After all events known at one time are reported, call {@link #nextWakeup}: probe
+ * the returned hosts, {@link #route} the returned requests, and repeat until it returns no request.
+ * {@link beaconladder.routing.api.DecisionLoop} implements these steps.
  */
 public final class RoutingPolicy implements Router {
-    /** A lack of connections on this machine concerns all hosts, and ends within milliseconds or not soon. */
-    private static final long LOCAL_FAULT_BACKOFF = 20 * MILLISECOND;
+    /**
+     * How long a request waits after its attempt got no connection on the local machine. Such a shortage affects
+     * attempts to all hosts alike, and either ends within milliseconds or lasts.
+     */
+    private static final long LOCAL_FAULT_BACKOFF_NANOS = 20 * MILLISECOND;
+    /** How long a hedge for which no host was found waits before the next try. */
+    private static final long HEDGE_RETRY_NANOS = 50 * MILLISECOND;
+    /** How much earlier than a host a router counts a connection as idle for too long. */
+    private static final long IDLE_MARGIN_NANOS = 1_000 * MILLISECOND;
 
     private final WakeupQueue wakeups = new WakeupQueue();
-    /** Hosts whose connections this router is unlikely to reuse soon. */
+    /** Hosts whose idle connections this router is unlikely to reuse soon. */
     private final Set<Host> idleHosts = new LinkedHashSet<>();
 
     private final TrafficStatistics traffic;
@@ -147,7 +155,7 @@
         return RoutingDecision.waiting();
     }
 
-    /** An idempotent request in flight only at suspect hosts gets a hedge at another host. */
+    /** Sends an idempotent request that is in flight at suspect hosts only to another host as well. */
     private RoutingDecision hedge(Request request, long now) {
         if (request.requestClass.idempotency() != Idempotency.IDEMPOTENT
                 || !traffic.settings.hedgingAllowed()
@@ -165,7 +173,7 @@
         if (host != null) {
             return RoutingDecision.send(host, deadlines.attemptTimeoutNanos(request, now));
         }
-        wakeups.schedule(request, now + 50 * MILLISECOND);
+        wakeups.schedule(request, now + HEDGE_RETRY_NANOS);
         return RoutingDecision.waiting();
     }
 
@@ -174,10 +182,13 @@
         return dispatchGuard.check(attempt, now);
     }
 
-    /** A second less than the stated time, since a host counts idle time from an earlier byte than this router. */
+    /**
+     * Returns one second less than the hosts' idle timeout, since a host counts idle time from an earlier byte than
+     * this router; never less than 0.
+     */
     @Override
     public long maxIdleNanos() {
-        return Math.max(0, traffic.settings.connectionIdleNanos() - 1_000 * MILLISECOND);
+        return Math.max(0, traffic.settings.connectionIdleNanos() - IDLE_MARGIN_NANOS);
     }
 
     @Override
@@ -192,7 +203,7 @@
         Request request = attempt.request;
         if (outcome == Outcome.LOCAL_FAULT) {
             request.localFaults++;
-            request.retryNotBeforeNanos = now + LOCAL_FAULT_BACKOFF;
+            request.retryNotBeforeNanos = now + LOCAL_FAULT_BACKOFF_NANOS;
         }
         if (request.ended) {
             return RoutingDecision.waiting();
@@ -211,11 +222,14 @@
         wakeups.remove(request);
         traffic.disconnectWaits.add((now - request.arrivedNanos) * 1_000 / request.requestClass.slaNanos(), 0, now);
         traffic.recordFailure(request, now);
-        // Work for a client that has disconnected delays the requests of others.
+        // Further work for a disconnected client would only delay the requests of other clients.
         return RoutingDecision.done(retryPolicy.attemptsToCancel(request));
     }
 
-    /** What may have run is waited for (rule 2) and never sent again, since it would run in two cells. */
+    /**
+     * Waits for attempts in flight, which may have run (rule 2), and sends no further attempt, since the request could
+     * then run in two cells.
+     */
     @Override
     public RoutingDecision onAdmissionLost(Request request, long now) {
         wakeups.remove(request);
@@ -236,8 +250,8 @@
         wakeups.takeChanged().forEach(group -> due.addAll(group.queued));
         List<Request> ordered = new ArrayList<>(due);
         double[] classWeights = ordered.size() < 2 ? new double[0] : weights.classWeights();
-        // Of equal weight the one with most time left goes first: with more work than capacity, the oldest first
-        // would have each request served when it is nearly too late, and many when it is.
+        // Among requests of equal weight the one with the most time left goes first. Under overload, oldest first
+        // would serve each request just before its deadline, and many after it.
         ordered.sort(Comparator.<Request>comparingDouble(
                         request -> -weights.remainingWeight(request, now) * classWeights[request.requestClass.index()])
                 .thenComparingLong(request -> -request.slaEndNanos)
--- a/src/main/java/beaconladder/routing/SlowStart.java
+++ b/src/main/java/beaconladder/routing/SlowStart.java
@@ -12,22 +12,31 @@
 
 /** Limits what all routers together send to a host that has just started. */
 record SlowStart(TrafficStatistics traffic, ClusterClock clock, SplittableRandom random) {
-    private static final long RECENT_PERIOD = 10_000 * MILLISECOND;
-    /** Two fifths of the stated multiple leave a margin for chance and for tickets of two windows. */
+    /** How long ended requests and arrivals count for the load of a member. */
+    private static final long RECENT_PERIOD_NANOS = 10_000 * MILLISECOND;
+    /** Two fifths of the stated multiple leave a margin for random variation and for tickets of two windows. */
     private static final double SAFETY_FACTOR = 0.4;
-    /** Where the members that are warm have to bear more than they did, so does a warming-up one, up to this. */
+    /**
+     * The part of the stated multiple up to which a host in slow start takes over more load where warm members have to
+     * take over more than before.
+     */
     private static final double MAX_SHARE = 0.75;
-    /** So many requests the share of types in the traffic counts for, where a group returns whole. */
+    /** How many requests the mix of request classes in all traffic counts for where no member of the group is warm. */
     private static final int PRIOR_WEIGHT = 8;
 
     /**
-     * Rule 4: a warming-up host is sent to on tickets alone. Each request that comes in for its group draws one with
-     * the chance that a warm member bears it, times the host's present share: what a warm member bears is at most what
-     * it can, and a warming-up one can at least its share of that. Over all routers, however many and however uneven,
-     * that sums to the host's part, with no router counting the others; a ticket that isn't used within the rule's
-     * window lapses, so that waiting requests can't save up for a burst. Guards against any return of hosts, single or
-     * of a whole group; harm: a host is kept small for the longest time it may need, and to what warm ones bear where
-     * they have capacity.
+     * Draws tickets for the replicas of this group in slow start, on the arrival of a request. Rule 4: a host in slow
+     * start receives requests on tickets only.
+     *
+     * <p>The probability of a ticket is that of a warm member serving the request, times the host's present share: a
+     * warm member serves at most what it can, and a host in slow start can serve at least its share of that. Summed
+     * over all routers, however many and however uneven, this yields the host's share of the load without any router
+     * counting the others. A ticket that is not used within the rule's window expires, so that waiting requests can't
+     * accumulate tickets for a burst.
+     *
+     * <p>This covers every return of hosts, of a single one or of a whole group. The drawback is that each host is
+     * limited for the longest time that a warm-up may take, and to the load of the warm members even where these have
+     * spare capacity.
      */
     void drawTickets(Group group, long now) {
         for (Host host : group.members) {
@@ -38,10 +47,11 @@
     }
 
     /**
-     * At a warming-up primary most tickets of requests that come in would lapse, as a router sees few requests a second
-     * and most of those don't need it. So the draw is made by the requests that do, once each, when they first need it,
-     * and with the chance raised by how many come in for each of them: over all, the same number of tickets. What
-     * waited for a lost primary draws as if all needed it, so that its return meets no burst.
+     * Draws a ticket for a primary in slow start. Most tickets drawn on arrivals would expire there, as a router
+     * receives few requests a second and most of them don't need the primary. So each request that does need it draws
+     * once, when it first needs it, with a probability raised by the number of arrivals per such request: the expected
+     * number of tickets is the same. A request that waited for a lost primary draws without the raise, so that there is
+     * no burst on the primary's return.
      */
     void drawTicketForPrimary(Request request, Host primary, long now) {
         if (request.ticketDrawn || !isWarmingUp(primary, now)) {
@@ -50,16 +60,17 @@
         request.ticketDrawn = true;
         Group group = request.group;
         group.arrivals.add(1, 0, now);
-        // What needs it is counted only while it is warming-up. Beside warm members what comes in is counted over
-        // a longer time all the same: the first draws, which that raises, stay far under the budget then.
-        // Where a group returns whole they don't, and both are counted for as long.
+        // Requests that need the primary are counted only during its slow start. Beside warm members, arrivals are
+        // nevertheless counted over a longer time: this raises the probability of the first draws, which stay far
+        // below the budget. Where no member is warm they would not, so both are counted over the same time.
         boolean noneWarm = countWarm(group, now) == 0;
-        long since = now - RECENT_PERIOD;
+        long since = now - RECENT_PERIOD_NANOS;
         if (noneWarm) {
             since = Math.max(since, Math.max(group.primaryFoundNanos, primary.startNotifiedNanos));
         }
         int priorWeight = noneWarm ? PRIOR_WEIGHT : 1;
-        // Where the group has few samples, the share of types that need the primary among what comes here.
+        // The share of requests that need the primary in all traffic of this router; counts where the group has few
+        // samples.
         double primaryClassShare = (1.0
                         + traffic.requestClasses.stream()
                                 .filter(requestClass ->
@@ -73,7 +84,7 @@
         drawTicket(primary, request.arrivedNanos > group.primaryFoundNanos ? Math.max(1, arrivalsPerDraw) : 1, now);
     }
 
-    /** Records a settled request as load of the members that were ready or warm at that time. */
+    /** Records a settled request as load that the members ready or warm at that time shared. */
     void onRequestSettled(Attempt attempt, boolean committed, long now) {
         if (!committed) {
             traffic.recordFailure(attempt.request, now);
@@ -93,19 +104,20 @@
     }
 
     /**
-     * What one member bore lately of the group's requests at this router, a request or more a second. Each request
-     * counts by the members that were there when it ended: most of them may be gone, or warming-up, by now. Without
-     * such news a member's part of all.
+     * Returns the share of the group's recent requests at this router that one member served. Each request counts by
+     * the members at the time it ended, since most of these may be gone or in slow start by now. Without recent
+     * requests this is an equal share of the ready members.
      */
     private static double memberShare(Group group, SampleWindow shares, long now) {
-        long since = now - RECENT_PERIOD;
+        long since = now - RECENT_PERIOD_NANOS;
         double sharesSum = (double) shares.sumSince(since) / Group.WHOLE_SHARE;
         return (sharesSum + 1.0 / Math.max(1, group.countReady())) / (shares.countSince(since) + 1);
     }
 
     /**
-     * The part of what comes in that a warming-up member may be sent, were it warm. Those that are warm now bear what
-     * all that were did, as far as they can; so does a warming-up one, as far as chance leaves of its budget.
+     * Returns the share of the arrivals that a member in slow start could be sent if it were warm. The members that are
+     * warm now serve the load of all former warm members as far as they can. A host in slow start does so too, as far
+     * as its budget allows with a margin for random variation.
      */
     private double ticketShare(Group group, long now) {
         double multiple = traffic.settings.slowStartMultiple();
@@ -114,14 +126,14 @@
         if (warm == 0) {
             return safeFactor * memberShare(group, group.commitShares, now);
         }
-        long since = now - RECENT_PERIOD;
+        long since = now - RECENT_PERIOD_NANOS;
         SampleWindow commits = group.warmCommits;
         double shareOfWarmMember = (commits.sumSince(since) + 1.0) / (commits.countSince(since) + 1) / warm;
         return Math.min(
                 safeFactor * shareOfWarmMember, MAX_SHARE * multiple * memberShare(group, group.warmCommitShares, now));
     }
 
-    /** One draw, where so many requests of the group come in for each that draws. */
+    /** Draws a ticket once, where this many requests of the group arrive for each one that draws. */
     private void drawTicket(Host host, double arrivalsPerDraw, long now) {
         double minShare = traffic.settings.slowStartMinShare();
         double share = minShare + (1 - minShare) * ageNanos(host, now) / traffic.settings.slowStartNanos();
@@ -130,19 +142,21 @@
         }
     }
 
+    /** Whether this host is in slow start. */
     boolean isWarmingUp(Host host, long now) {
         return host.launchedNanos > 0 && ageNanos(host, now) < traffic.settings.slowStartNanos();
     }
 
     /**
-     * How long ago the host started. By a clock that may be far ahead it would be warm at once, so that until the clock
-     * is confirmed its age is at most the time since this router was notified of the start.
+     * Returns how long ago the host started, in nanoseconds. A clock that is far ahead would make it look warm at once,
+     * so until the clock is confirmed the age is at most the time since this router was notified of the start.
      */
     private long ageNanos(Host host, long now) {
         long byClockNanos = Math.max(0, clock.hostTimeAt(now) - host.launchedNanos);
         return clock.isConfirmed() ? byClockNanos : Math.min(byClockNanos, now - host.startNotifiedNanos);
     }
 
+    /** Whether this host is warm or has a valid ticket; drops expired tickets. */
     boolean mayReceive(Host host, long now) {
         if (!isWarmingUp(host, now)) {
             return true;
