--- a/src/main/java/beaconladder/routing/ConcurrencyLimit.java
+++ b/src/main/java/beaconladder/routing/ConcurrencyLimit.java
@@ -103,7 +103,7 @@
         long since = now - RECENT_PERIOD_NANOS;
         boolean recent = host.responseTimes.countSince(since) >= MIN_SAMPLES;
         double meanNanos = recent ? host.responseTimes.mean(since) : host.responseTimes.mean();
-        double usualConcurrency = Math.max(1, recent ? host.responseTimes.meanCompanion(since) : 1);
+        double usualConcurrency = Math.max(1, recent ? host.responseTimes.meanLoad(since) : 1);
         int inFlight = host.inFlight.size();
         int unfinished = inFlight + host.abandoned.size();
         double objectiveShare = yieldsToBoundedReads(host, request) ? YIELDING_OBJECTIVE_SHARE : OBJECTIVE_SHARE;
--- a/src/main/java/beaconladder/routing/DeadlinePolicy.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -56,7 +56,7 @@
         long budget = request.expiryNanos - request.arrivedNanos;
         SampleWindow budgets = request.requestClass.budgets();
         budgets.add(budget, 0, request.arrivedNanos);
-        long firstTryBudget = budgets.densestMiddle(BUDGET_TOLERANCE_NANOS);
+        long firstTryBudget = budgets.densestClusterMiddle(BUDGET_TOLERANCE_NANOS);
         boolean retriesMarked = traffic.settings.clientsMarkRetries();
         boolean usualBudget =
                 budgets.size() < MIN_BUDGETS || Math.abs(budget - firstTryBudget) <= BUDGET_TOLERANCE_NANOS;
--- a/src/main/java/beaconladder/routing/HostStateTracker.java
+++ b/src/main/java/beaconladder/routing/HostStateTracker.java
@@ -79,12 +79,13 @@
         }
     }
 
-    void onHealthCheckEnded(Host host, Outcome outcome, HostReport stated, long now) {
-        HostReport report = validate(host, stated, false, now);
+    /** Updates the host and its group after a probe has ended. */
+    void onHealthCheckEnded(Host host, Outcome outcome, HostReport statedReport, long now) {
+        HostReport report = validate(host, statedReport, false, now);
         host.probeInFlight = false;
         wakeups.markChanged(host.group);
         if (outcome == Outcome.MOOT || outcome == Outcome.LOCAL_FAULT) {
-            // It never left this machine.
+            // The probe was never sent.
             return;
         }
         if (outcome == Outcome.COMMITTED) {
@@ -155,10 +156,10 @@
     }
 
     /** Updates the host, its group and the commit positions of the request's session after an attempt has ended. */
-    void onAttemptEnded(Attempt attempt, Outcome outcome, HostReport stated, HostReport reported, long now) {
+    void onAttemptEnded(Attempt attempt, Outcome outcome, HostReport statedAnswer, HostReport statedReport, long now) {
         Host host = attempt.host;
-        HostReport answer = validate(host, stated, true, now);
-        HostReport report = validate(host, reported, false, now);
+        HostReport answer = validate(host, statedAnswer, true, now);
+        HostReport report = validate(host, statedReport, false, now);
         attempt.ended = true;
         attempt.neverRan = outcome.provesNotRun();
         host.inFlight.remove(attempt);
@@ -218,8 +219,7 @@
         }
         host.responseTimes.add(now - attempt.sentNanos, attempt.hostConcurrency, now);
         // At a host with far more load than usual a timeout shows the load, elsewhere a fault of the host.
-        if (attempt.hostInFlight
-                > OVERLOAD_FACTOR * traffic.responseTimesByLoad.meanCompanion(UNSET) + OVERLOAD_ALLOWANCE) {
+        if (attempt.hostInFlight > OVERLOAD_FACTOR * traffic.responseTimesByLoad.meanLoad(UNSET) + OVERLOAD_ALLOWANCE) {
             outliers.recordResponseTime(attempt, now);
         }
     }
--- a/src/main/java/beaconladder/routing/state/Attempt.java
+++ b/src/main/java/beaconladder/routing/state/Attempt.java
@@ -1,20 +1,21 @@
 package beaconladder.routing.state;
 
-/** One sending of a request to a host. */
+/** One send of a request to a host. */
 public final class Attempt {
     public final Request request;
     public final int index;
     public final Host host;
+    /** When it was decided; the bytes are sent later. */
     public final long sentNanos;
-    /** Attempts of this router that were out at the host once this one was. */
+    /** This router's attempts in flight or abandoned at the host, including this one. */
     public final int hostConcurrency;
-    /** What the host last said that it held, and when that was. */
+    /** The load that the host had last reported, and when; less than 0 without a report. */
     public final double hostInFlight;
 
     public final long hostReportNanos;
-    /** When the host had last started, as far as the decision knew. */
+    /** The last start of the host known at the decision, by the hosts' clock. */
     public final long hostLaunchedNanos;
-    /** What the slow start of its host asked of it. */
+    /** Whether it needed and had a ticket of a host in slow start. */
     public final SlowStartTicket slowStartTicket;
 
     public boolean ended;
--- a/src/main/java/beaconladder/routing/state/Group.java
+++ b/src/main/java/beaconladder/routing/state/Group.java
@@ -5,52 +5,52 @@
 import java.util.List;
 import java.util.Set;
 
-/** A primary and its replicas. */
+/** A primary and its replicas, as one router knows them. */
 public final class Group {
     public final int id;
-    /** Which listed group of its router it is, counted from the first; less than 0 before it is listed. */
+    /** The index of this group in the order in which the router's groups were first listed; -1 before it is listed. */
     public int listIndex = -1;
-    /** The members that the endpoint list has named, in that order; one that is gone stays until it is let go. */
+    /** The listed members in the order in which they were first listed; one that is gone stays until it is removed. */
     public final List<Host> members = new ArrayList<>();
-    /** The member taken for the primary, or null. */
+    /** The member that is presumed to be the primary, or null. */
     public Host primary;
-    /** The newest position at which a member said that it is the primary. */
+    /** The newest position at which a member reported that it is the primary. */
     public long primaryPosition = Long.MIN_VALUE;
-    /** When the primary was last found to be none. */
+    /** When the group last lost its primary, in nanoseconds; Long.MIN_VALUE for never. */
     public long primaryLostNanos = Long.MIN_VALUE;
-    /** When the present primary was found. */
+    /** When the present primary was found, in nanoseconds; Long.MIN_VALUE for never. */
     public long primaryFoundNanos = Long.MIN_VALUE;
     /** The member that the endpoint list last named as primary. */
     public Host listedPrimary;
-    /** Requests that wait at this router. */
+    /** The requests that wait at this router, oldest first. */
     public final Set<Request> queued = new LinkedHashSet<>();
-    /** Whether anything has changed for them since they were last looked at. */
+    /** Whether anything has changed since the queued requests were last routed. */
     public boolean changed;
-    /** Whether that was since the last look at any group. */
+    /** Whether the group is among the pending changes of the {@link WakeupQueue}. */
     boolean changePending;
-    /** Newest commit among the sessions that are no longer remembered one by one. */
+    /** The newest commit position of the sessions that are no longer kept one by one. */
     public long evictedCommitPosition = Long.MIN_VALUE;
-    /** What a member bears of a group that is one member alone, in the unit of the two samples below. */
+    /** The share of a request that a group's only member serves: the two samples below are in millionths. */
     public static final long WHOLE_SHARE = 1_000_000;
     /**
-     * What one member bore of each of this router's recent requests of the group, and one warm member: a commit is the
-     * work of all members that were there then, by equal parts; what did not commit nobody bore.
+     * The share of each recent request of the group that one member served, and the share that one warm member served.
+     * A commit counts in equal parts for all members that were ready or warm at that time, any other end as 0.
      */
     public final SampleWindow commitShares = new SampleWindow(32);
 
     public final SampleWindow warmCommitShares = new SampleWindow(32);
-    /** Of the same requests: 1 for a commit at a warm member. */
+    /** The ends of the same requests: 1 for a commit at a warm member, otherwise 0. */
     public final SampleWindow warmCommits = new SampleWindow(32);
-    /** The requests that came in here lately: 0 for each, 1 once it needed the primary while that was warming-up. */
+    /** Recent arrivals: 0 for each request, and 1 when one first needs a primary that is in slow start. */
     public final SampleWindow arrivals = new SampleWindow(64);
-    /** Times of recent answers from all members. */
+    /** Recent response times of all members, in nanoseconds, each with this router's attempts in flight there. */
     public final SampleWindow responseTimes = new SampleWindow(48);
 
     public Group(int id) {
         this.id = id;
     }
 
-    /** How many members are listed as ready. */
+    /** Returns the number of members that are listed as ready. */
     public int countReady() {
         int n = 0;
         for (Host host : members) {
@@ -59,7 +59,7 @@
         return n;
     }
 
-    /** The newest position that a member is known to have reached; Long.MIN_VALUE without any. */
+    /** Returns the newest position that a member is known to have reached; Long.MIN_VALUE without any. */
     public long newestPosition() {
         long newest = Long.MIN_VALUE;
         for (Host host : members) {
@@ -68,19 +68,19 @@
         return newest;
     }
 
-    /** Whether a write waits here. */
+    /** Whether a write waits at this router. */
     public boolean hasQueuedWrite() {
         return queued.stream()
                 .anyMatch(request -> request.requestClass.consistency() == RequestClass.Consistency.WRITE);
     }
 
-    /** Its primary is none any more. */
+    /** Records that the presumed primary is no longer the primary. */
     public void markPrimaryLost(long now) {
         primary = null;
         primaryLostNanos = now;
     }
 
-    /** A member that is gone for good. */
+    /** Removes a member that is no longer listed. */
     public void removeMember(Host host) {
         members.remove(host);
         listedPrimary = listedPrimary == host ? null : listedPrimary;
--- a/src/main/java/beaconladder/routing/state/Host.java
+++ b/src/main/java/beaconladder/routing/state/Host.java
@@ -9,7 +9,7 @@
 /** A database host, as one router knows it. */
 public final class Host {
 
-    /** What the endpoint list says of a host. */
+    /** The state of a host in the endpoint list. */
     public enum State {
         READY,
         DRAINING,
@@ -21,53 +21,54 @@
     public final int zone;
 
     public State state = State.READY;
-    /** When the list last gave it another state. */
+    /** When its listed state last changed; Long.MIN_VALUE before it is listed. */
     public long stateSinceNanos = Long.MIN_VALUE;
-    /** When it last started; 0 for long ago. */
+    /** When it last started, by the hosts' clock; 0 for long ago. */
     public long launchedNanos;
     /** When this router was first notified of that start. */
     public long startNotifiedNanos;
-    /** Newest log position that it is known to have applied. */
+    /** The newest log position that it is known to have applied; Long.MIN_VALUE for none. */
     public long position = Long.MIN_VALUE;
-    /** The newest position at which it said itself that it is a replica. */
+    /** The position at which it last stated in an answer that it is a replica; Long.MIN_VALUE for never. */
     public long replicaReportPosition = Long.MIN_VALUE;
-    /** When the last attempt to it ended whose answer, if it gave one, was not heard; by this router. */
+    /** When the last attempt ended that may have run here but whose answer did not arrive; Long.MIN_VALUE for never. */
     public long lastUnansweredNanos = Long.MIN_VALUE;
-    /** How far its position lay behind the clock at its last answer. */
+    /** How far its position was behind the hosts' clock at its last report. */
     public long lagNanos;
-    /** Whether it has answered this router, or a probe, since this router or it started. */
+    /** Whether it has answered an attempt or a probe since the later start of it and of this router. */
     public boolean contacted;
 
+    /** When it last answered an attempt; Long.MIN_VALUE for never. */
     public long lastResponseNanos = Long.MIN_VALUE;
-    /** How many requests of all routers it last said that it held; less than 0 for never said. */
+    /** The number of requests of all routers in flight here by its last report; less than 0 without a report. */
     public double reportedInFlight = -1;
-    /** When it last said something of itself, in an answer or to a probe. */
+    /** When it last reported its position or load, in an answer to an attempt or a probe. */
     public long lastReportNanos = -(1L << 60);
 
     public long lastProbeNanos = Long.MIN_VALUE;
     public boolean probeInFlight;
-    /** When it last turned a request away as full. */
+    /** When it last rejected a request as full. */
     public long lastRejectionNanos = -(1L << 60);
-    /** When it was last drawn for, while suspect. */
+    /** When a trial of this host was last drawn while it was suspect. */
     public long lastTrialNanos;
 
-    /** Attempts out, oldest first. */
+    /** Attempts of this router in flight here, oldest first. */
     public final Set<Attempt> inFlight = new LinkedHashSet<>();
-    /** Attempts that are waited for no longer and may still be in work there, oldest first. */
+    /** Attempts that are no longer waited for and may still be running here, oldest first. */
     public final List<Attempt> abandoned = new ArrayList<>();
-    /** Times of recent answers, each with the attempts that were out here when it was sent. */
+    /** Recent response times in nanoseconds, each with the attempts in flight and abandoned here at its send. */
     public final SampleWindow responseTimes = new SampleWindow(16);
-    /** How long the newest committed answer took, and when it came. */
+    /** The newest response time of a committed attempt, and when that response arrived. */
     public long newestResponseDurationNanos;
 
     public long newestResponseAtNanos = Long.MIN_VALUE;
-    /** Recent ends: 1 for an answer, 0 for none. */
+    /** Recent ends of attempts and probes: 1 for an answer to an attempt, 0 for none. */
     public final SampleWindow responses = new SampleWindow(16);
-    /** When each of the sends that a warming-up host may still get was granted, oldest first. */
+    /** When each unused ticket for a send during slow start was drawn, oldest first. */
     public final ArrayDeque<Long> slowStartTickets = new ArrayDeque<>();
 
     public long lastSentNanos = -(1L << 60);
-    /** How the last attempts ended: 1 for an answer, 0 for none or a full queue. */
+    /** How the last attempts ended: 1 for a commit within the SLA time or a MISS, 0 for a failure. */
     public final SampleWindow successes = new SampleWindow(16);
 
     public Host(int id, Group group, int zone) {
@@ -76,12 +77,12 @@
         this.zone = zone;
     }
 
-    /** What it said that it holds, and what this router has sent it since. */
+    /** Returns its reported number of requests in flight plus those that this router has sent since the report. */
     public double load() {
         return reportedInFlight + countInFlightSentSince(lastReportNanos);
     }
 
-    /** How many of the attempts out were sent at or after this time. */
+    /** Returns the number of attempts in flight that were sent at or after this time. */
     public int countInFlightSentSince(long time) {
         int n = 0;
         for (Attempt attempt : inFlight) {
@@ -90,7 +91,7 @@
         return n;
     }
 
-    /** How long the attempts out have waited since it last spoke, added up. */
+    /** Returns how long the attempts in flight have waited since its last response, in total. */
     public long totalWaitNanos(long now) {
         long totalNanos = 0;
         for (Attempt attempt : inFlight) {
--- a/src/main/java/beaconladder/routing/state/Request.java
+++ b/src/main/java/beaconladder/routing/state/Request.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's request in the hands of one router. */
+/** A client's request at one router. */
 public final class Request {
 
-    /** What a queued request may need to learn before it can go. */
+    /** Which hosts should be probed for a queued request. */
     public enum ProbeNeed {
         NONE,
         REPLICA,
@@ -16,43 +16,45 @@
     public final long id;
     public final RequestClass requestClass;
     public final Group group;
-    /** The session's key; 0 for none. */
+    /** The key of its session; 0 for none. */
     public final long sessionKey;
-    /** The position of the session's last write, as its client states it; Long.MIN_VALUE for none. */
+    /** The position of the session's last write as stated by the client; Long.MIN_VALUE for none. */
     public final long sessionWritePosition;
 
     public final int tenant;
     public final boolean retriedByClient;
     public final long arrivedNanos;
     public final long expiryNanos;
-    /** Which request of this router it is, counted from the start. */
+    /** The number of this request, counted from the start of the router. */
     public final long sequenceNumber;
 
     public final List<Attempt> attempts = new ArrayList<>();
-    /** The log position that its session needs; Long.MIN_VALUE for none. */
+    /** The log position that its session required on arrival; Long.MIN_VALUE for none. */
     public long sessionTarget = Long.MIN_VALUE;
-    /** The log position below which a member lacks what was copied to it; Long.MIN_VALUE for none. */
+    /** The log position before which a host lacks data that a migration copied; Long.MIN_VALUE for none. */
     public long minPosition = Long.MIN_VALUE;
-    /** When an answer stops being in time. */
+    /** When the SLA time ends: a later answer is late. */
     public long slaEndNanos;
-    /** What asking a member could bring to it while it is held. */
+    /** Which hosts a probe could help this request to be sent to, while it is queued. */
     public ProbeNeed probeNeed = ProbeNeed.NONE;
-    /** Probes sent for its sake, and when the last one was. */
+    /** The number of probes sent on behalf of this request, and when the last one was sent. */
     public int probesSent;
 
     public long lastProbeNanos;
+    /** Whether its arrival has been recorded. */
     public boolean registered;
-    /** Whether it has drawn for a ticket at a warming-up primary. */
+    /** Whether it has drawn for a ticket of a primary in slow start. */
     public boolean ticketDrawn;
-    /** Before then it is not sent again, as this machine had no connection to give. */
+    /** The earliest time of the next attempt after the local machine could not open a connection. */
     public long retryNotBeforeNanos = Long.MIN_VALUE;
-    /** Attempts that never left this machine. */
+    /** The number of attempts that failed on the local machine. */
     public int localFaults;
 
+    /** Whether it has its final answer, or its client has disconnected. */
     public boolean ended;
-    /** When its client was seen to have gone; Long.MAX_VALUE while it is there. */
+    /** When its client was found to have disconnected; Long.MAX_VALUE while it is connected. */
     public long disconnectedNanos = Long.MAX_VALUE;
-    /** When it is to be looked at again. */
+    /** When it is to be routed again; Long.MAX_VALUE when only by an event. */
     public long wakeupNanos = Long.MAX_VALUE;
 
     public Request(
@@ -78,28 +80,28 @@
         this.sequenceNumber = sequenceNumber;
     }
 
-    /** How many attempts are still out. */
+    /** Returns the number of attempts in flight. */
     public int attemptsInFlight() {
-        int n = 0;
+        int count = 0;
         for (Attempt attempt : attempts) {
             if (!attempt.ended) {
-                n++;
+                count++;
             }
         }
-        return n;
+        return count;
     }
 
-    /** Whether one of them is out at this host. */
+    /** Whether an attempt is in flight at this host. */
     public boolean isInFlightAt(Host host) {
         return attempts.stream().anyMatch(attempt -> attempt.host == host && !attempt.ended);
     }
 
-    /** The first attempt that may have run, or null. */
+    /** Returns the first attempt that may have run, or null. */
     public Attempt firstPossiblyExecuted() {
         return firstPossiblyExecutedExcept(null);
     }
 
-    /** The first attempt but this one that may have run, or null. */
+    /** Returns the first attempt other than this one that may have run, or null. */
     public Attempt firstPossiblyExecutedExcept(Attempt excluded) {
         for (Attempt attempt : attempts) {
             if (attempt != excluded && !attempt.neverRan) {
--- a/src/main/java/beaconladder/routing/state/RequestClass.java
+++ b/src/main/java/beaconladder/routing/state/RequestClass.java
@@ -5,13 +5,20 @@
 import java.util.Map;
 
 /**
- * A request class, as stated at start.
+ * A request class from the settings, with samples of its recent requests.
  *
- * @param bound for {@link Read#BOUNDED}: how old the data may be
- * @param memory for {@link Effect#REFERENCED}: how long retries are discarded
- * @param late the share of the value that is left after the SLA time
- * @param budgets the budgets that the last requests of this type brought
- * @param served how the last requests of this type ended: 1 for an answer in time
+ * @param index the index of the class in the settings
+ * @param consistency what data its requests need
+ * @param maxStalenessNanos for {@link Consistency#BOUNDED}: how old the data may be
+ * @param idempotency what a retry does
+ * @param deduplicationScope for {@link Idempotency#WITH_KEY}: where a retry is discarded
+ * @param keyTtlNanos for {@link Idempotency#WITH_KEY}: how long retries are discarded
+ * @param slaNanos how soon an answer has its full weight
+ * @param timeoutNanos how long clients wait for an answer
+ * @param weight the priority weight of one request
+ * @param lateShare the share of the weight that is left after the SLA time
+ * @param budgets the time budgets with which the last requests of this class arrived, in nanoseconds
+ * @param slaResults how the last requests of this class ended: 1 for an answer within the SLA time
  */
 public record RequestClass(
         int index,
@@ -27,7 +34,7 @@
         SampleWindow budgets,
         SampleWindow slaResults) {
 
-    /** What data a request class needs. */
+    /** What data the requests of a class need. */
     public enum Consistency {
         ANY,
         BOUNDED,
@@ -35,12 +42,12 @@
         CURRENT,
         WRITE;
 
-        /** Whether only the primary can take it. */
+        /** Whether only the primary can serve such a request. */
         public boolean requiresPrimary() {
             return this == CURRENT || this == WRITE;
         }
 
-        /** Whether its group has to have a primary, to take it or to keep the replicas young. */
+        /** Whether such a request needs a primary in its group, to serve it or to keep the replicas up to date. */
         public boolean dependsOnPrimary() {
             return requiresPrimary() || this == BOUNDED;
         }
@@ -53,56 +60,64 @@
         NON_IDEMPOTENT
     }
 
-    /** For referenced requests: who discards a retry. */
+    /** For requests with an idempotency key: which hosts discard a retry. */
     public enum DeduplicationScope {
         ALL,
         ZONE,
         GROUP
     }
 
-    public static List<RequestClass> parse(Map<String, String> start) {
-        List<RequestClass> types = new ArrayList<>();
-        int count = Integer.parseInt(start.getOrDefault("request_classes.count", "0"));
-        String[] reads = start.getOrDefault("family_info.freshness", "").split(",");
-        String[] bounds = start.getOrDefault("family_info.oldest_data_us", "").split(",");
+    /**
+     * Reads the request classes from the settings; a key that is not given takes its default.
+     *
+     * @throws NumberFormatException if a numeric setting is not a number
+     */
+    public static List<RequestClass> parse(Map<String, String> settings) {
+        List<RequestClass> requestClasses = new ArrayList<>();
+        int count = Integer.parseInt(settings.getOrDefault("request_classes.count", "0"));
+        String[] consistencies =
+                settings.getOrDefault("family_info.freshness", "").split(",");
+        String[] stalenessBounds =
+                settings.getOrDefault("family_info.oldest_data_us", "").split(",");
         for (int i = 0; i < count; i++) {
-            String at = "request_classes." + i + ".";
-            Consistency read = switch (i < reads.length ? reads[i] : "") {
+            String prefix = "request_classes." + i + ".";
+            Consistency consistency = switch (i < consistencies.length ? consistencies[i] : "") {
                 case "loose" -> Consistency.ANY;
                 case "recent" -> Consistency.BOUNDED;
                 case "own_writes" -> Consistency.SESSION;
                 case "update" -> Consistency.WRITE;
                 default -> Consistency.CURRENT;
             };
-            Idempotency effect = switch (start.getOrDefault(at + "effect", "")) {
+            Idempotency idempotency = switch (settings.getOrDefault(prefix + "effect", "")) {
                 case "pure" -> Idempotency.IDEMPOTENT;
                 case "token" -> Idempotency.WITH_KEY;
                 default -> Idempotency.NON_IDEMPOTENT;
             };
-            DeduplicationScope scope = switch (start.getOrDefault(at + "dedup_scope", "")) {
+            DeduplicationScope scope = switch (settings.getOrDefault(prefix + "dedup_scope", "")) {
                 case "all" -> DeduplicationScope.ALL;
                 case "zone" -> DeduplicationScope.ZONE;
                 default -> DeduplicationScope.GROUP;
             };
-            long bound = i < bounds.length && !bounds[i].isEmpty() ? nanos(bounds[i]) : 0;
-            long expiry = nanos(start.getOrDefault(at + "give_up_us", "1000000"));
-            String stated = start.get(at + "goal_time_us");
-            long sla = stated == null ? expiry : nanos(stated);
-            types.add(new RequestClass(
+            long maxStalenessNanos =
+                    i < stalenessBounds.length && !stalenessBounds[i].isEmpty() ? nanos(stalenessBounds[i]) : 0;
+            long timeoutNanos = nanos(settings.getOrDefault(prefix + "give_up_us", "1000000"));
+            String statedSla = settings.get(prefix + "goal_time_us");
+            long slaNanos = statedSla == null ? timeoutNanos : nanos(statedSla);
+            requestClasses.add(new RequestClass(
                     i,
-                    read,
-                    bound,
-                    effect,
+                    consistency,
+                    maxStalenessNanos,
+                    idempotency,
                     scope,
-                    nanos(start.getOrDefault(at + "key_ttl_us", "0")),
-                    sla,
-                    expiry,
-                    Double.parseDouble(start.getOrDefault(at + "points", "1")),
-                    Double.parseDouble(start.getOrDefault(at + "late_share", "0")),
+                    nanos(settings.getOrDefault(prefix + "key_ttl_us", "0")),
+                    slaNanos,
+                    timeoutNanos,
+                    Double.parseDouble(settings.getOrDefault(prefix + "points", "1")),
+                    Double.parseDouble(settings.getOrDefault(prefix + "late_share", "0")),
                     new SampleWindow(32),
                     new SampleWindow(64)));
         }
-        return List.copyOf(types);
+        return List.copyOf(requestClasses);
     }
 
     private static long nanos(String micros) {
--- a/src/main/java/beaconladder/routing/state/RequestClassMix.java
+++ b/src/main/java/beaconladder/routing/state/RequestClassMix.java
@@ -1,6 +1,6 @@
 package beaconladder.routing.state;
 
-/** Of which types the requests were that came last, counted as they come. */
+/** Counts the last arrivals by request class. */
 public final class RequestClassMix {
     private final int[] recentIndexes;
     private final int[] counts;
@@ -12,7 +12,7 @@
         counts = new int[classCount];
     }
 
-    /** A request of the class at this index has arrived; it replaces the oldest one recorded. */
+    /** Records the arrival of a request of the class with this index; once full, it replaces the oldest one. */
     void record(int classIndex) {
         if (size == recentIndexes.length) {
             counts[recentIndexes[next]]--;
@@ -23,11 +23,12 @@
         size = Math.min(size + 1, recentIndexes.length);
     }
 
+    /** Returns the number of requests recorded, at most the capacity. */
     public int size() {
         return size;
     }
 
-    /** How many are of the type at this place. */
+    /** Returns how many of them are of the class with this index. */
     public int count(int classIndex) {
         return counts[classIndex];
     }
--- a/src/main/java/beaconladder/routing/state/SampleWindow.java
+++ b/src/main/java/beaconladder/routing/state/SampleWindow.java
@@ -2,27 +2,31 @@
 
 import java.util.Arrays;
 
-/** The last few measurements, each with the time it was taken and a second figure that goes with it. */
+/**
+ * The last few measurements, each with its time and the load under which it was taken (0 where that has no meaning).
+ */
 public final class SampleWindow {
     private final long[] values;
-    private final long[] companions;
+    private final long[] loads;
     private final long[] takenNanos;
     private int size;
     private int next;
-    /** The share last asked for and its quantile, which stands until the next sample; under 0 for none. */
+    /** The share of the cached quantile, which is valid until the next sample; less than 0 without one. */
     private double cachedShare = -1;
 
-    private long quantile;
+    private long cachedQuantile;
 
+    /** Creates an empty window that keeps this many samples. */
     public SampleWindow(int capacity) {
         values = new long[capacity];
-        companions = new long[capacity];
+        loads = new long[capacity];
         takenNanos = new long[capacity];
     }
 
-    public void add(long value, long companion, long now) {
+    /** Adds a sample, which replaces the oldest one if the window is full. */
+    public void add(long value, long load, long now) {
         values[next] = value;
-        companions[next] = companion;
+        loads[next] = load;
         cachedShare = -1;
         takenNanos[next] = now;
         next = (next + 1) % values.length;
@@ -39,18 +43,18 @@
         return size;
     }
 
-    /** How many were taken at or after this time. */
+    /** Returns the number of samples taken at or after this time. */
     public int countSince(long time) {
-        int n = 0;
+        int count = 0;
         for (int i = 0; i < size; i++) {
             if (takenNanos[i] >= time) {
-                n++;
+                count++;
             }
         }
-        return n;
+        return count;
     }
 
-    /** The sum of those taken at or after this time. */
+    /** Returns the sum of the samples taken at or after this time. */
     public long sumSince(long time) {
         long sum = 0;
         for (int i = 0; i < size; i++) {
@@ -61,32 +65,33 @@
         return sum;
     }
 
-    /** How many lie between these two, the lower one included. */
+    /** Returns the number of samples from the lower bound, inclusive, to the upper bound, exclusive. */
     public int countBetween(long from, long to) {
-        int n = 0;
+        int count = 0;
         for (int i = 0; i < size; i++) {
             if (values[i] >= from && values[i] < to) {
-                n++;
+                count++;
             }
         }
-        return n;
+        return count;
     }
 
+    /** Returns the mean of all samples; 0 without any. */
     public double mean() {
         return mean(values, Long.MIN_VALUE);
     }
 
-    /** The mean of those taken at or after this time; 0 without any. */
+    /** Returns the mean of the samples taken at or after this time; 0 without any. */
     public double mean(long since) {
         return mean(values, since);
     }
 
-    /** The mean of the figures beside those taken at or after this time; 0 without any. */
-    public double meanCompanion(long since) {
-        return mean(companions, since);
+    /** Returns the mean load of the samples taken at or after this time; 0 without any. */
+    public double meanLoad(long since) {
+        return mean(loads, since);
     }
 
-    /** The value below which this share of the samples lies; 0 without samples. */
+    /** Returns the value below which this share of the samples lies; 0 without samples. */
     public long quantile(double share) {
         if (size == 0) {
             return 0;
@@ -95,13 +100,13 @@
             long[] sorted = Arrays.copyOf(values, size);
             Arrays.sort(sorted);
             cachedShare = share;
-            quantile = sorted[Math.min(size - 1, (int) (share * size))];
+            cachedQuantile = sorted[Math.min(size - 1, (int) (share * size))];
         }
-        return quantile;
+        return cachedQuantile;
     }
 
-    /** The middle of the window of this width that holds the most samples; 0 without samples. */
-    public long densestMiddle(long width) {
+    /** Returns the middle of the cluster of at most this width that has the most samples; 0 without samples. */
+    public long densestClusterMiddle(long width) {
         long[] sorted = Arrays.copyOf(values, size);
         Arrays.sort(sorted);
         int from = 0;
@@ -119,28 +124,28 @@
         return middle;
     }
 
-    /** The value to expect beside this figure, by a straight line through the samples that doesn't fall. */
-    public double predict(double companion) {
+    /** Returns the value expected under this load, by a linear regression that does not fall with the load. */
+    public double predict(double load) {
         double meanValue = mean();
-        double meanCompanion = meanCompanion(Long.MIN_VALUE);
+        double meanLoad = meanLoad(Long.MIN_VALUE);
         double squares = 0;
         double products = 0;
         for (int i = 0; i < size; i++) {
-            squares += (companions[i] - meanCompanion) * (companions[i] - meanCompanion);
-            products += (companions[i] - meanCompanion) * (values[i] - meanValue);
+            squares += (loads[i] - meanLoad) * (loads[i] - meanLoad);
+            products += (loads[i] - meanLoad) * (values[i] - meanValue);
         }
-        return squares == 0 || products <= 0 ? meanValue : meanValue + (companion - meanCompanion) * products / squares;
+        return squares == 0 || products <= 0 ? meanValue : meanValue + (load - meanLoad) * products / squares;
     }
 
-    private double mean(long[] figures, long since) {
+    private double mean(long[] samples, long since) {
         double sum = 0;
-        int n = 0;
+        int count = 0;
         for (int i = 0; i < size; i++) {
             if (takenNanos[i] >= since) {
-                sum += figures[i];
-                n++;
+                sum += samples[i];
+                count++;
             }
         }
-        return n == 0 ? 0 : sum / n;
+        return count == 0 ? 0 : sum / count;
     }
 }
--- a/src/main/java/beaconladder/routing/state/SlowStartTicket.java
+++ b/src/main/java/beaconladder/routing/state/SlowStartTicket.java
@@ -1,6 +1,6 @@
 package beaconladder.routing.state;
 
-/** What the slow start of a host asks of an attempt, and whether it had it. */
+/** Whether an attempt needed a ticket, since its host was in slow start, and whether it had one. */
 public enum SlowStartTicket {
     NOT_NEEDED,
     USED,
--- a/src/main/java/beaconladder/routing/state/TrafficStatistics.java
+++ b/src/main/java/beaconladder/routing/state/TrafficStatistics.java
@@ -3,31 +3,34 @@
 import beaconladder.routing.state.RequestClass.Consistency;
 import java.util.List;
 
-/** The settings of this router, and statistics of the requests that arrived and ended lately. */
+/** The settings of one router, and statistics of its recent requests and attempts. */
 public final class TrafficStatistics {
+    /** A millisecond in nanoseconds, the unit of all times here. */
     public static final long MILLISECOND = 1_000_000L;
+    /** A time that is never reached. */
     public static final long NEVER = Long.MAX_VALUE;
+    /** A time or position that is not known. */
     public static final long UNSET = Long.MIN_VALUE;
 
     public final RouterSettings settings;
 
     public final List<RequestClass> requestClasses;
     public final double maxWeight;
-    /** The tightest bound of a request class; a second where none is stated. */
+    /** The tightest staleness bound of a request class; a second where no class has one. */
     public final long tightestStalenessNanos;
-    /** The types of the requests that came last. */
+    /** The request classes of the last arrivals. */
     public final RequestClassMix recentClasses;
-    /** Their value; less than 0 while it is to be summed again. */
+    /** The cached total weight of those requests; less than 0 when it has to be recomputed. */
     private double recentWeight = -1;
-    /** Times of the last answers, each with what its host had said that it held when it was sent. */
+    /** The last response times of all hosts, each with the load that its host had reported before the send. */
     public final SampleWindow responseTimesByLoad = new SampleWindow(48);
-    /** How old the positions of replicas were when they last came with a probe. */
+    /** The lags of replicas, in nanoseconds, by their last answers to probes. */
     public final SampleWindow reportedLags = new SampleWindow(32);
-    /** How long the last clients that left had waited, in thousandths of their SLA time. */
+    /** How long the last clients that disconnected had waited, in thousandths of the SLA time. */
     public final SampleWindow disconnectWaits = new SampleWindow(16);
-    /** How the last attempts ended at hosts that had lately answered: 1 for no good answer. */
+    /** How the last attempts at hosts with a recent success ended: 1 for a failure. */
     public final SampleWindow failuresAtLiveHosts = new SampleWindow(48);
-    /** How the last requests ended: 1 for a commit. */
+    /** How the last requests ended: 1 for a commit, 0 otherwise. */
     public final SampleWindow commits = new SampleWindow(32);
 
     public TrafficStatistics(RouterSettings settings) {
@@ -43,12 +46,12 @@
                 requestClasses.stream().mapToDouble(RequestClass::weight).max().orElse(1);
     }
 
-    /** Allowed unless the settings say no; there, members are trusted without one. */
+    /** Whether hosts may be probed; if not, every listed host counts as reachable. */
     public boolean probesAllowed() {
         return settings.probesAllowed();
     }
 
-    /** The value of the requests that came last. */
+    /** Returns the total weight of the last arrivals. */
     public double recentWeight() {
         if (recentWeight < 0) {
             recentWeight = requestClasses.stream()
@@ -58,25 +61,25 @@
         return recentWeight;
     }
 
-    /** One more has come. */
+    /** Records the arrival of a request of this class. */
     public void recordArrival(RequestClass requestClass) {
         recentClasses.record(requestClass.index());
         recentWeight = -1;
     }
 
-    /** The mean value of the requests that come here, in which prices are reckoned. */
+    /** Returns the mean weight of the last arrivals, which is the unit of prices; without any, the maximum weight. */
     public double meanWeight() {
         return recentClasses.size() == 0 ? maxWeight : recentWeight() / recentClasses.size();
     }
 
-    /** A request whose SLA time had not ended when it came has ended, in time or not. */
+    /** Records whether a request ended within its SLA time, unless that was over on arrival. */
     public void recordSlaResult(Request request, boolean withinSla) {
         if (request.arrivedNanos < request.slaEndNanos) {
             request.requestClass.slaResults().add(withinSla ? 1 : 0, 0, request.arrivedNanos);
         }
     }
 
-    /** A request has ended without a commit. */
+    /** Records that a request has ended without a commit. */
     public void recordFailure(Request request, long now) {
         commits.add(0, 0, now);
         request.group.commitShares.add(0, 0, now);
@@ -85,10 +88,10 @@
     }
 
     /**
-     * A request has been committed.
+     * Records that a request has been committed.
      *
-     * @param members how many members were there to bear it
-     * @param warmMembers how many of them were warm, if a warm one did, else 0
+     * @param members the number of members that were ready
+     * @param warmMembers the number of warm members if a warm one served the request, otherwise 0
      */
     public void recordCommit(Request request, int members, int warmMembers, long now) {
         commits.add(1, 0, now);
--- a/src/main/java/beaconladder/routing/state/WakeupQueue.java
+++ b/src/main/java/beaconladder/routing/state/WakeupQueue.java
@@ -9,33 +9,34 @@
 import java.util.TreeSet;
 
 /**
- * When requests are to be looked at again, when a member may be asked next for the sake of one, and which groups are to
- * be looked at. That are those with requests on hold: a look at every group at each event would cost the more the
- * larger the fleet is, and find nothing in the others.
+ * Holds the times at which requests are to be routed again and a host may be probed next, and the groups with queued
+ * requests. Only these groups are examined: going through all groups at each event would cost more the larger the fleet
+ * is, and find nothing in the others.
  */
 public final class WakeupQueue {
     private final TreeSet<Request> wakeups =
             new TreeSet<>(Comparator.<Request>comparingLong(request -> request.wakeupNanos)
                     .thenComparingLong(request -> request.sequenceNumber));
-    /** Listed groups with requests on hold, in the order in which groups were first listed. */
+    /** The listed groups with queued requests, in the order in which groups were first listed. */
     private final TreeSet<Group> groupsWithQueued = new TreeSet<>(Comparator.comparingInt(group -> group.listIndex));
-    /** Groups of which something has changed since the last look. */
+    /** The groups that have changed since the last {@link #takeChanged}. */
     private final List<Group> pendingChanges = new ArrayList<>();
 
-    private int listedGroups;
+    private int listedGroupCount;
+    /** When a host may be probed next for a queued request. */
     public long nextProbeNanos = Long.MAX_VALUE;
 
-    /** A member of this group has been listed; the first time gives the group its place. */
+    /** Registers a group with a listed member; the first call sets its place in the order. */
     public void registerGroup(Group group) {
         if (group.listIndex < 0) {
-            group.listIndex = listedGroups++;
+            group.listIndex = listedGroupCount++;
             if (!group.queued.isEmpty()) {
                 groupsWithQueued.add(group);
             }
         }
     }
 
-    /** Something has changed that may let the group's requests go. */
+    /** Records a change after which queued requests of the group may be sent. */
     public void markChanged(Group group) {
         group.changed = true;
         if (!group.changePending) {
@@ -44,11 +45,11 @@
         }
     }
 
-    /** This request waits. */
+    /** Adds a request to the queued ones of its group. */
     public void enqueue(Request request) {
         Group group = request.group;
         if (group.queued.isEmpty()) {
-            // No look clears the mark of a group without requests on hold, but for those touched since.
+            // Without queued requests the flag may be out of date: only a change since the last takeChanged counts.
             group.changed = group.changePending;
             if (group.listIndex >= 0) {
                 groupsWithQueued.add(group);
@@ -57,12 +58,12 @@
         group.queued.add(request);
     }
 
-    /** The groups with requests on hold, in their order; not a copy. */
+    /** Returns the listed groups with queued requests, in their order; not a copy. */
     public Collection<Group> groupsWithQueued() {
         return groupsWithQueued;
     }
 
-    /** Those of them that have changed since this was last asked. */
+    /** Returns the listed groups with queued requests that have changed since the last call. */
     public List<Group> takeChanged() {
         for (Group group : pendingChanges) {
             group.changePending = false;
@@ -79,13 +80,14 @@
         return changed;
     }
 
+    /** Sets the time at which this request is to be routed again. */
     public void schedule(Request request, long atNanos) {
         wakeups.remove(request);
         request.wakeupNanos = atNanos;
         wakeups.add(request);
     }
 
-    /** It is held no longer and looked at no more. */
+    /** Removes this request from the queue of its group and cancels its wakeup. */
     public void remove(Request request) {
         wakeups.remove(request);
         request.wakeupNanos = Long.MAX_VALUE;
@@ -94,7 +96,7 @@
         }
     }
 
-    /** Takes out those that are due by now, in their order. */
+    /** Removes and returns the requests whose wakeup is due, in the order of time. */
     public Set<Request> takeDue(long now) {
         Set<Request> due = new LinkedHashSet<>();
         while (!wakeups.isEmpty() && wakeups.first().wakeupNanos <= now) {
@@ -105,7 +107,7 @@
         return due;
     }
 
-    /** When the next one is due, a request or a question. */
+    /** Returns when the next request or probe is due; Long.MAX_VALUE for never. */
     public long nextWakeupNanos() {
         return Math.min(wakeups.isEmpty() ? Long.MAX_VALUE : wakeups.first().wakeupNanos, nextProbeNanos);
     }
