--- a/src/main/java/beaconladder/routing/api/DecisionLoop.java
+++ b/src/main/java/beaconladder/routing/api/DecisionLoop.java
@@ -4,10 +4,10 @@
 import beaconladder.routing.state.Host;
 import beaconladder.routing.state.Request;
 
-/** Executes the decisions of the routing policy in the same order for the real router and the simulation. */
+/** Executes routing decisions, in the same order in the real router and in simulations. */
 public final class DecisionLoop {
 
-    /** Carries out the actions of a decision; it decides nothing itself. */
+    /** Carries out the actions of decisions, without deciding anything itself. */
     public interface ActionHandler {
         void send(Attempt attempt, long timeoutNanos);
 
@@ -17,7 +17,7 @@
 
         void rollBack(Request request, RoutingDecision.Reason reason);
 
-        /** The request has its final answer. */
+        /** Called when the request has its final answer or its client has disconnected. */
         void onRequestEnded(Request request);
 
         void probe(Host host);
@@ -33,7 +33,7 @@
         this.handler = handler;
     }
 
-    /** Executes one decision for this request. */
+    /** Executes a decision on this request. */
     public void execute(Request request, RoutingDecision decision, long now) {
         for (Attempt attempt : decision.attemptsToCancel()) {
             handler.cancel(attempt);
@@ -65,7 +65,10 @@
         }
     }
 
-    /** Routes all requests due, once all events up to now are reported; returns when to call again, in nanoseconds. */
+    /**
+     * Routes all requests that are due and starts the due probes; to be called after all events up to now are reported.
+     * Returns when to call again, in nanoseconds, or {@link NextWakeup#NEVER}.
+     */
     public long processDue(long now) {
         while (true) {
             NextWakeup wakeup = router.nextWakeup(now);
--- a/src/main/java/beaconladder/routing/api/DispatchCheck.java
+++ b/src/main/java/beaconladder/routing/api/DispatchCheck.java
@@ -1,6 +1,6 @@
 package beaconladder.routing.api;
 
-/** Whether an attempt may still be sent, and if not, why; checked right before its bytes. */
+/** Whether an attempt may still be sent, and if not, why; checked right before its bytes are written. */
 public enum DispatchCheck {
     ALLOWED,
     /** The request has its final answer, or its client has disconnected. */
@@ -14,9 +14,9 @@
     HOST_RESTARTED,
     /** An earlier attempt may have run, and a retry is no longer safe. */
     MAY_HAVE_RUN,
-    /** Only the primary may take it, and the host no longer is it. */
+    /** The request requires the primary, and the host is no longer the primary. */
     NOT_PRIMARY,
-    /** The replica's position no longer meets a staleness bound, which advances with the clock. */
+    /** The replica's position is behind the required one, which for a staleness bound advances with the clock. */
     POSITION_BEHIND;
 
     /** Whether the attempt may be sent. */
--- a/src/main/java/beaconladder/routing/api/RoutingDecision.java
+++ b/src/main/java/beaconladder/routing/api/RoutingDecision.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * What a request does now.
+ * What happens to a request now.
  *
  * @param step the step to take
  * @param host for {@link Step#SEND}: the host to send to
@@ -35,7 +35,7 @@
         NOT_ADMITTED
     }
 
-    /** The steps that a request can take. */
+    /** The possible steps of a request. */
     public enum Step {
         SEND,
         WAIT,
@@ -44,7 +44,7 @@
         DONE
     }
 
-    private static final RoutingDecision WAITING = endWith(Step.WAIT, 0, List.of(), Reason.NONE);
+    private static final RoutingDecision WAITING = withoutHost(Step.WAIT, 0, List.of(), Reason.NONE);
 
     public static RoutingDecision send(Host host, long timeoutNanos) {
         return new RoutingDecision(
@@ -62,18 +62,18 @@
     }
 
     public static RoutingDecision reject(long retryAfterNanos, Reason reason) {
-        return endWith(Step.REJECT, retryAfterNanos, List.of(), reason);
+        return withoutHost(Step.REJECT, retryAfterNanos, List.of(), reason);
     }
 
     public static RoutingDecision rollBack(Reason reason) {
-        return endWith(Step.ROLL_BACK, 0, List.of(), reason);
+        return withoutHost(Step.ROLL_BACK, 0, List.of(), reason);
     }
 
     public static RoutingDecision done(List<Attempt> attemptsToCancel) {
-        return endWith(Step.DONE, 0, attemptsToCancel, Reason.NONE);
+        return withoutHost(Step.DONE, 0, attemptsToCancel, Reason.NONE);
     }
 
-    private static RoutingDecision endWith(
+    private static RoutingDecision withoutHost(
             Step step, long retryAfterNanos, List<Attempt> attemptsToCancel, Reason reason) {
         return new RoutingDecision(
                 step, null, 0, retryAfterNanos, attemptsToCancel, SlowStartTicket.NOT_NEEDED, reason);
