--- a/src/main/java/beaconladder/invariants/Invariants.java
+++ b/src/main/java/beaconladder/invariants/Invariants.java
@@ -8,25 +8,25 @@
 import beaconladder.routing.state.SlowStartTicket;
 
 /**
- * The checks of each {@link Rule}, with the tolerances of the protocol; called under the lock of the routing decisions.
+ * Checks each {@link Rule}, with the tolerances of the protocol; to be called under the lock of the routing decisions.
  */
 public final class Invariants {
-    /** The protocol's tolerance on every time limit. */
+    /** The tolerance of the protocol on every time limit. */
     private static final long TOLERANCE_NANOS = 50_000_000L;
-    /** An attempt may begin this long after its client disconnected. */
+    /** How long after its client disconnected an attempt may still begin. */
     private static final long DISCONNECT_TOLERANCE_NANOS = 100_000_000L;
-    /** The timeout stated to a host may exceed the time left by this much. */
+    /** By how much the timeout stated to a host may exceed the time left. */
     private static final long TIMEOUT_TOLERANCE_NANOS = 150_000_000L;
-    /** A response later than this after its deadline counts as missing. */
+    /** How long after its deadline a response counts as missing. */
     private static final long OVERDUE_NANOS = 500_000_000L;
-    /** A restarted router must be ready within this. */
+    /** The time within which a restarted router must be ready. */
     private static final long READY_LIMIT_NANOS = 10_000_000_000L;
 
     private final Violations violations;
     private final long drainGraceNanos;
 
     /**
-     * Checks whose violations are counted here.
+     * Creates the checks, whose violations are counted in the given object.
      *
      * @param drainGraceNanos how long after the start of draining a host may still receive requests
      */
@@ -35,7 +35,7 @@
         this.drainGraceNanos = drainGraceNanos;
     }
 
-    /** Where violations are counted. */
+    /** Returns the object that counts the violations. */
     public Violations violations() {
         return violations;
     }
@@ -50,28 +50,30 @@
             add(
                     Rule.SENDING,
                     attempt,
-                    "to a host that leaves, ms after its listing: " + ms(sent.beganNanos() - host.stateSinceNanos));
+                    "sent to a host that is draining or gone, ms since it was listed so: "
+                            + millis(sent.beganNanos() - host.stateSinceNanos));
         }
         if (request.disconnectedNanos != Long.MAX_VALUE
                 && sent.beganNanos() > request.disconnectedNanos + DISCONNECT_TOLERANCE_NANOS) {
             add(
                     Rule.SENDING,
                     attempt,
-                    "after its client had gone, ms: " + ms(sent.beganNanos() - request.disconnectedNanos));
+                    "sent after its client disconnected, ms: " + millis(sent.beganNanos() - request.disconnectedNanos));
         }
         if (sent.timeoutNanos() > request.expiryNanos - sent.endedNanos() + TIMEOUT_TOLERANCE_NANOS) {
             add(
                     Rule.SENDING,
                     attempt,
-                    "with more time than the client has, ms: "
-                            + ms(sent.timeoutNanos() - (request.expiryNanos - sent.endedNanos())));
+                    "sent with a timeout longer than the time left, ms: "
+                            + millis(sent.timeoutNanos() - (request.expiryNanos - sent.endedNanos())));
         }
         if (attempt.slowStartTicket == SlowStartTicket.MISSING) {
-            add(Rule.STARTING, attempt, "without a ticket to a host in slow start");
+            add(Rule.STARTING, attempt, "sent without a ticket to a host in slow start");
         }
         checkRetry(sent);
     }
 
+    /** Checks that an attempt after one that may have run is a safe retry. */
     private void checkRetry(SentAttempt sent) {
         Request request = sent.attempt().request;
         Attempt executed = request.firstPossiblyExecutedExcept(sent.attempt());
@@ -79,34 +81,39 @@
             return;
         }
         if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            add(Rule.REPEATING, sent.attempt(), "of what must not run twice and may have run at " + executed.host.id);
+            add(
+                    Rule.REPEATING,
+                    sent.attempt(),
+                    "retry of a non-idempotent request that may have run at host " + executed.host.id);
         } else if (request.requestClass.idempotency() == Idempotency.WITH_KEY
                 && sent.endedNanos() - executed.sentNanos
                         > request.requestClass.keyTtlNanos() + TIMEOUT_TOLERANCE_NANOS + TOLERANCE_NANOS) {
             add(
                     Rule.REPEATING,
                     sent.attempt(),
-                    "behind the memory time, ms: " + ms(sent.endedNanos() - executed.sentNanos));
+                    "retry after the TTL of the idempotency key, ms since the first attempt: "
+                            + millis(sent.endedNanos() - executed.sentNanos));
         }
     }
 
-    /** Checks a rejection, by which the client learns that the request was not executed and may be retried. */
+    /** Checks a rejection, which tells the client that the request was not executed and may be retried. */
     public void checkRejection(Request request) {
         Attempt executed = request.firstPossiblyExecuted();
-        boolean harmless = executed == null
+        boolean retrySafe = executed == null
                 || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || request.requestClass.idempotency() == Idempotency.WITH_KEY
                         && request.requestClass.deduplicationScope() == RequestClass.DeduplicationScope.ALL;
-        if (!harmless) {
+        if (!retrySafe) {
             violations.add(
                     Rule.REPEATING,
-                    "request " + request.sequenceNumber + " refused though it may have run at host "
+                    "request " + request.sequenceNumber + " rejected though it may have run at host "
                             + executed.host.id);
         }
     }
 
     /**
-     * Counts a request still in flight whose response is overdue, and returns whether it is; to be called until it is.
+     * Counts a request without a final answer whose response is overdue, and returns whether it is overdue. Not to be
+     * called again for a request after it returned true, which would count it twice.
      */
     public boolean countIfOverdue(Request request, long nowNanos) {
         if (request.ended || nowNanos <= request.expiryNanos + OVERDUE_NANOS) {
@@ -114,8 +121,9 @@
         }
         violations.add(
                 Rule.CLOSING,
-                "request " + request.sequenceNumber + " has no answer, ms behind its time: "
-                        + ms(nowNanos - request.expiryNanos) + ", attempts " + request.attempts.size() + ", out "
+                "request " + request.sequenceNumber + " has no response, ms after its deadline: "
+                        + millis(nowNanos - request.expiryNanos) + ", attempts: " + request.attempts.size()
+                        + ", in flight: "
                         + request.attemptsInFlight());
         return true;
     }
@@ -123,14 +131,15 @@
     /** Checks a client connection that the router has closed, with the number of queries read but not responded to. */
     public void checkClosedConnection(String cause, int unanswered) {
         if (unanswered > 0) {
-            violations.add(Rule.CLOSING, "a connection closed as " + cause + " with queries unanswered: " + unanswered);
+            violations.add(Rule.CLOSING, "connection closed as " + cause + " with unanswered queries: " + unanswered);
         }
     }
 
     /** Checks the time from the start of the process until the router was ready. */
     public void checkStartupTime(long startupNanos) {
         if (startupNanos > READY_LIMIT_NANOS) {
-            violations.add(Rule.STARTING, "ready late, ms after the start of the process: " + ms(startupNanos));
+            violations.add(
+                    Rule.STARTING, "router ready late, ms after the start of the process: " + millis(startupNanos));
         }
     }
 
@@ -141,7 +150,7 @@
                         + attempt.host.id + ": " + description);
     }
 
-    private static long ms(long nanos) {
+    private static long millis(long nanos) {
         return nanos / 1_000_000;
     }
 }
--- a/src/main/java/beaconladder/invariants/Rule.java
+++ b/src/main/java/beaconladder/invariants/Rule.java
@@ -1,8 +1,10 @@
 package beaconladder.invariants;
 
-/** What is checked at run time. The constants appear in log lines, in lower case. */
+/** The rules that are checked at run time. Their names appear in log lines, in lower case. */
 public enum Rule {
-    /** An attempt goes to a ready host, for a connected client, with no more time than the client has left. */
+    /**
+     * An attempt is sent to a ready host, for a connected client, with no longer timeout than the client has time left.
+     */
     SENDING,
     /** A request that may have been executed is neither retried nor rejected, unless that is harmless. */
     REPEATING,
--- a/src/main/java/beaconladder/invariants/SentAttempt.java
+++ b/src/main/java/beaconladder/invariants/SentAttempt.java
@@ -5,9 +5,9 @@
 /**
  * An attempt whose bytes were written to a host.
  *
- * @param attempt that was sent
- * @param beganNanos before its first byte, on the clock of the routing decisions
- * @param endedNanos after its last byte
- * @param timeoutNanos how long the router will wait, as stated to the host
+ * @param attempt the attempt
+ * @param beganNanos the time before its first byte, on the clock of the routing decisions
+ * @param endedNanos the time after its last byte, on the same clock
+ * @param timeoutNanos how long the router waits for the response, as stated to the host
  */
 public record SentAttempt(Attempt attempt, long beganNanos, long endedNanos, long timeoutNanos) {}
--- a/src/main/java/beaconladder/invariants/Violations.java
+++ b/src/main/java/beaconladder/invariants/Violations.java
@@ -7,14 +7,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts violations by rule, and logs each of them; for several threads. */
+/** Counts violations by rule and logs each of them. Thread-safe. */
 public final class Violations {
     private static final Logger LOG = LoggerFactory.getLogger(Violations.class);
 
     private final boolean logged;
     private final AtomicLongArray counts = new AtomicLongArray(Rule.values().length);
 
-    /** Counts and logs. */
+    /** Creates counters of violations that are also logged. */
     public Violations() {
         this(true);
     }
@@ -23,7 +23,7 @@
         this.logged = logged;
     }
 
-    /** Counts without a log line, for the warm-up before any client is connected. */
+    /** Returns counters without log lines, for the warm-up before any client is connected. */
     public static Violations unlogged() {
         return new Violations(false);
     }
@@ -36,12 +36,12 @@
         }
     }
 
-    /** How many violations of this rule were counted. */
+    /** Returns the number of violations of this rule. */
     public long count(Rule rule) {
         return counts.get(rule.ordinal());
     }
 
-    /** How many violations were counted in all. */
+    /** Returns the number of violations of all rules. */
     public long total() {
         return Arrays.stream(Rule.values()).mapToLong(this::count).sum();
     }
--- a/src/main/java/beaconladder/invariants/package-info.java
+++ b/src/main/java/beaconladder/invariants/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The rules that a router must keep, checked while it runs: an attempt after its bytes were written, a rejection, a
- * closed connection, a start. Nothing here takes part in a decision; violations are counted and logged.
+ * Run-time checks of the rules that a router must keep: on each attempt after its bytes were written, each rejection,
+ * each closed connection and each start. The checks do not affect any decision; violations are counted and logged.
  */
 package beaconladder.invariants;
