--- a/src/test/java/beaconladder/routing/PrimaryClockTest.java
+++ b/src/test/java/beaconladder/routing/ClockCorrectionTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A router whose clock is an hour ahead of the hosts' learns it from answers of primaries. */
-class PrimaryClockTest {
+class ClockCorrectionTest {
     private static final int HOUR = 3_600_000;
     private static final int READS = 12;
     private static final int LOST = 99;
@@ -17,23 +17,23 @@
     void readsAtThePrimaryMoveTheClockBack() {
         Script script = new Script()
                 .list("a*", "b", "c")
-                .tick(0)
+                .advanceTo(0)
                 .probed("a", Role.PRIMARY, -HOUR)
                 .probed("b", Role.REPLICA, -HOUR)
                 .probed("c", Role.REPLICA, -HOUR);
         for (int i = 0; i < READS; i++) {
             int sent = 20 * i;
-            script.tick(sent)
-                    .ask(i, Script.CURRENT, 0, 2_000)
-                    .tick(sent + 10)
+            script.advanceTo(sent)
+                    .request(i, Script.CURRENT, 0, 2_000)
+                    .advanceTo(sent + 10)
                     .end(i, Outcome.COMMITTED, Role.PRIMARY, sent + 5 - HOUR);
         }
         int at = 20 * READS;
-        script.tick(at)
+        script.advanceTo(at)
                 .probed("b", Role.REPLICA, at - 10 - HOUR)
                 .probed("c", Role.REPLICA, at - 10 - HOUR)
-                .quiet()
-                .ask(READS, Script.BOUNDED, 0, 2_000);
+                .clearTrace()
+                .request(READS, Script.BOUNDED, 0, 2_000);
         assertThat(script.trace()).containsPattern("send " + READS + " to [bc]");
     }
 
@@ -42,17 +42,17 @@
     void commitsOfReferencedWritesMoveNothing() {
         Script script = Script.warm();
         for (int i = 0; i < READS; i++) {
-            script.tick(100 * i)
-                    .ask(i, Script.REFERENCED, 0, 2_000)
-                    .tick(100 * i + 10)
+            script.advanceTo(100 * i)
+                    .request(i, Script.WRITE_WITH_KEY, 0, 2_000)
+                    .advanceTo(100 * i + 10)
                     .end(i, Outcome.COMMITTED, Role.PRIMARY, 100 * i - 3_000);
         }
         int at = 100 * READS;
-        script.tick(at)
+        script.advanceTo(at)
                 .probed("b", Role.REPLICA, at - 2_000)
                 .probed("c", Role.REPLICA, at - 2_000)
-                .quiet()
-                .ask(READS, Script.BOUNDED, 0, 2_000);
+                .clearTrace()
+                .request(READS, Script.BOUNDED, 0, 2_000);
         assertThat(script.trace()).doesNotContainPattern("send " + READS + " to [bc]");
     }
 
@@ -61,49 +61,49 @@
     void anAnswerThatWasLostBeforeTheClockWasPutRightHoldsNoReadFromThePrimary() {
         Script script = new Script()
                 .list("a*", "b", "c")
-                .tick(0)
+                .advanceTo(0)
                 .probed("a", Role.PRIMARY, -HOUR)
-                .ask(0, Script.CURRENT, 0, 2_000)
-                .ask(LOST, Script.CURRENT, 0, 2_000)
-                .tick(10)
+                .request(0, Script.CURRENT, 0, 2_000)
+                .request(LOST, Script.CURRENT, 0, 2_000)
+                .advanceTo(10)
                 .end(0, Outcome.COMMITTED, Role.PRIMARY, 5 - HOUR)
                 .end(LOST, Outcome.RESET)
-                .left(LOST)
-                .tick(20)
+                .disconnect(LOST)
+                .advanceTo(20)
                 .probed("a", Role.PRIMARY, 15 - HOUR)
                 .probed("c", Role.REPLICA, 15 - HOUR);
         int at = 1_000;
         for (int i = 1; i <= READS; i++) {
             at += 20;
-            script.tick(at)
-                    .ask(i, Script.WRITE, 0, 2_000)
-                    .tick(at + 10)
+            script.advanceTo(at)
+                    .request(i, Script.WRITE, 0, 2_000)
+                    .advanceTo(at + 10)
                     .end(i, Outcome.COMMITTED, Role.PRIMARY, at + 5 - HOUR);
         }
-        script.tick(at + 100)
+        script.advanceTo(at + 100)
                 .probed("a", Role.PRIMARY, at + 90 - HOUR)
-                .quiet()
-                .ask(READS + 1, Script.CURRENT, 0, 2_000);
+                .clearTrace()
+                .request(READS + 1, Script.CURRENT, 0, 2_000);
         assertThat(script.trace()).contains("send " + (READS + 1) + " to a");
     }
 
     /** Words without a position are dated by the router's clock. */
     @Test
     void aPrimaryThatWasFoundBeforeTheClockWasPutRightCanBeFollowedByAnother() {
-        Script script = new Script().list("a*", "b", "c").tick(0).found("a", Role.PRIMARY);
+        Script script = new Script().list("a*", "b", "c").advanceTo(0).probedRole("a", Role.PRIMARY);
         int at = 0;
         for (int i = 1; i <= READS; i++) {
             at += 20;
-            script.tick(at)
-                    .ask(i, Script.WRITE, 0, 2_000)
-                    .tick(at + 10)
+            script.advanceTo(at)
+                    .request(i, Script.WRITE, 0, 2_000)
+                    .advanceTo(at + 10)
                     .end(i, Outcome.COMMITTED, Role.PRIMARY, at + 5 - HOUR);
         }
-        script.tick(at + 100)
-                .found("a", Role.REPLICA)
-                .found("b", Role.PRIMARY)
-                .quiet()
-                .ask(READS + 1, Script.CURRENT, 0, 2_000);
+        script.advanceTo(at + 100)
+                .probedRole("a", Role.REPLICA)
+                .probedRole("b", Role.PRIMARY)
+                .clearTrace()
+                .request(READS + 1, Script.CURRENT, 0, 2_000);
         assertThat(script.trace()).contains("send " + (READS + 1) + " to b");
     }
 
@@ -114,19 +114,19 @@
         int at = 2_000;
         for (int i = 0; i <= READS; i++) {
             at += 20;
-            script.tick(at)
+            script.advanceTo(at)
                     .probed("b", Role.REPLICA, at - 10)
-                    .ask(i, Script.CURRENT, 0, 2_000)
-                    .tick(at + 10)
+                    .request(i, Script.CURRENT, 0, 2_000)
+                    .advanceTo(at + 10)
                     .end(i, Outcome.COMMITTED, Role.PRIMARY, 0);
         }
         int stopped = at - 10;
         at += 2_000;
-        script.tick(at)
+        script.advanceTo(at)
                 .probed("b", Role.REPLICA, stopped)
                 .probed("c", Role.REPLICA, stopped)
-                .quiet()
-                .ask(LOST, Script.BOUNDED, 0, 2_000);
+                .clearTrace()
+                .request(LOST, Script.BOUNDED, 0, 2_000);
         assertThat(script.trace()).doesNotContainPattern("send " + LOST + " to [bc]");
     }
 }
--- a/src/test/java/beaconladder/routing/ClusterClockTest.java
+++ b/src/test/java/beaconladder/routing/ClusterClockTest.java
@@ -6,7 +6,7 @@
 import beaconladder.routing.state.Host;
 import org.junit.jupiter.api.Test;
 
-/** What a router takes for the hosts' time, from what they say of themselves. */
+/** The estimate of the hosts' clock from the positions that they report. */
 class ClusterClockTest {
     private static final long MS = 1_000_000L;
     private static final long NOW = 100_000_000 * MS;
@@ -18,20 +18,22 @@
     private final ClusterClock clock = new ClusterClock();
 
     @Test
-    void aPositionAheadIsBelievedOnceTwoHostsShowItTwice() {
+    void aPositionAheadIsAcceptedOnceTwoHostsReportItTwice() {
         assertThat(clock.acceptPosition(a, NOW + 20 * MS, NOW)).isTrue();
         assertThat(clock.acceptPosition(a, NOW + HOUR, NOW)).isFalse();
         assertThat(clock.acceptPosition(b, NOW + HOUR - 3_000 * MS, NOW)).isFalse();
         assertThat(clock.acceptPosition(a, NOW + HOUR, NOW)).isFalse();
         assertThat(clock.hostTimeAt(NOW)).isEqualTo(NOW);
         assertThat(clock.acceptPosition(b, NOW + HOUR - 3_000 * MS, NOW)).isTrue();
-        assertThat(clock.hostTimeAt(NOW)).as("as the host furthest on has it").isEqualTo(NOW + HOUR);
+        assertThat(clock.hostTimeAt(NOW))
+                .as("the offset of the host furthest ahead")
+                .isEqualTo(NOW + HOUR);
         assertThat(clock.routerTimeOf(NOW + HOUR)).isEqualTo(NOW);
     }
 
-    /** A bound that is judged too late makes no read stale. */
+    /** A staleness bound that is taken too late makes no read stale. */
     @Test
-    void whatOneHostShowsCountsForBoundsAtOnce() {
+    void aPositionOfOneHostCountsForStalenessBoundsAtOnce() {
         clock.acceptPosition(a, NOW + 5_000 * MS, NOW);
         assertThat(clock.latestHostTimeAt(NOW)).isEqualTo(NOW + 5_000 * MS);
         assertThat(clock.latestHostTimeAt(NOW + 2_001 * MS)).isEqualTo(NOW + 2_001 * MS);
@@ -40,7 +42,7 @@
     }
 
     @Test
-    void spoiltPositionsMoveNothing() {
+    void corruptPositionsDoNotMoveTheClock() {
         for (int i = 0; i < 40; i++) {
             long now = NOW + 100 * i * MS;
             assertThat(clock.acceptPosition(i % 2 == 0 ? a : b, now + (1 + i * 7L % 40) * 60_000 * MS, now))
@@ -52,9 +54,9 @@
         assertThat(clock.hostTimeAt(NOW)).isEqualTo(NOW);
     }
 
-    /** Else hosts in slow start would look warm by the word of one that is wrong. */
+    /** Otherwise hosts in slow start would look warm because one host has a wrong clock. */
     @Test
-    void oneHostThatIsAheadOfOthersThatAreNotMovesNothing() {
+    void aSingleHostAheadOfTheOthersDoesNotMoveTheClock() {
         for (int i = 0; i < 40; i++) {
             long now = NOW + 100 * i * MS;
             clock.acceptPosition(a, now + HOUR, now);
@@ -64,7 +66,7 @@
     }
 
     @Test
-    void whereNoOtherIsHeardOneHostIsBelievedInTheEnd() {
+    void withoutOtherReportsASingleHostMovesTheClockAfterSixReports() {
         for (int i = 0; i < 5; i++) {
             assertThat(clock.acceptPosition(a, NOW + HOUR, NOW)).isFalse();
         }
@@ -73,19 +75,19 @@
     }
 
     @Test
-    void answersFromBeforeTheirSendMoveItBackAndNotTooFar() {
+    void answersEarlierThanTheirSendMoveTheClockBackAsLittleAsNeeded() {
         for (int i = 0; i < 5; i++) {
             clock.onPrimaryAnswer(i % 2 == 0 ? a : b, NOW - HOUR + 30 * MS, NOW);
         }
         assertThat(clock.hostTimeAt(NOW)).isEqualTo(NOW);
         clock.onPrimaryAnswer(b, NOW - HOUR + 400 * MS, NOW);
         assertThat(clock.hostTimeAt(NOW))
-                .as("no answer lies before its send by it")
+                .as("no answer is earlier than its send by the corrected clock")
                 .isEqualTo(NOW - HOUR + 400 * MS);
     }
 
     @Test
-    void aSlowAnswerOrOneThatIsEarlyMovesNothing() {
+    void earlyAnswersAmongOthersDoNotMoveTheClock() {
         for (int i = 0; i < 30; i++) {
             clock.onPrimaryAnswer(a, i % 4 == 0 ? NOW + 10 * MS : NOW - 1_000 * MS, NOW);
             clock.onPrimaryAnswer(b, NOW - 200 * MS, NOW);
@@ -95,11 +97,11 @@
 
     /** A clock that is ahead makes hosts in slow start look warm. */
     @Test
-    void itIsConfirmedOnceAHostShowsThatItIsNotFarAhead() {
+    void theClockIsConfirmedOnceAHostShowsThatItIsNotFarAhead() {
         assertThat(clock.isConfirmed()).isFalse();
         clock.acceptPosition(a, NOW - HOUR, NOW);
         assertThat(clock.isConfirmed())
-                .as("a replica that lags, or a clock that is ahead")
+                .as("either the replica lags or the clock is ahead")
                 .isFalse();
         clock.acceptPosition(b, NOW - 400 * MS, NOW);
         assertThat(clock.isConfirmed()).isTrue();
--- a/src/test/java/beaconladder/routing/HostHealthTest.java
+++ b/src/test/java/beaconladder/routing/HostHealthTest.java
@@ -14,44 +14,46 @@
     /** Its own times are work, not queue, while it alone keeps a host busy; the host's report tells so. */
     @Test
     void aHostThatReportsLowLoadHasCapacityThoughItsScaledTimesWouldBeTooLong() {
-        Script s = Script.warm("replicas_of_me=3");
+        Script script = Script.warm("replicas_of_me=3");
         for (int i = 1; i <= 12; i++) {
-            s.ask(i, ANY, 0, 2000).tick(170 * i).end(i, Outcome.COMMITTED, Role.REPLICA, 170 * i);
+            script.request(i, ANY, 0, 2000).advanceTo(170 * i).end(i, Outcome.COMMITTED, Role.REPLICA, 170 * i);
         }
-        s.probed("b", Role.REPLICA, 2040, 0).probed("c", Role.REPLICA, 2040, 0).quiet();
-        s.ask(21, ANY, 0, 2000)
-                .ask(22, ANY, 0, 2000)
-                .ask(23, ANY, 0, 2000)
-                .ask(24, ANY, 0, 2000)
-                .ask(25, ANY, 0, 2000);
-        assertThat(s.trace()).isEqualTo("""
-                2040 ask 21 any
+        script.probed("b", Role.REPLICA, 2040, 0)
+                .probed("c", Role.REPLICA, 2040, 0)
+                .clearTrace();
+        script.request(21, ANY, 0, 2000)
+                .request(22, ANY, 0, 2000)
+                .request(23, ANY, 0, 2000)
+                .request(24, ANY, 0, 2000)
+                .request(25, ANY, 0, 2000);
+        assertThat(script.trace()).isEqualTo("""
+                2040 request 21 any
                 2040   send 21 to b
-                2040 ask 22 any
+                2040 request 22 any
                 2040   send 22 to c
-                2040 ask 23 any
+                2040 request 23 any
                 2040   send 23 to b
-                2040 ask 24 any
+                2040 request 24 any
                 2040   send 24 to c
-                2040 ask 25 any
+                2040 request 25 any
                 """);
     }
 
     /** It looks idle and quick, and would get all the reads. */
     @Test
     void aHostThatFailsAtOnceGetsFewReads() {
-        Script s = Script.warm();
+        Script script = Script.warm();
         int atB = 0;
         for (int i = 1; i <= 60; i++) {
-            s.probed("b", Role.REPLICA, 40 * i - 40, 0)
+            script.probed("b", Role.REPLICA, 40 * i - 40, 0)
                     .probed("c", Role.REPLICA, 40 * i - 40, 0)
-                    .quiet()
-                    .ask(i, ANY, 0, 2000);
-            boolean b = s.trace().contains("to b");
+                    .clearTrace()
+                    .request(i, ANY, 0, 2000);
+            boolean b = script.trace().contains("to b");
             atB += b && i > 20 ? 1 : 0;
-            s.tick(40 * i).end(i, b ? Outcome.ERROR : Outcome.COMMITTED, Role.REPLICA, 40 * i);
+            script.advanceTo(40 * i).end(i, b ? Outcome.ERROR : Outcome.COMMITTED, Role.REPLICA, 40 * i);
             if (b) {
-                s.tick(40 * i + 20).end(i, Outcome.COMMITTED, Role.REPLICA, 40 * i);
+                script.advanceTo(40 * i + 20).end(i, Outcome.COMMITTED, Role.REPLICA, 40 * i);
             }
         }
         assertThat(atB).isLessThan(5);
@@ -59,13 +61,13 @@
 
     @Test
     void aFullHostIsLeftAloneForAMoment() {
-        Script s = Script.warm()
+        Script script = Script.warm()
                 .list("c", false, Host.State.GONE, 0)
-                .ask(1, ANY, 0, 2000)
+                .request(1, ANY, 0, 2000)
                 .end(1, Outcome.FULL, Role.REPLICA, 0)
-                .tick(150);
-        assertThat(s.trace()).isEqualTo("""
-                0 ask 1 any
+                .advanceTo(150);
+        assertThat(script.trace()).isEqualTo("""
+                0 request 1 any
                 0   send 1 to b
                 0 end 1@b full
                 120   send 1 to b
@@ -74,10 +76,13 @@
 
     @Test
     void aRestartedRouterTrustsNoReplicaBeforeItsProbe() {
-        Script s =
-                new Script().list("a*", "b", "c").ask(1, ANY, 0, 2000).tick(5).probed("c", Role.REPLICA, -900);
-        assertThat(s.trace()).isEqualTo("""
-                0 ask 1 any
+        Script script = new Script()
+                .list("a*", "b", "c")
+                .request(1, ANY, 0, 2000)
+                .advanceTo(5)
+                .probed("c", Role.REPLICA, -900);
+        assertThat(script.trace()).isEqualTo("""
+                0 request 1 any
                 0 probe c
                 0 probe b
                 5   send 1 to c
@@ -86,16 +91,16 @@
 
     @Test
     void aHandoverOfThePrimaryIsLearnedFromAMissAndTheNewOneFound() {
-        Script s = Script.warm()
-                .tick(200)
-                .ask(1, WRITE, 0, 2000)
-                .tick(205)
+        Script script = Script.warm()
+                .advanceTo(200)
+                .request(1, WRITE, 0, 2000)
+                .advanceTo(205)
                 .end(1, Outcome.MISS, Role.REPLICA, 4)
-                .tick(250)
+                .advanceTo(250)
                 .probed("b", Role.REPLICA, 4)
                 .probed("c", Role.PRIMARY, 240);
-        assertThat(s.trace()).isEqualTo("""
-                200 ask 1 write
+        assertThat(script.trace()).isEqualTo("""
+                200 request 1 write
                 200   send 1 to a
                 205 end 1@a miss
                 205 probe c
@@ -106,16 +111,16 @@
 
     @Test
     void anUnreachableHostIsTrustedAgainOnlyAfterAProbe() {
-        Script s = Script.warm()
+        Script script = Script.warm()
                 .list("c", false, Host.State.GONE, 0)
-                .tick(500)
-                .ask(1, ANY, 0, 2000)
-                .tick(750)
+                .advanceTo(500)
+                .request(1, ANY, 0, 2000)
+                .advanceTo(750)
                 .end(1, Outcome.UNREACHABLE)
-                .tick(900)
+                .advanceTo(900)
                 .probed("b", Role.REPLICA, 890);
-        assertThat(s.trace()).isEqualTo("""
-                500 ask 1 any
+        assertThat(script.trace()).isEqualTo("""
+                500 request 1 any
                 500   send 1 to b
                 750 end 1@b unreachable
                 750 probe b
@@ -125,20 +130,20 @@
 
     @Test
     void aRouterWithoutARequestProbesNoHost() {
-        Script s = new Script().list("a*", "b", "c").tick(5000);
-        assertThat(s.trace()).isEqualTo("");
+        Script script = new Script().list("a*", "b", "c").advanceTo(5000);
+        assertThat(script.trace()).isEqualTo("");
     }
 
     @Test
     void whereProbesAreCheapMembersAreAskedBeforeTheSendAndTheLessLoadedIsTaken() {
-        Script s = Script.warm("fees.probe=0.01")
-                .tick(1000)
-                .ask(1, ANY, 0, 2000)
-                .tick(1005)
+        Script script = Script.warm("fees.probe=0.01")
+                .advanceTo(1000)
+                .request(1, ANY, 0, 2000)
+                .advanceTo(1005)
                 .probed("b", Role.REPLICA, 990, 6)
                 .probed("c", Role.REPLICA, 990, 1);
-        assertThat(s.trace()).isEqualTo("""
-                1000 ask 1 any
+        assertThat(script.trace()).isEqualTo("""
+                1000 request 1 any
                 1000 probe c
                 1000 probe b
                 1005   send 1 to c
@@ -147,14 +152,14 @@
 
     @Test
     void aMemberThatDoesNotAnswerItsProbeIsPassedOver() {
-        Script s = Script.warm("fees.probe=0.01")
-                .tick(1000)
-                .ask(1, ANY, 0, 2000)
-                .tick(1005)
+        Script script = Script.warm("fees.probe=0.01")
+                .advanceTo(1000)
+                .request(1, ANY, 0, 2000)
+                .advanceTo(1005)
                 .probed("b", Role.REPLICA, 990, 6)
-                .tick(1100);
-        assertThat(s.trace()).isEqualTo("""
-                1000 ask 1 any
+                .advanceTo(1100);
+        assertThat(script.trace()).isEqualTo("""
+                1000 request 1 any
                 1000 probe c
                 1000 probe b
                 1045   send 1 to b
@@ -163,16 +168,16 @@
 
     @Test
     void aSilentHostThatReportsToBeIdleIsJudgedByItsResponseTimes() {
-        Script s = Script.warm("fees.probe=0.01");
+        Script script = Script.warm("fees.probe=0.01");
         for (int i = 0; i < 8; i++) {
-            s.tick(1000 + 400 * i)
+            script.advanceTo(1000 + 400 * i)
                     .probed("b", Role.REPLICA, 990 + 400 * i, 0)
                     .probed("c", Role.REPLICA, 990 + 400 * i, 4)
-                    .ask(i, ANY, 0, 2000)
-                    .tick(1150 + 400 * i);
-            s.silent("b", i);
+                    .request(i, ANY, 0, 2000)
+                    .advanceTo(1150 + 400 * i);
+            script.endAllTimingOutAt("b", i);
         }
-        assertThat(s.trace().replaceAll("(?m)^(?!.*send).*\\n", "")).isEqualTo("""
+        assertThat(script.trace().replaceAll("(?m)^(?!.*send).*\\n", "")).isEqualTo("""
                 1000   send 0 to b
                 1150   send 0 to c
                 1400   send 1 to c
@@ -188,11 +193,12 @@
 
     @Test
     void aConnectionThatIsHardlyUsedIsClosedAfterUse() {
-        Script s = Script.warm().showClosing();
+        Script script = Script.warm().traceClosedConnections();
         for (int i = 0; i < 4; i++) {
-            s.tick(10 + i).ask(i, WRITE, 0, 2000).end(i, Outcome.COMMITTED, Role.PRIMARY, 10 + i);
+            script.advanceTo(10 + i).request(i, WRITE, 0, 2000).end(i, Outcome.COMMITTED, Role.PRIMARY, 10 + i);
         }
-        assertThat(s.trace().replaceAll("(?m)^(?!.*(close|send)).*\\n", "")).isEqualTo("""
+        assertThat(script.trace().replaceAll("(?m)^(?!.*(close|send)).*\\n", ""))
+                .isEqualTo("""
                 10   send 0 to a
                 10 close a
                 11   send 1 to a
--- a/src/test/java/beaconladder/routing/RandomEvents.java
+++ b/src/test/java/beaconladder/routing/RandomEvents.java
@@ -21,165 +21,171 @@
 import java.util.stream.Collectors;
 
 /**
- * A script of random events for one module: lists, requests, answers, probes, clients that leave, time. Every decision
- * and the contents of every pause go into a digest, so that two texts of the routing policy can be compared.
+ * Feeds random events to the routing policy of one router: host updates, requests, answers, probe results, disconnects
+ * and lost admissions, at random times. Every decision and wakeup goes into a digest, by which two versions of the
+ * routing policy can be compared; so the recorded texts must not change.
  */
 final class RandomEvents implements DecisionLoop.ActionHandler {
     private static final long MS = 1_000_000L;
     private static final Outcome[] OUTCOMES = Outcome.values();
 
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final MessageDigest digest;
-    private final Router logic;
-    private final DecisionLoop rounds;
+    private final Router policy;
+    private final DecisionLoop decisionLoop;
     private final List<Group> groups = new ArrayList<>();
     private final List<Host> hosts = new ArrayList<>();
-    private final List<Request> txns = new ArrayList<>();
-    private final List<Attempt> out = new ArrayList<>();
-    private final List<Host> asked = new ArrayList<>();
-    private long now = 100_000 * MS;
-    private long until;
-    private long taken;
-    /** Sends, probes, and requests put before the routing policy again by a pause. */
+    private final List<Request> requests = new ArrayList<>();
+    private final List<Attempt> inFlight = new ArrayList<>();
+    private final List<Host> probed = new ArrayList<>();
+    private long nowNanos = 100_000 * MS;
+    private long wakeupNanos;
+    private long requestCount;
+    /** The numbers of sends, of probes, and of requests that a wakeup named to be routed again. */
     int sends;
 
     int probes;
-    int again;
+    int reroutes;
 
     RandomEvents(long seed, int groups) throws java.security.GeneralSecurityException {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         digest = MessageDigest.getInstance("SHA-256");
-        Script settings = new Script(
+        Script script = new Script(
                 "family_info.session_marks=" + (seed % 2 == 0 ? "client" : "router"),
                 "fees.probe=" + (seed % 3 == 0 ? 0.01 : 0.069));
-        logic = new DelegatingRouter(new RoutingPolicy(seed, settings.start)) {
+        policy = new DelegatingRouter(new RoutingPolicy(seed, script.settings)) {
             @Override
             public NextWakeup nextWakeup(long now) {
-                NextWakeup pause = inner.nextWakeup(now);
-                again += pause.requestsToRoute().size();
-                say("pause " + (pause.dueNanos() - RandomEvents.this.now) + " " + ids(pause.hostsToProbe())
-                        + pause.requestsToRoute().stream()
+                NextWakeup wakeup = inner.nextWakeup(now);
+                reroutes += wakeup.requestsToRoute().size();
+                record("pause " + (wakeup.dueNanos() - RandomEvents.this.nowNanos) + " " + ids(wakeup.hostsToProbe())
+                        + wakeup.requestsToRoute().stream()
                                 .map(request -> " " + request.sequenceNumber)
                                 .collect(Collectors.joining())
                         + " "
-                        + ids(pause.hostsToDisconnect()));
-                return pause;
+                        + ids(wakeup.hostsToDisconnect()));
+                return wakeup;
             }
         };
-        rounds = new DecisionLoop(logic, this);
+        decisionLoop = new DecisionLoop(policy, this);
         for (int i = 0; i < groups; i++) {
             this.groups.add(new Group(i));
         }
     }
 
-    /** Plays so many events; the digest of all decisions. */
-    String play(int events) {
-        for (int i = 0; i < events; i++) {
-            now += chance.nextInt(4) == 0 ? chance.nextLong(20 * MS) : chance.nextLong(MS);
-            event();
-            // As on the simulator's wire, several events may come before the next look.
-            if (now >= until || chance.nextInt(3) > 0) {
-                until = rounds.processDue(now);
+    /** Runs this many events; returns the digest of all decisions. */
+    String run(int count) {
+        for (int i = 0; i < count; i++) {
+            nowNanos += random.nextInt(4) == 0 ? random.nextLong(20 * MS) : random.nextLong(MS);
+            nextEvent();
+            // As with the simulator, several events may be reported before the next wakeup is requested.
+            if (nowNanos >= wakeupNanos || random.nextInt(3) > 0) {
+                wakeupNanos = decisionLoop.processDue(nowNanos);
             }
         }
         return HexFormat.of().formatHex(digest.digest());
     }
 
-    private void event() {
-        int kind = chance.nextInt(100);
+    private void nextEvent() {
+        int kind = random.nextInt(100);
         if (kind < 6) {
-            list();
+            updateHost();
         } else if (kind < 40) {
-            come();
-        } else if (kind < 75 && !out.isEmpty()) {
-            end(out.remove(chance.nextInt(out.size())));
-        } else if (kind < 92 && !asked.isEmpty()) {
-            Host host = asked.remove(chance.nextInt(asked.size()));
-            logic.onHealthCheckEnded(
-                    host, chance.nextInt(4) > 0 ? Outcome.COMMITTED : Outcome.UNREACHABLE, word(), now);
-        } else if (kind < 94 && !txns.isEmpty()) {
-            Request request = txns.get(chance.nextInt(txns.size()));
+            arrive();
+        } else if (kind < 75 && !inFlight.isEmpty()) {
+            endAttempt(inFlight.remove(random.nextInt(inFlight.size())));
+        } else if (kind < 92 && !probed.isEmpty()) {
+            Host host = probed.remove(random.nextInt(probed.size()));
+            policy.onHealthCheckEnded(
+                    host, random.nextInt(4) > 0 ? Outcome.COMMITTED : Outcome.UNREACHABLE, report(), nowNanos);
+        } else if (kind < 94 && !requests.isEmpty()) {
+            Request request = requests.get(random.nextInt(requests.size()));
             if (!request.ended) {
-                rounds.execute(
+                decisionLoop.execute(
                         request,
-                        chance.nextBoolean()
-                                ? logic.onClientDisconnected(request, now)
-                                : logic.onAdmissionLost(request, now),
-                        now);
+                        random.nextBoolean()
+                                ? policy.onClientDisconnected(request, nowNanos)
+                                : policy.onAdmissionLost(request, nowNanos),
+                        nowNanos);
             }
         } else if (kind == 94) {
-            // As the desk does with a word of the keeper: a look follows at once.
-            groups.get(chance.nextInt(groups.size())).changed = true;
-            until = rounds.processDue(now);
+            // A change that is flagged without an event of the policy, with an immediate wakeup.
+            groups.get(random.nextInt(groups.size())).changed = true;
+            wakeupNanos = decisionLoop.processDue(nowNanos);
         } else if (kind == 95) {
-            hosts.removeIf(host -> host.state == Host.State.GONE && logic.removeHost(host, now));
+            hosts.removeIf(host -> host.state == Host.State.GONE && policy.removeHost(host, nowNanos));
         }
     }
 
-    private void list() {
-        Group group = groups.get(chance.nextInt(groups.size()));
-        Host host = group.members.isEmpty() || group.members.size() < 5 && chance.nextInt(3) > 0
-                ? new Host(hosts.size() * 1_000 + chance.nextInt(1_000), group, chance.nextInt(3))
-                : group.members.get(chance.nextInt(group.members.size()));
+    private void updateHost() {
+        Group group = groups.get(random.nextInt(groups.size()));
+        Host host = group.members.isEmpty() || group.members.size() < 5 && random.nextInt(3) > 0
+                ? new Host(hosts.size() * 1_000 + random.nextInt(1_000), group, random.nextInt(3))
+                : group.members.get(random.nextInt(group.members.size()));
         if (!hosts.contains(host)) {
             hosts.add(host);
         }
-        int state = chance.nextInt(12);
-        logic.updateHost(
+        int state = random.nextInt(12);
+        policy.updateHost(
                 host,
-                chance.nextInt(3) == 0,
+                random.nextInt(3) == 0,
                 state == 0 ? Host.State.GONE : state == 1 ? Host.State.DRAINING : Host.State.READY,
-                chance.nextInt(8) == 0 ? now - chance.nextLong(12_000 * MS) : host.launchedNanos,
-                now);
+                random.nextInt(8) == 0 ? nowNanos - random.nextLong(12_000 * MS) : host.launchedNanos,
+                nowNanos);
     }
 
-    private void come() {
-        Group group = groups.get(chance.nextInt(groups.size()));
-        int type = chance.nextInt(6);
-        long written = chance.nextBoolean() ? now - chance.nextLong(900 * MS) : Long.MIN_VALUE;
+    private void arrive() {
+        Group group = groups.get(random.nextInt(groups.size()));
+        int classIndex = random.nextInt(6);
+        long sessionPosition = random.nextBoolean() ? nowNanos - random.nextLong(900 * MS) : Long.MIN_VALUE;
         Request request = new Request(
-                taken,
-                logic.requestClass(type),
+                requestCount,
+                policy.requestClass(classIndex),
                 group,
-                1 + chance.nextInt(50),
-                written,
+                1 + random.nextInt(50),
+                sessionPosition,
                 0,
                 false,
-                now,
-                now + 200 * MS + chance.nextLong(2_800 * MS),
-                taken++);
-        txns.add(request);
-        if (txns.size() > 500) {
-            txns.remove(0);
+                nowNanos,
+                nowNanos + 200 * MS + random.nextLong(2_800 * MS),
+                requestCount++);
+        requests.add(request);
+        if (requests.size() > 500) {
+            requests.remove(0);
         }
-        rounds.execute(request, logic.route(request, now), now);
+        decisionLoop.execute(request, policy.route(request, nowNanos), nowNanos);
     }
 
-    private void end(Attempt attempt) {
+    private void endAttempt(Attempt attempt) {
         if (!attempt.ended) {
-            Outcome outcome = chance.nextInt(3) > 0 ? Outcome.COMMITTED : OUTCOMES[chance.nextInt(OUTCOMES.length)];
+            Outcome outcome = random.nextInt(3) > 0 ? Outcome.COMMITTED : OUTCOMES[random.nextInt(OUTCOMES.length)];
             boolean settled = attempt.request.ended || outcome == Outcome.COMMITTED;
-            HostReport answer = outcome.isFromHost() ? word() : HostReport.EMPTY;
-            rounds.execute(
+            HostReport answer = outcome.isFromHost() ? report() : HostReport.EMPTY;
+            decisionLoop.execute(
                     attempt.request,
-                    logic.onAttemptEnded(
-                            attempt, outcome, settled, answer, outcome.isFromHost() ? word() : HostReport.EMPTY, now),
-                    now);
+                    policy.onAttemptEnded(
+                            attempt,
+                            outcome,
+                            settled,
+                            answer,
+                            outcome.isFromHost() ? report() : HostReport.EMPTY,
+                            nowNanos),
+                    nowNanos);
         }
     }
 
-    private HostReport word() {
-        int role = chance.nextInt(6);
+    private HostReport report() {
+        int role = random.nextInt(6);
         return role == 0
                 ? HostReport.EMPTY
                 : new HostReport(
                         role == 1 ? Role.PRIMARY : Role.REPLICA,
-                        now - chance.nextLong(role == 1 ? 5 * MS : 700 * MS),
-                        chance.nextInt(8) - 1);
+                        nowNanos - random.nextLong(role == 1 ? 5 * MS : 700 * MS),
+                        random.nextInt(8) - 1);
     }
 
-    private void say(String line) {
-        digest.update((now + line + "\n").getBytes(StandardCharsets.UTF_8));
+    private void record(String line) {
+        digest.update((nowNanos + line + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
     private static String ids(List<Host> hosts) {
@@ -187,48 +193,48 @@
     }
 
     @Override
-    public void send(Attempt attempt, long timeout) {
+    public void send(Attempt attempt, long timeoutNanos) {
         sends++;
-        out.add(attempt);
-        say("send " + attempt.request.sequenceNumber + " to " + attempt.host.id + " for " + timeout);
+        inFlight.add(attempt);
+        record("send " + attempt.request.sequenceNumber + " to " + attempt.host.id + " for " + timeoutNanos);
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        say("cancel " + attempt.request.sequenceNumber + " at " + attempt.host.id);
+        record("cancel " + attempt.request.sequenceNumber + " at " + attempt.host.id);
     }
 
     @Override
-    public void reject(Request request, long comeBack, RoutingDecision.Reason reason) {
-        say("decline " + request.sequenceNumber + " " + comeBack);
+    public void reject(Request request, long retryAfterNanos, RoutingDecision.Reason reason) {
+        record("decline " + request.sequenceNumber + " " + retryAfterNanos);
     }
 
     @Override
     public void rollBack(Request request, RoutingDecision.Reason reason) {
-        say("roll back " + request.sequenceNumber);
+        record("roll back " + request.sequenceNumber);
     }
 
     @Override
     public void onRequestEnded(Request request) {
-        say("ended " + request.sequenceNumber);
+        record("ended " + request.sequenceNumber);
     }
 
     @Override
     public void probe(Host host) {
         probes++;
-        asked.add(host);
+        probed.add(host);
     }
 
     @Override
     public void closeIdleConnections(Host host) {}
 
-    /** Prints the digest for each of so many seeds: {@code groups events seeds}. */
+    /** Prints the digest for each seed up to a number. Arguments: {@code groups events seeds}. */
     public static void main(String[] args) throws java.security.GeneralSecurityException {
         for (int seed = 1; seed <= Integer.parseInt(args[2]); seed++) {
-            RandomEvents day = new RandomEvents(seed, Integer.parseInt(args[0]));
-            String digest = day.play(Integer.parseInt(args[1]));
-            System.out.println(
-                    seed + " " + digest + " sends " + day.sends + " probes " + day.probes + " again " + day.again);
+            RandomEvents events = new RandomEvents(seed, Integer.parseInt(args[0]));
+            String digest = events.run(Integer.parseInt(args[1]));
+            System.out.println(seed + " " + digest + " sends " + events.sends + " probes " + events.probes + " again "
+                    + events.reroutes);
         }
     }
 }
--- a/src/test/java/beaconladder/routing/RoutingPolicyTest.java
+++ b/src/test/java/beaconladder/routing/RoutingPolicyTest.java
@@ -15,15 +15,15 @@
 class RoutingPolicyTest {
     @Test
     void aReadIsQueuedUntilAReplicaIsKnownAtItsTarget() {
-        Script s = Script.warm()
-                .tick(400)
-                .ask(1, SESSION, 100, 2000)
-                .tick(420)
+        Script script = Script.warm()
+                .advanceTo(400)
+                .request(1, SESSION, 100, 2000)
+                .advanceTo(420)
                 .probed("b", Role.REPLICA, 250)
-                .tick(440)
+                .advanceTo(440)
                 .probed("c", Role.REPLICA, 310);
-        assertThat(s.trace()).isEqualTo("""
-                400 ask 1 session
+        assertThat(script.trace()).isEqualTo("""
+                400 request 1 session
                 400 probe c
                 400 probe b
                 440   send 1 to c
@@ -32,15 +32,15 @@
 
     @Test
     void aStalenessBoundIsCheckedAtTheSendSoTheTargetAdvancesWhileQueued() {
-        Script s = Script.warm()
-                .tick(600)
-                .ask(1, BOUNDED, 0, 2000)
-                .tick(650)
+        Script script = Script.warm()
+                .advanceTo(600)
+                .request(1, BOUNDED, 0, 2000)
+                .advanceTo(650)
                 .probed("b", Role.REPLICA, 140)
-                .tick(651)
+                .advanceTo(651)
                 .probed("c", Role.REPLICA, 200);
-        assertThat(s.trace()).isEqualTo("""
-                600 ask 1 bounded
+        assertThat(script.trace()).isEqualTo("""
+                600 request 1 bounded
                 600 probe c
                 600 probe b
                 651   send 1 to c
@@ -49,9 +49,13 @@
 
     @Test
     void aQueuedReadGoesToThePrimaryNearItsExpiry() {
-        Script s = Script.warm().tick(600).quiet().ask(1, BOUNDED, 0, 1000).tick(1000);
-        assertThat(s.trace()).isEqualTo("""
-                600 ask 1 bounded
+        Script script = Script.warm()
+                .advanceTo(600)
+                .clearTrace()
+                .request(1, BOUNDED, 0, 1000)
+                .advanceTo(1000);
+        assertThat(script.trace()).isEqualTo("""
+                600 request 1 bounded
                 600 probe c
                 600 probe b
                 800   send 1 to a
@@ -65,64 +69,64 @@
      */
     @Test
     void aQueuedReadIsReleasedToThePrimaryBeforeItsLatestUsefulSend() {
-        Script s = Script.warm();
+        Script script = Script.warm();
         long t = 0;
         for (int i = 1; i <= 12; i++) {
-            s.ask(i, ANY, 0, 2000).tick(t += 300).end(i, Outcome.COMMITTED, Role.REPLICA, t);
-            s.ask(200 + i, ANY, 0, 2000).tick(t += 300).end(200 + i, Outcome.COMMITTED, Role.REPLICA, t);
-            s.ask(100 + i, WRITE, 0, 2000).tick(t += 40).end(100 + i, Outcome.COMMITTED, Role.PRIMARY, t);
+            script.request(i, ANY, 0, 2000).advanceTo(t += 300).end(i, Outcome.COMMITTED, Role.REPLICA, t);
+            script.request(200 + i, ANY, 0, 2000).advanceTo(t += 300).end(200 + i, Outcome.COMMITTED, Role.REPLICA, t);
+            script.request(100 + i, WRITE, 0, 2000).advanceTo(t += 40).end(100 + i, Outcome.COMMITTED, Role.PRIMARY, t);
         }
-        s.probed("b", Role.REPLICA, t - 900)
+        script.probed("b", Role.REPLICA, t - 900)
                 .probed("c", Role.REPLICA, t - 900)
-                .quiet()
-                .ask(1000, SESSION, 1, 2000);
+                .clearTrace()
+                .request(1000, SESSION, 1, 2000);
         long asked = t;
         for (long at = asked + 10; at <= asked + 2000; at += 10) {
-            s.tick(at).probed("b", Role.REPLICA, asked - 900).probed("c", Role.REPLICA, asked - 900);
+            script.advanceTo(at).probed("b", Role.REPLICA, asked - 900).probed("c", Role.REPLICA, asked - 900);
         }
-        assertThat(s.trace()).contains("send 1000 to a").doesNotContain("reject 1000");
+        assertThat(script.trace()).contains("send 1000 to a").doesNotContain("reject 1000");
     }
 
     @Test
     void ofTwoDrawnReplicasTheLessBusyIsTaken() {
-        Script s = Script.warm()
-                .ask(1, ANY, 0, 2000)
-                .ask(2, ANY, 0, 2000)
-                .ask(3, ANY, 0, 2000)
-                .ask(4, ANY, 0, 2000);
-        assertThat(s.trace()).isEqualTo("""
-                0 ask 1 any
+        Script script = Script.warm()
+                .request(1, ANY, 0, 2000)
+                .request(2, ANY, 0, 2000)
+                .request(3, ANY, 0, 2000)
+                .request(4, ANY, 0, 2000);
+        assertThat(script.trace()).isEqualTo("""
+                0 request 1 any
                 0   send 1 to c
-                0 ask 2 any
+                0 request 2 any
                 0   send 2 to b
-                0 ask 3 any
+                0 request 3 any
                 0   send 3 to b
-                0 ask 4 any
+                0 request 4 any
                 0   send 4 to c
                 """);
     }
 
     @Test
     void aSessionWithItsWritesRememberedHereWaitsForTheirCommit() {
-        Script s = Script.warm("family_info.session_marks=router")
-                .ask(1, SESSION, 0, 2000)
+        Script script = Script.warm("family_info.session_marks=router")
+                .request(1, SESSION, 0, 2000)
                 .end(1, Outcome.COMMITTED, Role.REPLICA, 0)
-                .ask(2, WRITE, 0, 2000)
-                .tick(100)
+                .request(2, WRITE, 0, 2000)
+                .advanceTo(100)
                 .end(2, Outcome.COMMITTED, Role.PRIMARY, 90)
-                .ask(3, SESSION, 0, 2000)
+                .request(3, SESSION, 0, 2000)
                 .probed("c", Role.REPLICA, 89)
                 .probed("b", Role.REPLICA, 90);
-        assertThat(s.trace()).isEqualTo("""
-                0 ask 1 session
+        assertThat(script.trace()).isEqualTo("""
+                0 request 1 session
                 0   send 1 to c
                 0 end 1@c committed
                 0   done 1
-                0 ask 2 write
+                0 request 2 write
                 0   send 2 to a
                 100 end 2@a committed
                 100   done 2
-                100 ask 3 session
+                100 request 3 session
                 100 probe b
                 100 probe c
                 100   send 3 to b
@@ -131,42 +135,42 @@
 
     @Test
     void nothingNewGoesToADrainingOrGoneHost() {
-        Script s = Script.warm()
+        Script script = Script.warm()
                 .list("b", false, Host.State.DRAINING, 0)
-                .ask(1, ANY, 0, 2000)
-                .ask(2, ANY, 0, 2000)
+                .request(1, ANY, 0, 2000)
+                .request(2, ANY, 0, 2000)
                 .list("c", false, Host.State.GONE, 0)
-                .ask(3, ANY, 0, 2000)
-                .tick(10)
+                .request(3, ANY, 0, 2000)
+                .advanceTo(10)
                 .list("a", true, Host.State.DRAINING, 0)
-                .ask(4, WRITE, 0, 400)
-                .tick(500);
-        assertThat(s.trace()).isEqualTo("""
-                0 ask 1 any
+                .request(4, WRITE, 0, 400)
+                .advanceTo(500);
+        assertThat(script.trace()).isEqualTo("""
+                0 request 1 any
                 0   send 1 to c
-                0 ask 2 any
+                0 request 2 any
                 0   send 2 to c
-                0 ask 3 any
-                10 ask 4 write
+                0 request 3 any
+                10 request 4 write
                 400   reject 4
                 """);
     }
 
     @Test
     void ofQueuedRequestsTheOneWithMostTimeLeftGoesFirst() {
-        Script s = Script.warm()
+        Script script = Script.warm()
                 .list("b", false, Host.State.GONE, 0)
                 .list("c", false, Host.State.DRAINING, 0)
                 .list("a", true, Host.State.DRAINING, 0)
-                .ask(1, ANY, 0, 2000)
-                .tick(50)
-                .ask(2, ANY, 0, 2000)
-                .tick(100)
+                .request(1, ANY, 0, 2000)
+                .advanceTo(50)
+                .request(2, ANY, 0, 2000)
+                .advanceTo(100)
                 .list("c", false, Host.State.READY, 0)
-                .tick(101);
-        assertThat(s.trace()).isEqualTo("""
-                0 ask 1 any
-                50 ask 2 any
+                .advanceTo(101);
+        assertThat(script.trace()).isEqualTo("""
+                0 request 1 any
+                50 request 2 any
                 100   send 2 to c
                 100   send 1 to c
                 """);
@@ -174,23 +178,23 @@
 
     @Test
     void aClientsRetryPastItsSlaTimeIsRejectedAtOnce() {
-        Script s = Script.warm("limits.retry_after=true", "limits.max_retry_after_us=500000");
+        Script script = Script.warm("limits.retry_after=true", "limits.max_retry_after_us=500000");
         for (int i = 0; i < 8; i++) {
-            s.ask(i, ANY, 0, 1500).end(i, Outcome.COMMITTED, Role.REPLICA, 0);
+            script.request(i, ANY, 0, 1500).end(i, Outcome.COMMITTED, Role.REPLICA, 0);
         }
-        assertThat(s.quiet().ask(8, ANY, 0, 1100).trace()).isEqualTo("""
-                0 ask 8 any
-                0   reject 8, back in 500
+        assertThat(script.clearTrace().request(8, ANY, 0, 1100).trace()).isEqualTo("""
+                0 request 8 any
+                0   reject 8, retry after 500
                 """);
     }
 
     @Test
     void attemptsOfADisconnectedClientAreCancelled() {
-        Script s = Script.warm().ask(1, ANY, 0, 2000).tick(300).left(1);
-        assertThat(s.trace()).isEqualTo("""
-                0 ask 1 any
+        Script script = Script.warm().request(1, ANY, 0, 2000).advanceTo(300).disconnect(1);
+        assertThat(script.trace()).isEqualTo("""
+                0 request 1 any
                 0   send 1 to c
-                300 left 1
+                300 disconnect 1
                 300   cancel 1@c
                 300   done 1
                 """);
@@ -198,27 +202,27 @@
 
     @Test
     void budgetsUnderTheSlaTimeThatAreCommonAreOfHurriedClients() {
-        Script s = Script.warm();
+        Script script = Script.warm();
         for (int i = 0; i < 12; i++) {
-            s.ask(i, ANY, 0, i % 2 == 0 ? 1500 : 300 + 20 * i).end(i, Outcome.COMMITTED, Role.REPLICA, 0);
+            script.request(i, ANY, 0, i % 2 == 0 ? 1500 : 300 + 20 * i).end(i, Outcome.COMMITTED, Role.REPLICA, 0);
         }
-        assertThat(s.quiet().ask(12, ANY, 0, 400).trace()).isEqualTo("""
-                0 ask 12 any
+        assertThat(script.clearTrace().request(12, ANY, 0, 400).trace()).isEqualTo("""
+                0 request 12 any
                 0   send 12 to c
                 """);
     }
 
     @Test
     void ofTwoDrawnAnAnyReadGoesToTheOneTooFarBehindForOthers() {
-        Script s = Script.warm()
-                .tick(3000)
+        Script script = Script.warm()
+                .advanceTo(3000)
                 .probed("c", Role.REPLICA, 100)
                 .probed("b", Role.REPLICA, 2990)
-                .quiet();
+                .clearTrace();
         for (int i = 0; i < 4; i++) {
-            s.ask(i, ANY, 0, 2000);
+            script.request(i, ANY, 0, 2000);
         }
-        assertThat(s.trace().replaceAll("(?m)^(?!.*send).*\\n", "")).isEqualTo("""
+        assertThat(script.trace().replaceAll("(?m)^(?!.*send).*\\n", "")).isEqualTo("""
                 3000   send 0 to c
                 3000   send 1 to c
                 3000   send 2 to c
@@ -228,16 +232,19 @@
 
     @Test
     void aQueuedRequestIsRejectedWhenMostAnswersWouldComeTooLate() {
-        Script s = Script.warm();
+        Script script = Script.warm();
         for (int i = 0; i < 8; i++) {
-            s.tick(200 * i).ask(i, ANY, 0, 2000).tick(200 * i + 190).end(i, Outcome.COMMITTED);
+            script.advanceTo(200 * i)
+                    .request(i, ANY, 0, 2000)
+                    .advanceTo(200 * i + 190)
+                    .end(i, Outcome.COMMITTED);
         }
-        s.list("a", true, Host.State.DRAINING, 0)
+        script.list("a", true, Host.State.DRAINING, 0)
                 .list("b", false, Host.State.DRAINING, 0)
                 .list("c", false, Host.State.DRAINING, 0)
-                .quiet();
-        assertThat(s.ask(9, ANY, 0, 2000).tick(3000).trace()).isEqualTo("""
-                1590 ask 9 any
+                .clearTrace();
+        assertThat(script.request(9, ANY, 0, 2000).advanceTo(3000).trace()).isEqualTo("""
+                1590 request 9 any
                 2200   reject 9
                 """);
     }
--- a/src/test/java/beaconladder/routing/Script.java
+++ b/src/test/java/beaconladder/routing/Script.java
@@ -13,104 +13,108 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Plays a script of events to the routing policy and prints its decisions, a line each, times in milliseconds. */
+/** Feeds scripted events to a routing policy and traces its decisions, one per line, with times in milliseconds. */
 final class Script {
     static final long MS = 1_000_000L;
-    /** The script starts at this clock, so that positions before it exist. */
-    static final long ZERO = 100_000 * MS;
+    /** The time at which each script starts, so that positions before it exist. */
+    static final long START_NANOS = 100_000 * MS;
 
     static final int ANY = 0;
     static final int BOUNDED = 1;
     static final int SESSION = 2;
     static final int CURRENT = 3;
     static final int WRITE = 4;
-    static final int REFERENCED = 5;
+    static final int WRITE_WITH_KEY = 5;
 
-    final Map<String, String> start = ScriptSettings.usual();
+    final Map<String, String> settings = ScriptSettings.defaults();
     private final Group group = new Group(1);
     private final Map<String, Host> hosts = new LinkedHashMap<>();
-    private final Map<Integer, Request> txns = new HashMap<>();
+    private final Map<Integer, Request> requests = new HashMap<>();
     private final StringBuilder trace = new StringBuilder();
-    private RoutingPolicy logic;
-    private long now = ZERO;
-    private boolean showsClosing;
-    private boolean showsTimes;
+    private RoutingPolicy policy;
+    private long nowNanos = START_NANOS;
+    private boolean closedConnectionsTraced;
+    private boolean timeoutsTraced;
 
-    Script(String... settings) {
-        for (String s : settings) {
-            start.put(s.substring(0, s.indexOf('=')), s.substring(s.indexOf('=') + 1));
+    Script(String... overrides) {
+        for (String override : overrides) {
+            settings.put(override.substring(0, override.indexOf('=')), override.substring(override.indexOf('=') + 1));
         }
-        logic = new RoutingPolicy(7, start);
+        policy = new RoutingPolicy(7, settings);
     }
 
-    /** A group of a (primary by the endpoint list), b and c, all met, replicas at the present. */
-    static Script warm(String... settings) {
-        return new Script(settings)
+    /** Returns a script with a group of a (the listed primary), b and c, which have answered probes at time 0. */
+    static Script warm(String... overrides) {
+        return new Script(overrides)
                 .list("a*", "b", "c")
-                .tick(0)
+                .advanceTo(0)
                 .probed("a", Role.PRIMARY, 0)
                 .probed("b", Role.REPLICA, 0)
                 .probed("c", Role.REPLICA, 0)
-                .quiet();
+                .clearTrace();
     }
 
     Script list(String... entries) {
-        for (String e : entries) {
-            list(e.substring(0, 1), e.endsWith("*"), Host.State.READY, 0);
+        for (String entry : entries) {
+            list(entry.substring(0, 1), entry.endsWith("*"), Host.State.READY, 0);
         }
         return this;
     }
 
-    Script list(String name, boolean leader, Host.State state, long launchedMillis) {
+    Script list(String name, boolean listedAsPrimary, Host.State state, long launchedMillis) {
         Host host = hosts.computeIfAbsent(name, n -> new Host(n.charAt(0), group, 0));
-        logic.updateHost(host, leader, state, launchedMillis == 0 ? 0 : ZERO + launchedMillis * MS, now);
+        policy.updateHost(
+                host, listedAsPrimary, state, launchedMillis == 0 ? 0 : START_NANOS + launchedMillis * MS, nowNanos);
         return this;
     }
 
-    /** Lets time pass to this moment and settles what is due on the way. */
-    Script tick(long millis) {
-        long to = ZERO + millis * MS;
-        long until = settle();
-        while (until <= to) {
-            now = Math.max(now, until);
-            until = settle();
+    /** Advances the time to this number of milliseconds after the start and processes what becomes due. */
+    Script advanceTo(long millis) {
+        long endNanos = START_NANOS + millis * MS;
+        long dueNanos = processDue();
+        while (dueNanos <= endNanos) {
+            nowNanos = Math.max(nowNanos, dueNanos);
+            dueNanos = processDue();
         }
-        now = to;
-        settle();
+        nowNanos = endNanos;
+        processDue();
         return this;
     }
 
-    Script ask(int id, int type, long sinceWriteMillis, long budgetMillis) {
+    Script request(int id, int type, long millisSinceWrite, long budgetMillis) {
         Request request = new Request(
                 id,
-                logic.requestClass(type),
+                policy.requestClass(type),
                 group,
                 9,
-                sinceWriteMillis > 0 ? now - sinceWriteMillis * MS : Long.MIN_VALUE,
+                millisSinceWrite > 0 ? nowNanos - millisSinceWrite * MS : Long.MIN_VALUE,
                 0,
                 false,
-                now,
-                now + budgetMillis * MS,
+                nowNanos,
+                nowNanos + budgetMillis * MS,
                 id);
-        txns.put(id, request);
-        say("ask " + id + " " + request.requestClass.consistency().name().toLowerCase(java.util.Locale.ROOT));
-        act(request, logic.route(request, now));
+        requests.put(id, request);
+        appendLine("request " + id + " "
+                + request.requestClass.consistency().name().toLowerCase(java.util.Locale.ROOT));
+        execute(request, policy.route(request, nowNanos));
         return this;
     }
 
-    /** The newest attempt of this request ends; a position in milliseconds goes with an answer. */
+    /**
+     * Ends the newest attempt in flight of this request, with the role and position (in milliseconds) in its answer.
+     */
     Script end(int id, Outcome outcome, Role role, long positionMillis) {
         Attempt attempt = null;
-        for (Attempt each : txns.get(id).attempts) {
+        for (Attempt each : requests.get(id).attempts) {
             attempt = each.ended ? attempt : each;
         }
         return end(attempt, outcome, role, positionMillis, Role.UNKNOWN, 0);
     }
 
-    /** The same, of an answer that brings a report along. */
+    /** Ends the newest attempt of this request with an answer and the load report that was sent with it. */
     Script end(int id, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
         return end(
-                txns.get(id).attempts.get(txns.get(id).attempts.size() - 1),
+                requests.get(id).attempts.get(requests.get(id).attempts.size() - 1),
                 outcome,
                 role,
                 positionMillis,
@@ -120,35 +124,35 @@
 
     private Script end(
             Attempt attempt, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
-        say("end " + attempt.request.id + "@" + (char) attempt.host.id + " "
+        appendLine("end " + attempt.request.id + "@" + (char) attempt.host.id + " "
                 + outcome.name().toLowerCase(java.util.Locale.ROOT));
-        act(
+        execute(
                 attempt.request,
-                logic.onAttemptEnded(
+                policy.onAttemptEnded(
                         attempt,
                         outcome,
                         outcome == Outcome.COMMITTED,
-                        word(role, positionMillis),
-                        word(reported, reportedMillis),
-                        now));
-        settle();
+                        report(role, positionMillis),
+                        report(reported, reportedMillis),
+                        nowNanos));
+        processDue();
         return this;
     }
 
-    private static HostReport word(Role role, long millis) {
-        return role == Role.UNKNOWN ? HostReport.EMPTY : new HostReport(role, ZERO + millis * MS, -1);
+    private static HostReport report(Role role, long millis) {
+        return role == Role.UNKNOWN ? HostReport.EMPTY : new HostReport(role, START_NANOS + millis * MS, -1);
     }
 
-    /** Of this request's attempts, those out at the named host time out and those elsewhere are committed. */
-    Script silent(String name, int id) {
-        for (Attempt attempt : java.util.List.copyOf(txns.get(id).attempts)) {
+    /** Ends all attempts in flight of this request: those at the named host time out, the others are committed. */
+    Script endAllTimingOutAt(String name, int id) {
+        for (Attempt attempt : java.util.List.copyOf(requests.get(id).attempts)) {
             if (!attempt.ended) {
                 boolean lost = attempt.host == hosts.get(name);
                 end(
                         attempt,
                         lost ? Outcome.TIMED_OUT : Outcome.COMMITTED,
                         lost ? Role.UNKNOWN : Role.REPLICA,
-                        (now - ZERO) / MS,
+                        (nowNanos - START_NANOS) / MS,
                         Role.UNKNOWN,
                         0);
             }
@@ -164,51 +168,52 @@
         return probed(name, role, positionMillis, -1);
     }
 
-    Script probed(String name, Role role, long positionMillis, double holds) {
-        return probed(name, new HostReport(role, ZERO + positionMillis * MS, holds));
+    Script probed(String name, Role role, long positionMillis, double inFlight) {
+        return probed(name, new HostReport(role, START_NANOS + positionMillis * MS, inFlight));
     }
 
-    /** A probe tells of a role alone. */
-    Script found(String name, Role role) {
+    /** Ends a probe of this host whose report has a role only. */
+    Script probedRole(String name, Role role) {
         return probed(name, new HostReport(role, HostReport.NO_POSITION, -1));
     }
 
     private Script probed(String name, HostReport report) {
         hosts.get(name).probeInFlight = true;
-        logic.onHealthCheckEnded(hosts.get(name), Outcome.COMMITTED, report, now);
-        settle();
+        policy.onHealthCheckEnded(hosts.get(name), Outcome.COMMITTED, report, nowNanos);
+        processDue();
         return this;
     }
 
-    /** The client of this request leaves. */
-    Script left(int id) {
-        say("left " + id);
-        act(txns.get(id), logic.onClientDisconnected(txns.get(id), now));
+    /** Disconnects the client of this request. */
+    Script disconnect(int id) {
+        appendLine("disconnect " + id);
+        execute(requests.get(id), policy.onClientDisconnected(requests.get(id), nowNanos));
         return this;
     }
 
-    /** Connections that are closed are traced too, from here on. */
-    Script showClosing() {
-        showsClosing = true;
+    /** Traces the hosts whose idle connections are closed too, from here on. */
+    Script traceClosedConnections() {
+        closedConnectionsTraced = true;
         return this;
     }
 
-    /** The newest attempt of this request has its connection: whether it still stands. */
-    Script stands(int id) {
-        Attempt attempt = txns.get(id).attempts.get(txns.get(id).attempts.size() - 1);
-        say("stands " + id + "@" + (char) attempt.host.id + " "
-                + logic.checkDispatch(attempt, now).isAllowed());
+    /** Traces whether the newest attempt of this request may be sent now. */
+    Script checkDispatch(int id) {
+        Attempt attempt =
+                requests.get(id).attempts.get(requests.get(id).attempts.size() - 1);
+        appendLine("dispatch " + id + "@" + (char) attempt.host.id + " "
+                + policy.checkDispatch(attempt, nowNanos).isAllowed());
         return this;
     }
 
-    /** How long attempts may take is traced too, from here on. */
-    Script showTimes() {
-        showsTimes = true;
+    /** Traces the timeouts of attempts too, from here on. */
+    Script traceTimeouts() {
+        timeoutsTraced = true;
         return this;
     }
 
-    /** Forgets the trace so far. */
-    Script quiet() {
+    /** Deletes the trace so far. */
+    Script clearTrace() {
         trace.setLength(0);
         return this;
     }
@@ -217,29 +222,29 @@
         return trace.toString();
     }
 
-    private long settle() {
+    private long processDue() {
         while (true) {
-            NextWakeup pause = logic.nextWakeup(now);
-            for (Host host : pause.hostsToProbe()) {
-                say("probe " + (char) host.id);
+            NextWakeup wakeup = policy.nextWakeup(nowNanos);
+            for (Host host : wakeup.hostsToProbe()) {
+                appendLine("probe " + (char) host.id);
             }
-            for (Host host : showsClosing ? pause.hostsToDisconnect() : java.util.List.<Host>of()) {
-                say("close " + (char) host.id);
+            for (Host host : closedConnectionsTraced ? wakeup.hostsToDisconnect() : java.util.List.<Host>of()) {
+                appendLine("close " + (char) host.id);
             }
-            if (pause.requestsToRoute().isEmpty()) {
-                return pause.dueNanos() <= now ? now + MS : pause.dueNanos();
+            if (wakeup.requestsToRoute().isEmpty()) {
+                return wakeup.dueNanos() <= nowNanos ? nowNanos + MS : wakeup.dueNanos();
             }
-            for (Request request : pause.requestsToRoute()) {
+            for (Request request : wakeup.requestsToRoute()) {
                 if (!request.ended) {
-                    act(request, logic.route(request, now));
+                    execute(request, policy.route(request, nowNanos));
                 }
             }
         }
     }
 
-    private void act(Request request, RoutingDecision decision) {
+    private void execute(Request request, RoutingDecision decision) {
         for (Attempt attempt : decision.attemptsToCancel()) {
-            say("  cancel " + request.id + "@" + (char) attempt.host.id);
+            appendLine("  cancel " + request.id + "@" + (char) attempt.host.id);
         }
         switch (decision.step()) {
             case SEND -> {
@@ -247,28 +252,28 @@
                         request,
                         request.attempts.size(),
                         decision.host(),
-                        now,
+                        nowNanos,
                         decision.host().inFlight.size() + 1);
                 request.attempts.add(attempt);
                 attempt.host.inFlight.add(attempt);
-                say("  send " + request.id + " to " + (char) attempt.host.id
-                        + (showsTimes ? " for " + decision.timeoutNanos() / MS : ""));
+                appendLine("  send " + request.id + " to " + (char) attempt.host.id
+                        + (timeoutsTraced ? " for " + decision.timeoutNanos() / MS : ""));
             }
             case WAIT -> {}
             default -> {
                 request.ended = true;
-                say("  "
+                appendLine("  "
                         + decision.step()
                                 .name()
                                 .toLowerCase(java.util.Locale.ROOT)
                                 .replace('_', ' ') + " "
                         + request.id
-                        + (decision.retryAfterNanos() > 0 ? ", back in " + decision.retryAfterNanos() / MS : ""));
+                        + (decision.retryAfterNanos() > 0 ? ", retry after " + decision.retryAfterNanos() / MS : ""));
             }
         }
     }
 
-    private void say(String line) {
-        trace.append((now - ZERO) / MS).append(' ').append(line).append('\n');
+    private void appendLine(String line) {
+        trace.append((nowNanos - START_NANOS) / MS).append(' ').append(line).append('\n');
     }
 }
--- a/src/test/java/beaconladder/routing/SlowStartTest.java
+++ b/src/test/java/beaconladder/routing/SlowStartTest.java
@@ -18,28 +18,32 @@
      */
     @Test
     void aHostInSlowStartGetsItsShareOfAWarmMembersLoad() {
-        Script s = Script.warm("rules.cold_share=0.5", "rules.warm_within_us=600000000", "rules.fall_multiple=3")
-                .tick(10)
+        Script script = Script.warm("rules.cold_share=0.5", "rules.warm_within_us=600000000", "rules.fall_multiple=3")
+                .advanceTo(10)
                 .list("b", false, Host.State.READY, 10)
                 .list("c", false, Host.State.READY, 10)
-                .tick(20)
+                .advanceTo(20)
                 .probed("b", Role.REPLICA, 20)
                 .probed("c", Role.REPLICA, 20)
-                .quiet();
+                .clearTrace();
         int cold = 0;
         long t = 20;
         for (int i = 1; i <= 200; i++) {
             t += 50;
-            s.tick(t).probed("b", Role.REPLICA, t).probed("c", Role.REPLICA, t).ask(i, ANY, 0, 2000);
-            while (!s.trace().contains("send " + i + " ") && !s.trace().contains("reject " + i)) {
-                s.tick(++t);
+            script.advanceTo(t)
+                    .probed("b", Role.REPLICA, t)
+                    .probed("c", Role.REPLICA, t)
+                    .request(i, ANY, 0, 2000);
+            while (!script.trace().contains("send " + i + " ")
+                    && !script.trace().contains("reject " + i)) {
+                script.advanceTo(++t);
             }
-            boolean sent = s.trace().contains("send " + i + " ");
-            cold += sent && !s.trace().contains("send " + i + " to a") ? 1 : 0;
+            boolean sent = script.trace().contains("send " + i + " ");
+            cold += sent && !script.trace().contains("send " + i + " to a") ? 1 : 0;
             if (sent) {
-                s.end(i, Outcome.COMMITTED, Role.REPLICA, t);
+                script.end(i, Outcome.COMMITTED, Role.REPLICA, t);
             }
-            s.quiet();
+            script.clearTrace();
         }
         // Each warming-up replica may have half of what the primary bears: half of the reads, at the most.
         assertThat(cold).isBetween(85, 115);
@@ -52,23 +56,24 @@
      */
     @Test
     void theTicketsOfAPrimaryInSlowStartGoToTheRequestsThatNeedIt() {
-        Script s = Script.warm("rules.cold_share=0.2", "rules.warm_within_us=360000000000", "rules.fall_multiple=3")
-                .tick(10)
+        Script script = Script.warm(
+                        "rules.cold_share=0.2", "rules.warm_within_us=360000000000", "rules.fall_multiple=3")
+                .advanceTo(10)
                 .list("a", true, Host.State.READY, 10)
-                .tick(20)
+                .advanceTo(20)
                 .probed("a", Role.PRIMARY, 20)
-                .quiet();
+                .clearTrace();
         int sent = 0;
         long t = 20;
         for (int i = 1; i <= 500; i++) {
             t += 1_200;
-            s.tick(t).probed("c", Role.REPLICA, t).probed("b", Role.REPLICA, t);
-            s.probed("a", Role.PRIMARY, t).ask(i, i % 5 == 0 ? WRITE : ANY, 0, 2000);
-            if (s.trace().contains("send " + i + " ")) {
+            script.advanceTo(t).probed("c", Role.REPLICA, t).probed("b", Role.REPLICA, t);
+            script.probed("a", Role.PRIMARY, t).request(i, i % 5 == 0 ? WRITE : ANY, 0, 2000);
+            if (script.trace().contains("send " + i + " ")) {
                 sent += i % 5 == 0 ? 1 : 0;
-                s.end(i, Outcome.COMMITTED, i % 5 == 0 ? Role.PRIMARY : Role.REPLICA, t);
+                script.end(i, Outcome.COMMITTED, i % 5 == 0 ? Role.PRIMARY : Role.REPLICA, t);
             }
-            s.quiet();
+            script.clearTrace();
         }
         // A warm replica bears two fifths of the requests and the warming-up primary may have a fifth of that: one in
         // twelve, which is two in five of the hundred writes. With tickets that reads drew it was none.
@@ -77,45 +82,45 @@
 
     @Test
     void aHostInSlowStartIsSentToOnlyWithTickets() {
-        Script s = Script.warm()
-                .tick(10)
+        Script script = Script.warm()
+                .advanceTo(10)
                 .list("b", false, Host.State.READY, 10)
-                .tick(11)
+                .advanceTo(11)
                 .probed("b", Role.REPLICA, 10)
-                .quiet();
+                .clearTrace();
         for (int i = 0; i < 8; i++) {
-            s.ask(i, ANY, 0, 2000).end(i, Outcome.COMMITTED, Role.REPLICA, 11);
+            script.request(i, ANY, 0, 2000).end(i, Outcome.COMMITTED, Role.REPLICA, 11);
         }
-        assertThat(s.trace()).isEqualTo("""
-                11 ask 0 any
+        assertThat(script.trace()).isEqualTo("""
+                11 request 0 any
                 11   send 0 to c
                 11 end 0@c committed
                 11   done 0
-                11 ask 1 any
+                11 request 1 any
                 11   send 1 to b
                 11 end 1@b committed
                 11   done 1
-                11 ask 2 any
+                11 request 2 any
                 11   send 2 to c
                 11 end 2@c committed
                 11   done 2
-                11 ask 3 any
+                11 request 3 any
                 11   send 3 to c
                 11 end 3@c committed
                 11   done 3
-                11 ask 4 any
+                11 request 4 any
                 11   send 4 to c
                 11 end 4@c committed
                 11   done 4
-                11 ask 5 any
+                11 request 5 any
                 11   send 5 to c
                 11 end 5@c committed
                 11   done 5
-                11 ask 6 any
+                11 request 6 any
                 11   send 6 to c
                 11 end 6@c committed
                 11   done 6
-                11 ask 7 any
+                11 request 7 any
                 11   send 7 to c
                 11 end 7@c committed
                 11   done 7
--- a/src/test/java/beaconladder/routing/StaleReadTest.java
+++ b/src/test/java/beaconladder/routing/StaleReadTest.java
@@ -21,54 +21,54 @@
      */
     @Test
     void aReportThatIsOlderThanItsAnswerDoesNotBringAPrimaryBack() {
-        Script s = Script.warm()
-                .tick(100)
-                .ask(1, WRITE, 0, 2000)
-                .tick(2_600)
+        Script script = Script.warm()
+                .advanceTo(100)
+                .request(1, WRITE, 0, 2000)
+                .advanceTo(2_600)
                 .end(1, Outcome.ERROR, Role.REPLICA, 90, Role.PRIMARY, 90)
-                .quiet()
-                .ask(2, BOUNDED, 0, 900)
-                .ask(3, WRITE, 0, 900)
-                .tick(2_700);
-        assertThat(s.trace()).doesNotContain("to a").contains("ask 2 bounded", "ask 3 write", "probe");
+                .clearTrace()
+                .request(2, BOUNDED, 0, 900)
+                .request(3, WRITE, 0, 900)
+                .advanceTo(2_700);
+        assertThat(script.trace()).doesNotContain("to a").contains("request 2 bounded", "request 3 write", "probe");
         // It is asked, and says itself, later on, that it is the primary again.
-        s.probed("a", Role.PRIMARY, 2_690);
-        assertThat(s.trace()).contains("send 3 to a");
+        script.probed("a", Role.PRIMARY, 2_690);
+        assertThat(script.trace()).contains("send 3 to a");
     }
 
     @Test
     void norDoesOneThatComesWithTheAnswerOfAMemberThatNobodyTookForThePrimary() {
-        Script s = Script.warm()
-                .tick(100)
+        Script script = Script.warm()
+                .advanceTo(100)
                 .probed("b", Role.PRIMARY, 99)
-                .ask(1, ANY, 0, 2000)
-                .tick(110);
-        String host = s.trace().replaceAll("(?s).*send 1 to (.).*", "$1");
-        s.probed("b", Role.REPLICA, 109)
+                .request(1, ANY, 0, 2000)
+                .advanceTo(110);
+        String host = script.trace().replaceAll("(?s).*send 1 to (.).*", "$1");
+        script.probed("b", Role.REPLICA, 109)
                 .end(1, Outcome.COMMITTED, Role.REPLICA, 105, Role.PRIMARY, 105)
-                .quiet()
-                .ask(2, WRITE, 0, 900);
+                .clearTrace()
+                .request(2, WRITE, 0, 900);
         assertThat(host).isIn("a", "c");
-        assertThat(s.trace()).doesNotContain("send 2 to " + host);
+        assertThat(script.trace()).doesNotContain("send 2 to " + host);
     }
 
     /** Lists name a primary seconds after it was one. */
     @Test
     void aLateListDoesNotBringAPrimaryBackThatHasDeniedIt() {
         for (String probes : new String[] {"true", "false"}) {
-            Script s = Script.warm("limits.probes=" + probes)
-                    .tick(100)
-                    .ask(1, WRITE, 0, 2000)
-                    .tick(110)
+            Script script = Script.warm("limits.probes=" + probes)
+                    .advanceTo(100)
+                    .request(1, WRITE, 0, 2000)
+                    .advanceTo(110)
                     .end(1, Outcome.MISS, Role.REPLICA, 90)
                     .list("b", true, State.READY, 0)
                     .probed("b", Role.REPLICA, 109)
                     .list("a", true, State.READY, 0)
-                    .quiet()
-                    .ask(2, WRITE, 0, 900)
-                    .tick(120);
-            assertThat(s.trace()).as(probes).contains("ask 2").doesNotContain("to a");
-            assertThat(s.trace().contains("probe a")).as(probes).isEqualTo(probes.equals("true"));
+                    .clearTrace()
+                    .request(2, WRITE, 0, 900)
+                    .advanceTo(120);
+            assertThat(script.trace()).as(probes).contains("request 2").doesNotContain("to a");
+            assertThat(script.trace().contains("probe a")).as(probes).isEqualTo(probes.equals("true"));
         }
     }
 
@@ -76,27 +76,27 @@
     @Test
     void aPrimaryWhoseAnswerWasNotHeardIsAskedBeforeAReadGoesThere() {
         for (Outcome outcome : new Outcome[] {Outcome.RESET, Outcome.TIMED_OUT, Outcome.CANCELLED}) {
-            Script s = Script.warm()
-                    .tick(400)
-                    .ask(1, WRITE, 0, 2000)
-                    .tick(430)
+            Script script = Script.warm()
+                    .advanceTo(400)
+                    .request(1, WRITE, 0, 2000)
+                    .advanceTo(430)
                     .end(1, outcome)
-                    .quiet()
-                    .ask(2, CURRENT, 0, 900)
-                    .tick(431);
-            assertThat(s.trace()).as(outcome.name()).contains("probe").doesNotContain("send 2");
+                    .clearTrace()
+                    .request(2, CURRENT, 0, 900)
+                    .advanceTo(431);
+            assertThat(script.trace()).as(outcome.name()).contains("probe").doesNotContain("send 2");
             // Where the host is suspect beside it, a draw decides what comes then.
-            s.tick(440).probed("a", Role.PRIMARY, 439);
-            assertThat(s.trace().contains("send 2 to a")).isEqualTo(outcome == Outcome.CANCELLED);
+            script.advanceTo(440).probed("a", Role.PRIMARY, 439);
+            assertThat(script.trace().contains("send 2 to a")).isEqualTo(outcome == Outcome.CANCELLED);
         }
         // What surely did not reach it can't have been answered.
         assertThat(Script.warm()
-                        .tick(100)
-                        .ask(1, WRITE, 0, 2000)
-                        .tick(130)
+                        .advanceTo(100)
+                        .request(1, WRITE, 0, 2000)
+                        .advanceTo(130)
                         .end(1, Outcome.MOOT)
-                        .quiet()
-                        .ask(2, CURRENT, 0, 900)
+                        .clearTrace()
+                        .request(2, CURRENT, 0, 900)
                         .trace())
                 .contains("send 2 to a");
     }
@@ -107,35 +107,35 @@
      */
     @Test
     void whileAWriteIsOutItsSessionsReadsNeedWhatItMayHaveCommittedAMomentAgo() {
-        Script s = Script.warm("family_info.session_marks=router")
-                .ask(1, WRITE, 0, 2000)
-                .tick(30)
-                .ask(2, SESSION, 0, 2000)
-                .tick(31)
+        Script script = Script.warm("family_info.session_marks=router")
+                .request(1, WRITE, 0, 2000)
+                .advanceTo(30)
+                .request(2, SESSION, 0, 2000)
+                .advanceTo(31)
                 .end(2, Outcome.COMMITTED, Role.REPLICA, 20)
-                .tick(400)
-                .quiet()
-                .ask(3, SESSION, 0, 1600)
+                .advanceTo(400)
+                .clearTrace()
+                .request(3, SESSION, 0, 1600)
                 .probed("b", Role.REPLICA, 330);
-        assertThat(s.trace()).contains("ask 3 session").doesNotContain("send 3");
-        s.tick(410).probed("b", Role.REPLICA, 370);
-        assertThat(s.trace()).contains("send 3 to b");
+        assertThat(script.trace()).contains("request 3 session").doesNotContain("send 3");
+        script.advanceTo(410).probed("b", Role.REPLICA, 370);
+        assertThat(script.trace()).contains("send 3 to b");
     }
 
     @Test
     void anAnswerThatNeverCameCountsAsACommitUpToTheWritesEnd() {
         for (Outcome outcome : List.of(Outcome.RESET, Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.ERROR)) {
-            Script s = Script.warm("family_info.session_marks=router")
-                    .ask(1, WRITE, 0, 2000)
-                    .tick(300)
+            Script script = Script.warm("family_info.session_marks=router")
+                    .request(1, WRITE, 0, 2000)
+                    .advanceTo(300)
                     .end(1, outcome)
-                    .tick(1_000)
-                    .quiet()
-                    .ask(2, SESSION, 0, 1600)
+                    .advanceTo(1_000)
+                    .clearTrace()
+                    .request(2, SESSION, 0, 1600)
                     .probed("b", Role.REPLICA, 299);
-            assertThat(s.trace()).as(outcome.name()).doesNotContain("send 2");
-            s.probed("c", Role.REPLICA, 300);
-            assertThat(s.trace()).as(outcome.name()).contains("send 2 to c");
+            assertThat(script.trace()).as(outcome.name()).doesNotContain("send 2");
+            script.probed("c", Role.REPLICA, 300);
+            assertThat(script.trace()).as(outcome.name()).contains("send 2 to c");
         }
     }
 
@@ -143,15 +143,15 @@
     @Test
     void aWriteThatDidNotRunBindsNoRead() {
         for (Outcome outcome : new Outcome[] {Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT}) {
-            Script s = Script.warm("family_info.session_marks=router", "limits.max_attempts=1")
-                    .ask(1, WRITE, 0, 2000)
-                    .tick(10)
+            Script script = Script.warm("family_info.session_marks=router", "limits.max_attempts=1")
+                    .request(1, WRITE, 0, 2000)
+                    .advanceTo(10)
                     .end(1, outcome)
-                    .tick(100)
-                    .quiet()
-                    .ask(2, SESSION, 0, 1600)
+                    .advanceTo(100)
+                    .clearTrace()
+                    .request(2, SESSION, 0, 1600)
                     .probed("b", Role.REPLICA, 5);
-            assertThat(s.trace()).as(outcome.name()).contains("send 2");
+            assertThat(script.trace()).as(outcome.name()).contains("send 2");
         }
     }
 }
