--- a/src/main/java/beaconladder/routing/ConcurrencyLimit.java
+++ b/src/main/java/beaconladder/routing/ConcurrencyLimit.java
@@ -15,7 +15,7 @@
     private static final int MIN_SAMPLES = 4;
     /** Fewer response times with a reported load than this are no basis for a prediction. */
     private static final int MIN_LOAD_SAMPLES = 8;
-    /** How many requests all routers together have in flight at a host without response times. */
+    /** How many requests all routers together may have in flight at a host without response times. */
     private static final int UNMEASURED_LIMIT = 6;
     /**
      * The share of the latency objective that the predicted response time may reach. Work takes about a fifth of the
@@ -27,7 +27,10 @@
     private static final double YIELDING_OBJECTIVE_SHARE = 0.2;
     /** The share of the remaining time that the predicted response time may reach. */
     private static final double REMAINING_TIME_SHARE = 0.6;
-    /** How many requests all routers together have in flight at a primary at least; they keep a small one busy. */
+    /**
+     * How many requests all routers together may have in flight at a primary even if its response times exceed the
+     * limit; they keep a small one busy.
+     */
     private static final int MIN_CONCURRENCY_PRIMARY = 9;
     /** The same at a replica, which has to apply the log too. */
     private static final int MIN_CONCURRENCY_REPLICA = 3;
@@ -100,10 +103,10 @@
     }
 
     private boolean hasCapacityByResponseTimes(Host host, Request request, long remainingNanos, long now) {
-        long since = now - RECENT_PERIOD_NANOS;
-        boolean recent = host.responseTimes.countSince(since) >= MIN_SAMPLES;
-        double meanNanos = recent ? host.responseTimes.mean(since) : host.responseTimes.mean();
-        double usualConcurrency = Math.max(1, recent ? host.responseTimes.meanLoad(since) : 1);
+        long periodStartNanos = now - RECENT_PERIOD_NANOS;
+        boolean recent = host.responseTimes.countSince(periodStartNanos) >= MIN_SAMPLES;
+        double meanNanos = recent ? host.responseTimes.mean(periodStartNanos) : host.responseTimes.mean();
+        double usualConcurrency = Math.max(1, recent ? host.responseTimes.meanLoad(periodStartNanos) : 1);
         int inFlight = host.inFlight.size();
         int unfinished = inFlight + host.abandoned.size();
         double objectiveShare = yieldsToBoundedReads(host, request) ? YIELDING_OBJECTIVE_SHARE : OBJECTIVE_SHARE;
--- a/src/main/java/beaconladder/routing/DeadlinePolicy.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -40,6 +40,7 @@
     /** An outage this many times as long as the time left ends within that time with a chance of 1 / 3.3 = 0.3. */
     private static final double OUTAGE_FACTOR = 2.3;
 
+    /** The longest time between two routings of a queued request that waits for no probe. */
     private static final long QUEUED_CHECK_NANOS = 100 * MILLISECOND;
     private static final long MIN_WAKEUP_DELAY_NANOS = 5 * MILLISECOND;
 
@@ -53,26 +54,26 @@
      * scatter of retries explains belong to clients whose first tries have little time.
      */
     long slaEndNanos(Request request) {
-        long budget = request.expiryNanos - request.arrivedNanos;
+        long budgetNanos = request.expiryNanos - request.arrivedNanos;
         SampleWindow budgets = request.requestClass.budgets();
-        budgets.add(budget, 0, request.arrivedNanos);
-        long firstTryBudget = budgets.densestClusterMiddle(BUDGET_TOLERANCE_NANOS);
+        budgets.add(budgetNanos, 0, request.arrivedNanos);
+        long firstTryBudgetNanos = budgets.densestClusterMiddle(BUDGET_TOLERANCE_NANOS);
         boolean retriesMarked = traffic.settings.clientsMarkRetries();
         boolean usualBudget =
-                budgets.size() < MIN_BUDGETS || Math.abs(budget - firstTryBudget) <= BUDGET_TOLERANCE_NANOS;
-        long sla = request.requestClass.slaNanos();
-        boolean shortFirstTry = budget < sla
-                && budgets.countBetween(0, sla) * (firstTryBudget - sla)
+                budgets.size() < MIN_BUDGETS || Math.abs(budgetNanos - firstTryBudgetNanos) <= BUDGET_TOLERANCE_NANOS;
+        long slaNanos = request.requestClass.slaNanos();
+        boolean shortFirstTry = budgetNanos < slaNanos
+                && budgets.countBetween(0, slaNanos) * (firstTryBudgetNanos - slaNanos)
                         > SHORT_BUDGET_FACTOR
-                                * budgets.countBetween(sla, firstTryBudget - BUDGET_TOLERANCE_NANOS)
-                                * sla;
+                                * budgets.countBetween(slaNanos, firstTryBudgetNanos - BUDGET_TOLERANCE_NANOS)
+                                * slaNanos;
         boolean firstTry = retriesMarked ? !request.retriedByClient : usualBudget || shortFirstTry;
         long elapsedNanos = firstTry
                 ? 0
                 : usualBudget
-                        ? (long) (sla * traffic.disconnectWaits.mean() / 1_000)
-                        : Math.max(0, request.requestClass.timeoutNanos() - budget);
-        return Math.min(request.arrivedNanos + sla - elapsedNanos, request.expiryNanos);
+                        ? (long) (slaNanos * traffic.disconnectWaits.mean() / 1_000)
+                        : Math.max(0, request.requestClass.timeoutNanos() - budgetNanos);
+        return Math.min(request.arrivedNanos + slaNanos - elapsedNanos, request.expiryNanos);
     }
 
     /**
@@ -80,27 +81,27 @@
      * time that they recently waited.
      */
     double latencyObjectiveNanos(Request request, long now) {
-        long since = now - DISCONNECT_PERIOD_NANOS;
+        long periodStartNanos = now - DISCONNECT_PERIOD_NANOS;
         // Single clients disconnect at any time; three in ten within ten seconds show that clients wait less long.
-        return traffic.disconnectWaits.countSince(since)
-                        >= Math.max(MIN_DISCONNECTS, DISCONNECT_SHARE * traffic.commits.countSince(since))
-                ? request.requestClass.slaNanos() * Math.min(1, traffic.disconnectWaits.mean(since) / 1_000)
+        return traffic.disconnectWaits.countSince(periodStartNanos)
+                        >= Math.max(MIN_DISCONNECTS, DISCONNECT_SHARE * traffic.commits.countSince(periodStartNanos))
+                ? request.requestClass.slaNanos() * Math.min(1, traffic.disconnectWaits.mean(periodStartNanos) / 1_000)
                 : request.requestClass.slaNanos();
     }
 
     /**
      * Returns when a queued read may go to the primary: one SLA time before its expiry, or earlier where the primary's
-     * answer would otherwise be late. One and a half typical response times cover two answers in three. The time is at
-     * most one round before the last useful send, which slow replicas can move ahead of the fallback: a request that is
-     * released after its last useful send is not sent.
+     * answer would otherwise be late. One and a half typical response times cover two answers in three. The time is no
+     * later than one round before the last useful send, which slow replicas can move ahead of the fallback: a request
+     * that is released after its last useful send is not sent.
      */
     long primaryFallbackNanos(Request request) {
         Host primary = request.group.primary;
-        long answer = primary == null || request.group.responseTimes.size() == 0
+        long primaryResponseNanos = primary == null || request.group.responseTimes.size() == 0
                 ? 0
                 : outliers.typicalResponseNanos(primary) * 3 / 2;
         return Math.min(
-                Math.min(request.expiryNanos - request.requestClass.slaNanos(), request.slaEndNanos - answer),
+                Math.min(request.expiryNanos - request.requestClass.slaNanos(), request.slaEndNanos - primaryResponseNanos),
                 latestUsefulSendNanos(request) - roundNanos());
     }
 
@@ -113,9 +114,9 @@
         if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return latestSafeSendNanos(request);
         }
-        long end = request.requestClass.lateShare() > WORTHWHILE_LATE_SHARE ? request.expiryNanos : request.slaEndNanos;
+        long usefulUntilNanos = request.requestClass.lateShare() > WORTHWHILE_LATE_SHARE ? request.expiryNanos : request.slaEndNanos;
         return Math.min(
-                end - request.group.responseTimes.quantile(EXPECTED_RESPONSE_QUANTILE), responseDeadlineNanos(request));
+                usefulUntilNanos - request.group.responseTimes.quantile(EXPECTED_RESPONSE_QUANTILE), responseDeadlineNanos(request));
     }
 
     /**
@@ -128,14 +129,14 @@
         Host primary = request.group.primary;
         boolean recent =
                 primary != null && primary.newestResponseAtNanos >= request.arrivedNanos - RECENT_RESPONSE_NANOS;
-        long answer = Math.max(
+        long responseNanos = Math.max(
                 recent ? primary.newestResponseDurationNanos : 0,
                 request.group.responseTimes.quantile(EXPECTED_RESPONSE_QUANTILE));
         // A host may silently drop a write after the timeout stated to it, which is earlier by the margin.
-        long last =
-                answer == 0 ? responseDeadlineNanos(request) : responseDeadlineNanos(request) - TIMEOUT_MARGIN_NANOS;
-        return (request.requestClass.lateShare() > WORTHWHILE_LATE_SHARE ? last : Math.min(request.slaEndNanos, last))
-                - answer;
+        long latestResponseNanos =
+                responseNanos == 0 ? responseDeadlineNanos(request) : responseDeadlineNanos(request) - TIMEOUT_MARGIN_NANOS;
+        return (request.requestClass.lateShare() > WORTHWHILE_LATE_SHARE ? latestResponseNanos : Math.min(request.slaEndNanos, latestResponseNanos))
+                - responseNanos;
     }
 
     /**
@@ -147,13 +148,13 @@
     boolean isPrimaryOutageTooLong(Request request, long now) {
         Host primary = request.group.primary;
         boolean lost = primary == null || !primary.contacted || outliers.isSuspect(primary, now);
-        long since = primary == null ? request.group.primaryLostNanos : primary.lastResponseNanos;
+        long lostSinceNanos = primary == null ? request.group.primaryLostNanos : primary.lastResponseNanos;
         return lost
-                && since != UNSET
+                && lostSinceNanos != UNSET
                 && request.requestClass.consistency().dependsOnPrimary()
                 && request.attempts.isEmpty()
                 && now >= halfTimeNanos(request)
-                && now - since > OUTAGE_FACTOR * (latestUsefulSendNanos(request) - now);
+                && now - lostSinceNanos > OUTAGE_FACTOR * (latestUsefulSendNanos(request) - now);
     }
 
     private long halfTimeNanos(Request request) {
@@ -162,9 +163,9 @@
 
     /** Returns how long an attempt may take, in nanoseconds; late answers without any weight are not waited for. */
     long attemptTimeoutNanos(Request request, long now) {
-        boolean late =
+        boolean lateAnswerUseful =
                 request.requestClass.lateShare() > 0 || request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
-        return (late ? responseDeadlineNanos(request) : Math.min(request.slaEndNanos, responseDeadlineNanos(request)))
+        return (lateAnswerUseful ? responseDeadlineNanos(request) : Math.min(request.slaEndNanos, responseDeadlineNanos(request)))
                 - now;
     }
 
@@ -186,13 +187,13 @@
 
     /** Returns when a queued request has to be routed again even if no event concerns it. */
     long nextWakeupNanos(Request request, long now) {
-        long wakeup = latestUsefulSendNanos(request);
-        for (long moment : new long[] {primaryFallbackNanos(request), halfTimeNanos(request)}) {
-            wakeup = now < moment ? Math.min(wakeup, moment) : wakeup;
+        long wakeupNanos = latestUsefulSendNanos(request);
+        for (long timeNanos : new long[] {primaryFallbackNanos(request), halfTimeNanos(request)}) {
+            wakeupNanos = now < timeNanos ? Math.min(wakeupNanos, timeNanos) : wakeupNanos;
         }
         // Trials of suspect hosts and tickets for hosts in slow start become available by the passing of time alone.
         long maxDelayNanos =
                 request.probeNeed == Request.ProbeNeed.NONE ? QUEUED_CHECK_NANOS : OutlierDetector.PROBE_TIMEOUT_NANOS;
-        return Math.max(now + MIN_WAKEUP_DELAY_NANOS, Math.min(wakeup, now + maxDelayNanos));
+        return Math.max(now + MIN_WAKEUP_DELAY_NANOS, Math.min(wakeupNanos, now + maxDelayNanos));
     }
 }
--- a/src/main/java/beaconladder/routing/HealthCheckScheduler.java
+++ b/src/main/java/beaconladder/routing/HealthCheckScheduler.java
@@ -42,6 +42,7 @@
     private static final long MIN_PROBE_INTERVAL_NANOS = 100 * MILLISECOND;
 
     private static final int MAX_DOUBLINGS = 5;
+    /** The longest interval after failures, and the longest while the host must lag. */
     private static final long MAX_FAILURE_INTERVAL_NANOS = 2_000 * MILLISECOND;
     private static final long MAX_LAG_INTERVAL_NANOS = 1_000 * MILLISECOND;
 
@@ -85,6 +86,7 @@
         return toProbe;
     }
 
+    /** Returns the number of probes in the group that are still expected to be answered. */
     private int countPendingAnswers(Group group, long now) {
         int pending = 0;
         for (Host host : group.members) {
@@ -107,6 +109,7 @@
                         + Math.min(OutlierDetector.REPORT_MAX_AGE_NANOS, traffic.reportedLags.quantile(0.5));
     }
 
+    /** Returns the hosts whose report could help this request, in the order in which to probe them. */
     private List<Host> candidates(Request request, long now) {
         List<Host> candidates = new ArrayList<>();
         Group group = request.group;
--- a/src/main/java/beaconladder/routing/OutlierDetector.java
+++ b/src/main/java/beaconladder/routing/OutlierDetector.java
@@ -60,14 +60,14 @@
      * as well, and no host is avoided for it. The drawback is that a single heavy request at a host counts against it.
      */
     double successProbability(Host host, long now) {
-        long since = now - OUTCOME_PERIOD_NANOS;
-        int successes = (int) host.successes.sumSince(since);
-        int failures = host.successes.countSince(since) - successes;
+        long periodStartNanos = now - OUTCOME_PERIOD_NANOS;
+        int successes = (int) host.successes.sumSince(periodStartNanos);
+        int failures = host.successes.countSince(periodStartNanos) - successes;
         for (Attempt attempt : host.inFlight) {
             failures += now - attempt.sentNanos > attempt.request.requestClass.slaNanos() ? 1 : 0;
         }
-        double backgroundFailureRate = (PRIOR_FAILURES + traffic.failuresAtLiveHosts.sumSince(since))
-                / (PRIOR_OUTCOMES + traffic.failuresAtLiveHosts.countSince(since));
+        double backgroundFailureRate = (PRIOR_FAILURES + traffic.failuresAtLiveHosts.sumSince(periodStartNanos))
+                / (PRIOR_OUTCOMES + traffic.failuresAtLiveHosts.countSince(periodStartNanos));
         double faultyLikelihood =
                 FAULTY_PRIOR * Math.pow(FAULTY_FAILURE_RATE, failures) * Math.pow(FAULTY_SUCCESS_RATE, successes);
         double healthyLikelihood = HEALTHY_PRIOR
@@ -134,8 +134,8 @@
 
     /** Records the response time with the load that the host had reported, if that was recent at the send. */
     void recordResponseTime(Attempt attempt, long now) {
-        if (attempt.hostInFlight >= 0 && attempt.sentNanos - attempt.hostReportNanos <= REPORT_MAX_AGE_NANOS) {
-            traffic.responseTimesByLoad.add(now - attempt.sentNanos, Math.round(attempt.hostInFlight), now);
+        if (attempt.hostReportedInFlight >= 0 && attempt.sentNanos - attempt.hostReportNanos <= REPORT_MAX_AGE_NANOS) {
+            traffic.responseTimesByLoad.add(now - attempt.sentNanos, Math.round(attempt.hostReportedInFlight), now);
         }
     }
 }
--- a/src/main/java/beaconladder/routing/PriorityWeights.java
+++ b/src/main/java/beaconladder/routing/PriorityWeights.java
@@ -12,7 +12,7 @@
     private static final int MAX_PROBE_BUDGET = 1_000;
     /** The share of a request's weight up to which two probes ahead of a send are cheap. */
     private static final double CHEAP_PROBES_SHARE = 0.03;
-    /** Fewer results than this are no basis for a share in time. */
+    /** With fewer results than this, the share of a class that is served within the SLA time is not known. */
     private static final int MIN_SLA_RESULTS = 8;
     /** The share of the recent weight that a request class counts for at least. */
     private static final double MIN_CLASS_SHARE = 0.05;
--- a/src/main/java/beaconladder/routing/RoutingPolicy.java
+++ b/src/main/java/beaconladder/routing/RoutingPolicy.java
@@ -119,7 +119,7 @@
             boolean ticketUsed = decision.host().slowStartTickets.pollFirst() != null;
             readPositions.recordSend(request);
             wakeups.schedule(request, now + outliers.typicalResponseNanos(decision.host()));
-            if (slowStart.isWarmingUp(decision.host(), now)) {
+            if (slowStart.isInSlowStart(decision.host(), now)) {
                 return decision.withTicket(ticketUsed ? SlowStartTicket.USED : SlowStartTicket.MISSING);
             }
         }
--- a/src/main/java/beaconladder/routing/SlowStart.java
+++ b/src/main/java/beaconladder/routing/SlowStart.java
@@ -40,7 +40,7 @@
      */
     void drawTickets(Group group, long now) {
         for (Host host : group.members) {
-            if (host != group.primary && isWarmingUp(host, now) && host.state == Host.State.READY) {
+            if (host != group.primary && isInSlowStart(host, now) && host.state == Host.State.READY) {
                 drawTicket(host, 1, now);
             }
         }
@@ -54,7 +54,7 @@
      * no burst on the primary's return.
      */
     void drawTicketForPrimary(Request request, Host primary, long now) {
-        if (request.ticketDrawn || !isWarmingUp(primary, now)) {
+        if (request.ticketDrawn || !isInSlowStart(primary, now)) {
             return;
         }
         request.ticketDrawn = true;
@@ -64,9 +64,9 @@
         // nevertheless counted over a longer time: this raises the probability of the first draws, which stay far
         // below the budget. Where no member is warm they would not, so both are counted over the same time.
         boolean noneWarm = countWarm(group, now) == 0;
-        long since = now - RECENT_PERIOD_NANOS;
+        long periodStartNanos = now - RECENT_PERIOD_NANOS;
         if (noneWarm) {
-            since = Math.max(since, Math.max(group.primaryFoundNanos, primary.startNotifiedNanos));
+            periodStartNanos = Math.max(periodStartNanos, Math.max(group.primaryFoundNanos, primary.startNotifiedNanos));
         }
         int priorWeight = noneWarm ? PRIOR_WEIGHT : 1;
         // The share of requests that need the primary in all traffic of this router; counts where the group has few
@@ -78,8 +78,8 @@
                                 .mapToInt(requestClass -> traffic.recentClasses.count(requestClass.index()))
                                 .sum())
                 / (1 + traffic.recentClasses.size());
-        double needingPrimary = group.arrivals.sumSince(since);
-        double others = group.arrivals.countSince(since) - needingPrimary;
+        double needingPrimary = group.arrivals.sumSince(periodStartNanos);
+        double others = group.arrivals.countSince(periodStartNanos) - needingPrimary;
         double arrivalsPerDraw = (priorWeight + others) / (priorWeight * primaryClassShare + needingPrimary);
         drawTicket(primary, request.arrivedNanos > group.primaryFoundNanos ? Math.max(1, arrivalsPerDraw) : 1, now);
     }
@@ -92,13 +92,13 @@
         }
         Group group = attempt.host.group;
         traffic.recordCommit(
-                attempt.request, group.countReady(), isWarmingUp(attempt.host, now) ? 0 : countWarm(group, now), now);
+                attempt.request, group.countReady(), isInSlowStart(attempt.host, now) ? 0 : countWarm(group, now), now);
     }
 
     private int countWarm(Group group, long now) {
         int warm = 0;
         for (Host host : group.members) {
-            warm += host.state == Host.State.READY && !isWarmingUp(host, now) ? 1 : 0;
+            warm += host.state == Host.State.READY && !isInSlowStart(host, now) ? 1 : 0;
         }
         return warm;
     }
@@ -109,9 +109,9 @@
      * requests this is an equal share of the ready members.
      */
     private static double memberShare(Group group, SampleWindow shares, long now) {
-        long since = now - RECENT_PERIOD_NANOS;
-        double sharesSum = (double) shares.sumSince(since) / Group.WHOLE_SHARE;
-        return (sharesSum + 1.0 / Math.max(1, group.countReady())) / (shares.countSince(since) + 1);
+        long periodStartNanos = now - RECENT_PERIOD_NANOS;
+        double sharesSum = (double) shares.sumSince(periodStartNanos) / Group.WHOLE_SHARE;
+        return (sharesSum + 1.0 / Math.max(1, group.countReady())) / (shares.countSince(periodStartNanos) + 1);
     }
 
     /**
@@ -126,9 +126,9 @@
         if (warm == 0) {
             return safeFactor * memberShare(group, group.commitShares, now);
         }
-        long since = now - RECENT_PERIOD_NANOS;
+        long periodStartNanos = now - RECENT_PERIOD_NANOS;
         SampleWindow commits = group.warmCommits;
-        double shareOfWarmMember = (commits.sumSince(since) + 1.0) / (commits.countSince(since) + 1) / warm;
+        double shareOfWarmMember = (commits.sumSince(periodStartNanos) + 1.0) / (commits.countSince(periodStartNanos) + 1) / warm;
         return Math.min(
                 safeFactor * shareOfWarmMember, MAX_SHARE * multiple * memberShare(group, group.warmCommitShares, now));
     }
@@ -143,7 +143,7 @@
     }
 
     /** Whether this host is in slow start. */
-    boolean isWarmingUp(Host host, long now) {
+    boolean isInSlowStart(Host host, long now) {
         return host.launchedNanos > 0 && ageNanos(host, now) < traffic.settings.slowStartNanos();
     }
 
@@ -158,7 +158,7 @@
 
     /** Whether this host is warm or has a valid ticket; drops expired tickets. */
     boolean mayReceive(Host host, long now) {
-        if (!isWarmingUp(host, now)) {
+        if (!isInSlowStart(host, now)) {
             return true;
         }
         long ticketTtlNanos = traffic.settings.slowStartTicketNanos();
--- a/src/main/java/beaconladder/routing/state/Attempt.java
+++ b/src/main/java/beaconladder/routing/state/Attempt.java
@@ -9,8 +9,8 @@
     public final long sentNanos;
     /** This router's attempts in flight or abandoned at the host, including this one. */
     public final int hostConcurrency;
-    /** The load that the host had last reported, and when; less than 0 without a report. */
-    public final double hostInFlight;
+    /** The number of requests in flight that the host had last reported (less than 0 for none), and when. */
+    public final double hostReportedInFlight;
 
     public final long hostReportNanos;
     /** The last start of the host known at the decision, by the hosts' clock. */
@@ -38,7 +38,7 @@
         this.host = host;
         this.sentNanos = sentNanos;
         this.hostConcurrency = hostConcurrency;
-        this.hostInFlight = host.reportedInFlight;
+        this.hostReportedInFlight = host.reportedInFlight;
         this.hostReportNanos = host.lastReportNanos;
         this.hostLaunchedNanos = host.launchedNanos;
         this.slowStartTicket = slowStartTicket;
--- a/src/main/java/beaconladder/routing/state/Group.java
+++ b/src/main/java/beaconladder/routing/state/Group.java
@@ -22,7 +22,7 @@
     public long primaryFoundNanos = Long.MIN_VALUE;
     /** The member that the endpoint list last named as primary. */
     public Host listedPrimary;
-    /** The requests that wait at this router, oldest first. */
+    /** The requests that wait at this router, in the order in which they were last queued. */
     public final Set<Request> queued = new LinkedHashSet<>();
     /** Whether anything has changed since the queued requests were last routed. */
     public boolean changed;
@@ -30,7 +30,7 @@
     boolean changePending;
     /** The newest commit position of the sessions that are no longer kept one by one. */
     public long evictedCommitPosition = Long.MIN_VALUE;
-    /** The share of a request that a group's only member serves: the two samples below are in millionths. */
+    /** A whole request in the unit of the two samples below: a millionth of a request. */
     public static final long WHOLE_SHARE = 1_000_000;
     /**
      * The share of each recent request of the group that one member served, and the share that one warm member served.
@@ -52,11 +52,11 @@
 
     /** Returns the number of members that are listed as ready. */
     public int countReady() {
-        int n = 0;
+        int count = 0;
         for (Host host : members) {
-            n += host.state == Host.State.READY ? 1 : 0;
+            count += host.state == Host.State.READY ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
     /** Returns the newest position that a member is known to have reached; Long.MIN_VALUE without any. */
--- a/src/main/java/beaconladder/routing/state/Host.java
+++ b/src/main/java/beaconladder/routing/state/Host.java
@@ -21,7 +21,7 @@
     public final int zone;
 
     public State state = State.READY;
-    /** When its listed state last changed; Long.MIN_VALUE before it is listed. */
+    /** When its listed state last changed; Long.MIN_VALUE for never. */
     public long stateSinceNanos = Long.MIN_VALUE;
     /** When it last started, by the hosts' clock; 0 for long ago. */
     public long launchedNanos;
@@ -42,7 +42,7 @@
     public long lastResponseNanos = Long.MIN_VALUE;
     /** The number of requests of all routers in flight here by its last report; less than 0 without a report. */
     public double reportedInFlight = -1;
-    /** When it last reported its position or load, in an answer to an attempt or a probe. */
+    /** When it last reported its position or load, or answered a probe. */
     public long lastReportNanos = -(1L << 60);
 
     public long lastProbeNanos = Long.MIN_VALUE;
@@ -83,12 +83,12 @@
     }
 
     /** Returns the number of attempts in flight that were sent at or after this time. */
-    public int countInFlightSentSince(long time) {
-        int n = 0;
+    public int countInFlightSentSince(long sinceNanos) {
+        int count = 0;
         for (Attempt attempt : inFlight) {
-            n += attempt.sentNanos >= time ? 1 : 0;
+            count += attempt.sentNanos >= sinceNanos ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
     /** Returns how long the attempts in flight have waited since its last response, in total. */
--- a/src/main/java/beaconladder/routing/state/RequestClass.java
+++ b/src/main/java/beaconladder/routing/state/RequestClass.java
@@ -13,7 +13,7 @@
  * @param idempotency what a retry does
  * @param deduplicationScope for {@link Idempotency#WITH_KEY}: where a retry is discarded
  * @param keyTtlNanos for {@link Idempotency#WITH_KEY}: how long retries are discarded
- * @param slaNanos how soon an answer has its full weight
+ * @param slaNanos within what time an answer has its full weight
  * @param timeoutNanos how long clients wait for an answer
  * @param weight the priority weight of one request
  * @param lateShare the share of the weight that is left after the SLA time
--- a/src/main/java/beaconladder/routing/state/SampleWindow.java
+++ b/src/main/java/beaconladder/routing/state/SampleWindow.java
@@ -33,21 +33,23 @@
         size = Math.min(size + 1, values.length);
     }
 
+    /** Removes all samples. */
     public void clear() {
         size = 0;
         next = 0;
         cachedShare = -1;
     }
 
+    /** Returns the number of samples, at most the capacity. */
     public int size() {
         return size;
     }
 
     /** Returns the number of samples taken at or after this time. */
-    public int countSince(long time) {
+    public int countSince(long sinceNanos) {
         int count = 0;
         for (int i = 0; i < size; i++) {
-            if (takenNanos[i] >= time) {
+            if (takenNanos[i] >= sinceNanos) {
                 count++;
             }
         }
@@ -55,10 +57,10 @@
     }
 
     /** Returns the sum of the samples taken at or after this time. */
-    public long sumSince(long time) {
+    public long sumSince(long sinceNanos) {
         long sum = 0;
         for (int i = 0; i < size; i++) {
-            if (takenNanos[i] >= time) {
+            if (takenNanos[i] >= sinceNanos) {
                 sum += values[i];
             }
         }
@@ -66,10 +68,10 @@
     }
 
     /** Returns the number of samples from the lower bound, inclusive, to the upper bound, exclusive. */
-    public int countBetween(long from, long to) {
+    public int countBetween(long lower, long upper) {
         int count = 0;
         for (int i = 0; i < size; i++) {
-            if (values[i] >= from && values[i] < to) {
+            if (values[i] >= lower && values[i] < upper) {
                 count++;
             }
         }
@@ -82,13 +84,13 @@
     }
 
     /** Returns the mean of the samples taken at or after this time; 0 without any. */
-    public double mean(long since) {
-        return mean(values, since);
+    public double mean(long sinceNanos) {
+        return mean(values, sinceNanos);
     }
 
     /** Returns the mean load of the samples taken at or after this time; 0 without any. */
-    public double meanLoad(long since) {
-        return mean(loads, since);
+    public double meanLoad(long sinceNanos) {
+        return mean(loads, sinceNanos);
     }
 
     /** Returns the value below which this share of the samples lies; 0 without samples. */
@@ -137,11 +139,11 @@
         return squares == 0 || products <= 0 ? meanValue : meanValue + (load - meanLoad) * products / squares;
     }
 
-    private double mean(long[] samples, long since) {
+    private double mean(long[] samples, long sinceNanos) {
         double sum = 0;
         int count = 0;
         for (int i = 0; i < size; i++) {
-            if (takenNanos[i] >= since) {
+            if (takenNanos[i] >= sinceNanos) {
                 sum += samples[i];
                 count++;
             }
--- a/src/test/java/beaconladder/routing/ClockCorrectionTest.java
+++ b/src/test/java/beaconladder/routing/ClockCorrectionTest.java
@@ -10,7 +10,7 @@
 class ClockCorrectionTest {
     private static final int HOUR_MILLIS = 3_600_000;
     private static final int READS = 12;
-    private static final int LAST_REQUEST = 99;
+    private static final int EXTRA_REQUEST = 99;
 
     /** Afterwards bounded reads can be sent to replicas again, even without non-idempotent writes. */
     @Test
@@ -64,11 +64,11 @@
                 .advanceTo(0)
                 .probed("a", Role.PRIMARY, -HOUR_MILLIS)
                 .request(0, Script.CURRENT, 0, 2_000)
-                .request(LAST_REQUEST, Script.CURRENT, 0, 2_000)
+                .request(EXTRA_REQUEST, Script.CURRENT, 0, 2_000)
                 .advanceTo(10)
                 .end(0, Outcome.COMMITTED, Role.PRIMARY, 5 - HOUR_MILLIS)
-                .end(LAST_REQUEST, Outcome.RESET)
-                .disconnect(LAST_REQUEST)
+                .end(EXTRA_REQUEST, Outcome.RESET)
+                .disconnect(EXTRA_REQUEST)
                 .advanceTo(20)
                 .probed("a", Role.PRIMARY, 15 - HOUR_MILLIS)
                 .probed("c", Role.REPLICA, 15 - HOUR_MILLIS);
@@ -126,7 +126,7 @@
                 .probed("b", Role.REPLICA, lastPositionMillis)
                 .probed("c", Role.REPLICA, lastPositionMillis)
                 .clearTrace()
-                .request(LAST_REQUEST, Script.BOUNDED, 0, 2_000);
-        assertThat(script.trace()).doesNotContainPattern("send " + LAST_REQUEST + " to [bc]");
+                .request(EXTRA_REQUEST, Script.BOUNDED, 0, 2_000);
+        assertThat(script.trace()).doesNotContainPattern("send " + EXTRA_REQUEST + " to [bc]");
     }
 }
--- a/src/test/java/beaconladder/routing/RandomEvents.java
+++ b/src/test/java/beaconladder/routing/RandomEvents.java
@@ -58,7 +58,7 @@
             public NextWakeup nextWakeup(long now) {
                 NextWakeup wakeup = inner.nextWakeup(now);
                 reroutes += wakeup.requestsToRoute().size();
-                record("pause " + (wakeup.dueNanos() - RandomEvents.this.nowNanos) + " " + ids(wakeup.hostsToProbe())
+                appendLine("pause " + (wakeup.dueNanos() - RandomEvents.this.nowNanos) + " " + ids(wakeup.hostsToProbe())
                         + wakeup.requestsToRoute().stream()
                                 .map(request -> " " + request.sequenceNumber)
                                 .collect(Collectors.joining())
@@ -109,7 +109,7 @@
                         nowNanos);
             }
         } else if (kind == 94) {
-            // A change that is flagged without an event of the policy, with an immediate wakeup.
+            // As after a new placement of tenants, which sets the flag directly and processes what is due.
             groups.get(random.nextInt(groups.size())).changed = true;
             wakeupNanos = decisionLoop.processDue(nowNanos);
         } else if (kind == 95) {
@@ -184,7 +184,7 @@
                         random.nextInt(8) - 1);
     }
 
-    private void record(String line) {
+    private void appendLine(String line) {
         digest.update((nowNanos + line + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
@@ -196,27 +196,27 @@
     public void send(Attempt attempt, long timeoutNanos) {
         sends++;
         inFlight.add(attempt);
-        record("send " + attempt.request.sequenceNumber + " to " + attempt.host.id + " for " + timeoutNanos);
+        appendLine("send " + attempt.request.sequenceNumber + " to " + attempt.host.id + " for " + timeoutNanos);
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        record("cancel " + attempt.request.sequenceNumber + " at " + attempt.host.id);
+        appendLine("cancel " + attempt.request.sequenceNumber + " at " + attempt.host.id);
     }
 
     @Override
     public void reject(Request request, long retryAfterNanos, RoutingDecision.Reason reason) {
-        record("decline " + request.sequenceNumber + " " + retryAfterNanos);
+        appendLine("decline " + request.sequenceNumber + " " + retryAfterNanos);
     }
 
     @Override
     public void rollBack(Request request, RoutingDecision.Reason reason) {
-        record("roll back " + request.sequenceNumber);
+        appendLine("roll back " + request.sequenceNumber);
     }
 
     @Override
     public void onRequestEnded(Request request) {
-        record("ended " + request.sequenceNumber);
+        appendLine("ended " + request.sequenceNumber);
     }
 
     @Override
--- a/src/test/java/beaconladder/routing/Script.java
+++ b/src/test/java/beaconladder/routing/Script.java
@@ -54,6 +54,7 @@
                 .clearTrace();
     }
 
+    /** Lists these hosts as ready; one whose name ends in an asterisk is listed as primary. */
     Script list(String... entries) {
         for (String entry : entries) {
             list(entry.substring(0, 1), entry.endsWith("*"), Host.State.READY, 0);
@@ -61,6 +62,7 @@
         return this;
     }
 
+    /** Lists this host with a state and its launch time; 0 for long ago. */
     Script list(String name, boolean listedAsPrimary, Host.State state, long launchedMillis) {
         Host host = hosts.computeIfAbsent(name, n -> new Host(n.charAt(0), group, 0));
         policy.updateHost(
@@ -81,10 +83,11 @@
         return this;
     }
 
-    Script request(int id, int type, long millisSinceWrite, long budgetMillis) {
+    /** Routes a new request; its session's last write was this many milliseconds ago, or 0 for none. */
+    Script request(int id, int classIndex, long millisSinceWrite, long budgetMillis) {
         Request request = new Request(
                 id,
-                policy.requestClass(type),
+                policy.requestClass(classIndex),
                 group,
                 9,
                 millisSinceWrite > 0 ? nowNanos - millisSinceWrite * MS : Long.MIN_VALUE,
@@ -112,18 +115,18 @@
     }
 
     /** Ends the newest attempt of this request with an answer and the load report that was sent with it. */
-    Script end(int id, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
+    Script end(int id, Outcome outcome, Role role, long positionMillis, Role reportedRole, long reportedMillis) {
         return end(
                 requests.get(id).attempts.get(requests.get(id).attempts.size() - 1),
                 outcome,
                 role,
                 positionMillis,
-                reported,
+                reportedRole,
                 reportedMillis);
     }
 
     private Script end(
-            Attempt attempt, Outcome outcome, Role role, long positionMillis, Role reported, long reportedMillis) {
+            Attempt attempt, Outcome outcome, Role role, long positionMillis, Role reportedRole, long reportedMillis) {
         appendLine("end " + attempt.request.id + "@" + (char) attempt.host.id + " "
                 + outcome.name().toLowerCase(java.util.Locale.ROOT));
         execute(
@@ -133,7 +136,7 @@
                         outcome,
                         outcome == Outcome.COMMITTED,
                         report(role, positionMillis),
-                        report(reported, reportedMillis),
+                        report(reportedRole, reportedMillis),
                         nowNanos));
         processDue();
         return this;
@@ -164,6 +167,7 @@
         return end(id, outcome, Role.UNKNOWN, 0);
     }
 
+    /** Ends a probe of this host, whose report has this role and position. */
     Script probed(String name, Role role, long positionMillis) {
         return probed(name, role, positionMillis, -1);
     }
--- a/src/test/java/beaconladder/routing/state/WakeupQueueTest.java
+++ b/src/test/java/beaconladder/routing/state/WakeupQueueTest.java
@@ -80,7 +80,7 @@
                 queue.remove(queued.remove(random.nextInt(queued.size())));
             } else {
                 if (event == 8 && listed.contains(group)) {
-                    // A change that is flagged without markChanged; the changes are taken at once.
+                    // As after a new placement of tenants, which sets the flag directly and processes what is due.
                     group.changed = true;
                     marked.add(group);
                 }
