--- a/src/main/java/beaconladder/routing/HostStateTracker.java
+++ b/src/main/java/beaconladder/routing/HostStateTracker.java
@@ -46,6 +46,7 @@
         return direct ? new HostReport(report.role(), HostReport.NO_POSITION, report.inFlight()) : HostReport.EMPTY;
     }
 
+    /** Applies a report to the host and its group; {@code direct} for the answer itself, not its load report. */
     private void applyReport(Host host, HostReport report, boolean direct, long now) {
         Group group = host.group;
         if (report.position() != HostReport.NO_POSITION || report.inFlight() >= 0) {
@@ -189,6 +190,7 @@
         }
     }
 
+    /** Records an answer of the host itself. */
     private void recordResponse(Attempt attempt, Outcome outcome, long now) {
         Host host = attempt.host;
         host.contacted = true;
@@ -208,6 +210,7 @@
         }
     }
 
+    /** Records that the host did not answer, and a timeout as a response time. */
     private void recordMissingResponse(Attempt attempt, Outcome outcome, long now) {
         Host host = attempt.host;
         if (host.lastResponseNanos < attempt.sentNanos) {
@@ -251,6 +254,7 @@
                 && answer.position() >= attempt.host.group.newestPosition();
     }
 
+    /** Records the position that a write may have committed at, and a lost primary. */
     private void recordWrite(Attempt attempt, Outcome outcome, HostReport answer, long now) {
         Group group = attempt.host.group;
         if (outcome == Outcome.MISS && group.primary == attempt.host) {
