--- a/src/main/java/beaconladder/lease/FencingGuard.java
+++ b/src/main/java/beaconladder/lease/FencingGuard.java
@@ -1,38 +1,38 @@
 package beaconladder.lease;
 
 /**
- * What a shared resource remembers of a task, so that it can reject an act that arrives late: the holder may have been
- * paused between its check of the clock and the act, or the network may have delayed it. Tokens are compared only with
- * what the resource has seen, without a clock; the deadline is a second barrier, for late acts that arrive before any
- * process with a higher token has acted.
+ * A shared resource's state for one task, with which it rejects operations that arrive late: the holder may have been
+ * paused between its check of the clock and the operation, or the network may have delayed it. A token is compared only
+ * with the highest one that the resource has received, without a clock. The deadline is a second check, for late
+ * operations that arrive before any operation with a higher token.
  *
- * @param highestToken the highest token seen, or 0
+ * @param highestToken the highest token received; 0 before the first
  */
 public record FencingGuard(long highestToken) {
-    /** What becomes of an act. */
+    /** The decision on an operation. */
     public enum Decision {
-        /** It may be carried out. */
+        /** The operation may be executed. */
         ADMITTED,
-        /** An act with a higher token has been here. */
+        /** An operation with a higher token arrived before. */
         STALE_TOKEN,
-        /** Its holder's deadline has passed by this resource's clock. */
+        /** The holder's deadline has passed by this resource's clock. */
         EXPIRED
     }
 
-    /** The state after an act, and the decision on it. */
+    /** The state after an operation, and the decision on it. */
     public record Admission(FencingGuard next, Decision decision) {}
 
-    /** No act seen yet. */
+    /** Returns the state of a resource that has received no operation. */
     public static FencingGuard initial() {
         return new FencingGuard(0);
     }
 
     /**
-     * Decides on an act.
+     * Decides whether to execute an operation.
      *
-     * @param token that the act carries
-     * @param deadlineNanos until when its holder may act
-     * @param nowNanos by this resource's clock
+     * @param token the token of the operation
+     * @param deadlineNanos when the holder's permit ends, in Unix nanoseconds
+     * @param nowNanos the time by this resource's clock, in Unix nanoseconds
      */
     public Admission admit(long token, long deadlineNanos, long nowNanos) {
         if (token < highestToken) {
--- a/src/main/java/beaconladder/lease/Lease.java
+++ b/src/main/java/beaconladder/lease/Lease.java
@@ -3,15 +3,15 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * What the lease servers remember of one task. It is never removed, since the token of a task must never start again
- * from 0. Its JSON names are those of snapshots.
+ * The state of one task's lease on the lease servers. It is never removed, because the token of a task must never
+ * restart from 0. Its JSON names are those of the snapshots.
  *
- * @param holder the process that holds the task, or an empty text
- * @param token the fencing token of the newest grant, or 0
+ * @param holder the process that holds the lease, by name and incarnation; empty for none
+ * @param token the fencing token of the newest grant; 0 before the first
  * @param expiryNanos when the newest grant expires, in Unix nanoseconds
- * @param lastReleasedBy the process that released it last, or an empty text
- * @param lastReleaseNumber the number of that release
- * @param successor the name of the process that it is reserved for after a hand-over, or an empty text
+ * @param lastReleasedBy the process that sent the newest release, by name and incarnation; empty for none
+ * @param lastReleaseNumber the request number of that release
+ * @param successor the name of the process that the task is reserved for after a hand-over; empty for none
  * @param reservedUntilNanos when that reservation ends, in Unix nanoseconds
  */
 public record Lease(
@@ -23,47 +23,53 @@
         @JsonProperty("gaveUpNumber") long lastReleaseNumber,
         @JsonProperty("heir") String successor,
         @JsonProperty("heirUntil") long reservedUntilNanos) {
-    static Lease none(String task) {
+    /** Returns the lease of a task that was never granted. */
+    static Lease initial(String task) {
         return new Lease(task, "", 0, Long.MIN_VALUE, "", 0, "", Long.MIN_VALUE);
     }
 
-    Lease heldBy(String nextHolder, long nextToken, long nextExpiryNanos) {
-        boolean successorArrived = LeaseRequest.processName(nextHolder).equals(successor);
+    /** Returns the lease after a grant or a renewal; a grant to the successor ends the reservation. */
+    Lease grantedTo(String newHolder, long newToken, long newExpiryNanos) {
+        boolean isSuccessor = LeaseRequest.processName(newHolder).equals(successor);
         return new Lease(
                 task,
-                nextHolder,
-                nextToken,
-                nextExpiryNanos,
+                newHolder,
+                newToken,
+                newExpiryNanos,
                 lastReleasedBy,
                 lastReleaseNumber,
-                successorArrived ? "" : successor,
+                isSuccessor ? "" : successor,
                 reservedUntilNanos);
     }
 
-    /** Released by its holder. */
-    Lease released(long number) {
-        return new Lease(task, "", token, expiryNanos, holder, number, successor, reservedUntilNanos);
+    /** Returns the lease after its holder released it with the request of this number. */
+    Lease releasedByHolder(long requestNumber) {
+        return new Lease(task, "", token, expiryNanos, holder, requestNumber, successor, reservedUntilNanos);
     }
 
-    /** Released by a process that does not hold it: its earlier requests may still be on the way. */
-    Lease withReleaseOf(String process, long number) {
-        return new Lease(task, holder, token, expiryNanos, process, number, successor, reservedUntilNanos);
+    /**
+     * Returns the lease after a release by a process that does not hold it. The release is recorded because earlier
+     * requests of that process may still be in flight.
+     */
+    Lease releasedByNonHolder(String process, long requestNumber) {
+        return new Lease(task, holder, token, expiryNanos, process, requestNumber, successor, reservedUntilNanos);
     }
 
-    Lease reservedFor(String name, long untilNanos) {
-        return new Lease(task, holder, token, expiryNanos, lastReleasedBy, lastReleaseNumber, name, untilNanos);
+    Lease reservedFor(String successorName, long untilNanos) {
+        return new Lease(
+                task, holder, token, expiryNanos, lastReleasedBy, lastReleaseNumber, successorName, untilNanos);
     }
 
     boolean hasNoHolder() {
         return holder.isEmpty();
     }
 
-    /** Whether this process has released the task with a later request than this one. */
-    boolean wasReleasedAfter(String process, long number) {
-        return process.equals(lastReleasedBy) && number < lastReleaseNumber;
+    /** Returns whether this process released the task with a later request than the one of this number. */
+    boolean wasReleasedAfter(String process, long requestNumber) {
+        return process.equals(lastReleasedBy) && requestNumber < lastReleaseNumber;
     }
 
-    /** Whether it is reserved now for a process of another name. */
+    /** Returns whether the task is reserved at this time for a process of another name. */
     boolean isReservedForAnother(String process, long nowNanos) {
         return !successor.isEmpty()
                 && nowNanos <= reservedUntilNanos
--- a/src/main/java/beaconladder/lease/LeaseGrant.java
+++ b/src/main/java/beaconladder/lease/LeaseGrant.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * A task granted to one process.
+ * A lease of a task granted to one process.
  *
  * @param holder the process, by name and incarnation
- * @param token the fencing token: higher than that of every earlier grant of the task to a process
- * @param expiryNanos in Unix nanoseconds; once the clock bound has passed too, another process may get the task
+ * @param token the fencing token, higher than that of every earlier grant of the task; a renewal keeps it
+ * @param expiryNanos when the lease expires, in Unix nanoseconds; one clock bound later another process may acquire it
  */
 public record LeaseGrant(
         String task,
--- a/src/main/java/beaconladder/lease/LeaseHolderState.java
+++ b/src/main/java/beaconladder/lease/LeaseHolderState.java
@@ -1,43 +1,49 @@
 package beaconladder.lease;
 
 /**
- * The holder's side of a lease, as a state machine of one process and one task: what to request, and until when the
- * process may act. The caller passes in the time at each {@link #wakeupNanos} and the lease server's responses, acts
- * only while {@link #mayAct}, and puts its {@link #permit} on every act. docs/lease.md has the transitions as a table.
- * Times are nanoseconds by this process's clock.
+ * The holder's side of a lease, as a state machine of one process and one task. It decides which requests to send, and
+ * until when the process may act, which means to send operations to the shared resource. The caller passes in the time
+ * at each {@link #wakeupNanos} and the lease servers' responses, acts only while {@link #mayAct}, and attaches its
+ * {@link #permit} to every operation. docs/lease.md has a table of the transitions. Times are nanoseconds of this
+ * process's clock.
  *
- * @param terms what is requested, and for whom
- * @param phase where the process is between request and release
- * @param wanted whether the process wants the task at all
- * @param requests which requests were sent, and which of them is pending
- * @param permit token and deadline of the newest grant
+ * @param terms the parameters of the requests
+ * @param phase the phase between request and release
+ * @param contending whether the process is to acquire the lease, or to keep it
+ * @param requests the numbers of the sent requests, and which of them is pending
+ * @param permit the token and the deadline of the newest grant
  * @param nextRequestAtNanos when to send the next request
- * @param latestClockNanos the time of the newest event
+ * @param lastEventNanos the time of the newest event
  */
 public record LeaseHolderState(
         LeaseTerms terms,
         Phase phase,
-        boolean wanted,
+        boolean contending,
         RequestSequence requests,
         LeasePermit permit,
         long nextRequestAtNanos,
-        long latestClockNanos) {
+        long lastEventNanos) {
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** Where the process is between request and release. */
+    /** The phase between request and release. */
     public enum Phase {
+        /** The lease is not held; a request is pending, or waits for its time. */
         REQUESTED,
+        /** The lease is held, and no renewal was sent yet. */
         HELD,
+        /** The lease is held, and a renewal is pending. */
         RENEWING,
+        /** The permit's deadline passed without a renewal, or the clock went back. */
         EXPIRED,
+        /** The lease was released, or never requested. */
         RELEASED
     }
 
     /**
-     * The outcome of an event.
+     * The result of an event.
      *
-     * @param next the state after it
-     * @param request what to send to a lease server, or null
+     * @param next the state after the event
+     * @param request the request to send to a lease server, or null
      */
     public record Step(LeaseHolderState next, LeaseRequest request) {
         private static Step of(LeaseHolderState next) {
@@ -45,7 +51,7 @@
         }
     }
 
-    /** A process that does not want the task yet. */
+    /** Returns the state of a process that does not contend for the lease yet. */
     public static LeaseHolderState initial(LeaseTerms terms) {
         return new LeaseHolderState(
                 terms,
@@ -57,46 +63,45 @@
                 Long.MIN_VALUE);
     }
 
-    /** The process wants the task from now on, until {@link #release}. */
+    /** Starts to contend for the lease, until {@link #release}. */
     public LeaseHolderState want(long nowNanos) {
-        return wanted
+        return contending
                 ? this
-                : new LeaseHolderState(
-                        terms, phase, true, requests.withoutPending(), permit, nowNanos, latestClockNanos);
+                : new LeaseHolderState(terms, phase, true, requests.withoutPending(), permit, nowNanos, lastEventNanos);
     }
 
-    /** Whether the process may act now. */
+    /** Returns whether the process may act now. */
     public boolean mayAct(long nowNanos) {
-        return isHolding() && nowNanos >= latestClockNanos && nowNanos < permit.deadlineNanos();
+        return isHolding() && nowNanos >= lastEventNanos && nowNanos < permit.deadlineNanos();
     }
 
     private boolean isHolding() {
         return phase == Phase.HELD || phase == Phase.RENEWING;
     }
 
-    /** When {@link #onTime} is due, unless a response arrives before; Long.MAX_VALUE for never. */
+    /** Returns when {@link #onTime} is due if no response arrives before; {@link Long#MAX_VALUE} for never. */
     public long wakeupNanos() {
-        return Math.min(wanted ? nextRequestAtNanos : NEVER, isHolding() ? permit.deadlineNanos() : NEVER);
+        return Math.min(contending ? nextRequestAtNanos : NEVER, isHolding() ? permit.deadlineNanos() : NEVER);
     }
 
-    /** Time has passed: the lease may have expired, a request may be due. */
+    /** Handles a timer: ends an expired lease, and sends a request if one is due. */
     public Step onTime(long nowNanos) {
-        // A clock that goes back would lengthen the lease by as much.
-        boolean clockWentBack = nowNanos < latestClockNanos;
+        // A clock that went back would extend the lease by the same amount.
+        boolean clockWentBack = nowNanos < lastEventNanos;
         LeaseHolderState current = isHolding() && (nowNanos >= permit.deadlineNanos() || clockWentBack)
                 ? expired(permit.token(), nowNanos)
-                : withLatestClock(nowNanos);
-        if (!wanted || nowNanos < current.nextRequestAtNanos && !clockWentBack) {
+                : withLastEvent(nowNanos);
+        if (!contending || nowNanos < current.nextRequestAtNanos && !clockWentBack) {
             return Step.of(current);
         }
         return current.request(nowNanos, clockWentBack);
     }
 
     private Step request(long nowNanos, boolean clockWentBack) {
-        // A pending request too old to bring a useful lease is abandoned, and its response with it.
+        // A pending request that is too old to yield a useful lease is abandoned; its response will be ignored.
         boolean abandonsPending =
-                clockWentBack || nowNanos - requests.pendingSinceNanos() > terms.pendingRequestLimitNanos();
-        RequestSequence sent = (abandonsPending ? requests.withoutPending() : requests).sent(nowNanos);
+                clockWentBack || nowNanos - requests.pendingSinceNanos() > terms.maxPendingRequestAgeNanos();
+        RequestSequence sent = (abandonsPending ? requests.withoutPending() : requests).withRequestSent(nowNanos);
         LeaseHolderState next = new LeaseHolderState(
                 terms,
                 isHolding() ? Phase.RENEWING : Phase.REQUESTED,
@@ -108,31 +113,31 @@
         return new Step(next, terms.acquire(sent.lastNumber(), isHolding() ? permit.token() : 0));
     }
 
-    /** A lease server has responded. */
+    /** Handles a lease server's response. */
     public Step onResponse(LeaseResponse response, long nowNanos) {
-        Step timed = onTime(nowNanos);
-        if (!wanted || !response.task().equals(terms.task()) || response.number() < requests.pendingNumber()) {
-            return timed;
+        Step afterTimer = onTime(nowNanos);
+        if (!contending || !response.task().equals(terms.task()) || response.number() < requests.pendingNumber()) {
+            return afterTimer;
         }
         return switch (response.outcome()) {
-            case GRANTED -> granted(response.grant(), timed, nowNanos);
+            case GRANTED -> granted(response.grant(), afterTimer, nowNanos);
             case HANDED_OVER -> handedOver(nowNanos);
             case HELD -> Step.of(refused(response.availableInNanos(), nowNanos));
-            case SUPERSEDED, DONE, NOT_HELD -> timed;
+            case SUPERSEDED, DONE, NOT_HELD -> afterTimer;
         };
     }
 
-    private Step granted(LeaseGrant grant, Step timed, long nowNanos) {
+    private Step granted(LeaseGrant grant, Step afterTimer, long nowNanos) {
         if (!grant.holder().equals(terms.holder()) || grant.token() < permit.token()) {
-            return timed;
+            return afterTimer;
         }
-        long deadlineNanos = terms.actDeadlineNanos(grant.expiryNanos(), requests.pendingSinceNanos());
-        LeaseHolderState current = timed.next();
+        long deadlineNanos = terms.permitDeadlineNanos(grant.expiryNanos(), requests.pendingSinceNanos());
+        LeaseHolderState current = afterTimer.next();
         if (grant.token() == permit.token() && current.isHolding()) {
             deadlineNanos = Math.max(deadlineNanos, current.permit.deadlineNanos());
         }
         if (deadlineNanos <= nowNanos) {
-            return new Step(current.expired(grant.token(), nowNanos), timed.request());
+            return new Step(current.expired(grant.token(), nowNanos), afterTimer.request());
         }
         return Step.of(new LeaseHolderState(
                 terms,
@@ -144,10 +149,13 @@
                 nowNanos));
     }
 
-    /** An operator has handed the task over: releases it, and lets the successor go first. */
+    /**
+     * Handles a hand-over by an operator: releases the lease, and requests it again only after the length of a lease
+     * and two clock bounds, so that the successor can acquire it first.
+     */
     private Step handedOver(long nowNanos) {
         LeaseHolderState next = stopped(
-                requests.sentWithoutResponse(),
+                requests.withUntrackedRequestSent(),
                 Phase.RELEASED,
                 nowNanos + terms.lengthNanos() + 2 * terms.clockBoundNanos(),
                 nowNanos);
@@ -155,32 +163,32 @@
     }
 
     /**
-     * Another process holds the task. A holder can receive this too: then clocks differ by more than the bound, and it
-     * stops.
+     * Handles a refusal because another process holds the lease. If this process holds it too, the clocks differ by
+     * more than the bound, and it stops.
      */
     private LeaseHolderState refused(long availableInNanos, long nowNanos) {
         long waitNanos = Math.max(terms.retryIntervalNanos(), Math.min(terms.lengthNanos(), availableInNanos));
         return stopped(requests.withoutPending(), Phase.REQUESTED, nowNanos + waitNanos, nowNanos);
     }
 
-    /** Releases the task and wants it no longer: the process may not act from here on. */
+    /** Releases the lease and stops contending for it; the process may not act any more. */
     public Step release(long nowNanos) {
         LeaseHolderState next = new LeaseHolderState(
                 terms,
                 Phase.RELEASED,
                 false,
-                requests.sentWithoutResponse(),
+                requests.withUntrackedRequestSent(),
                 permit.endingBy(nowNanos),
                 NEVER,
                 nowNanos);
-        return new Step(next, phase == Phase.RELEASED && !wanted ? null : terms.release(requests.nextNumber()));
+        return new Step(next, phase == Phase.RELEASED && !contending ? null : terms.release(requests.nextNumber()));
     }
 
     private LeaseHolderState expired(long token, long nowNanos) {
         return new LeaseHolderState(
                 terms,
                 Phase.EXPIRED,
-                wanted,
+                contending,
                 requests.withoutPending(),
                 new LeasePermit(token, nowNanos),
                 nowNanos,
@@ -190,10 +198,10 @@
     private LeaseHolderState stopped(
             RequestSequence nextRequests, Phase nextPhase, long requestAgainAtNanos, long nowNanos) {
         return new LeaseHolderState(
-                terms, nextPhase, wanted, nextRequests, permit.endingBy(nowNanos), requestAgainAtNanos, nowNanos);
+                terms, nextPhase, contending, nextRequests, permit.endingBy(nowNanos), requestAgainAtNanos, nowNanos);
     }
 
-    private LeaseHolderState withLatestClock(long nowNanos) {
-        return new LeaseHolderState(terms, phase, wanted, requests, permit, nextRequestAtNanos, nowNanos);
+    private LeaseHolderState withLastEvent(long nowNanos) {
+        return new LeaseHolderState(terms, phase, contending, requests, permit, nextRequestAtNanos, nowNanos);
     }
 }
--- a/src/main/java/beaconladder/lease/LeaseRequest.java
+++ b/src/main/java/beaconladder/lease/LeaseRequest.java
@@ -6,10 +6,11 @@
  * A request to the lease servers about one task.
  *
  * @param holder the requesting process, by name and incarnation; empty for a hand-over
- * @param number counts the requests of a process for a task, so that one that arrives late is recognised
- * @param token to acquire: the token under which the process acts now, or 0; to release: the one released, or 0 for any
- * @param lengthNanos the length of the lease, or of a successor's reservation; 0 for a release
- * @param successor for a hand-over, the name of the process that is to hold the task next
+ * @param number the position of this request among those of the process for the task, from 1; identifies late requests
+ * @param token for an acquisition, the token of the lease that the process holds, 0 for none; for a release, the token
+ *     to release, 0 for any
+ * @param lengthNanos the length of the lease, or of the successor's reservation; 0 for a release
+ * @param successor for a hand-over, the name of the process that the task is reserved for; otherwise empty
  */
 public record LeaseRequest(
         Kind kind,
@@ -19,18 +20,18 @@
         long token,
         @JsonProperty("length") long lengthNanos,
         @JsonProperty("heir") String successor) {
-    /** What is requested. */
+    /** The operation that is requested. */
     public enum Kind {
-        /** Get the lease, or renew it. */
+        /** Acquire the lease, or renew it. */
         @JsonProperty("TAKE")
         ACQUIRE,
         /** Release the lease before it expires. */
         RELEASE,
-        /** Have the task released by its holder and reserved for another process. */
+        /** Make the holder release the task, and reserve it for another process. */
         HAND_OVER
     }
 
-    /** Requests or renews the lease of a task. */
+    /** Returns a request to acquire or renew the lease of a task. */
     public static LeaseRequest acquire(String task, String holder, long number, long token, long lengthNanos) {
         return new LeaseRequest(Kind.ACQUIRE, task, holder, number, token, lengthNanos, "");
     }
@@ -39,12 +40,12 @@
         return new LeaseRequest(Kind.RELEASE, task, holder, number, token, 0, "");
     }
 
-    /** An operator's request that the task pass to the process of this name. */
+    /** Returns an operator's request to hand the task over to the process of this name. */
     public static LeaseRequest handOver(String task, String successor, long lengthNanos) {
         return new LeaseRequest(Kind.HAND_OVER, task, "", 0, 0, lengthNanos, successor);
     }
 
-    /** The name of a holder, without its incarnation. */
+    /** Returns the name of a holder without its incarnation. */
     public static String processName(String holder) {
         int hash = holder.indexOf('#');
         return hash < 0 ? holder : holder.substring(0, hash);
--- a/src/main/java/beaconladder/lease/server/LeaseStateMachine.java
+++ b/src/main/java/beaconladder/lease/server/LeaseStateMachine.java
@@ -116,7 +116,7 @@
     }
 
     private synchronized String applyRequest(LeaseJson.LogEntry entry, LogEntryProto logged) {
-        LeaseTable.Applied applied = leases.apply(entry.request(), entry.stampNanos(), entry.clockBoundNanos());
+        LeaseTable.Transition applied = leases.apply(entry.request(), entry.stampNanos(), entry.clockBoundNanos());
         leases = applied.next();
         updateLastAppliedTermIndex(logged.getTerm(), logged.getIndex());
         return LeaseJson.toJson(applied.response());
--- a/src/test/java/beaconladder/lease/FencedRecordsTest.java
+++ b/src/test/java/beaconladder/lease/FencedRecordsTest.java
@@ -12,9 +12,9 @@
     private LeaseTable leases = LeaseTable.empty();
     private FencedRecords records = FencedRecords.empty();
 
-    /** Of two processes that both take themselves for the holder, one can write, and nothing is written twice. */
+    /** Of two processes that both act as the holder only one can write, and no record is written twice. */
     @Test
-    void onlyTheHolderByTheLogsClockWritesAndNothingTwice() {
+    void onlyTheHolderByTheLogsClockWritesAndNoRecordTwice() {
         acquire("a#1", 0, 0);
         assertThat(write("a#1", 1, 0, "begun")).isEqualTo(Outcome.WRITTEN);
         assertThat(write("b#1", 1, 1, "mine")).isEqualTo(Outcome.NOT_HELD);
@@ -26,10 +26,10 @@
         assertThat(write("b#1", 2, 0, "again")).isEqualTo(Outcome.STALE_POSITION);
         assertThat(write("b#1", 2, 1, "advanced")).isEqualTo(Outcome.WRITTEN);
         assertThat(write("b#1", 2, 1, "advanced")).isEqualTo(Outcome.STALE_POSITION);
-        // An operator needs no lease, but must know what was written.
+        // An operator needs no lease, but must state the current position.
         assertThat(write("", 0, 1, "stop")).isEqualTo(Outcome.STALE_POSITION);
         assertThat(write("", 0, 2, "stop")).isEqualTo(Outcome.WRITTEN);
-        assertThat(records.of("task").texts()).containsExactly("begun", "advanced", "stop");
+        assertThat(records.forTask("task").texts()).containsExactly("begun", "advanced", "stop");
     }
 
     @Test
@@ -38,15 +38,15 @@
             assertThat(write("", 0, i, "n" + i)).isEqualTo(Outcome.WRITTEN);
         }
         assertThat(write("", 0, FencedRecords.MAX_RECORDS_PER_TASK, "more")).isEqualTo(Outcome.FULL);
-        FencedRecords.Applied replaced = records.apply(
+        FencedRecords.Transition replaced = records.apply(
                 new FencedRecord("task", "", 0, FencedRecords.MAX_RECORDS_PER_TASK, true, "anew"), leases);
         assertThat(replaced.outcome()).isEqualTo(Outcome.WRITTEN);
         records = replaced.next();
-        assertThat(records.of("task"))
+        assertThat(records.forTask("task"))
                 .isEqualTo(
                         new FencedRecords.TaskRecords(FencedRecords.MAX_RECORDS_PER_TASK, java.util.List.of("anew")));
         assertThat(write("", 0, FencedRecords.MAX_RECORDS_PER_TASK + 1, "next")).isEqualTo(Outcome.WRITTEN);
-        assertThat(records.of("other").writtenCount()).isZero();
+        assertThat(records.forTask("other").writtenCount()).isZero();
     }
 
     private void acquire(String holder, long nowNanos, long token) {
@@ -59,7 +59,7 @@
     }
 
     private Outcome write(String holder, long token, int position, String text) {
-        FencedRecords.Applied applied =
+        FencedRecords.Transition applied =
                 records.apply(new FencedRecord("task", holder, token, position, false, text), leases);
         records = applied.next();
         return applied.outcome();
--- a/src/test/java/beaconladder/lease/LeaseModelTest.java
+++ b/src/test/java/beaconladder/lease/LeaseModelTest.java
@@ -271,7 +271,7 @@
 
         /** Requested, granted or refused, and received with nothing in between, as over a fast network. */
         private World exchange(World w, int who, LeaseHolderState.Step step, long now) {
-            LeaseTable.Applied applied = w.leases().apply(step.request(), stamp(w), rules.bound());
+            LeaseTable.Transition applied = w.leases().apply(step.request(), stamp(w), rules.bound());
             LeaseHolderState.Step responded = step.next().onResponse(applied.response(), now);
             return stepped(w.withLeases(applied.next(), false), who, responded);
         }
@@ -282,7 +282,7 @@
 
         private void deliverRequest(World w, int i, Consumer<World> to) {
             LeaseRequest request = w.requests().get(i);
-            LeaseTable.Applied applied = w.leases().apply(request, stamp(w), rules.bound());
+            LeaseTable.Transition applied = w.leases().apply(request, stamp(w), rules.bound());
             Delivery delivery = new Delivery(request.holder().equals(HOLDERS[0]) ? 0 : 1, applied.response());
             List<Delivery> all = w.responses().size() < 2 ? plus(w.responses(), delivery) : w.responses();
             to.accept(w.withLeases(applied.next(), false).responses(all).requests(minus(w.requests(), i)));
--- a/src/test/java/beaconladder/lease/LeaseTest.java
+++ b/src/test/java/beaconladder/lease/LeaseTest.java
@@ -153,7 +153,7 @@
     }
 
     private LeaseResponse apply(LeaseRequest request, long stamp) {
-        LeaseTable.Applied applied = leases.apply(request, stamp, BOUND);
+        LeaseTable.Transition applied = leases.apply(request, stamp, BOUND);
         leases = applied.next();
         return applied.response();
     }
--- a/src/test/java/beaconladder/lease/server/LeaseJsonTest.java
+++ b/src/test/java/beaconladder/lease/server/LeaseJsonTest.java
@@ -15,7 +15,7 @@
     @Test
     void writtenTextsReadBackEqual() throws IOException {
         LeaseRequest request = LeaseJson.readRequest(TAKE);
-        LeaseTable.Applied applied = LeaseTable.empty().apply(request, 1_000, 50);
+        LeaseTable.Transition applied = LeaseTable.empty().apply(request, 1_000, 50);
         assertThat(LeaseJson.readRequest(LeaseJson.toJson(request))).isEqualTo(request);
         assertThat(LeaseJson.readResponse(LeaseJson.toJson(applied.response()))).isEqualTo(applied.response());
         assertThat(LeaseJson.readTable(LeaseJson.toJson(applied.next()))).isEqualTo(applied.next());
