--- a/src/main/java/beaconladder/lease/server/AnchoredClock.java
+++ b/src/main/java/beaconladder/lease/server/AnchoredClock.java
@@ -7,12 +7,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time in nanoseconds at the moment this was created, advanced by the monotonic clock: intervals by it are
- * intervals of real time, also while the wall clock is stepped. In tests it can be offset by the content of a file, so
- * that the clocks of processes on one machine differ.
+ * A clock that starts at the Unix time of its creation, in nanoseconds, and advances with the monotonic clock: its
+ * intervals are real time even if the wall clock is stepped. For tests, a file can offset it, so that the clocks of
+ * processes on one machine differ.
  */
 public final class AnchoredClock implements LongSupplier {
-    /** The offset file is read at most this often. */
+    /** The shortest time between two reads of the offset file. */
     private static final long OFFSET_READ_INTERVAL_NANOS = 10_000_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -23,12 +23,12 @@
     private long offsetReadAtNanos = System.nanoTime() - OFFSET_READ_INTERVAL_NANOS;
     private long offsetNanos;
 
-    /** A clock without an offset. */
+    /** Creates a clock without an offset. */
     public AnchoredClock() {
         this(null);
     }
 
-    /** A clock that is off by the milliseconds that this file holds; null for none. */
+    /** Creates a clock whose offset in milliseconds is the content of this file; null for no offset. */
     public AnchoredClock(Path offsetMillisFile) {
         this.offsetMillisFile = offsetMillisFile;
     }
@@ -40,7 +40,7 @@
             try {
                 offsetNanos = Long.parseLong(Files.readString(offsetMillisFile).strip()) * NANOS_PER_MILLI;
             } catch (IOException | NumberFormatException e) {
-                // Partly written: the offset stays until the next read.
+                // The file may be partly written: keeps the offset until the next read.
             }
         }
         return anchorNanos + System.nanoTime() + offsetNanos;
--- a/src/main/java/beaconladder/lease/server/FeedEndpoint.java
+++ b/src/main/java/beaconladder/lease/server/FeedEndpoint.java
@@ -13,8 +13,8 @@
 import org.apache.ratis.server.RaftServer;
 
 /**
- * The feed's log, which is that of the lease servers. A former leader that does not know of its successor yet responds
- * from what it applied before: that is older, but never wrong.
+ * The feed's log, which is the Raft log of the lease servers. A former leader that has not learned of the new leader
+ * yet responds with the state that it has applied, which may be old but was committed.
  */
 record FeedEndpoint(LeaseStateMachine stateMachine, RaftServer server, RaftGroupId group, RaftClient client)
         implements LogEndpoint.Log {
--- a/src/main/java/beaconladder/lease/server/InvalidLeaseMessageException.java
+++ b/src/main/java/beaconladder/lease/server/InvalidLeaseMessageException.java
@@ -1,6 +1,6 @@
 package beaconladder.lease.server;
 
-/** A request, a response or a stored state that can't be read, or that lacks a part. */
+/** Indicates a request, a response or a stored state that can't be parsed or is incomplete. */
 public final class InvalidLeaseMessageException extends LeaseRequestException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/beaconladder/lease/server/LeaseClient.java
+++ b/src/main/java/beaconladder/lease/server/LeaseClient.java
@@ -11,35 +11,36 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** A client of the lease servers: it uses one server after the other, until one responds. For several threads. */
+/** A thread-safe client of the lease servers: it sends its requests to one of them, and after an error to the next. */
 public final class LeaseClient implements AutoCloseable {
     private final List<HttpFetcher> servers;
     private final int timeoutMillis;
-    private int current;
+    private int currentServer;
 
-    /** Reads a response of one type. */
+    /** Parses a response of one type. */
     private interface ResponseReader<T> {
         T read(String text) throws InvalidLeaseMessageException;
     }
 
     /**
-     * A client of these servers.
+     * Creates a client of these servers.
      *
-     * @param first the index of the server that is tried first, so that clients are spread over them; any number
-     * @param timeoutMillis for one call to one server
+     * @param firstServer the index of the server to use first, modulo their number; different values spread clients
+     *     over the servers
+     * @param timeoutMillis the timeout of one call to one server
      */
-    public LeaseClient(List<InetSocketAddress> addresses, int first, int timeoutMillis) {
+    public LeaseClient(List<InetSocketAddress> addresses, int firstServer, int timeoutMillis) {
         this.servers = addresses.stream().map(HttpFetcher::new).toList();
-        this.current = Math.floorMod(first, servers.size());
+        this.currentServer = Math.floorMod(firstServer, servers.size());
         this.timeoutMillis = timeoutMillis;
     }
 
     /**
-     * Sends a request to one server, once.
+     * Sends a request to one server, without a retry.
      *
-     * @throws LeaseServersUnavailableException where it has not responded in time: the next request goes to the next
+     * @throws LeaseServersUnavailableException if the server did not respond in time; the next request goes to the next
      *     server
-     * @throws InvalidLeaseMessageException where its response can't be read
+     * @throws InvalidLeaseMessageException if the response can't be parsed
      */
     public synchronized LeaseResponse send(LeaseRequest request)
             throws LeaseServersUnavailableException, InvalidLeaseMessageException {
@@ -48,53 +49,53 @@
     }
 
     /**
-     * All leases as the leader has them, from the first server that responds.
+     * Returns all leases of the leader, through the first server that responds.
      *
-     * @throws LeaseServersUnavailableException where none does
+     * @throws LeaseServersUnavailableException if no server responds
      */
     public synchronized LeaseTable leases() throws LeaseServersUnavailableException {
         return getFromAny("/v1/leases", LeaseJson::readTable);
     }
 
     /**
-     * The members of the fleet as the first server that responds knows them.
+     * Returns the membership view of the first server that responds.
      *
-     * @throws LeaseServersUnavailableException where none does, or none takes part in the gossip
+     * @throws LeaseServersUnavailableException if no server responds, or none takes part in the gossip
      */
     public synchronized MembershipView members() throws LeaseServersUnavailableException {
         return getFromAny("/v1/members", text -> LeaseJson.read(text, MembershipView.class));
     }
 
     private <T> T getFromAny(String path, ResponseReader<T> reader) throws LeaseServersUnavailableException {
-        LeaseRequestException last = null;
+        LeaseRequestException lastFault = null;
         for (int i = 0; i < servers.size(); i++) {
             try {
                 return reader.read(get(path));
             } catch (LeaseServersUnavailableException e) {
-                last = e;
+                lastFault = e;
             } catch (InvalidLeaseMessageException e) {
-                last = e;
+                lastFault = e;
                 useNextServer();
             }
         }
-        throw new LeaseServersUnavailableException("no lease server responds", last);
+        throw new LeaseServersUnavailableException("no lease server responds", lastFault);
     }
 
     private String get(String path) throws LeaseServersUnavailableException {
         try {
-            return servers.get(current).get(path, timeoutMillis);
+            return servers.get(currentServer).get(path, timeoutMillis);
         } catch (IOException e) {
-            String address = String.valueOf(servers.get(current).address());
+            String address = String.valueOf(servers.get(currentServer).address());
             useNextServer();
             throw new LeaseServersUnavailableException("lease server " + address + ": " + e.getMessage(), e);
         }
     }
 
     private void useNextServer() {
-        current = (current + 1) % servers.size();
+        currentServer = (currentServer + 1) % servers.size();
     }
 
-    /** Closes the connections, also under a call of another thread. */
+    /** Closes the connections, even while another thread's call is in progress. */
     @Override
     public void close() {
         servers.forEach(HttpFetcher::close);
--- a/src/main/java/beaconladder/lease/server/LeaseEndpoint.java
+++ b/src/main/java/beaconladder/lease/server/LeaseEndpoint.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The HTTP endpoint of a lease server for leases and members; requests pass through Raft to the leader. */
+/** The HTTP endpoint of a lease server for leases and members; lease requests are sent to the leader through Raft. */
 final class LeaseEndpoint {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseEndpoint.class);
     private static final String REQUEST_PARAMETER = "ask=";
@@ -25,7 +25,7 @@
 
     private final RaftServer server;
     private final RaftClient client;
-    /** This server's member of the fleet, or null. */
+    /** The gossip service of this server, or null if the plan states none. */
     private final GossipService gossip;
 
     LeaseEndpoint(RaftServer server, RaftClient client, GossipService gossip) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** The leader as far as this server knows, without a call to the others. */
+    /** Responds with the leader known to this server, without a call to the others. */
     private void handleLeader(HttpExchange exchange) throws IOException {
         RaftPeerId leader = server.getDivision(RaftSettings.GROUP).getInfo().getLeaderId();
         respond(exchange, OK, "{\"leader\":\"" + (leader == null ? "" : leader) + "\"}");
@@ -78,7 +78,7 @@
         }
     }
 
-    /** The JSON text of the request, or an empty text where the query has none. */
+    /** Returns the JSON text of the request, or an empty text if the query has none. */
     private static String requestParameter(HttpExchange exchange) {
         String query = exchange.getRequestURI().getRawQuery();
         return query == null || !query.startsWith(REQUEST_PARAMETER)
@@ -95,7 +95,7 @@
     }
 
     private static void respondUnavailable(HttpExchange exchange, Exception cause) throws IOException {
-        LOG.warn("no leader responds: {}", String.valueOf(cause));
+        LOG.warn("no response from a Raft leader: {}", String.valueOf(cause));
         respond(exchange, UNAVAILABLE, "{\"error\":\"no leader answers\"}");
     }
 
--- a/src/main/java/beaconladder/lease/server/LeaseJson.java
+++ b/src/main/java/beaconladder/lease/server/LeaseJson.java
@@ -10,20 +10,20 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.Map;
 
-/** Requests, responses and the lease servers' state as JSON; a text is validated as a whole before it is used. */
+/** Converts requests, responses and the lease servers' state to and from JSON, and validates what it parses. */
 final class LeaseJson {
     private static final ObjectMapper MAPPER = new ObjectMapper()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
     private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
     private static final String HOLDER = NAME + "#[0-9]{1,19}";
-    /** A day: a longer lease would not end in any useful time. */
+    /** One day: the task of a failed holder would otherwise stay unavailable for too long. */
     private static final long MAX_LENGTH_NANOS = 86_400_000_000_000L;
 
-    /** A request as the log holds it: with the leader's clock and the clock bound that it is applied with. */
+    /** A request as stored in the Raft log, with the leader's clock and clock bound that it is applied with. */
     record LogEntry(
             @JsonProperty("ask") LeaseRequest request,
-            @JsonProperty("stamp") long stampNanos,
+            @JsonProperty("stamp") long timestampNanos,
             @JsonProperty("bound") long clockBoundNanos) {}
 
     private LeaseJson() {}
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Reads a value without a check of its parts.
+     * Parses a value without validating its components.
      *
-     * @throws InvalidLeaseMessageException where the text is no JSON of that type, or is null
+     * @throws InvalidLeaseMessageException if the text is not JSON of that type, or is the JSON null
      */
     static <T> T read(String text, Class<T> type) throws InvalidLeaseMessageException {
         T value;
@@ -54,11 +54,11 @@
         return value;
     }
 
-    /** Reads a request from outside. */
+    /** Parses and validates a request. */
     static LeaseRequest readRequest(String text) throws InvalidLeaseMessageException {
         LeaseRequest request = read(text, LeaseRequest.class);
         if (!isValid(request)) {
-            throw new InvalidLeaseMessageException("an ask that is not whole");
+            throw new InvalidLeaseMessageException("an invalid lease request");
         }
         return request;
     }
@@ -71,14 +71,14 @@
                 || !request.task().matches(NAME)) {
             return false;
         }
-        boolean isNamed = request.kind() == LeaseRequest.Kind.HAND_OVER
+        boolean namesProcess = request.kind() == LeaseRequest.Kind.HAND_OVER
                 ? request.successor().matches(NAME)
                 : request.holder().matches(HOLDER);
-        long leastNanos = request.kind() == LeaseRequest.Kind.RELEASE ? 0 : 1;
-        return isNamed && request.lengthNanos() >= leastNanos && request.lengthNanos() <= MAX_LENGTH_NANOS;
+        long minLengthNanos = request.kind() == LeaseRequest.Kind.RELEASE ? 0 : 1;
+        return namesProcess && request.lengthNanos() >= minLengthNanos && request.lengthNanos() <= MAX_LENGTH_NANOS;
     }
 
-    /** Reads a lease server's response. */
+    /** Parses and validates a lease server's response. */
     static LeaseResponse readResponse(String text) throws InvalidLeaseMessageException {
         LeaseResponse response = read(text, LeaseResponse.class);
         if (!isValid(response)) {
@@ -97,7 +97,7 @@
                         && response.task().equals(response.grant().task());
     }
 
-    /** Reads the leases of all tasks. */
+    /** Parses and validates the leases of all tasks. */
     static LeaseTable readTable(String text) throws InvalidLeaseMessageException {
         LeaseTable table = read(text, LeaseTable.class);
         if (table.leases() == null) {
--- a/src/main/java/beaconladder/lease/server/LeaseRequestException.java
+++ b/src/main/java/beaconladder/lease/server/LeaseRequestException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A request to the lease servers has failed; the subclass says how. */
+/** Indicates that a request to the lease servers failed; the subclass states how. */
 public abstract class LeaseRequestException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/beaconladder/lease/server/LeaseServer.java
+++ b/src/main/java/beaconladder/lease/server/LeaseServer.java
@@ -22,8 +22,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One of the three or five processes that grant leases together, and hold the log of the feed. Any of them accepts
- * requests; the leader decides.
+ * One of the three or five Raft servers that replicate the leases and the log of the feed. Each of them accepts
+ * requests; the leader orders them.
  */
 public final class LeaseServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseServer.class);
@@ -32,7 +32,7 @@
     private final RaftServer server;
     private final RaftClient client;
     private final HttpServer http;
-    /** This server's member of the fleet, or null. */
+    /** The gossip service of this server, or null if the plan states none. */
     private final GossipService gossip;
 
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
@@ -42,12 +42,12 @@
     });
 
     /**
-     * Starts a server; it responds once it has found or become a leader.
+     * Starts a server; it serves requests once a leader is elected.
      *
-     * @param name which of the plan's lease servers this is
-     * @param clock Unix time in nanoseconds
-     * @throws IOException where the plan has no server of that name, an address is in use, or its folder is in use or
-     *     damaged
+     * @param name the name of this server in the plan
+     * @param clock the Unix time in nanoseconds
+     * @throws IOException if the plan has no server of that name, an address is in use, or the log directory is in use
+     *     or damaged
      */
     public LeaseServer(Plan.Leases plan, String name, LongSupplier clock) throws IOException {
         Plan.LeaseServer self = plan.server(name);
@@ -82,7 +82,7 @@
         gossip = startGossip(plan, self);
         http = startHttp(self.clientAddress(), stateMachine);
         LOG.info(
-                "lease server {} listens at {}, {} of them at {}",
+                "lease server {} listens for clients at {}, and for Raft among {} servers at {}",
                 name,
                 self.clientAddress(),
                 peers.size(),
@@ -94,14 +94,14 @@
         return Files.isDirectory(groupFolder) ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT;
     }
 
-    /** Lease servers are the seeds of the fleet's membership. */
+    /** Starts the gossip service: lease servers are the seeds of the fleet's membership. */
     private static GossipService startGossip(Plan.Leases plan, Plan.LeaseServer self) throws IOException {
         if (self.gossipAddress() == null) {
             return null;
         }
-        InetSocketAddress bind =
+        InetSocketAddress listenAddress =
                 new InetSocketAddress(self.clientAddress().getAddress(), RaftSettings.port(self.gossipAddress()));
-        GossipService gossip = new GossipService(self.name(), bind, self.gossipAddress(), plan.gossipSeeds());
+        GossipService gossip = new GossipService(self.name(), listenAddress, self.gossipAddress(), plan.gossipSeeds());
         Thread thread = new Thread(gossip, "gossip");
         thread.setDaemon(true);
         thread.start();
@@ -109,7 +109,7 @@
     }
 
     private HttpServer startHttp(InetSocketAddress address, LeaseStateMachine stateMachine) throws IOException {
-        // Head and body of a response are two segments: without this the second waits for the first one's ACK.
+        // Head and body of a response are two TCP segments: with Nagle's algorithm the body waits for the head's ACK.
         System.setProperty("sun.net.httpserver.nodelay", "true");
         HttpServer listener = HttpServer.create(address, HTTP_BACKLOG);
         listener.setExecutor(threads);
@@ -130,7 +130,7 @@
             client.close();
             server.close();
         } catch (IOException e) {
-            LOG.warn("while closing: {}", e.toString());
+            LOG.warn("error while closing the lease server: {}", e.toString());
         }
     }
 }
--- a/src/main/java/beaconladder/lease/server/LeaseServersUnavailableException.java
+++ b/src/main/java/beaconladder/lease/server/LeaseServersUnavailableException.java
@@ -1,8 +1,8 @@
 package beaconladder.lease.server;
 
 /**
- * No lease server has responded in time, or none of them can reach a leader. Whether a request was applied is not
- * known; the next one goes to another server.
+ * Indicates that no lease server responded in time, or that none can reach a leader. The request may or may not have
+ * been applied; the next one is sent to another server.
  */
 public final class LeaseServersUnavailableException extends LeaseRequestException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/beaconladder/lease/server/LeaseSession.java
+++ b/src/main/java/beaconladder/lease/server/LeaseSession.java
@@ -10,13 +10,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A process's lease of one task: a thread that runs this requests the lease, renews it, and releases it at
- * {@link #close}, as {@link LeaseHolderState} decides.
+ * Keeps a process's lease of one task: {@link #run}, on a thread of its own, acquires and renews the lease as
+ * {@link LeaseHolderState} decides; {@link #close} releases it.
  */
 public final class LeaseSession implements Runnable, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseSession.class);
-    /** The longest time between two checks of the clock. */
-    private static final long POLL_MILLIS = 20;
+    /** The time between two checks whether a request is due or the lease has expired. */
+    private static final long CHECK_INTERVAL_MILLIS = 20;
 
     private final LeaseClient client;
     private final LongSupplier clock;
@@ -24,10 +24,10 @@
     private volatile boolean closed;
 
     /**
-     * A session that wants the task from now on.
+     * Creates a session that contends for the lease as soon as it runs.
      *
-     * @param client closed with the session
-     * @param clock Unix time in nanoseconds
+     * @param client the client to send requests with; closed with the session
+     * @param clock the Unix time in nanoseconds
      */
     public LeaseSession(LeaseHolderState state, LeaseClient client, LongSupplier clock) {
         this.client = client;
@@ -35,12 +35,12 @@
         this.state = state.want(clock.getAsLong());
     }
 
-    /** Permission to act now, or null. To be asked for before each act. */
+    /** Returns the permit for an operation that is sent now, or null for none; call it before each operation. */
     public synchronized LeasePermit permit() {
         return state.mayAct(clock.getAsLong()) ? state.permit() : null;
     }
 
-    /** The newest state. */
+    /** Returns the current state. */
     public synchronized LeaseHolderState state() {
         return state;
     }
@@ -52,7 +52,7 @@
             if (step.request() != null) {
                 LeaseResponse response = send(step.request());
                 if (response != null && !closed) {
-                    // A release that a response causes is sent once; nothing depends on its own response.
+                    // A release after a hand-over is sent once, and its response is ignored.
                     LeaseHolderState.Step next = advance(state().onResponse(response, clock.getAsLong()));
                     if (next.request() != null) {
                         send(next.request());
@@ -60,19 +60,19 @@
                 }
             }
             try {
-                Thread.sleep(POLL_MILLIS);
+                Thread.sleep(CHECK_INTERVAL_MILLIS);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    /** The response, or null: without one the state machine sends the request again in its own time. */
+    /** Returns the response, or null for none; the state machine then repeats the request when it is due. */
     private LeaseResponse send(LeaseRequest request) {
         try {
             return client.send(request);
         } catch (LeaseRequestException e) {
-            LOG.debug("no response to {}: {}", request, e.getMessage());
+            LOG.debug("no valid response to {}: {}", request, e.getMessage());
             return null;
         }
     }
@@ -81,9 +81,9 @@
         LeaseHolderState next = step.next();
         if (next.phase() != state.phase()) {
             LOG.info(
-                    "{} of {} is {}, token {}",
-                    next.terms().holder(),
+                    "lease of task {} for {} is {}, token {}",
                     next.terms().task(),
+                    next.terms().holder(),
                     next.phase().name().toLowerCase(Locale.ROOT),
                     next.permit().token());
         }
@@ -91,7 +91,7 @@
         return step;
     }
 
-    /** Releases the lease, so that another process need not wait for its expiry, and closes the client. */
+    /** Releases the lease, so that another process can acquire it before it expires, and closes the client. */
     @Override
     public void close() {
         closed = true;
--- a/src/main/java/beaconladder/lease/server/LeaseSnapshot.java
+++ b/src/main/java/beaconladder/lease/server/LeaseSnapshot.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * A snapshot of the lease servers' state as text: the leases in the first line, without a prefix as in the first
- * builds; each later part has a line and a prefix of its own.
+ * A snapshot of the lease servers' state as text. The first line holds the leases, without a prefix, as in the earliest
+ * builds; each further part has its own line and prefix.
  */
 record LeaseSnapshot(LeaseTable leases, VersionHistory feed) {
     String toText() {
@@ -16,9 +16,9 @@
     }
 
     /**
-     * Reads a snapshot, also one of a build that knew only of leases.
+     * Parses a snapshot, including one of an earlier build without the feed.
      *
-     * @throws IOException where a part is invalid or unknown
+     * @throws IOException if a part is invalid or unknown
      */
     static LeaseSnapshot parse(String text) throws IOException {
         List<String> parts = text.lines().toList();
--- a/src/main/java/beaconladder/lease/server/LeaseStateMachine.java
+++ b/src/main/java/beaconladder/lease/server/LeaseStateMachine.java
@@ -32,25 +32,27 @@
 import org.apache.ratis.util.MD5FileUtil;
 
 /**
- * {@link LeaseTable} and the feed's {@link VersionHistory} as a state machine of Apache Ratis: the leader stamps each
- * lease request with its clock, and all replicas apply it alike.
+ * {@link LeaseTable} and the feed's {@link VersionHistory} as an Apache Ratis state machine: the leader attaches its
+ * clock to each lease request, and all replicas apply the request with that time.
  */
 final class LeaseStateMachine extends BaseStateMachine {
-    /** Begins a message, a log entry or a line of a snapshot that belongs to the feed; those of leases begin with {. */
+    /**
+     * The prefix of the feed's messages, log entries and snapshot lines; those of leases begin with an opening brace.
+     */
     static final String FEED_PREFIX = "feed ";
 
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     private final LongSupplier clock;
     private final long clockBoundNanos;
     private LeaseTable leases = LeaseTable.empty();
-    /** The feed's versions as applied; followers wait there for the next one. */
+    /** The applied versions of the feed; pending fetches wait here for the next one. */
     private final VersionNotifier feed = new VersionNotifier();
 
     /**
-     * A state machine without any state yet.
+     * Creates a state machine without leases or versions.
      *
-     * @param clock Unix time in nanoseconds; read on the leader only
-     * @param clockBoundNanos how far any clock of the fleet may be from the true time
+     * @param clock the Unix time in nanoseconds; read on the leader only
+     * @param clockBoundNanos the largest difference between any clock of the fleet and the true time
      */
     LeaseStateMachine(LongSupplier clock, long clockBoundNanos) {
         this.clock = clock;
@@ -61,13 +63,13 @@
     public void initialize(RaftServer server, RaftGroupId group, RaftStorage raftStorage) throws IOException {
         super.initialize(server, group, raftStorage);
         storage.init(raftStorage);
-        load();
+        loadLatestSnapshot();
     }
 
-    /** The leader has sent a snapshot. */
+    /** Loads the snapshot that the leader has installed. */
     @Override
     public void reinitialize() throws IOException {
-        load();
+        loadLatestSnapshot();
     }
 
     @Override
@@ -75,7 +77,7 @@
         return storage;
     }
 
-    /** Runs on the leader only. A message that can't be read is rejected here and never enters the log. */
+    /** Validates a message and adds the timestamp; runs on the leader only. An invalid message never enters the log. */
     @Override
     public TransactionContext startTransaction(RaftClientRequest request) throws IOException {
         String entry = logEntry(request.getMessage().getContent().toStringUtf8());
@@ -89,44 +91,44 @@
 
     private String logEntry(String message) throws IOException {
         return message.startsWith(FEED_PREFIX)
-                ? FEED_PREFIX + FeedJson.text(proposal(message).validated())
+                ? FEED_PREFIX + FeedJson.text(parseProposal(message).validated())
                 : LeaseJson.toJson(
                         new LeaseJson.LogEntry(LeaseJson.readRequest(message), clock.getAsLong(), clockBoundNanos));
     }
 
     @Override
     public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
-        LogEntryProto logged = transaction.getLogEntry();
+        LogEntryProto raftEntry = transaction.getLogEntry();
         try {
-            String entry = logged.getStateMachineLogEntry().getLogData().toStringUtf8();
+            String entry = raftEntry.getStateMachineLogEntry().getLogData().toStringUtf8();
             String response = entry.startsWith(FEED_PREFIX)
-                    ? applyProposal(proposal(entry), logged)
-                    : applyRequest(LeaseJson.read(entry, LeaseJson.LogEntry.class), logged);
+                    ? applyProposal(parseProposal(entry), raftEntry)
+                    : applyRequest(LeaseJson.read(entry, LeaseJson.LogEntry.class), raftEntry);
             return CompletableFuture.completedFuture(Message.valueOf(response));
         } catch (IOException | RuntimeException e) {
             return CompletableFuture.failedFuture(e);
         }
     }
 
-    private synchronized String applyProposal(Proposal proposal, LogEntryProto logged) {
+    private synchronized String applyProposal(Proposal proposal, LogEntryProto raftEntry) {
         VersionHistory.Transition applied = feed.current().apply(proposal);
         feed.publish(applied.history());
-        updateLastAppliedTermIndex(logged.getTerm(), logged.getIndex());
+        updateLastAppliedTermIndex(raftEntry.getTerm(), raftEntry.getIndex());
         return FeedJson.text(applied.result());
     }
 
-    private synchronized String applyRequest(LeaseJson.LogEntry entry, LogEntryProto logged) {
-        LeaseTable.Transition applied = leases.apply(entry.request(), entry.stampNanos(), entry.clockBoundNanos());
+    private synchronized String applyRequest(LeaseJson.LogEntry entry, LogEntryProto raftEntry) {
+        LeaseTable.Transition applied = leases.apply(entry.request(), entry.timestampNanos(), entry.clockBoundNanos());
         leases = applied.next();
-        updateLastAppliedTermIndex(logged.getTerm(), logged.getIndex());
+        updateLastAppliedTermIndex(raftEntry.getTerm(), raftEntry.getIndex());
         return LeaseJson.toJson(applied.response());
     }
 
-    private static Proposal proposal(String text) throws IOException {
+    private static Proposal parseProposal(String text) throws IOException {
         return FeedJson.read(text.substring(FEED_PREFIX.length()), Proposal.class);
     }
 
-    /** The feed's versions as this replica has applied them. */
+    /** Returns the versions of the feed that this replica has applied. */
     VersionNotifier feed() {
         return feed;
     }
@@ -138,33 +140,33 @@
 
     @Override
     public long takeSnapshot() throws IOException {
-        TermIndex last;
+        TermIndex lastApplied;
         String text;
         synchronized (this) {
-            last = getLastAppliedTermIndex();
+            lastApplied = getLastAppliedTermIndex();
             text = snapshot();
         }
-        if (last == null || last.getIndex() < 0) {
+        if (lastApplied == null || lastApplied.getIndex() < 0) {
             return -1;
         }
-        File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
+        File file = storage.getSnapshotFile(lastApplied.getTerm(), lastApplied.getIndex());
         Path partial = file.toPath().resolveSibling(file.getName() + ".part");
         Files.writeString(partial, text, StandardCharsets.UTF_8);
         Files.move(partial, file.toPath(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         MD5Hash hash = MD5FileUtil.computeAndSaveMd5ForFile(file);
-        storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), hash), last));
-        return last.getIndex();
+        storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), hash), lastApplied));
+        return lastApplied.getIndex();
     }
 
-    /** The text of a snapshot. */
+    /** Returns the state as the text of a snapshot. */
     synchronized String snapshot() {
         return new LeaseSnapshot(leases, feed.current()).toText();
     }
 
     /**
-     * Replaces the state by that of a snapshot.
+     * Replaces the state with that of a snapshot.
      *
-     * @throws IOException where it can't be read; the state stays as it was
+     * @throws IOException if the snapshot can't be parsed; the state is then unchanged
      */
     synchronized void restore(String text) throws IOException {
         LeaseSnapshot snapshot = LeaseSnapshot.parse(text);
@@ -172,7 +174,7 @@
         feed.publish(snapshot.feed());
     }
 
-    private synchronized void load() throws IOException {
+    private synchronized void loadLatestSnapshot() throws IOException {
         SingleFileSnapshotInfo info = storage.loadLatestSnapshot();
         if (info == null) {
             return;
--- a/src/main/java/beaconladder/lease/server/RaftSettings.java
+++ b/src/main/java/beaconladder/lease/server/RaftSettings.java
@@ -19,20 +19,22 @@
 
 /** The settings of Apache Ratis for the lease servers: transport, election timeouts, size of the log, snapshots. */
 final class RaftSettings {
-    /** All lease servers of an installation are in one group; the number has no meaning. */
+    /** The Raft group of all lease servers; an arbitrary fixed number, stored in their log directories. */
     static final RaftGroupId GROUP = RaftGroupId.valueOf(UUID.fromString("b7a2c0de-0000-4000-8000-000000000001"));
+    /** The shortest election timeout is the length of a lease divided by this. */
+    private static final int ELECTION_TIMEOUT_DIVISOR = 10;
     /**
-     * The election timeout is a tenth of a lease, but at least this: with 150 to 300 ms, three servers that had just
-     * started elected no leader in 30 s, as their first calls take longer.
+     * The lower bound of the election timeout. With 150 to 300 ms, three servers that had just started elected no
+     * leader in 30 s, because their first calls take longer.
      */
     private static final long MIN_ELECTION_TIMEOUT_NANOS = 500_000_000L;
-    /** So many log entries, of some 400 bytes each, make a snapshot, which keeps the log short. */
+    /** The number of log entries, of about 400 bytes each, after which a snapshot is taken to keep the log short. */
     private static final long ENTRIES_PER_SNAPSHOT = 2_000;
 
     private static final int SNAPSHOTS_KEPT = 2;
-    private static final long LEAST_SEGMENT_BYTES = 64 * 1024;
-    /** Two segments are open at a time; snapshots purge the others. */
-    private static final int SEGMENTS_PER_DISK = 8;
+    private static final long MIN_SEGMENT_BYTES = 64 * 1024;
+    /** The log's disk budget in segments: two are open at a time; the others are purged after a snapshot. */
+    private static final int SEGMENTS_PER_DISK_BUDGET = 8;
 
     private static final int MAX_RETRIES = 4;
     private static final long RETRY_INTERVAL_MILLIS = 50;
@@ -54,31 +56,31 @@
         return properties;
     }
 
-    private static void setTimeouts(RaftProperties properties, long leaseNanos) {
-        long electionNanos = Math.max(MIN_ELECTION_TIMEOUT_NANOS, leaseNanos / 10);
-        TimeDuration shortest = TimeDuration.valueOf(electionNanos, TimeUnit.NANOSECONDS);
-        TimeDuration longest = TimeDuration.valueOf(2 * electionNanos, TimeUnit.NANOSECONDS);
-        RaftServerConfigKeys.Rpc.setTimeoutMin(properties, shortest);
-        RaftServerConfigKeys.Rpc.setTimeoutMax(properties, longest);
-        RaftServerConfigKeys.Rpc.setRequestTimeout(properties, longest);
-        RaftClientConfigKeys.Rpc.setRequestTimeout(properties, longest);
+    private static void setTimeouts(RaftProperties properties, long leaseLengthNanos) {
+        long minTimeoutNanos = Math.max(MIN_ELECTION_TIMEOUT_NANOS, leaseLengthNanos / ELECTION_TIMEOUT_DIVISOR);
+        TimeDuration minTimeout = TimeDuration.valueOf(minTimeoutNanos, TimeUnit.NANOSECONDS);
+        TimeDuration maxTimeout = TimeDuration.valueOf(2 * minTimeoutNanos, TimeUnit.NANOSECONDS);
+        RaftServerConfigKeys.Rpc.setTimeoutMin(properties, minTimeout);
+        RaftServerConfigKeys.Rpc.setTimeoutMax(properties, maxTimeout);
+        RaftServerConfigKeys.Rpc.setRequestTimeout(properties, maxTimeout);
+        RaftClientConfigKeys.Rpc.setRequestTimeout(properties, maxTimeout);
     }
 
-    private static void setLog(RaftProperties properties, long diskBytes) {
-        long segmentBytes = Math.max(LEAST_SEGMENT_BYTES, diskBytes / SEGMENTS_PER_DISK);
+    private static void setLog(RaftProperties properties, long maxDiskBytes) {
+        long segmentBytes = Math.max(MIN_SEGMENT_BYTES, maxDiskBytes / SEGMENTS_PER_DISK_BUDGET);
         RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf(segmentBytes));
-        RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf(LEAST_SEGMENT_BYTES));
+        RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf(MIN_SEGMENT_BYTES));
         RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, true);
         RaftServerConfigKeys.Log.setPurgeGap(properties, (int) ENTRIES_PER_SNAPSHOT);
     }
 
-    /** How a client retries while there is no leader. */
+    /** Returns the policy by which a Raft client retries while there is no leader. */
     static RetryPolicy retryPolicy() {
         return RetryPolicies.retryUpToMaximumCountWithFixedSleep(
                 MAX_RETRIES, TimeDuration.valueOf(RETRY_INTERVAL_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    /** The port of an address as HOST:PORT. */
+    /** Returns the port of an address of the form HOST:PORT. */
     static int port(String address) {
         return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
     }
--- a/src/main/java/beaconladder/lease/server/package-info.java
+++ b/src/main/java/beaconladder/lease/server/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Leases over the network: the lease server as a state machine of Apache Ratis, its HTTP endpoint, its client, and the
- * loop of a holder. All decisions are those of {@link beaconladder.lease}.
+ * Leases over the network: the lease server as an Apache Ratis state machine, its HTTP endpoint, its client, and the
+ * loop that runs a holder. All decisions are made in {@link beaconladder.lease}.
  */
 package beaconladder.lease.server;
--- a/src/test/java/beaconladder/lease/FencedRecordsTest.java
+++ b/src/test/java/beaconladder/lease/FencedRecordsTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 class FencedRecordsTest {
-    private static final long LENGTH = 1_000;
-    private static final long BOUND = 60;
+    private static final long LENGTH_NANOS = 1_000;
+    private static final long CLOCK_BOUND_NANOS = 60;
 
     private LeaseTable leases = LeaseTable.empty();
     private FencedRecords records = FencedRecords.empty();
@@ -19,9 +19,9 @@
         assertThat(write("a#1", 1, 0, "begun")).isEqualTo(Outcome.WRITTEN);
         assertThat(write("b#1", 1, 1, "mine")).isEqualTo(Outcome.NOT_HELD);
         // The lease has expired, though no other process holds it yet.
-        advanceClock(LENGTH + 1);
+        advanceClock(LENGTH_NANOS + 1);
         assertThat(write("a#1", 1, 1, "late")).isEqualTo(Outcome.NOT_HELD);
-        acquire("b#1", LENGTH + BOUND + 1, 0);
+        acquire("b#1", LENGTH_NANOS + CLOCK_BOUND_NANOS + 1, 0);
         assertThat(write("a#1", 1, 1, "still")).isEqualTo(Outcome.NOT_HELD);
         assertThat(write("b#1", 2, 0, "again")).isEqualTo(Outcome.STALE_POSITION);
         assertThat(write("b#1", 2, 1, "advanced")).isEqualTo(Outcome.WRITTEN);
@@ -50,7 +50,7 @@
     }
 
     private void acquire(String holder, long nowNanos, long token) {
-        leases = leases.apply(LeaseRequest.acquire("task", holder, 1, token, LENGTH), nowNanos, BOUND)
+        leases = leases.apply(LeaseRequest.acquire("task", holder, 1, token, LENGTH_NANOS), nowNanos, CLOCK_BOUND_NANOS)
                 .next();
     }
 
--- a/src/test/java/beaconladder/lease/LeaseModelTest.java
+++ b/src/test/java/beaconladder/lease/LeaseModelTest.java
@@ -11,37 +11,38 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Two processes, the lease servers and one resource, over all interleavings to a depth: time passes, a process checks
- * its clock or is paused, messages are delayed, duplicated or lost, the leader changes to one with another clock, a
- * process begins an act and the act arrives at any later time. Clocks are off by the bound in either direction, or by
- * more.
+ * A bounded model check of two processes, the lease servers and one resource: explores all interleavings up to a depth.
+ * Time passes, a process checks its clock or is paused, messages are delayed, duplicated or lost, the leader changes to
+ * one with another clock, and a process sends an operation, which arrives at any later time. Clocks are off by the
+ * bound in either direction, or by more. Times are in an arbitrary unit.
  */
 @Timeout(120)
 class LeaseModelTest {
     private static final long LENGTH = 3;
-    private static final long BOUND = 1;
+    private static final long CLOCK_BOUND = 1;
     /**
-     * As short as a breach without the guard can be, and one more: two leases requested and received, an act under
-     * each, the first one late, and the time between.
+     * One more than the shortest violation without the guard: two leases requested and received, an operation under
+     * each of them with the first one late, and the time between.
      */
     private static final int DEPTH = 10;
 
     private static final String[] HOLDERS = {"a#1", "b#1"};
 
-    /** What the state machines are run with: the real rules, or some with a part left out. */
-    private record Rules(long bound, boolean fencing) {}
+    /** The rules under test: the real ones, or those without the clock bound or without the guard. */
+    private record Rules(long clockBound, boolean fencing) {}
 
-    /** How far each clock is from the true time, the leader's before and after it changes. */
-    private record ClockOffsets(long first, long second, long resource, long before, long after) {
-        long of(int who) {
-            return who == 0 ? first : second;
+    /** The offset of each clock from the true time; the leader has two, before and after the change of leader. */
+    private record ClockOffsets(
+            long firstProcess, long secondProcess, long resource, long firstLeader, long secondLeader) {
+        long ofProcess(int process) {
+            return process == 0 ? firstProcess : secondProcess;
         }
     }
 
-    private record Delivery(int to, LeaseResponse response) {}
+    private record Delivery(int process, LeaseResponse response) {}
 
-    /** One global state; messages in flight may arrive in any order. */
-    private record World(
+    /** A global state; messages and operations in flight may arrive in any order. */
+    private record SystemState(
             long time,
             boolean leaderChanged,
             LeaseTable leases,
@@ -49,42 +50,54 @@
             FencingGuard guard,
             List<LeaseRequest> requests,
             List<Delivery> responses,
-            List<LeasePermit> acts,
+            List<LeasePermit> operations,
             boolean duplicated,
             long lastToken) {
-        World atTime(long next) {
-            return new World(
-                    next, leaderChanged, leases, holders, guard, requests, responses, acts, duplicated, lastToken);
+        SystemState atTime(long next) {
+            return new SystemState(
+                    next,
+                    leaderChanged,
+                    leases,
+                    holders,
+                    guard,
+                    requests,
+                    responses,
+                    operations,
+                    duplicated,
+                    lastToken);
         }
 
-        World withNewLeader() {
-            return new World(time, true, leases, holders, guard, requests, responses, acts, duplicated, lastToken);
+        SystemState withNewLeader() {
+            return new SystemState(
+                    time, true, leases, holders, guard, requests, responses, operations, duplicated, lastToken);
         }
 
-        World with(int who, LeaseHolderState holder) {
-            return new World(
+        SystemState withHolder(int process, LeaseHolderState holder) {
+            return new SystemState(
                     time,
                     leaderChanged,
                     leases,
-                    who == 0 ? List.of(holder, holders.get(1)) : List.of(holders.get(0), holder),
+                    process == 0 ? List.of(holder, holders.get(1)) : List.of(holders.get(0), holder),
                     guard,
                     requests,
                     responses,
-                    acts,
+                    operations,
                     duplicated,
                     lastToken);
         }
 
-        World requests(List<LeaseRequest> next) {
-            return new World(time, leaderChanged, leases, holders, guard, next, responses, acts, duplicated, lastToken);
+        SystemState withRequests(List<LeaseRequest> next) {
+            return new SystemState(
+                    time, leaderChanged, leases, holders, guard, next, responses, operations, duplicated, lastToken);
         }
 
-        World responses(List<Delivery> next) {
-            return new World(time, leaderChanged, leases, holders, guard, requests, next, acts, duplicated, lastToken);
+        SystemState withResponses(List<Delivery> next) {
+            return new SystemState(
+                    time, leaderChanged, leases, holders, guard, requests, next, operations, duplicated, lastToken);
         }
 
-        World withLeases(LeaseTable next, boolean twice) {
-            return new World(
+        SystemState withLeases(LeaseTable next, boolean twice) {
+            return new SystemState(
                     time,
                     leaderChanged,
                     next,
@@ -92,38 +105,39 @@
                     guard,
                     requests,
                     responses,
-                    acts,
+                    operations,
                     duplicated || twice,
                     lastToken);
         }
 
-        World acts(List<LeasePermit> next) {
-            return new World(
+        SystemState withOperations(List<LeasePermit> next) {
+            return new SystemState(
                     time, leaderChanged, leases, holders, guard, requests, responses, next, duplicated, lastToken);
         }
 
-        World withGuard(FencingGuard next, long token) {
-            return new World(time, leaderChanged, leases, holders, next, requests, responses, acts, duplicated, token);
+        SystemState withGuard(FencingGuard next, long token) {
+            return new SystemState(
+                    time, leaderChanged, leases, holders, next, requests, responses, operations, duplicated, token);
         }
     }
 
     @Test
-    void noTwoProcessesMayActAtOnceAndNoActIsAdmittedLateOrOutOfTurn() {
+    void noTwoProcessesMayActAtOnceAndNoOperationIsAdmittedLateOrOutOfOrder() {
         int states = 0;
         int bothActed = 0;
         for (ClockOffsets clocks : allClocks()) {
-            Search search = new Search(new Rules(BOUND, true), clocks, false);
+            Search search = new Search(new Rules(CLOCK_BOUND, true), clocks, false);
             assertThat(search.run()).as("%s", clocks).isNull();
             states += search.states;
             bothActed += search.bothActed ? 1 : 0;
         }
-        assertThat(bothActed).as("searches deep enough for both to act").isPositive();
+        assertThat(bothActed).as("searches in which both processes acted").isPositive();
         assertThat(states).isGreaterThan(100_000);
     }
 
     @Test
-    void withoutTheGuardALateActIsAdmittedAfterTheNextHolders() {
-        assertThat(firstViolation(new Rules(BOUND, false))).startsWith("out of turn");
+    void withoutTheGuardALateOperationIsAdmittedAfterThatOfTheNextHolder() {
+        assertThat(firstViolation(new Rules(CLOCK_BOUND, false))).startsWith("out of order");
     }
 
     @Test
@@ -131,15 +145,17 @@
         assertThat(firstViolation(new Rules(0, true))).startsWith("two may act");
     }
 
-    /** Beyond the bound two may act at once; the guard still prevents acts out of turn, and nothing else does. */
+    /** With clocks beyond the bound two processes may act at once; only the guard keeps operations in token order. */
     @Test
-    void withClocksBeyondTheBoundOnlyTheGuardPreventsActsOutOfTurn() {
-        ClockOffsets far = new ClockOffsets(-8, 4, -8, -4, 4);
-        assertThat(new Search(new Rules(BOUND, true), far, false).run()).startsWith("two may act");
-        Search fenced = new Search(new Rules(BOUND, true), far, true);
+    void withClocksBeyondTheBoundOnlyTheGuardPreventsOperationsOutOfOrder() {
+        ClockOffsets beyondBound = new ClockOffsets(-8, 4, -8, -4, 4);
+        assertThat(new Search(new Rules(CLOCK_BOUND, true), beyondBound, false).run())
+                .startsWith("two may act");
+        Search fenced = new Search(new Rules(CLOCK_BOUND, true), beyondBound, true);
         assertThat(fenced.run()).isNull();
         assertThat(fenced.bothActed).isTrue();
-        assertThat(new Search(new Rules(BOUND, false), far, true).run()).startsWith("out of turn");
+        assertThat(new Search(new Rules(CLOCK_BOUND, false), beyondBound, true).run())
+                .startsWith("out of order");
     }
 
     private static String firstViolation(Rules rules) {
@@ -154,36 +170,40 @@
 
     private static List<ClockOffsets> allClocks() {
         List<ClockOffsets> all = new ArrayList<>();
-        for (long first : new long[] {-BOUND, BOUND}) {
-            for (long second : new long[] {-BOUND, BOUND}) {
-                for (long resource : new long[] {-BOUND, BOUND}) {
-                    all.add(new ClockOffsets(first, second, resource, -BOUND, BOUND));
+        for (long first : new long[] {-CLOCK_BOUND, CLOCK_BOUND}) {
+            for (long second : new long[] {-CLOCK_BOUND, CLOCK_BOUND}) {
+                for (long resource : new long[] {-CLOCK_BOUND, CLOCK_BOUND}) {
+                    all.add(new ClockOffsets(first, second, resource, -CLOCK_BOUND, CLOCK_BOUND));
                 }
             }
         }
         return all;
     }
 
-    /** Breadth first, so that a violation is found by a shortest path. */
+    /** A breadth-first search, so that a violation is found by a shortest path. */
     private static final class Search {
         private final Rules rules;
         private final ClockOffsets clocks;
-        private final boolean tokensOnly;
-        private final Set<World> seen = new HashSet<>();
+        private final boolean tokenOrderOnly;
+        private final Set<SystemState> visited = new HashSet<>();
         private boolean bothActed;
         private int states;
         private String violation;
 
-        /** One that requests for the order of tokens alone, or also for times. */
-        Search(Rules rules, ClockOffsets clocks, boolean tokensOnly) {
+        /**
+         * Creates a search for violations.
+         *
+         * @param tokenOrderOnly whether only operations out of token order count as violations
+         */
+        Search(Rules rules, ClockOffsets clocks, boolean tokenOrderOnly) {
             this.rules = rules;
             this.clocks = clocks;
-            this.tokensOnly = tokensOnly;
+            this.tokenOrderOnly = tokenOrderOnly;
         }
 
-        /** How a rule is violated, or null. */
+        /** Returns a description of the first violation, or null if there is none. */
         String run() {
-            World start = new World(
+            SystemState start = new SystemState(
                     0,
                     false,
                     LeaseTable.empty(),
@@ -194,127 +214,132 @@
                     List.of(),
                     false,
                     0);
-            List<World> edge = List.of(start);
-            seen.add(start);
+            List<SystemState> frontier = List.of(start);
+            visited.add(start);
             for (int step = 0; step < DEPTH && violation == null; step++) {
-                List<World> next = new ArrayList<>();
-                for (World world : edge) {
-                    forEachSuccessor(world, to -> {
-                        if (violation == null && seen.add(to)) {
+                List<SystemState> next = new ArrayList<>();
+                for (SystemState state : frontier) {
+                    forEachSuccessor(state, to -> {
+                        if (violation == null && visited.add(to)) {
                             check(to);
                             next.add(to);
                         }
                     });
                 }
-                edge = next;
+                frontier = next;
             }
-            states = seen.size();
-            seen.clear();
+            states = visited.size();
+            visited.clear();
             return violation;
         }
 
-        private LeaseHolderState holder(int who) {
-            return LeaseHolderState.initial(new LeaseTerms("t", HOLDERS[who], LENGTH, rules.bound()))
-                    .want(clocks.of(who));
+        private LeaseHolderState holder(int process) {
+            return LeaseHolderState.initial(new LeaseTerms("t", HOLDERS[process], LENGTH, rules.clockBound()))
+                    .want(clocks.ofProcess(process));
         }
 
-        private void check(World w) {
-            if (!tokensOnly
-                    && w.holders().get(0).mayAct(w.time() + clocks.first())
-                    && w.holders().get(1).mayAct(w.time() + clocks.second())) {
-                violation = "two may act at once: " + w;
+        private void check(SystemState state) {
+            if (!tokenOrderOnly
+                    && state.holders().get(0).mayAct(state.time() + clocks.firstProcess())
+                    && state.holders().get(1).mayAct(state.time() + clocks.secondProcess())) {
+                violation = "two may act at once: " + state;
             }
         }
 
-        private void forEachSuccessor(World w, Consumer<World> to) {
-            to.accept(w.atTime(w.time() + 1));
-            if (!w.leaderChanged()) {
-                to.accept(w.withNewLeader());
+        private void forEachSuccessor(SystemState state, Consumer<SystemState> successors) {
+            successors.accept(state.atTime(state.time() + 1));
+            if (!state.leaderChanged()) {
+                successors.accept(state.withNewLeader());
             }
-            for (int who = 0; who < 2; who++) {
-                LeaseHolderState holder = w.holders().get(who);
-                long now = w.time() + clocks.of(who);
+            for (int process = 0; process < 2; process++) {
+                LeaseHolderState holder = state.holders().get(process);
+                long now = state.time() + clocks.ofProcess(process);
                 if (now >= holder.wakeupNanos()) {
                     LeaseHolderState.Step step = holder.onTime(now);
-                    to.accept(stepped(w, who, step));
+                    successors.accept(stepped(state, process, step));
                     if (step.request() != null) {
-                        to.accept(exchange(w, who, step, now));
+                        successors.accept(exchange(state, process, step, now));
                     }
                 }
                 if (holder.mayAct(now)) {
-                    LeasePermit act = holder.permit();
-                    // The second one's acts arrive at once; as clocks are swapped too, that omits nothing.
-                    if (who == 1) {
-                        to.accept(arrive(w, act));
-                    } else if (w.acts().isEmpty()) {
-                        to.accept(w.acts(List.of(act)));
+                    LeasePermit operation = holder.permit();
+                    // The second process's operations arrive at once. Nothing is omitted, as all clocks are swapped
+                    // too.
+                    if (process == 1) {
+                        successors.accept(arrive(state, operation));
+                    } else if (state.operations().isEmpty()) {
+                        successors.accept(state.withOperations(List.of(operation)));
                     }
                 }
             }
-            for (int i = 0; i < w.requests().size(); i++) {
-                deliverRequest(w, i, to);
+            for (int i = 0; i < state.requests().size(); i++) {
+                deliverRequest(state, i, successors);
             }
-            for (int i = 0; i < w.responses().size(); i++) {
-                Delivery delivery = w.responses().get(i);
-                World rest = w.responses(minus(w.responses(), i));
-                to.accept(stepped(
-                        rest,
-                        delivery.to(),
-                        w.holders()
-                                .get(delivery.to())
-                                .onResponse(delivery.response(), w.time() + clocks.of(delivery.to()))));
+            for (int i = 0; i < state.responses().size(); i++) {
+                Delivery delivery = state.responses().get(i);
+                SystemState received = state.withResponses(minus(state.responses(), i));
+                successors.accept(stepped(
+                        received,
+                        delivery.process(),
+                        state.holders()
+                                .get(delivery.process())
+                                .onResponse(delivery.response(), state.time() + clocks.ofProcess(delivery.process()))));
             }
-            if (!w.acts().isEmpty()) {
-                to.accept(arrive(w.acts(List.of()), w.acts().get(0)));
+            if (!state.operations().isEmpty()) {
+                successors.accept(arrive(
+                        state.withOperations(List.of()), state.operations().get(0)));
             }
         }
 
-        /** Requested, granted or refused, and received with nothing in between, as over a fast network. */
-        private World exchange(World w, int who, LeaseHolderState.Step step, long now) {
-            LeaseTable.Transition applied = w.leases().apply(step.request(), stamp(w), rules.bound());
+        /** Sends a request and delivers its response with no event in between, as over a fast network. */
+        private SystemState exchange(SystemState state, int process, LeaseHolderState.Step step, long now) {
+            LeaseTable.Transition applied = state.leases().apply(step.request(), leaderTime(state), rules.clockBound());
             LeaseHolderState.Step responded = step.next().onResponse(applied.response(), now);
-            return stepped(w.withLeases(applied.next(), false), who, responded);
+            return stepped(state.withLeases(applied.next(), false), process, responded);
         }
 
-        private long stamp(World w) {
-            return w.time() + (w.leaderChanged() ? clocks.after() : clocks.before());
+        private long leaderTime(SystemState state) {
+            return state.time() + (state.leaderChanged() ? clocks.secondLeader() : clocks.firstLeader());
         }
 
-        private void deliverRequest(World w, int i, Consumer<World> to) {
-            LeaseRequest request = w.requests().get(i);
-            LeaseTable.Transition applied = w.leases().apply(request, stamp(w), rules.bound());
+        private void deliverRequest(SystemState state, int i, Consumer<SystemState> successors) {
+            LeaseRequest request = state.requests().get(i);
+            LeaseTable.Transition applied = state.leases().apply(request, leaderTime(state), rules.clockBound());
             Delivery delivery = new Delivery(request.holder().equals(HOLDERS[0]) ? 0 : 1, applied.response());
-            List<Delivery> all = w.responses().size() < 2 ? plus(w.responses(), delivery) : w.responses();
-            to.accept(w.withLeases(applied.next(), false).responses(all).requests(minus(w.requests(), i)));
-            if (!w.duplicated()) {
+            List<Delivery> all = state.responses().size() < 2 ? plus(state.responses(), delivery) : state.responses();
+            successors.accept(state.withLeases(applied.next(), false)
+                    .withResponses(all)
+                    .withRequests(minus(state.requests(), i)));
+            if (!state.duplicated()) {
                 // A duplicate arrives later.
-                to.accept(w.withLeases(applied.next(), true).responses(all));
+                successors.accept(state.withLeases(applied.next(), true).withResponses(all));
             }
         }
 
-        /** A full network loses further messages. */
-        private World stepped(World w, int who, LeaseHolderState.Step step) {
-            World next = w.with(who, step.next());
-            return step.request() == null || w.requests().size() >= 2
+        /** Applies a holder's step; its request is lost if the simulated network already holds two. */
+        private SystemState stepped(SystemState state, int process, LeaseHolderState.Step step) {
+            SystemState next = state.withHolder(process, step.next());
+            return step.request() == null || state.requests().size() >= 2
                     ? next
-                    : next.requests(plus(w.requests(), step.request()));
+                    : next.withRequests(plus(state.requests(), step.request()));
         }
 
-        private World arrive(World rest, LeasePermit act) {
+        /** Lets an operation arrive at the resource, which executes it if it is admitted. */
+        private SystemState arrive(SystemState state, LeasePermit operation) {
             FencingGuard.Admission admission =
-                    rest.guard().admit(act.token(), act.deadlineNanos(), rest.time() + clocks.resource());
+                    state.guard().admit(operation.token(), operation.deadlineNanos(), state.time() + clocks.resource());
             if (rules.fencing() && admission.decision() != FencingGuard.Decision.ADMITTED) {
-                return rest.withGuard(admission.next(), rest.lastToken());
+                return state.withGuard(admission.next(), state.lastToken());
             }
-            bothActed |= rest.lastToken() > 0 && act.token() > rest.lastToken();
-            if (act.token() < rest.lastToken()) {
-                violation = "out of turn: " + act + " in " + rest;
+            bothActed |= state.lastToken() > 0 && operation.token() > state.lastToken();
+            if (operation.token() < state.lastToken()) {
+                violation = "out of order: " + operation + " in " + state;
             }
-            Lease lease = rest.leases().leases().get("t");
-            if (!tokensOnly && rules.fencing() && act.token() < lease.token()) {
-                violation = "late: " + act + " in " + rest;
+            Lease lease = state.leases().leases().get("t");
+            if (!tokenOrderOnly && rules.fencing() && operation.token() < lease.token()) {
+                violation = "late: " + operation + " in " + state;
             }
-            return rest.withGuard(admission.next(), act.token());
+            return state.withGuard(admission.next(), operation.token());
         }
 
         private static <T> List<T> plus(List<T> all, T one) {
--- a/src/test/java/beaconladder/lease/server/AnchoredClockTest.java
+++ b/src/test/java/beaconladder/lease/server/AnchoredClockTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The clock of leases while the wall clock of its process is stepped. */
+/** Tests {@link AnchoredClock} in a process whose wall clock is stepped. */
 @Timeout(60)
 class AnchoredClockTest {
     private static final long HOUR_NANOS = 3_600_000_000_000L;
     private static final int READS = 10;
     private static final int PAUSE_MILLIS = 10;
-    /** Between two reads lies a rest, on a busy machine. */
+    /** The largest accepted difference between two reads; on a busy machine the pause takes longer. */
     private static final long MAX_PAUSE_NANOS = 2_000_000_000L;
 
     @TempDir
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Regression: the wall clock went back by 30 s, and no lease expired for as long. */
+    /** Guards against a clock that follows the wall clock: a step back by 30 s kept leases from expiring for 30 s. */
     @Test
     void intervalsAreRealTimeWhileTheWallClockIsStepped() throws Exception {
         FaultPlan plan = new FaultPlan(folder.resolve("plan"));
@@ -66,7 +66,7 @@
         List<Long> readings = readings(out);
         for (int i = 1; i < readings.size(); i++) {
             assertThat(readings.get(i) - readings.get(i - 1))
-                    .as("ns from read " + (i - 1) + " to the next")
+                    .as("nanoseconds from reading " + (i - 1) + " to the next")
                     .isBetween(0L, MAX_PAUSE_NANOS);
         }
     }
--- a/src/test/java/beaconladder/lease/server/LeaseJsonLiteralTest.java
+++ b/src/test/java/beaconladder/lease/server/LeaseJsonLiteralTest.java
@@ -27,11 +27,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The exact JSON that the lease servers send to each other and to their clients, and that their log and their snapshots
- * hold. A component or a constant that gets another name in Java must keep its name here.
+ * Pins the exact JSON of the lease servers' messages, log and snapshots. A record component or an enum constant that is
+ * renamed in Java must keep its JSON name.
  */
 class LeaseJsonLiteralTest {
-    private static final String TAKE = "{\"kind\":\"TAKE\",\"task\":\"t\",\"holder\":\"a#1\",\"number\":2,"
+    private static final String ACQUIRE = "{\"kind\":\"TAKE\",\"task\":\"t\",\"holder\":\"a#1\",\"number\":2,"
             + "\"token\":3,\"length\":600,\"heir\":\"\"}";
     private static final String RELEASE = "{\"kind\":\"RELEASE\",\"task\":\"t\",\"holder\":\"a#1\","
             + "\"number\":4,\"token\":3,\"length\":0,\"heir\":\"\"}";
@@ -39,17 +39,17 @@
             + "\"number\":0,\"token\":0,\"length\":600,\"heir\":\"b\"}";
     private static final String GRANTED = "{\"task\":\"t\",\"number\":2,\"why\":\"GRANTED\",\"grant\":"
             + "{\"task\":\"t\",\"holder\":\"a#1\",\"token\":1,\"expiry\":1600},\"holder\":\"\",\"free\":0}";
-    private static final String ENTRY = "{\"ask\":" + TAKE + ",\"stamp\":1000,\"bound\":50}";
+    private static final String ENTRY = "{\"ask\":" + ACQUIRE + ",\"stamp\":1000,\"bound\":50}";
     private static final String LEASES = "{\"clock\":1000,\"leases\":{\"t\":{\"task\":\"t\","
             + "\"holder\":\"a#1\",\"token\":1,\"expiry\":1600,\"gaveUp\":\"\",\"gaveUpNumber\":0,"
             + "\"heir\":\"\",\"heirUntil\":-9223372036854775808}}}";
     private static final String PROPOSAL = "{\"against\":0,\"set\":{\"a.json\":\"{}\"},\"remove\":[\"b\"]}";
 
-    private final LeaseStateMachine log = new LeaseStateMachine(() -> 1_000, 50);
+    private final LeaseStateMachine stateMachine = new LeaseStateMachine(() -> 1_000, 50);
 
     @Test
     void requests() throws IOException {
-        assertRequest(new LeaseRequest(LeaseRequest.Kind.ACQUIRE, "t", "a#1", 2, 3, 600, ""), TAKE);
+        assertRequest(new LeaseRequest(LeaseRequest.Kind.ACQUIRE, "t", "a#1", 2, 3, 600, ""), ACQUIRE);
         assertRequest(new LeaseRequest(LeaseRequest.Kind.RELEASE, "t", "a#1", 4, 3, 0, ""), RELEASE);
         assertRequest(LeaseRequest.handOver("t", "b", 600), HAND_OVER);
         assertThat(LeaseRequest.Kind.values()).hasSize(3);
@@ -83,20 +83,22 @@
 
     @Test
     void logEntry() throws IOException {
-        LeaseJson.LogEntry entry = new LeaseJson.LogEntry(LeaseJson.readRequest(TAKE), 1_000, 50);
+        LeaseJson.LogEntry entry = new LeaseJson.LogEntry(LeaseJson.readRequest(ACQUIRE), 1_000, 50);
         assertThat(LeaseJson.toJson(entry)).isEqualTo(ENTRY);
         assertThat(LeaseJson.read(ENTRY, LeaseJson.LogEntry.class)).isEqualTo(entry);
-        assertThat(logged(TAKE)).isEqualTo(ENTRY);
+        assertThat(logged(ACQUIRE)).isEqualTo(ENTRY);
     }
 
     @Test
     void leaseTable() throws IOException {
-        LeaseTable leases =
-                LeaseTable.empty().apply(LeaseJson.readRequest(TAKE), 1_000, 50).next();
+        LeaseTable leases = LeaseTable.empty()
+                .apply(LeaseJson.readRequest(ACQUIRE), 1_000, 50)
+                .next();
         assertThat(LeaseJson.toJson(leases)).isEqualTo(LEASES);
         assertThat(LeaseJson.readTable(LEASES)).isEqualTo(leases);
-        assertThat(applied(1, ENTRY)).isEqualTo(GRANTED);
-        assertThat(log.query(Message.EMPTY).join().getContent().toStringUtf8()).isEqualTo(LEASES);
+        assertThat(apply(1, ENTRY)).isEqualTo(GRANTED);
+        assertThat(stateMachine.query(Message.EMPTY).join().getContent().toStringUtf8())
+                .isEqualTo(LEASES);
     }
 
     @Test
@@ -106,9 +108,9 @@
         assertThat(FeedJson.read(PROPOSAL, Proposal.class)).isEqualTo(proposal);
         assertThat(logged("feed " + PROPOSAL)).isEqualTo("feed " + PROPOSAL);
         String digest = "8cc2910c8901c330e1e3a707274de015";
-        assertThat(applied(1, "feed " + PROPOSAL))
+        assertThat(apply(1, "feed " + PROPOSAL))
                 .isEqualTo("{\"outcome\":\"WRITTEN\",\"version\":1,\"digest\":\"" + digest + "\"}");
-        assertThat(log.snapshot())
+        assertThat(stateMachine.snapshot())
                 .isEqualTo("{\"clock\":-9223372036854775808,\"leases\":{}}\n"
                         + "feed {\"newest\":{\"version\":1,\"entries\":{\"a.json\":\"{}\"},\"digest\":\"" + digest
                         + "\"},\"changes\":[{\"version\":1,\"set\":{\"a.json\":\"{}\"},\"remove\":[\"b\"],"
@@ -126,9 +128,10 @@
         assertThat(FeedJson.read(text, CommitResult.class)).isEqualTo(written);
     }
 
-    /** What the leader puts into the log for a message. */
+    /** Returns the log entry that the leader writes for a message. */
     private String logged(String message) throws IOException {
-        return log.startTransaction(RaftClientRequest.newBuilder()
+        return stateMachine
+                .startTransaction(RaftClientRequest.newBuilder()
                         .setClientId(ClientId.randomId())
                         .setServerId(RaftPeerId.valueOf("a"))
                         .setGroupId(RaftGroupId.randomId())
@@ -141,16 +144,17 @@
                 .toStringUtf8();
     }
 
-    /** What a replica responds to an entry of the log. */
-    private String applied(long index, String entry) {
+    /** Returns the response of a replica that applies an entry of the log. */
+    private String apply(long index, String entry) {
         LogEntryProto logged = LogEntryProto.newBuilder()
                 .setTerm(1)
                 .setIndex(index)
                 .setStateMachineLogEntry(
                         StateMachineLogEntryProto.newBuilder().setLogData(ByteString.copyFromUtf8(entry)))
                 .build();
-        return log.applyTransaction(TransactionContext.newBuilder()
-                        .setStateMachine(log)
+        return stateMachine
+                .applyTransaction(TransactionContext.newBuilder()
+                        .setStateMachine(stateMachine)
                         .setLogEntry(logged)
                         .setServerRole(RaftPeerRole.FOLLOWER)
                         .build())
--- a/src/test/java/beaconladder/lease/server/LeaseJsonTest.java
+++ b/src/test/java/beaconladder/lease/server/LeaseJsonTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 class LeaseJsonTest {
-    private static final String TAKE = "{\"kind\":\"TAKE\",\"task\":\"t\",\"holder\":\"a#1\",\"number\":1,"
+    private static final String ACQUIRE = "{\"kind\":\"TAKE\",\"task\":\"t\",\"holder\":\"a#1\",\"number\":1,"
             + "\"token\":0,\"length\":600,\"heir\":\"\"}";
 
     @Test
     void writtenTextsReadBackEqual() throws IOException {
-        LeaseRequest request = LeaseJson.readRequest(TAKE);
+        LeaseRequest request = LeaseJson.readRequest(ACQUIRE);
         LeaseTable.Transition applied = LeaseTable.empty().apply(request, 1_000, 50);
         assertThat(LeaseJson.readRequest(LeaseJson.toJson(request))).isEqualTo(request);
         assertThat(LeaseJson.readResponse(LeaseJson.toJson(applied.response()))).isEqualTo(applied.response());
@@ -30,16 +30,16 @@
             "[]",
             "null",
             "x",
-            TAKE.replace("TAKE", "GRAB"),
-            TAKE.replace("\"t\"", "\"../t\""),
-            TAKE.replace("a#1", "a"),
-            TAKE.replace("a#1", "a#x"),
-            TAKE.replace("600", "0"),
-            TAKE.replace("600", "-1"),
-            TAKE.replace("600", "null"),
-            TAKE.replace("600", "99999999999999999"),
-            TAKE.replace(",\"heir\":\"\"", ""),
-            TAKE.replace("TAKE", "HAND_OVER")
+            ACQUIRE.replace("TAKE", "GRAB"),
+            ACQUIRE.replace("\"t\"", "\"../t\""),
+            ACQUIRE.replace("a#1", "a"),
+            ACQUIRE.replace("a#1", "a#x"),
+            ACQUIRE.replace("600", "0"),
+            ACQUIRE.replace("600", "-1"),
+            ACQUIRE.replace("600", "null"),
+            ACQUIRE.replace("600", "99999999999999999"),
+            ACQUIRE.replace(",\"heir\":\"\"", ""),
+            ACQUIRE.replace("TAKE", "HAND_OVER")
         }) {
             assertThatThrownBy(() -> LeaseJson.readRequest(invalid)).as(invalid).isInstanceOf(IOException.class);
         }
--- a/src/test/java/beaconladder/lease/server/LeaseStateMachineTest.java
+++ b/src/test/java/beaconladder/lease/server/LeaseStateMachineTest.java
@@ -12,14 +12,14 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Snapshots of this build, and of earlier ones that knew only of leases. */
+/** Tests snapshots of this build, and of earlier builds without the feed. */
 class LeaseStateMachineTest {
-    private static final LeaseRequest TAKE = new LeaseRequest(LeaseRequest.Kind.ACQUIRE, "t", "a#1", 1, 0, 600, "");
+    private static final LeaseRequest ACQUIRE = new LeaseRequest(LeaseRequest.Kind.ACQUIRE, "t", "a#1", 1, 0, 600, "");
 
     @Test
     void snapshotHoldsLeasesAndFeed() throws IOException {
         LeaseStateMachine first = new LeaseStateMachine(() -> 0, 50);
-        LeaseTable leases = LeaseTable.empty().apply(TAKE, 1_000, 50).next();
+        LeaseTable leases = LeaseTable.empty().apply(ACQUIRE, 1_000, 50).next();
         VersionHistory history = VersionHistory.empty()
                 .apply(new Proposal(0, Map.of("a.json", "{\n}"), List.of()))
                 .history();
@@ -34,7 +34,7 @@
     @Test
     void olderSnapshotWithoutFeedIsRead() throws IOException {
         LeaseStateMachine stateMachine = new LeaseStateMachine(() -> 0, 50);
-        LeaseTable leases = LeaseTable.empty().apply(TAKE, 1_000, 50).next();
+        LeaseTable leases = LeaseTable.empty().apply(ACQUIRE, 1_000, 50).next();
         stateMachine.restore(LeaseJson.toJson(leases));
         assertThat(stateMachine.snapshot()).startsWith(LeaseJson.toJson(leases));
         assertThat(stateMachine.feed().current()).isEqualTo(VersionHistory.empty());
--- a/src/test/java/beaconladder/lease/server/StoredLeaseLogTest.java
+++ b/src/test/java/beaconladder/lease/server/StoredLeaseLogTest.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A store that an earlier build wrote, under src/test/resources/stored/lease-server: the Raft folder of a single lease
- * server, with a snapshot and a log that goes on after it. It must open with the same content, and take more.
- * {@link #generate} has written it.
+ * Opens a store written by an earlier build, under src/test/resources/stored/lease-server: the Raft directory of a
+ * single lease server, with two snapshots and a log. It must be read with the same content, and accept further
+ * requests. {@link #generate} wrote it.
  */
 class StoredLeaseLogTest {
     private static final Path FIXTURE = Path.of("src/test/resources/stored/lease-server");
@@ -47,10 +47,10 @@
             + "\"lagMillis\":0,\"base\":{\"version\":2,\"entries\":{\"plan.json\":\"2\"},"
             + "\"digest\":\"e03bbc4c6bfacf9ed01ad920487dad58\"},\"changes\":[]}";
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** When the store was written, in Unix nanoseconds, and a little later. */
-    private static final long WRITTEN = 1_700_000_000_000_000_000L;
-
-    private static final long LATER = WRITTEN + 1_000_000_000L;
+    /** The time at which the store was written, in Unix nanoseconds. */
+    private static final long WRITTEN_AT_NANOS = 1_700_000_000_000_000_000L;
+    /** The time at which the test opens it, in Unix nanoseconds. */
+    private static final long OPENED_AT_NANOS = WRITTEN_AT_NANOS + 1_000_000_000L;
 
     @TempDir
     private Path folder;
@@ -58,42 +58,42 @@
     private int httpPort;
     private int raftPort;
 
-    /** With the newest snapshot; with the older one and the log after it; with the log alone. */
+    /** Opens it with the newest snapshot; with the older one and the log after it; with the log alone. */
     @ParameterizedTest
     @ValueSource(strings = {"none", "snapshot\\.1_18.*", "snapshot\\..*"})
-    void aStoreOfAnEarlierBuildIsReadAndGoesOn(String without) throws Exception {
-        copy(without);
-        try (LeaseServer grantor = open(LATER)) {
-            assertThat(grantor).isNotNull();
+    void storeOfAnEarlierBuildIsReadAndAcceptsRequests(String excludedFiles) throws Exception {
+        copy(excludedFiles);
+        try (LeaseServer server = open(OPENED_AT_NANOS)) {
+            assertThat(server).isNotNull();
             assertThat(get("/v1/leader")).isEqualTo("{\"leader\":\"one\"}");
             assertThat(JSON.readTree(get("/v1/leases"))).isEqualTo(JSON.readTree(LEASES));
             assertThat(get("/v1/feed?since=0&wait=0")).isEqualTo(FEED);
 
-            assertThat(ask("TAKE", "index", "c#2", 2, 1, ""))
+            assertThat(sendRequest("TAKE", "index", "c#2", 2, 1, ""))
                     .as("a renewal")
                     .isEqualTo("{\"task\":\"index\",\"number\":2,\"why\":\"GRANTED\",\"grant\":{\"task\":\"index\","
                             + "\"holder\":\"c#2\",\"token\":1,\"expiry\":1700000011000000000},"
                             + "\"holder\":\"\",\"free\":0}");
-            assertThat(ask("TAKE", "mover", "a#1", 3, 1, ""))
-                    .as("kept for its heir")
+            assertThat(sendRequest("TAKE", "mover", "a#1", 3, 1, ""))
+                    .as("reserved for the successor")
                     .isEqualTo(refused("mover", 3, "HANDED_OVER", "a#1", 0));
-            assertThat(ask("TAKE", "archive", "a#1", 1, 0, ""))
-                    .as("held by another")
+            assertThat(sendRequest("TAKE", "archive", "a#1", 1, 0, ""))
+                    .as("held by another process")
                     .isEqualTo(refused("archive", 1, "HELD", "b#7", 9_050_000_000L));
-            assertThat(ask("TAKE", "archive", "b#7", 1, 2, ""))
-                    .as("older than its release")
+            assertThat(sendRequest("TAKE", "archive", "b#7", 1, 2, ""))
+                    .as("sent before the release")
                     .isEqualTo(refused("archive", 1, "OVERTAKEN", "b#7", 0));
-            assertThat(ask("RELEASE", "archive", "b#7", 4, 2, ""))
+            assertThat(sendRequest("RELEASE", "archive", "b#7", 4, 2, ""))
                     .as("a release")
                     .isEqualTo(refused("archive", 4, "DONE", "", 0));
-            assertThat(ask("TAKE", "archive", "a#1", 2, 0, ""))
+            assertThat(sendRequest("TAKE", "archive", "a#1", 2, 0, ""))
                     .as("a higher token")
                     .contains("\"token\":3,");
-            for (String again : List.of(
+            for (String repeated : List.of(
                     propose(0, "\"plan.json\":\"1\",\"old.json\":\"0\"", ""),
                     propose(1, "\"plan.json\":\"2\"", "\"old.json\""))) {
-                assertThat(again)
-                        .as("a change that is known")
+                assertThat(repeated)
+                        .as("a change that was committed before")
                         .isEqualTo("{\"outcome\":\"WRITTEN\","
                                 + "\"version\":2,\"digest\":\"e03bbc4c6bfacf9ed01ad920487dad58\"}");
             }
@@ -107,14 +107,14 @@
                 + "\",\"grant\":null,\"holder\":\"" + holder + "\",\"free\":" + free + "}";
     }
 
-    /** Writes the store into an empty folder; run by hand with the build whose store is to be kept. */
+    /** Writes the store into an empty folder; run by hand with the build whose format is to be pinned. */
     void generate(Path into) throws Exception {
         folder = into;
-        try (LeaseServer grantor = open(WRITTEN)) {
-            assertThat(grantor).isNotNull();
-            ask("TAKE", "mover", "a#1", 1, 0, "");
-            ask("TAKE", "archive", "b#7", 1, 0, "");
-            ask("RELEASE", "archive", "b#7", 2, 1, "");
+        try (LeaseServer server = open(WRITTEN_AT_NANOS)) {
+            assertThat(server).isNotNull();
+            sendRequest("TAKE", "mover", "a#1", 1, 0, "");
+            sendRequest("TAKE", "archive", "b#7", 1, 0, "");
+            sendRequest("RELEASE", "archive", "b#7", 2, 1, "");
             propose(0, "\"plan.json\":\"1\",\"old.json\":\"0\"", "");
             try (RaftClient client = RaftClient.newBuilder()
                     .setProperties(new RaftProperties())
@@ -128,20 +128,20 @@
                 assertThat(client.getSnapshotManagementApi().create(1, 10_000).isSuccess())
                         .isTrue();
             }
-            ask("TAKE", "mover", "a#1", 2, 1, "");
-            ask("HAND_OVER", "mover", "", 0, 0, "c");
-            ask("TAKE", "archive", "b#7", 3, 0, "");
-            ask("TAKE", "index", "c#2", 1, 0, "");
+            sendRequest("TAKE", "mover", "a#1", 2, 1, "");
+            sendRequest("HAND_OVER", "mover", "", 0, 0, "c");
+            sendRequest("TAKE", "archive", "b#7", 3, 0, "");
+            sendRequest("TAKE", "index", "c#2", 1, 0, "");
             propose(1, "\"plan.json\":\"2\"", "\"old.json\"");
         }
         Files.deleteIfExists(folder.resolve(GROUP).resolve("in_use.lock"));
     }
 
-    private void copy(String without) throws IOException {
+    private void copy(String excludedFiles) throws IOException {
         Files.createDirectories(folder.resolve(GROUP).resolve("sm"));
         try (Stream<Path> all = Files.walk(FIXTURE)) {
             for (Path each : all.filter(Files::isRegularFile)
-                    .filter(file -> !file.getFileName().toString().matches(without))
+                    .filter(file -> !file.getFileName().toString().matches(excludedFiles))
                     .toList()) {
                 Path to = folder.resolve(FIXTURE.relativize(each).toString());
                 Files.createDirectories(to.getParent());
@@ -150,7 +150,7 @@
         }
     }
 
-    /** Opens the store, and waits until the server leads. */
+    /** Opens the store, and waits until the server is the leader. */
     private LeaseServer open(long now) throws Exception {
         httpPort = port();
         raftPort = port();
@@ -164,12 +164,12 @@
                         new InetSocketAddress("127.0.0.1", httpPort),
                         folder.toString(),
                         null)));
-        LeaseServer grantor = new LeaseServer(plan, "one", () -> now);
+        LeaseServer server = new LeaseServer(plan, "one", () -> now);
         long end = System.nanoTime() + 30_000_000_000L;
         while (get("/v1/feed?since=0&wait=0").contains("error") && System.nanoTime() < end) {
             Thread.sleep(50);
         }
-        return grantor;
+        return server;
     }
 
     private static int port() throws IOException {
@@ -178,21 +178,22 @@
         }
     }
 
-    private String ask(String kind, String task, String holder, long number, long token, String heir) throws Exception {
+    private String sendRequest(String kind, String task, String holder, long number, long token, String successor)
+            throws Exception {
         return get("/v1/lease?ask="
                 + URLEncoder.encode(
                         "{\"kind\":\"" + kind + "\",\"task\":\"" + task
                                 + "\",\"holder\":\"" + holder + "\",\"number\":" + number + ",\"token\":" + token
                                 + ",\"length\":" + (kind.equals("RELEASE") ? 0 : 10_000_000_000L) + ",\"heir\":\""
-                                + heir
+                                + successor
                                 + "\"}",
                         StandardCharsets.UTF_8));
     }
 
-    private String propose(long against, String set, String remove) throws Exception {
+    private String propose(long baseVersion, String set, String remove) throws Exception {
         return send(HttpRequest.newBuilder(uri("/v1/feed/propose"))
                 .POST(HttpRequest.BodyPublishers.ofString(
-                        "{\"against\":" + against + ",\"set\":{" + set + "},\"remove\":[" + remove + "]}"))
+                        "{\"against\":" + baseVersion + ",\"set\":{" + set + "},\"remove\":[" + remove + "]}"))
                 .build());
     }
 
