--- a/src/main/java/beaconladder/membership/Dissemination.java
+++ b/src/main/java/beaconladder/membership/Dissemination.java
@@ -12,9 +12,9 @@
  * of them up to a limit that grows with the logarithm of the fleet's size.
  */
 final class Dissemination {
-    /** SWIM's lambda: the transmission limit in multiples of the logarithm of the fleet's size. */
+    /** SWIM's lambda: twice this, times the logarithm of the fleet's size, is the transmission limit of an update. */
     private static final double RETRANSMIT_MULTIPLIER = 3;
-    /** Updates on one message: a datagram of 1,400 bytes has space for twelve. */
+    /** The updates on one message: a datagram of 1,400 bytes has space for twelve. */
     private static final int MAX_UPDATES = 10;
 
     private final MemberTable table;
@@ -26,31 +26,35 @@
         this.random = random;
     }
 
-    /** When {@link #gossipIfDue} is due next. */
+    /** Returns when {@link #gossipIfDue} is due next. */
     long nextGossipNanos() {
         return nextGossipNanos;
     }
 
     /**
-     * A message of this process with the updates that are due for transmission.
+     * Returns a message of this process with the updates that are due for transmission.
      *
-     * @param first an update that the message carries in any case, or null
+     * @param required an update that the message carries in any case, or null
      */
-    OutgoingMessage message(String address, Kind kind, long probeNumber, String target, Member first) {
-        return new OutgoingMessage(address, new Message(kind, table.self(), probeNumber, target, selectUpdates(first)));
+    OutgoingMessage message(String address, Kind kind, long probeNumber, String target, Member required) {
+        return new OutgoingMessage(
+                address, new Message(kind, table.self(), probeNumber, target, selectUpdates(required)));
     }
 
-    /** A message that only carries updates. */
+    /** Returns a message that only carries updates. */
     OutgoingMessage gossip(String address) {
         return message(address, Kind.NACK, 0, "", null);
     }
 
-    /** Sends pending updates to a random member each period, however long the failure detector has extended its own. */
-    void gossipIfDue(long now, List<OutgoingMessage> sends) {
-        if (now < nextGossipNanos) {
+    /**
+     * Sends pending updates to a random member each protocol period. Unlike the failure detector's, this period is not
+     * extended by the local health.
+     */
+    void gossipIfDue(long nowNanos, List<OutgoingMessage> outgoing) {
+        if (nowNanos < nextGossipNanos) {
             return;
         }
-        nextGossipNanos = now + FailureDetector.PERIOD_NANOS;
+        nextGossipNanos = nowNanos + FailureDetector.PERIOD_NANOS;
         int limit = transmissionLimit();
         List<Member> participants = new ArrayList<>();
         boolean pending = false;
@@ -61,33 +65,33 @@
             }
         }
         if (pending && !participants.isEmpty()) {
-            sends.add(
+            outgoing.add(
                     gossip(participants.get(random.nextInt(participants.size())).address()));
         }
     }
 
-    /** Sends the complete member list to a member that has just joined, spread over several messages. */
-    void sendAllMembers(String address, List<OutgoingMessage> sends) {
+    /** Sends the complete member list to a member that has just joined, split into several messages. */
+    void sendAllMembers(String address, List<OutgoingMessage> outgoing) {
         List<Member> all = table.entries().stream().map(MemberEntry::member).toList();
         for (int i = 0; i < all.size(); i += MAX_UPDATES) {
-            List<Member> part = List.copyOf(all.subList(i, Math.min(all.size(), i + MAX_UPDATES)));
-            sends.add(new OutgoingMessage(address, new Message(Kind.NACK, table.self(), 0, "", part)));
+            List<Member> batch = List.copyOf(all.subList(i, Math.min(all.size(), i + MAX_UPDATES)));
+            outgoing.add(new OutgoingMessage(address, new Message(Kind.NACK, table.self(), 0, "", batch)));
         }
     }
 
-    /** The updates for the next message: the least transmitted first, each of which is then counted as transmitted. */
-    List<Member> selectUpdates(Member first) {
+    /** Selects the updates for the next message, least transmitted first, and counts them as transmitted. */
+    List<Member> selectUpdates(Member required) {
         int limit = transmissionLimit();
         List<MemberEntry> pending = new ArrayList<>();
         for (MemberEntry entry : table.entries()) {
-            if (entry.transmissions() < limit && !Objects.equals(entry.member(), first)) {
+            if (entry.transmissions() < limit && !Objects.equals(entry.member(), required)) {
                 pending.add(entry);
             }
         }
         pending.sort(Comparator.comparingInt(MemberEntry::transmissions));
         List<Member> updates = new ArrayList<>();
-        if (first != null) {
-            updates.add(first);
+        if (required != null) {
+            updates.add(required);
         }
         for (MemberEntry entry : pending) {
             if (updates.size() >= MAX_UPDATES) {
--- a/src/main/java/beaconladder/membership/FailureDetector.java
+++ b/src/main/java/beaconladder/membership/FailureDetector.java
@@ -10,35 +10,38 @@
 import java.util.SplittableRandom;
 
 /**
- * SWIM's failure detector. Each period it probes one member; without an acknowledgement in time it asks some others to
- * probe that member indirectly, and without any acknowledgement by the end of the period the member is suspected.
+ * SWIM's failure detector. Each period it probes one member. Without an acknowledgement in time it requests indirect
+ * probes of that member from some others; without any acknowledgement by the end of the period it suspects the member.
  */
 final class FailureDetector {
-    /** The paper's protocol period is a second or more; within one network, answers arrive in milliseconds. */
+    /** Shorter than the paper's second or more: within one network, acknowledgements arrive in milliseconds. */
     static final long PERIOD_NANOS = 500_000_000L;
     /** Long enough that a pause of the JVM or its machine does not count as a failure. */
     private static final long ACK_TIMEOUT_NANOS = 200_000_000L;
-    /** The paper's k: members that are asked to probe indirectly. */
+    /** The paper's k: the number of members that receive a request for an indirect probe. */
     static final int INDIRECT_PROBES = 3;
 
     private final MemberTable table;
     private final Dissemination dissemination;
     private final LocalHealth health;
-    private final ProbeOrder order;
+    private final ProbeOrder probeOrder;
     private final SplittableRandom random;
-    private final Map<Long, RelayedProbe> relayed = new HashMap<>();
-    private OwnProbe probe;
+    /** The indirect probes in flight that other members requested, by this process's probe number. */
+    private final Map<Long, RelayedProbe> relayedProbes = new HashMap<>();
+    /** The own probe in flight, or null. */
+    private OwnProbe ownProbe;
+
     private long nextPeriodNanos = Long.MIN_VALUE;
     private long lastProbeNumber;
 
-    /** The probe that this process has in flight. */
+    /** A probe that this process has started. */
     private static final class OwnProbe {
         private final String target;
         private final long number;
         private final long indirectAtNanos;
         private final long deadlineNanos;
         private boolean isIndirect;
-        /** Members asked to probe indirectly that have sent neither an acknowledgement nor a negative one. */
+        /** The indirect probes requested minus the negative acknowledgements received. */
         private int missingNacks;
 
         private OwnProbe(String target, long number, long indirectAtNanos, long deadlineNanos) {
@@ -48,117 +51,121 @@
             this.deadlineNanos = deadlineNanos;
         }
 
-        private boolean isFor(long answeredNumber) {
-            return number == answeredNumber;
+        private boolean hasNumber(long acknowledgedNumber) {
+            return number == acknowledgedNumber;
         }
     }
 
-    /** An indirect probe that this process makes for another member, whose own probe number it answers with. */
+    /** An indirect probe on behalf of another member, which is answered with that member's probe number. */
     private record RelayedProbe(String requesterAddress, long requesterNumber, long nackAtNanos) {}
 
     FailureDetector(
             MemberTable table,
             Dissemination dissemination,
             LocalHealth health,
-            ProbeOrder order,
+            ProbeOrder probeOrder,
             SplittableRandom random) {
         this.table = table;
         this.dissemination = dissemination;
         this.health = health;
-        this.order = order;
+        this.probeOrder = probeOrder;
         this.random = random;
     }
 
-    /** When one of the timers is due next. */
+    /** Returns when one of the timers is due next. */
     long nextWakeNanos() {
         long wake = nextPeriodNanos;
-        if (probe != null) {
-            wake = Math.min(wake, probe.isIndirect ? probe.deadlineNanos : probe.indirectAtNanos);
+        if (ownProbe != null) {
+            wake = Math.min(wake, ownProbe.isIndirect ? ownProbe.deadlineNanos : ownProbe.indirectAtNanos);
         }
-        for (RelayedProbe each : relayed.values()) {
+        for (RelayedProbe each : relayedProbes.values()) {
             wake = Math.min(wake, each.nackAtNanos());
         }
         return wake;
     }
 
     /** Sends a negative acknowledgement for each relayed probe that was not acknowledged in time. */
-    void sendOverdueNacks(long now, List<OutgoingMessage> sends) {
-        for (Iterator<RelayedProbe> all = relayed.values().iterator(); all.hasNext(); ) {
-            RelayedProbe each = all.next();
-            if (now >= each.nackAtNanos()) {
-                all.remove();
-                sends.add(dissemination.message(each.requesterAddress(), Kind.NACK, each.requesterNumber(), "", null));
+    void sendOverdueNacks(long nowNanos, List<OutgoingMessage> outgoing) {
+        for (Iterator<RelayedProbe> iterator = relayedProbes.values().iterator(); iterator.hasNext(); ) {
+            RelayedProbe each = iterator.next();
+            if (nowNanos >= each.nackAtNanos()) {
+                iterator.remove();
+                outgoing.add(
+                        dissemination.message(each.requesterAddress(), Kind.NACK, each.requesterNumber(), "", null));
             }
         }
     }
 
-    /** Asks random members to probe the target once its direct acknowledgement is overdue. */
-    void sendIndirectProbesIfDue(long now, List<OutgoingMessage> sends) {
-        if (probe == null || probe.isIndirect || now < probe.indirectAtNanos) {
+    /** Requests indirect probes from random members once the direct acknowledgement is overdue. */
+    void sendIndirectProbesIfDue(long nowNanos, List<OutgoingMessage> outgoing) {
+        if (ownProbe == null || ownProbe.isIndirect || nowNanos < ownProbe.indirectAtNanos) {
             return;
         }
-        probe.isIndirect = true;
-        List<Member> others = new ArrayList<>();
+        ownProbe.isIndirect = true;
+        List<Member> helpers = new ArrayList<>();
         for (MemberEntry entry : table.entries()) {
-            if (entry.hasState(State.ALIVE) && !entry.member().name().equals(probe.target)) {
-                others.add(entry.member());
+            if (entry.hasState(State.ALIVE) && !entry.member().name().equals(ownProbe.target)) {
+                helpers.add(entry.member());
             }
         }
-        ProbeOrder.shuffle(others, random);
-        for (Member other : others.subList(0, Math.min(INDIRECT_PROBES, others.size()))) {
-            sends.add(dissemination.message(other.address(), Kind.PING_REQ, probe.number, probe.target, null));
-            probe.missingNacks++;
+        ProbeOrder.shuffle(helpers, random);
+        for (Member helper : helpers.subList(0, Math.min(INDIRECT_PROBES, helpers.size()))) {
+            outgoing.add(
+                    dissemination.message(helper.address(), Kind.PING_REQ, ownProbe.number, ownProbe.target, null));
+            ownProbe.missingNacks++;
         }
     }
 
     /** Suspects the target of a probe that was not acknowledged by its deadline. */
-    void suspectTargetIfOverdue(long now) {
-        if (probe == null || now < probe.deadlineNanos) {
+    void suspectTargetIfOverdue(long nowNanos) {
+        if (ownProbe == null || nowNanos < ownProbe.deadlineNanos) {
             return;
         }
-        MemberEntry target = table.get(probe.target);
-        // Missing negative acknowledgements indicate that this process itself receives too little.
-        health.worsen(probe.missingNacks > 0 ? probe.missingNacks : 1);
+        MemberEntry target = table.get(ownProbe.target);
+        // Missing negative acknowledgements indicate that this process itself loses messages or is slow.
+        health.worsen(ownProbe.missingNacks > 0 ? ownProbe.missingNacks : 1);
         if (target != null && target.hasState(State.ALIVE)) {
-            table.apply(target.member().withState(State.SUSPECT), table.self().name(), now);
+            table.apply(target.member().withState(State.SUSPECT), table.self().name(), nowNanos);
         }
-        probe = null;
+        ownProbe = null;
     }
 
-    boolean isPeriodDue(long now) {
-        return now >= nextPeriodNanos;
+    boolean isPeriodDue(long nowNanos) {
+        return nowNanos >= nextPeriodNanos;
     }
 
     /**
-     * Starts a protocol period, with a probe unless one is still in flight.
+     * Starts a protocol period, and a probe unless one is still in flight.
      *
-     * @return whether seeds and dead members are to be probed in this period, too: always while there is no member to
-     *     probe, and otherwise about once a round
+     * @return whether to probe seeds and dead members in this period too: true while there is no member to probe, and
+     *     otherwise about once a round
      */
-    boolean startPeriod(long now, List<OutgoingMessage> sends) {
-        nextPeriodNanos = now + health.scale(PERIOD_NANOS);
-        if (probe != null) {
+    boolean startPeriod(long nowNanos, List<OutgoingMessage> outgoing) {
+        nextPeriodNanos = nowNanos + health.scale(PERIOD_NANOS);
+        if (ownProbe != null) {
             return false;
         }
-        Member target = order.next(table);
+        Member target = probeOrder.next(table);
         if (target == null) {
             return true;
         }
-        probe = new OwnProbe(target.name(), ++lastProbeNumber, now + health.scale(ACK_TIMEOUT_NANOS), nextPeriodNanos);
-        sends.add(ping(table.get(target.name()), probe.number));
+        ownProbe = new OwnProbe(
+                target.name(), ++lastProbeNumber, nowNanos + health.scale(ACK_TIMEOUT_NANOS), nextPeriodNanos);
+        outgoing.add(ping(table.get(target.name()), ownProbe.number));
         return random.nextInt(Math.max(2, table.size())) == 0;
     }
 
     /** Probes the target of a {@link Kind#PING_REQ} on behalf of its sender. */
-    void relayProbe(Message request, long now, List<OutgoingMessage> sends) {
+    void relayProbe(Message request, long nowNanos, List<OutgoingMessage> outgoing) {
         MemberEntry target = table.get(request.target());
         if (target == null) {
             return;
         }
         long number = ++lastProbeNumber;
-        relayed.put(
-                number, new RelayedProbe(request.sender().address(), request.probeNumber(), now + ACK_TIMEOUT_NANOS));
-        sends.add(ping(target, number));
+        relayedProbes.put(
+                number,
+                new RelayedProbe(request.sender().address(), request.probeNumber(), nowNanos + ACK_TIMEOUT_NANOS));
+        outgoing.add(ping(target, number));
     }
 
     private OutgoingMessage ping(MemberEntry target, long number) {
@@ -166,24 +173,24 @@
     }
 
     /** Forwards the acknowledgement of a relayed probe, or ends this process's own probe. */
-    void onAck(Message ack, List<OutgoingMessage> sends) {
-        RelayedProbe request = relayed.remove(ack.probeNumber());
-        if (request != null) {
+    void onAck(Message ack, List<OutgoingMessage> outgoing) {
+        RelayedProbe relayedProbe = relayedProbes.remove(ack.probeNumber());
+        if (relayedProbe != null) {
             Message forwarded = new Message(
-                    Kind.ACK, ack.sender(), request.requesterNumber(), "", dissemination.selectUpdates(null));
-            sends.add(new OutgoingMessage(request.requesterAddress(), forwarded));
-        } else if (probe != null
-                && probe.isFor(ack.probeNumber())
-                && probe.target.equals(ack.sender().name())) {
-            probe = null;
+                    Kind.ACK, ack.sender(), relayedProbe.requesterNumber(), "", dissemination.selectUpdates(null));
+            outgoing.add(new OutgoingMessage(relayedProbe.requesterAddress(), forwarded));
+        } else if (ownProbe != null
+                && ownProbe.hasNumber(ack.probeNumber())
+                && ownProbe.target.equals(ack.sender().name())) {
+            ownProbe = null;
             health.improve();
         }
     }
 
-    /** Counts a negative acknowledgement: the member asked to probe indirectly is reachable. */
+    /** Counts a negative acknowledgement: messages between this process and its sender arrive. */
     void onNack(Message nack) {
-        if (probe != null && probe.isFor(nack.probeNumber()) && probe.isIndirect) {
-            probe.missingNacks = Math.max(0, probe.missingNacks - 1);
+        if (ownProbe != null && ownProbe.hasNumber(nack.probeNumber()) && ownProbe.isIndirect) {
+            ownProbe.missingNacks = Math.max(0, ownProbe.missingNacks - 1);
         }
     }
 }
--- a/src/main/java/beaconladder/membership/LocalHealth.java
+++ b/src/main/java/beaconladder/membership/LocalHealth.java
@@ -1,16 +1,16 @@
 package beaconladder.membership;
 
 /**
- * Lifeguard's local health: a process whose own probes fail, or that is itself suspected, assumes that it is the slow
- * one and extends its timeouts before it suspects others.
+ * Lifeguard's local health score: a process whose own probes fail, or that is itself suspected, may be the slow one,
+ * and extends its timeouts before it suspects others.
  */
 final class LocalHealth {
-    /** The worst score: periods and timeouts are then nine times as long. */
+    /** The worst score, which makes periods and timeouts nine times as long. */
     private static final int MAX_SCORE = 8;
 
     private int score;
 
-    /** From 0, healthy, to 8. */
+    /** Returns the score, from 0 (healthy) to {@link #MAX_SCORE}. */
     int score() {
         return score;
     }
@@ -23,8 +23,8 @@
         score = Math.max(0, score - 1);
     }
 
-    /** A duration or factor extended by the score. */
-    long scale(long value) {
-        return value * (1 + score);
+    /** Returns a duration extended by the score. */
+    long scale(long nanos) {
+        return nanos * (1 + score);
     }
 }
--- a/src/main/java/beaconladder/membership/MemberEntry.java
+++ b/src/main/java/beaconladder/membership/MemberEntry.java
@@ -3,22 +3,22 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What this process holds about one other member. */
+/** The local state of this process about one other member. */
 final class MemberEntry {
-    /** Lifeguard's K: so many independent confirmations reduce a suspicion to its shortest timeout. */
+    /** Lifeguard's K: the number of independent confirmations that reduce a suspicion to its shortest timeout. */
     static final int MAX_CONFIRMATIONS = 3;
 
     private Member member;
     private long changedAtNanos;
-    /** How often the present state has been piggybacked on a message. */
+    /** The number of messages on which the current state was piggybacked. */
     private int transmissions;
 
     private final Set<String> suspectedBy = new HashSet<>();
 
-    /** Takes over a newer state, which is then disseminated from the start. */
-    void update(Member update, String reporter, long now) {
+    /** Replaces the state with a newer one, and restarts its dissemination. */
+    void update(Member update, String reporter, long nowNanos) {
         member = update;
-        changedAtNanos = now;
+        changedAtNanos = nowNanos;
         transmissions = 0;
         suspectedBy.clear();
         if (update.state() == Member.State.SUSPECT) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Counts one more member that suspects this one; a confirmation not yet counted is disseminated again. */
+    /** Counts one more member that suspects this one; a new confirmation restarts the dissemination. */
     void confirmSuspicion(String reporter) {
         if (suspectedBy.size() <= MAX_CONFIRMATIONS && suspectedBy.add(reporter)) {
             transmissions = 0;
@@ -41,7 +41,7 @@
         return member.state() == state;
     }
 
-    /** When the present state was received, in nanoseconds of the caller's clock. */
+    /** Returns when the current state was received, in nanoseconds of the caller's clock. */
     long changedAtNanos() {
         return changedAtNanos;
     }
@@ -54,7 +54,7 @@
         transmissions++;
     }
 
-    /** How many members besides the first reported the suspicion. */
+    /** Returns the number of members besides the first that reported the suspicion. */
     int confirmations() {
         return Math.max(0, suspectedBy.size() - 1);
     }
@@ -63,7 +63,9 @@
         return suspectedBy.contains(name);
     }
 
-    /** The member as a message for it has to mention it: a suspected one must learn of that, so that it can refute. */
+    /**
+     * Returns the member if it is suspected, else null: a probe carries the suspicion so that the member can refute it.
+     */
     Member suspicionOrNull() {
         return hasState(Member.State.SUSPECT) ? member : null;
     }
--- a/src/main/java/beaconladder/membership/MemberTable.java
+++ b/src/main/java/beaconladder/membership/MemberTable.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** This process's own member record and what it holds about all others, by name. */
+/** The member list: this process's own record, and an entry for each other member by name. */
 final class MemberTable {
-    /** How long a dead member is remembered, so that late updates about its earlier incarnations are ignored. */
+    /** How long a dead or departed member is kept, so that late updates about its earlier incarnations are ignored. */
     private static final long TOMBSTONE_NANOS = 120_000_000_000L;
 
     private final Map<String, MemberEntry> entries = new TreeMap<>();
@@ -29,33 +29,33 @@
         return self;
     }
 
-    /** Increases with each change of a member's state. */
+    /** Returns a number that increases with each change of a member's state. */
     long version() {
         return version;
     }
 
-    /** The entry of another member, or null. */
+    /** Returns the entry of another member, or null. */
     MemberEntry get(String name) {
         return entries.get(name);
     }
 
-    /** The entries of all other members, dead ones included, ordered by name. */
+    /** Returns the entries of all other members, dead ones included, ordered by name. */
     Collection<MemberEntry> entries() {
         return entries.values();
     }
 
-    /** The number of entries. */
+    /** Returns the number of other members, dead ones included. */
     int size() {
         return entries.size();
     }
 
-    /** Whether another member is known and neither dead nor departed. */
+    /** Returns whether another member is known and neither dead nor departed. */
     boolean hasParticipant(String name) {
         MemberEntry entry = entries.get(name);
         return entry != null && entry.member().participates();
     }
 
-    /** The participating members, this process included, ordered by name. */
+    /** Returns the participating members, this process included, ordered by name. */
     List<Member> participants() {
         List<Member> participants = new ArrayList<>();
         participants.add(self);
@@ -69,11 +69,11 @@
     }
 
     /**
-     * Applies an update if it supersedes what is held.
+     * Applies an update if it supersedes the current state.
      *
-     * @param reporter the name of the member that sent the update; one more confirmation if it is a suspicion
+     * @param reporter the name of the member that sent the update; a repeated suspicion counts as its confirmation
      */
-    void apply(Member update, String reporter, long now) {
+    void apply(Member update, String reporter, long nowNanos) {
         if (update.name().equals(self.name())) {
             refuteIfSuperseded(update);
             return;
@@ -91,11 +91,11 @@
             entries.put(update.name(), entry);
             probeOrder.insert(update.name());
         }
-        entry.update(update, reporter, now);
+        entry.update(update, reporter, nowNanos);
         version++;
     }
 
-    /** Refutes a suspicion or death report about this process with a higher incarnation. */
+    /** Refutes an update that this process is suspected, dead or departed, with a higher incarnation. */
     private void refuteIfSuperseded(Member update) {
         if (update.supersedes(self) && self.state() != State.LEFT) {
             self = new Member(self.name(), self.address(), update.incarnation() + 1, State.ALIVE);
@@ -104,17 +104,17 @@
         }
     }
 
-    /** Declares members dead whose suspicion has timed out. */
-    void expireSuspicions(long now) {
+    /** Declares the members dead whose suspicion has timed out. */
+    void expireSuspicions(long nowNanos) {
         for (MemberEntry entry : entries.values()) {
             if (entry.hasState(State.SUSPECT)
-                    && now >= entry.changedAtNanos() + SuspicionTimeout.nanos(entry, this, health)) {
-                apply(entry.member().withState(State.DEAD), self.name(), now);
+                    && nowNanos >= entry.changedAtNanos() + SuspicionTimeout.nanos(entry, this, health)) {
+                apply(entry.member().withState(State.DEAD), self.name(), nowNanos);
             }
         }
     }
 
-    /** When the first suspicion times out; {@link Long#MAX_VALUE} if there is none. */
+    /** Returns when the first suspicion times out; {@link Long#MAX_VALUE} if there is none. */
     long nextSuspicionExpiryNanos() {
         long next = Long.MAX_VALUE;
         for (MemberEntry entry : entries.values()) {
@@ -125,10 +125,11 @@
         return next;
     }
 
-    /** Removes members that died or left long ago. */
-    void removeTombstones(long now) {
+    /** Removes members that have been dead or departed for longer than {@link #TOMBSTONE_NANOS}. */
+    void removeTombstones(long nowNanos) {
         entries.values()
-                .removeIf(entry -> !entry.member().participates() && now - entry.changedAtNanos() > TOMBSTONE_NANOS);
+                .removeIf(
+                        entry -> !entry.member().participates() && nowNanos - entry.changedAtNanos() > TOMBSTONE_NANOS);
     }
 
     /** Marks this process as departed. */
--- a/src/main/java/beaconladder/membership/MembershipView.java
+++ b/src/main/java/beaconladder/membership/MembershipView.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The fleet as one process knows it. Its JSON names are those of the lease servers' HTTP answer and stay as they are.
+ * One process's view of the fleet. Its JSON names are those of the lease servers' HTTP response and are fixed.
  *
- * @param version increases with each change; local to this process and not comparable with another's
+ * @param version a number that increases with each change; local to this process, not comparable with another's
  * @param sinceLastMessageNanos the time since a message from any other process arrived; {@link Long#MAX_VALUE} if none
  *     has
  * @param members the participating members, this process included, ordered by name
--- a/src/main/java/beaconladder/membership/OutgoingMessage.java
+++ b/src/main/java/beaconladder/membership/OutgoingMessage.java
@@ -3,6 +3,6 @@
 /**
  * A message to be sent.
  *
- * @param address host and port of the receiver, or what the caller of the protocol uses for that
+ * @param address the receiver's host and port, or another address that the caller of the protocol can resolve
  */
 public record OutgoingMessage(String address, Message message) {}
--- a/src/main/java/beaconladder/membership/PartitionRecovery.java
+++ b/src/main/java/beaconladder/membership/PartitionRecovery.java
@@ -7,8 +7,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Probes seeds and members held for dead from time to time: after a network partition each side holds the other for
- * dead, and such a probe lets the other side refute and both sides merge.
+ * Probes seeds and dead members from time to time. After a network partition each side has declared the other one dead;
+ * such a probe lets the other side refute its death, so that both sides merge.
  */
 final class PartitionRecovery {
     private final List<String> seeds;
@@ -23,8 +23,8 @@
         this.random = random;
     }
 
-    /** Probes one random address of a seed or a dead member at which no participating member is known. */
-    void probeUnreachable(List<OutgoingMessage> sends) {
+    /** Probes a random address among those of seeds and dead members that no participating member has. */
+    void probeUnreachable(List<OutgoingMessage> outgoing) {
         List<String> addresses = new ArrayList<>(seeds);
         for (MemberEntry entry : table.entries()) {
             if (entry.hasState(State.DEAD)) {
@@ -38,7 +38,7 @@
         }
         if (!addresses.isEmpty()) {
             String address = addresses.get(random.nextInt(addresses.size()));
-            sends.add(dissemination.message(address, Kind.PING, 0, "", memberAt(address)));
+            outgoing.add(dissemination.message(address, Kind.PING, 0, "", memberAt(address)));
         }
     }
 
--- a/src/main/java/beaconladder/membership/ProbeOrder.java
+++ b/src/main/java/beaconladder/membership/ProbeOrder.java
@@ -11,19 +11,19 @@
  */
 final class ProbeOrder {
     private final SplittableRandom random;
-    /** The names still to be probed in this round, the next one last. */
+    /** The names that are still to be probed in this round; the last one is next. */
     private final List<String> remaining = new ArrayList<>();
 
     ProbeOrder(SplittableRandom random) {
         this.random = random;
     }
 
-    /** Adds a new member at a random place, so that not all members probe it at the same time. */
+    /** Adds a new member at a random position, so that not all members probe it at the same time. */
     void insert(String name) {
         remaining.add(random.nextInt(remaining.size() + 1), name);
     }
 
-    /** The next member to probe, or null if no other member participates. */
+    /** Returns the next member to probe, or null if no other member participates. */
     Member next(MemberTable table) {
         for (int round = 0; round < 2; round++) {
             while (!remaining.isEmpty()) {
--- a/src/main/java/beaconladder/membership/SuspicionTimeout.java
+++ b/src/main/java/beaconladder/membership/SuspicionTimeout.java
@@ -1,8 +1,8 @@
 package beaconladder.membership;
 
 /**
- * How long a suspected member has to refute before it is declared dead. Lifeguard's dynamic timeout: it shrinks with
- * the logarithm of the number of members that confirm the suspicion.
+ * Computes how long a suspected member has to refute before it is declared dead. This is Lifeguard's dynamic timeout:
+ * it decreases with the logarithm of the number of members that confirm the suspicion.
  */
 final class SuspicionTimeout {
     /** Lifeguard's alpha: the shortest timeout, in probe periods times the logarithm of the fleet's size. */
@@ -12,13 +12,13 @@
 
     private SuspicionTimeout() {}
 
-    /** Nanoseconds from the time at which the entry became suspected. */
+    /** Returns the timeout in nanoseconds, counted from when the member became suspected. */
     static long nanos(MemberEntry entry, MemberTable table, LocalHealth health) {
-        double fleet = Math.max(1, Math.log10(Math.max(1, table.size() + 1)));
-        double shortest = ALPHA * fleet * FailureDetector.PERIOD_NANOS;
-        double longest = BETA * shortest;
-        double confirmed = Math.log(entry.confirmations() + 1) / Math.log(MemberEntry.MAX_CONFIRMATIONS + 1);
-        long timeout = (long) Math.max(shortest, longest - (longest - shortest) * confirmed);
-        return entry.isSuspectedBy(table.self().name()) ? health.scale(timeout) : timeout;
+        double sizeFactor = Math.max(1, Math.log10(Math.max(1, table.size() + 1)));
+        double minNanos = ALPHA * sizeFactor * FailureDetector.PERIOD_NANOS;
+        double maxNanos = BETA * minNanos;
+        double confirmedShare = Math.log(entry.confirmations() + 1) / Math.log(MemberEntry.MAX_CONFIRMATIONS + 1);
+        long timeoutNanos = (long) Math.max(minNanos, maxNanos - (maxNanos - minNanos) * confirmedShare);
+        return entry.isSuspectedBy(table.self().name()) ? health.scale(timeoutNanos) : timeoutNanos;
     }
 }
--- a/src/main/java/beaconladder/membership/SwimProtocol.java
+++ b/src/main/java/beaconladder/membership/SwimProtocol.java
@@ -7,16 +7,19 @@
 
 /**
  * One process's instance of the membership protocol: SWIM with Lifeguard's refinements. Each period it probes one other
- * member; a member that does not acknowledge directly or indirectly is suspected, refutes that under a higher
- * incarnation, or is declared dead when the suspicion times out. All updates are piggybacked on these messages.
+ * member. A member that acknowledges neither a direct nor an indirect probe is suspected; it refutes the suspicion with
+ * a higher incarnation, or is declared dead when the suspicion times out. All updates are piggybacked on these
+ * messages.
  *
- * <p>From Lifeguard: a process that receives little extends its own timeouts before it suspects others (local health);
- * a suspicion is the shorter the more members confirm it; a probe of a suspected member carries the suspicion.
+ * <p>From Lifeguard: a process whose own probes fail extends its timeouts before it suspects others (local health); the
+ * timeout of a suspicion is the shorter the more members confirm it; a probe of a suspected member carries the
+ * suspicion.
  *
- * <p>Pure: the clock's time and received messages are passed in, messages to send are returned. Not thread-safe.
+ * <p>The protocol does no I/O: the time and received messages are passed in, messages to send are returned. All times
+ * are nanoseconds of one clock with an arbitrary origin. Not thread-safe.
  */
 public final class SwimProtocol {
-    /** Members that are notified of a graceful departure. */
+    /** The largest number of members that are notified of a graceful departure. */
     private static final int LEAVE_NOTIFICATIONS = 4 * FailureDetector.INDIRECT_PROBES;
 
     private final LocalHealth health = new LocalHealth();
@@ -27,31 +30,32 @@
     private long lastMessageNanos = Long.MIN_VALUE;
 
     /**
-     * A process that knows only of itself and of addresses at which other members may be.
+     * Creates the instance of a process that has not contacted any other member.
      *
-     * @param incarnation higher than at any earlier start under this name, such as the time
-     * @param seed for the random choices
+     * @param incarnation a number higher than at any earlier start under this name, such as the current time
+     * @param seeds addresses at which other members may be
+     * @param seed the seed of the random choices
      */
     public SwimProtocol(String name, String address, long incarnation, Collection<String> seeds, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ProbeOrder order = new ProbeOrder(random);
-        table = new MemberTable(new Member(name, address, incarnation, Member.State.ALIVE), order, health);
+        ProbeOrder probeOrder = new ProbeOrder(random);
+        table = new MemberTable(new Member(name, address, incarnation, Member.State.ALIVE), probeOrder, health);
         dissemination = new Dissemination(table, random);
-        detector = new FailureDetector(table, dissemination, health, order, random);
-        List<String> others =
+        detector = new FailureDetector(table, dissemination, health, probeOrder, random);
+        List<String> otherSeeds =
                 seeds.stream().filter(each -> !each.equals(address)).toList();
-        recovery = new PartitionRecovery(others, table, dissemination, random);
+        recovery = new PartitionRecovery(otherSeeds, table, dissemination, random);
     }
 
-    /** The participating members as known now; {@code now} in nanoseconds of the clock used for all calls. */
-    public MembershipView view(long now) {
+    /** Returns the current view of the participating members. */
+    public MembershipView view(long nowNanos) {
         return new MembershipView(
                 table.version(),
-                lastMessageNanos == Long.MIN_VALUE ? Long.MAX_VALUE : now - lastMessageNanos,
+                lastMessageNanos == Long.MIN_VALUE ? Long.MAX_VALUE : nowNanos - lastMessageNanos,
                 table.participants());
     }
 
-    /** The member of this name as last known, dead and departed ones included, or null. */
+    /** Returns the last known state of the member of this name, dead and departed ones included, or null. */
     public Member member(String name) {
         if (name.equals(table.self().name())) {
             return table.self();
@@ -60,73 +64,77 @@
         return entry == null ? null : entry.member();
     }
 
-    /** Lifeguard's local health score: 0 is healthy, 8 the worst. */
+    /** Returns Lifeguard's local health score, from 0 (healthy) to 8 (worst). */
     public int localHealth() {
         return health.score();
     }
 
-    /** When {@link #tick} is due next if no message arrives before, in nanoseconds. */
+    /** Returns when {@link #tick} is due next if no message arrives before. */
     public long nextWakeNanos() {
         long timers = Math.min(detector.nextWakeNanos(), dissemination.nextGossipNanos());
         return Math.min(timers, table.nextSuspicionExpiryNanos());
     }
 
     /** Runs all timers that are due and returns the messages to send. */
-    public List<OutgoingMessage> tick(long now) {
-        List<OutgoingMessage> sends = new ArrayList<>();
-        detector.sendOverdueNacks(now, sends);
-        table.expireSuspicions(now);
-        table.removeTombstones(now);
-        detector.sendIndirectProbesIfDue(now, sends);
-        detector.suspectTargetIfOverdue(now);
-        if (detector.isPeriodDue(now) && detector.startPeriod(now, sends)) {
-            recovery.probeUnreachable(sends);
+    public List<OutgoingMessage> tick(long nowNanos) {
+        List<OutgoingMessage> outgoing = new ArrayList<>();
+        detector.sendOverdueNacks(nowNanos, outgoing);
+        table.expireSuspicions(nowNanos);
+        table.removeTombstones(nowNanos);
+        detector.sendIndirectProbesIfDue(nowNanos, outgoing);
+        detector.suspectTargetIfOverdue(nowNanos);
+        if (detector.isPeriodDue(nowNanos) && detector.startPeriod(nowNanos, outgoing)) {
+            recovery.probeUnreachable(outgoing);
         }
-        dissemination.gossipIfDue(now, sends);
-        return sends;
+        dissemination.gossipIfDue(nowNanos, outgoing);
+        return outgoing;
     }
 
-    /** Applies a received message and returns the messages to send; an outdated one of this process is ignored. */
-    public List<OutgoingMessage> receive(Message message, long now) {
-        List<OutgoingMessage> sends = new ArrayList<>();
+    /**
+     * Applies a received message and returns the messages to send. A message under this process's own name is ignored
+     * unless its incarnation is higher.
+     */
+    public List<OutgoingMessage> receive(Message message, long nowNanos) {
+        List<OutgoingMessage> outgoing = new ArrayList<>();
         Member sender = message.sender();
         Member self = table.self();
         if (sender.name().equals(self.name()) && sender.incarnation() <= self.incarnation()) {
-            return sends;
+            return outgoing;
         }
-        lastMessageNanos = now;
-        boolean joins = !table.hasParticipant(sender.name());
-        table.apply(sender, sender.name(), now);
+        lastMessageNanos = nowNanos;
+        boolean isJoining = !table.hasParticipant(sender.name());
+        table.apply(sender, sender.name(), nowNanos);
         for (Member update : message.updates()) {
-            table.apply(update, sender.name(), now);
+            table.apply(update, sender.name(), nowNanos);
         }
         switch (message.kind()) {
             case PING -> {
-                sends.add(dissemination.message(sender.address(), Message.Kind.ACK, message.probeNumber(), "", null));
-                if (joins) {
-                    dissemination.sendAllMembers(sender.address(), sends);
+                outgoing.add(
+                        dissemination.message(sender.address(), Message.Kind.ACK, message.probeNumber(), "", null));
+                if (isJoining) {
+                    dissemination.sendAllMembers(sender.address(), outgoing);
                 }
             }
-            case PING_REQ -> detector.relayProbe(message, now, sends);
-            case ACK -> detector.onAck(message, sends);
+            case PING_REQ -> detector.relayProbe(message, nowNanos, outgoing);
+            case ACK -> detector.onAck(message, outgoing);
             case NACK -> detector.onNack(message);
         }
-        return sends;
+        return outgoing;
     }
 
     /**
      * Leaves the fleet gracefully, so that the others need not detect a failure.
      *
-     * @return the notifications, which are to be sent before the process ends
+     * @return the notifications to send before the process ends
      */
     public List<OutgoingMessage> leave() {
         table.leave();
-        List<OutgoingMessage> sends = new ArrayList<>();
+        List<OutgoingMessage> outgoing = new ArrayList<>();
         table.entries().stream()
                 .map(MemberEntry::member)
                 .filter(Member::participates)
                 .limit(LEAVE_NOTIFICATIONS)
-                .forEach(member -> sends.add(dissemination.gossip(member.address())));
-        return sends;
+                .forEach(member -> outgoing.add(dissemination.gossip(member.address())));
+        return outgoing;
     }
 }
--- a/src/main/java/beaconladder/membership/transport/GossipJson.java
+++ b/src/main/java/beaconladder/membership/transport/GossipJson.java
@@ -9,14 +9,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.regex.Pattern;
 
-/** Encodes messages between members as datagrams of JSON, and validates received ones completely before their use. */
+/** Encodes and decodes the JSON datagrams between members; a decoded message is completely validated. */
 final class GossipJson {
     private static final ObjectMapper MAPPER = new ObjectMapper()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
     private static final Pattern ADDRESS = Pattern.compile("[A-Za-z0-9.-]{1,255}:[0-9]{1,5}");
-    /** Senders put at most ten updates and the target's state on a message; the rest is a reserve. */
+    /** More than the ten updates and the target's state that a sender puts on a message; the rest is a reserve. */
     private static final int MAX_UPDATES = 16;
 
     private GossipJson() {}
@@ -37,7 +37,7 @@
     static Message decode(byte[] bytes, int length) throws IOException {
         Message message = MAPPER.readValue(new String(bytes, 0, length, StandardCharsets.UTF_8), Message.class);
         if (!isValid(message)) {
-            throw new IOException("a message that is not whole");
+            throw new IOException("invalid gossip message");
         }
         return message;
     }
--- a/src/main/java/beaconladder/membership/transport/GossipService.java
+++ b/src/main/java/beaconladder/membership/transport/GossipService.java
@@ -16,26 +16,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A process's membership in the fleet: one thread that calls {@link #run} and one UDP socket. The other methods may be
- * called by any thread.
+ * Runs the membership protocol of a process over a UDP socket, on the thread that calls {@link #run}. The other methods
+ * may be called by any thread.
  */
 public final class GossipService implements Runnable, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(GossipService.class);
     private static final int MAX_DATAGRAM_BYTES = 8 * 1024;
-    /** The longest wait for a datagram, after which the timers and the end of the service are checked. */
-    private static final int MAX_RECEIVE_MILLIS = 50;
+    /** The longest wait for a datagram before the timers and {@link #closed} are checked. */
+    private static final int MAX_RECEIVE_WAIT_MILLIS = 50;
 
     private final DatagramSocket socket;
-    /** Guarded by itself. */
+    /** The protocol instance; guarded by its own monitor. */
     private final SwimProtocol swim;
 
     private volatile boolean closed;
 
     /**
-     * A member whose socket is open, and which takes part once it runs.
+     * Opens the socket of a member, which joins the fleet once {@link #run} is called.
      *
-     * @param listenAddress where it receives datagrams
-     * @param advertisedAddress the host and port at which the others reach it
+     * @param listenAddress the address that the socket is bound to
+     * @param advertisedAddress the host and port at which the other members reach this one
      * @param seeds addresses at which other members may be
      * @throws IOException if the socket can't be bound
      */
@@ -43,12 +43,12 @@
             String name, InetSocketAddress listenAddress, String advertisedAddress, Collection<String> seeds)
             throws IOException {
         socket = new DatagramSocket(listenAddress);
-        // With the time as incarnation a restarted process supersedes what is known of its earlier one.
+        // With the wall clock as incarnation, updates of a restarted process supersede those of its predecessor.
         swim = new SwimProtocol(
                 name, advertisedAddress, System.currentTimeMillis(), seeds, name.hashCode() * 31L + System.nanoTime());
     }
 
-    /** The participating members as known now. */
+    /** Returns the current view of the participating members. */
     public MembershipView view() {
         synchronized (swim) {
             return swim.view(System.nanoTime());
@@ -67,31 +67,31 @@
             } catch (SocketTimeoutException e) {
                 continue;
             } catch (IOException e) {
-                LOG.debug("a datagram is passed over: {}", e.toString());
+                LOG.debug("ignored an invalid datagram: {}", e.toString());
             } catch (RuntimeException e) {
-                LOG.error("gossip goes on after a fault", e);
+                LOG.error("internal error in the gossip service, which continues", e);
             }
         }
     }
 
-    /** Returns when the timers are due next. */
+    /** Runs the due timers, and returns when the next one is due. */
     private long runTimers() {
-        List<OutgoingMessage> sends;
+        List<OutgoingMessage> outgoing;
         long wakeNanos;
         synchronized (swim) {
-            sends = swim.tick(System.nanoTime());
+            outgoing = swim.tick(System.nanoTime());
             wakeNanos = swim.nextWakeNanos();
         }
-        send(sends);
+        send(outgoing);
         return wakeNanos;
     }
 
-    /** Logs a view with a new version, suspected members with a question mark; returns the version. */
+    /** Logs the view if its version has changed, with a question mark after suspected members; returns the version. */
     private long logIfChanged(long loggedVersion) {
         MembershipView view = view();
         if (view.version() != loggedVersion) {
             LOG.info(
-                    "view {}: {}",
+                    "membership view {}: {}",
                     view.version(),
                     view.members().stream()
                             .map(member -> member.name() + (member.state() == Member.State.SUSPECT ? "?" : ""))
@@ -102,19 +102,19 @@
 
     private void receive(DatagramPacket packet, long wakeNanos) throws IOException {
         long remainingMillis = (wakeNanos - System.nanoTime()) / 1_000_000;
-        socket.setSoTimeout((int) Math.max(1, Math.min(MAX_RECEIVE_MILLIS, remainingMillis)));
+        socket.setSoTimeout((int) Math.max(1, Math.min(MAX_RECEIVE_WAIT_MILLIS, remainingMillis)));
         packet.setLength(MAX_DATAGRAM_BYTES);
         socket.receive(packet);
         Message message = GossipJson.decode(packet.getData(), packet.getLength());
-        List<OutgoingMessage> sends;
+        List<OutgoingMessage> outgoing;
         synchronized (swim) {
-            sends = swim.receive(message, System.nanoTime());
+            outgoing = swim.receive(message, System.nanoTime());
         }
-        send(sends);
+        send(outgoing);
     }
 
-    private void send(List<OutgoingMessage> sends) {
-        for (OutgoingMessage each : sends) {
+    private void send(List<OutgoingMessage> outgoing) {
+        for (OutgoingMessage each : outgoing) {
             int colon = each.address().lastIndexOf(':');
             byte[] bytes = GossipJson.encode(each.message());
             try {
--- a/src/main/java/beaconladder/membership/transport/package-info.java
+++ b/src/main/java/beaconladder/membership/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Membership over UDP: datagrams of JSON, a socket and a clock for {@link beaconladder.membership.SwimProtocol}, which
- * makes all decisions.
+ * Membership over UDP: JSON datagrams, a socket and a clock for {@link beaconladder.membership.SwimProtocol}, which
+ * contains the protocol.
  */
 package beaconladder.membership.transport;
--- a/src/test/java/beaconladder/membership/SwimProtocolTest.java
+++ b/src/test/java/beaconladder/membership/SwimProtocolTest.java
@@ -16,7 +16,7 @@
 class SwimProtocolTest {
     private static final long MS = 1_000_000L;
 
-    /** In whatever order, how often and through whom updates arrive, the result is the same. */
+    /** Updates give the same result in whatever order, how often and through which members they arrive. */
     @Test
     void updatesOfOneMemberAreTotallyOrdered() {
         List<Member> updates = new ArrayList<>();
@@ -65,16 +65,16 @@
 
     /** A tenth of all messages is lost, and no member is declared dead. */
     @Test
-    void packetLossAloneLeadsToNoDeath() {
+    void packetLossAloneCausesNoDeclaredDeath() {
         Fleet fleet = new Fleet(20, 3);
         fleet.run(15_000);
         fleet.lossPerMille = 100;
         fleet.run(60_000);
-        assertThat(fleet.deaths).isZero();
+        assertThat(fleet.declaredDeaths).isZero();
         assertThat(fleet.views()).containsOnly(fleet.names());
     }
 
-    /** After a pause of 20 s a member refutes its death with a higher incarnation. */
+    /** A member that was paused for 20 s and declared dead refutes this with a higher incarnation. */
     @Test
     void pausedMemberRejoinsWithAHigherIncarnation() {
         Fleet fleet = new Fleet(12, 4);
@@ -87,7 +87,7 @@
         assertThat(fleet.all.get(5).member("n5").incarnation()).isGreaterThan(5);
     }
 
-    /** Two halves that declared each other dead merge after the partition. */
+    /** Two halves of a partitioned fleet declare each other dead, and merge after the partition. */
     @Test
     void partitionedHalvesMerge() {
         Fleet fleet = new Fleet(12, 5);
@@ -100,15 +100,15 @@
         assertThat(fleet.views()).containsOnly(fleet.names());
     }
 
-    /** A member that sends but receives nothing raises its own timeouts instead of declaring the others dead. */
+    /** A member that can send but not receive extends its timeouts instead of declaring the others dead. */
     @Test
-    void memberThatReceivesNothingLowersItsLocalHealth() {
+    void memberThatReceivesNothingWorsensItsLocalHealth() {
         Fleet fleet = new Fleet(20, 6);
         fleet.run(15_000);
-        fleet.deaf = 4;
+        fleet.notReceiving = 4;
         fleet.run(20_000);
         assertThat(fleet.all.get(4).localHealth()).isGreaterThan(3);
-        fleet.deaf = -1;
+        fleet.notReceiving = -1;
         fleet.run(40_000);
         assertThat(fleet.views()).containsOnly(fleet.names());
     }
@@ -132,19 +132,25 @@
 
     /** Simulated members and a network between them, with a simulated clock. */
     private static final class Fleet {
-        private record Due(long at, long order, int to, Message message) {}
+        private record Delivery(long dueNanos, long sequence, int receiver, Message message) {}
 
         private final List<SwimProtocol> all = new ArrayList<>();
-        private final PriorityQueue<Due> network =
-                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+        private final PriorityQueue<Delivery> network =
+                new PriorityQueue<>(Comparator.comparingLong(Delivery::dueNanos).thenComparingLong(Delivery::sequence));
         private final SplittableRandom random;
+        /** The indices of members that neither send nor receive. */
         private final Set<Integer> down = new HashSet<>();
+
         private int lossPerMille;
+        /** Members below this index are partitioned from the others; 0 for no partition. */
         private int partitionAt;
-        private int deaf = -1;
-        private int deaths;
-        private long now;
-        private long order;
+        /** The index of a member that receives nothing, or -1. */
+        private int notReceiving = -1;
+        /** How many times a member declared others dead. */
+        private int declaredDeaths;
+
+        private long nowNanos;
+        private long nextSequence;
 
         Fleet(int size, long seed) {
             random = new SplittableRandom(seed);
@@ -154,26 +160,27 @@
         }
 
         void run(long millis) {
-            long until = now + millis * MS;
-            while (now < until) {
-                now += 5 * MS;
-                while (!network.isEmpty() && network.peek().at() <= now) {
-                    Due due = network.poll();
-                    if (!down.contains(due.to()) && due.to() != deaf) {
-                        send(due.to(), all.get(due.to()).receive(due.message(), now));
+            long untilNanos = nowNanos + millis * MS;
+            while (nowNanos < untilNanos) {
+                nowNanos += 5 * MS;
+                while (!network.isEmpty() && network.peek().dueNanos() <= nowNanos) {
+                    Delivery delivery = network.poll();
+                    if (!down.contains(delivery.receiver()) && delivery.receiver() != notReceiving) {
+                        send(delivery.receiver(), all.get(delivery.receiver()).receive(delivery.message(), nowNanos));
                     }
                 }
                 for (int i = 0; i < all.size(); i++) {
-                    if (!down.contains(i) && all.get(i).nextWakeNanos() <= now) {
-                        long before = dead(i);
-                        send(i, all.get(i).tick(now));
-                        deaths += dead(i) > before ? 1 : 0;
+                    if (!down.contains(i) && all.get(i).nextWakeNanos() <= nowNanos) {
+                        long before = countDead(i);
+                        send(i, all.get(i).tick(nowNanos));
+                        declaredDeaths += countDead(i) > before ? 1 : 0;
                     }
                 }
             }
         }
 
-        private long dead(int i) {
+        /** Returns how many members the one of this index considers dead. */
+        private long countDead(int i) {
             return names().stream()
                     .map(all.get(i)::member)
                     .filter(m -> m != null && m.state() == State.DEAD)
@@ -190,7 +197,8 @@
                 int to = Integer.parseInt(each.address());
                 boolean isPartitioned = partitionAt > 0 && from < partitionAt != to < partitionAt;
                 if (!isPartitioned && random.nextInt(1_000) >= lossPerMille) {
-                    network.add(new Due(now + (1 + random.nextInt(10)) * MS, order++, to, each.message()));
+                    network.add(
+                            new Delivery(nowNanos + (1 + random.nextInt(10)) * MS, nextSequence++, to, each.message()));
                 }
             }
         }
@@ -203,12 +211,12 @@
             return names;
         }
 
-        /** The distinct views of the running members. */
+        /** Returns the distinct views of the running members. */
         Set<Set<String>> views() {
             Set<Set<String>> views = new HashSet<>();
             for (int i = 0; i < all.size(); i++) {
                 if (!down.contains(i)) {
-                    views.add(all.get(i).view(now).members().stream()
+                    views.add(all.get(i).view(nowNanos).members().stream()
                             .map(Member::name)
                             .collect(Collectors.toSet()));
                 }
--- a/src/test/java/beaconladder/membership/transport/GossipJsonLiteralTest.java
+++ b/src/test/java/beaconladder/membership/transport/GossipJsonLiteralTest.java
@@ -13,30 +13,30 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The datagrams of members as literal JSON, in both directions: members of two releases must be compatible, so the
- * names on the wire are independent of the names in the code.
+ * Pins the exact JSON of the datagrams, encoded and decoded: members of two releases must be compatible, so the names
+ * on the wire are independent of the names in the code.
  */
 class GossipJsonLiteralTest {
-    private static final Member FROM = new Member("r1", "10.0.0.4:7301", 1767225600123L, Member.State.ALIVE);
+    private static final Member SENDER = new Member("r1", "10.0.0.4:7301", 1767225600123L, Member.State.ALIVE);
 
-    /** Messages and their form on the wire. */
-    private static final Map<Message, String> WIRE = new LinkedHashMap<>();
+    /** The messages and their JSON. */
+    private static final Map<Message, String> LITERALS = new LinkedHashMap<>();
 
     static {
-        WIRE.put(new Message(Message.Kind.PING, FROM, 7, "", List.of()), """
+        LITERALS.put(new Message(Message.Kind.PING, SENDER, 7, "", List.of()), """
                 {"kind":"PROBE","from":{"name":"r1","address":"10.0.0.4:7301",\
                 "incarnation":1767225600123,"state":"ALIVE"},"number":7,"target":"","news":[]}""");
-        WIRE.put(
+        LITERALS.put(
                 new Message(
-                        Message.Kind.ACK, FROM, 8, "", List.of(new Member("r2", "g1:7302", 0, Member.State.SUSPECT))),
+                        Message.Kind.ACK, SENDER, 8, "", List.of(new Member("r2", "g1:7302", 0, Member.State.SUSPECT))),
                 """
                 {"kind":"ANSWER","from":{"name":"r1","address":"10.0.0.4:7301",\
                 "incarnation":1767225600123,"state":"ALIVE"},"number":8,"target":"","news":[\
                 {"name":"r2","address":"g1:7302","incarnation":0,"state":"SUSPECT"}]}""");
-        WIRE.put(
+        LITERALS.put(
                 new Message(
                         Message.Kind.PING_REQ,
-                        FROM,
+                        SENDER,
                         9,
                         "r2",
                         List.of(new Member("r3", "g2:7303", 3, Member.State.DEAD))),
@@ -44,8 +44,9 @@
                 {"kind":"PROBE_FOR","from":{"name":"r1","address":"10.0.0.4:7301",\
                 "incarnation":1767225600123,"state":"ALIVE"},"number":9,"target":"r2","news":[\
                 {"name":"r3","address":"g2:7303","incarnation":3,"state":"DEAD"}]}""");
-        WIRE.put(
-                new Message(Message.Kind.NACK, FROM, 0, "", List.of(new Member("r4", "g3:7304", 4, Member.State.LEFT))),
+        LITERALS.put(
+                new Message(
+                        Message.Kind.NACK, SENDER, 0, "", List.of(new Member("r4", "g3:7304", 4, Member.State.LEFT))),
                 """
                 {"kind":"NO_ANSWER","from":{"name":"r1","address":"10.0.0.4:7301",\
                 "incarnation":1767225600123,"state":"ALIVE"},"number":0,"target":"","news":[\
@@ -53,14 +54,14 @@
     }
 
     @Test
-    void eachMessageIsWrittenInItsLiteralForm() {
-        WIRE.forEach((message, text) -> assertThat(new String(GossipJson.encode(message), StandardCharsets.UTF_8))
+    void eachMessageIsEncodedAsItsLiteral() {
+        LITERALS.forEach((message, text) -> assertThat(new String(GossipJson.encode(message), StandardCharsets.UTF_8))
                 .isEqualTo(text));
     }
 
     @Test
-    void eachLiteralFormIsReadAsItsMessage() throws IOException {
-        for (Map.Entry<Message, String> each : WIRE.entrySet()) {
+    void eachLiteralIsDecodedAsItsMessage() throws IOException {
+        for (Map.Entry<Message, String> each : LITERALS.entrySet()) {
             byte[] bytes = each.getValue().getBytes(StandardCharsets.UTF_8);
             assertThat(GossipJson.decode(bytes, bytes.length)).isEqualTo(each.getKey());
         }
@@ -69,8 +70,8 @@
     /** The literals above are complete: a new kind or state needs a literal. */
     @Test
     void everyKindAndStateHasALiteral() {
-        assertThat(WIRE.keySet()).extracting(Message::kind).containsExactly(Message.Kind.values());
-        assertThat(WIRE.keySet().stream()
+        assertThat(LITERALS.keySet()).extracting(Message::kind).containsExactly(Message.Kind.values());
+        assertThat(LITERALS.keySet().stream()
                         .flatMap(each -> each.updates().stream())
                         .map(Member::state))
                 .containsExactlyElementsOf(Arrays.asList(Member.State.values()).subList(1, 4));
--- a/src/test/java/beaconladder/membership/transport/GossipJsonTest.java
+++ b/src/test/java/beaconladder/membership/transport/GossipJsonTest.java
@@ -14,12 +14,12 @@
 class GossipJsonTest {
     private static final Member A = new Member("a", "10.0.0.4:7301", 5, Member.State.ALIVE);
     private static final Member B = new Member("b", "g1:7301", 6, Member.State.SUSPECT);
-    private static final Message GOOD = new Message(Message.Kind.PING_REQ, A, 7, "b", List.of(A, B));
+    private static final Message VALID = new Message(Message.Kind.PING_REQ, A, 7, "b", List.of(A, B));
 
     @Test
     void encodedMessageIsDecodedAndFitsADatagram() throws IOException {
-        byte[] bytes = GossipJson.encode(GOOD);
-        assertThat(GossipJson.decode(bytes, bytes.length)).isEqualTo(GOOD);
+        byte[] bytes = GossipJson.encode(VALID);
+        assertThat(GossipJson.decode(bytes, bytes.length)).isEqualTo(VALID);
         Member longest = new Member("n".repeat(64), "h".repeat(60) + ":65535", Long.MAX_VALUE, Member.State.SUSPECT);
         assertThat(GossipJson.encode(new Message(
                         Message.Kind.PING_REQ,
@@ -32,24 +32,24 @@
 
     @Test
     void invalidMessageIsRejected() {
-        String good = new String(GossipJson.encode(GOOD), StandardCharsets.UTF_8);
-        for (String wrong : List.of(
+        String valid = new String(GossipJson.encode(VALID), StandardCharsets.UTF_8);
+        for (String invalid : List.of(
                 "",
                 "{}",
                 "null",
                 "[]",
                 "x",
-                good.substring(1),
-                good.replace("\"b\"", "\"../b\""),
-                good.replace("10.0.0.4:7301", "10.0.0.4"),
-                good.replace("ALIVE", "WELL"),
-                good.replace("\"incarnation\":5", "\"incarnation\":-5"),
-                good.replace("\"number\":7", "\"number\":null"),
-                good.replaceAll("\"news\":.*]", "\"news\":[null]"),
-                good.replaceAll("\"news\":.*]", "\"news\":null"))) {
-            byte[] bytes = wrong.getBytes(StandardCharsets.UTF_8);
+                valid.substring(1),
+                valid.replace("\"b\"", "\"../b\""),
+                valid.replace("10.0.0.4:7301", "10.0.0.4"),
+                valid.replace("ALIVE", "WELL"),
+                valid.replace("\"incarnation\":5", "\"incarnation\":-5"),
+                valid.replace("\"number\":7", "\"number\":null"),
+                valid.replaceAll("\"news\":.*]", "\"news\":[null]"),
+                valid.replaceAll("\"news\":.*]", "\"news\":null"))) {
+            byte[] bytes = invalid.getBytes(StandardCharsets.UTF_8);
             assertThatThrownBy(() -> GossipJson.decode(bytes, bytes.length))
-                    .as(wrong)
+                    .as(invalid)
                     .isInstanceOf(IOException.class);
         }
         Message tooManyUpdates = new Message(Message.Kind.ACK, A, 1, "", Collections.nCopies(17, B));
