--- a/src/main/java/beaconladder/metrics/Counters.java
+++ b/src/main/java/beaconladder/metrics/Counters.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Counts events by subject and kind, for several threads. Its text holds all counts in one line, as
+ * Thread-safe counters of events by subject and kind. {@link #toString} returns all counts in one line, such as
  * {@code closed.idle=3 refused.no_time=1}; a kind that never occurred is absent.
  */
 public final class Counters {
@@ -19,7 +19,7 @@
         counts.computeIfAbsent(key(subject, kind), name -> new LongAdder()).increment();
     }
 
-    /** How many events of this kind were counted. */
+    /** Returns the number of events of this subject and kind. */
     public long count(String subject, Enum<?> kind) {
         LongAdder count = counts.get(key(subject, kind));
         return count == null ? 0 : count.sum();
--- a/src/main/java/beaconladder/metrics/package-info.java
+++ b/src/main/java/beaconladder/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Counters of what a router did and why, for its log. */
+/** Counters of a router's events, which it writes to its log. */
 package beaconladder.metrics;
--- a/src/main/java/beaconladder/storage/DurableRecords.java
+++ b/src/main/java/beaconladder/storage/DurableRecords.java
@@ -13,15 +13,15 @@
 
 /**
  * An append-only sequence of records that survives a crash at any time: once {@link #append} has returned, the record
- * is durable, and one whose append did not return is stored completely or not at all. Stored by H2's MVStore; each
- * record has a checksum, as MVStore's pages have none. Not thread-safe.
+ * is durable; a record whose append did not return is stored completely or not at all. The records are stored in an H2
+ * MVStore file; each has a checksum, because MVStore's pages have none. Not thread-safe.
  */
 public final class DurableRecords implements AutoCloseable {
     private static final String FILE = "records.mv";
     private static final int CHECKSUM_BYTES = Long.BYTES;
 
     private final Path file;
-    /** Null after a failed write, until a later one can open the file again. */
+    /** The open store; null after a failed write, until the file is opened again. */
     private MVStore store;
 
     private MVMap<Long, byte[]> map;
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Opens the records in a folder, which is created if it does not exist.
+     * Opens the records in a folder, and creates the folder if it does not exist.
      *
-     * @throws IOException if the folder can't be used, another process has it open, or a record is damaged; the message
-     *     states which
+     * @throws IOException if the folder can't be used, the file is in use by another process, or a record is damaged;
+     *     the message states which
      */
     public static DurableRecords open(Path folder) throws IOException {
         Files.createDirectories(folder);
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Discards a store after an error: it has closed itself, and its state in memory is no longer valid. */
+    /** Discards the store after an error: MVStore has closed it, and its state in memory is not valid any more. */
     private void abandonStore() {
         MVStore failed = store;
         store = null;
@@ -100,21 +100,21 @@
         return body;
     }
 
-    /** The records that were stored when this was opened, oldest first. */
+    /** Returns the records that were stored when the file was opened, oldest first. */
     public List<byte[]> recovered() {
         return recovered;
     }
 
-    /** A change of the map that is to be committed. */
+    /** A change of the map, applied before each attempt to commit it. */
     private interface Change {
         void apply();
     }
 
     /**
-     * Writes one record, which is durable when this returns.
+     * Appends one record, which is durable when this returns.
      *
-     * @throws IOException if it can't be written; it is then not stored once a later write has succeeded, and the next
-     *     call tries again
+     * @throws IOException if the record can't be written; a later successful write overwrites it if it was stored after
+     *     all, and first opens the file again
      */
     public void append(byte[] record) throws IOException {
         long number = nextNumber;
@@ -125,7 +125,7 @@
     /**
      * Replaces all records atomically: after a crash either the old or the new ones are stored.
      *
-     * @throws IOException if they can't be written, as with {@link #append}
+     * @throws IOException if the records can't be written, as with {@link #append}
      */
     public void replace(List<byte[]> records) throws IOException {
         long firstNumber = nextNumber;
@@ -140,23 +140,26 @@
         nextNumber = firstNumber + records.size();
     }
 
-    /** Retries once on a store that is opened again; the retry overwrites what the first attempt may have left. */
+    /**
+     * Commits a change, and after an error retries once with the file opened again. The retry overwrites what the first
+     * attempt may have stored.
+     */
     private void commit(Change change, String failure) throws IOException {
         if (closed) {
             throw new IOException(file + " is closed");
         }
-        IOException first = store == null ? null : tryCommit(change, failure);
-        if (store != null && first == null) {
+        IOException firstFault = store == null ? null : tryCommit(change, failure);
+        if (store != null && firstFault == null) {
             return;
         }
         try {
             openStore();
         } catch (IOException e) {
-            throw first == null ? e : first;
+            throw firstFault == null ? e : firstFault;
         }
-        IOException second = tryCommit(change, failure);
-        if (second != null) {
-            throw second;
+        IOException secondFault = tryCommit(change, failure);
+        if (secondFault != null) {
+            throw secondFault;
         }
     }
 
--- a/src/main/java/beaconladder/storage/package-info.java
+++ b/src/main/java/beaconladder/storage/package-info.java
@@ -1,2 +1,2 @@
-/** Durable local storage: an append-only sequence of records that survives crashes at any time. */
+/** Durable local storage: an append-only sequence of records that survives a crash at any time. */
 package beaconladder.storage;
--- a/src/test/java/beaconladder/storage/DurableRecordsFaultTest.java
+++ b/src/test/java/beaconladder/storage/DurableRecordsFaultTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Temporary faults of writes and syncs in a records folder, in a separate process. */
+/** Injects temporary faults of writes and syncs into a separate process that appends records. */
 @Timeout(120)
 class DurableRecordsFaultTest {
     private static final int ENOSPC = 28;
@@ -26,7 +26,7 @@
     @TempDir
     Path folder;
 
-    /** Appends the numbers from 0 on, retries failed ones, and prints each when it is written. */
+    /** Appends the numbers from 0, retries after a failure, and prints each number when it is durable. */
     public static void main(String[] args) throws IOException, InterruptedException {
         try (DurableRecords records = DurableRecords.open(Path.of(args[0]))) {
             for (int i = 0; ; ) {
@@ -81,7 +81,7 @@
                     .forEach(each -> recovered.add(Integer.parseInt(new String(each, StandardCharsets.UTF_8))));
         }
         assertThat(recovered).containsAll(written);
-        // A record whose append failed may be stored as well, and is then written twice.
+        // A record whose append failed may be stored all the same; the retry then stores it a second time.
         assertThat(recovered).isSorted();
         assertThat(recovered.size() - written.size()).isBetween(0, 20);
     }
--- a/src/test/java/beaconladder/storage/DurableRecordsTest.java
+++ b/src/test/java/beaconladder/storage/DurableRecordsTest.java
@@ -18,7 +18,7 @@
     @TempDir
     Path folder;
 
-    /** The process to be killed: appends records and prints each number when it is written. */
+    /** Runs the process that the test kills: appends records, and prints the number of each when it is durable. */
     public static void main(String[] args) throws IOException {
         try (DurableRecords records = DurableRecords.open(Path.of(args[0]))) {
             for (int i = records.recovered().size(); ; i++) {
@@ -43,7 +43,7 @@
     @Test
     void appendedRecordsSurviveAKillAtAnyTime() throws Exception {
         int before = 0;
-        Path out = folder.resolve("said");
+        Path out = folder.resolve("out");
         for (int round = 0; round < 8; round++) {
             Process process = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
@@ -71,14 +71,14 @@
         }
     }
 
-    /** The last complete number in the file, or -1. */
+    /** Returns the last complete number in the file, or -1. */
     private static int lastPrinted(Path out) throws IOException {
         String text = Files.readString(out);
         String[] lines = text.substring(0, text.lastIndexOf('\n') + 1).split("\n");
         return lines[lines.length - 1].isEmpty() ? -1 : Integer.parseInt(lines[lines.length - 1]);
     }
 
-    /** The file as left by a write that stops at any byte: followed by the old bytes, if there were any. */
+    /** Simulates a write that stops at any byte: the file has the new bytes up to there, then the old ones. */
     @Test
     void tornWriteLosesNoEarlierRecord() throws Exception {
         List<byte[]> images = new ArrayList<>();
@@ -111,16 +111,16 @@
     @Test
     void damagedRecordIsDetected() throws Exception {
         try (DurableRecords records = DurableRecords.open(folder)) {
-            records.append("the record that will be spoilt".getBytes(StandardCharsets.UTF_8));
+            records.append("the record to be damaged".getBytes(StandardCharsets.UTF_8));
         }
         Path file = folder.resolve("records.mv");
         byte[] bytes = Files.readAllBytes(file);
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
-        int at = text.indexOf("will be spoilt");
-        assertThat(at).isPositive();
-        while (at >= 0) {
-            bytes[at] ^= 1;
-            at = text.indexOf("will be spoilt", at + 1);
+        int offset = text.indexOf("to be damaged");
+        assertThat(offset).isPositive();
+        while (offset >= 0) {
+            bytes[offset] ^= 1;
+            offset = text.indexOf("to be damaged", offset + 1);
         }
         Files.write(file, bytes);
         assertThatThrownBy(() -> DurableRecords.open(folder).close())
