--- a/src/main/java/beaconladder/closing/ClosingCalendar.java
+++ b/src/main/java/beaconladder/closing/ClosingCalendar.java
@@ -10,47 +10,47 @@
 /**
  * All closes of an installation.
  *
- * @param closes where several have one name, they apply to different days, which is how a close is changed
- * @param clockBound how far this router's clock may be from the true time
+ * @param closes the closes; to change a close, the calendar has two of the same name for different days
+ * @param clockBound the largest difference between this router's clock and the true time
  */
 public record ClosingCalendar(List<DailyClose> closes, Duration clockBound) {
 
-    /** One close of one business day. */
-    public record ScheduledClose(String name, LocalDate day, Instant at) {
-        /** Its unique name. */
+    /** The close of one business day. */
+    public record ScheduledClose(String name, LocalDate day, Instant instant) {
+        /** Returns the unique name of this close, with its day. */
         public String key() {
             return name + " " + day;
         }
     }
 
-    /** No two zones are further apart than this; days are searched this far around an interval. */
+    /** The days searched on either side of an interval; more than the difference between any two time zones. */
     private static final int ZONE_MARGIN_DAYS = 2;
     /** How far ahead the next close is searched. */
     private static final int SEARCH_DAYS = 366;
-    /** Longer than any run of holidays: the newest close is within it, or none applies. */
+    /** How far back the newest close is searched; longer than any run of holidays. */
     private static final int LOOKBACK_DAYS = 15;
 
-    /** The closes after one instant, up to and including another, in order. */
-    public List<ScheduledClose> between(Instant after, Instant to) {
+    /** Returns the closes after one instant, up to and including another, in order. */
+    public List<ScheduledClose> closesBetween(Instant after, Instant to) {
         List<ScheduledClose> scheduled = new ArrayList<>();
         for (DailyClose close : closes) {
             LocalDate last = to.atZone(close.zone()).toLocalDate().plusDays(ZONE_MARGIN_DAYS);
             LocalDate day = after.atZone(close.zone()).toLocalDate().minusDays(ZONE_MARGIN_DAYS);
             for (; !day.isAfter(last); day = day.plusDays(1)) {
-                Instant at = close.isBusinessDay(day) ? close.instantOf(day) : null;
-                if (at != null && at.isAfter(after) && !at.isAfter(to)) {
-                    scheduled.add(new ScheduledClose(close.name(), day, at));
+                Instant instant = close.isBusinessDay(day) ? close.instantOf(day) : null;
+                if (instant != null && instant.isAfter(after) && !instant.isAfter(to)) {
+                    scheduled.add(new ScheduledClose(close.name(), day, instant));
                 }
             }
         }
-        scheduled.sort(Comparator.comparing(ScheduledClose::at).thenComparing(ScheduledClose::key));
+        scheduled.sort(Comparator.comparing(ScheduledClose::instant).thenComparing(ScheduledClose::key));
         return scheduled;
     }
 
-    /** The first close after this instant, or null where there is none within a year. */
-    public ScheduledClose next(Instant after) {
+    /** Returns the first close after this instant, or null if there is none within a year. */
+    public ScheduledClose nextClose(Instant after) {
         for (int days = 1; days <= SEARCH_DAYS; days *= 2) {
-            List<ScheduledClose> scheduled = between(after, after.plus(Duration.ofDays(days)));
+            List<ScheduledClose> scheduled = closesBetween(after, after.plus(Duration.ofDays(days)));
             if (!scheduled.isEmpty()) {
                 return scheduled.get(0);
             }
@@ -59,34 +59,35 @@
     }
 
     /**
-     * The newest close: a read that arrives now must see data at least as new. Null where nothing has closed lately. A
-     * clock that is behind by the bound would place a read after a close before it, so a close applies that much
-     * earlier by this clock.
+     * Returns the instant of the newest close, whose data a read that arrives now must see, or null if there was none
+     * recently. A close applies earlier by the clock bound: a clock that is behind by the bound would otherwise place a
+     * read that follows the close before it.
      */
-    public Instant newestBoundary(Instant now) {
+    public Instant newestCloseInstant(Instant now) {
         Instant latest = now.plus(clockBound);
-        List<ScheduledClose> scheduled = between(latest.minus(Duration.ofDays(LOOKBACK_DAYS)), latest);
-        return scheduled.isEmpty() ? null : scheduled.get(scheduled.size() - 1).at();
+        List<ScheduledClose> scheduled = closesBetween(latest.minus(Duration.ofDays(LOOKBACK_DAYS)), latest);
+        return scheduled.isEmpty() ? null : scheduled.get(scheduled.size() - 1).instant();
     }
 
-    /** Whether a close is within this time before or after now, so that nothing should be changed. */
+    /** Returns whether a close is within this time before or after now, when changes should be avoided. */
     public boolean isNear(Instant now, Duration window) {
-        return !between(now.minus(window), now.plus(window)).isEmpty();
+        return !closesBetween(now.minus(window), now.plus(window)).isEmpty();
     }
 
     /**
-     * Why this calendar can't replace another one now, or null. Within the lead time, which is longer than a member of
-     * the fleet may be unreachable, both must have the same closes, so that no two routers close at different times.
+     * Returns why this calendar can't replace the current one now, or null if it can. Within the lead time, which is
+     * longer than a member of the fleet may be unreachable, both must have the same closes, so that no two routers
+     * apply a close at different times.
      */
-    public String objection(ClosingCalendar before, Instant now, Duration lead) {
-        List<ScheduledClose> own = between(now.minus(clockBound), now.plus(lead));
-        return own.equals(before.between(now.minus(clockBound), now.plus(lead)))
-                ? objection()
-                : "a close within the lead time of " + lead.toSeconds() + " s is changed";
+    public String replacementError(ClosingCalendar current, Instant now, Duration leadTime) {
+        List<ScheduledClose> own = closesBetween(now.minus(clockBound), now.plus(leadTime));
+        return own.equals(current.closesBetween(now.minus(clockBound), now.plus(leadTime)))
+                ? validationError()
+                : "a close within the lead time of " + leadTime.toSeconds() + " s is changed";
     }
 
-    /** Why the calendar is invalid, or null: two closes of one name apply to the same days. */
-    public String objection() {
+    /** Returns why the calendar is invalid, or null if it is valid: two closes of a name must not overlap in days. */
+    public String validationError() {
         for (int i = 0; i < closes.size(); i++) {
             for (int j = 0; j < i; j++) {
                 DailyClose a = closes.get(i);
--- a/src/main/java/beaconladder/closing/package-info.java
+++ b/src/main/java/beaconladder/closing/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What ends at local business close: when the closes are, and which data a read that arrives after one may see. Pure
- * functions over plain values. Kept for the next stages of the plan; nothing outside of its tests uses it yet.
- * docs/closing.md.
+ * Business closes: a calendar of closes at local times, and the minimum position of reads that arrive after a close.
+ * All functions are pure. Kept for later stages of the roadmap: only tests use this package so far. docs/closing.md
+ * describes the design.
  */
 package beaconladder.closing;
--- a/src/main/java/beaconladder/rollout/RolloutStages.java
+++ b/src/main/java/beaconladder/rollout/RolloutStages.java
@@ -8,27 +8,28 @@
 import java.util.TreeMap;
 
 /**
- * Which routers a change reaches at which stage: first one in each zone, then shares of all. Each router has a rank by
- * rendezvous hash of its name and the change's number (Thaler and Ravishankar, 1998), so that every process computes
- * the same sets, and another change starts with other routers.
+ * Selects the routers that a change reaches at each stage: first one in each zone, then increasing shares of all.
+ * Routers are ranked by a rendezvous hash of their name and the change's number (Thaler and Ravishankar, 1998), so that
+ * every process computes the same sets, and different changes start with different routers.
  */
 public final class RolloutStages {
-    /** Of all routers, at the stages after the first; each stage adds to the one before it. */
+    /** The shares of all routers at the stages after the first; each stage includes the one before it. */
     private static final double[] SHARES = {0.05, 0.25, 0.5, 1};
-    /** How many stages there are. */
+    /** The number of stages. */
     public static final int STAGE_COUNT = SHARES.length + 1;
 
-    /** A router of the fleet. */
+    /** A router of the fleet and its zone. */
     public record RouterLocation(String name, String zone) {}
 
     private RolloutStages() {}
 
     /**
-     * The names of the routers that run the new version at a stage; none before the first.
+     * Returns the names of the routers that run the new version at a stage.
      *
-     * @param stage from 0; -1 is before the first
+     * @param change the number of the change
+     * @param stage the stage, from 0; with -1, before the first stage, the result is empty
      */
-    public static Set<String> changed(List<RouterLocation> routers, long change, int stage) {
+    public static Set<String> changedRouters(List<RouterLocation> routers, long change, int stage) {
         Set<String> changed = new LinkedHashSet<>();
         if (stage < 0) {
             return changed;
--- a/src/main/java/beaconladder/rollout/RouterCounts.java
+++ b/src/main/java/beaconladder/rollout/RouterCounts.java
@@ -4,39 +4,42 @@
 import java.util.TreeMap;
 
 /**
- * What one router has counted of its requests under one version, by request class, since it started with that version.
+ * One router's request counts by request class, since it started with its current version.
  *
- * @param router by name
- * @param incarnation of the process, so that counts that a restart has reset are not subtracted
- * @param version that the counts belong to
- * @param byClass counts by the name of the request class
+ * @param router the name of the router
+ * @param incarnation the incarnation of the process, so that no counts from before a restart are subtracted
+ * @param version the version that the counts belong to
+ * @param byClass the counts by the name of the request class
  */
 public record RouterCounts(String router, String incarnation, long version, Map<String, ClassCounts> byClass) {
     /**
-     * Requests of one class.
+     * The request counts of one class.
      *
-     * @param requests that have received their final response
-     * @param lost of them, those not served in time: rejected, rolled back, late
-     * @param latencyNanos from the first byte to the response, of those served, summed
+     * @param requests the number of requests that received their final response
+     * @param lost the number of those that were not served in time: rejected, rolled back or late
+     * @param latencyNanos the total time from the first byte to the response of those that were served
      */
     public record ClassCounts(long requests, long lost, long latencyNanos) {
-        /** No request yet. */
+        /** The counts before the first request. */
         public static final ClassCounts NONE = new ClassCounts(0, 0, 0);
 
-        ClassCounts plus(ClassCounts more) {
-            return new ClassCounts(requests + more.requests, lost + more.lost, latencyNanos + more.latencyNanos);
+        ClassCounts plus(ClassCounts other) {
+            return new ClassCounts(requests + other.requests, lost + other.lost, latencyNanos + other.latencyNanos);
         }
 
-        ClassCounts minus(ClassCounts less) {
+        ClassCounts minus(ClassCounts earlier) {
             return new ClassCounts(
-                    Math.max(0, requests - less.requests),
-                    Math.max(0, lost - less.lost),
-                    Math.max(0, latencyNanos - less.latencyNanos));
+                    Math.max(0, requests - earlier.requests),
+                    Math.max(0, lost - earlier.lost),
+                    Math.max(0, latencyNanos - earlier.latencyNanos));
         }
     }
 
-    /** What was added since an earlier reading of the same incarnation and version; everything for any other. */
-    public RouterCounts since(RouterCounts earlier) {
+    /**
+     * Returns the counts added since an earlier reading, or all counts if that is null or of another incarnation or
+     * version.
+     */
+    public RouterCounts addedSince(RouterCounts earlier) {
         if (earlier == null || !earlier.incarnation.equals(incarnation) || earlier.version != version) {
             return this;
         }
@@ -46,7 +49,7 @@
         return new RouterCounts(router, incarnation, version, added);
     }
 
-    /** These counts and later ones of the same router. */
+    /** Returns the sum of these counts and later ones of the same router. */
     RouterCounts plus(RouterCounts later) {
         Map<String, ClassCounts> sum = new TreeMap<>(byClass);
         later.byClass.forEach((name, counts) -> sum.merge(name, counts, ClassCounts::plus));
--- a/src/main/java/beaconladder/rollout/StageEvaluation.java
+++ b/src/main/java/beaconladder/rollout/StageEvaluation.java
@@ -7,43 +7,51 @@
 import java.util.TreeSet;
 
 /**
- * Whether a stage does worse than the routers not yet changed, over the same time. The worst request class decides, not
- * the mean: a change that loses 3% of one class is not compensated by the others.
+ * The comparison of the changed routers of a stage with the routers not yet changed, over the same time. The worst
+ * request class decides, not the mean: a loss of 3% of one class is not compensated by the other classes.
  *
  * @param decision what to do with the change
- * @param reason in words, for the record
+ * @param reason the reason in words, to be recorded with the decision
  */
 public record StageEvaluation(Decision decision, String reason) {
-    /** Wait longer, continue with the next stage, or undo the change. */
+    /** The decision on a change. */
     public enum Decision {
+        /** Continue the stage. */
         WAIT,
+        /** Start the next stage. */
         PASS,
+        /** Undo the change. */
         STOP
     }
 
     /**
-     * What operators accept.
+     * The operators' limits for a change.
      *
-     * @param loss a share of a class's requests: a change that loses that much more of one must not pass
-     * @param slowdown how many times the control's mean latency a class may take
-     * @param leastRequests requests of a class in the changed arm before it may pass; classes with a smaller share of
-     *     the traffic than {@link #RARE_SHARE} are evaluated for harm only
-     * @param shortestNanos how long a stage lasts at least
-     * @param longestNanos after which a stage that has not passed is stopped
+     * @param maxAdditionalLoss the additional loss of a class, as a share of its requests, above which a change must
+     *     not pass
+     * @param maxSlowdown the largest mean latency of a class, as a multiple of the control's
+     * @param minRequests the requests of a class in each arm before it may pass; classes with a smaller share of the
+     *     traffic than {@link #RARE_SHARE} are evaluated for harm only
+     * @param minDurationNanos the minimum duration of a stage
+     * @param maxDurationNanos the duration after which a stage that has not passed is stopped
      */
-    public record AcceptanceTerms(
-            double loss, double slowdown, long leastRequests, long shortestNanos, long longestNanos) {}
+    public record AcceptanceLimits(
+            double maxAdditionalLoss,
+            double maxSlowdown,
+            long minRequests,
+            long minDurationNanos,
+            long maxDurationNanos) {}
 
     /** The probability that an unchanged program is stopped, over all evaluations and classes of a stage. */
     private static final double FALSE_STOP_PROBABILITY = 0.01;
-    /** A class below this share of the traffic would keep any change waiting forever. */
+    /** The share of the traffic below which a class need not pass; it would keep any change waiting forever. */
     private static final double RARE_SHARE = 0.02;
-    /** The class that counts whether a router responds: one trial for each poll. */
+    /** The internal class that counts whether a router responds, with one trial for each poll. */
     public static final String RESPONDED = "(heard)";
 
     private static final String INTERNAL_CLASS_PREFIX = "(";
 
-    /** One class in one arm: counts, and by how much routers differ more than by chance. */
+    /** The counts of one class in one arm, and the overdispersion: how much more routers differ than by chance. */
     private record Arm(double requests, double lost, double latencyNanos, double overdispersion) {
         Interval interval(double alpha, double divisor) {
             return ConfidenceSequence.interval(requests / divisor, lost / divisor, alpha);
@@ -54,10 +62,10 @@
         }
     }
 
-    /** One class in both arms. */
+    /** The comparison of one class in both arms. */
     private record Comparison(String name, Arm changed, Arm control, Interval changedLoss, Interval controlLoss) {
         static Comparison of(String name, Arm changed, Arm control, double alpha) {
-            // The arm with few routers estimates its overdispersion badly: that of the other one holds for both.
+            // The estimate of an arm with few routers is poor, so the larger one is used for both arms.
             double overdispersion = Math.max(changed.overdispersion(), control.overdispersion());
             return new Comparison(
                     name,
@@ -67,36 +75,36 @@
                     control.interval(alpha, overdispersion));
         }
 
-        boolean hasEnoughRequests(AcceptanceTerms terms) {
-            return changed.requests() >= terms.leastRequests() && control.requests() >= terms.leastRequests();
+        boolean hasEnoughRequests(AcceptanceLimits limits) {
+            return changed.requests() >= limits.minRequests() && control.requests() >= limits.minRequests();
         }
 
-        /** Why the change does harm, or null. */
-        String harm(AcceptanceTerms terms) {
+        /** Returns why the change does harm, or null. */
+        String harm(AcceptanceLimits limits) {
             if (changedLoss.low() > controlLoss.high()) {
                 return "%s: %.0f of %.0f lost, %.0f of %.0f without the change"
                         .formatted(name, changed.lost(), changed.requests(), control.lost(), control.requests());
             }
-            if (hasEnoughRequests(terms)
+            if (hasEnoughRequests(limits)
                     && control.meanNanos() > 0
-                    && changed.meanNanos() > terms.slowdown() * control.meanNanos()) {
+                    && changed.meanNanos() > limits.maxSlowdown() * control.meanNanos()) {
                 return "%s: takes %.1f ms, %.1f without the change"
                         .formatted(name, changed.meanNanos() / 1e6, control.meanNanos() / 1e6);
             }
             return null;
         }
 
-        /** Why harm can't be ruled out yet, or null. */
-        String uncertainty(AcceptanceTerms terms, double allRequests) {
+        /** Returns why harm can't be ruled out yet, or null. */
+        String uncertainty(AcceptanceLimits limits, double allRequests) {
             if (name.startsWith(INTERNAL_CLASS_PREFIX) || changed.requests() < RARE_SHARE * allRequests) {
                 return null;
             }
-            if (!hasEnoughRequests(terms)) {
+            if (!hasEnoughRequests(limits)) {
                 return name + ": " + (long) changed.requests() + " requests counted, " + (long) control.requests()
                         + " without the change";
             }
-            return changedLoss.high() - controlLoss.low() > terms.loss()
-                    ? name + ": a loss of " + terms.loss() + " can't be ruled out yet"
+            return changedLoss.high() - controlLoss.low() > limits.maxAdditionalLoss()
+                    ? name + ": a loss of " + limits.maxAdditionalLoss() + " can't be ruled out yet"
                     : null;
         }
     }
@@ -104,48 +112,52 @@
     /**
      * Evaluates a stage.
      *
-     * @param changed what each changed router has counted in this stage
-     * @param control the same of the routers not yet changed
-     * @param ageNanos of the stage
+     * @param changed the counts of each changed router in this stage
+     * @param control the counts of each router not yet changed, in the same time
+     * @param ageNanos the time since the stage started
      */
     public static StageEvaluation of(
-            Collection<RouterCounts> changed, Collection<RouterCounts> control, long ageNanos, AcceptanceTerms terms) {
+            Collection<RouterCounts> changed,
+            Collection<RouterCounts> control,
+            long ageNanos,
+            AcceptanceLimits limits) {
         TreeSet<String> names = new TreeSet<>();
         changed.forEach(router -> names.addAll(router.byClass().keySet()));
         control.forEach(router -> names.addAll(router.byClass().keySet()));
         double alpha = FALSE_STOP_PROBABILITY / Math.max(1, names.size()) / 2;
         double allRequests = names.stream()
                 .filter(name -> !name.startsWith(INTERNAL_CLASS_PREFIX))
-                .mapToDouble(name -> arm(changed, name).requests())
+                .mapToDouble(name -> aggregate(changed, name).requests())
                 .sum();
-        String uncertainty = ageNanos < terms.shortestNanos() ? "it has not lasted its shortest time" : null;
+        String uncertainty =
+                ageNanos < limits.minDurationNanos() ? "the stage has not reached its minimum duration" : null;
         for (String name : names) {
-            Comparison comparison = Comparison.of(name, arm(changed, name), arm(control, name), alpha);
-            String harm = comparison.harm(terms);
+            Comparison comparison = Comparison.of(name, aggregate(changed, name), aggregate(control, name), alpha);
+            String harm = comparison.harm(limits);
             if (harm != null) {
                 return new StageEvaluation(Decision.STOP, harm);
             }
             if (uncertainty == null) {
-                uncertainty = comparison.uncertainty(terms, allRequests);
+                uncertainty = comparison.uncertainty(limits, allRequests);
             }
         }
         if (allRequests == 0 && uncertainty == null) {
             uncertainty = "no request arrived";
         }
-        return withoutHarm(uncertainty, ageNanos, terms);
+        return decisionWithoutHarm(uncertainty, ageNanos, limits);
     }
 
-    private static StageEvaluation withoutHarm(String uncertainty, long ageNanos, AcceptanceTerms terms) {
+    private static StageEvaluation decisionWithoutHarm(String uncertainty, long ageNanos, AcceptanceLimits limits) {
         if (uncertainty == null) {
             return new StageEvaluation(Decision.PASS, "no class does worse");
         }
-        // Too little traffic is no reason to continue: what is not known to be good is not kept.
-        return ageNanos > terms.longestNanos()
-                ? new StageEvaluation(Decision.STOP, "not judged in time: " + uncertainty)
+        // Too little traffic is no reason to pass: a change that can't be shown to be harmless is undone.
+        return ageNanos > limits.maxDurationNanos()
+                ? new StageEvaluation(Decision.STOP, "undecided after the maximum duration: " + uncertainty)
                 : new StageEvaluation(Decision.WAIT, uncertainty);
     }
 
-    private static Arm arm(Collection<RouterCounts> routers, String name) {
+    private static Arm aggregate(Collection<RouterCounts> routers, String name) {
         List<ClassCounts> counts = routers.stream()
                 .map(router -> router.byClass().getOrDefault(name, ClassCounts.NONE))
                 .filter(count -> count.requests() > 0)
@@ -157,14 +169,14 @@
         return new Arm(requests, lost, latencyNanos, overdispersion(counts, requests, lost));
     }
 
-    /** Pearson's chi square over its degrees of freedom, at least 1; 1 for less than two routers. */
+    /** Returns Pearson's chi square over its degrees of freedom, at least 1; 1 for fewer than two routers. */
     private static double overdispersion(List<ClassCounts> counts, double requests, double lost) {
-        double share = requests == 0 ? 0 : lost / requests;
+        double lossRate = requests == 0 ? 0 : lost / requests;
         double chiSquare = 0;
-        if (share > 0 && share < 1) {
+        if (lossRate > 0 && lossRate < 1) {
             for (ClassCounts count : counts) {
-                double deviation = count.lost() - share * count.requests();
-                chiSquare += deviation * deviation / (count.requests() * share * (1 - share));
+                double deviation = count.lost() - lossRate * count.requests();
+                chiSquare += deviation * deviation / (count.requests() * lossRate * (1 - lossRate));
             }
         }
         return counts.size() < 2 ? 1 : Math.max(1, chiSquare / (counts.size() - 1));
--- a/src/main/java/beaconladder/rollout/package-info.java
+++ b/src/main/java/beaconladder/rollout/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A change that reaches the routers of a fleet in stages, evaluated against those not yet changed: pure functions over
- * plain values. Kept for the next stages of the plan; nothing outside of its tests uses it yet. docs/rollout.md.
+ * Staged rollouts: which routers a change reaches at which stage, and the comparison of the changed routers with the
+ * others. All functions are pure. Kept for later stages of the roadmap: only tests use this package so far.
+ * docs/rollout.md describes the design.
  */
 package beaconladder.rollout;
--- a/src/test/java/beaconladder/closing/ClosingCalendarTest.java
+++ b/src/test/java/beaconladder/closing/ClosingCalendarTest.java
@@ -23,21 +23,21 @@
             List.of("America/Santiago", "Europe/Lisbon", "Asia/Kolkata", "Australia/Lord_Howe", "Pacific/Apia", "UTC");
     private static final Set<DayOfWeek> WORKDAYS = EnumSet.range(DayOfWeek.MONDAY, DayOfWeek.FRIDAY);
 
-    /** However an interval is divided, each business day closes once in it, and no other day does. */
+    /** However an interval is divided, each business day in it has one close, and no other day has any. */
     @Property(tries = 200, seed = "1")
     void eachBusinessDayClosesOnceHoweverTimeIsDivided(
             @ForAll @IntRange(max = 5) int zone,
-            @ForAll @IntRange(max = 86_399) int at,
+            @ForAll @IntRange(max = 86_399) int secondOfDay,
             @ForAll @IntRange(min = 1, max = 400_000) int step,
             @ForAll @IntRange(max = 700) int first) {
-        DailyClose close = close(ZONES.get(zone), LocalTime.ofSecondOfDay(at));
+        DailyClose close = close(ZONES.get(zone), LocalTime.ofSecondOfDay(secondOfDay));
         ClosingCalendar calendar = new ClosingCalendar(List.of(close), Duration.ZERO);
         Instant from = Instant.parse("2026-01-01T00:00:00Z").plus(Duration.ofDays(first));
         Instant to = from.plus(Duration.ofDays(40));
         List<ClosingCalendar.ScheduledClose> found = new ArrayList<>();
         for (Instant now = from; now.isBefore(to); now = now.plusSeconds(step)) {
             Instant next = now.plusSeconds(step);
-            found.addAll(calendar.between(now, next.isBefore(to) ? next : to));
+            found.addAll(calendar.closesBetween(now, next.isBefore(to) ? next : to));
         }
         List<LocalDate> days =
                 found.stream().map(ClosingCalendar.ScheduledClose::day).toList();
@@ -49,9 +49,9 @@
         }
     }
 
-    /** Santiago puts its clocks back at the end of 4 April 2026, and forward at that of 5 September. */
+    /** Santiago's clocks go back at the end of 4 April 2026, and forward at the end of 5 September 2026. */
     @Test
-    void dayWithTwoOrNoSuchLocalTimesClosesOnce() {
+    void dayWhoseLocalTimeOccursTwiceOrNeverClosesOnce() {
         DailyClose twice = close("America/Santiago", LocalTime.of(23, 30));
         assertThat(twice.instantOf(LocalDate.of(2026, 4, 4))).isEqualTo(Instant.parse("2026-04-05T02:30:00Z"));
         DailyClose none = close("America/Santiago", LocalTime.of(0, 30));
@@ -81,11 +81,12 @@
                 LocalDate.MAX);
         ClosingCalendar calendar = new ClosingCalendar(List.of(west, east), Duration.ofMillis(50));
         Instant eve = Instant.parse("2026-12-24T11:00:00Z");
-        assertThat(calendar.between(eve, eve.plus(Duration.ofDays(5))).stream()
+        assertThat(calendar.closesBetween(eve, eve.plus(Duration.ofDays(5))).stream()
                         .map(ClosingCalendar.ScheduledClose::key))
                 .containsExactly("east 2026-12-24", "west 2026-12-24", "east 2026-12-28", "west 2026-12-28");
-        assertThat(calendar.next(Instant.parse("2026-12-25T00:00:00Z")).key()).isEqualTo("east 2026-12-28");
-        assertThat(calendar.newestBoundary(Instant.parse("2026-12-27T00:00:00Z")))
+        assertThat(calendar.nextClose(Instant.parse("2026-12-25T00:00:00Z")).key())
+                .isEqualTo("east 2026-12-28");
+        assertThat(calendar.newestCloseInstant(Instant.parse("2026-12-27T00:00:00Z")))
                 .isEqualTo(Instant.parse("2026-12-24T21:00:00Z"));
     }
 
@@ -95,15 +96,15 @@
         ClosingCalendar calendar =
                 new ClosingCalendar(List.of(close("UTC", LocalTime.of(18, 0))), Duration.ofMillis(50));
         Instant close = Instant.parse("2026-12-02T18:00:00Z");
-        assertThat(calendar.newestBoundary(close.minusMillis(50))).isEqualTo(close);
-        assertThat(calendar.newestBoundary(close.minusMillis(51))).isEqualTo(close.minus(Duration.ofDays(1)));
+        assertThat(calendar.newestCloseInstant(close.minusMillis(50))).isEqualTo(close);
+        assertThat(calendar.newestCloseInstant(close.minusMillis(51))).isEqualTo(close.minus(Duration.ofDays(1)));
         assertThat(calendar.isNear(close.minusSeconds(59), Duration.ofMinutes(1)))
                 .isTrue();
         assertThat(calendar.isNear(close.minusSeconds(61), Duration.ofMinutes(1)))
                 .isFalse();
     }
 
-    /** A change of the calendar reaches all routers before it applies, or is rejected. */
+    /** A change within the lead time is rejected, because it might not reach all routers before the close. */
     @Test
     void changesWithinTheLeadTimeAndOverlappingClosesAreRejected() {
         LocalDate day = LocalDate.of(2026, 12, 10);
@@ -113,25 +114,31 @@
                         between(LocalTime.of(18, 0), LocalDate.MIN, day.minusDays(1)),
                         between(LocalTime.of(17, 0), day, LocalDate.MAX)),
                 Duration.ofMillis(50));
-        Duration lead = Duration.ofHours(6);
-        assertThat(after.objection(before, Instant.parse("2026-12-10T10:59:00Z"), lead))
+        Duration leadTime = Duration.ofHours(6);
+        assertThat(after.replacementError(before, Instant.parse("2026-12-10T10:59:00Z"), leadTime))
                 .isNull();
-        assertThat(after.objection(before, Instant.parse("2026-12-10T11:01:00Z"), lead))
+        assertThat(after.replacementError(before, Instant.parse("2026-12-10T11:01:00Z"), leadTime))
                 .contains("lead time");
         ClosingCalendar twice = new ClosingCalendar(
                 List.of(
                         between(LocalTime.of(18, 0), LocalDate.MIN, day),
                         between(LocalTime.of(17, 0), day, LocalDate.MAX)),
                 Duration.ofMillis(50));
-        assertThat(twice.objection()).contains("same days");
+        assertThat(twice.validationError()).contains("same days");
     }
 
-    private static DailyClose close(String zone, LocalTime at) {
+    private static DailyClose close(String zone, LocalTime localTime) {
         return new DailyClose(
-                "day", ZoneId.of(zone), at, EnumSet.allOf(DayOfWeek.class), Set.of(), LocalDate.MIN, LocalDate.MAX);
+                "day",
+                ZoneId.of(zone),
+                localTime,
+                EnumSet.allOf(DayOfWeek.class),
+                Set.of(),
+                LocalDate.MIN,
+                LocalDate.MAX);
     }
 
-    private static DailyClose between(LocalTime at, LocalDate from, LocalDate to) {
-        return new DailyClose("day", ZoneId.of("UTC"), at, EnumSet.allOf(DayOfWeek.class), Set.of(), from, to);
+    private static DailyClose between(LocalTime localTime, LocalDate from, LocalDate to) {
+        return new DailyClose("day", ZoneId.of("UTC"), localTime, EnumSet.allOf(DayOfWeek.class), Set.of(), from, to);
     }
 }
--- a/src/test/java/beaconladder/closing/ClosingRouterTest.java
+++ b/src/test/java/beaconladder/closing/ClosingRouterTest.java
@@ -24,7 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The routing policy under a close: a read that arrives after it is never sent to a replica not known to be past it.
+ * Tests the routing policy with a close: a read that arrives after the close is never sent to a replica whose known
+ * position is before it.
  */
 class ClosingRouterTest {
     private static final long MS = 1_000_000;
@@ -69,19 +70,20 @@
         router.onHealthCheckEnded(primary, Router.Outcome.COMMITTED, new HostReport(Role.PRIMARY, before, 0), before);
         router.onHealthCheckEnded(replica, Router.Outcome.COMMITTED, new HostReport(Role.REPLICA, before, 0), before);
 
-        Request early = read(router, group, 1, before + MS);
-        assertThat(sentTo(router.route(early, before + MS))).isSameAs(replica);
-        Request late = read(router, group, 2, CLOSE_NANOS + MS);
-        assertThat(sentTo(router.route(late, CLOSE_NANOS + MS))).isNotSameAs(replica);
-        assertThat(late.minPosition).isEqualTo(CLOSE_NANOS);
-        // By a clock that is behind by the bound this read arrived before the close; in fact it did not.
-        Request near = read(router, group, 3, CLOSE_NANOS - 20 * MS);
-        router.route(near, CLOSE_NANOS - 20 * MS);
-        assertThat(near.minPosition).isEqualTo(CLOSE_NANOS);
+        Request readBeforeClose = read(router, group, 1, before + MS);
+        assertThat(sentTo(router.route(readBeforeClose, before + MS))).isSameAs(replica);
+        Request readAfterClose = read(router, group, 2, CLOSE_NANOS + MS);
+        assertThat(sentTo(router.route(readAfterClose, CLOSE_NANOS + MS))).isNotSameAs(replica);
+        assertThat(readAfterClose.minPosition).isEqualTo(CLOSE_NANOS);
+        // This read arrived one clock bound before the close by the router's clock, which may be that far behind.
+        Request readWithinClockBound = read(router, group, 3, CLOSE_NANOS - 20 * MS);
+        router.route(readWithinClockBound, CLOSE_NANOS - 20 * MS);
+        assertThat(readWithinClockBound.minPosition).isEqualTo(CLOSE_NANOS);
         long past = CLOSE_NANOS + 5 * MS;
         router.onHealthCheckEnded(replica, Router.Outcome.COMMITTED, new HostReport(Role.REPLICA, past, 0), past + MS);
-        Request then = read(router, group, 4, past + 2 * MS);
-        assertThat(sentTo(router.route(then, past + 2 * MS))).isSameAs(replica);
+        Request readAfterReplicaCaughtUp = read(router, group, 4, past + 2 * MS);
+        assertThat(sentTo(router.route(readAfterReplicaCaughtUp, past + 2 * MS)))
+                .isSameAs(replica);
     }
 
     private static Request read(Router router, Group group, long id, long arrived) {
@@ -98,7 +100,7 @@
                 id);
     }
 
-    /** The host of the attempt, or null. */
+    /** Returns the host of the attempt, or null. */
     private static Host sentTo(RoutingDecision decision) {
         return decision.host();
     }
--- a/src/test/java/beaconladder/rollout/RolloutStagesTest.java
+++ b/src/test/java/beaconladder/rollout/RolloutStagesTest.java
@@ -15,7 +15,9 @@
 import net.jqwik.api.constraints.IntRange;
 
 class RolloutStagesTest {
-    /** In whatever order a process lists the routers: one in each zone first, each stage includes the last. */
+    /**
+     * Whatever the order of the list: the first stage has one router in each zone; each stage includes the previous.
+     */
     @Property(tries = 200, seed = "1")
     void everyProcessComputesTheSameStagesAndEachIncludesTheOneBefore(
             @ForAll @IntRange(min = 1, max = 120) int count,
@@ -27,12 +29,12 @@
         }
         List<RouterLocation> shuffled = new ArrayList<>(routers);
         Collections.shuffle(shuffled, new Random(change));
-        Set<String> before = RolloutStages.changed(routers, change, -1);
+        Set<String> before = RolloutStages.changedRouters(routers, change, -1);
         assertThat(before).isEmpty();
         for (int stage = 0; stage < RolloutStages.STAGE_COUNT; stage++) {
-            Set<String> now = RolloutStages.changed(routers, change, stage);
+            Set<String> now = RolloutStages.changedRouters(routers, change, stage);
             assertThat(now)
-                    .isEqualTo(RolloutStages.changed(shuffled, change, stage))
+                    .isEqualTo(RolloutStages.changedRouters(shuffled, change, stage))
                     .containsAll(before);
             if (stage == 0) {
                 assertThat(routers.stream().filter(r -> now.contains(r.name())).map(RouterLocation::zone))
@@ -52,7 +54,7 @@
         }
         Set<Set<String>> first = new HashSet<>();
         for (int i = 0; i < 5; i++) {
-            first.add(RolloutStages.changed(routers, change + i, 0));
+            first.add(RolloutStages.changedRouters(routers, change + i, 0));
         }
         assertThat(first.stream().flatMap(Set::stream).collect(Collectors.toSet()))
                 .hasSizeGreaterThan(5);
