--- a/src/main/java/beaconladder/lease/LeaseHolderState.java
+++ b/src/main/java/beaconladder/lease/LeaseHolderState.java
@@ -33,7 +33,7 @@
         HELD,
         /** The lease is held, and a renewal is pending. */
         RENEWING,
-        /** The permit's deadline passed without a renewal, or the clock went back. */
+        /** The permit's deadline has passed, or the clock went back. */
         EXPIRED,
         /** The lease was released, or never requested. */
         RELEASED
--- a/src/main/java/beaconladder/lease/server/LeaseClient.java
+++ b/src/main/java/beaconladder/lease/server/LeaseClient.java
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Returns all leases of the leader, through the first server that responds.
+     * Returns the leader's lease table, through the first server that responds.
      *
      * @throws LeaseServersUnavailableException if no server responds
      */
--- a/src/main/java/beaconladder/lease/server/LeaseJson.java
+++ b/src/main/java/beaconladder/lease/server/LeaseJson.java
@@ -15,8 +15,8 @@
     private static final ObjectMapper MAPPER = new ObjectMapper()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
-    private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
-    private static final String HOLDER = NAME + "#[0-9]{1,19}";
+    private static final String NAME_PATTERN = "[A-Za-z0-9_.-]{1,64}";
+    private static final String HOLDER_PATTERN = NAME_PATTERN + "#[0-9]{1,19}";
     /** One day: the task of a failed holder would otherwise stay unavailable for too long. */
     private static final long MAX_LENGTH_NANOS = 86_400_000_000_000L;
 
@@ -68,12 +68,12 @@
                 || request.task() == null
                 || request.holder() == null
                 || request.successor() == null
-                || !request.task().matches(NAME)) {
+                || !request.task().matches(NAME_PATTERN)) {
             return false;
         }
         boolean namesProcess = request.kind() == LeaseRequest.Kind.HAND_OVER
-                ? request.successor().matches(NAME)
-                : request.holder().matches(HOLDER);
+                ? request.successor().matches(NAME_PATTERN)
+                : request.holder().matches(HOLDER_PATTERN);
         long minLengthNanos = request.kind() == LeaseRequest.Kind.RELEASE ? 0 : 1;
         return namesProcess && request.lengthNanos() >= minLengthNanos && request.lengthNanos() <= MAX_LENGTH_NANOS;
     }
--- a/src/main/java/beaconladder/lease/server/LeaseServer.java
+++ b/src/main/java/beaconladder/lease/server/LeaseServer.java
@@ -61,10 +61,10 @@
                         .build())
                 .toList();
         RaftGroup group = RaftGroup.valueOf(RaftSettings.GROUP, peers);
-        Path folder = Path.of(self.logDirectory());
-        RaftStorage.StartupOption startup = startupOption(folder);
-        Files.createDirectories(folder);
-        RaftProperties properties = RaftSettings.properties(plan, self, folder);
+        Path logDirectory = Path.of(self.logDirectory());
+        RaftStorage.StartupOption startup = startupOption(logDirectory);
+        Files.createDirectories(logDirectory);
+        RaftProperties properties = RaftSettings.properties(plan, self, logDirectory);
         LeaseStateMachine stateMachine = new LeaseStateMachine(clock, plan.maxClockErrorNanos());
         server = RaftServer.newBuilder()
                 .setServerId(peers.get(plan.servers().indexOf(self)).getId())
@@ -89,9 +89,9 @@
                 self.raftAddress());
     }
 
-    private static RaftStorage.StartupOption startupOption(Path folder) {
-        Path groupFolder = folder.resolve(RaftSettings.GROUP.getUuid().toString());
-        return Files.isDirectory(groupFolder) ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT;
+    private static RaftStorage.StartupOption startupOption(Path logDirectory) {
+        Path groupDirectory = logDirectory.resolve(RaftSettings.GROUP.getUuid().toString());
+        return Files.isDirectory(groupDirectory) ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT;
     }
 
     /** Starts the gossip service: lease servers are the seeds of the fleet's membership. */
--- a/src/main/java/beaconladder/lease/server/RaftSettings.java
+++ b/src/main/java/beaconladder/lease/server/RaftSettings.java
@@ -41,9 +41,9 @@
 
     private RaftSettings() {}
 
-    static RaftProperties properties(Plan.Leases plan, Plan.LeaseServer self, Path folder) {
+    static RaftProperties properties(Plan.Leases plan, Plan.LeaseServer self, Path logDirectory) {
         RaftProperties properties = new RaftProperties();
-        RaftServerConfigKeys.setStorageDir(properties, List.of(folder.toFile()));
+        RaftServerConfigKeys.setStorageDir(properties, List.of(logDirectory.toFile()));
         RaftConfigKeys.Rpc.setType(properties, SupportedRpcType.GRPC);
         GrpcConfigKeys.Server.setHost(
                 properties, self.clientAddress().getAddress().getHostAddress());
--- a/src/main/java/beaconladder/membership/transport/GossipService.java
+++ b/src/main/java/beaconladder/membership/transport/GossipService.java
@@ -22,6 +22,7 @@
 public final class GossipService implements Runnable, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(GossipService.class);
     private static final int MAX_DATAGRAM_BYTES = 8 * 1024;
+    private static final long NANOS_PER_MILLI = 1_000_000;
     /** The longest wait for a datagram before the timers and {@link #closed} are checked. */
     private static final int MAX_RECEIVE_WAIT_MILLIS = 50;
 
@@ -101,7 +102,7 @@
     }
 
     private void receive(DatagramPacket packet, long wakeNanos) throws IOException {
-        long remainingMillis = (wakeNanos - System.nanoTime()) / 1_000_000;
+        long remainingMillis = (wakeNanos - System.nanoTime()) / NANOS_PER_MILLI;
         socket.setSoTimeout((int) Math.max(1, Math.min(MAX_RECEIVE_WAIT_MILLIS, remainingMillis)));
         packet.setLength(MAX_DATAGRAM_BYTES);
         socket.receive(packet);
--- a/src/main/java/beaconladder/storage/DurableRecords.java
+++ b/src/main/java/beaconladder/storage/DurableRecords.java
@@ -113,8 +113,8 @@
     /**
      * Appends one record, which is durable when this returns.
      *
-     * @throws IOException if the record can't be written; a later successful write overwrites it if it was stored after
-     *     all, and first opens the file again
+     * @throws IOException if the record can't be written; the next write opens the file again, and if it succeeds,
+     *     discards the failed record in case that was stored after all
      */
     public void append(byte[] record) throws IOException {
         long number = nextNumber;
--- a/src/test/java/beaconladder/closing/ClosingRouterTest.java
+++ b/src/test/java/beaconladder/closing/ClosingRouterTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests the routing policy with a close: a read that arrives after the close is never sent to a replica whose known
- * position is before it.
+ * Tests the routing policy with a close: a read that arrives after the close is sent to a replica only if its position
+ * is known to be past the close.
  */
 class ClosingRouterTest {
     private static final long MS = 1_000_000;
