--- a/src/main/java/beaconladder/membership/MemberTable.java
+++ b/src/main/java/beaconladder/membership/MemberTable.java
@@ -95,7 +95,7 @@
         version++;
     }
 
-    /** Refutes an update that this process is suspected, dead or departed, with a higher incarnation. */
+    /** Refutes an update about this process that supersedes its own state, with a higher incarnation. */
     private void refuteIfSuperseded(Member update) {
         if (update.supersedes(self) && self.state() != State.LEFT) {
             self = new Member(self.name(), self.address(), update.incarnation() + 1, State.ALIVE);
