--- a/src/main/java/beaconladder/cells/AdmissionQuotas.java
+++ b/src/main/java/beaconladder/cells/AdmissionQuotas.java
@@ -9,31 +9,31 @@
     private final CellQuotas bytes;
 
     AdmissionQuotas(RouterCapacity capacity, Plan plan) {
-        double[] quotas = quotas(plan);
+        double[] quotas = cellQuotas(plan);
         requests = new CellQuotas(capacity.requests(), quotas);
         connections = new CellQuotas(capacity.connections(), quotas);
         bytes = new CellQuotas(capacity.bytes(), quotas);
     }
 
-    private static double[] quotas(Plan plan) {
+    private static double[] cellQuotas(Plan plan) {
         return plan.cells().stream().mapToDouble(Plan.Cell::share).toArray();
     }
 
     /** Replaces the cells' quotas by those of another plan with the same cells. */
     void replacePlan(Plan plan) {
-        double[] quotas = quotas(plan);
+        double[] quotas = cellQuotas(plan);
         requests.updateQuotas(quotas);
         connections.updateQuotas(quotas);
         bytes.updateQuotas(quotas);
     }
 
     /** Acquires one request and its bytes; both or neither. */
-    CellQuotas.Result tryAcquireRequest(AdmissionRequest request, int cell, double tenantQuota, long now) {
+    CellQuotas.Result tryAcquireRequest(AdmissionRequest request, int cell, double tenantQuota, long nowNanos) {
         String tenant = request.tenant();
-        double value = request.value();
-        CellQuotas.Result result = requests.tryAcquire(cell, tenant, tenantQuota, 1, value, now);
+        double priorityWeight = request.priorityWeight();
+        CellQuotas.Result result = requests.tryAcquire(cell, tenant, tenantQuota, 1, priorityWeight, nowNanos);
         if (result == CellQuotas.Result.ACQUIRED) {
-            result = bytes.tryAcquire(cell, tenant, tenantQuota, request.bytes(), value, now);
+            result = bytes.tryAcquire(cell, tenant, tenantQuota, request.bytes(), priorityWeight, nowNanos);
             if (result != CellQuotas.Result.ACQUIRED) {
                 requests.release(cell, tenant, 1);
             }
@@ -46,8 +46,8 @@
         bytes.release(permit.cellIndex, permit.tenant, permit.bytes);
     }
 
-    boolean tryAcquireConnection(AdmissionPermit permit, double tenantQuota, long now) {
-        return connections.tryAcquire(permit.cellIndex, permit.tenant, tenantQuota, 1, 1, now)
+    boolean tryAcquireConnection(AdmissionPermit permit, double tenantQuota, long nowNanos) {
+        return connections.tryAcquire(permit.cellIndex, permit.tenant, tenantQuota, 1, 1, nowNanos)
                 == CellQuotas.Result.ACQUIRED;
     }
 
--- a/src/main/java/beaconladder/cells/AdmissionRequest.java
+++ b/src/main/java/beaconladder/cells/AdmissionRequest.java
@@ -9,7 +9,7 @@
  * @param sessionKey the key of its session, over which tenants that the plan doesn't state are spread
  * @param namedGroup the group that the client names; its slot decides the group in the tenant's cell
  * @param write whether it may write
- * @param value its priority weight
+ * @param priorityWeight its priority weight
  * @param bytes the length of its statement
  * @param clientAddress null if it is not known
  * @param expiryNanos when its client stops waiting
@@ -19,7 +19,7 @@
         long sessionKey,
         int namedGroup,
         boolean write,
-        double value,
+        double priorityWeight,
         long bytes,
         InetAddress clientAddress,
         long arrivedNanos,
--- a/src/main/java/beaconladder/cells/CellAdmission.java
+++ b/src/main/java/beaconladder/cells/CellAdmission.java
@@ -63,14 +63,14 @@
     // ---- Requests -----------------------------------------------------------------------------------------
 
     /** Decides on a new request. A permit in the decision is to be given back when the request ends. */
-    public AdmissionDecision admit(AdmissionRequest request, long now) {
+    public AdmissionDecision admit(AdmissionRequest request, long nowNanos) {
         String tenant = request.tenant();
         StaticPlacement plan = staticPlacement();
         if (!plan.isClientAllowed(tenant, request.clientAddress())) {
             return AdmissionDecision.invalid("clients at this address don't speak for " + tenant);
         }
         boolean fixed = placement.isFixed(tenant);
-        if (!fixed && placement.isLeaseOver(now)) {
+        if (!fixed && placement.isLeaseOver(nowNanos)) {
             return AdmissionDecision.reject("the lease on the placement is over", RETRY_AFTER_NANOS);
         }
         if (!fixed && placement.isHashedByDifferentPlan(tenant)) {
@@ -86,18 +86,18 @@
         if (servedCells != null && !servedCells.contains(cell)) {
             return AdmissionDecision.reject("this router does not serve cell " + cellName(cell), 0);
         }
-        CellQuotas.Result acquired = quotas.tryAcquireRequest(request, cell, plan.quotaOf(tenant), now);
+        CellQuotas.Result acquired = quotas.tryAcquireRequest(request, cell, plan.quotaOf(tenant), nowNanos);
         if (acquired != CellQuotas.Result.ACQUIRED) {
-            return AdmissionDecision.reject(fullReason(acquired, tenant, cell), RETRY_AFTER_NANOS);
+            return AdmissionDecision.reject(quotaRejectionReason(acquired, tenant, cell), RETRY_AFTER_NANOS);
         }
         int group = plan.groupInCell(cell, request.namedGroup());
-        return recheck(new AdmissionPermit(request, cell, group, plan.slotOf(group)), now);
+        return recheck(new AdmissionPermit(request, cell, group, plan.slotOf(group)), nowNanos);
     }
 
-    private String fullReason(CellQuotas.Result limit, String tenant, int cell) {
+    private String quotaRejectionReason(CellQuotas.Result limit, String tenant, int cell) {
         return switch (limit) {
-            case TENANT_FULL -> tenant + " holds its share";
-            case CELL_FULL -> "cell " + cellName(cell) + " holds its share";
+            case TENANT_LIMIT -> tenant + " holds its share";
+            case CELL_LIMIT -> "cell " + cellName(cell) + " holds its share";
             default -> "the router is full";
         };
     }
@@ -107,14 +107,14 @@
     }
 
     /** Decides again on a request that was queued; releases its permit if it is rejected. */
-    public AdmissionDecision recheck(AdmissionPermit permit, long now) {
-        if (placement.accepts(permit, now)) {
+    public AdmissionDecision recheck(AdmissionPermit permit, long nowNanos) {
+        if (placement.accepts(permit, nowNanos)) {
             permit.floor = placement.floor(permit);
             return AdmissionDecision.admit(permit);
         }
         long queueUntil = permit.arrivedNanos + (permit.expiryNanos - permit.arrivedNanos) / QUEUE_TIME_DIVISOR;
         boolean placedHere = placement.isPlacedInCellOf(permit);
-        if (now < queueUntil && placedHere) {
+        if (nowNanos < queueUntil && placedHere) {
             return AdmissionDecision.queue(permit, queueUntil);
         }
         quotas.releaseRequest(permit);
@@ -140,13 +140,13 @@
     }
 
     /** Whether this request may still be sent to its cell; to be checked right before each attempt, too. */
-    public boolean isStillAdmitted(Request request, long now) {
+    public boolean isStillAdmitted(Request request, long nowNanos) {
         AdmissionPermit permit = permits.get(request);
-        return permit == null || placement.accepts(permit, now);
+        return permit == null || placement.accepts(permit, nowNanos);
     }
 
     /** An attempt has ended. A write with an unknown outcome counts as in flight until its client's time is over. */
-    public void attemptEnded(Attempt attempt, Outcome outcome, HostReport answer, long now) {
+    public void attemptEnded(Attempt attempt, Outcome outcome, HostReport answer, long nowNanos) {
         AdmissionPermit permit = permits.get(attempt.request);
         if (permit == null || !permit.write || !placement.isCoordinated()) {
             return;
@@ -156,7 +156,7 @@
         }
         if (outcome == Outcome.COMMITTED && placement.isMigrating(permit.tenant)) {
             int slots = staticPlacement().cell(permit.cellIndex).groups().size();
-            writes.committed(permit, slots, answer.position() == HostReport.NO_POSITION ? now : answer.position());
+            writes.committed(permit, slots, answer.position() == HostReport.NO_POSITION ? nowNanos : answer.position());
         }
     }
 
@@ -184,8 +184,8 @@
     // ---- Clients' connections -----------------------------------------------------------------------------
 
     /** Counts a connection for the tenant of its first request; false if the tenant may not have one more. */
-    public boolean acquireConnection(AdmissionPermit permit, long now) {
-        return quotas.tryAcquireConnection(permit, staticPlacement().quotaOf(permit.tenant), now);
+    public boolean acquireConnection(AdmissionPermit permit, long nowNanos) {
+        return quotas.tryAcquireConnection(permit, staticPlacement().quotaOf(permit.tenant), nowNanos);
     }
 
     /** Releases a connection that was acquired with this permit. */
@@ -220,8 +220,8 @@
     }
 
     /** What to report to the coordinator: one entry for each tenant that is being migrated. */
-    public List<WriteActivity> writeActivity(long now) {
-        return writes.report(placement.granted().placements(), now);
+    public List<WriteActivity> writeActivity(long nowNanos) {
+        return writes.report(placement.granted().placements(), nowNanos);
     }
 
     // ---- For monitoring and tests -------------------------------------------------------------------------
--- a/src/main/java/beaconladder/cells/CellQuotas.java
+++ b/src/main/java/beaconladder/cells/CellQuotas.java
@@ -11,22 +11,22 @@
  */
 public final class CellQuotas {
     /** A quarter of what a cell or a tenant does not use is never lent, so that its first demand is always met. */
-    private static final double RESERVED = 0.25;
+    private static final double RESERVED_FRACTION = 0.25;
     /** A cell that used some amount lately may need twice that within one window. */
-    private static final int GROWTH = 2;
+    private static final int EXPECTED_GROWTH = 2;
     /** A burst shows within a second; loans are bounded by the use of the last one or two. */
     private static final long WINDOW_NANOS = 1_000_000_000L;
     /** The last tenth of what a cell or a tenant may hold is for requests of at least the cell's usual value. */
-    private static final double PART_FOR_LOW_VALUE = 0.9;
+    private static final double LOW_WEIGHT_FRACTION = 0.9;
     /** The usual value is an exponential average over the last few dozen requests. */
-    private static final double VALUE_SMOOTHING = 1.0 / 32;
+    private static final double WEIGHT_SMOOTHING = 1.0 / 32;
 
     /** Whether an amount was acquired, or which limit it would have exceeded. */
     public enum Result {
         ACQUIRED,
-        TENANT_FULL,
-        CELL_FULL,
-        ROUTER_FULL
+        TENANT_LIMIT,
+        CELL_LIMIT,
+        ROUTER_LIMIT
     }
 
     /** The use of a cell or a tenant: now, and its peaks in this window and the one before. */
@@ -34,34 +34,34 @@
         private long used;
         private long peak;
         private long previousPeak;
-        private long window;
+        private long windowIndex;
 
         /** The most that was used at once in this window and the one before. */
-        long recentPeak(long now) {
-            roll(now);
+        long recentPeak(long nowNanos) {
+            roll(nowNanos);
             return Math.max(peak, previousPeak);
         }
 
-        private void roll(long now) {
-            long number = Math.floorDiv(now, WINDOW_NANOS);
-            if (number != window) {
-                previousPeak = number == window + 1 ? peak : used;
+        private void roll(long nowNanos) {
+            long currentWindow = Math.floorDiv(nowNanos, WINDOW_NANOS);
+            if (currentWindow != windowIndex) {
+                previousPeak = currentWindow == windowIndex + 1 ? peak : used;
                 peak = used;
-                window = number;
+                windowIndex = currentWindow;
             }
         }
 
-        void add(long amount, long now) {
-            roll(now);
+        void add(long amount, long nowNanos) {
+            roll(nowNanos);
             used += amount;
             peak = Math.max(peak, used);
         }
     }
 
     private final long capacity;
-    private final double[] quotas;
+    private final double[] cellQuotas;
     private final Usage[] cells;
-    private final double[] usualValue;
+    private final double[] averageWeight;
     private final Map<String, Usage> tenants = new HashMap<>();
     private long used;
 
@@ -69,76 +69,79 @@
      * One bulkhead.
      *
      * @param capacity of the router, in units of the resource
-     * @param quotas of each cell, from 0 to 1, at most 1 together
+     * @param cellQuotas of each cell, from 0 to 1, at most 1 together
      */
-    public CellQuotas(long capacity, double... quotas) {
+    public CellQuotas(long capacity, double... cellQuotas) {
         this.capacity = capacity;
-        this.quotas = quotas.clone();
-        this.cells = new Usage[quotas.length];
-        this.usualValue = new double[quotas.length];
+        this.cellQuotas = cellQuotas.clone();
+        this.cells = new Usage[cellQuotas.length];
+        this.averageWeight = new double[cellQuotas.length];
         for (int i = 0; i < cells.length; i++) {
             cells[i] = new Usage();
         }
     }
 
     /** Replaces the quotas of the cells; what is held stays held. */
-    void updateQuotas(double... next) {
-        System.arraycopy(next, 0, quotas, 0, quotas.length);
+    void updateQuotas(double... newQuotas) {
+        System.arraycopy(newQuotas, 0, cellQuotas, 0, cellQuotas.length);
     }
 
     /** The amount that a cell may always hold. */
-    private long guaranteed(int cell) {
-        return Math.max(1, (long) (quotas[cell] * capacity));
+    private long guaranteedAmount(int cell) {
+        return Math.max(1, (long) (cellQuotas[cell] * capacity));
     }
 
     /**
      * Acquires an amount for a tenant in a cell; all or nothing.
      *
      * @param tenantQuota the tenant's part of its cell's quota, from 0 to 1
-     * @param value the priority weight of the request: low values may not use the last tenth
+     * @param priorityWeight the priority weight of the request: low values may not use the last tenth
      */
-    public Result tryAcquire(int cell, String tenant, double tenantQuota, long amount, double value, long now) {
-        usualValue[cell] += VALUE_SMOOTHING * (value - usualValue[cell]);
-        double usablePart = value < usualValue[cell] ? PART_FOR_LOW_VALUE : 1;
+    public Result tryAcquire(
+            int cell, String tenant, double tenantQuota, long amount, double priorityWeight, long nowNanos) {
+        averageWeight[cell] += WEIGHT_SMOOTHING * (priorityWeight - averageWeight[cell]);
+        double usableFraction = priorityWeight < averageWeight[cell] ? LOW_WEIGHT_FRACTION : 1;
         Usage usage = tenants.get(tenant);
-        long held = usage == null ? 0 : usage.used;
-        long guaranteed = guaranteed(cell);
-        long cellLimit = limit(cell, guaranteed, now);
+        long heldByTenant = usage == null ? 0 : usage.used;
+        long guaranteedAmount = guaranteedAmount(cell);
+        long cellLimit = cellLimit(cell, guaranteedAmount, nowNanos);
         if (used + amount > capacity) {
-            return Result.ROUTER_FULL;
+            return Result.ROUTER_LIMIT;
         }
-        if (cells[cell].used + amount > (long) (usablePart * cellLimit) && cells[cell].used > 0) {
-            return Result.CELL_FULL;
+        if (cells[cell].used + amount > (long) (usableFraction * cellLimit) && cells[cell].used > 0) {
+            return Result.CELL_LIMIT;
         }
         // A tenant always gets its quota. Beyond it, it gets what others of its cell leave, without the reserve;
         // a tenant with a stated quota never gets most of its cell.
-        long tenantGuaranteed = Math.max(1, (long) (tenantQuota * guaranteed));
-        if (held + amount > tenantGuaranteed
-                && (cells[cell].used + amount > (long) ((1 - RESERVED) * usablePart * cellLimit)
-                        || tenantQuota < 1 && held + amount > Math.max(tenantGuaranteed, guaranteed / 2))) {
-            return Result.TENANT_FULL;
+        long guaranteedToTenant = Math.max(1, (long) (tenantQuota * guaranteedAmount));
+        if (heldByTenant + amount > guaranteedToTenant
+                && (cells[cell].used + amount > (long) ((1 - RESERVED_FRACTION) * usableFraction * cellLimit)
+                        || tenantQuota < 1
+                                && heldByTenant + amount > Math.max(guaranteedToTenant, guaranteedAmount / 2))) {
+            return Result.TENANT_LIMIT;
         }
         if (usage == null) {
             usage = new Usage();
             tenants.put(tenant, usage);
         }
         usage.used += amount;
-        cells[cell].add(amount, now);
+        cells[cell].add(amount, nowNanos);
         used += amount;
         return Result.ACQUIRED;
     }
 
     /** What a cell may hold now: its own amount and what the others have not used lately, without their reserves. */
-    private long limit(int cell, long guaranteed, long now) {
-        long heldForOthers = 0;
+    private long cellLimit(int cell, long guaranteedAmount, long nowNanos) {
+        long keptForOthers = 0;
         for (int i = 0; i < cells.length; i++) {
             if (i != cell) {
-                long theirs = guaranteed(i);
-                long expected = GROWTH * cells[i].recentPeak(now) + (long) Math.ceil(RESERVED * theirs);
-                heldForOthers += Math.max(cells[i].used, Math.min(theirs, expected));
+                long guaranteedToOther = guaranteedAmount(i);
+                long expectedDemand = EXPECTED_GROWTH * cells[i].recentPeak(nowNanos)
+                        + (long) Math.ceil(RESERVED_FRACTION * guaranteedToOther);
+                keptForOthers += Math.max(cells[i].used, Math.min(guaranteedToOther, expectedDemand));
             }
         }
-        return Math.max(guaranteed, capacity - heldForOthers);
+        return Math.max(guaranteedAmount, capacity - keptForOthers);
     }
 
     /** Releases an amount that was acquired for this tenant in this cell. */
@@ -165,6 +168,6 @@
 
     /** Whether a cell holds more than its own amount, so that it should give back first. */
     public boolean isBorrowing(int cell) {
-        return cells[cell].used > guaranteed(cell);
+        return cells[cell].used > guaranteedAmount(cell);
     }
 }
--- a/src/main/java/beaconladder/cells/GreedyPlacement.java
+++ b/src/main/java/beaconladder/cells/GreedyPlacement.java
@@ -29,7 +29,7 @@
         int fullest = PlacementCost.fullestCell(problem, placement);
         for (int tenant = 0; tenant < placement.length; tenant++) {
             if (!problem.movable()[tenant]
-                    || placement[tenant] != fullest && !PlacementCost.isTogetherWithPair(problem, placement, tenant)) {
+                    || placement[tenant] != fullest && !PlacementCost.violatesSeparation(problem, placement, tenant)) {
                 continue;
             }
             int original = placement[tenant];
--- a/src/main/java/beaconladder/cells/InFlightWrites.java
+++ b/src/main/java/beaconladder/cells/InFlightWrites.java
@@ -43,29 +43,29 @@
     void retainMigrating(Map<String, TenantPlacement> placements) {
         newestCommits.keySet().removeIf(tenant -> {
             TenantPlacement placement = placements.get(tenant);
-            return placement == null || !placement.moving();
+            return placement == null || !placement.migrating();
         });
     }
 
     /** The report to the coordinator: one entry for each tenant that is being migrated. */
-    List<WriteActivity> report(Map<String, TenantPlacement> placements, long now) {
-        while (!unresolved.isEmpty() && unresolved.peek().untilNanos() <= now) {
+    List<WriteActivity> report(Map<String, TenantPlacement> placements, long nowNanos) {
+        while (!unresolved.isEmpty() && unresolved.peek().untilNanos() <= nowNanos) {
             unresolved.poll();
         }
         List<WriteActivity> report = new ArrayList<>();
         placements.forEach((tenant, placement) -> {
-            if (placement.moving()) {
-                report.add(activity(tenant, now));
+            if (placement.migrating()) {
+                report.add(activity(tenant, nowNanos));
             }
         });
         return report;
     }
 
-    private WriteActivity activity(String tenant, long now) {
+    private WriteActivity activity(String tenant, long nowNanos) {
         int writes = inFlight.getOrDefault(tenant, 0)
                 + (int) unresolved.stream()
                         .filter(write ->
-                                write.untilNanos() > now && write.tenant().equals(tenant))
+                                write.untilNanos() > nowNanos && write.tenant().equals(tenant))
                         .count();
         List<Long> newest = new ArrayList<>();
         for (long commit : newestCommits.getOrDefault(tenant, new long[0])) {
--- a/src/main/java/beaconladder/cells/Migration.java
+++ b/src/main/java/beaconladder/cells/Migration.java
@@ -25,7 +25,7 @@
     /** By slot the position up to which the old cell's log counts; empty while it is not known. */
     private List<Long> fences = List.of();
     /** Since when no write of the tenant is in flight or may still run in the old cell; Long.MIN_VALUE before. */
-    private long quietSinceNanos = Long.MIN_VALUE;
+    private long writesDrainedSinceNanos = Long.MIN_VALUE;
     /** Why the migration is to be undone, or null. */
     private String undoReason;
 
@@ -52,12 +52,12 @@
     }
 
     /** A step of this migration, without detail. */
-    MigrationStep step(Kind kind, long now) {
-        return MigrationStep.of(kind, tenant, fromCell, toCell, now, null);
+    MigrationStep step(Kind kind, long nowNanos) {
+        return MigrationStep.of(kind, tenant, fromCell, toCell, nowNanos, null);
     }
 
-    MigrationStep undone(String reason, long now) {
-        return MigrationStep.of(Kind.UNDONE, tenant, fromCell, toCell, now, reason);
+    MigrationStep undoStep(String reason, long nowNanos) {
+        return MigrationStep.of(Kind.UNDONE, tenant, fromCell, toCell, nowNanos, reason);
     }
 
     Kind state() {
@@ -84,8 +84,8 @@
         return sources;
     }
 
-    boolean hasOtherSource() {
-        return observations.hasOtherSourceThan(sources);
+    boolean hasSourceChanged() {
+        return observations.hasSourceChangedFrom(sources);
     }
 
     List<Long> fences() {
@@ -96,16 +96,16 @@
         fences = List.copyOf(positions);
     }
 
-    boolean isQuiet() {
-        return quietSinceNanos != Long.MIN_VALUE;
+    boolean areWritesDrained() {
+        return writesDrainedSinceNanos != Long.MIN_VALUE;
     }
 
-    long quietSinceNanos() {
-        return quietSinceNanos;
+    long writesDrainedSinceNanos() {
+        return writesDrainedSinceNanos;
     }
 
-    void becomeQuiet(long now) {
-        quietSinceNanos = now;
+    void setWritesDrained(long nowNanos) {
+        writesDrainedSinceNanos = nowNanos;
     }
 
     String undoReason() {
--- a/src/main/java/beaconladder/cells/MigrationState.java
+++ b/src/main/java/beaconladder/cells/MigrationState.java
@@ -11,21 +11,21 @@
  */
 final class MigrationState {
     /** A snapshot replaces so many records. */
-    private static final int RECORDS_PER_SNAPSHOT = 10_000;
+    private static final int MIN_RECORDS_PER_SNAPSHOT = 10_000;
     /** The last ended migrations that are kept for operators. */
-    private static final int MAX_ENDED = 1_000;
+    private static final int MAX_ENDED_MIGRATIONS = 1_000;
 
     private final Map<String, TenantPlacement> placements = new LinkedHashMap<>();
     private final Map<String, Migration> migrations = new LinkedHashMap<>();
-    private final List<MigrationStep> ended = new ArrayList<>();
-    private final RouterLeases routers;
+    private final List<MigrationStep> endedMigrations = new ArrayList<>();
+    private final RouterLeases routerLeases;
     private StaticPlacement staticPlacement;
     private long version;
-    private int records;
+    private int recordCount;
 
-    MigrationState(StaticPlacement staticPlacement, RouterLeases routers) {
+    MigrationState(StaticPlacement staticPlacement, RouterLeases routerLeases) {
         this.staticPlacement = staticPlacement;
-        this.routers = routers;
+        this.routerLeases = routerLeases;
     }
 
     void replacePlan(StaticPlacement next) {
@@ -52,16 +52,16 @@
     }
 
     /** The last steps of the migrations that have ended, oldest first. */
-    List<MigrationStep> ended() {
-        return ended;
+    List<MigrationStep> endedMigrations() {
+        return endedMigrations;
     }
 
     void apply(MigrationStep step) {
-        records++;
+        recordCount++;
         switch (step.kind()) {
-            case LEASE -> routers.applyLease(step);
+            case LEASE -> routerLeases.applyLease(step);
             case VERSION -> version = Math.max(version, step.atNanos());
-            case ROUTER -> routers.applyRegistration(step);
+            case ROUTER -> routerLeases.applyRegistration(step);
             case PLACED -> place(step.tenant(), TenantPlacement.settled(step.toCell(), step.floors()));
             case PROPOSED -> {
                 int slots = staticPlacement.groupsOf(step.fromCell()).size();
@@ -103,22 +103,22 @@
 
     private void end(MigrationStep step) {
         migrations.remove(step.tenant());
-        ended.add(step);
-        if (ended.size() > MAX_ENDED) {
-            ended.remove(0);
+        endedMigrations.add(step);
+        if (endedMigrations.size() > MAX_ENDED_MIGRATIONS) {
+            endedMigrations.remove(0);
         }
     }
 
     /** See {@link TenantMigrations#snapshot}. */
-    List<MigrationStep> snapshot(long now) {
-        if (records < RECORDS_PER_SNAPSHOT || !migrations.isEmpty()) {
+    List<MigrationStep> snapshot(long nowNanos) {
+        if (recordCount < MIN_RECORDS_PER_SNAPSHOT || !migrations.isEmpty()) {
             return null;
         }
-        List<MigrationStep> steps = new ArrayList<>(routers.snapshot(now));
+        List<MigrationStep> steps = new ArrayList<>(routerLeases.snapshot(nowNanos));
         placements.forEach((tenant, placement) ->
-                steps.add(MigrationStep.placed(tenant, placement.cell(), placement.floors(), now)));
+                steps.add(MigrationStep.placed(tenant, placement.cell(), placement.floors(), nowNanos)));
         steps.add(MigrationStep.version(version));
-        records = steps.size();
+        recordCount = steps.size();
         return steps;
     }
 }
--- a/src/main/java/beaconladder/cells/MigrationStep.java
+++ b/src/main/java/beaconladder/cells/MigrationStep.java
@@ -67,12 +67,12 @@
         return of(Kind.VERSION, "", null, null, version, null);
     }
 
-    static MigrationStep router(String router, String incarnation, long now) {
-        return of(Kind.ROUTER, router, null, null, now, incarnation);
+    static MigrationStep router(String router, String incarnation, long nowNanos) {
+        return of(Kind.ROUTER, router, null, null, nowNanos, incarnation);
     }
 
-    static MigrationStep placed(String tenant, String cell, List<Long> floors, long now) {
-        return of(Kind.PLACED, tenant, cell, cell, now, null).withFloors(floors);
+    static MigrationStep placed(String tenant, String cell, List<Long> floors, long nowNanos) {
+        return of(Kind.PLACED, tenant, cell, cell, nowNanos, null).withFloors(floors);
     }
 
     MigrationStep withFences(List<Long> next) {
--- a/src/main/java/beaconladder/cells/MigrationTransitions.java
+++ b/src/main/java/beaconladder/cells/MigrationTransitions.java
@@ -13,57 +13,60 @@
     /** How far the copy may lag when the write fence begins: writes wait for the rest, a tenth of the shortest SLA. */
     private static final long MAX_LAG_BEFORE_FENCE_NANOS = 100_000_000L;
 
-    private final RouterLeases routers;
+    private final RouterLeases routerLeases;
     private final long maxCopyNanos;
     private final long maxFenceNanos;
 
-    MigrationTransitions(Plan.Coordinator limits, RouterLeases routers) {
-        this.routers = routers;
+    MigrationTransitions(Plan.Coordinator limits, RouterLeases routerLeases) {
+        this.routerLeases = routerLeases;
         maxCopyNanos = limits.maxCopyNanos();
         maxFenceNanos = limits.maxFenceNanos();
     }
 
     /** The step that is due, or null. */
-    MigrationStep nextStep(Migration migration, long now) {
+    MigrationStep nextStep(Migration migration, long nowNanos) {
         if (migration.undoReason() != null && migration.isBefore(Kind.SWITCHED)) {
-            return migration.undone(migration.undoReason(), now);
+            return migration.undoStep(migration.undoReason(), nowNanos);
         }
         return switch (migration.state()) {
-            case PROPOSED -> afterProposed(migration, now);
-            case COPYING -> afterCopying(migration, now);
-            case FENCED -> afterFenced(migration, now);
-            case SEALED -> afterSealed(migration, now);
-            case SWITCHED -> routers.isInForce(migration.version(), now) ? migration.step(Kind.DONE, now) : null;
+            case PROPOSED -> afterProposed(migration, nowNanos);
+            case COPYING -> afterCopying(migration, nowNanos);
+            case FENCED -> afterFenced(migration, nowNanos);
+            case SEALED -> afterSealed(migration, nowNanos);
+            case SWITCHED ->
+                routerLeases.isInForce(migration.version(), nowNanos) ? migration.step(Kind.DONE, nowNanos) : null;
             default -> null;
         };
     }
 
-    private MigrationStep afterProposed(Migration migration, long now) {
-        if (migration.observations.all(MigrationObservation::hasBothPrimaries)) {
-            return copying(migration, now);
+    private MigrationStep afterProposed(Migration migration, long nowNanos) {
+        if (migration.observations.allMatch(MigrationObservation::hasBothPrimaries)) {
+            return copyingStep(migration, nowNanos);
         }
-        return isCopyOverdue(migration, now) ? migration.undone("a primary was not found in time", now) : null;
+        return isCopyOverdue(migration, nowNanos)
+                ? migration.undoStep("a primary was not found in time", nowNanos)
+                : null;
     }
 
-    private boolean isCopyOverdue(Migration migration, long now) {
-        return now > migration.proposedAtNanos + maxCopyNanos;
+    private boolean isCopyOverdue(Migration migration, long nowNanos) {
+        return nowNanos > migration.proposedAtNanos + maxCopyNanos;
     }
 
-    private static MigrationStep copying(Migration migration, long now) {
-        return migration.step(Kind.COPYING, now).withSources(migration.observations.sourcePrimaries());
+    private static MigrationStep copyingStep(Migration migration, long nowNanos) {
+        return migration.step(Kind.COPYING, nowNanos).withSources(migration.observations.sourcePrimaries());
     }
 
-    private MigrationStep afterCopying(Migration migration, long now) {
-        if (isCopyOverdue(migration, now)) {
-            return migration.undone("the copy was not close enough in time", now);
+    private MigrationStep afterCopying(Migration migration, long nowNanos) {
+        if (isCopyOverdue(migration, nowNanos)) {
+            return migration.undoStep("the copy was not close enough in time", nowNanos);
         }
-        if (migration.hasOtherSource()) {
+        if (migration.hasSourceChanged()) {
             // The new primary's log may lack the end of the old one's: what was copied may not be a part of it.
-            return migration.observations.hasAllSources() ? copying(migration, now) : null;
+            return migration.observations.hasAllSources() ? copyingStep(migration, nowNanos) : null;
         }
-        return migration.observations.all(observation -> isCopyClose(observation, migration))
-                        && routers.isInForce(migration.version(), now)
-                ? migration.step(Kind.FENCED, now)
+        return migration.observations.allMatch(observation -> isCopyClose(observation, migration))
+                        && routerLeases.isInForce(migration.version(), nowNanos)
+                ? migration.step(Kind.FENCED, nowNanos)
                 : null;
     }
 
@@ -74,39 +77,41 @@
                 && observation.copiedByAll() >= observation.sourcePosition() - MAX_LAG_BEFORE_FENCE_NANOS;
     }
 
-    private MigrationStep afterFenced(Migration migration, long now) {
-        if (isFenceOverdue(migration, now)) {
-            return undoneByFence(migration, now);
+    private MigrationStep afterFenced(Migration migration, long nowNanos) {
+        if (isFenceOverdue(migration, nowNanos)) {
+            return undoOverdueFence(migration, nowNanos);
         }
-        if (!migration.isQuiet() && routers.areWritesQuiet(migration.tenant, migration.version(), now)) {
-            migration.becomeQuiet(now);
+        if (!migration.areWritesDrained()
+                && routerLeases.areWritesDrained(migration.tenant, migration.version(), nowNanos)) {
+            migration.setWritesDrained(nowNanos);
         }
-        if (migration.hasOtherSource()) {
+        if (migration.hasSourceChanged()) {
             // It may lack committed writes that the copy must have, or the copy may have writes that it lacks.
-            return migration.undone("a primary of " + migration.fromCell + " changed in the fence", now);
+            return migration.undoStep("a primary of " + migration.fromCell + " changed in the fence", nowNanos);
         }
-        if (!migration.isQuiet()) {
+        if (!migration.areWritesDrained()) {
             return null;
         }
         if (migration.fences().isEmpty()) {
             // A position that was queried before the quiet time may lack the last writes.
-            if (!migration.observations.all(observation -> observation.queriedAtNanos() > migration.quietSinceNanos()
-                    && observation.sourcePrimary() != null)) {
+            if (!migration.observations.allMatch(
+                    observation -> observation.queriedAtNanos() > migration.writesDrainedSinceNanos()
+                            && observation.sourcePrimary() != null)) {
                 return null;
             }
             migration.setFences(lastPositions(migration));
         }
-        return migration.observations.hasCopiedUpTo(migration.fences(), migration.quietSinceNanos())
-                ? migration.step(Kind.SEALED, now).withFences(migration.fences())
+        return migration.observations.hasCopiedUpTo(migration.fences(), migration.writesDrainedSinceNanos())
+                ? migration.step(Kind.SEALED, nowNanos).withFences(migration.fences())
                 : null;
     }
 
-    private boolean isFenceOverdue(Migration migration, long now) {
-        return now > migration.fencedAtNanos() + maxFenceNanos;
+    private boolean isFenceOverdue(Migration migration, long nowNanos) {
+        return nowNanos > migration.fencedAtNanos() + maxFenceNanos;
     }
 
-    private MigrationStep undoneByFence(Migration migration, long now) {
-        return migration.undone("the fence had to go: " + waitsFor(migration, now), now);
+    private MigrationStep undoOverdueFence(Migration migration, long nowNanos) {
+        return migration.undoStep("the fence had to go: " + waitsFor(migration, nowNanos), nowNanos);
     }
 
     /** By slot the position of the last write in the old cell, as the primaries and the routers know it. */
@@ -114,32 +119,32 @@
         List<Long> positions = new ArrayList<>();
         for (int slot = 0; slot < migration.observations.slots(); slot++) {
             positions.add(Math.max(
-                    migration.observations.sourcePosition(slot), routers.newestCommit(migration.tenant, slot)));
+                    migration.observations.sourcePosition(slot), routerLeases.newestCommit(migration.tenant, slot)));
         }
         return positions;
     }
 
-    private MigrationStep afterSealed(Migration migration, long now) {
-        if (isFenceOverdue(migration, now)) {
-            return undoneByFence(migration, now);
+    private MigrationStep afterSealed(Migration migration, long nowNanos) {
+        if (isFenceOverdue(migration, nowNanos)) {
+            return undoOverdueFence(migration, nowNanos);
         }
-        if (!routers.isInForce(migration.version(), now)
+        if (!routerLeases.isInForce(migration.version(), nowNanos)
                 || !migration.observations.hasCopiedUpTo(migration.fences(), migration.stateSinceNanos())) {
             return null;
         }
         return migration
-                .step(Kind.SWITCHED, now)
+                .step(Kind.SWITCHED, nowNanos)
                 .withFences(migration.fences())
                 .withFloors(migration.observations.targetPositions());
     }
 
     /** What the migration waits for, for an operator. */
-    String waitsFor(Migration migration, long now) {
-        List<String> late = routers.routersOnOlderVersion(migration.version(), now);
-        if (!late.isEmpty()) {
-            return "word from " + String.join(", ", late);
+    String waitsFor(Migration migration, long nowNanos) {
+        List<String> lateRouters = routerLeases.routersOnOlderVersion(migration.version(), nowNanos);
+        if (!lateRouters.isEmpty()) {
+            return "word from " + String.join(", ", lateRouters);
         }
-        if (migration.state() == Kind.FENCED && !migration.isQuiet()) {
+        if (migration.state() == Kind.FENCED && !migration.areWritesDrained()) {
             return "writes in hand";
         }
         if (!migration.observations.hasAllSources()
--- a/src/main/java/beaconladder/cells/PlacementCost.java
+++ b/src/main/java/beaconladder/cells/PlacementCost.java
@@ -7,15 +7,15 @@
 /** What a placement costs; a placement is an array with the cell of each tenant. */
 public final class PlacementCost {
     /** A migration must lower the peak by more than a hundredth of a fair part to justify its write fence. */
-    static final int PER_MIGRATION = 10;
+    static final int COST_PER_MIGRATION = 10;
     /** Two tenants that should be apart and share a cell cost as much as a quarter of a cell's fair part. */
-    static final int PER_PAIR_TOGETHER = 250;
+    static final int COST_PER_COLOCATED_PAIR = 250;
     /** The peak while a lost cell is in use; no placement in remaining cells comes near it. */
-    static final int WORST_PEAK = 10_000_000;
-    /** Each tenant in a lost cell costs this much of {@link #WORST_PEAK}. */
-    private static final int STRANDED_PART = 1_000;
+    static final int LOST_CELL_PEAK = 10_000_000;
+    /** Each tenant in a lost cell costs this much of {@link #LOST_CELL_PEAK}. */
+    private static final int STRANDED_COST_DIVISOR = 1_000;
     /** After the loss of a cell each of the others may be filled up to so many times its capacity. */
-    private static final long OVERLOAD_AFTER_LOSS = 2;
+    private static final long MAX_OVERLOAD_AFTER_LOSS = 2;
 
     private PlacementCost() {}
 
@@ -33,19 +33,19 @@
                 .count();
         return peak(problem, placement, problem.load())
                 + peak(problem, placement, problem.valueAtRisk()) / 2
-                + PER_PAIR_TOGETHER * pairsTogether(problem, placement)
-                + PER_MIGRATION * migrations;
+                + COST_PER_COLOCATED_PAIR * colocatedPairs(problem, placement)
+                + COST_PER_MIGRATION * migrations;
     }
 
-    private static int pairsTogether(PlacementProblem problem, int[] placement) {
-        return (int) Arrays.stream(problem.apart())
+    private static int colocatedPairs(PlacementProblem problem, int[] placement) {
+        return (int) Arrays.stream(problem.separatedPairs())
                 .filter(pair -> placement[pair[0]] == placement[pair[1]])
                 .count();
     }
 
     /** Whether this tenant shares its cell with one that it should be apart from. */
-    static boolean isTogetherWithPair(PlacementProblem problem, int[] placement, int tenant) {
-        return Arrays.stream(problem.apart())
+    static boolean violatesSeparation(PlacementProblem problem, int[] placement, int tenant) {
+        return Arrays.stream(problem.separatedPairs())
                 .anyMatch(pair -> (pair[0] == tenant || pair[1] == tenant) && placement[pair[0]] == placement[pair[1]]);
     }
 
@@ -56,12 +56,12 @@
         for (int cell = 0; cell < sums.length; cell++) {
             peak = Math.max(peak, utilization(problem, sums, cell));
         }
-        return (int) Math.min(peak, WORST_PEAK);
+        return (int) Math.min(peak, LOST_CELL_PEAK);
     }
 
     private static long utilization(PlacementProblem problem, int[] sums, int cell) {
         if (problem.isLost(cell)) {
-            return sums[cell] > 0 ? WORST_PEAK : 0;
+            return sums[cell] > 0 ? LOST_CELL_PEAK : 0;
         }
         return (long) sums[cell] * PlacementProblem.SCALE / problem.capacity()[cell];
     }
@@ -85,8 +85,8 @@
 
     /** Each tenant in a lost cell counts, so that every migration out of it lowers the cost. */
     static int strandedCost(PlacementProblem problem, int[] placement) {
-        return WORST_PEAK
-                / STRANDED_PART
+        return LOST_CELL_PEAK
+                / STRANDED_COST_DIVISOR
                 * (int) Arrays.stream(placement).filter(problem::isLost).count();
     }
 
@@ -97,11 +97,12 @@
             if (problem.isLost(lost)) {
                 continue;
             }
-            long spare = 0;
+            long spareCapacity = 0;
             for (int cell = 0; cell < sums.length; cell++) {
-                spare += cell == lost ? 0 : Math.max(0, OVERLOAD_AFTER_LOSS * problem.capacity()[cell] - sums[cell]);
+                spareCapacity +=
+                        cell == lost ? 0 : Math.max(0, MAX_OVERLOAD_AFTER_LOSS * problem.capacity()[cell] - sums[cell]);
             }
-            if (sums[lost] > spare) {
+            if (sums[lost] > spareCapacity) {
                 return false;
             }
         }
--- a/src/main/java/beaconladder/cells/PlacementPlanner.java
+++ b/src/main/java/beaconladder/cells/PlacementPlanner.java
@@ -24,11 +24,11 @@
             return PlacementProposal.notFound(problem, best, order(problem, best));
         }
         boolean optimal = false;
-        int[] free = PlacementSolver.freeTenants(problem);
-        if (free.length > 0 && maxMigrations > 0) {
+        int[] freeTenants = PlacementSolver.selectFreeTenants(problem);
+        if (freeTenants.length > 0 && maxMigrations > 0) {
             PlacementSolver.Result result =
-                    new PlacementSolver(problem, best, free, maxMigrations).solve(maxSeconds, seed);
-            optimal = result.optimal() && free.length == problem.tenantCount();
+                    new PlacementSolver(problem, best, freeTenants, maxMigrations).solve(maxSeconds, seed);
+            optimal = result.optimal() && freeTenants.length == problem.tenantCount();
             best = PlacementCost.of(problem, result.placement()) < PlacementCost.of(problem, best)
                     ? result.placement()
                     : best;
@@ -40,14 +40,14 @@
     private static List<ProposedMigration> order(PlacementProblem problem, int[] target) {
         List<ProposedMigration> migrations = new ArrayList<>();
         int[] placement = problem.currentCell().clone();
-        for (int next = cheapestNext(problem, placement, target);
-                next >= 0;
-                next = cheapestNext(problem, placement, target)) {
+        for (int tenant = cheapestNext(problem, placement, target);
+                tenant >= 0;
+                tenant = cheapestNext(problem, placement, target)) {
             migrations.add(new ProposedMigration(
-                    problem.tenants().get(next),
-                    problem.cells().get(placement[next]),
-                    problem.cells().get(target[next])));
-            placement[next] = target[next];
+                    problem.tenants().get(tenant),
+                    problem.cells().get(placement[tenant]),
+                    problem.cells().get(target[tenant])));
+            placement[tenant] = target[tenant];
         }
         return migrations;
     }
--- a/src/main/java/beaconladder/cells/PlacementProblem.java
+++ b/src/main/java/beaconladder/cells/PlacementProblem.java
@@ -16,7 +16,7 @@
  * @param load of each tenant
  * @param valueAtRisk of each tenant: its load times the value of its requests
  * @param capacity of each cell, in the same measure; 0 for a lost cell
- * @param apart pairs of tenants that should not share a cell
+ * @param separatedPairs pairs of tenants that should not share a cell
  * @param movable whether the planner may choose another cell, by tenant
  */
 public record PlacementProblem(
@@ -26,12 +26,12 @@
         int[] load,
         int[] valueAtRisk,
         int[] capacity,
-        int[][] apart,
+        int[][] separatedPairs,
         boolean[] movable) {
     /** Amounts are in thousandths of a cell's fair part, so that the solver has small integers. */
     static final int SCALE = 1_000;
     /** A divisor for a plan in which no tenant states a load. */
-    private static final double SMALLEST_TOTAL = 1e-9;
+    private static final double MIN_TOTAL = 1e-9;
 
     /** The problem of this plan; each tenant is where the plan states it. */
     public static PlacementProblem of(Plan plan) {
@@ -68,15 +68,15 @@
                 load,
                 valueAtRisk,
                 capacity,
-                apart(plan.tenants()),
+                separatedPairs(plan.tenants()),
                 movable);
     }
 
     private static int scaled(double amount, double total) {
-        return (int) Math.round(SCALE * amount / Math.max(SMALLEST_TOTAL, total));
+        return (int) Math.round(SCALE * amount / Math.max(MIN_TOTAL, total));
     }
 
-    private static int[][] apart(List<Plan.Tenant> tenants) {
+    private static int[][] separatedPairs(List<Plan.Tenant> tenants) {
         Map<String, Integer> indices = new HashMap<>();
         for (int i = 0; i < tenants.size(); i++) {
             indices.put(tenants.get(i).name(), i);
@@ -107,7 +107,8 @@
             nextMovable[i] |= currentCell[i] == lost;
         }
         nextCapacity[lost] = 0;
-        return new PlacementProblem(tenants, cells, currentCell, load, valueAtRisk, nextCapacity, apart, nextMovable);
+        return new PlacementProblem(
+                tenants, cells, currentCell, load, valueAtRisk, nextCapacity, separatedPairs, nextMovable);
     }
 
     int tenantCount() {
--- a/src/main/java/beaconladder/cells/PlacementProposal.java
+++ b/src/main/java/beaconladder/cells/PlacementProposal.java
@@ -12,7 +12,7 @@
  * @param costAfter the same of the proposed one
  * @param optimal whether the solver has proved that no placement costs less
  * @param found whether there is a proposal: false if a lost cell can't be emptied by so few migrations
- * @param survives whether the other cells can take the load of any one that is lost
+ * @param survivesCellLoss whether the other cells can take the load of any one that is lost
  */
 public record PlacementProposal(
         List<ProposedMigration> migrations,
@@ -22,12 +22,12 @@
         int costAfter,
         boolean optimal,
         boolean found,
-        boolean survives) {
+        boolean survivesCellLoss) {
 
     static PlacementProposal found(
             PlacementProblem problem, int[] placement, List<ProposedMigration> migrations, boolean optimal) {
-        boolean survives = PlacementCost.survivesLossOfAnyCell(problem, placement);
-        return of(problem, placement, migrations, optimal, true, survives);
+        boolean survivesCellLoss = PlacementCost.survivesLossOfAnyCell(problem, placement);
+        return of(problem, placement, migrations, optimal, true, survivesCellLoss);
     }
 
     static PlacementProposal notFound(PlacementProblem problem, int[] placement, List<ProposedMigration> migrations) {
@@ -40,7 +40,7 @@
             List<ProposedMigration> migrations,
             boolean optimal,
             boolean found,
-            boolean survives) {
+            boolean survivesCellLoss) {
         int[] current = problem.currentCell();
         return new PlacementProposal(
                 migrations,
@@ -50,7 +50,7 @@
                 PlacementCost.of(problem, placement),
                 optimal,
                 found,
-                survives);
+                survivesCellLoss);
     }
 
     /** One line for an operator. */
@@ -64,7 +64,7 @@
                 peakBefore / 10.0,
                 peakAfter / 10.0,
                 optimal ? "optimal" : "not proved optimal within the time",
-                survives
+                survivesCellLoss
                         ? "the others can take the loss of any one cell"
                         : "the others can't take the loss of every one cell");
     }
--- a/src/main/java/beaconladder/cells/PlacementSolver.java
+++ b/src/main/java/beaconladder/cells/PlacementSolver.java
@@ -33,57 +33,58 @@
     /** A complete search of so many nodes takes about a second. */
     private static final long MAX_COMPLETE_NODES = 100_000;
     /** Each of the two searches may use half of the time. */
-    private static final long HALF_SECOND_MILLIS = 500;
+    private static final long MILLIS_PER_SEARCH_AND_SECOND = 500;
     /** An upper bound of a peak that leaves the solver's sums within an int. */
-    private static final int MAX_PEAK = Integer.MAX_VALUE / 16;
+    private static final int PEAK_UPPER_BOUND = Integer.MAX_VALUE / 16;
 
     /** The best placement found, which is the start if there was none, and whether it is proved optimal. */
     record Result(int[] placement, boolean optimal) {}
 
     private final PlacementProblem problem;
-    private final int[] start;
-    private final int[] free;
+    private final int[] startPlacement;
+    private final int[] freeTenants;
     private final Model model = new Model("cells");
     /** The cell of each free tenant. */
     private final IntVar[] cellOf;
     /** For each free tenant and each cell, whether it is placed there. */
-    private final BoolVar[][] isIn;
+    private final BoolVar[][] isPlacedIn;
 
-    private final BoolVar[] migrates;
+    private final BoolVar[] isMigrated;
     private final IntVar loadPeak;
     private final IntVar valuePeak;
-    private final IntVar migrations;
-    private final IntVar together;
+    private final IntVar migrationCount;
+    private final IntVar colocatedPairs;
     private final IntVar cost;
 
     /**
      * Builds the model. The order in which variables and constraints are created decides the solver's search.
      *
-     * @param start a placement that needs at most so many migrations
-     * @param free the tenants whose cell may change
+     * @param startPlacement a placement that needs at most so many migrations
+     * @param freeTenants the tenants whose cell may change
      */
-    PlacementSolver(PlacementProblem problem, int[] start, int[] free, int maxMigrations) {
+    PlacementSolver(PlacementProblem problem, int[] startPlacement, int[] freeTenants, int maxMigrations) {
         this.problem = problem;
-        this.start = start;
-        this.free = free;
-        cellOf = new IntVar[free.length];
-        isIn = new BoolVar[free.length][problem.cellCount()];
-        migrates = new BoolVar[free.length];
+        this.startPlacement = startPlacement;
+        this.freeTenants = freeTenants;
+        cellOf = new IntVar[freeTenants.length];
+        isPlacedIn = new BoolVar[freeTenants.length][problem.cellCount()];
+        isMigrated = new BoolVar[freeTenants.length];
         createTenantVariables();
         loadPeak = peak(problem.load());
         valuePeak = peak(problem.valueAtRisk());
-        migrations = model.intVar("moves", 0, Math.min(maxMigrations, free.length));
-        model.sum(migrates, "=", migrations).post();
-        together = pairsTogether();
-        cost = model.intVar("cost", 0, PlacementCost.of(problem, start));
+        migrationCount = model.intVar("moves", 0, Math.min(maxMigrations, freeTenants.length));
+        model.sum(isMigrated, "=", migrationCount).post();
+        colocatedPairs = colocatedPairs();
+        cost = model.intVar("cost", 0, PlacementCost.of(problem, startPlacement));
         postCost();
     }
 
     /** The tenants the solver may move: the movable ones with the most load, and all that should be apart. */
-    static int[] freeTenants(PlacementProblem problem) {
+    static int[] selectFreeTenants(PlacementProblem problem) {
         boolean[] inPair = new boolean[problem.tenantCount()];
-        Arrays.stream(problem.apart()).forEach(pair -> Arrays.stream(pair).forEach(tenant -> inPair[tenant] = true));
-        int[] all = IntStream.range(0, problem.tenantCount())
+        Arrays.stream(problem.separatedPairs())
+                .forEach(pair -> Arrays.stream(pair).forEach(tenant -> inPair[tenant] = true));
+        int[] candidates = IntStream.range(0, problem.tenantCount())
                 .filter(tenant -> problem.movable()[tenant])
                 .boxed()
                 .sorted(Comparator.<Integer>comparingInt(tenant -> inPair[tenant] ? 0 : 1)
@@ -91,22 +92,22 @@
                         .thenComparingInt(tenant -> tenant))
                 .mapToInt(tenant -> tenant)
                 .toArray();
-        return all.length <= MAX_FREE_TENANTS ? all : Arrays.copyOf(all, MAX_FREE_TENANTS);
+        return candidates.length <= MAX_FREE_TENANTS ? candidates : Arrays.copyOf(candidates, MAX_FREE_TENANTS);
     }
 
     private void createTenantVariables() {
         int cellCount = problem.cellCount();
-        for (int i = 0; i < free.length; i++) {
+        for (int i = 0; i < freeTenants.length; i++) {
             cellOf[i] = model.intVar(
-                    problem.tenants().get(free[i]),
+                    problem.tenants().get(freeTenants[i]),
                     IntStream.range(0, cellCount)
                             .filter(cell -> !problem.isLost(cell))
                             .toArray());
             for (int cell = 0; cell < cellCount; cell++) {
-                isIn[i][cell] = model.boolVar();
+                isPlacedIn[i][cell] = model.boolVar();
             }
-            model.boolsIntChanneling(isIn[i], cellOf[i], 0).post();
-            migrates[i] = isIn[i][problem.currentCell()[free[i]]].not();
+            model.boolsIntChanneling(isPlacedIn[i], cellOf[i], 0).post();
+            isMigrated[i] = isPlacedIn[i][problem.currentCell()[freeTenants[i]]].not();
         }
     }
 
@@ -114,50 +115,50 @@
     private IntVar peak(int[] amounts) {
         int[] capacity = problem.capacity();
         int total = Arrays.stream(amounts).sum();
-        int smallest = Math.max(
+        int smallestCapacity = Math.max(
                 1, Arrays.stream(capacity).filter(each -> each > 0).min().orElse(1));
-        IntVar peak =
-                model.intVar("peak", 0, (int) Math.min(MAX_PEAK, (long) total * PlacementProblem.SCALE / smallest + 1));
-        int[] fixed = fixedSums(amounts);
+        IntVar peak = model.intVar("peak", 0, (int)
+                Math.min(PEAK_UPPER_BOUND, (long) total * PlacementProblem.SCALE / smallestCapacity + 1));
+        int[] fixedSums = fixedSums(amounts);
         for (int cell = 0; cell < problem.cellCount(); cell++) {
             if (problem.isLost(cell)) {
                 continue;
             }
-            IntVar[] variables = new IntVar[free.length + 1];
-            int[] factors = new int[free.length + 1];
-            for (int i = 0; i < free.length; i++) {
-                variables[i] = isIn[i][cell];
-                factors[i] = amounts[free[i]] * PlacementProblem.SCALE / Math.max(1, capacity[cell]);
+            IntVar[] variables = new IntVar[freeTenants.length + 1];
+            int[] coefficients = new int[freeTenants.length + 1];
+            for (int i = 0; i < freeTenants.length; i++) {
+                variables[i] = isPlacedIn[i][cell];
+                coefficients[i] = amounts[freeTenants[i]] * PlacementProblem.SCALE / Math.max(1, capacity[cell]);
             }
-            variables[free.length] = peak;
-            factors[free.length] = -1;
-            int fixedPart = (int) ((long) fixed[cell] * PlacementProblem.SCALE / Math.max(1, capacity[cell]));
-            model.scalar(variables, factors, "<=", -fixedPart).post();
+            variables[freeTenants.length] = peak;
+            coefficients[freeTenants.length] = -1;
+            int fixedPart = (int) ((long) fixedSums[cell] * PlacementProblem.SCALE / Math.max(1, capacity[cell]));
+            model.scalar(variables, coefficients, "<=", -fixedPart).post();
         }
         return peak;
     }
 
     /** By cell, the sum over the tenants that are not free. */
     private int[] fixedSums(int[] amounts) {
-        boolean[] isFree = new boolean[start.length];
-        Arrays.stream(free).forEach(tenant -> isFree[tenant] = true);
+        boolean[] isFree = new boolean[startPlacement.length];
+        Arrays.stream(freeTenants).forEach(tenant -> isFree[tenant] = true);
         int[] sums = new int[problem.cellCount()];
-        for (int tenant = 0; tenant < start.length; tenant++) {
+        for (int tenant = 0; tenant < startPlacement.length; tenant++) {
             if (!isFree[tenant]) {
-                sums[start[tenant]] += amounts[tenant];
+                sums[startPlacement[tenant]] += amounts[tenant];
             }
         }
         return sums;
     }
 
     /** How many pairs that should be apart share a cell. */
-    private IntVar pairsTogether() {
+    private IntVar colocatedPairs() {
         Map<Integer, Integer> freeIndices = new HashMap<>();
-        for (int i = 0; i < free.length; i++) {
-            freeIndices.put(free[i], i);
+        for (int i = 0; i < freeTenants.length; i++) {
+            freeIndices.put(freeTenants[i], i);
         }
         List<BoolVar> pairs = new ArrayList<>();
-        for (int[] pair : problem.apart()) {
+        for (int[] pair : problem.separatedPairs()) {
             Integer first = freeIndices.get(pair[0]);
             Integer second = freeIndices.get(pair[1]);
             if (first != null && second != null) {
@@ -172,8 +173,10 @@
     private void postCost() {
         // Twice everything, so that the half weight of the value at risk stays an integer.
         model.scalar(
-                        new IntVar[] {loadPeak, valuePeak, together, migrations, cost},
-                        new int[] {2, 1, 2 * PlacementCost.PER_PAIR_TOGETHER, 2 * PlacementCost.PER_MIGRATION, -2},
+                        new IntVar[] {loadPeak, valuePeak, colocatedPairs, migrationCount, cost},
+                        new int[] {
+                            2, 1, 2 * PlacementCost.COST_PER_COLOCATED_PAIR, 2 * PlacementCost.COST_PER_MIGRATION, -2
+                        },
                         "<=",
                         1)
                 .post();
@@ -190,7 +193,7 @@
         IntVar[] recorded = Arrays.copyOf(cellOf, cellOf.length + 1);
         recorded[cellOf.length] = cost;
         Solution best = new Solution(model, recorded);
-        solver.limitTime(maxSeconds * HALF_SECOND_MILLIS);
+        solver.limitTime(maxSeconds * MILLIS_PER_SEARCH_AND_SECOND);
         solver.limitNode(MAX_COMPLETE_NODES);
         boolean found = recordSolutions(solver, best);
         boolean optimal = !solver.isStopCriterionMet();
@@ -203,13 +206,13 @@
             solver.setLNS(
                     new RandomNeighborhood(cellOf, FREED_PER_NEIGHBOURHOOD, new SplittableRandom(seed).nextLong()),
                     new FailCounter(model, FAILURES_PER_NEIGHBOURHOOD));
-            solver.limitTime(maxSeconds * HALF_SECOND_MILLIS);
+            solver.limitTime(maxSeconds * MILLIS_PER_SEARCH_AND_SECOND);
             solver.limitRestart(MAX_NEIGHBOURHOODS);
             found |= recordSolutions(solver, best);
         }
-        int[] placement = start.clone();
-        for (int i = 0; found && i < free.length; i++) {
-            placement[free[i]] = best.getIntVal(cellOf[i]);
+        int[] placement = startPlacement.clone();
+        for (int i = 0; found && i < freeTenants.length; i++) {
+            placement[freeTenants[i]] = best.getIntVal(cellOf[i]);
         }
         return new Result(placement, optimal);
     }
@@ -228,14 +231,14 @@
     private AbstractStrategy<?>[] strategies() {
         Map<IntVar, Integer> startCells = new HashMap<>();
         for (int i = 0; i < cellOf.length; i++) {
-            startCells.put(cellOf[i], start[free[i]]);
+            startCells.put(cellOf[i], startPlacement[freeTenants[i]]);
         }
         return new AbstractStrategy<?>[] {
             Search.intVarSearch(
                     PlacementSolver::firstUnassigned,
                     each -> each.contains(startCells.get(each)) ? startCells.get(each) : each.getLB(),
                     cellOf),
-            Search.inputOrderLBSearch(loadPeak, valuePeak, together, migrations, cost)
+            Search.inputOrderLBSearch(loadPeak, valuePeak, colocatedPairs, migrationCount, cost)
         };
     }
 
--- a/src/main/java/beaconladder/cells/RouterLeases.java
+++ b/src/main/java/beaconladder/cells/RouterLeases.java
@@ -22,8 +22,8 @@
         private Map<String, WriteActivity> activity = Map.of();
         private long lastReportNanos = Long.MIN_VALUE;
 
-        boolean mayActOnOlder(long version, long now) {
-            return appliedVersion < version && now <= leaseEndNanos + CellAdmission.MAX_CLOCK_SKEW_NANOS;
+        boolean mayActOnOlderVersion(long version, long nowNanos) {
+            return appliedVersion < version && nowNanos <= leaseEndNanos + CellAdmission.MAX_CLOCK_SKEW_NANOS;
         }
     }
 
@@ -54,18 +54,18 @@
     }
 
     /** Right after recovery: a router may act on any lease that was granted before. */
-    void recoveredAt(long now) {
+    void recoveryCompleted(long nowNanos) {
         for (RouterState router : routers.values()) {
-            router.leaseEndNanos = now + longestLeaseNanos;
+            router.leaseEndNanos = nowNanos + longestLeaseNanos;
         }
     }
 
     /** The step to record before this run of a router is granted a lease, or null if it is registered. */
-    MigrationStep registration(String router, String incarnation, long now) {
+    MigrationStep registration(String router, String incarnation, long nowNanos) {
         RouterState state = routers.get(router);
         return state != null && incarnation.equals(state.incarnation)
                 ? null
-                : MigrationStep.router(router, incarnation, now);
+                : MigrationStep.router(router, incarnation, nowNanos);
     }
 
     /** Registers a run of a router; what an earlier one sent may run for as long as its clients wait. */
@@ -84,27 +84,27 @@
      *
      * @return the end of the lease
      */
-    long grant(String router, long appliedVersion, List<WriteActivity> activity, long now) {
+    long grant(String router, long appliedVersion, List<WriteActivity> activity, long nowNanos) {
         RouterState state = routers.get(router);
         state.appliedVersion = Math.max(state.appliedVersion, appliedVersion);
         Map<String, WriteActivity> byTenant = new LinkedHashMap<>();
-        activity.forEach(each -> byTenant.put(each.tenant(), each));
+        activity.forEach(entry -> byTenant.put(entry.tenant(), entry));
         state.activity = byTenant;
-        state.lastReportNanos = now;
-        state.leaseEndNanos = Math.max(state.leaseEndNanos, now + leaseNanos);
-        return now + leaseNanos;
+        state.lastReportNanos = nowNanos;
+        state.leaseEndNanos = Math.max(state.leaseEndNanos, nowNanos + leaseNanos);
+        return nowNanos + leaseNanos;
     }
 
     /** Whether no router acts on an older version than this. */
-    boolean isInForce(long version, long now) {
-        return routers.values().stream().noneMatch(router -> router.mayActOnOlder(version, now));
+    boolean isInForce(long version, long nowNanos) {
+        return routers.values().stream().noneMatch(router -> router.mayActOnOlderVersion(version, nowNanos));
     }
 
     /** The routers that may act on an older version than this. */
-    List<String> routersOnOlderVersion(long version, long now) {
+    List<String> routersOnOlderVersion(long version, long nowNanos) {
         List<String> names = new ArrayList<>();
         routers.forEach((name, router) -> {
-            if (router.mayActOnOlder(version, now)) {
+            if (router.mayActOnOlderVersion(version, nowNanos)) {
                 names.add(name);
             }
         });
@@ -116,13 +116,13 @@
      *
      * @param fenceVersion the version of the placement that stops the tenant's writes
      */
-    boolean areWritesQuiet(String tenant, long fenceVersion, long now) {
+    boolean areWritesDrained(String tenant, long fenceVersion, long nowNanos) {
         return routers.values().stream().allMatch(router -> {
             if (router.appliedVersion < fenceVersion) {
-                return now > router.leaseEndNanos + maxInFlightNanos + CellAdmission.MAX_CLOCK_SKEW_NANOS;
+                return nowNanos > router.leaseEndNanos + maxInFlightNanos + CellAdmission.MAX_CLOCK_SKEW_NANOS;
             }
             WriteActivity activity = router.activity.get(tenant);
-            return activity != null && activity.inFlightWrites() == 0 && now > router.earlierWritesEndNanos;
+            return activity != null && activity.inFlightWrites() == 0 && nowNanos > router.earlierWritesEndNanos;
         });
     }
 
@@ -139,18 +139,18 @@
     }
 
     /** By router the time since its last report, or -1 for none since the coordinator started. */
-    Map<String, Long> nanosSinceLastReport(long now) {
-        Map<String, Long> silence = new LinkedHashMap<>();
-        routers.forEach((name, router) ->
-                silence.put(name, router.lastReportNanos == Long.MIN_VALUE ? -1 : now - router.lastReportNanos));
-        return silence;
+    Map<String, Long> nanosSinceLastReport(long nowNanos) {
+        Map<String, Long> nanosByRouter = new LinkedHashMap<>();
+        routers.forEach((name, router) -> nanosByRouter.put(
+                name, router.lastReportNanos == Long.MIN_VALUE ? -1 : nowNanos - router.lastReportNanos));
+        return nanosByRouter;
     }
 
     /** The steps that lead from nothing to the registered routers. */
-    List<MigrationStep> snapshot(long now) {
+    List<MigrationStep> snapshot(long nowNanos) {
         List<MigrationStep> steps = new ArrayList<>();
         steps.add(MigrationStep.lease(longestLeaseNanos));
-        routers.forEach((name, router) -> steps.add(MigrationStep.router(name, router.incarnation, now)));
+        routers.forEach((name, router) -> steps.add(MigrationStep.router(name, router.incarnation, nowNanos)));
         return steps;
     }
 }
--- a/src/main/java/beaconladder/cells/RouterPlacement.java
+++ b/src/main/java/beaconladder/cells/RouterPlacement.java
@@ -41,12 +41,12 @@
 
     /** Whether this tenant is never migrated, so that the plan alone decides and no lease is needed. */
     boolean isFixed(String tenant) {
-        Plan.Tenant stated = staticPlacement.tenant(tenant);
-        return !coordinated || stated != null && stated.fixed();
+        Plan.Tenant declared = staticPlacement.tenant(tenant);
+        return !coordinated || declared != null && declared.fixed();
     }
 
-    boolean isLeaseOver(long now) {
-        return now >= granted.validUntilNanos() - CellAdmission.MAX_CLOCK_SKEW_NANOS;
+    boolean isLeaseOver(long nowNanos) {
+        return nowNanos >= granted.validUntilNanos() - CellAdmission.MAX_CLOCK_SKEW_NANOS;
     }
 
     /** Whether the cell of this tenant depends on a hash that the coordinator, by its plan, would compute otherwise. */
@@ -69,15 +69,16 @@
     }
 
     /** Whether a request with this permit may be sent to its cell now. */
-    boolean accepts(AdmissionPermit permit, long now) {
+    boolean accepts(AdmissionPermit permit, long nowNanos) {
         if (isFixed(permit.tenant)) {
             return true;
         }
-        if (isLeaseOver(now)) {
+        if (isLeaseOver(nowNanos)) {
             return false;
         }
         TenantPlacement placement = granted.placements().get(permit.tenant);
-        return placement == null || isPlacedInCellOf(permit) && (permit.write ? placement.writes() : placement.reads());
+        return placement == null
+                || isPlacedInCellOf(permit) && (permit.write ? placement.admitsWrites() : placement.admitsReads());
     }
 
     /** The floor for a request with this permit, or Long.MIN_VALUE for none. */
@@ -88,7 +89,7 @@
 
     boolean isMigrating(String tenant) {
         TenantPlacement placement = granted.placements().get(tenant);
-        return placement != null && placement.moving();
+        return placement != null && placement.migrating();
     }
 
     /** Applies a granted table; false if it is older, or the same with no longer lease, and changes nothing. */
--- a/src/main/java/beaconladder/cells/SlotObservations.java
+++ b/src/main/java/beaconladder/cells/SlotObservations.java
@@ -7,46 +7,46 @@
 
 /** The latest observation of each slot of a migration. */
 final class SlotObservations {
-    private final MigrationObservation[] bySlot;
+    private final MigrationObservation[] observations;
 
     SlotObservations(int slots) {
-        bySlot = new MigrationObservation[slots];
-        Arrays.fill(bySlot, MigrationObservation.NONE);
+        observations = new MigrationObservation[slots];
+        Arrays.fill(observations, MigrationObservation.NONE);
     }
 
     /** Replaces the observation of a slot; one of a slot that the migration does not have is ignored. */
     void record(int slot, MigrationObservation observation) {
-        if (slot < bySlot.length) {
-            bySlot[slot] = observation;
+        if (slot < observations.length) {
+            observations[slot] = observation;
         }
     }
 
-    boolean all(Predicate<MigrationObservation> condition) {
-        return Arrays.stream(bySlot).allMatch(condition);
+    boolean allMatch(Predicate<MigrationObservation> condition) {
+        return Arrays.stream(observations).allMatch(condition);
     }
 
     boolean hasAllSources() {
-        return all(observation -> observation.sourcePrimary() != null);
+        return allMatch(observation -> observation.sourcePrimary() != null);
     }
 
     boolean hasAllTargets() {
-        return all(observation -> observation.targetPrimary() != null);
+        return allMatch(observation -> observation.targetPrimary() != null);
     }
 
     /** The primaries of the old groups, by slot; null where there is none. */
     List<String> sourcePrimaries() {
         List<String> sources = new ArrayList<>();
-        for (MigrationObservation observation : bySlot) {
+        for (MigrationObservation observation : observations) {
             sources.add(observation.sourcePrimary());
         }
         return sources;
     }
 
     /** Whether an old group has another primary than the one that is copied from. */
-    boolean hasOtherSourceThan(List<String> copiedFrom) {
-        for (int slot = 0; slot < bySlot.length; slot++) {
-            String source = bySlot[slot].sourcePrimary();
-            if (source != null && !source.equals(copiedFrom.get(slot))) {
+    boolean hasSourceChangedFrom(List<String> expectedSources) {
+        for (int slot = 0; slot < observations.length; slot++) {
+            String source = observations[slot].sourcePrimary();
+            if (source != null && !source.equals(expectedSources.get(slot))) {
                 return true;
             }
         }
@@ -55,13 +55,13 @@
 
     /** The log position of the old group's primary in this slot, in nanoseconds. */
     long sourcePosition(int slot) {
-        return bySlot[slot].sourcePosition();
+        return observations[slot].sourcePosition();
     }
 
     /** The log positions of the new groups' primaries, by slot, in nanoseconds. */
     List<Long> targetPositions() {
         List<Long> positions = new ArrayList<>();
-        for (MigrationObservation observation : bySlot) {
+        for (MigrationObservation observation : observations) {
             positions.add(observation.targetPosition());
         }
         return positions;
@@ -69,8 +69,8 @@
 
     /** Whether queries sent after this time showed that every ready member of the new groups has the copy this far. */
     boolean hasCopiedUpTo(List<Long> positions, long sinceNanos) {
-        for (int slot = 0; slot < bySlot.length; slot++) {
-            if (!bySlot[slot].hasCopiedUpTo(positions.get(slot), sinceNanos)) {
+        for (int slot = 0; slot < observations.length; slot++) {
+            if (!observations[slot].hasCopiedUpTo(positions.get(slot), sinceNanos)) {
                 return false;
             }
         }
@@ -78,6 +78,6 @@
     }
 
     int slots() {
-        return bySlot.length;
+        return observations.length;
     }
 }
--- a/src/main/java/beaconladder/cells/SlotQuery.java
+++ b/src/main/java/beaconladder/cells/SlotQuery.java
@@ -9,16 +9,16 @@
  * @param slot the index of both groups in their cells
  * @param sourceGroup the group of the old cell
  * @param targetGroup the group of the new cell
- * @param copies whether the new group's primary is to copy from the old one; false once the copy is known to be
+ * @param copying whether the new group's primary is to copy from the old one; false once the copy is known to be
  *     complete, as it might otherwise start to copy from another old primary
  */
-public record SlotQuery(String tenant, int slot, int sourceGroup, int targetGroup, boolean copies) {
+public record SlotQuery(String tenant, int slot, int sourceGroup, int targetGroup, boolean copying) {
     /** One query for each slot of two cells, whose groups are given in the order of their slots. */
     static List<SlotQuery> forSlots(
-            String tenant, List<Integer> sourceGroups, List<Integer> targetGroups, boolean copies) {
+            String tenant, List<Integer> sourceGroups, List<Integer> targetGroups, boolean copying) {
         List<SlotQuery> queries = new ArrayList<>();
         for (int slot = 0; slot < sourceGroups.size(); slot++) {
-            queries.add(new SlotQuery(tenant, slot, sourceGroups.get(slot), targetGroups.get(slot), copies));
+            queries.add(new SlotQuery(tenant, slot, sourceGroups.get(slot), targetGroups.get(slot), copying));
         }
         return queries;
     }
--- a/src/main/java/beaconladder/cells/StaticPlacement.java
+++ b/src/main/java/beaconladder/cells/StaticPlacement.java
@@ -18,9 +18,10 @@
  */
 public final class StaticPlacement {
     /** Shards that are cached, least recently used first out; a thousand of them are some hundred kilobytes. */
-    private static final int CACHED_SHARDS = 1_024;
+    private static final int MAX_CACHED_SHARDS = 1_024;
 
-    private static final IPAddressNetwork.IPAddressGenerator ADDRESSES = new IPAddressNetwork.IPAddressGenerator();
+    private static final IPAddressNetwork.IPAddressGenerator ADDRESS_GENERATOR =
+            new IPAddressNetwork.IPAddressGenerator();
 
     /** The cell of a group and its index among the groups of that cell. */
     private record GroupLocation(int cellIndex, int slot) {}
@@ -36,7 +37,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, int[]> eldest) {
-            return size() > CACHED_SHARDS;
+            return size() > MAX_CACHED_SHARDS;
         }
     };
 
@@ -85,8 +86,8 @@
     /** The group of this cell that serves requests which name another cell's group: the one in the same slot. */
     public int groupInCell(int cellIndex, int namedGroup) {
         GroupLocation location = groups.get(namedGroup);
-        List<Integer> own = cells.get(cellIndex).groups();
-        return own.get((location == null ? namedGroup : location.slot()) % own.size());
+        List<Integer> ownGroups = cells.get(cellIndex).groups();
+        return ownGroups.get((location == null ? namedGroup : location.slot()) % ownGroups.size());
     }
 
     /** The groups of the cell of this name, by slot; the cell must exist. */
@@ -106,24 +107,24 @@
 
     /** The index of the cell for this tenant and session by the plan, or -1 if no cell serves the tenant. */
     public int homeCell(String tenant, long sessionKey) {
-        Plan.Tenant stated = tenants.get(tenant);
-        if (stated != null) {
-            return cellIndices.get(stated.cell());
+        Plan.Tenant declared = tenants.get(tenant);
+        if (declared != null) {
+            return cellIndices.get(declared.cell());
         }
         if (plan.others() == null || cells.isEmpty()) {
             return -1;
         }
         int[] shard = shuffleShard(tenant);
-        int best = shard[0];
+        int heaviestCell = shard[0];
         long highestWeight = Long.MIN_VALUE;
         for (int cell : shard.length == 1 ? new int[0] : shard) {
             long weight = Hashing.xxh3_64().hashLongLongToLong(cellSeeds[cell], sessionKey);
             if (weight > highestWeight) {
                 highestWeight = weight;
-                best = cell;
+                heaviestCell = cell;
             }
         }
-        return best;
+        return heaviestCell;
     }
 
     /**
@@ -160,21 +161,21 @@
 
     /** The part of its cell's quota that a tenant may hold, from 0 to 1. */
     public double quotaOf(String tenant) {
-        Plan.Tenant stated = tenants.get(tenant);
-        if (stated != null) {
-            return stated.share();
+        Plan.Tenant declared = tenants.get(tenant);
+        if (declared != null) {
+            return declared.share();
         }
         return plan.others() == null ? 0 : plan.others().share();
     }
 
     /** Whether a client at this address may send requests of this tenant; null is an address that is not known. */
     public boolean isClientAllowed(String tenant, InetAddress clientAddress) {
-        Plan.Tenant stated = tenants.get(tenant);
-        if (stated == null || stated.networks().isEmpty()) {
+        Plan.Tenant declared = tenants.get(tenant);
+        if (declared == null || declared.networks().isEmpty()) {
             return true;
         }
-        IPAddress address = clientAddress == null ? null : ADDRESSES.from(clientAddress);
-        return address != null && stated.networks().stream().anyMatch(network -> network.contains(address));
+        IPAddress address = clientAddress == null ? null : ADDRESS_GENERATOR.from(clientAddress);
+        return address != null && declared.networks().stream().anyMatch(network -> network.contains(address));
     }
 
     /** A hash of all that a placement by hash depends on: routers whose plans agree in it place tenants alike. */
--- a/src/main/java/beaconladder/cells/TenantMigrations.java
+++ b/src/main/java/beaconladder/cells/TenantMigrations.java
@@ -30,24 +30,25 @@
     /**
      * A migration under way, as an operator sees it.
      *
-     * @param from the old cell
-     * @param to the new cell
+     * @param fromCell the old cell
+     * @param toCell the new cell
      * @param state the kind of its last step, in lower case
-     * @param since when that step was decided, in nanoseconds
+     * @param stateSinceNanos when that step was decided, in nanoseconds
      * @param waitsFor what its next step waits for
      */
-    public record Shown(String tenant, String from, String to, String state, long since, String waitsFor) {}
+    public record MigrationStatus(
+            String tenant, String fromCell, String toCell, String state, long stateSinceNanos, String waitsFor) {}
 
-    private final RouterLeases routers;
+    private final RouterLeases routerLeases;
     private final MigrationTransitions transitions;
     private final MigrationState state;
 
     /** No records applied yet; the plan must state a coordinator, whose time limits hold for good. */
     public TenantMigrations(StaticPlacement staticPlacement) {
         Plan.Coordinator limits = staticPlacement.plan().coordinator();
-        routers = new RouterLeases(limits.leaseNanos(), limits.requestExpiryNanos());
-        transitions = new MigrationTransitions(limits, routers);
-        state = new MigrationState(staticPlacement, routers);
+        routerLeases = new RouterLeases(limits.leaseNanos(), limits.requestExpiryNanos());
+        transitions = new MigrationTransitions(limits, routerLeases);
+        state = new MigrationState(staticPlacement, routerLeases);
     }
 
     /** Replaces the plan; the placements stay as the records have them. */
@@ -56,25 +57,25 @@
     }
 
     /** To be called once all stored records are applied: routers may act on leases that were granted before. */
-    public void recoveredAt(long now) {
-        routers.recoveredAt(now);
+    public void recoveryCompleted(long nowNanos) {
+        routerLeases.recoveryCompleted(nowNanos);
     }
 
     // ---- Steps --------------------------------------------------------------------------------------------
 
     /** The next step that is due, or null. It is to be stored and applied before the next call. */
-    public MigrationStep nextStep(long now) {
-        MigrationStep lease = routers.nextStep();
+    public MigrationStep nextStep(long nowNanos) {
+        MigrationStep lease = routerLeases.nextStep();
         if (lease != null) {
             return lease;
         }
         for (Plan.Tenant tenant : state.staticPlacement().plan().tenants()) {
             if (!state.placements().containsKey(tenant.name()) && !tenant.fixed()) {
-                return MigrationStep.placed(tenant.name(), tenant.cell(), List.of(), now);
+                return MigrationStep.placed(tenant.name(), tenant.cell(), List.of(), nowNanos);
             }
         }
         for (Migration migration : state.migrations().values()) {
-            MigrationStep step = transitions.nextStep(migration, now);
+            MigrationStep step = transitions.nextStep(migration, nowNanos);
             if (step != null) {
                 return step;
             }
@@ -95,29 +96,29 @@
      * @param requester who asks, for the record
      * @throws MigrationRejectedException if the tenant can't be migrated to this cell now
      */
-    public MigrationStep propose(String tenant, String toCell, String requester, long now) {
+    public MigrationStep propose(String tenant, String toCell, String requester, long nowNanos) {
         String rejection = rejection(tenant, toCell);
         if (rejection != null) {
             throw new MigrationRejectedException(rejection);
         }
         String fromCell = state.placements().get(tenant).cell();
-        return MigrationStep.of(Kind.PROPOSED, tenant, fromCell, toCell, now, requester);
+        return MigrationStep.of(Kind.PROPOSED, tenant, fromCell, toCell, nowNanos, requester);
     }
 
     private String rejection(String tenant, String toCell) {
-        Plan.Tenant stated = state.staticPlacement().tenant(tenant);
-        if (stated == null) {
+        Plan.Tenant declared = state.staticPlacement().tenant(tenant);
+        if (declared == null) {
             return "no tenant '" + tenant + "' is stated in the plan";
         }
-        if (stated.fixed()) {
+        if (declared.fixed()) {
             return tenant + " is fixed and can't be moved";
         }
         if (state.staticPlacement().cellIndex(toCell) < 0) {
             return "no cell '" + toCell + "' is stated in the plan";
         }
-        Migration underWay = state.migrations().get(tenant);
-        if (underWay != null) {
-            return tenant + " is being moved to " + underWay.toCell + " (" + underWay.state() + ")";
+        Migration current = state.migrations().get(tenant);
+        if (current != null) {
+            return tenant + " is being moved to " + current.toCell + " (" + current.state() + ")";
         }
         TenantPlacement placement = state.placements().get(tenant);
         if (placement == null) {
@@ -162,8 +163,8 @@
      *
      * @param incarnation differs between two runs of a router of the same name
      */
-    public MigrationStep registration(String router, String incarnation, long now) {
-        return routers.registration(router, incarnation, now);
+    public MigrationStep registration(String router, String incarnation, long nowNanos) {
+        return routerLeases.registration(router, incarnation, nowNanos);
     }
 
     /**
@@ -172,8 +173,8 @@
      * @param appliedVersion the version of the placement that it acts on
      * @param activity of the tenants that are being migrated
      */
-    public PlacementTable grantLease(String router, long appliedVersion, List<WriteActivity> activity, long now) {
-        long validUntil = routers.grant(router, Math.min(appliedVersion, state.version()), activity, now);
+    public PlacementTable grantLease(String router, long appliedVersion, List<WriteActivity> activity, long nowNanos) {
+        long validUntil = routerLeases.grant(router, Math.min(appliedVersion, state.version()), activity, nowNanos);
         return new PlacementTable(
                 state.version(), validUntil, state.staticPlacement().fingerprint(), state.placements());
     }
@@ -190,8 +191,8 @@
     public List<SlotQuery> slotQueries() {
         List<SlotQuery> queries = new ArrayList<>();
         for (Migration migration : state.migrations().values()) {
-            boolean copies = migration.state() == Kind.COPYING || migration.state() == Kind.FENCED;
-            queries.addAll(slotQueries(migration.tenant, migration.fromCell, migration.toCell, copies));
+            boolean copying = migration.state() == Kind.COPYING || migration.state() == Kind.FENCED;
+            queries.addAll(slotQueries(migration.tenant, migration.fromCell, migration.toCell, copying));
         }
         return queries;
     }
@@ -201,9 +202,9 @@
         return slotQueries(end.tenant(), end.fromCell(), end.toCell(), false);
     }
 
-    private List<SlotQuery> slotQueries(String tenant, String fromCell, String toCell, boolean copies) {
+    private List<SlotQuery> slotQueries(String tenant, String fromCell, String toCell, boolean copying) {
         StaticPlacement cells = state.staticPlacement();
-        return SlotQuery.forSlots(tenant, cells.groupsOf(fromCell), cells.groupsOf(toCell), copies);
+        return SlotQuery.forSlots(tenant, cells.groupsOf(fromCell), cells.groupsOf(toCell), copying);
     }
 
     // ---- State for operators and for the records ----------------------------------------------------------
@@ -219,30 +220,30 @@
     }
 
     /** The migrations under way, and what each waits for. */
-    public List<Shown> statuses(long now) {
+    public List<MigrationStatus> statuses(long nowNanos) {
         return state.migrations().values().stream()
-                .map(migration -> new Shown(
+                .map(migration -> new MigrationStatus(
                         migration.tenant,
                         migration.fromCell,
                         migration.toCell,
                         migration.state().name().toLowerCase(Locale.ROOT),
                         migration.stateSinceNanos(),
-                        transitions.waitsFor(migration, now)))
+                        transitions.waitsFor(migration, nowNanos)))
                 .toList();
     }
 
     /** The last steps of the migrations that have ended, oldest first. */
     public List<MigrationStep> endedMigrations() {
-        return List.copyOf(state.ended());
+        return List.copyOf(state.endedMigrations());
     }
 
     /** By router the nanoseconds since its last report, or -1 for none since the coordinator started. */
-    public Map<String, Long> nanosSinceLastReport(long now) {
-        return routers.nanosSinceLastReport(now);
+    public Map<String, Long> nanosSinceLastReport(long nowNanos) {
+        return routerLeases.nanosSinceLastReport(nowNanos);
     }
 
     /** The steps that lead from nothing to this state, to replace all records; null if there is no need or not yet. */
-    public List<MigrationStep> snapshot(long now) {
-        return state.snapshot(now);
+    public List<MigrationStep> snapshot(long nowNanos) {
+        return state.snapshot(nowNanos);
     }
 }
--- a/src/main/java/beaconladder/cells/TenantPlacement.java
+++ b/src/main/java/beaconladder/cells/TenantPlacement.java
@@ -6,13 +6,14 @@
  * The cell of a tenant, as the coordinator has decided.
  *
  * @param cell the name of the cell that serves it
- * @param writes whether new writes are admitted
- * @param reads whether new reads are admitted
- * @param moving whether a migration is under way, so that routers report its writes
+ * @param admitsWrites whether new writes are admitted
+ * @param admitsReads whether new reads are admitted
+ * @param migrating whether a migration is under way, so that routers report its writes
  * @param floors for each slot the floor: the minimum log position, in nanoseconds, that a member must have applied to
  *     have everything that was copied into this cell; empty for a tenant that was never migrated
  */
-public record TenantPlacement(String cell, boolean writes, boolean reads, boolean moving, List<Long> floors) {
+public record TenantPlacement(
+        String cell, boolean admitsWrites, boolean admitsReads, boolean migrating, List<Long> floors) {
     /** The tenant in this cell, with no migration under way. */
     static TenantPlacement settled(String cell, List<Long> floors) {
         return new TenantPlacement(cell, true, true, false, floors);
--- a/src/main/java/beaconladder/coordinator/Coordinator.java
+++ b/src/main/java/beaconladder/coordinator/Coordinator.java
@@ -42,7 +42,7 @@
     private final CoordinatorEndpoint endpoint;
     private final Thread loop = new Thread(new MigrationLoop(this, hosts), "moves");
     /** Final steps of migrations whose hosts have not been notified yet. */
-    private final List<MigrationStep> unannouncedEnds = new ArrayList<>();
+    private final List<MigrationStep> unnotifiedEnds = new ArrayList<>();
 
     private volatile boolean closed;
 
@@ -60,9 +60,9 @@
         migrations = new TenantMigrations(new StaticPlacement(plan));
         try {
             for (byte[] record : records.recovered()) {
-                migrations.apply(CoordinatorProtocol.read(record, MigrationStep.class));
+                migrations.apply(CoordinatorProtocol.fromJson(record, MigrationStep.class));
             }
-            migrations.recoveredAt(nowNanos());
+            migrations.recoveryCompleted(nowNanos());
             endpoint = new CoordinatorEndpoint(plan.coordinator().address());
         } catch (IOException | RuntimeException e) {
             records.close();
@@ -148,10 +148,10 @@
         recordDueSteps();
         List<SlotQuery> queries = migrations.slotQueries();
         Map<SlotQuery, Boolean> endedCopies = new LinkedHashMap<>();
-        for (MigrationStep end : unannouncedEnds) {
+        for (MigrationStep end : unnotifiedEnds) {
             migrations.slotQueries(end).forEach(query -> endedCopies.put(query, end.kind() == Kind.UNDONE));
         }
-        unannouncedEnds.clear();
+        unnotifiedEnds.clear();
         return new Round(queries, endedCopies);
     }
 
@@ -161,11 +161,11 @@
 
     /** Records and applies all steps that are due, and replaces the records by a snapshot when one is due. */
     synchronized void recordDueSteps() throws IOException {
-        long now = nowNanos();
-        for (MigrationStep step = migrations.nextStep(now); step != null; step = migrations.nextStep(now)) {
+        long nowNanos = nowNanos();
+        for (MigrationStep step = migrations.nextStep(nowNanos); step != null; step = migrations.nextStep(nowNanos)) {
             recordStep(step);
         }
-        List<MigrationStep> snapshot = migrations.snapshot(now);
+        List<MigrationStep> snapshot = migrations.snapshot(nowNanos);
         if (snapshot != null) {
             records.replace(snapshot.stream().map(Coordinator::bytes).toList());
         }
@@ -175,7 +175,7 @@
         records.append(bytes(step));
         migrations.apply(step);
         if (step.kind() == Kind.DONE || step.kind() == Kind.UNDONE) {
-            unannouncedEnds.add(step);
+            unnotifiedEnds.add(step);
         }
         if (step.kind() != Kind.LEASE && step.kind() != Kind.PLACED) {
             LOG.info(
@@ -189,7 +189,7 @@
     }
 
     private static byte[] bytes(MigrationStep step) {
-        return CoordinatorProtocol.text(step).getBytes(StandardCharsets.UTF_8);
+        return CoordinatorProtocol.toJson(step).getBytes(StandardCharsets.UTF_8);
     }
 
     // ---- Requests -----------------------------------------------------------------------------------------
@@ -202,7 +202,7 @@
         String run = CoordinatorEndpoint.requiredName(parameters, "run");
         long version = Long.parseLong(CoordinatorEndpoint.requiredName(parameters, "version"));
         long waitMillis = Math.min(MAX_WAIT_MILLIS, Long.parseLong(parameters.getOrDefault("wait", "0")));
-        List<WriteActivity> writes = CoordinatorProtocol.busy(parameters.getOrDefault("busy", ""));
+        List<WriteActivity> writes = CoordinatorProtocol.parseWriteActivity(parameters.getOrDefault("busy", ""));
         MigrationStep registration = migrations.registration(router, run, nowNanos());
         if (registration != null) {
             recordStep(registration);
@@ -213,11 +213,11 @@
             wait(Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000));
         }
         PlacementTable placement = migrations.grantLease(router, version, writes, nowNanos());
-        return CoordinatorProtocol.text(placement, placement.version() != version);
+        return CoordinatorProtocol.toJson(placement, placement.version() != version);
     }
 
     private synchronized String cells() {
-        return CoordinatorProtocol.text(CoordinatorProtocol.cells(migrations, nowNanos()));
+        return CoordinatorProtocol.toJson(CoordinatorProtocol.cellsStatus(migrations, nowNanos()));
     }
 
     private synchronized String move(Map<String, String> parameters) throws IOException {
@@ -226,13 +226,13 @@
                 CoordinatorEndpoint.requiredName(parameters, "to"),
                 "an operator",
                 nowNanos()));
-        return CoordinatorProtocol.text(CoordinatorProtocol.object().put("proposed", parameters.get("tenant")));
+        return CoordinatorProtocol.toJson(CoordinatorProtocol.newObject().put("proposed", parameters.get("tenant")));
     }
 
     private synchronized String undo(Map<String, String> parameters) throws IOException {
         migrations.requestUndo(CoordinatorEndpoint.requiredName(parameters, "tenant"), "an operator");
         recordDueSteps();
-        return CoordinatorProtocol.text(CoordinatorProtocol.object().put("undone", parameters.get("tenant")));
+        return CoordinatorProtocol.toJson(CoordinatorProtocol.newObject().put("undone", parameters.get("tenant")));
     }
 
     /** Stops serving and releases the records; migrations under way continue when the coordinator starts again. */
--- a/src/main/java/beaconladder/coordinator/CoordinatorEndpoint.java
+++ b/src/main/java/beaconladder/coordinator/CoordinatorEndpoint.java
@@ -102,7 +102,7 @@
     }
 
     private static String error(String message) {
-        return CoordinatorProtocol.text(CoordinatorProtocol.object().put("error", message));
+        return CoordinatorProtocol.toJson(CoordinatorProtocol.newObject().put("error", message));
     }
 
     /** Stops serving at once; requests in flight are interrupted by {@link #close}. */
--- a/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
+++ b/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
@@ -19,25 +19,25 @@
     private CoordinatorProtocol() {}
 
     /** A placement; the seats are omitted for a router that has them already. */
-    static String text(PlacementTable placement, boolean withSeats) {
-        ObjectNode all = MAPPER.createObjectNode();
-        all.put("version", placement.version())
-                .put("until_ms", placement.validUntilNanos() / NANOS_PER_MILLI)
-                .put("basis", placement.planFingerprint());
-        if (withSeats) {
-            ArrayNode seats = all.putArray("seats");
-            placement.placements().forEach((tenant, seat) -> {
-                ObjectNode one = seats.addObject()
+    static String toJson(PlacementTable table, boolean withPlacements) {
+        ObjectNode root = MAPPER.createObjectNode();
+        root.put("version", table.version())
+                .put("until_ms", table.validUntilNanos() / NANOS_PER_MILLI)
+                .put("basis", table.planFingerprint());
+        if (withPlacements) {
+            ArrayNode seats = root.putArray("seats");
+            table.placements().forEach((tenant, placement) -> {
+                ObjectNode entry = seats.addObject()
                         .put("tenant", tenant)
-                        .put("cell", seat.cell())
-                        .put("writes", seat.writes())
-                        .put("reads", seat.reads())
-                        .put("moving", seat.moving());
-                ArrayNode floors = one.putArray("floors_ms");
-                seat.floors().forEach(floor -> floors.add(ceilingMillis(floor)));
+                        .put("cell", placement.cell())
+                        .put("writes", placement.admitsWrites())
+                        .put("reads", placement.admitsReads())
+                        .put("moving", placement.migrating());
+                ArrayNode floors = entry.putArray("floors_ms");
+                placement.floors().forEach(floor -> floors.add(ceilingMillis(floor)));
             });
         }
-        return text(all);
+        return toJson(root);
     }
 
     /** A floor in milliseconds, rounded up: a host behind by a fraction of a millisecond is still behind. */
@@ -46,26 +46,26 @@
     }
 
     /** The state of all migrations and routers, for operators; the monitor that guards them must be held. */
-    static ObjectNode cells(TenantMigrations migrations, long nowNanos) {
-        ObjectNode all = MAPPER.createObjectNode();
-        all.put("version", migrations.version());
-        ObjectNode seats = all.putObject("seats");
+    static ObjectNode cellsStatus(TenantMigrations migrations, long nowNanos) {
+        ObjectNode root = MAPPER.createObjectNode();
+        root.put("version", migrations.version());
+        ObjectNode seats = root.putObject("seats");
         migrations.placements().forEach((tenant, placement) -> seats.put(tenant, placement.cell()));
-        ObjectNode routers = all.putObject("routers");
+        ObjectNode routers = root.putObject("routers");
         migrations
                 .nanosSinceLastReport(nowNanos)
                 .forEach((name, nanos) -> routers.put(name, nanos < 0 ? -1 : nanos / NANOS_PER_MILLI));
-        ArrayNode moves = all.putArray("moves");
+        ArrayNode moves = root.putArray("moves");
         migrations
                 .statuses(nowNanos)
                 .forEach(status -> moves.addObject()
                         .put("tenant", status.tenant())
-                        .put("from", status.from())
-                        .put("to", status.to())
+                        .put("from", status.fromCell())
+                        .put("to", status.toCell())
                         .put("state", status.state())
                         .put("waits_for", status.waitsFor())
-                        .put("since_ms", status.since() / NANOS_PER_MILLI));
-        ArrayNode ended = all.putArray("ended");
+                        .put("since_ms", status.stateSinceNanos() / NANOS_PER_MILLI));
+        ArrayNode ended = root.putArray("ended");
         migrations
                 .endedMigrations()
                 .forEach(step -> ended.addObject()
@@ -75,10 +75,10 @@
                         .put("state", step.kind().name().toLowerCase(Locale.ROOT))
                         .put("at_ms", step.atNanos() / NANOS_PER_MILLI)
                         .put("why", step.detail()));
-        return all;
+        return root;
     }
 
-    static String text(Object value) {
+    static String toJson(Object value) {
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException e) {
@@ -86,25 +86,25 @@
         }
     }
 
-    static ObjectNode object() {
+    static ObjectNode newObject() {
         return MAPPER.createObjectNode();
     }
 
     /** A router's writes of migrating tenants: tenant:writes:commit:commit (commits in ms), separated by commas. */
-    static List<WriteActivity> busy(String text) {
-        List<WriteActivity> all = new ArrayList<>();
-        for (String each : text.isEmpty() ? new String[0] : text.split(",")) {
-            String[] parts = each.split(":");
+    static List<WriteActivity> parseWriteActivity(String text) {
+        List<WriteActivity> activity = new ArrayList<>();
+        for (String entry : text.isEmpty() ? new String[0] : text.split(",")) {
+            String[] parts = entry.split(":");
             List<Long> commits = new ArrayList<>();
             for (int i = 2; i < parts.length; i++) {
                 commits.add(Long.parseLong(parts[i]) * NANOS_PER_MILLI);
             }
-            all.add(new WriteActivity(parts[0], Integer.parseInt(parts[1]), commits));
+            activity.add(new WriteActivity(parts[0], Integer.parseInt(parts[1]), commits));
         }
-        return all;
+        return activity;
     }
 
-    static <T> T read(byte[] bytes, Class<T> type) throws java.io.IOException {
+    static <T> T fromJson(byte[] bytes, Class<T> type) throws java.io.IOException {
         return MAPPER.readValue(bytes, type);
     }
 }
--- a/src/main/java/beaconladder/coordinator/HostQueries.java
+++ b/src/main/java/beaconladder/coordinator/HostQueries.java
@@ -27,13 +27,13 @@
 
     private static final String LOAD_REPORT_QUERY = "SHOW server_load";
 
-    private final Map<String, EndpointWatch.Entry> entries = new LinkedHashMap<>();
+    private final Map<String, EndpointWatch.Entry> endpoints = new LinkedHashMap<>();
     private final Map<String, HostConnection> connections = new ConcurrentHashMap<>();
     /** Source and target host of each copy that was started, by tenant and slot; used by the loop's thread only. */
     private final Map<String, String> startedCopies = new HashMap<>();
 
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
-        Thread thread = new Thread(task, "asks");
+        Thread thread = new Thread(task, "host-query");
         thread.setDaemon(true);
         return thread;
     });
@@ -41,19 +41,21 @@
     @Override
     public synchronized void onEndpoints(boolean complete, List<EndpointWatch.Entry> changes) {
         if (complete) {
-            entries.clear();
+            endpoints.clear();
         }
         for (EndpointWatch.Entry entry : changes) {
             if (entry.state() == EndpointWatch.State.GONE) {
-                entries.remove(entry.id());
+                endpoints.remove(entry.id());
             } else {
-                entries.put(entry.id(), entry);
+                endpoints.put(entry.id(), entry);
             }
         }
     }
 
     private synchronized List<EndpointWatch.Entry> members(int group) {
-        return entries.values().stream().filter(entry -> entry.group() == group).toList();
+        return endpoints.values().stream()
+                .filter(entry -> entry.group() == group)
+                .toList();
     }
 
     /**
@@ -82,15 +84,15 @@
         List<HostState> targetStates = states.subList(sourceCount, states.size());
         List<HostState> targetPrimaries =
                 targetStates.stream().filter(s -> s != null && s.isPrimary()).toList();
-        if (slot.copies() && sourcePrimaries.size() == 1 && targetPrimaries.size() == 1) {
+        if (slot.copying() && sourcePrimaries.size() == 1 && targetPrimaries.size() == 1) {
             startCopy(
                     slot, sourcePrimaries.get(0).host(), targetPrimaries.get(0).host());
         }
-        List<Long> copied = new ArrayList<>();
+        List<Long> copiedPositions = new ArrayList<>();
         for (int i = 0; i < targets.size(); i++) {
             // A host that is ready may become primary, so its copy has to be complete, too.
             if (targets.get(i).state() == EndpointWatch.State.READY) {
-                copied.add(
+                copiedPositions.add(
                         targetStates.get(i) == null
                                 ? Long.MIN_VALUE
                                 : targetStates.get(i).copiedNanos());
@@ -102,7 +104,7 @@
                 sourcePrimaries.size() == 1 ? sourcePrimaries.get(0).positionNanos() : Long.MIN_VALUE,
                 targetPrimaries.size() == 1 ? targetPrimaries.get(0).host().id() : null,
                 targetPrimaries.size() == 1 ? targetPrimaries.get(0).positionNanos() : Long.MIN_VALUE,
-                copied);
+                copiedPositions);
     }
 
     /** Makes the target's primary copy from this source, again whenever one of the two has changed. */
@@ -148,14 +150,15 @@
                         pair.substring(0, Math.max(0, equals)).strip(),
                         pair.substring(equals + 1).strip());
             }
-            long copied = tenant == null
+            long copiedNanos = tenant == null
                     ? Long.MIN_VALUE
                     : Decimal.parseScaled(
                             connection.query(
                                     "SELECT copied FROM beaconladder_feeds WHERE tenant = '" + tenant + "'",
                                     TIMEOUT_MILLIS),
                             6);
-            return new HostState(host, "1".equals(fields.get("x1")), Decimal.parseScaled(fields.get("x0"), 9), copied);
+            return new HostState(
+                    host, "1".equals(fields.get("x1")), Decimal.parseScaled(fields.get("x0"), 9), copiedNanos);
         } catch (IOException e) {
             disconnect(host);
             throw e;
--- a/src/test/java/beaconladder/cells/CellAdmissionTest.java
+++ b/src/test/java/beaconladder/cells/CellAdmissionTest.java
@@ -14,7 +14,7 @@
     private static final long MS = 1_000_000;
     private static final long NOW = 1_000_000 * MS;
     private static final String CELLS = "(cell a (groups 0 1)) (cell b (groups 2 3))\n";
-    private static final String KEEPER =
+    private static final String COORDINATOR =
             "(keeper (at 127.0.0.1:1) (discovery 127.0.0.1:2) (store \"x\") (lease 1s) (expiry 2s)" + " (fence 5s))";
 
     private static StaticPlacement placementOf(String plan) {
@@ -27,9 +27,9 @@
         return new CellAdmission("n0", placementOf(plan), new RouterCapacity(40, 40, 1 << 20));
     }
 
-    private static String admit(CellAdmission admission, String tenant, int group, boolean write, long now) {
+    private static String admit(CellAdmission admission, String tenant, int group, boolean write, long nowNanos) {
         AdmissionDecision decision = admission.admit(
-                new AdmissionRequest(tenant, 7, group, write, 1, 100, null, now, now + 2_000 * MS), now);
+                new AdmissionRequest(tenant, 7, group, write, 1, 100, null, nowNanos, nowNanos + 2_000 * MS), nowNanos);
         if (decision.permit() != null) {
             admission.release(decision.permit());
         }
@@ -46,8 +46,9 @@
         assertThat(admit(admission, "t", 2, true, NOW)).isEqualTo("ADMIT 2");
         assertThat(admit(admission, "t", 9, true, NOW)).isEqualTo("INVALID group 9 is in no cell");
         assertThat(admit(admission, "x", 0, true, NOW)).isEqualTo("INVALID no cell takes tenant x");
-        CellAdmission other = new CellAdmission("n1", admission.staticPlacement(), new RouterCapacity(40, 40, 1 << 20));
-        assertThat(admit(other, "t", 0, true, NOW)).isEqualTo("REJECT this router does not serve cell b");
+        CellAdmission otherRouter =
+                new CellAdmission("n1", admission.staticPlacement(), new RouterCapacity(40, 40, 1 << 20));
+        assertThat(admit(otherRouter, "t", 0, true, NOW)).isEqualTo("REJECT this router does not serve cell b");
     }
 
     @Test
@@ -65,17 +66,17 @@
     @Test
     void withoutALeaseOnlyFixedTenantsAreServed() {
         CellAdmission admission =
-                admissionOf(CELLS + KEEPER + "(tenant t (cell a)) (tenant f (cell a) (fixed)) (others)");
+                admissionOf(CELLS + COORDINATOR + "(tenant t (cell a)) (tenant f (cell a) (fixed)) (others)");
         assertThat(admit(admission, "t", 0, true, NOW)).startsWith("REJECT the lease on the placement is over");
         assertThat(admit(admission, "f", 0, true, NOW)).isEqualTo("ADMIT 0");
-        String basis = admission.staticPlacement().fingerprint();
+        String fingerprint = admission.staticPlacement().fingerprint();
         admission.applyPlacement(new PlacementTable(
-                3, NOW + 1_000 * MS, basis, Map.of("t", new TenantPlacement("a", true, true, false, List.of()))));
+                3, NOW + 1_000 * MS, fingerprint, Map.of("t", new TenantPlacement("a", true, true, false, List.of()))));
         assertThat(admit(admission, "t", 0, true, NOW)).isEqualTo("ADMIT 0");
         assertThat(admit(admission, "o", 0, true, NOW)).startsWith("ADMIT");
         assertThat(admit(admission, "t", 0, true, NOW + 990 * MS)).startsWith("REJECT the lease");
         // An older placement, or the same with a shorter lease, changes nothing.
-        admission.applyPlacement(new PlacementTable(2, NOW + 9_000 * MS, basis, Map.of()));
+        admission.applyPlacement(new PlacementTable(2, NOW + 9_000 * MS, fingerprint, Map.of()));
         assertThat(admit(admission, "t", 0, true, NOW + 990 * MS)).startsWith("REJECT the lease");
         admission.applyPlacement(new PlacementTable(
                 4, NOW + 9_000 * MS, "other", Map.of("t", new TenantPlacement("b", true, true, false, List.of()))));
@@ -86,10 +87,10 @@
 
     @Test
     void aFencedWriteIsQueuedForHalfOfItsTimeAndReadsAreAdmittedUntilSealed() {
-        CellAdmission admission = admissionOf(CELLS + KEEPER + "(tenant t (cell a))");
-        String basis = admission.staticPlacement().fingerprint();
+        CellAdmission admission = admissionOf(CELLS + COORDINATOR + "(tenant t (cell a))");
+        String fingerprint = admission.staticPlacement().fingerprint();
         admission.applyPlacement(new PlacementTable(
-                1, NOW + 9_000 * MS, basis, Map.of("t", new TenantPlacement("a", false, true, true, List.of()))));
+                1, NOW + 9_000 * MS, fingerprint, Map.of("t", new TenantPlacement("a", false, true, true, List.of()))));
         AdmissionDecision queued =
                 admission.admit(new AdmissionRequest("t", 7, 0, true, 1, 10, null, NOW, NOW + 2_000 * MS), NOW);
         assertThat(queued.kind()).isEqualTo(AdmissionDecision.Kind.QUEUE);
@@ -97,7 +98,10 @@
         assertThat(admission.inFlight(0)).isEqualTo(1);
         assertThat(admit(admission, "t", 0, false, NOW)).isEqualTo("ADMIT 0");
         admission.applyPlacement(new PlacementTable(
-                2, NOW + 9_000 * MS, basis, Map.of("t", new TenantPlacement("a", false, false, true, List.of()))));
+                2,
+                NOW + 9_000 * MS,
+                fingerprint,
+                Map.of("t", new TenantPlacement("a", false, false, true, List.of()))));
         assertThat(admit(admission, "t", 0, false, NOW)).startsWith("QUEUE");
         assertThat(admission.recheck(queued.permit(), NOW + 999 * MS).kind()).isEqualTo(AdmissionDecision.Kind.QUEUE);
         AdmissionDecision rejected = admission.recheck(queued.permit(), NOW + 1_000 * MS);
@@ -107,7 +111,7 @@
         admission.applyPlacement(new PlacementTable(
                 3,
                 NOW + 9_000 * MS,
-                basis,
+                fingerprint,
                 Map.of("t", new TenantPlacement("b", true, true, false, List.of(NOW + 5 * MS, NOW + 6 * MS)))));
         AdmissionDecision admitted =
                 admission.admit(new AdmissionRequest("t", 7, 1, false, 1, 10, null, NOW, NOW + 2_000 * MS), NOW);
@@ -138,16 +142,16 @@
         StaticPlacement after = placementOf(cells + "(cell c16 (groups 16))");
         int moved = 0;
         Set<String> pairs = new HashSet<>();
-        int[] of = new int[16];
+        int[] tenantsByCell = new int[16];
         for (int i = 0; i < 4_000; i++) {
-            int home = before.homeCell("tenant" + i, 0x9e3779b97f4a7c15L * i);
-            of[home]++;
-            moved += after.homeCell("tenant" + i, 0x9e3779b97f4a7c15L * i) != home ? 1 : 0;
+            int homeCell = before.homeCell("tenant" + i, 0x9e3779b97f4a7c15L * i);
+            tenantsByCell[homeCell]++;
+            moved += after.homeCell("tenant" + i, 0x9e3779b97f4a7c15L * i) != homeCell ? 1 : 0;
             pairs.add(java.util.Arrays.toString(before.shuffleShard("tenant" + i)));
         }
         // Its part is one in seventeen: 235; the others are keys whose tenant has the new cell in place of another.
         assertThat(moved).isBetween(235, 420);
-        assertThat(java.util.Arrays.stream(of).allMatch(n -> n > 180 && n < 320))
+        assertThat(java.util.Arrays.stream(tenantsByCell).allMatch(n -> n > 180 && n < 320))
                 .isTrue();
         assertThat(pairs).hasSize(16 * 15);
     }
--- a/src/test/java/beaconladder/cells/CellQuotasTest.java
+++ b/src/test/java/beaconladder/cells/CellQuotasTest.java
@@ -12,13 +12,13 @@
     @Test
     void oneTenantMayBorrowWhatOthersDoNotUseExceptTheirReserve() {
         CellQuotas quotas = new CellQuotas(100, 0.25, 0.25, 0.25, 0.25);
-        int taken = 0;
+        int acquired = 0;
         while (quotas.tryAcquire(0, "flood", 1, 1, 1, 0) == Result.ACQUIRED) {
-            taken++;
+            acquired++;
         }
         // A quarter of each other cell's quota is never lent: 100 less three times seven. Of the remaining 79 a quarter
         // is reserved for the other tenants of the cell.
-        assertThat(taken).isEqualTo(59);
+        assertThat(acquired).isEqualTo(59);
         for (int i = 0; i < 7; i++) {
             assertThat(quotas.tryAcquire(1, "usual", 1, 1, 1, 1)).isEqualTo(Result.ACQUIRED);
         }
@@ -31,11 +31,11 @@
             assertThat(quotas.tryAcquire(1, "usual", 1, 1, 1, 0)).isEqualTo(Result.ACQUIRED);
         }
         // Twice the recent use is reserved: with 20 used, the second cell's whole quota of 50.
-        int taken = 0;
+        int acquired = 0;
         while (quotas.tryAcquire(0, "flood", 1, 1, 1, 0) == Result.ACQUIRED) {
-            taken++;
+            acquired++;
         }
-        assertThat(taken).isEqualTo(50);
+        assertThat(acquired).isEqualTo(50);
         assertThat(quotas.isBorrowing(0)).isFalse();
         for (int i = 0; i < 20; i++) {
             quotas.release(1, "usual", 1);
@@ -43,25 +43,25 @@
         // Two windows later they do not count as recent use any more.
         long later = 3_000 * MS;
         while (quotas.tryAcquire(0, "flood", 1, 1, 1, later) == Result.ACQUIRED) {
-            taken++;
+            acquired++;
         }
-        assertThat(taken).isEqualTo(65);
+        assertThat(acquired).isEqualTo(65);
         assertThat(quotas.isBorrowing(0)).isTrue();
         quotas.release(0, "flood", 1);
         assertThat(quotas.tryAcquire(1, "usual", 1, 1, 1, later)).isEqualTo(Result.ACQUIRED);
         // While the lender uses its quota, the borrower may not acquire again what it releases.
         quotas.release(0, "flood", 1);
-        assertThat(quotas.tryAcquire(0, "flood", 1, 1, 1, later)).isEqualTo(Result.TENANT_FULL);
+        assertThat(quotas.tryAcquire(0, "flood", 1, 1, 1, later)).isEqualTo(Result.TENANT_LIMIT);
     }
 
     @Test
     void oneOfManyTenantsIsNeverMostOfItsCell() {
         CellQuotas quotas = new CellQuotas(100, 1.0);
-        int taken = 0;
+        int acquired = 0;
         while (quotas.tryAcquire(0, "flood", 0.2, 1, 1, 0) == Result.ACQUIRED) {
-            taken++;
+            acquired++;
         }
-        assertThat(taken).isEqualTo(50);
+        assertThat(acquired).isEqualTo(50);
         for (int i = 0; i < 20; i++) {
             assertThat(quotas.tryAcquire(0, "other", 0.2, 1, 1, 0)).isEqualTo(Result.ACQUIRED);
         }
@@ -75,11 +75,11 @@
                 quotas.release(0, "t", 1);
             }
         }
-        CellQuotas.Result last = Result.ACQUIRED;
-        while (last == Result.ACQUIRED) {
-            last = quotas.tryAcquire(0, "t", 1, 1, 1, 0);
+        CellQuotas.Result lastResult = Result.ACQUIRED;
+        while (lastResult == Result.ACQUIRED) {
+            lastResult = quotas.tryAcquire(0, "t", 1, 1, 1, 0);
         }
-        assertThat(last).isNotEqualTo(Result.ACQUIRED);
+        assertThat(lastResult).isNotEqualTo(Result.ACQUIRED);
         assertThat(quotas.tryAcquire(0, "t", 1, 1, 3, 0)).isEqualTo(Result.ACQUIRED);
     }
 
@@ -89,22 +89,23 @@
         SplittableRandom random = new SplittableRandom(5);
         CellQuotas quotas = new CellQuotas(64, 0.1, 0.2, 0.3, 0.4);
         int[][] held = new int[4][5];
-        int all = 0;
+        int totalHeld = 0;
         for (int step = 0; step < 200_000; step++) {
             int cell = random.nextInt(4);
             int tenant = random.nextInt(5);
-            long now = step * MS;
+            long nowNanos = step * MS;
             if (random.nextBoolean()) {
-                if (quotas.tryAcquire(cell, cell + "/" + tenant, 0.3, 1, random.nextInt(3), now) == Result.ACQUIRED) {
+                if (quotas.tryAcquire(cell, cell + "/" + tenant, 0.3, 1, random.nextInt(3), nowNanos)
+                        == Result.ACQUIRED) {
                     held[cell][tenant]++;
-                    all++;
+                    totalHeld++;
                 }
             } else if (held[cell][tenant] > 0) {
                 quotas.release(cell, cell + "/" + tenant, 1);
                 held[cell][tenant]--;
-                all--;
+                totalHeld--;
             }
-            assertThat(all).isLessThanOrEqualTo(64);
+            assertThat(totalHeld).isLessThanOrEqualTo(64);
             assertThat(quotas.used(cell))
                     .isEqualTo(java.util.Arrays.stream(held[cell]).sum());
         }
--- a/src/test/java/beaconladder/cells/MigrationSimulation.java
+++ b/src/test/java/beaconladder/cells/MigrationSimulation.java
@@ -28,9 +28,9 @@
     private final SplittableRandom random;
     private final List<MigrationStep> records = new ArrayList<>();
     private final List<SimulatedRouter> routers = new ArrayList<>();
-    private final List<Long> ranInA = new ArrayList<>();
-    private final List<Long> ranInB = new ArrayList<>();
-    private final RequestClass write = RequestClass.parse(Map.of(
+    private final List<Long> runTimesInA = new ArrayList<>();
+    private final List<Long> runTimesInB = new ArrayList<>();
+    private final RequestClass writeClass = RequestClass.parse(Map.of(
                     "request_classes.count",
                     "1",
                     "family_info.freshness",
@@ -42,10 +42,10 @@
             .get(0);
     private TenantMigrations coordinator;
     private final StaticPlacement staticPlacement;
-    private final long start;
-    private long now;
-    private long copied;
-    private String source = "s0";
+    private final long startNanos;
+    private long nowNanos;
+    private long copiedNanos;
+    private String sourcePrimary = "s0";
     private boolean sourceUp = true;
     private final int seed;
 
@@ -53,7 +53,7 @@
         private final String name;
         private int run;
         private CellAdmission admission;
-        private long stalledUntil;
+        private long stalledUntilNanos;
         private final List<Delivery> inbox = new ArrayList<>();
         private final List<Request> admitted = new ArrayList<>();
 
@@ -72,17 +72,18 @@
     }
 
     /** A placement that a router receives at this time. */
-    private record Delivery(long at, PlacementTable placement) {}
+    private record Delivery(long arrivalNanos, PlacementTable placement) {}
 
     /** A write on its way to a host or queued there: it runs at its time, if that is before its expiry. */
-    private record WriteInTransit(long at, long expiry, int cell, SimulatedRouter router, int run, Request request) {}
+    private record WriteInTransit(
+            long runsAtNanos, long expiryNanos, int cell, SimulatedRouter router, int run, Request request) {}
 
     private final List<WriteInTransit> inTransit = new ArrayList<>();
 
     MigrationSimulation(StaticPlacement staticPlacement, long startNanos, int seed) {
         this.staticPlacement = staticPlacement;
-        this.start = startNanos;
-        now = startNanos;
+        this.startNanos = startNanos;
+        nowNanos = startNanos;
         this.seed = seed;
         random = new SplittableRandom(seed);
         coordinator = new TenantMigrations(staticPlacement);
@@ -92,36 +93,39 @@
     }
 
     /** Runs four seconds of virtual time, checks all, and counts how migrations ended by kind. */
-    void run(Map<Kind, Integer> ends) {
+    void run(Map<Kind, Integer> countByEnd) {
         applyDueSteps();
-        long proposed = start + 300 * MS;
+        long proposeAfterNanos = startNanos + 300 * MS;
         int crashes = random.nextInt(4);
-        while (now < start + 4_000 * MS) {
-            now += random.nextInt(1, 12) * MS;
-            if (proposed > 0 && now > proposed) {
-                recordAndApply(coordinator.propose("t", "b", "me", now));
-                proposed = 0;
+        while (nowNanos < startNanos + 4_000 * MS) {
+            nowNanos += random.nextInt(1, 12) * MS;
+            if (proposeAfterNanos > 0 && nowNanos > proposeAfterNanos) {
+                recordAndApply(coordinator.propose("t", "b", "me", nowNanos));
+                proposeAfterNanos = 0;
             }
             if (sourceUp) {
-                copied = Math.max(copied, now - random.nextInt(30) * MS);
+                copiedNanos = Math.max(copiedNanos, nowNanos - random.nextInt(30) * MS);
             }
             coordinator.recordObservation(
-                    "t", 0, new MigrationObservation(now, sourceUp ? source : null, now, "d", now, List.of(copied)));
+                    "t",
+                    0,
+                    new MigrationObservation(
+                            nowNanos, sourceUp ? sourcePrimary : null, nowNanos, "d", nowNanos, List.of(copiedNanos)));
             applyDueSteps();
             if (crashes > 0 && random.nextInt(60) == 0) {
                 crashes--;
                 coordinator = new TenantMigrations(staticPlacement);
-                now += random.nextInt(400) * MS;
+                nowNanos += random.nextInt(400) * MS;
                 records.forEach(coordinator::apply);
-                coordinator.recoveredAt(now);
+                coordinator.recoveryCompleted(nowNanos);
             }
             if (seed % 5 == 0 && random.nextInt(150) == 0) {
                 sourceUp = !sourceUp;
-                source = sourceUp ? source + "x" : source;
+                sourcePrimary = sourceUp ? sourcePrimary + "x" : sourcePrimary;
             }
             routers.forEach(this::stepRouter);
             runDueWrites();
-            if (seed % 7 == 0 && random.nextInt(400) == 0 && proposed == 0) {
+            if (seed % 7 == 0 && random.nextInt(400) == 0 && proposeAfterNanos == 0) {
                 try {
                     coordinator.requestUndo("t", "me");
                 } catch (MigrationRejectedException e) {
@@ -129,11 +133,11 @@
                 }
             }
         }
-        check(ends);
+        check(countByEnd);
     }
 
     private void applyDueSteps() {
-        for (MigrationStep step = coordinator.nextStep(now); step != null; step = coordinator.nextStep(now)) {
+        for (MigrationStep step = coordinator.nextStep(nowNanos); step != null; step = coordinator.nextStep(nowNanos)) {
             recordAndApply(step);
         }
     }
@@ -144,45 +148,58 @@
     }
 
     private void stepRouter(SimulatedRouter router) {
-        if (now < router.stalledUntil) {
+        if (nowNanos < router.stalledUntilNanos) {
             return;
         }
         if (random.nextInt(250) == 0) {
-            router.stalledUntil = now + random.nextInt(900) * MS;
+            router.stalledUntilNanos = nowNanos + random.nextInt(900) * MS;
             return;
         }
         if (random.nextInt(400) == 0) {
             router.restart();
         }
         if (random.nextInt(4) == 0) {
-            MigrationStep registration = coordinator.registration(router.name, String.valueOf(router.run), now);
+            MigrationStep registration = coordinator.registration(router.name, String.valueOf(router.run), nowNanos);
             if (registration != null) {
                 recordAndApply(registration);
             }
             PlacementTable granted = coordinator.grantLease(
-                    router.name, router.admission.placement().version(), router.admission.writeActivity(now), now);
+                    router.name,
+                    router.admission.placement().version(),
+                    router.admission.writeActivity(nowNanos),
+                    nowNanos);
             PlacementTable copy = new PlacementTable(
                     granted.version(),
                     granted.validUntilNanos(),
                     granted.planFingerprint(),
                     Map.copyOf(granted.placements()));
             if (random.nextInt(10) > 0) {
-                router.inbox.add(new Delivery(now + random.nextInt(random.nextInt(20) == 0 ? 400 : 10) * MS, copy));
+                router.inbox.add(new Delivery(
+                        nowNanos + random.nextInt(random.nextInt(20) == 0 ? 400 : 10) * MS, copy));
             }
         }
-        router.inbox.removeIf(each -> {
-            boolean due = each.at() <= now;
+        router.inbox.removeIf(delivery -> {
+            boolean due = delivery.arrivalNanos() <= nowNanos;
             if (due) {
-                router.admission.applyPlacement(each.placement());
+                router.admission.applyPlacement(delivery.placement());
             }
             return due;
         });
         if (random.nextInt(3) == 0) {
             AdmissionDecision decision = router.admission.admit(
-                    new AdmissionRequest("t", 1, 0, true, 1, 50, null, now, now + 300 * MS), now);
+                    new AdmissionRequest("t", 1, 0, true, 1, 50, null, nowNanos, nowNanos + 300 * MS), nowNanos);
             if (decision.kind() == AdmissionDecision.Kind.ADMIT) {
                 Request request = new Request(
-                        now, write, new Group(decision.permit().group()), 1, 0, 0, false, now, now + 300 * MS, now);
+                        nowNanos,
+                        writeClass,
+                        new Group(decision.permit().group()),
+                        1,
+                        0,
+                        0,
+                        false,
+                        nowNanos,
+                        nowNanos + 300 * MS,
+                        nowNanos);
                 router.admission.requestStarted(request, decision.permit());
                 router.admitted.add(request);
             } else if (decision.kind() == AdmissionDecision.Kind.QUEUE) {
@@ -193,10 +210,10 @@
         for (Request request : List.copyOf(router.admitted)) {
             if (random.nextInt(4) == 0) {
                 router.admitted.remove(request);
-                if (router.admission.isStillAdmitted(request, now) && now < request.expiryNanos) {
-                    request.attempts.add(new Attempt(request, 0, new Host(0, request.group, 0), now, 1));
+                if (router.admission.isStillAdmitted(request, nowNanos) && nowNanos < request.expiryNanos) {
+                    request.attempts.add(new Attempt(request, 0, new Host(0, request.group, 0), nowNanos, 1));
                     inTransit.add(new WriteInTransit(
-                            now + random.nextInt(random.nextInt(5) == 0 ? 350 : 20) * MS,
+                            nowNanos + random.nextInt(random.nextInt(5) == 0 ? 350 : 20) * MS,
                             request.expiryNanos,
                             request.group.id,
                             router,
@@ -210,71 +227,71 @@
     }
 
     private void runDueWrites() {
-        inTransit.removeIf(each -> {
-            Attempt attempt = each.request().attempts.get(0);
-            if (!each.request().ended && each.router().run == each.run() && random.nextInt(12) == 0) {
+        inTransit.removeIf(write -> {
+            Attempt attempt = write.request().attempts.get(0);
+            if (!write.request().ended && write.router().run == write.run() && random.nextInt(12) == 0) {
                 // Its client disconnects: the attempt is cancelled, but a host may still run it.
-                each.request().ended = true;
-                each.router().admission.requestEnded(each.request());
+                write.request().ended = true;
+                write.router().admission.requestEnded(write.request());
                 attempt.ended = true;
-                each.router().admission.attemptEnded(attempt, Outcome.CANCELLED, HostReport.EMPTY, now);
+                write.router().admission.attemptEnded(attempt, Outcome.CANCELLED, HostReport.EMPTY, nowNanos);
             }
-            boolean isSameRun = each.router().run == each.run();
-            if (each.at() > now) {
+            boolean isSameRun = write.router().run == write.run();
+            if (write.runsAtNanos() > nowNanos) {
                 // Its router abandons it at its expiry; its host may still run it until then.
-                if (isSameRun && now >= each.expiry() && !each.request().ended) {
-                    each.request().ended = true;
-                    each.router().admission.attemptEnded(attempt, Outcome.TIMED_OUT, HostReport.EMPTY, now);
-                    each.router().admission.requestEnded(each.request());
+                if (isSameRun && nowNanos >= write.expiryNanos() && !write.request().ended) {
+                    write.request().ended = true;
+                    write.router().admission.attemptEnded(attempt, Outcome.TIMED_OUT, HostReport.EMPTY, nowNanos);
+                    write.router().admission.requestEnded(write.request());
                 }
                 return false;
             }
-            if (each.at() <= each.expiry()) {
-                if (each.cell() == 0) {
-                    ranInA.add(each.at());
+            if (write.runsAtNanos() <= write.expiryNanos()) {
+                if (write.cell() == 0) {
+                    runTimesInA.add(write.runsAtNanos());
                 } else {
-                    ranInB.add(each.at());
+                    runTimesInB.add(write.runsAtNanos());
                 }
             }
-            if (isSameRun && !each.request().ended) {
-                each.request().ended = true;
+            if (isSameRun && !write.request().ended) {
+                write.request().ended = true;
                 boolean answered = random.nextInt(8) > 0;
-                each.router()
+                write.router()
                         .admission
                         .attemptEnded(
                                 attempt,
                                 answered ? Outcome.COMMITTED : Outcome.RESET,
-                                answered ? new HostReport(Role.PRIMARY, each.at(), -1) : HostReport.EMPTY,
-                                now);
-                each.router().admission.requestEnded(each.request());
+                                answered ? new HostReport(Role.PRIMARY, write.runsAtNanos(), -1) : HostReport.EMPTY,
+                                nowNanos);
+                write.router().admission.requestEnded(write.request());
             }
             return true;
         });
     }
 
-    private void check(Map<Kind, Integer> ends) {
+    private void check(Map<Kind, Integer> countByEnd) {
         MigrationStep switched = records.stream()
                 .filter(s -> s.kind() == Kind.SWITCHED)
                 .findFirst()
                 .orElse(null);
         String history = "seed " + seed + " "
                 + records.stream()
-                        .map(s -> s.kind() + "@" + (s.atNanos() - start) / MS)
+                        .map(s -> s.kind() + "@" + (s.atNanos() - startNanos) / MS)
                         .collect(Collectors.joining(" "));
         if (switched == null) {
-            assertThat(ranInB).as(history).isEmpty();
+            assertThat(runTimesInB).as(history).isEmpty();
         } else {
-            assertThat(ranInB).as(history).allMatch(at -> at >= switched.atNanos());
-            assertThat(ranInA)
+            assertThat(runTimesInB).as(history).allMatch(ranAt -> ranAt >= switched.atNanos());
+            assertThat(runTimesInA)
                     .as(history)
-                    .allMatch(at -> at <= switched.fences().get(0));
+                    .allMatch(ranAt -> ranAt <= switched.fences().get(0));
         }
         records.stream()
                 .map(MigrationStep::kind)
                 .filter(k -> k == Kind.DONE || k == Kind.UNDONE)
-                .forEach(k -> ends.merge(k, 1, Integer::sum));
-        assertThat(coordinator.statuses(now).stream()
-                        .noneMatch(m -> m.state().equals("fenced") && now > m.since() + 1_500 * MS))
+                .forEach(k -> countByEnd.merge(k, 1, Integer::sum));
+        assertThat(coordinator.statuses(nowNanos).stream()
+                        .noneMatch(m -> m.state().equals("fenced") && nowNanos > m.stateSinceNanos() + 1_500 * MS))
                 .as(history)
                 .isTrue();
     }
--- a/src/test/java/beaconladder/cells/PlacementPlannerTest.java
+++ b/src/test/java/beaconladder/cells/PlacementPlannerTest.java
@@ -61,7 +61,7 @@
         PlacementProposal proposal = propose(plan, 3);
         assertThat(migrations(proposal)).isIn("x>c", "y>c");
         assertThat(proposal.optimal()).isTrue();
-        assertThat(proposal.survives()).isTrue();
+        assertThat(proposal.survivesCellLoss()).isTrue();
         assertThat(migrations(propose(plan, 0))).isEmpty();
         assertThat(migrations(propose(plan.replace("(tenant y (cell a))", "(tenant y (cell c))"), 3)))
                 .isEmpty();
--- a/src/test/java/beaconladder/cells/TenantMigrationsTest.java
+++ b/src/test/java/beaconladder/cells/TenantMigrationsTest.java
@@ -27,14 +27,16 @@
         return new StaticPlacement(PlanReader.read("p", PLAN).plan());
     }
 
-    private static MigrationObservation observation(long at, String source, long position, String target, long copied) {
-        return new MigrationObservation(at, source, position, target, at, List.of(copied, copied + MS));
+    private static MigrationObservation observation(
+            long atNanos, String sourcePrimary, long sourcePosition, String targetPrimary, long copiedNanos) {
+        return new MigrationObservation(
+                atNanos, sourcePrimary, sourcePosition, targetPrimary, atNanos, List.of(copiedNanos, copiedNanos + MS));
     }
 
-    private static void applyDueSteps(TenantMigrations migrations, StringBuilder trace, long now) {
-        for (MigrationStep step = migrations.nextStep(now); step != null; step = migrations.nextStep(now)) {
+    private static void applyDueSteps(TenantMigrations migrations, StringBuilder trace, long nowNanos) {
+        for (MigrationStep step = migrations.nextStep(nowNanos); step != null; step = migrations.nextStep(nowNanos)) {
             migrations.apply(step);
-            trace.append((now - START) / MS)
+            trace.append((nowNanos - START) / MS)
                     .append(' ')
                     .append(step.kind())
                     .append(step.tenant().isEmpty() ? "" : " " + step.tenant())
@@ -44,7 +46,7 @@
     }
 
     @Test
-    void aMigrationWaitsForRoutersForQuietWritesAndForTheCopy() {
+    void aMigrationWaitsForRoutersForDrainedWritesAndForTheCopy() {
         TenantMigrations migrations = new TenantMigrations(staticPlacement());
         StringBuilder trace = new StringBuilder();
         applyDueSteps(migrations, trace, START);
@@ -96,8 +98,8 @@
         TenantMigrations migrations = new TenantMigrations(staticPlacement());
         applyDueSteps(migrations, new StringBuilder(), START);
         StringBuilder messages = new StringBuilder();
-        for (String[] attempt : new String[][] {{"x", "b"}, {"f", "b"}, {"t", "c"}, {"t", "a"}}) {
-            assertThatThrownBy(() -> migrations.propose(attempt[0], attempt[1], "me", START))
+        for (String[] proposal : new String[][] {{"x", "b"}, {"f", "b"}, {"t", "c"}, {"t", "a"}}) {
+            assertThatThrownBy(() -> migrations.propose(proposal[0], proposal[1], "me", START))
                     .satisfies(e -> messages.append(e.getMessage()).append('\n'));
         }
         migrations.apply(migrations.propose("t", "b", "me", START));
@@ -140,7 +142,7 @@
                     2000 UNDONE t the fence had to go: a primary of a
                     """);
             assertThat(migrations.placements().get("t").cell()).isEqualTo("a");
-            assertThat(migrations.placements().get("t").writes()).isTrue();
+            assertThat(migrations.placements().get("t").admitsWrites()).isTrue();
         }
     }
 
@@ -149,21 +151,21 @@
         List<MigrationStep> records = new ArrayList<>();
         TenantMigrations migrations = new TenantMigrations(staticPlacement());
         for (int round = 0; records.size() < 10_100; round++) {
-            long now = START + round * 10_000 * MS;
+            long nowNanos = START + round * 10_000 * MS;
             SplittableRandom random = new SplittableRandom(round);
-            recordDueSteps(migrations, records, now);
-            String to = migrations.placements().get("t").cell().equals("a") ? "b" : "a";
-            MigrationStep proposed = migrations.propose("t", to, "me", now);
+            recordDueSteps(migrations, records, nowNanos);
+            String toCell = migrations.placements().get("t").cell().equals("a") ? "b" : "a";
+            MigrationStep proposed = migrations.propose("t", toCell, "me", nowNanos);
             records.add(proposed);
             migrations.apply(proposed);
             for (int i = 1; i < 8; i++) {
-                long at = now + i * 10 * MS;
-                migrations.recordObservation("t", 0, observation(at, "s", at, "d", at));
-                recordDueSteps(migrations, records, at);
+                long atNanos = nowNanos + i * 10 * MS;
+                migrations.recordObservation("t", 0, observation(atNanos, "s", atNanos, "d", atNanos));
+                recordDueSteps(migrations, records, atNanos);
                 if (random.nextInt(20) == 0
-                        && migrations.statuses(at).stream()
+                        && migrations.statuses(atNanos).stream()
                                 .noneMatch(m -> m.state().equals("switched"))
-                        && !migrations.statuses(at).isEmpty()) {
+                        && !migrations.statuses(atNanos).isEmpty()) {
                     migrations.requestUndo("t", "me");
                 }
             }
@@ -180,8 +182,8 @@
         assertThat(fromSnapshot.version()).isEqualTo(migrations.version());
     }
 
-    private static void recordDueSteps(TenantMigrations migrations, List<MigrationStep> records, long now) {
-        for (MigrationStep step = migrations.nextStep(now); step != null; step = migrations.nextStep(now)) {
+    private static void recordDueSteps(TenantMigrations migrations, List<MigrationStep> records, long nowNanos) {
+        for (MigrationStep step = migrations.nextStep(nowNanos); step != null; step = migrations.nextStep(nowNanos)) {
             records.add(step);
             migrations.apply(step);
         }
--- a/src/test/java/beaconladder/coordinator/CoordinatorProtocolTest.java
+++ b/src/test/java/beaconladder/coordinator/CoordinatorProtocolTest.java
@@ -28,14 +28,14 @@
             "sources":["s","r"],"why":"me"}""";
 
     private static MigrationStep read(String text) throws IOException {
-        return CoordinatorProtocol.read(text.getBytes(StandardCharsets.UTF_8), MigrationStep.class);
+        return CoordinatorProtocol.fromJson(text.getBytes(StandardCharsets.UTF_8), MigrationStep.class);
     }
 
     @Test
     void aStepIsWrittenAndReadUnderTheseNames() throws IOException {
         MigrationStep step = new MigrationStep(
                 Kind.SWITCHED, "t", "a", "b", 5, List.of(1L, 2L), List.of(3L, 4L), List.of("s", "r"), "me");
-        assertThat(CoordinatorProtocol.text(step)).isEqualTo(STEP);
+        assertThat(CoordinatorProtocol.toJson(step)).isEqualTo(STEP);
         assertThat(read(STEP)).isEqualTo(step);
     }
 
@@ -58,47 +58,48 @@
         for (int i = 0; i < names.length; i++) {
             String text = STEP.replace("SWITCHED", names[i]);
             assertThat(read(text).kind()).isEqualTo(Kind.values()[i]);
-            assertThat(CoordinatorProtocol.text(read(text))).isEqualTo(text);
+            assertThat(CoordinatorProtocol.toJson(read(text))).isEqualTo(text);
         }
     }
 
     @Test
-    void aStepWithAnUnknownNameIsRefused() {
+    void aStepWithAnUnknownNameIsRejected() {
         assertThatThrownBy(() -> read(STEP.replace("SWITCHED", "MOVED"))).isInstanceOf(IOException.class);
         assertThatThrownBy(() -> read(STEP.replace("fences", "limits"))).isInstanceOf(IOException.class);
     }
 
     @Test
-    void aPlacementIsWrittenWithOrWithoutItsSeats() {
-        Map<String, TenantPlacement> seats = new LinkedHashMap<>();
-        seats.put("t", new TenantPlacement("a", true, false, false, List.of()));
-        seats.put("u", new TenantPlacement("b", false, true, true, List.of(3_000_000L, 4_000_001L)));
-        PlacementTable placement = new PlacementTable(7, 1_234_999_999L, "beef", seats);
-        assertThat(CoordinatorProtocol.text(placement, false)).isEqualTo("""
+    void aPlacementTableIsWrittenWithOrWithoutItsPlacements() {
+        Map<String, TenantPlacement> placements = new LinkedHashMap<>();
+        placements.put("t", new TenantPlacement("a", true, false, false, List.of()));
+        placements.put("u", new TenantPlacement("b", false, true, true, List.of(3_000_000L, 4_000_001L)));
+        PlacementTable table = new PlacementTable(7, 1_234_999_999L, "beef", placements);
+        assertThat(CoordinatorProtocol.toJson(table, false)).isEqualTo("""
                 {"version":7,"until_ms":1234,"basis":"beef"}""");
-        assertThat(CoordinatorProtocol.text(placement, true)).isEqualTo("""
+        assertThat(CoordinatorProtocol.toJson(table, true)).isEqualTo("""
                 {"version":7,"until_ms":1234,"basis":"beef","seats":[\
                 {"tenant":"t","cell":"a","writes":true,"reads":false,"moving":false,"floors_ms":[]},\
                 {"tenant":"u","cell":"b","writes":false,"reads":true,"moving":true,"floors_ms":[3,5]}]}""");
     }
 
     @Test
-    void aRoutersWordOfItsWritesIsRead() {
-        assertThat(CoordinatorProtocol.busy("t:2:7:8,u:0"))
+    void aRoutersReportOfItsWritesIsParsed() {
+        assertThat(CoordinatorProtocol.parseWriteActivity("t:2:7:8,u:0"))
                 .containsExactly(
                         new WriteActivity("t", 2, List.of(7_000_000L, 8_000_000L)),
                         new WriteActivity("u", 0, List.of()));
-        assertThat(CoordinatorProtocol.busy("")).isEmpty();
+        assertThat(CoordinatorProtocol.parseWriteActivity("")).isEmpty();
     }
 
     @Test
-    void theKeepersAnswersHaveTheseNames(@TempDir Path folder) throws Exception {
+    void theCoordinatorsResponsesHaveTheseNames(@TempDir Path directory) throws Exception {
         int port = StoredMigrationsTest.freePort();
-        Path file = folder.resolve("plan");
-        Files.writeString(file, StoredMigrationsTest.plan(folder.resolve("store"), port));
-        StringBuilder said = new StringBuilder();
-        try (Coordinator keeper = new Coordinator(file, PlanReader.read(file).plan())) {
-            assertThat(keeper).isNotNull();
+        Path file = directory.resolve("plan");
+        Files.writeString(file, StoredMigrationsTest.plan(directory.resolve("store"), port));
+        StringBuilder responses = new StringBuilder();
+        try (Coordinator coordinator =
+                new Coordinator(file, PlanReader.read(file).plan())) {
+            assertThat(coordinator).isNotNull();
             for (String path : List.of(
                     "placement?router=n0&run=r1&version=0&wait=0&busy=t:1:5",
                     "placement?router=n0&run=r1&version=3&wait=0&busy=",
@@ -109,13 +110,14 @@
                     "undo?tenant=t",
                     "undo?tenant=t",
                     "cells")) {
-                said.append(StoredMigrationsTest.get(port, "/v1/" + path)
+                responses
+                        .append(StoredMigrationsTest.get(port, "/v1/" + path)
                                 .replaceAll("(_ms\":)\\d+", "$1NOW")
                                 .replaceAll("(\"n0\":)\\d+", "$1AGO"))
                         .append('\n');
             }
         }
-        assertThat(said.toString()).isEqualTo("""
+        assertThat(responses.toString()).isEqualTo("""
                 {"version":3,"until_ms":NOW,"basis":"ab61e7445fded7b5","seats":[\
                 {"tenant":"t","cell":"a","writes":true,"reads":true,"moving":false,"floors_ms":[]},\
                 {"tenant":"u","cell":"a","writes":true,"reads":true,"moving":false,"floors_ms":[]},\
--- a/src/test/java/beaconladder/coordinator/StoredMigrationsTest.java
+++ b/src/test/java/beaconladder/coordinator/StoredMigrationsTest.java
@@ -38,7 +38,7 @@
     private static final long START = 1_767_225_600_000L * MS;
 
     @TempDir
-    Path folder;
+    Path directory;
 
     static String plan(Path store, int port) {
         return """
@@ -64,72 +64,78 @@
                 .body();
     }
 
-    private static TenantMigrations moves() {
+    private static TenantMigrations newMigrations() {
         return new TenantMigrations(
                 new StaticPlacement(PlanReader.read("p", plan(Path.of("x"), 1)).plan()));
     }
 
-    private static void write(TenantMigrations moves, DurableRecords records, MigrationStep step) throws IOException {
-        records.append(CoordinatorProtocol.text(step).getBytes(StandardCharsets.UTF_8));
-        moves.apply(step);
+    private static void writeStep(TenantMigrations migrations, DurableRecords records, MigrationStep step)
+            throws IOException {
+        records.append(CoordinatorProtocol.toJson(step).getBytes(StandardCharsets.UTF_8));
+        migrations.apply(step);
     }
 
-    private static void settle(TenantMigrations moves, DurableRecords records, long now) throws IOException {
-        for (MigrationStep step = moves.nextStep(now); step != null; step = moves.nextStep(now)) {
-            write(moves, records, step);
+    private static void writeDueSteps(TenantMigrations migrations, DurableRecords records, long nowNanos)
+            throws IOException {
+        for (MigrationStep step = migrations.nextStep(nowNanos); step != null; step = migrations.nextStep(nowNanos)) {
+            writeStep(migrations, records, step);
         }
     }
 
     /** Lets all of the move be seen as copied at this time, and takes what is due then. */
-    private static void seen(TenantMigrations moves, DurableRecords records, String tenant, long now)
-            throws IOException {
-        moves.grantLease("n0", moves.version(), List.of(new WriteActivity(tenant, 0, List.of(START + MS))), now);
-        settle(moves, records, now);
-        moves.recordObservation(
-                tenant, 0, new MigrationObservation(now + MS, "s", now + MS, "d", now + MS, List.of(now + MS)));
-        settle(moves, records, now + 2 * MS);
+    private static void observeAsCopied(
+            TenantMigrations migrations, DurableRecords records, String tenant, long nowNanos) throws IOException {
+        migrations.grantLease(
+                "n0", migrations.version(), List.of(new WriteActivity(tenant, 0, List.of(START + MS))), nowNanos);
+        writeDueSteps(migrations, records, nowNanos);
+        migrations.recordObservation(
+                tenant,
+                0,
+                new MigrationObservation(
+                        nowNanos + MS, "s", nowNanos + MS, "d", nowNanos + MS, List.of(nowNanos + MS)));
+        writeDueSteps(migrations, records, nowNanos + 2 * MS);
     }
 
     /**
      * Writes the fixture into this folder, which must be empty. The steps are the ones that a keeper writes, at fixed
      * times.
      */
-    static void generate(Path into) throws IOException {
-        Path steps = Files.createTempDirectory("steps");
-        try (DurableRecords records = DurableRecords.open(steps)) {
-            TenantMigrations moves = moves();
-            settle(moves, records, START);
-            write(moves, records, moves.registration("n0", "run1", START));
+    static void generate(Path targetDirectory) throws IOException {
+        Path sourceDirectory = Files.createTempDirectory("steps");
+        try (DurableRecords records = DurableRecords.open(sourceDirectory)) {
+            TenantMigrations migrations = newMigrations();
+            writeDueSteps(migrations, records, START);
+            writeStep(migrations, records, migrations.registration("n0", "run1", START));
             String[] tenants = {"t", "v", "u"};
-            int[] rounds = {5, 3, 4};
+            int[] observations = {5, 3, 4};
             for (int i = 0; i < tenants.length; i++) {
-                long from = START + 1_000 * MS * i;
-                write(moves, records, moves.propose(tenants[i], "b", "an operator", from));
-                for (int round = 0; round < rounds[i]; round++) {
-                    seen(moves, records, tenants[i], from + (round + 1) * 10 * MS);
+                long startNanos = START + 1_000 * MS * i;
+                writeStep(migrations, records, migrations.propose(tenants[i], "b", "an operator", startNanos));
+                for (int observation = 0; observation < observations[i]; observation++) {
+                    observeAsCopied(migrations, records, tenants[i], startNanos + (observation + 1) * 10 * MS);
                 }
             }
         }
-        List<byte[]> all;
-        try (DurableRecords records = DurableRecords.open(steps)) {
-            all = records.recovered();
+        List<byte[]> allRecords;
+        try (DurableRecords records = DurableRecords.open(sourceDirectory)) {
+            allRecords = records.recovered();
         }
         // Each append costs a block of 4 KB; a snapshot first keeps the fixture small.
-        try (DurableRecords records = DurableRecords.open(into)) {
-            records.replace(all.subList(0, all.size() - 2));
-            for (byte[] record : all.subList(all.size() - 2, all.size())) {
+        try (DurableRecords records = DurableRecords.open(targetDirectory)) {
+            records.replace(allRecords.subList(0, allRecords.size() - 2));
+            for (byte[] record : allRecords.subList(allRecords.size() - 2, allRecords.size())) {
                 records.append(record);
             }
         }
     }
 
-    private Path fixture() throws IOException {
-        Path copy = Files.createDirectories(folder.resolve("store"));
+    private Path copyFixture() throws IOException {
+        Path copy = Files.createDirectories(directory.resolve("store"));
         Files.copy(Path.of("src/test/resources/stored/coordinator/records.mv"), copy.resolve("records.mv"));
         return copy;
     }
 
-    private static List<String> lines(Path store) throws IOException {
+    private static List<String> storedLines(Path store) throws IOException {
         try (DurableRecords records = DurableRecords.open(store)) {
             return texts(records);
         }
@@ -143,49 +149,50 @@
 
     @Test
     void storedRecordsHaveTheirExactContent() throws IOException {
-        assertThat(String.join("\n", lines(fixture())) + "\n")
+        assertThat(String.join("\n", storedLines(copyFixture())) + "\n")
                 .isEqualTo(Files.readString(Path.of("src/test/resources/stored/coordinator/records.txt")));
     }
 
     @Test
     void everyStoredRecordIsWrittenAgainAsItWasRead() throws IOException {
-        for (String line : lines(fixture())) {
-            assertThat(CoordinatorProtocol.text(
-                            CoordinatorProtocol.read(line.getBytes(StandardCharsets.UTF_8), MigrationStep.class)))
+        for (String line : storedLines(copyFixture())) {
+            assertThat(CoordinatorProtocol.toJson(
+                            CoordinatorProtocol.fromJson(line.getBytes(StandardCharsets.UTF_8), MigrationStep.class)))
                     .isEqualTo(line);
         }
     }
 
     @Test
-    void storedMovesAreFinishedAndTheirStepsAreStored() throws IOException {
-        Path store = fixture();
-        long now = START + 2_100 * MS;
-        TenantMigrations moves = moves();
+    void storedMigrationsAreCompletedAndTheirStepsAreStored() throws IOException {
+        Path store = copyFixture();
+        long nowNanos = START + 2_100 * MS;
+        TenantMigrations migrations = newMigrations();
         int before;
         try (DurableRecords records = DurableRecords.open(store)) {
             before = records.recovered().size();
             for (byte[] record : records.recovered()) {
-                moves.apply(CoordinatorProtocol.read(record, MigrationStep.class));
+                migrations.apply(CoordinatorProtocol.fromJson(record, MigrationStep.class));
             }
-            moves.recoveredAt(now);
-            assertThat(moves.placements())
+            migrations.recoveryCompleted(nowNanos);
+            assertThat(migrations.placements())
                     .containsExactly(
                             entry("t", new TenantPlacement("b", true, true, false, List.of(1767225600041000000L))),
                             entry("u", new TenantPlacement("b", true, true, false, List.of(1767225602041000000L))),
                             entry("v", new TenantPlacement("a", false, false, true, List.of())));
-            assertThat(moves.statuses(now))
+            assertThat(migrations.statuses(nowNanos))
                     .containsExactly(
-                            new TenantMigrations.Shown("v", "a", "b", "sealed", 1767225601032000000L, "word from n0"),
-                            new TenantMigrations.Shown(
+                            new TenantMigrations.MigrationStatus(
+                                    "v", "a", "b", "sealed", 1767225601032000000L, "word from n0"),
+                            new TenantMigrations.MigrationStatus(
                                     "u", "a", "b", "switched", 1767225602042000000L, "word from n0"));
-            write(moves, records, moves.registration("n0", "run2", now));
-            seen(moves, records, "v", now);
-            seen(moves, records, "v", now + 10 * MS);
+            writeStep(migrations, records, migrations.registration("n0", "run2", nowNanos));
+            observeAsCopied(migrations, records, "v", nowNanos);
+            observeAsCopied(migrations, records, "v", nowNanos + 10 * MS);
         }
-        List<String> after = lines(store);
+        List<String> after = storedLines(store);
         assertThat(after.subList(before, after.size()).stream().map(StoredMigrationsTest::kindAndTenant))
                 .containsExactly("ROUTER n0", "DONE u", "SWITCHED v", "DONE v");
-        assertThat(moves.statuses(now)).isEmpty();
+        assertThat(migrations.statuses(nowNanos)).isEmpty();
     }
 
     private static String kindAndTenant(String line) {
@@ -194,15 +201,16 @@
 
     /** By the clock of the machine, the fence of the sealed move is long over: it is undone, not lost. */
     @Test
-    void aKeeperThatStartsOnStoredRecordsGoesOnFromThem() throws Exception {
-        Path store = fixture();
-        List<String> before = lines(store);
+    void aCoordinatorThatStartsOnStoredRecordsContinuesFromThem() throws Exception {
+        Path store = copyFixture();
+        List<String> before = storedLines(store);
         int port = freePort();
-        Path file = folder.resolve("plan");
+        Path file = directory.resolve("plan");
         Files.writeString(file, plan(store, port));
         String cells;
-        try (Coordinator keeper = new Coordinator(file, PlanReader.read(file).plan())) {
-            assertThat(keeper).isNotNull();
+        try (Coordinator coordinator =
+                new Coordinator(file, PlanReader.read(file).plan())) {
+            assertThat(coordinator).isNotNull();
             do {
                 Thread.sleep(20);
                 cells = get(port, "/v1/cells");
@@ -214,7 +222,7 @@
                 {"tenant":"v","from":"a","to":"b","state":"undone","at_ms":NOW,\
                 "why":"the fence had to go: word from n0"},\
                 {"tenant":"u","from":"a","to":"b","state":"done","at_ms":NOW,"why":null}]}""");
-        List<String> after = lines(store);
+        List<String> after = storedLines(store);
         assertThat(after.subList(0, before.size())).isEqualTo(before);
         assertThat(after.subList(before.size(), after.size()).stream().map(StoredMigrationsTest::kindAndTenant))
                 .containsExactly(Kind.UNDONE + " v", Kind.DONE + " u");
