--- a/src/main/java/beaconladder/cells/AdmissionDecision.java
+++ b/src/main/java/beaconladder/cells/AdmissionDecision.java
@@ -1,12 +1,13 @@
 package beaconladder.cells;
 
 /**
- * What {@link CellAdmission} decided for a request.
+ * The decision of {@link CellAdmission} on a request.
  *
- * @param permit for ADMIT and QUEUE, to be released at the end of the request; else null
- * @param recheckByNanos for QUEUE: the latest time at which to check again, on the router's clock; else 0
- * @param reason for REJECT and INVALID, as the client reads it; else null
- * @param retryAfterNanos for REJECT: how long the client should wait before it retries; 0 for no advice
+ * @param kind whether the request may run
+ * @param permit for ADMIT and QUEUE, to be released when the request ends; otherwise null
+ * @param recheckByNanos for QUEUE: the latest time at which to check again, on the router's clock; otherwise 0
+ * @param reason for REJECT and INVALID: the message sent to the client; otherwise null
+ * @param retryAfterNanos for REJECT: the delay before a retry that the client is advised of; 0 for no advice
  */
 public record AdmissionDecision(
         Kind kind, AdmissionPermit permit, long recheckByNanos, String reason, long retryAfterNanos) {
@@ -15,11 +16,11 @@
     public enum Kind {
         /** The request may be routed now. */
         ADMIT,
-        /** It holds its quota and waits until its tenant's migration lets it pass. */
+        /** The request holds its quota and waits until the migration of its tenant admits it. */
         QUEUE,
-        /** It has not run; a retry may succeed, here or at another router. */
+        /** The request has not run; a retry may succeed, at this or another router. */
         REJECT,
-        /** It has not run, and the same request will fail again. */
+        /** The request has not run; a retry will fail again. */
         INVALID
     }
 
--- a/src/main/java/beaconladder/cells/AdmissionPermit.java
+++ b/src/main/java/beaconladder/cells/AdmissionPermit.java
@@ -1,18 +1,21 @@
 package beaconladder.cells;
 
 /**
- * Permission for one request to be in flight, with the quota that it holds of its cell until it ends. Whoever receives
- * it gives it back once, by {@link CellAdmission#requestEnded} or {@link CellAdmission#release}.
+ * A permit for one request to be in flight; it holds a part of the quota of its cell until it is released. The receiver
+ * must release it exactly once, by {@link CellAdmission#requestEnded} or {@link CellAdmission#release}.
  */
 public final class AdmissionPermit {
     final String tenant;
     final int cellIndex;
     final int group;
+    /** The index of the group in its cell. */
     final int slot;
+
     final boolean write;
     final long bytes;
     final long arrivedNanos;
     final long expiryNanos;
+    /** Set when the request is admitted; see {@link #floor()}. */
     long floor = Long.MIN_VALUE;
 
     AdmissionPermit(AdmissionRequest request, int cellIndex, int group, int slot) {
@@ -26,19 +29,19 @@
         this.expiryNanos = request.expiryNanos();
     }
 
-    /** The index of its cell in the plan. */
+    /** Returns the index of the cell in the plan. */
     public int cellIndex() {
         return cellIndex;
     }
 
-    /** The number of the group that serves the request. */
+    /** Returns the number of the group that serves the request. */
     public int group() {
         return group;
     }
 
     /**
-     * The floor of its slot, see {@link TenantPlacement#floors}, in nanoseconds; Long.MIN_VALUE for none. No member
-     * below it may answer the request.
+     * Returns the floor of the slot in nanoseconds, or Long.MIN_VALUE for none; see {@link TenantPlacement#floors}. No
+     * member with a lower position may serve the request.
      */
     public long floor() {
         return floor;
--- a/src/main/java/beaconladder/cells/AdmissionQuotas.java
+++ b/src/main/java/beaconladder/cells/AdmissionQuotas.java
@@ -2,7 +2,7 @@
 
 import beaconladder.plan.Plan;
 
-/** The quotas of one router: requests, their bytes, and clients' connections, each a bulkhead of its own. */
+/** The quotas of one router: separate bulkheads for requests, bytes of their statements and client connections. */
 final class AdmissionQuotas {
     private final CellQuotas requests;
     private final CellQuotas connections;
@@ -19,7 +19,7 @@
         return plan.cells().stream().mapToDouble(Plan.Cell::share).toArray();
     }
 
-    /** Replaces the cells' quotas by those of another plan with the same cells. */
+    /** Replaces the quotas by those of another plan with the same cells. */
     void replacePlan(Plan plan) {
         double[] quotas = cellQuotas(plan);
         requests.updateQuotas(quotas);
@@ -27,7 +27,7 @@
         bytes.updateQuotas(quotas);
     }
 
-    /** Acquires one request and its bytes; both or neither. */
+    /** Acquires both one request and its bytes, or neither. */
     CellQuotas.Result tryAcquireRequest(AdmissionRequest request, int cell, double tenantQuota, long nowNanos) {
         String tenant = request.tenant();
         double priorityWeight = request.priorityWeight();
--- a/src/main/java/beaconladder/cells/CellAdmission.java
+++ b/src/main/java/beaconladder/cells/CellAdmission.java
@@ -9,20 +9,21 @@
 import java.util.Map;
 
 /**
- * Admission of requests before they are routed: which cell a request belongs to, whether its quota has capacity, and
- * whether its tenant's migration lets it pass now; and, until its end, whether it is still admitted. It does no I/O and
- * reads no clock: the caller passes the time, in nanoseconds on the router's clock. Not thread-safe.
+ * Admission control for requests before they are routed: selects the cell of a request, checks the quotas of the cell
+ * and the tenant, and queues the request while a migration blocks its tenant. Until the request ends, it also tells
+ * whether the request is still admitted. It does no I/O and reads no clock: the caller passes the time, in nanoseconds
+ * on the router's clock. Not thread-safe.
  */
 public final class CellAdmission {
-    /** The most by which machines' clocks differ; a lease ends this much earlier for its holder. */
+    /** Upper bound on the difference between two machines' clocks; a lease ends this much earlier for its holder. */
     static final long MAX_CLOCK_SKEW_NANOS = 20_000_000L;
-    /** A request is queued for half of its time at most: a later rejection leaves its client no time to retry. */
+    /** A request is queued for at most half of its time: after a later rejection its client has no time to retry. */
     private static final int QUEUE_TIME_DIVISOR = 2;
-    /** A usual request ends within this time and releases its quota. */
+    /** Retry advice: a typical request ends within this time and releases its quota. */
     private static final long RETRY_AFTER_NANOS = 100_000_000L;
 
     private final String router;
-    /** The cells that this router serves, or null for all. */
+    /** Indices of the cells that this router serves, or null for all. */
     private List<Integer> servedCells;
 
     private final RouterPlacement placement;
@@ -31,10 +32,10 @@
     private final InFlightWrites writes = new InFlightWrites();
 
     /**
-     * The admission of one router.
+     * Creates the admission control of one router, which has no granted placement yet.
      *
-     * @param router its name in the plan
-     * @param capacity the most that it may hold
+     * @param router the router's name in the plan
+     * @param capacity the resources that the router may use, over all cells
      */
     public CellAdmission(String router, StaticPlacement staticPlacement, RouterCapacity capacity) {
         this.router = router;
@@ -43,7 +44,7 @@
         servedCells = servedCells(staticPlacement);
     }
 
-    /** Replaces the plan by a compatible one; requests in flight keep the quota that they hold. */
+    /** Replaces the plan by a compatible one; requests in flight keep the quota that they have acquired. */
     public void replacePlan(StaticPlacement next) {
         placement.replacePlan(next);
         quotas.replacePlan(next.plan());
@@ -55,14 +56,14 @@
         return names == null ? null : names.stream().map(next::cellIndex).toList();
     }
 
-    /** Why the plan can't be replaced by this one, for an operator; null if it can. */
+    /** Returns the reason, for an operator, why this plan can't replace the current one, or null if it can. */
     public String incompatibility(StaticPlacement next) {
         return PlanCompatibility.incompatibility(staticPlacement(), next);
     }
 
     // ---- Requests -----------------------------------------------------------------------------------------
 
-    /** Decides on a new request. A permit in the decision is to be given back when the request ends. */
+    /** Decides on a new request. The caller must release a permit in the decision when the request ends. */
     public AdmissionDecision admit(AdmissionRequest request, long nowNanos) {
         String tenant = request.tenant();
         StaticPlacement plan = staticPlacement();
@@ -106,7 +107,7 @@
         return staticPlacement().cell(cell).name();
     }
 
-    /** Decides again on a request that was queued; releases its permit if it is rejected. */
+    /** Decides again on a queued request; releases its permit if the request is rejected. */
     public AdmissionDecision recheck(AdmissionPermit permit, long nowNanos) {
         if (placement.accepts(permit, nowNanos)) {
             permit.floor = placement.floor(permit);
@@ -123,14 +124,17 @@
                 : AdmissionDecision.reject(permit.tenant + " has moved", 0);
     }
 
-    /** The most that a request may be in flight, in nanoseconds: a write fence waits this long for unknown outcomes. */
+    /**
+     * Returns the longest time that a request may be in flight, in nanoseconds. A write fence waits up to this long for
+     * a write with an unknown outcome.
+     */
     public long maxInFlightNanos() {
         return placement.isCoordinated()
                 ? staticPlacement().plan().coordinator().requestExpiryNanos()
                 : Long.MAX_VALUE;
     }
 
-    /** An admitted request is in flight from now on. */
+    /** Records that an admitted request is in flight from now on, and sets its minimum position to the floor. */
     public void requestStarted(Request request, AdmissionPermit permit) {
         request.minPosition = permit.floor;
         permits.put(request, permit);
@@ -139,13 +143,13 @@
         }
     }
 
-    /** Whether this request may still be sent to its cell; to be checked right before each attempt, too. */
+    /** Returns whether this request may still be sent to its cell; must also be checked right before each attempt. */
     public boolean isStillAdmitted(Request request, long nowNanos) {
         AdmissionPermit permit = permits.get(request);
         return permit == null || placement.accepts(permit, nowNanos);
     }
 
-    /** An attempt has ended. A write with an unknown outcome counts as in flight until its client's time is over. */
+    /** Records the end of an attempt. A write with an unknown outcome counts as in flight until its client gives up. */
     public void attemptEnded(Attempt attempt, Outcome outcome, HostReport answer, long nowNanos) {
         AdmissionPermit permit = permits.get(attempt.request);
         if (permit == null || !permit.write || !placement.isCoordinated()) {
@@ -160,7 +164,7 @@
         }
     }
 
-    /** A request has its final answer: its permit is released. */
+    /** Records the end of a request and releases its permit. */
     public void requestEnded(Request request) {
         AdmissionPermit permit = permits.remove(request);
         if (permit == null) {
@@ -168,7 +172,7 @@
         }
         if (permit.write) {
             writes.ended(permit.tenant);
-            // A client that disconnects ends its request, but a host may still run the attempts that are out.
+            // A disconnect of the client ends its request, but hosts may still run the attempts in flight.
             if (placement.isCoordinated() && request.attemptsInFlight() > 0) {
                 writes.outcomeUnknown(permit);
             }
@@ -176,24 +180,24 @@
         quotas.releaseRequest(permit);
     }
 
-    /** Releases the permit of a request that was admitted or queued and will not start. */
+    /** Releases the permit of a request that was admitted or queued but does not start. */
     public void release(AdmissionPermit permit) {
         quotas.releaseRequest(permit);
     }
 
-    // ---- Clients' connections -----------------------------------------------------------------------------
+    // ---- Client connections ---------------------------------------------------------------------------------
 
-    /** Counts a connection for the tenant of its first request; false if the tenant may not have one more. */
+    /** Acquires a connection for the tenant of its first request; returns false if a quota does not allow it. */
     public boolean acquireConnection(AdmissionPermit permit, long nowNanos) {
         return quotas.tryAcquireConnection(permit, staticPlacement().quotaOf(permit.tenant), nowNanos);
     }
 
-    /** Releases a connection that was acquired with this permit. */
+    /** Releases the connection that was acquired with this permit. */
     public void releaseConnection(AdmissionPermit permit) {
         quotas.releaseConnection(permit);
     }
 
-    /** Whether a cell holds more connections than its quota, so that its idle ones are to be closed first. */
+    /** Returns whether a cell holds more connections than its quota; its idle connections should be closed first. */
     public boolean isBorrowingConnections(int cellIndex) {
         return quotas.isBorrowingConnections(cellIndex);
     }
@@ -201,9 +205,9 @@
     // ---- Placements from the coordinator ------------------------------------------------------------------
 
     /**
-     * Applies a placement; an older one, or the same with a shorter lease, changes nothing.
+     * Applies a placement; an older one, or the same version with no longer lease, is ignored.
      *
-     * @return the groups whose requests have to be checked again
+     * @return the groups whose requests must be checked again
      */
     public List<Integer> applyPlacement(PlacementTable next) {
         List<Integer> changedGroups = placement.groupsChangedBy(next);
@@ -214,24 +218,24 @@
         return changedGroups;
     }
 
-    /** The placement that applies now. */
+    /** Returns the last placement that the coordinator granted. */
     public PlacementTable placement() {
         return placement.granted();
     }
 
-    /** What to report to the coordinator: one entry for each tenant that is being migrated. */
+    /** Returns the report for the coordinator: one entry for each tenant under migration. */
     public List<WriteActivity> writeActivity(long nowNanos) {
         return writes.report(placement.granted().placements(), nowNanos);
     }
 
     // ---- For monitoring and tests -------------------------------------------------------------------------
 
-    /** How many requests of a cell are in flight or queued. */
+    /** Returns the number of requests of a cell that are in flight or queued. */
     public long inFlight(int cellIndex) {
         return quotas.inFlight(cellIndex);
     }
 
-    /** The placement that the plan alone gives. */
+    /** Returns the placement computed from the plan alone. */
     public StaticPlacement staticPlacement() {
         return placement.staticPlacement();
     }
--- a/src/main/java/beaconladder/cells/CellQuotas.java
+++ b/src/main/java/beaconladder/cells/CellQuotas.java
@@ -4,24 +4,24 @@
 import java.util.Map;
 
 /**
- * How much cells, and the tenants in them, hold of one resource of a router: a bulkhead. Each cell has a quota of its
- * own. What cells have not used lately is lent to others; a cell gets it back on demand, at first from a reserve that
- * is never lent, while the loans end with the requests that hold them. Inside a cell the same holds for its tenants.
- * Not thread-safe; times are in nanoseconds and never run backwards.
+ * A bulkhead: divides one resource of a router among cells and the tenants in them. Each cell has a quota of its own.
+ * Capacity that a cell has not used recently is lent to other cells. When the cell needs it again, its first requests
+ * are served from a reserve that is never lent, until the loans end with the requests that hold them. The same scheme
+ * applies to the tenants within a cell. Not thread-safe; times are in nanoseconds and never run backwards.
  */
 public final class CellQuotas {
-    /** A quarter of what a cell or a tenant does not use is never lent, so that its first demand is always met. */
+    /** The fraction of a quota that is never lent, so that the first demand of its owner is always met. */
     private static final double RESERVED_FRACTION = 0.25;
-    /** A cell that used some amount lately may need twice that within one window. */
+    /** The factor by which a cell's use may exceed its recent peak within one window. */
     private static final int EXPECTED_GROWTH = 2;
-    /** A burst shows within a second; loans are bounded by the use of the last one or two. */
+    /** The length of the window of a peak. A burst is visible within a second; loans depend on the last two windows. */
     private static final long WINDOW_NANOS = 1_000_000_000L;
-    /** The last tenth of what a cell or a tenant may hold is for requests of at least the cell's usual value. */
+    /** The fraction of a limit that requests below the cell's average weight may use; the rest is for the others. */
     private static final double LOW_WEIGHT_FRACTION = 0.9;
-    /** The usual value is an exponential average over the last few dozen requests. */
+    /** The average weight is an exponential moving average over the last few dozen requests. */
     private static final double WEIGHT_SMOOTHING = 1.0 / 32;
 
-    /** Whether an amount was acquired, or which limit it would have exceeded. */
+    /** The result of an acquisition: whether it succeeded, or which limit it would have exceeded. */
     public enum Result {
         ACQUIRED,
         TENANT_LIMIT,
@@ -29,14 +29,14 @@
         ROUTER_LIMIT
     }
 
-    /** The use of a cell or a tenant: now, and its peaks in this window and the one before. */
+    /** The current use of a cell or a tenant, and its peaks in the current window and the previous one. */
     private static final class Usage {
         private long used;
         private long peak;
         private long previousPeak;
         private long windowIndex;
 
-        /** The most that was used at once in this window and the one before. */
+        /** Returns the peak use in the current window and the previous one. */
         long recentPeak(long nowNanos) {
             roll(nowNanos);
             return Math.max(peak, previousPeak);
@@ -66,10 +66,10 @@
     private long used;
 
     /**
-     * One bulkhead.
+     * Creates a bulkhead of which nothing is used yet.
      *
-     * @param capacity of the router, in units of the resource
-     * @param cellQuotas of each cell, from 0 to 1, at most 1 together
+     * @param capacity the capacity of the router, in units of the resource
+     * @param cellQuotas the quota of each cell as a fraction of the capacity; the sum is at most 1
      */
     public CellQuotas(long capacity, double... cellQuotas) {
         this.capacity = capacity;
@@ -81,21 +81,21 @@
         }
     }
 
-    /** Replaces the quotas of the cells; what is held stays held. */
+    /** Replaces the quotas of the cells; amounts already acquired are kept. */
     void updateQuotas(double... newQuotas) {
         System.arraycopy(newQuotas, 0, cellQuotas, 0, cellQuotas.length);
     }
 
-    /** The amount that a cell may always hold. */
+    /** Returns the amount that a cell may always hold: at least 1. */
     private long guaranteedAmount(int cell) {
         return Math.max(1, (long) (cellQuotas[cell] * capacity));
     }
 
     /**
-     * Acquires an amount for a tenant in a cell; all or nothing.
+     * Acquires the whole amount for a tenant in a cell, or nothing.
      *
-     * @param tenantQuota the tenant's part of its cell's quota, from 0 to 1
-     * @param priorityWeight the priority weight of the request: low values may not use the last tenth
+     * @param tenantQuota the tenant's fraction of its cell's quota, from 0 to 1
+     * @param priorityWeight of the request; one below the cell's average may not use the last tenth of a limit
      */
     public Result tryAcquire(
             int cell, String tenant, double tenantQuota, long amount, double priorityWeight, long nowNanos) {
@@ -111,8 +111,8 @@
         if (cells[cell].used + amount > (long) (usableFraction * cellLimit) && cells[cell].used > 0) {
             return Result.CELL_LIMIT;
         }
-        // A tenant always gets its quota. Beyond it, it gets what others of its cell leave, without the reserve;
-        // a tenant with a stated quota never gets most of its cell.
+        // A tenant always gets its quota. Beyond that it may use what the other tenants of its cell leave, except the
+        // reserve; a tenant with a quota below 1 never gets more than half of its cell's amount that way.
         long guaranteedToTenant = Math.max(1, (long) (tenantQuota * guaranteedAmount));
         if (heldByTenant + amount > guaranteedToTenant
                 && (cells[cell].used + amount > (long) ((1 - RESERVED_FRACTION) * usableFraction * cellLimit)
@@ -130,7 +130,7 @@
         return Result.ACQUIRED;
     }
 
-    /** What a cell may hold now: its own amount and what the others have not used lately, without their reserves. */
+    /** Returns what a cell may hold now: its own amount, and what the others neither use nor are expected to need. */
     private long cellLimit(int cell, long guaranteedAmount, long nowNanos) {
         long keptForOthers = 0;
         for (int i = 0; i < cells.length; i++) {
@@ -155,18 +155,18 @@
         used -= amount;
     }
 
-    /** What a cell holds. */
+    /** Returns the amount that a cell holds. */
     public long used(int cell) {
         return cells[cell].used;
     }
 
-    /** What a tenant holds, in all cells. */
+    /** Returns the amount that a tenant holds, over all cells. */
     public long used(String tenant) {
         Usage usage = tenants.get(tenant);
         return usage == null ? 0 : usage.used;
     }
 
-    /** Whether a cell holds more than its own amount, so that it should give back first. */
+    /** Returns whether a cell holds more than its own amount, so that it should release first. */
     public boolean isBorrowing(int cell) {
         return cells[cell].used > guaranteedAmount(cell);
     }
--- a/src/main/java/beaconladder/cells/CellRouter.java
+++ b/src/main/java/beaconladder/cells/CellRouter.java
@@ -8,17 +8,17 @@
 import beaconladder.routing.state.Request;
 
 /**
- * Routing within cells. It delegates every decision, except for a request whose tenant is being migrated away or whose
- * router has lost its lease: that is displaced before another attempt is sent.
+ * A router that checks admission to cells. It delegates every decision, except for a request whose tenant is being
+ * migrated to another cell or whose router's lease has expired: no further attempt of such a request is sent.
  */
 public final class CellRouter extends DelegatingRouter {
     private final CellAdmission admission;
 
     /**
-     * Wraps a router.
+     * Wraps a router with the check of admission.
      *
-     * @param inner makes the decisions for requests that are still admitted
-     * @param admission the admission of the same router
+     * @param inner the router that decides for requests that are still admitted
+     * @param admission the admission control of the same router
      */
     public CellRouter(Router inner, CellAdmission admission) {
         super(inner);
@@ -47,7 +47,7 @@
         if (settled || request.ended || admission.isStillAdmitted(request, now)) {
             return inner.onAttemptEnded(attempt, outcome, settled, answer, report, now);
         }
-        // The policy still learns from the outcome, as from that of a request that has ended: it sends nothing more.
+        // The inner router still records the outcome. The request is marked as ended so that nothing more is sent.
         request.ended = true;
         inner.onAttemptEnded(attempt, outcome, false, answer, report, now);
         request.ended = false;
--- a/src/main/java/beaconladder/cells/GreedyPlacement.java
+++ b/src/main/java/beaconladder/cells/GreedyPlacement.java
@@ -1,13 +1,13 @@
 package beaconladder.cells;
 
-/** The baseline, and the start of the solver: repeatedly the one migration that lowers the cost most. */
+/** Greedy search: repeats the migration that lowers the cost most. It is the baseline and the start of the solver. */
 public final class GreedyPlacement {
     private GreedyPlacement() {}
 
     /**
      * Searches from the current placement.
      *
-     * @param maxMigrations the most migrations to choose
+     * @param maxMigrations upper bound on the number of migrations
      * @return the cell of each tenant
      */
     public static int[] search(PlacementProblem problem, int maxMigrations) {
@@ -20,7 +20,7 @@
         return placement;
     }
 
-    /** Applies the migration that lowers the cost most; false if none lowers it. */
+    /** Applies the migration that lowers the cost most; returns false if none does. */
     private static boolean applyBestMigration(PlacementProblem problem, int[] placement) {
         int before = cost(problem, placement);
         int bestTenant = -1;
--- a/src/main/java/beaconladder/cells/InFlightWrites.java
+++ b/src/main/java/beaconladder/cells/InFlightWrites.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 
 /**
- * The writes of one router that are in flight or may still run at a host, and the newest commits of tenants that are
- * being migrated. The write fence of a migration waits until there are none.
+ * Tracks the writes of one router that are in flight or may still run at a host, and the newest commits of tenants
+ * under migration. A migration leaves its write fence only after the tenant has no such writes.
  */
 final class InFlightWrites {
-    /** A write without a known outcome, and the time until which a host may still run it. */
+    /** A write with an unknown outcome, and the time until which a host may still run it. */
     private record UnresolvedWrite(String tenant, long untilNanos) {}
 
     private final Map<String, Integer> inFlight = new HashMap<>();
@@ -28,18 +28,18 @@
         inFlight.computeIfPresent(tenant, (t, count) -> count == 1 ? null : count - 1);
     }
 
-    /** Counts a write whose outcome is unknown until its client's time is over on every machine's clock. */
+    /** Counts a write with an unknown outcome until its expiry has passed on every machine's clock. */
     void outcomeUnknown(AdmissionPermit permit) {
         unresolved.add(new UnresolvedWrite(permit.tenant, permit.expiryNanos + CellAdmission.MAX_CLOCK_SKEW_NANOS));
     }
 
-    /** Keeps the newest commit by slot, in nanoseconds, for a tenant that is being migrated. */
+    /** Records the log position of a commit, in nanoseconds, of a tenant under migration. */
     void committed(AdmissionPermit permit, int slots, long position) {
         long[] newest = newestCommits.computeIfAbsent(permit.tenant, t -> new long[slots]);
         newest[permit.slot] = Math.max(newest[permit.slot], position);
     }
 
-    /** Forgets the commits of tenants that are not being migrated any more. */
+    /** Removes the commits of tenants that are no longer under migration. */
     void retainMigrating(Map<String, TenantPlacement> placements) {
         newestCommits.keySet().removeIf(tenant -> {
             TenantPlacement placement = placements.get(tenant);
@@ -47,7 +47,7 @@
         });
     }
 
-    /** The report to the coordinator: one entry for each tenant that is being migrated. */
+    /** Returns the report for the coordinator: one entry for each tenant under migration. */
     List<WriteActivity> report(Map<String, TenantPlacement> placements, long nowNanos) {
         while (!unresolved.isEmpty() && unresolved.peek().untilNanos() <= nowNanos) {
             unresolved.poll();
--- a/src/main/java/beaconladder/cells/Migration.java
+++ b/src/main/java/beaconladder/cells/Migration.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The state of one migration under way. It follows from the recorded steps, except for what is observed between steps
- * (observations, quiet time, fences before SEALED, a requested undo): that is not stored, and after a crash it is
- * observed again.
+ * The state of one migration under way. It is derived from the recorded steps, except for what is observed between
+ * steps (observations, the end of the writes, fences before SEALED, a requested undo): that is not stored. After a
+ * crash it is observed again; an undo has to be requested again.
  */
 final class Migration {
     final String tenant;
@@ -16,20 +16,20 @@
     final SlotObservations observations;
     private Kind state = Kind.PROPOSED;
     private long stateSinceNanos;
-    /** The version of the placement with which the present state began. */
+    /** The version of the placement with which the current state began. */
     private long version;
 
     private long fencedAtNanos;
-    /** By slot the primary that is copied from. */
+    /** By slot, the primary that is copied from. */
     private List<String> sources = List.of();
-    /** By slot the position up to which the old cell's log counts; empty while it is not known. */
+    /** By slot, the position in the old cell's log up to which writes must be copied; empty while unknown. */
     private List<Long> fences = List.of();
-    /** Since when no write of the tenant is in flight or may still run in the old cell; Long.MIN_VALUE before. */
+    /** Since when no write of the tenant is in flight or may still run in the old cell; Long.MIN_VALUE if not yet. */
     private long writesDrainedSinceNanos = Long.MIN_VALUE;
-    /** Why the migration is to be undone, or null. */
+    /** The reason of a requested undo, or null. */
     private String undoReason;
 
-    /** A migration that this step proposes, between cells with so many groups each. */
+    /** Creates the migration that this step proposes, between cells with this number of slots. */
     Migration(MigrationStep proposed, int slots) {
         tenant = proposed.tenant();
         fromCell = proposed.fromCell();
@@ -38,7 +38,7 @@
         observations = new SlotObservations(slots);
     }
 
-    /** Applies a recorded step, which led to this version of the placement. */
+    /** Applies a recorded step, which resulted in this version of the placement. */
     void apply(MigrationStep step, long placementVersion) {
         switch (step.kind()) {
             case COPYING -> sources = step.sources();
@@ -51,7 +51,7 @@
         version = placementVersion;
     }
 
-    /** A step of this migration, without detail. */
+    /** Returns a step of this migration without detail. */
     MigrationStep step(Kind kind, long nowNanos) {
         return MigrationStep.of(kind, tenant, fromCell, toCell, nowNanos, null);
     }
--- a/src/main/java/beaconladder/cells/MigrationObservation.java
+++ b/src/main/java/beaconladder/cells/MigrationObservation.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What the coordinator observed of one slot of a migration when it queried the hosts of both groups. Positions are log
- * positions in nanoseconds on the clock that all machines read; Long.MIN_VALUE stands for none.
+ * The state of one slot of a migration, from one round of queries to the hosts of both groups. Positions are log
+ * positions in nanoseconds of Unix time; Long.MIN_VALUE stands for none.
  *
  * @param queriedAtNanos when the first of these queries was sent
  * @param sourcePrimary the only member of the old group that claims to be primary, or null
  * @param sourcePosition the log position of that member
  * @param targetPrimary the only member of the new group that claims to be primary, or null
  * @param targetPosition the log position of that member
- * @param copiedPositions by ready member of the new group, up to which position of the old group's log it has the
- *     tenant's copy
+ * @param copiedPositions for each ready member of the new group, the position in the old group's log up to which it has
+ *     copied the tenant's data
  */
 public record MigrationObservation(
         long queriedAtNanos,
@@ -21,7 +21,7 @@
         String targetPrimary,
         long targetPosition,
         List<Long> copiedPositions) {
-    /** Before the first query. */
+    /** The state before the first query. */
     public static final MigrationObservation NONE =
             new MigrationObservation(Long.MIN_VALUE, null, Long.MIN_VALUE, null, Long.MIN_VALUE, List.of());
 
@@ -29,14 +29,14 @@
         return sourcePrimary != null && targetPrimary != null;
     }
 
-    /** The copied position that every ready member of the new group has reached, or Long.MIN_VALUE. */
+    /** Returns the lowest copied position of the ready members of the new group, or Long.MIN_VALUE. */
     long copiedByAll() {
         return targetPrimary == null
                 ? Long.MIN_VALUE
                 : copiedPositions.stream().mapToLong(Long::longValue).min().orElse(Long.MIN_VALUE);
     }
 
-    /** Whether a query sent after this time showed that every ready member has the copy up to this position. */
+    /** Returns whether a query sent after this time showed that every ready member has copied up to this position. */
     boolean hasCopiedUpTo(long position, long sinceNanos) {
         return queriedAtNanos > sinceNanos
                 && targetPrimary != null
--- a/src/main/java/beaconladder/cells/MigrationRejectedException.java
+++ b/src/main/java/beaconladder/cells/MigrationRejectedException.java
@@ -1,6 +1,6 @@
 package beaconladder.cells;
 
-/** A migration, or the undoing of one, is not possible; the message states the reason for an operator. */
+/** Thrown if a migration or its undo is not possible; the message states the reason for an operator. */
 public final class MigrationRejectedException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/beaconladder/cells/MigrationState.java
+++ b/src/main/java/beaconladder/cells/MigrationState.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * The state that the recorded steps lead to: the placement of all tenants, the migrations under way and the last ones
- * that ended. It only applies steps; which step is due is decided elsewhere.
+ * The state derived from the recorded steps: the placement of all tenants, the migrations under way and the last ones
+ * that have ended. It only applies steps; {@link MigrationTransitions} decides which step is due.
  */
 final class MigrationState {
-    /** A snapshot replaces so many records. */
+    /** A snapshot is taken once there are this many records. */
     private static final int MIN_RECORDS_PER_SNAPSHOT = 10_000;
-    /** The last ended migrations that are kept for operators. */
+    /** The number of ended migrations that are kept for operators. */
     private static final int MAX_ENDED_MIGRATIONS = 1_000;
 
     private final Map<String, TenantPlacement> placements = new LinkedHashMap<>();
@@ -36,22 +36,22 @@
         return staticPlacement;
     }
 
-    /** The version of the placement; it grows with each change. */
+    /** Returns the version of the placement; it grows with each change. */
     long version() {
         return version;
     }
 
-    /** By tenant. */
+    /** Returns the placements by tenant. */
     Map<String, TenantPlacement> placements() {
         return placements;
     }
 
-    /** The migrations under way, by tenant, in the order of their proposals. */
+    /** Returns the migrations under way by tenant, in the order of their proposals. */
     Map<String, Migration> migrations() {
         return migrations;
     }
 
-    /** The last steps of the migrations that have ended, oldest first. */
+    /** Returns the final steps of the last migrations that have ended, oldest first. */
     List<MigrationStep> endedMigrations() {
         return endedMigrations;
     }
--- a/src/main/java/beaconladder/cells/MigrationStep.java
+++ b/src/main/java/beaconladder/cells/MigrationStep.java
@@ -4,18 +4,19 @@
 import java.util.List;
 
 /**
- * A state change of the coordinator: stored before it is applied, and applied again from the records after a crash. The
- * JSON names of its components and kinds are stored and must not change. Times and positions are in nanoseconds.
+ * A state change of the coordinator: a record that is stored before the change is applied, and applied again after a
+ * crash. The JSON names of the components and kinds are stored and must not change. Times and positions are in
+ * nanoseconds.
  *
  * @param kind what changes
- * @param tenant the tenant; for ROUTER the router's name; else empty
+ * @param tenant the tenant; for ROUTER the router's name; for LEASE and VERSION empty
  * @param fromCell the cell that serves the tenant when the migration starts
  * @param toCell the cell to which it migrates
- * @param atNanos when it was decided; for LEASE the length of leases, for VERSION the placement's version
- * @param fences for SEALED and SWITCHED: by slot the position up to which the old cell's log counts
- * @param floors for SWITCHED: by slot the floor, see {@link TenantPlacement#floors}; for PLACED those in force
- * @param sources for COPYING: by slot the primary that is copied from
- * @param detail for PROPOSED who asked, for UNDONE the reason, for ROUTER its incarnation; else null
+ * @param atNanos when the step was decided; for LEASE the length of the leases, for VERSION the placement's version
+ * @param fences for SEALED and SWITCHED: by slot, the position in the old cell's log up to which writes must be copied
+ * @param floors for SWITCHED: by slot, the new floor, see {@link TenantPlacement#floors}; for PLACED the current floors
+ * @param sources for COPYING: by slot, the primary that is copied from
+ * @param detail for PROPOSED the requester, for UNDONE the reason, for ROUTER its incarnation; otherwise null
  */
 public record MigrationStep(
         Kind kind,
@@ -28,20 +29,20 @@
         List<String> sources,
         @JsonProperty("why") String detail) {
 
-    /** The kinds of step; from PROPOSED to SWITCHED in the order of a migration, whose state they also name. */
+    /** The kinds of step. Those from PROPOSED to SWITCHED also name the states of a migration, in their order. */
     public enum Kind {
-        /** A tenant without a migration under way is served by a cell. */
+        /** A tenant is placed in a cell, without a migration. */
         @JsonProperty("SEATED")
         PLACED,
-        /** A migration is requested; nothing is copied yet. */
+        /** A migration has been requested; nothing is copied yet. */
         PROPOSED,
         /** The new cell copies the tenant's log. */
         COPYING,
-        /** The old cell serves no new writes. */
+        /** The old cell serves no new writes of the tenant. */
         FENCED,
         /** The old cell serves no new reads either. */
         SEALED,
-        /** The new cell serves the tenant; not all routers have learned of it. */
+        /** The new cell serves the tenant; some routers may not have applied this yet. */
         SWITCHED,
         /** The migration is complete. */
         DONE,
@@ -49,9 +50,9 @@
         UNDONE,
         /** Leases of this length may have been granted. */
         LEASE,
-        /** The version of the placement, in a snapshot. */
+        /** Sets the version of the placement, in a snapshot. */
         VERSION,
-        /** A run of a router is registered. */
+        /** A new incarnation of a router is registered. */
         ROUTER
     }
 
--- a/src/main/java/beaconladder/cells/MigrationTransitions.java
+++ b/src/main/java/beaconladder/cells/MigrationTransitions.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * Decides when a migration takes its next step, and which. A step waits until every router has applied the step before,
- * or can't act on an older placement any more because its lease is over; see {@link TenantMigrations} for the order.
+ * Decides which step of a migration is due. A step waits until every router has applied the previous one, or may no
+ * longer act on an older placement because its lease has expired; see {@link TenantMigrations} for the order.
  */
 final class MigrationTransitions {
-    /** How far the copy may lag when the write fence begins: writes wait for the rest, a tenth of the shortest SLA. */
+    /** Upper bound on the lag of the copy when the fence begins, as writes wait for it: a tenth of the shortest SLA. */
     private static final long MAX_LAG_BEFORE_FENCE_NANOS = 100_000_000L;
 
     private final RouterLeases routerLeases;
@@ -23,7 +23,7 @@
         maxFenceNanos = limits.maxFenceNanos();
     }
 
-    /** The step that is due, or null. */
+    /** Returns the step that is due, or null. */
     MigrationStep nextStep(Migration migration, long nowNanos) {
         if (migration.undoReason() != null && migration.isBefore(Kind.SWITCHED)) {
             return migration.undoStep(migration.undoReason(), nowNanos);
@@ -61,7 +61,7 @@
             return migration.undoStep("the copy was not close enough in time", nowNanos);
         }
         if (migration.hasSourceChanged()) {
-            // The new primary's log may lack the end of the old one's: what was copied may not be a part of it.
+            // The new primary's log may lack the end of the previous one's, so copied writes may be missing in it.
             return migration.observations.hasAllSources() ? copyingStep(migration, nowNanos) : null;
         }
         return migration.observations.allMatch(observation -> isCopyClose(observation, migration))
@@ -86,14 +86,14 @@
             migration.setWritesDrained(nowNanos);
         }
         if (migration.hasSourceChanged()) {
-            // It may lack committed writes that the copy must have, or the copy may have writes that it lacks.
+            // The new primary may lack writes that were committed, or writes that were already copied.
             return migration.undoStep("a primary of " + migration.fromCell + " changed in the fence", nowNanos);
         }
         if (!migration.areWritesDrained()) {
             return null;
         }
         if (migration.fences().isEmpty()) {
-            // A position that was queried before the quiet time may lack the last writes.
+            // A position queried before the writes had drained may miss the last of them.
             if (!migration.observations.allMatch(
                     observation -> observation.queriedAtNanos() > migration.writesDrainedSinceNanos()
                             && observation.sourcePrimary() != null)) {
@@ -114,7 +114,7 @@
         return migration.undoStep("the fence had to go: " + waitsFor(migration, nowNanos), nowNanos);
     }
 
-    /** By slot the position of the last write in the old cell, as the primaries and the routers know it. */
+    /** Returns by slot the newest position in the old cell that its primary or a router has reported. */
     private List<Long> lastPositions(Migration migration) {
         List<Long> positions = new ArrayList<>();
         for (int slot = 0; slot < migration.observations.slots(); slot++) {
@@ -138,7 +138,7 @@
                 .withFloors(migration.observations.targetPositions());
     }
 
-    /** What the migration waits for, for an operator. */
+    /** Returns what the migration waits for, for an operator; the text is also stored as the reason of an undo. */
     String waitsFor(Migration migration, long nowNanos) {
         List<String> lateRouters = routerLeases.routersOnOlderVersion(migration.version(), nowNanos);
         if (!lateRouters.isEmpty()) {
--- a/src/main/java/beaconladder/cells/PlacementCost.java
+++ b/src/main/java/beaconladder/cells/PlacementCost.java
@@ -4,27 +4,27 @@
 import java.util.Comparator;
 import java.util.stream.IntStream;
 
-/** What a placement costs; a placement is an array with the cell of each tenant. */
+/** The cost function of placement planning; a placement is an array with the cell of each tenant. */
 public final class PlacementCost {
-    /** A migration must lower the peak by more than a hundredth of a fair part to justify its write fence. */
+    /** A migration must lower the peak by more than a hundredth of a fair share to justify its write fence. */
     static final int COST_PER_MIGRATION = 10;
-    /** Two tenants that should be apart and share a cell cost as much as a quarter of a cell's fair part. */
+    /** Two tenants that should be separated but share a cell cost as much as a quarter of a cell's fair share. */
     static final int COST_PER_COLOCATED_PAIR = 250;
-    /** The peak while a lost cell is in use; no placement in remaining cells comes near it. */
+    /** The peak of a placement that uses a lost cell; far above any placement in the remaining cells. */
     static final int LOST_CELL_PEAK = 10_000_000;
-    /** Each tenant in a lost cell costs this much of {@link #LOST_CELL_PEAK}. */
+    /** Each tenant in a lost cell costs {@link #LOST_CELL_PEAK} divided by this. */
     private static final int STRANDED_COST_DIVISOR = 1_000;
-    /** After the loss of a cell each of the others may be filled up to so many times its capacity. */
+    /** After the loss of a cell, the load of each other cell may reach this multiple of its capacity. */
     private static final long MAX_OVERLOAD_AFTER_LOSS = 2;
 
     private PlacementCost() {}
 
     /**
-     * The cost: the peak use of capacity by load, half of that by value at risk, pairs that share a cell, and
-     * migrations.
+     * Returns the cost: the peak utilization by load, half the peak utilization by value at risk, the number of
+     * colocated pairs and the number of migrations, each weighted.
      *
      * @param placement the cell of each tenant
-     * @return in thousandths of a cell's fair part; lower is better
+     * @return the cost in thousandths of a cell's fair share; lower is better
      */
     public static int of(PlacementProblem problem, int[] placement) {
         int[] current = problem.currentCell();
@@ -43,13 +43,13 @@
                 .count();
     }
 
-    /** Whether this tenant shares its cell with one that it should be apart from. */
+    /** Returns whether this tenant shares its cell with one that it should be separated from. */
     static boolean violatesSeparation(PlacementProblem problem, int[] placement, int tenant) {
         return Arrays.stream(problem.separatedPairs())
                 .anyMatch(pair -> (pair[0] == tenant || pair[1] == tenant) && placement[pair[0]] == placement[pair[1]]);
     }
 
-    /** The largest part of its capacity that any cell uses, in thousandths. */
+    /** Returns the highest utilization of any cell, in thousandths of its capacity. */
     static int peak(PlacementProblem problem, int[] placement, int[] amounts) {
         long peak = 0;
         int[] sums = sums(problem, placement, amounts);
@@ -74,7 +74,7 @@
         return sums;
     }
 
-    /** The cell that uses the largest part of its capacity by load. */
+    /** Returns the cell with the highest utilization by load. */
     static int fullestCell(PlacementProblem problem, int[] placement) {
         int[] sums = sums(problem, placement, problem.load());
         return IntStream.range(0, sums.length)
@@ -83,14 +83,14 @@
                 .orElse(0);
     }
 
-    /** Each tenant in a lost cell counts, so that every migration out of it lowers the cost. */
+    /** Returns a cost for each tenant in a lost cell, so that every migration out of it lowers the total. */
     static int strandedCost(PlacementProblem problem, int[] placement) {
         return LOST_CELL_PEAK
                 / STRANDED_COST_DIVISOR
                 * (int) Arrays.stream(placement).filter(problem::isLost).count();
     }
 
-    /** Whether the others can take the load of any one cell that is lost, at twice their capacity each. */
+    /** Returns whether, after the loss of any one cell, the others can take its load within their allowed overload. */
     static boolean survivesLossOfAnyCell(PlacementProblem problem, int[] placement) {
         int[] sums = sums(problem, placement, problem.load());
         for (int lost = 0; lost < sums.length; lost++) {
--- a/src/main/java/beaconladder/cells/PlacementPlanner.java
+++ b/src/main/java/beaconladder/cells/PlacementPlanner.java
@@ -5,22 +5,23 @@
 import java.util.List;
 
 /**
- * Proposes a placement and the migrations to get there: balanced load, balanced value at risk, chosen tenants apart,
- * spare capacity for the loss of any one cell, and few migrations. It proposes only; the coordinator migrates.
+ * Proposes a placement and the migrations that lead to it. The goals are balanced load, balanced value at risk,
+ * separated pairs of tenants, and few migrations; the proposal also states whether there is spare capacity for the loss
+ * of any one cell. It only proposes; the coordinator carries out migrations.
  */
 public final class PlacementPlanner {
     private PlacementPlanner() {}
 
     /**
-     * Proposes migrations; the same problem and seed give the same proposal wherever the solver stops before its time.
+     * Proposes migrations. The same problem and seed give the same proposal unless the solver reaches its time limit.
      *
-     * @param maxMigrations the most to propose
-     * @param maxSeconds the most that the solver may run
+     * @param maxMigrations upper bound on the number of migrations
+     * @param maxSeconds upper bound on the time of the solver
      */
     public static PlacementProposal propose(PlacementProblem problem, int maxMigrations, int maxSeconds, long seed) {
         int[] best = GreedyPlacement.search(problem, maxMigrations);
         if (Arrays.stream(best).anyMatch(problem::isLost)) {
-            // So few migrations can't empty the lost cell.
+            // The lost cell can't be emptied with this number of migrations.
             return PlacementProposal.notFound(problem, best, order(problem, best));
         }
         boolean optimal = false;
@@ -36,7 +37,7 @@
         return PlacementProposal.found(problem, best, order(problem, best), optimal);
     }
 
-    /** Each next migration leads to the lowest cost, so that stopping half way leaves the least to regain. */
+    /** Orders the migrations so that each leads to the lowest cost at that point, in case not all are carried out. */
     private static List<ProposedMigration> order(PlacementProblem problem, int[] target) {
         List<ProposedMigration> migrations = new ArrayList<>();
         int[] placement = problem.currentCell().clone();
@@ -52,7 +53,7 @@
         return migrations;
     }
 
-    /** The tenant whose migration leads to the lowest cost, or -1 if all are at their target. */
+    /** Returns the tenant whose migration leads to the lowest cost, or -1 if all are in their target cells. */
     private static int cheapestNext(PlacementProblem problem, int[] placement, int[] target) {
         int cheapest = -1;
         int lowestCost = Integer.MAX_VALUE;
--- a/src/main/java/beaconladder/cells/PlacementProblem.java
+++ b/src/main/java/beaconladder/cells/PlacementProblem.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 
 /**
- * A placement problem in integers: tenants and cells are indices, amounts are thousandths of a cell's fair part (the
- * total over the number of cells).
+ * A placement problem in integers. Tenants and cells are indices; amounts are in thousandths of a cell's fair share,
+ * which is the total divided by the number of cells.
  *
- * @param tenants names, by tenant
- * @param cells names, by cell
- * @param currentCell the cell of each tenant today
- * @param load of each tenant
- * @param valueAtRisk of each tenant: its load times the value of its requests
- * @param capacity of each cell, in the same measure; 0 for a lost cell
+ * @param tenants the names of the tenants
+ * @param cells the names of the cells
+ * @param currentCell the current cell of each tenant
+ * @param load the load of each tenant
+ * @param valueAtRisk the load of each tenant times its priority weight
+ * @param capacity the capacity of each cell, in the unit of the load; 0 for a lost cell
  * @param separatedPairs pairs of tenants that should not share a cell
- * @param movable whether the planner may choose another cell, by tenant
+ * @param movable for each tenant, whether the planner may choose another cell
  */
 public record PlacementProblem(
         List<String> tenants,
@@ -28,12 +28,12 @@
         int[] capacity,
         int[][] separatedPairs,
         boolean[] movable) {
-    /** Amounts are in thousandths of a cell's fair part, so that the solver has small integers. */
+    /** The fair share of a cell in units of the amounts; the solver works on small integers. */
     static final int SCALE = 1_000;
-    /** A divisor for a plan in which no tenant states a load. */
+    /** The divisor for a plan in which no tenant declares a load. */
     private static final double MIN_TOTAL = 1e-9;
 
-    /** The problem of this plan; each tenant is where the plan states it. */
+    /** Returns the problem of this plan; each tenant is in the cell that the plan names. */
     public static PlacementProblem of(Plan plan) {
         int tenantCount = plan.tenants().size();
         int cellCount = plan.cells().size();
@@ -91,15 +91,15 @@
     }
 
     /**
-     * The same problem with one cell lost: no tenant may stay in it or be moved into it, and its fixed tenants have to
-     * leave as well.
+     * Returns the same problem with one cell lost: no tenant may stay in that cell or migrate to it, and its fixed
+     * tenants have to leave as well.
      *
      * @throws IllegalArgumentException if there is no such cell or it is the only one
      */
     public PlacementProblem withoutCell(String lostCell) {
         int lost = cells.indexOf(lostCell);
         if (lost < 0 || cells.size() < 2) {
-            throw new IllegalArgumentException("no cell '" + lostCell + "' is there to be lost");
+            throw new IllegalArgumentException("cell '" + lostCell + "' is not in the plan or is its only cell");
         }
         boolean[] nextMovable = movable.clone();
         int[] nextCapacity = capacity.clone();
--- a/src/main/java/beaconladder/cells/PlacementProposal.java
+++ b/src/main/java/beaconladder/cells/PlacementProposal.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * A proposed placement and the migrations that lead to it. Peaks and costs are in thousandths of a cell's fair part.
+ * A proposed placement and the migrations that lead to it. Peaks are in thousandths of a cell's capacity, costs in
+ * thousandths of a cell's fair share.
  *
- * @param migrations in the order in which to run them: each next one leads to the lowest cost at that point
- * @param peakBefore the part of its capacity that the fullest cell uses by load today
+ * @param migrations the migrations in the order to run them: each leads to the lowest cost at that point
+ * @param peakBefore the current utilization by load of the fullest cell
  * @param peakAfter the same after all migrations
  * @param costBefore {@link PlacementCost#of} of the current placement
- * @param costAfter the same of the proposed one
+ * @param costAfter the same of the proposed placement
  * @param optimal whether the solver has proved that no placement costs less
- * @param found whether there is a proposal: false if a lost cell can't be emptied by so few migrations
- * @param survivesCellLoss whether the other cells can take the load of any one that is lost
+ * @param found whether there is a proposal: false if a lost cell can't be emptied by the allowed number of migrations
+ * @param survivesCellLoss whether, after the loss of any one cell, the others can take its load
  */
 public record PlacementProposal(
         List<ProposedMigration> migrations,
@@ -53,19 +54,19 @@
                 survivesCellLoss);
     }
 
-    /** One line for an operator. */
+    /** Returns a line of text for an operator. */
     public String summary() {
         if (!found) {
-            return "no proposal: so few moves don't empty the cell that is lost";
+            return "no proposal: this number of moves can't empty the lost cell";
         }
         return String.format(
-                "%d moves, the fullest cell from %.1f%% to %.1f%% of its fair part; %s; %s",
+                "%d moves, the fullest cell from %.1f%% to %.1f%% of its capacity; %s; %s",
                 migrations.size(),
                 peakBefore / 10.0,
                 peakAfter / 10.0,
-                optimal ? "optimal" : "not proved optimal within the time",
+                optimal ? "optimal" : "not proved optimal within the time limit",
                 survivesCellLoss
-                        ? "the others can take the loss of any one cell"
-                        : "the others can't take the loss of every one cell");
+                        ? "after the loss of any one cell the others can take its load"
+                        : "the loss of some cell would overload the others");
     }
 }
--- a/src/main/java/beaconladder/cells/PlacementSolver.java
+++ b/src/main/java/beaconladder/cells/PlacementSolver.java
@@ -20,24 +20,25 @@
 
 /**
  * Improves a placement with a constraint solver. The model has a variable for the cell of each free tenant and
- * minimizes the cost that {@link PlacementCost#of} computes; the other tenants stay where the start has them.
+ * minimizes the cost that {@link PlacementCost#of} computes; all other tenants stay in their cells of the start
+ * placement.
  */
 final class PlacementSolver {
-    /** Beyond this many tenants the small ones stay where they are: the large ones decide the peak. */
+    /** With more tenants than this, the smallest keep their cells: the peak depends on the large ones. */
     private static final int MAX_FREE_TENANTS = 160;
-    /** Large neighbourhood search frees twenty tenants at a time: some seconds in all at 160 tenants. */
+    /** Tenants that large neighbourhood search frees at a time; with 160 tenants it takes some seconds in total. */
     private static final int FREED_PER_NEIGHBOURHOOD = 20;
 
     private static final int FAILURES_PER_NEIGHBOURHOOD = 200;
     private static final int MAX_NEIGHBOURHOODS = 400;
-    /** A complete search of so many nodes takes about a second. */
+    /** The node limit of the complete search, which takes about a second. */
     private static final long MAX_COMPLETE_NODES = 100_000;
-    /** Each of the two searches may use half of the time. */
+    /** Time limit of a search per second of total time: each of the two searches may use half. */
     private static final long MILLIS_PER_SEARCH_AND_SECOND = 500;
-    /** An upper bound of a peak that leaves the solver's sums within an int. */
+    /** An upper bound on a peak with which the solver's sums fit in an int. */
     private static final int PEAK_UPPER_BOUND = Integer.MAX_VALUE / 16;
 
-    /** The best placement found, which is the start if there was none, and whether it is proved optimal. */
+    /** The best placement found, or the start placement if there is none better, and whether it is proved optimal. */
     record Result(int[] placement, boolean optimal) {}
 
     private final PlacementProblem problem;
@@ -57,10 +58,10 @@
     private final IntVar cost;
 
     /**
-     * Builds the model. The order in which variables and constraints are created decides the solver's search.
+     * Builds the model. The solver's search depends on the order in which variables and constraints are created.
      *
-     * @param startPlacement a placement that needs at most so many migrations
-     * @param freeTenants the tenants whose cell may change
+     * @param startPlacement a placement that needs at most {@code maxMigrations} migrations
+     * @param freeTenants the tenants whose cells may change
      */
     PlacementSolver(PlacementProblem problem, int[] startPlacement, int[] freeTenants, int maxMigrations) {
         this.problem = problem;
@@ -79,7 +80,7 @@
         postCost();
     }
 
-    /** The tenants the solver may move: the movable ones with the most load, and all that should be apart. */
+    /** Returns the tenants that the solver may migrate: first those in separated pairs, then by descending load. */
     static int[] selectFreeTenants(PlacementProblem problem) {
         boolean[] inPair = new boolean[problem.tenantCount()];
         Arrays.stream(problem.separatedPairs())
@@ -111,7 +112,7 @@
         }
     }
 
-    /** The largest part of its capacity that any cell uses, in thousandths. */
+    /** Creates a variable for the highest utilization of any cell, in thousandths of its capacity. */
     private IntVar peak(int[] amounts) {
         int[] capacity = problem.capacity();
         int total = Arrays.stream(amounts).sum();
@@ -138,7 +139,7 @@
         return peak;
     }
 
-    /** By cell, the sum over the tenants that are not free. */
+    /** Returns by cell the sum over the tenants that are not free. */
     private int[] fixedSums(int[] amounts) {
         boolean[] isFree = new boolean[startPlacement.length];
         Arrays.stream(freeTenants).forEach(tenant -> isFree[tenant] = true);
@@ -151,7 +152,7 @@
         return sums;
     }
 
-    /** How many pairs that should be apart share a cell. */
+    /** Creates a variable for the number of pairs of free tenants that should be separated but share a cell. */
     private IntVar colocatedPairs() {
         Map<Integer, Integer> freeIndices = new HashMap<>();
         for (int i = 0; i < freeTenants.length; i++) {
@@ -171,7 +172,7 @@
     }
 
     private void postCost() {
-        // Twice everything, so that the half weight of the value at risk stays an integer.
+        // All coefficients are doubled, so that the half weight of the value at risk is an integer.
         model.scalar(
                         new IntVar[] {loadPeak, valuePeak, colocatedPairs, migrationCount, cost},
                         new int[] {
@@ -184,8 +185,9 @@
     }
 
     /**
-     * Searches: first completely, which proves optimality where the problem is small; then, from the best known, by
-     * large neighbourhoods. Both stop by counts, so that the same seed gives the same result, or by the time.
+     * Searches for a better placement: first completely, which proves optimality of small problems, then by large
+     * neighbourhood search from the best solution. Both stop at a count, so that the same seed gives the same result,
+     * or at the time limit.
      */
     Result solve(int maxSeconds, long seed) {
         Solver solver = model.getSolver();
@@ -217,7 +219,7 @@
         return new Result(placement, optimal);
     }
 
-    /** Records each better solution until the search stops; whether there was any. */
+    /** Records each better solution until the search stops; returns whether there was any. */
     private static boolean recordSolutions(Solver solver, Solution best) {
         boolean found = false;
         while (solver.solve()) {
@@ -227,7 +229,7 @@
         return found;
     }
 
-    /** Tries for each tenant its cell in the start first; then fixes the sums. */
+    /** Tries for each tenant its cell in the start placement first, then assigns the sums. */
     private AbstractStrategy<?>[] strategies() {
         Map<IntVar, Integer> startCells = new HashMap<>();
         for (int i = 0; i < cellOf.length; i++) {
--- a/src/main/java/beaconladder/cells/PlanCompatibility.java
+++ b/src/main/java/beaconladder/cells/PlanCompatibility.java
@@ -2,11 +2,11 @@
 
 import beaconladder.plan.Plan;
 
-/** Whether a running router may replace its plan by another one without a restart or a migration. */
+/** Checks whether a running router can replace its plan by another one without a restart or a migration. */
 final class PlanCompatibility {
     private PlanCompatibility() {}
 
-    /** The first reason, for an operator, why the plan can't be replaced by the next one; null if it can. */
+    /** Returns the first reason, for an operator, why the plan can't be replaced by the next one; null if it can. */
     static String incompatibility(StaticPlacement current, StaticPlacement next) {
         String cells = cellsIncompatibility(current, next);
         if (cells != null) {
--- a/src/main/java/beaconladder/cells/RouterLeases.java
+++ b/src/main/java/beaconladder/cells/RouterLeases.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 
 /**
- * The leases of all routers, and what each router reported last. A router acts on a placement until its lease ends; so
- * a version of the placement is in force once every router has applied it or can't act on an older one any more. Times
- * are in nanoseconds on the clock that all machines read.
+ * The leases of all routers and their last reports. A router may act on a placement until its lease ends, so a version
+ * of the placement is in force once every router has applied it or may no longer act on an older one. Times are in
+ * nanoseconds of Unix time.
  */
 final class RouterLeases {
     private static final class RouterState {
         private String incarnation;
         private long appliedVersion = -1;
-        /** It may act on an older version until then. */
+        /** Until when the router may act on an older version. */
         private long leaseEndNanos;
-        /** A host may run what an earlier incarnation sent until then. */
+        /** Until when a host may still run writes that an earlier incarnation sent. */
         private long earlierWritesEndNanos;
 
         private Map<String, WriteActivity> activity = Map.of();
@@ -30,21 +30,21 @@
     private final long leaseNanos;
     private final long maxInFlightNanos;
     private final Map<String, RouterState> routers = new LinkedHashMap<>();
-    /** The longest lease that was ever granted: no lease granted before now ends later than this from now on. */
+    /** The longest lease that may ever have been granted; no earlier lease ends later than this from now. */
     private long longestLeaseNanos;
 
     /**
-     * No routers yet.
+     * Creates the leases without any router.
      *
      * @param leaseNanos the length of the leases to grant
-     * @param maxInFlightNanos the most that a request may be in flight
+     * @param maxInFlightNanos upper bound on the time that a request is in flight
      */
     RouterLeases(long leaseNanos, long maxInFlightNanos) {
         this.leaseNanos = leaseNanos;
         this.maxInFlightNanos = maxInFlightNanos;
     }
 
-    /** The step to record before the first lease of this length is granted, or null. */
+    /** Returns the step to record before the first lease of this length is granted, or null if it is recorded. */
     MigrationStep nextStep() {
         return longestLeaseNanos < leaseNanos ? MigrationStep.lease(leaseNanos) : null;
     }
@@ -53,14 +53,14 @@
         longestLeaseNanos = Math.max(longestLeaseNanos, step.atNanos());
     }
 
-    /** Right after recovery: a router may act on any lease that was granted before. */
+    /** Must be called right after recovery: each router may still hold a lease that was granted before. */
     void recoveryCompleted(long nowNanos) {
         for (RouterState router : routers.values()) {
             router.leaseEndNanos = nowNanos + longestLeaseNanos;
         }
     }
 
-    /** The step to record before this run of a router is granted a lease, or null if it is registered. */
+    /** Returns the step to record before this incarnation is granted a lease, or null if it is registered. */
     MigrationStep registration(String router, String incarnation, long nowNanos) {
         RouterState state = routers.get(router);
         return state != null && incarnation.equals(state.incarnation)
@@ -68,7 +68,7 @@
                 : MigrationStep.router(router, incarnation, nowNanos);
     }
 
-    /** Registers a run of a router; what an earlier one sent may run for as long as its clients wait. */
+    /** Registers an incarnation of a router; writes of an earlier one may still run until their clients give up. */
     void applyRegistration(MigrationStep step) {
         RouterState state = routers.computeIfAbsent(step.tenant(), name -> new RouterState());
         if (state.incarnation != null) {
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Keeps the report of a registered router and extends its lease.
+     * Records the report of a registered router and extends its lease.
      *
      * @return the end of the lease
      */
@@ -95,12 +95,12 @@
         return nowNanos + leaseNanos;
     }
 
-    /** Whether no router acts on an older version than this. */
+    /** Returns whether no router may act on an older version than this. */
     boolean isInForce(long version, long nowNanos) {
         return routers.values().stream().noneMatch(router -> router.mayActOnOlderVersion(version, nowNanos));
     }
 
-    /** The routers that may act on an older version than this. */
+    /** Returns the routers that may act on an older version than this. */
     List<String> routersOnOlderVersion(long version, long nowNanos) {
         List<String> names = new ArrayList<>();
         routers.forEach((name, router) -> {
@@ -112,7 +112,7 @@
     }
 
     /**
-     * Whether no write of the tenant is in flight at any router or may still run at a host.
+     * Returns whether no write of the tenant is in flight at any router or may still run at a host.
      *
      * @param fenceVersion the version of the placement that stops the tenant's writes
      */
@@ -126,7 +126,7 @@
         });
     }
 
-    /** The newest commit of the tenant in this slot that any router reported; Long.MIN_VALUE for none. */
+    /** Returns the newest commit of the tenant in this slot that any router has reported; Long.MIN_VALUE for none. */
     long newestCommit(String tenant, int slot) {
         long newest = Long.MIN_VALUE;
         for (RouterState router : routers.values()) {
@@ -138,7 +138,7 @@
         return newest;
     }
 
-    /** By router the time since its last report, or -1 for none since the coordinator started. */
+    /** Returns by router the nanoseconds since its last report; -1 for none since the coordinator started. */
     Map<String, Long> nanosSinceLastReport(long nowNanos) {
         Map<String, Long> nanosByRouter = new LinkedHashMap<>();
         routers.forEach((name, router) -> nanosByRouter.put(
@@ -146,7 +146,7 @@
         return nanosByRouter;
     }
 
-    /** The steps that lead from nothing to the registered routers. */
+    /** Returns the steps that register the current routers again, for a snapshot. */
     List<MigrationStep> snapshot(long nowNanos) {
         List<MigrationStep> steps = new ArrayList<>();
         steps.add(MigrationStep.lease(longestLeaseNanos));
--- a/src/main/java/beaconladder/cells/RouterPlacement.java
+++ b/src/main/java/beaconladder/cells/RouterPlacement.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * The placement by which one router acts: the plan's, and for tenants that may be migrated the table that the
- * coordinator granted it last. Times are in nanoseconds on the router's clock. Not thread-safe.
+ * The placement that one router acts on: the plan's for fixed and undeclared tenants, and the table that the
+ * coordinator granted last for all others. Times are in nanoseconds on the router's clock. Not thread-safe.
  */
 final class RouterPlacement {
     private StaticPlacement staticPlacement;
-    /** Whether a coordinator grants placements; otherwise the plan alone decides. */
+    /** Whether a coordinator grants placements; if not, the plan alone decides. */
     private boolean coordinated;
 
     private PlacementTable granted = PlacementTable.NONE;
-    /** Whether this router's plan places tenants by hash as the coordinator's does. */
+    /** Whether this router's plan places undeclared tenants in the same cells as the coordinator's plan. */
     private boolean planMatches;
 
     RouterPlacement(StaticPlacement staticPlacement) {
@@ -39,7 +39,7 @@
         return coordinated;
     }
 
-    /** Whether this tenant is never migrated, so that the plan alone decides and no lease is needed. */
+    /** Returns whether this tenant is never migrated, so that the plan alone decides and no lease is needed. */
     boolean isFixed(String tenant) {
         Plan.Tenant declared = staticPlacement.tenant(tenant);
         return !coordinated || declared != null && declared.fixed();
@@ -49,12 +49,12 @@
         return nowNanos >= granted.validUntilNanos() - CellAdmission.MAX_CLOCK_SKEW_NANOS;
     }
 
-    /** Whether the cell of this tenant depends on a hash that the coordinator, by its plan, would compute otherwise. */
+    /** Returns whether the tenant's cell depends on a hash that could differ under the coordinator's plan. */
     boolean isHashedByDifferentPlan(String tenant) {
         return !granted.placements().containsKey(tenant) && !planMatches;
     }
 
-    /** The cell for a tenant and session, or -1 if no cell serves the tenant. */
+    /** Returns the cell for a tenant and session, or -1 if no cell serves the tenant. */
     int cellFor(String tenant, long sessionKey) {
         TenantPlacement placement = granted.placements().get(tenant);
         return placement == null || isFixed(tenant)
@@ -62,13 +62,13 @@
                 : staticPlacement.cellIndex(placement.cell());
     }
 
-    /** Whether the tenant is still placed in the cell for which the request was admitted; false if it has no entry. */
+    /** Returns whether the tenant is still placed in the cell of this permit; false if the table has no entry. */
     boolean isPlacedInCellOf(AdmissionPermit permit) {
         TenantPlacement placement = granted.placements().get(permit.tenant);
         return placement != null && staticPlacement.cellIndex(placement.cell()) == permit.cellIndex;
     }
 
-    /** Whether a request with this permit may be sent to its cell now. */
+    /** Returns whether a request with this permit may be sent to its cell now. */
     boolean accepts(AdmissionPermit permit, long nowNanos) {
         if (isFixed(permit.tenant)) {
             return true;
@@ -81,7 +81,7 @@
                 || isPlacedInCellOf(permit) && (permit.write ? placement.admitsWrites() : placement.admitsReads());
     }
 
-    /** The floor for a request with this permit, or Long.MIN_VALUE for none. */
+    /** Returns the floor for a request with this permit, or Long.MIN_VALUE for none. */
     long floor(AdmissionPermit permit) {
         TenantPlacement placement = granted.placements().get(permit.tenant);
         return placement == null ? Long.MIN_VALUE : placement.floor(permit.slot);
@@ -92,7 +92,7 @@
         return placement != null && placement.migrating();
     }
 
-    /** Applies a granted table; false if it is older, or the same with no longer lease, and changes nothing. */
+    /** Applies a granted table; ignores it and returns false if it is older, or the same with no longer lease. */
     boolean apply(PlacementTable next) {
         if (next.version() < granted.version()
                 || next.version() == granted.version() && next.validUntilNanos() <= granted.validUntilNanos()) {
@@ -103,7 +103,7 @@
         return true;
     }
 
-    /** The groups that serve tenants today whose placement changes with this table. */
+    /** Returns the groups that currently serve a tenant whose placement changes with this table. */
     List<Integer> groupsChangedBy(PlacementTable next) {
         List<Integer> groups = new ArrayList<>();
         if (next.version() > granted.version()) {
--- a/src/main/java/beaconladder/cells/SlotObservations.java
+++ b/src/main/java/beaconladder/cells/SlotObservations.java
@@ -14,7 +14,7 @@
         Arrays.fill(observations, MigrationObservation.NONE);
     }
 
-    /** Replaces the observation of a slot; one of a slot that the migration does not have is ignored. */
+    /** Replaces the observation of a slot; a slot that the migration does not have is ignored. */
     void record(int slot, MigrationObservation observation) {
         if (slot < observations.length) {
             observations[slot] = observation;
@@ -33,7 +33,7 @@
         return allMatch(observation -> observation.targetPrimary() != null);
     }
 
-    /** The primaries of the old groups, by slot; null where there is none. */
+    /** Returns the primaries of the old groups by slot; null where there is none. */
     List<String> sourcePrimaries() {
         List<String> sources = new ArrayList<>();
         for (MigrationObservation observation : observations) {
@@ -42,7 +42,7 @@
         return sources;
     }
 
-    /** Whether an old group has another primary than the one that is copied from. */
+    /** Returns whether the primary of an old group is another one than expected; an unknown primary does not count. */
     boolean hasSourceChangedFrom(List<String> expectedSources) {
         for (int slot = 0; slot < observations.length; slot++) {
             String source = observations[slot].sourcePrimary();
@@ -53,12 +53,12 @@
         return false;
     }
 
-    /** The log position of the old group's primary in this slot, in nanoseconds. */
+    /** Returns the log position of the old group's primary in this slot, in nanoseconds. */
     long sourcePosition(int slot) {
         return observations[slot].sourcePosition();
     }
 
-    /** The log positions of the new groups' primaries, by slot, in nanoseconds. */
+    /** Returns the log positions of the new groups' primaries by slot, in nanoseconds. */
     List<Long> targetPositions() {
         List<Long> positions = new ArrayList<>();
         for (MigrationObservation observation : observations) {
@@ -67,7 +67,7 @@
         return positions;
     }
 
-    /** Whether queries sent after this time showed that every ready member of the new groups has the copy this far. */
+    /** Returns whether queries sent after this time showed that all ready members have copied up to these positions. */
     boolean hasCopiedUpTo(List<Long> positions, long sinceNanos) {
         for (int slot = 0; slot < observations.length; slot++) {
             if (!observations[slot].hasCopiedUpTo(positions.get(slot), sinceNanos)) {
--- a/src/main/java/beaconladder/cells/StaticPlacement.java
+++ b/src/main/java/beaconladder/cells/StaticPlacement.java
@@ -12,12 +12,13 @@
 import java.util.Map;
 
 /**
- * The placement that the plan alone gives: stated tenants where the plan says, all others by a stable hash over a few
- * cells each (shuffle sharding), so that two tenants seldom share all of their cells and a new cell changes the place
- * of few. Cells are indices in the order of the plan. Not thread-safe.
+ * The placement computed from the plan alone. Tenants that the plan declares are in the cell it names. Sessions of
+ * every other tenant are spread by a stable hash over a few cells (shuffle sharding), so that two tenants rarely share
+ * all of their cells and a new cell changes the placement of few. Cells are indices in the order of the plan. Not
+ * thread-safe.
  */
 public final class StaticPlacement {
-    /** Shards that are cached, least recently used first out; a thousand of them are some hundred kilobytes. */
+    /** Size of the LRU cache of shards; a thousand shards take some hundred kilobytes. */
     private static final int MAX_CACHED_SHARDS = 1_024;
 
     private static final IPAddressNetwork.IPAddressGenerator ADDRESS_GENERATOR =
@@ -41,7 +42,7 @@
         }
     };
 
-    /** The placement of a plan that {@link beaconladder.plan.PlanReader} has checked. */
+    /** Creates the placement of a plan that {@link beaconladder.plan.PlanReader} has validated. */
     public StaticPlacement(Plan plan) {
         this.plan = plan;
         this.cells = plan.cells();
@@ -57,55 +58,55 @@
         plan.tenants().forEach(tenant -> tenants.put(tenant.name(), tenant));
     }
 
-    /** The plan that it was made from. */
+    /** Returns the plan. */
     public Plan plan() {
         return plan;
     }
 
-    /** The number of cells. */
+    /** Returns the number of cells. */
     public int cellCount() {
         return cells.size();
     }
 
-    /** The cell at this index. */
+    /** Returns the cell at this index. */
     public Plan.Cell cell(int cellIndex) {
         return cells.get(cellIndex);
     }
 
-    /** The index of the cell of this name, or -1. */
+    /** Returns the index of the cell of this name, or -1. */
     public int cellIndex(String name) {
         return cellIndices.getOrDefault(name, -1);
     }
 
-    /** The index of the cell that has this group, or -1. */
+    /** Returns the index of the cell that contains this group, or -1. */
     public int cellIndexOfGroup(int group) {
         GroupLocation location = groups.get(group);
         return location == null ? -1 : location.cellIndex();
     }
 
-    /** The group of this cell that serves requests which name another cell's group: the one in the same slot. */
+    /** Returns the group of this cell for requests that name a group of any cell: the one in the same slot. */
     public int groupInCell(int cellIndex, int namedGroup) {
         GroupLocation location = groups.get(namedGroup);
         List<Integer> ownGroups = cells.get(cellIndex).groups();
         return ownGroups.get((location == null ? namedGroup : location.slot()) % ownGroups.size());
     }
 
-    /** The groups of the cell of this name, by slot; the cell must exist. */
+    /** Returns the groups of the cell of this name by slot; the cell must exist. */
     List<Integer> groupsOf(String cell) {
         return cells.get(cellIndex(cell)).groups();
     }
 
-    /** The slot of a group, which must be in a cell. */
+    /** Returns the slot of a group, which must be in a cell. */
     public int slotOf(int group) {
         return groups.get(group).slot();
     }
 
-    /** The stated tenant of this name, or null. */
+    /** Returns the tenant of this name if the plan declares it, otherwise null. */
     public Plan.Tenant tenant(String name) {
         return tenants.get(name);
     }
 
-    /** The index of the cell for this tenant and session by the plan, or -1 if no cell serves the tenant. */
+    /** Returns the index of the plan's cell for this tenant and session, or -1 if no cell serves the tenant. */
     public int homeCell(String tenant, long sessionKey) {
         Plan.Tenant declared = tenants.get(tenant);
         if (declared != null) {
@@ -128,8 +129,8 @@
     }
 
     /**
-     * The cells over which the sessions of a tenant that is not stated are spread: those with the highest hash weights
-     * for it, highest first (rendezvous hashing). The array is cached and must not be changed.
+     * Returns the cells over which the sessions of an undeclared tenant are spread: those with the highest hash weights
+     * for the tenant, highest first (rendezvous hashing). The array is cached and must not be changed.
      */
     public int[] shuffleShard(String tenant) {
         int[] cached = shards.get(tenant);
@@ -159,7 +160,7 @@
         return shard;
     }
 
-    /** The part of its cell's quota that a tenant may hold, from 0 to 1. */
+    /** Returns the fraction of its cell's quota that a tenant may always hold, from 0 to 1. */
     public double quotaOf(String tenant) {
         Plan.Tenant declared = tenants.get(tenant);
         if (declared != null) {
@@ -168,7 +169,7 @@
         return plan.others() == null ? 0 : plan.others().share();
     }
 
-    /** Whether a client at this address may send requests of this tenant; null is an address that is not known. */
+    /** Returns whether a client at this address, or null for unknown, may send requests of this tenant. */
     public boolean isClientAllowed(String tenant, InetAddress clientAddress) {
         Plan.Tenant declared = tenants.get(tenant);
         if (declared == null || declared.networks().isEmpty()) {
@@ -178,7 +179,9 @@
         return address != null && declared.networks().stream().anyMatch(network -> network.contains(address));
     }
 
-    /** A hash of all that a placement by hash depends on: routers whose plans agree in it place tenants alike. */
+    /**
+     * Returns a hash of everything that the placement of undeclared tenants depends on; plans with the same one agree.
+     */
     public String fingerprint() {
         HashStream64 stream = Hashing.xxh3_64().hashStream();
         for (Plan.Cell cell : cells) {
--- a/src/main/java/beaconladder/cells/TenantMigrations.java
+++ b/src/main/java/beaconladder/cells/TenantMigrations.java
@@ -10,31 +10,32 @@
 /**
  * The coordinator's state machine: the placement of all tenants, and the steps by which a tenant migrates. It does no
  * I/O and reads no clock: {@link #nextStep} returns the step that is due, the caller stores its record, and
- * {@link #apply} applies it; after a crash the records are applied again and lead to the same state. Times are in
- * nanoseconds on the clock that all machines read. Not thread-safe.
+ * {@link #apply} applies it. After a crash, applying the stored records restores the same state. Times are in
+ * nanoseconds of Unix time; machines' clocks may differ by {@link CellAdmission#MAX_CLOCK_SKEW_NANOS}. Not thread-safe.
  *
- * <p>A migration waits at each step until every router has applied the step before, or can't act on an older placement
- * any more because its lease is over:
+ * <p>Each step of a migration waits until every router has applied the previous step, or may no longer act on an older
+ * placement because its lease has expired. In addition, a step requires:
  *
  * <ol>
- *   <li>PROPOSED to COPYING: old and new cell have a primary in each slot;
- *   <li>COPYING to FENCED: the copy lags little;
+ *   <li>PROPOSED to COPYING: the old and the new cell have a primary in each slot;
+ *   <li>COPYING to FENCED: the lag of the copy is small;
  *   <li>FENCED to SEALED: no write is in flight or may still run, and every ready member of the new groups has copied
- *       up to what the old primaries, queried after that, had in their logs;
- *   <li>SEALED to SWITCHED: no router sends a read to the old cell any more, and the new primaries have been queried
- *       for the floor, the position from which on a member has all that was copied;
+ *       the old primaries' logs up to the positions that a later query of those primaries returned;
+ *   <li>SEALED to SWITCHED: no router sends reads to the old cell any more, and the new primaries have been queried for
+ *       the floor, the position from which on a member has everything that was copied;
  *   <li>SWITCHED to DONE: every router has applied the switch.
  * </ol>
  */
 public final class TenantMigrations {
     /**
-     * A migration under way, as an operator sees it.
+     * The status of a migration under way, for operators.
      *
+     * @param tenant the tenant that migrates
      * @param fromCell the old cell
      * @param toCell the new cell
-     * @param state the kind of its last step, in lower case
+     * @param state the kind of the last step, in lower case
      * @param stateSinceNanos when that step was decided, in nanoseconds
-     * @param waitsFor what its next step waits for
+     * @param waitsFor the condition that the next step waits for
      */
     public record MigrationStatus(
             String tenant, String fromCell, String toCell, String state, long stateSinceNanos, String waitsFor) {}
@@ -43,7 +44,7 @@
     private final MigrationTransitions transitions;
     private final MigrationState state;
 
-    /** No records applied yet; the plan must state a coordinator, whose time limits hold for good. */
+    /** Creates the state without any record. The plan must have a coordinator; its time limits are never replaced. */
     public TenantMigrations(StaticPlacement staticPlacement) {
         Plan.Coordinator limits = staticPlacement.plan().coordinator();
         routerLeases = new RouterLeases(limits.leaseNanos(), limits.requestExpiryNanos());
@@ -51,19 +52,19 @@
         state = new MigrationState(staticPlacement, routerLeases);
     }
 
-    /** Replaces the plan; the placements stay as the records have them. */
+    /** Replaces the plan; the recorded placements do not change. */
     public void replacePlan(StaticPlacement next) {
         state.replacePlan(next);
     }
 
-    /** To be called once all stored records are applied: routers may act on leases that were granted before. */
+    /** Must be called once all stored records are applied: routers may still hold leases granted before the restart. */
     public void recoveryCompleted(long nowNanos) {
         routerLeases.recoveryCompleted(nowNanos);
     }
 
     // ---- Steps --------------------------------------------------------------------------------------------
 
-    /** The next step that is due, or null. It is to be stored and applied before the next call. */
+    /** Returns the next step that is due, or null. The caller must store and apply it before the next call. */
     public MigrationStep nextStep(long nowNanos) {
         MigrationStep lease = routerLeases.nextStep();
         if (lease != null) {
@@ -88,12 +89,12 @@
         state.apply(step);
     }
 
-    // ---- Requests of operators ----------------------------------------------------------------------------
+    // ---- Requests from operators --------------------------------------------------------------------------
 
     /**
-     * The step that proposes a migration.
+     * Returns the step that proposes a migration, to be stored and applied by the caller.
      *
-     * @param requester who asks, for the record
+     * @param requester the origin of the request, for the record
      * @throws MigrationRejectedException if the tenant can't be migrated to this cell now
      */
     public MigrationStep propose(String tenant, String toCell, String requester, long nowNanos) {
@@ -140,9 +141,9 @@
     }
 
     /**
-     * Lets the next step of a migration undo it.
+     * Requests that the next step of a migration undoes it.
      *
-     * @throws MigrationRejectedException if there is none under way or its new cell already serves the tenant
+     * @throws MigrationRejectedException if no migration is under way or the new cell already serves the tenant
      */
     public void requestUndo(String tenant, String requester) {
         Migration migration = state.migrations().get(tenant);
@@ -156,22 +157,22 @@
         migration.requestUndo("asked for by " + requester);
     }
 
-    // ---- Reports of routers and hosts ---------------------------------------------------------------------
+    // ---- Reports from routers and hosts -------------------------------------------------------------------
 
     /**
-     * The step to store and apply before this router may be granted a lease, or null.
+     * Returns the step to store and apply before this router may be granted a lease, or null if it is registered.
      *
-     * @param incarnation differs between two runs of a router of the same name
+     * @param incarnation an identifier that differs between two runs of the same router
      */
     public MigrationStep registration(String router, String incarnation, long nowNanos) {
         return routerLeases.registration(router, incarnation, nowNanos);
     }
 
     /**
-     * Takes the report of a registered router and grants it a lease.
+     * Records the report of a registered router and grants it a lease on the current placement.
      *
-     * @param appliedVersion the version of the placement that it acts on
-     * @param activity of the tenants that are being migrated
+     * @param appliedVersion the version of the placement that the router acts on
+     * @param activity the write activity of each tenant under migration
      */
     public PlacementTable grantLease(String router, long appliedVersion, List<WriteActivity> activity, long nowNanos) {
         long validUntil = routerLeases.grant(router, Math.min(appliedVersion, state.version()), activity, nowNanos);
@@ -179,7 +180,7 @@
                 state.version(), validUntil, state.staticPlacement().fingerprint(), state.placements());
     }
 
-    /** Keeps what the hosts of one slot of a migration answered. */
+    /** Records the state of the hosts of one slot of a migration. */
     public void recordObservation(String tenant, int slot, MigrationObservation observation) {
         Migration migration = state.migrations().get(tenant);
         if (migration != null) {
@@ -187,7 +188,7 @@
         }
     }
 
-    /** The slots whose hosts to query for the migrations under way. */
+    /** Returns the slots whose hosts must be queried for the migrations under way. */
     public List<SlotQuery> slotQueries() {
         List<SlotQuery> queries = new ArrayList<>();
         for (Migration migration : state.migrations().values()) {
@@ -197,7 +198,7 @@
         return queries;
     }
 
-    /** The slots of a migration that has ended, whose hosts are to be notified. */
+    /** Returns the slots of a migration that has ended, whose hosts must be notified. */
     public List<SlotQuery> slotQueries(MigrationStep end) {
         return slotQueries(end.tenant(), end.fromCell(), end.toCell(), false);
     }
@@ -209,17 +210,17 @@
 
     // ---- State for operators and for the records ----------------------------------------------------------
 
-    /** The version of the placement. */
+    /** Returns the version of the placement; it grows with each change. */
     public long version() {
         return state.version();
     }
 
-    /** The placement, by tenant; a view of the present state. */
+    /** Returns the placements by tenant; a view of the current state. */
     public Map<String, TenantPlacement> placements() {
         return state.placements();
     }
 
-    /** The migrations under way, and what each waits for. */
+    /** Returns the migrations under way and what each of them waits for. */
     public List<MigrationStatus> statuses(long nowNanos) {
         return state.migrations().values().stream()
                 .map(migration -> new MigrationStatus(
@@ -232,17 +233,20 @@
                 .toList();
     }
 
-    /** The last steps of the migrations that have ended, oldest first. */
+    /** Returns the final steps of the last migrations that have ended, oldest first. */
     public List<MigrationStep> endedMigrations() {
         return List.copyOf(state.endedMigrations());
     }
 
-    /** By router the nanoseconds since its last report, or -1 for none since the coordinator started. */
+    /** Returns by router the nanoseconds since its last report; -1 for none since the coordinator started. */
     public Map<String, Long> nanosSinceLastReport(long nowNanos) {
         return routerLeases.nanosSinceLastReport(nowNanos);
     }
 
-    /** The steps that lead from nothing to this state, to replace all records; null if there is no need or not yet. */
+    /**
+     * Returns steps that rebuild this state, to replace all records; null if there are few records or a migration is
+     * under way.
+     */
     public List<MigrationStep> snapshot(long nowNanos) {
         return state.snapshot(nowNanos);
     }
--- a/src/main/java/beaconladder/cells/WriteActivity.java
+++ b/src/main/java/beaconladder/cells/WriteActivity.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * What a router reports to the coordinator about a tenant that is being migrated.
+ * A router's report to the coordinator on the writes of a tenant under migration.
  *
- * @param inFlightWrites writes of the tenant that are in flight at this router or may still run at a host
- * @param newestCommits for each slot the newest log position of a commit, in nanoseconds; empty if there was none
+ * @param tenant the tenant under migration
+ * @param inFlightWrites the number of its writes that are in flight at this router or may still run at a host
+ * @param newestCommits for each slot, the newest log position of a commit, in nanoseconds; empty if there was none
  */
 public record WriteActivity(String tenant, int inFlightWrites, List<Long> newestCommits) {}
