--- a/src/main/java/beaconladder/coordinator/Coordinator.java
+++ b/src/main/java/beaconladder/coordinator/Coordinator.java
@@ -25,23 +25,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Grants placement leases to routers, carries out migrations step by step, and serves operators. All decisions are
- * {@link TenantMigrations}'; a step is durable before it is applied. This object's monitor guards the migrations and
- * their records; it is notified after every step, for routers that wait for a newer placement.
+ * The coordinator process: grants placement leases to routers, carries out migrations step by step, and serves
+ * operators. {@link TenantMigrations} makes all decisions; a step is durable before it is applied. This object's
+ * monitor guards the migrations and their records; it is notified after every step, for routers that wait for a newer
+ * placement.
  */
 public final class Coordinator implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Coordinator.class);
-    /** Upper bound on a router's long poll. */
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    /** Upper bound on the duration of a router's long poll. */
     private static final int MAX_WAIT_MILLIS = 30_000;
 
     private final Path planFile;
     private final DurableRecords records;
     private final TenantMigrations migrations;
-    private final HostQueries hosts = new HostQueries();
-    private final EndpointWatch watch;
+    private final HostQueries hostQueries = new HostQueries();
+    private final EndpointWatch endpointWatch;
     private final CoordinatorEndpoint endpoint;
-    private final Thread loop = new Thread(new MigrationLoop(this, hosts), "moves");
-    /** Final steps of migrations whose hosts have not been notified yet. */
+    private final Thread migrationLoop = new Thread(new MigrationLoop(this, hostQueries), "migration-loop");
+    /** Final steps of migrations whose hosts have not been notified yet; not stored. */
     private final List<MigrationStep> unnotifiedEnds = new ArrayList<>();
 
     private volatile boolean closed;
@@ -66,54 +69,56 @@
             endpoint = new CoordinatorEndpoint(plan.coordinator().address());
         } catch (IOException | RuntimeException e) {
             records.close();
-            throw e instanceof IOException error ? error : new IOException("a record makes no sense: " + e, e);
+            throw e instanceof IOException error
+                    ? error
+                    : new IOException("a stored record can't be read or applied: " + e, e);
         }
         LOG.info(
-                "{} records, {} moves under way",
+                "recovered {} records, {} migrations under way",
                 records.recovered().size(),
                 migrations.statuses(nowNanos()).size());
-        watch = new EndpointWatch(plan.coordinator().discoveryAddress(), hosts);
-        endpoint.register("/v1/placement", this::placement);
-        endpoint.register("/v1/cells", parameters -> cells());
-        endpoint.register("/v1/move", this::move);
-        endpoint.register("/v1/undo", this::undo);
-        propose(plan);
-        Thread watcher = new Thread(watch, "watch");
-        watcher.setDaemon(true);
-        watcher.start();
-        loop.setDaemon(true);
-        loop.start();
+        endpointWatch = new EndpointWatch(plan.coordinator().discoveryAddress(), hostQueries);
+        endpoint.register("/v1/placement", this::handlePlacement);
+        endpoint.register("/v1/cells", parameters -> handleCells());
+        endpoint.register("/v1/move", this::handleMove);
+        endpoint.register("/v1/undo", this::handleUndo);
+        proposeRelocations(plan);
+        Thread watchThread = new Thread(endpointWatch, "endpoint-watch");
+        watchThread.setDaemon(true);
+        watchThread.start();
+        migrationLoop.setDaemon(true);
+        migrationLoop.start();
         endpoint.start();
-        LOG.info("the keeper answers at {}", plan.coordinator().address());
+        LOG.info("coordinator listening on {}", plan.coordinator().address());
     }
 
-    /** Unix time in nanoseconds, of the clock that all machines read. */
+    /** Returns the Unix time in nanoseconds, by this machine's clock. */
     static long nowNanos() {
         Instant now = Instant.now();
-        return now.getEpochSecond() * 1_000_000_000L + now.getNano();
+        return now.getEpochSecond() * NANOS_PER_SECOND + now.getNano();
     }
 
     boolean isClosed() {
         return closed;
     }
 
-    /** Reads the plan again; a plan with errors is logged and leaves everything unchanged. */
+    /** Reads the plan again. A plan with errors or without a coordinator is logged and changes nothing. */
     public void reload() {
-        PlanReader.Result read = PlanReader.read(planFile);
-        if (read.plan() == null || read.plan().coordinator() == null) {
-            read.errors().forEach(error -> LOG.warn("{}", error));
-            LOG.warn("not reloaded, all stays as it was");
+        PlanReader.Result result = PlanReader.read(planFile);
+        if (result.plan() == null || result.plan().coordinator() == null) {
+            result.errors().forEach(error -> LOG.warn("{}", error));
+            LOG.warn("not reloaded, the previous configuration stays in force");
             return;
         }
         synchronized (this) {
-            migrations.replacePlan(new StaticPlacement(read.plan()));
+            migrations.replacePlan(new StaticPlacement(result.plan()));
         }
-        propose(read.plan());
+        proposeRelocations(result.plan());
         LOG.info("reloaded {}", planFile);
     }
 
-    /** Proposes the plan's relocations; those already carried out or not possible now are logged. */
-    private synchronized void propose(Plan plan) {
+    /** Proposes the migrations that the plan lists; those already carried out or not possible now are logged. */
+    private synchronized void proposeRelocations(Plan plan) {
         try {
             recordDueSteps();
             for (Plan.Relocation relocation : plan.relocations()) {
@@ -122,7 +127,7 @@
                             relocation.tenant(), relocation.targetCell(), planFile.toString(), nowNanos()));
                 } catch (IllegalArgumentException e) {
                     LOG.info(
-                            "the plan's move of {} to {}: {}",
+                            "the plan's migration of {} to {} is not proposed: {}",
                             relocation.tenant(),
                             relocation.targetCell(),
                             e.getMessage());
@@ -136,20 +141,20 @@
     // ---- Steps --------------------------------------------------------------------------------------------
 
     /**
-     * What one round of the loop has to do.
+     * The work of one round of the migration loop.
      *
-     * @param queries the slots whose hosts are to be queried
-     * @param endedCopies slots whose copying has ended, each with whether the copy is dropped
+     * @param queries the slots whose hosts must be queried
+     * @param endedCopies the slots whose copying has ended, each with whether the copied data is dropped
      */
     record Round(List<SlotQuery> queries, Map<SlotQuery, Boolean> endedCopies) {}
 
-    /** Records the steps that are due and returns the host queries that follow from them. */
+    /** Records the steps that are due and returns the work for hosts that follows from them. */
     synchronized Round beginRound() throws IOException {
         recordDueSteps();
         List<SlotQuery> queries = migrations.slotQueries();
         Map<SlotQuery, Boolean> endedCopies = new LinkedHashMap<>();
-        for (MigrationStep end : unnotifiedEnds) {
-            migrations.slotQueries(end).forEach(query -> endedCopies.put(query, end.kind() == Kind.UNDONE));
+        for (MigrationStep endStep : unnotifiedEnds) {
+            migrations.slotQueries(endStep).forEach(query -> endedCopies.put(query, endStep.kind() == Kind.UNDONE));
         }
         unnotifiedEnds.clear();
         return new Round(queries, endedCopies);
@@ -159,7 +164,7 @@
         migrations.recordObservation(query.tenant(), query.slot(), observation);
     }
 
-    /** Records and applies all steps that are due, and replaces the records by a snapshot when one is due. */
+    /** Records and applies all steps that are due; replaces the records by a snapshot when there are enough. */
     synchronized void recordDueSteps() throws IOException {
         long nowNanos = nowNanos();
         for (MigrationStep step = migrations.nextStep(nowNanos); step != null; step = migrations.nextStep(nowNanos)) {
@@ -167,12 +172,12 @@
         }
         List<MigrationStep> snapshot = migrations.snapshot(nowNanos);
         if (snapshot != null) {
-            records.replace(snapshot.stream().map(Coordinator::bytes).toList());
+            records.replace(snapshot.stream().map(Coordinator::serialize).toList());
         }
     }
 
     private void recordStep(MigrationStep step) throws IOException {
-        records.append(bytes(step));
+        records.append(serialize(step));
         migrations.apply(step);
         if (step.kind() == Kind.DONE || step.kind() == Kind.UNDONE) {
             unnotifiedEnds.add(step);
@@ -188,39 +193,41 @@
         notifyAll();
     }
 
-    private static byte[] bytes(MigrationStep step) {
+    private static byte[] serialize(MigrationStep step) {
         return CoordinatorProtocol.toJson(step).getBytes(StandardCharsets.UTF_8);
     }
 
     // ---- Requests -----------------------------------------------------------------------------------------
 
     /**
-     * A router's long poll: reports its writes and returns the placement once newer than its own, or after its wait.
+     * Handles a router's long poll: records its report, and returns the placement once it is newer than the router's or
+     * the requested wait is over.
      */
-    private synchronized String placement(Map<String, String> parameters) throws IOException, InterruptedException {
+    private synchronized String handlePlacement(Map<String, String> parameters)
+            throws IOException, InterruptedException {
         String router = CoordinatorEndpoint.requiredName(parameters, "router");
-        String run = CoordinatorEndpoint.requiredName(parameters, "run");
+        String incarnation = CoordinatorEndpoint.requiredName(parameters, "run");
         long version = Long.parseLong(CoordinatorEndpoint.requiredName(parameters, "version"));
         long waitMillis = Math.min(MAX_WAIT_MILLIS, Long.parseLong(parameters.getOrDefault("wait", "0")));
-        List<WriteActivity> writes = CoordinatorProtocol.parseWriteActivity(parameters.getOrDefault("busy", ""));
-        MigrationStep registration = migrations.registration(router, run, nowNanos());
+        List<WriteActivity> activity = CoordinatorProtocol.parseWriteActivity(parameters.getOrDefault("busy", ""));
+        MigrationStep registration = migrations.registration(router, incarnation, nowNanos());
         if (registration != null) {
             recordStep(registration);
         }
-        migrations.grantLease(router, version, writes, nowNanos());
-        long deadlineNanos = System.nanoTime() + waitMillis * 1_000_000L;
+        migrations.grantLease(router, version, activity, nowNanos());
+        long deadlineNanos = System.nanoTime() + waitMillis * NANOS_PER_MILLI;
         while (!closed && migrations.version() <= version && System.nanoTime() < deadlineNanos) {
-            wait(Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000));
+            wait(Math.max(1, (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI));
         }
-        PlacementTable placement = migrations.grantLease(router, version, writes, nowNanos());
+        PlacementTable placement = migrations.grantLease(router, version, activity, nowNanos());
         return CoordinatorProtocol.toJson(placement, placement.version() != version);
     }
 
-    private synchronized String cells() {
+    private synchronized String handleCells() {
         return CoordinatorProtocol.toJson(CoordinatorProtocol.cellsStatus(migrations, nowNanos()));
     }
 
-    private synchronized String move(Map<String, String> parameters) throws IOException {
+    private synchronized String handleMove(Map<String, String> parameters) throws IOException {
         recordStep(migrations.propose(
                 CoordinatorEndpoint.requiredName(parameters, "tenant"),
                 CoordinatorEndpoint.requiredName(parameters, "to"),
@@ -229,20 +236,20 @@
         return CoordinatorProtocol.toJson(CoordinatorProtocol.newObject().put("proposed", parameters.get("tenant")));
     }
 
-    private synchronized String undo(Map<String, String> parameters) throws IOException {
+    private synchronized String handleUndo(Map<String, String> parameters) throws IOException {
         migrations.requestUndo(CoordinatorEndpoint.requiredName(parameters, "tenant"), "an operator");
         recordDueSteps();
         return CoordinatorProtocol.toJson(CoordinatorProtocol.newObject().put("undone", parameters.get("tenant")));
     }
 
-    /** Stops serving and releases the records; migrations under way continue when the coordinator starts again. */
+    /** Stops serving and closes the records; migrations under way continue after the next start. */
     @Override
     public void close() {
         closed = true;
         endpoint.stop();
-        loop.interrupt();
-        watch.stop();
-        hosts.close();
+        migrationLoop.interrupt();
+        endpointWatch.stop();
+        hostQueries.close();
         endpoint.close();
         records.close();
     }
--- a/src/main/java/beaconladder/coordinator/CoordinatorEndpoint.java
+++ b/src/main/java/beaconladder/coordinator/CoordinatorEndpoint.java
@@ -3,6 +3,7 @@
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
+import java.net.HttpURLConnection;
 import java.net.InetSocketAddress;
 import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
@@ -14,34 +15,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The coordinator's HTTP endpoint: parses query parameters, calls a handler, and maps its errors to a status and a JSON
- * body.
+ * The coordinator's HTTP server: parses query parameters, calls a handler, and maps its exceptions to a status and a
+ * JSON body.
  */
 final class CoordinatorEndpoint implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(CoordinatorEndpoint.class);
-    /** Connections that the kernel accepts ahead of the server; each router keeps one long poll open. */
+    /** Connections that the kernel queues until the server accepts them; each router keeps one long poll open. */
     private static final int BACKLOG = 512;
 
-    /** Serves one path: query parameters in, JSON text out. An IllegalArgumentException is the caller's mistake. */
+    /** Handles the requests of one path; an IllegalArgumentException means that the request is invalid. */
     interface Handler {
+        /** Returns the JSON body for these query parameters. */
         String handle(Map<String, String> parameters) throws IOException, InterruptedException;
     }
 
     private final HttpServer server;
-    private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
-        Thread thread = new Thread(task, "keeper");
+    private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
+        Thread thread = new Thread(task, "coordinator-http");
         thread.setDaemon(true);
         return thread;
     });
 
     /**
-     * Binds the address; requests are served from {@link #start}.
+     * Binds the address; requests are served after {@link #start}.
      *
      * @throws IOException if the address can't be bound
      */
     CoordinatorEndpoint(InetSocketAddress address) throws IOException {
         server = HttpServer.create(address, BACKLOG);
-        server.setExecutor(threads);
+        server.setExecutor(executor);
     }
 
     void register(String path, Handler handler) {
@@ -53,9 +55,9 @@
     }
 
     /**
-     * A parameter that has to be a name.
+     * Returns a parameter that must be a name: 1 to 64 letters, digits, dots, hyphens and underscores.
      *
-     * @throws IllegalArgumentException if it is missing or contains other characters
+     * @throws IllegalArgumentException if it is missing or no such name
      */
     static String requiredName(Map<String, String> parameters, String name) {
         String value = parameters.get(name);
@@ -66,21 +68,21 @@
     }
 
     private static void serve(HttpExchange exchange, Handler handler) throws IOException {
-        int status = 200;
+        int status = HttpURLConnection.HTTP_OK;
         String body;
         try {
-            body = handler.handle(parameters(exchange.getRequestURI().getRawQuery()));
+            body = handler.handle(parseParameters(exchange.getRequestURI().getRawQuery()));
         } catch (IllegalArgumentException e) {
-            status = 400;
-            body = error(e.getMessage());
+            status = HttpURLConnection.HTTP_BAD_REQUEST;
+            body = errorBody(e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            status = 503;
-            body = error("the keeper ends");
+            status = HttpURLConnection.HTTP_UNAVAILABLE;
+            body = errorBody("the keeper ends");
         } catch (IOException | RuntimeException e) {
             LOG.error("a call failed", e);
-            status = 500;
-            body = error(e.toString());
+            status = HttpURLConnection.HTTP_INTERNAL_ERROR;
+            body = errorBody(e.toString());
         }
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         try (exchange) {
@@ -90,7 +92,7 @@
         }
     }
 
-    private static Map<String, String> parameters(String query) {
+    private static Map<String, String> parseParameters(String query) {
         Map<String, String> parameters = new HashMap<>();
         for (String pair : query == null ? new String[0] : query.split("&")) {
             int equals = pair.indexOf('=');
@@ -101,18 +103,18 @@
         return parameters;
     }
 
-    private static String error(String message) {
+    private static String errorBody(String message) {
         return CoordinatorProtocol.toJson(CoordinatorProtocol.newObject().put("error", message));
     }
 
-    /** Stops serving at once; requests in flight are interrupted by {@link #close}. */
+    /** Stops serving immediately; {@link #close} interrupts requests in flight. */
     void stop() {
         server.stop(0);
     }
 
-    /** Interrupts the requests that are still waiting. */
+    /** Interrupts the handlers that are still running. */
     @Override
     public void close() {
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
+++ b/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
@@ -11,14 +11,14 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The texts that a coordinator stores and exchanges with routers and operators; docs/cells.md has the form. */
+/** The JSON that a coordinator stores and exchanges with routers and operators; docs/cells.md specifies it. */
 final class CoordinatorProtocol {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private CoordinatorProtocol() {}
 
-    /** A placement; the seats are omitted for a router that has them already. */
+    /** Returns a placement table as JSON; the placements are omitted for a router that already has this version. */
     static String toJson(PlacementTable table, boolean withPlacements) {
         ObjectNode root = MAPPER.createObjectNode();
         root.put("version", table.version())
@@ -40,12 +40,12 @@
         return toJson(root);
     }
 
-    /** A floor in milliseconds, rounded up: a host behind by a fraction of a millisecond is still behind. */
+    /** Converts a floor to milliseconds, rounded up: a host behind by a fraction of a millisecond must not pass. */
     private static long ceilingMillis(long nanos) {
         return Math.floorDiv(nanos + NANOS_PER_MILLI - 1, NANOS_PER_MILLI);
     }
 
-    /** The state of all migrations and routers, for operators; the monitor that guards them must be held. */
+    /** Returns the state of all migrations and routers for operators; the monitor that guards them must be held. */
     static ObjectNode cellsStatus(TenantMigrations migrations, long nowNanos) {
         ObjectNode root = MAPPER.createObjectNode();
         root.put("version", migrations.version());
@@ -90,7 +90,7 @@
         return MAPPER.createObjectNode();
     }
 
-    /** A router's writes of migrating tenants: tenant:writes:commit:commit (commits in ms), separated by commas. */
+    /** Parses a router's report: comma-separated entries tenant:writes:commit:commit..., with commits in ms by slot. */
     static List<WriteActivity> parseWriteActivity(String text) {
         List<WriteActivity> activity = new ArrayList<>();
         for (String entry : text.isEmpty() ? new String[0] : text.split(",")) {
--- a/src/main/java/beaconladder/coordinator/HostConnection.java
+++ b/src/main/java/beaconladder/coordinator/HostConnection.java
@@ -8,10 +8,11 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 
-/** The coordinator's connection to one host: one query at a time, each with a time limit. */
+/** A connection of the coordinator to one host; runs one query at a time, each with a timeout. */
 final class HostConnection implements AutoCloseable {
-    /** Memory that responses larger than usual may use, over all connections. */
-    private static final MemoryLimit LARGE_MESSAGES = new MemoryLimit(4 << 20);
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    /** The memory for large responses, shared by all connections. */
+    private static final MemoryLimit LARGE_MESSAGE_MEMORY = new MemoryLimit(4 << 20);
 
     private final Socket socket = new Socket();
     private final MessageReader reader;
@@ -19,7 +20,7 @@
     /**
      * Connects and completes the startup handshake.
      *
-     * @param timeoutMillis for connecting, and again for the handshake
+     * @param timeoutMillis the timeout for connecting, and again for the handshake
      * @throws HostQueryException if the host does not accept the connection as expected
      * @throws IOException if it can't be reached
      */
@@ -27,7 +28,7 @@
         try {
             socket.setTcpNoDelay(true);
             socket.connect(address, timeoutMillis);
-            reader = new MessageReader(socket, LARGE_MESSAGES);
+            reader = new MessageReader(socket, LARGE_MESSAGE_MEMORY);
             MessageWriter.startup("keeper", "shop").writeTo(socket.getOutputStream());
             readResponse(timeoutMillis);
         } catch (IOException | RuntimeException e) {
@@ -48,11 +49,11 @@
         return readResponse(timeoutMillis);
     }
 
-    /** Reads up to ReadyForQuery; an error is thrown only then, so that the response is read completely. */
+    /** Reads up to ReadyForQuery; a host error is thrown only then, so that the response is read completely. */
     private String readResponse(int timeoutMillis) throws HostQueryException {
         String value = null;
         String error = null;
-        long timeoutNanos = timeoutMillis * 1_000_000L;
+        long timeoutNanos = timeoutMillis * NANOS_PER_MILLI;
         long deadlineNanos = System.nanoTime() + timeoutNanos;
         while (true) {
             ReadStatus status = reader.readMessage(deadlineNanos, timeoutNanos);
@@ -62,12 +63,14 @@
             switch (reader.type()) {
                 case 'S' -> {
                     if (!reader.isCStrings(2)) {
-                        throw HostQueryException.malformed("a ParameterStatus that can't be read");
+                        throw HostQueryException.malformed("malformed ParameterStatus");
                     }
                 }
                 case 'D' -> value = readRow();
                 case 'E' ->
-                    error = reader.isError() ? reader.errorField('C') + " " + reader.errorField('M') : "an error";
+                    error = reader.isError()
+                            ? reader.errorField('C') + " " + reader.errorField('M')
+                            : "unreadable error";
                 case 'Z' -> {
                     if (error != null) {
                         throw HostQueryException.hostError(error);
@@ -81,7 +84,7 @@
 
     private String readRow() throws HostQueryException {
         if (!reader.isSingleColumnRow()) {
-            throw HostQueryException.malformed("a row that is not of one column");
+            throw HostQueryException.malformed("malformed row, or a row with several columns");
         }
         MessageWriter row = new MessageWriter();
         reader.copyTo(row);
@@ -93,7 +96,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // Closing is all that is left to do; the descriptor is released either way.
+            // Nothing is left to do: the descriptor is released even if closing fails.
         }
         reader.release();
     }
--- a/src/main/java/beaconladder/coordinator/HostQueries.java
+++ b/src/main/java/beaconladder/coordinator/HostQueries.java
@@ -19,20 +19,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Queries hosts for roles and replication positions, and makes target cells' primaries copy; it decides nothing. */
+/** Queries hosts for their roles and positions, and starts and stops copies; the decisions are made elsewhere. */
 final class HostQueries implements EndpointWatch.Listener, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(HostQueries.class);
-    /** Hosts respond within milliseconds unless they are faulty; the migration then waits for the next round. */
+    /** Timeout of a query: healthy hosts respond within milliseconds, and a migration retries in the next round. */
     private static final int TIMEOUT_MILLIS = 400;
 
+    /** Returns comma-separated pairs; x0 is the replication position in seconds, x1 is 1 on a primary. */
     private static final String LOAD_REPORT_QUERY = "SHOW server_load";
+    /** Decimal exponents that convert the hosts' units to nanoseconds. */
+    private static final int SECONDS_TO_NANOS_EXPONENT = 9;
+
+    private static final int MILLIS_TO_NANOS_EXPONENT = 6;
 
     private final Map<String, EndpointWatch.Entry> endpoints = new LinkedHashMap<>();
     private final Map<String, HostConnection> connections = new ConcurrentHashMap<>();
-    /** Source and target host of each copy that was started, by tenant and slot; used by the loop's thread only. */
+    /** The source and target host of each started copy, by tenant and slot; accessed by the migration loop only. */
     private final Map<String, String> startedCopies = new HashMap<>();
 
-    private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
+    private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "host-query");
         thread.setDaemon(true);
         return thread;
@@ -59,14 +64,19 @@
     }
 
     /**
-     * A host's response.
+     * The state of a host, from its response.
      *
-     * @param positionNanos its replication position
-     * @param copiedNanos how far the tenant's copy has reached there, or the least long if not queried
+     * @param positionNanos its replication position, in nanoseconds
+     * @param copiedNanos the position up to which it has copied the tenant's data; Long.MIN_VALUE if not queried
      */
     private record HostState(EndpointWatch.Entry host, boolean isPrimary, long positionNanos, long copiedNanos) {}
 
-    /** Queries both groups of a slot, at this Unix time in nanoseconds; a host that does not respond is left out. */
+    /**
+     * Queries the hosts of both groups of a slot. A host that does not respond has no role; if it is a ready target,
+     * its copied position is Long.MIN_VALUE.
+     *
+     * @param nowNanos the current Unix time in nanoseconds
+     */
     MigrationObservation observe(SlotQuery slot, long nowNanos) {
         List<EndpointWatch.Entry> targets = members(slot.targetGroup());
         List<Callable<HostState>> queries = new ArrayList<>();
@@ -77,11 +87,11 @@
         for (EndpointWatch.Entry host : targets) {
             queries.add(() -> queryState(host, slot.tenant()));
         }
-        List<HostState> states = runAll(queries);
-        List<HostState> sourcePrimaries = states.subList(0, sourceCount).stream()
+        List<HostState> hostStates = runAll(queries);
+        List<HostState> sourcePrimaries = hostStates.subList(0, sourceCount).stream()
                 .filter(s -> s != null && s.isPrimary())
                 .toList();
-        List<HostState> targetStates = states.subList(sourceCount, states.size());
+        List<HostState> targetStates = hostStates.subList(sourceCount, hostStates.size());
         List<HostState> targetPrimaries =
                 targetStates.stream().filter(s -> s != null && s.isPrimary()).toList();
         if (slot.copying() && sourcePrimaries.size() == 1 && targetPrimaries.size() == 1) {
@@ -90,7 +100,7 @@
         }
         List<Long> copiedPositions = new ArrayList<>();
         for (int i = 0; i < targets.size(); i++) {
-            // A host that is ready may become primary, so its copy has to be complete, too.
+            // A ready host may become primary, so its copy must be complete, too.
             if (targets.get(i).state() == EndpointWatch.State.READY) {
                 copiedPositions.add(
                         targetStates.get(i) == null
@@ -107,21 +117,21 @@
                 copiedPositions);
     }
 
-    /** Makes the target's primary copy from this source, again whenever one of the two has changed. */
+    /** Makes the target group's primary copy from this source, once for each pair of source and target. */
     private void startCopy(SlotQuery slot, EndpointWatch.Entry source, EndpointWatch.Entry target) {
         String key = slot.tenant() + "/" + slot.slot();
-        String pair = source.id() + ">" + target.id();
-        if (pair.equals(startedCopies.get(key))) {
+        String hostPair = source.id() + ">" + target.id();
+        if (hostPair.equals(startedCopies.get(key))) {
             return;
         }
         setFeed(
                 target,
                 slot.tenant() + " on " + source.address().getHostString() + ":"
                         + source.address().getPort(),
-                () -> startedCopies.put(key, pair));
+                () -> startedCopies.put(key, hostPair));
     }
 
-    /** Stops the copy of a migration that has ended; the copied data is dropped if the migration was undone. */
+    /** Stops the copy of a migration that has ended, and on request drops the copied data, for an undone migration. */
     void endCopy(SlotQuery slot, boolean drop) {
         startedCopies.remove(slot.tenant() + "/" + slot.slot());
         for (EndpointWatch.Entry host : members(slot.targetGroup())) {
@@ -135,7 +145,7 @@
             onSuccess.run();
         } catch (IOException e) {
             disconnect(host);
-            LOG.warn("{} was not told of the feed '{}': {}", host.id(), feed, e.toString());
+            LOG.warn("{}: setting the feed to '{}' failed: {}", host.id(), feed, e.toString());
         }
     }
 
@@ -144,11 +154,11 @@
             HostConnection connection = connection(host);
             String report = connection.query(LOAD_REPORT_QUERY, TIMEOUT_MILLIS);
             Map<String, String> fields = new HashMap<>();
-            for (String pair : String.valueOf(report).split(",")) {
-                int equals = pair.indexOf('=');
+            for (String keyValue : String.valueOf(report).split(",")) {
+                int equals = keyValue.indexOf('=');
                 fields.put(
-                        pair.substring(0, Math.max(0, equals)).strip(),
-                        pair.substring(equals + 1).strip());
+                        keyValue.substring(0, Math.max(0, equals)).strip(),
+                        keyValue.substring(equals + 1).strip());
             }
             long copiedNanos = tenant == null
                     ? Long.MIN_VALUE
@@ -156,9 +166,12 @@
                             connection.query(
                                     "SELECT copied FROM beaconladder_feeds WHERE tenant = '" + tenant + "'",
                                     TIMEOUT_MILLIS),
-                            6);
+                            MILLIS_TO_NANOS_EXPONENT);
             return new HostState(
-                    host, "1".equals(fields.get("x1")), Decimal.parseScaled(fields.get("x0"), 9), copiedNanos);
+                    host,
+                    "1".equals(fields.get("x1")),
+                    Decimal.parseScaled(fields.get("x0"), SECONDS_TO_NANOS_EXPONENT),
+                    copiedNanos);
         } catch (IOException e) {
             disconnect(host);
             throw e;
@@ -185,27 +198,27 @@
     }
 
     private List<HostState> runAll(List<Callable<HostState>> queries) {
-        List<HostState> states = new ArrayList<>();
+        List<HostState> hostStates = new ArrayList<>();
         try {
-            for (Future<HostState> response : threads.invokeAll(queries)) {
+            for (Future<HostState> response : executor.invokeAll(queries)) {
                 try {
-                    states.add(response.get());
+                    hostStates.add(response.get());
                 } catch (ExecutionException e) {
-                    states.add(null);
+                    hostStates.add(null);
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        while (states.size() < queries.size()) {
-            states.add(null);
+        while (hostStates.size() < queries.size()) {
+            hostStates.add(null);
         }
-        return states;
+        return hostStates;
     }
 
     @Override
     public void close() {
-        threads.shutdownNow();
+        executor.shutdownNow();
         connections.values().forEach(HostConnection::close);
     }
 }
--- a/src/main/java/beaconladder/coordinator/HostQueryException.java
+++ b/src/main/java/beaconladder/coordinator/HostQueryException.java
@@ -3,7 +3,7 @@
 import beaconladder.pg.MessageReader.ReadStatus;
 import java.io.IOException;
 
-/** A query that a host has not answered as expected. The connection must not be used again. */
+/** Thrown if a host does not respond to a query as expected. The connection must not be used again. */
 final class HostQueryException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -36,7 +36,7 @@
         return new HostQueryException(Reason.HOST_ERROR, codeAndMessage);
     }
 
-    /** Which of the cases this is. */
+    /** Returns why the query failed. */
     Reason reason() {
         return reason;
     }
--- a/src/main/java/beaconladder/coordinator/MigrationLoop.java
+++ b/src/main/java/beaconladder/coordinator/MigrationLoop.java
@@ -7,34 +7,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Advances migrations: records the steps that are due, ends finished copies, and queries the hosts of each migration.
+ * The coordinator's loop that advances migrations: records the steps that are due, stops the copies of ended
+ * migrations, and queries the hosts of each migration.
  */
 final class MigrationLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(MigrationLoop.class);
-    /** Pause between two rounds of host queries. */
-    private static final int POLL_MILLIS = 20;
+    /** Pause between two rounds of queries to hosts. */
+    private static final int QUERY_INTERVAL_MILLIS = 20;
 
     private final Coordinator coordinator;
-    private final HostQueries hosts;
+    private final HostQueries hostQueries;
 
-    MigrationLoop(Coordinator coordinator, HostQueries hosts) {
+    MigrationLoop(Coordinator coordinator, HostQueries hostQueries) {
         this.coordinator = coordinator;
-        this.hosts = hosts;
+        this.hostQueries = hostQueries;
     }
 
-    /** Runs until the coordinator is closed or the thread is interrupted; a failed round is logged and repeated. */
+    /** Runs until the coordinator is closed or the thread is interrupted; a failed round is logged and retried. */
     @Override
     public void run() {
         while (!coordinator.isClosed()) {
             try {
                 Coordinator.Round round = coordinator.beginRound();
-                round.endedCopies().forEach(hosts::endCopy);
+                round.endedCopies().forEach(hostQueries::endCopy);
                 for (SlotQuery query : round.queries()) {
-                    MigrationObservation observation = hosts.observe(query, Coordinator.nowNanos());
+                    MigrationObservation observation = hostQueries.observe(query, Coordinator.nowNanos());
                     coordinator.recordObservation(query, observation);
                 }
                 coordinator.recordDueSteps();
-                Thread.sleep(POLL_MILLIS);
+                Thread.sleep(QUERY_INTERVAL_MILLIS);
             } catch (InterruptedException e) {
                 return;
             } catch (IOException | RuntimeException e) {
--- a/src/main/java/beaconladder/coordinator/package-info.java
+++ b/src/main/java/beaconladder/coordinator/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The coordinator of tenant placement: grants placement leases to routers and carries out migrations between cells. The
- * HTTP endpoint, the loop that records steps and the queries to hosts are separate types; the decisions are in
- * {@link beaconladder.cells}.
+ * The coordinator process for tenant placement: grants placement leases to routers and carries out migrations between
+ * cells. It consists of an HTTP server, a loop that records the steps of migrations, and queries to hosts; the
+ * decisions are made in {@link beaconladder.cells}.
  */
 package beaconladder.coordinator;
