--- a/src/main/java/beaconladder/coordinator/HostQueries.java
+++ b/src/main/java/beaconladder/coordinator/HostQueries.java
@@ -117,7 +117,7 @@
                 copiedPositions);
     }
 
-    /** Makes the target group's primary copy from this source, once for each pair of source and target. */
+    /** Makes the target group's primary copy from this source; repeated only when the source or the target changes. */
     private void startCopy(SlotQuery slot, EndpointWatch.Entry source, EndpointWatch.Entry target) {
         String key = slot.tenant() + "/" + slot.slot();
         String hostPair = source.id() + ">" + target.id();
@@ -131,7 +131,7 @@
                 () -> startedCopies.put(key, hostPair));
     }
 
-    /** Stops the copy of a migration that has ended, and on request drops the copied data, for an undone migration. */
+    /** Stops the copy of a migration that has ended; an undone migration drops the copied data. */
     void endCopy(SlotQuery slot, boolean drop) {
         startedCopies.remove(slot.tenant() + "/" + slot.slot());
         for (EndpointWatch.Entry host : members(slot.targetGroup())) {
--- a/src/test/java/beaconladder/cells/CellAdmissionTest.java
+++ b/src/test/java/beaconladder/cells/CellAdmissionTest.java
@@ -75,7 +75,7 @@
         assertThat(admit(admission, "t", 0, true, NOW)).isEqualTo("ADMIT 0");
         assertThat(admit(admission, "o", 0, true, NOW)).startsWith("ADMIT");
         assertThat(admit(admission, "t", 0, true, NOW + 990 * MS)).startsWith("REJECT the lease");
-        // An older placement, or the same with a shorter lease, changes nothing.
+        // An older placement is ignored even if its lease is longer.
         admission.applyPlacement(new PlacementTable(2, NOW + 9_000 * MS, fingerprint, Map.of()));
         assertThat(admit(admission, "t", 0, true, NOW + 990 * MS)).startsWith("REJECT the lease");
         admission.applyPlacement(new PlacementTable(
@@ -107,7 +107,7 @@
         AdmissionDecision rejected = admission.recheck(queued.permit(), NOW + 1_000 * MS);
         assertThat(rejected.kind() + " " + rejected.reason()).isEqualTo("REJECT t is being moved");
         assertThat(admission.inFlight(0)).isZero();
-        // After the migration, reads in the new cell need members above the floor.
+        // After the migration, requests to the new cell require members at or above the floor.
         admission.applyPlacement(new PlacementTable(
                 3,
                 NOW + 9_000 * MS,
@@ -149,7 +149,7 @@
             moved += after.homeCell("tenant" + i, 0x9e3779b97f4a7c15L * i) != homeCell ? 1 : 0;
             pairs.add(java.util.Arrays.toString(before.shuffleShard("tenant" + i)));
         }
-        // Its part is one in seventeen: 235; the others are keys whose tenant has the new cell in place of another.
+        // The new cell's fair share is one in 17 (235). Others move because the new cell replaces one in their shard.
         assertThat(moved).isBetween(235, 420);
         assertThat(java.util.Arrays.stream(tenantsByCell).allMatch(n -> n > 180 && n < 320))
                 .isTrue();
--- a/src/test/java/beaconladder/cells/CellQuotasTest.java
+++ b/src/test/java/beaconladder/cells/CellQuotasTest.java
@@ -16,8 +16,8 @@
         while (quotas.tryAcquire(0, "flood", 1, 1, 1, 0) == Result.ACQUIRED) {
             acquired++;
         }
-        // A quarter of each other cell's quota is never lent: 100 less three times seven. Of the remaining 79 a quarter
-        // is reserved for the other tenants of the cell.
+        // A quarter of each other cell's quota is never lent: 100 - 3 * 7 = 79. A quarter of that is reserved for the
+        // other tenants of the cell.
         assertThat(acquired).isEqualTo(59);
         for (int i = 0; i < 7; i++) {
             assertThat(quotas.tryAcquire(1, "usual", 1, 1, 1, 1)).isEqualTo(Result.ACQUIRED);
@@ -30,7 +30,7 @@
         for (int i = 0; i < 20; i++) {
             assertThat(quotas.tryAcquire(1, "usual", 1, 1, 1, 0)).isEqualTo(Result.ACQUIRED);
         }
-        // Twice the recent use is reserved: with 20 used, the second cell's whole quota of 50.
+        // Twice the recent use and the reserve are kept: with 20 used, that is the second cell's whole quota of 50.
         int acquired = 0;
         while (quotas.tryAcquire(0, "flood", 1, 1, 1, 0) == Result.ACQUIRED) {
             acquired++;
@@ -40,7 +40,7 @@
         for (int i = 0; i < 20; i++) {
             quotas.release(1, "usual", 1);
         }
-        // Two windows later they do not count as recent use any more.
+        // Two windows later the released amounts no longer count as recent use.
         long later = 3_000 * MS;
         while (quotas.tryAcquire(0, "flood", 1, 1, 1, later) == Result.ACQUIRED) {
             acquired++;
@@ -49,7 +49,7 @@
         assertThat(quotas.isBorrowing(0)).isTrue();
         quotas.release(0, "flood", 1);
         assertThat(quotas.tryAcquire(1, "usual", 1, 1, 1, later)).isEqualTo(Result.ACQUIRED);
-        // While the lender uses its quota, the borrower may not acquire again what it releases.
+        // While the lender uses its quota, the borrower can't acquire again what it releases.
         quotas.release(0, "flood", 1);
         assertThat(quotas.tryAcquire(0, "flood", 1, 1, 1, later)).isEqualTo(Result.TENANT_LIMIT);
     }
@@ -83,7 +83,7 @@
         assertThat(quotas.tryAcquire(0, "t", 1, 1, 3, 0)).isEqualTo(Result.ACQUIRED);
     }
 
-    /** Random acquires and releases never exceed the capacity, and the counts agree at each step. */
+    /** Random acquisitions and releases never exceed the capacity, and the counts match at each step. */
     @Test
     void noOrderOfAcquiringAndReleasingLosesCapacity() {
         SplittableRandom random = new SplittableRandom(5);
--- a/src/test/java/beaconladder/cells/MigrationSimulation.java
+++ b/src/test/java/beaconladder/cells/MigrationSimulation.java
@@ -18,9 +18,9 @@
 import java.util.stream.Collectors;
 
 /**
- * One migration against three routers in virtual time, from a seed: coordinators that crash before and after each
- * record, routers that stall, restart, and lose placements or receive them late, writes that run long after they were
- * sent. It checks that no write runs in the old cell behind the fence, and none in the new cell before the switch.
+ * Simulates one migration with three routers in virtual time, from a seed. The coordinator crashes at random points;
+ * routers stall, restart, and lose placements or receive them late; writes run long after they were sent. It checks
+ * that no write runs in the old cell after the fence, and none in the new cell before the switch.
  */
 final class MigrationSimulation {
     private static final long MS = 1_000_000;
@@ -51,7 +51,7 @@
 
     private final class SimulatedRouter {
         private final String name;
-        private int run;
+        private int incarnation;
         private CellAdmission admission;
         private long stalledUntilNanos;
         private final List<Delivery> inbox = new ArrayList<>();
@@ -62,21 +62,21 @@
             restart();
         }
 
-        /** What was sent to hosts may still run; everything else is lost. */
+        /** Starts a new incarnation: writes already sent may still run, all other state is lost. */
         void restart() {
-            run++;
+            incarnation++;
             admission = new CellAdmission(name, staticPlacement, new RouterCapacity(100, 100, 1 << 20));
             inbox.clear();
             admitted.clear();
         }
     }
 
-    /** A placement that a router receives at this time. */
+    /** A placement that a router receives at its arrival time. */
     private record Delivery(long arrivalNanos, PlacementTable placement) {}
 
-    /** A write on its way to a host or queued there: it runs at its time, if that is before its expiry. */
+    /** A write sent to a host or queued there; it runs at its time unless it has expired by then. */
     private record WriteInTransit(
-            long runsAtNanos, long expiryNanos, int cell, SimulatedRouter router, int run, Request request) {}
+            long runsAtNanos, long expiryNanos, int cell, SimulatedRouter router, int incarnation, Request request) {}
 
     private final List<WriteInTransit> inTransit = new ArrayList<>();
 
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Runs four seconds of virtual time, checks all, and counts how migrations ended by kind. */
+    /** Runs four seconds of virtual time, checks the invariants, and counts ended migrations by their last step. */
     void run(Map<Kind, Integer> countByEnd) {
         applyDueSteps();
         long proposeAfterNanos = startNanos + 300 * MS;
@@ -129,7 +129,7 @@
                 try {
                     coordinator.requestUndo("t", "me");
                 } catch (MigrationRejectedException e) {
-                    // The migration has ended or switched.
+                    // The migration has already ended or switched.
                 }
             }
         }
@@ -159,7 +159,7 @@
             router.restart();
         }
         if (random.nextInt(4) == 0) {
-            MigrationStep registration = coordinator.registration(router.name, String.valueOf(router.run), nowNanos);
+            MigrationStep registration = coordinator.registration(router.name, String.valueOf(router.incarnation), nowNanos);
             if (registration != null) {
                 recordAndApply(registration);
             }
@@ -206,7 +206,7 @@
                 router.admission.release(decision.permit());
             }
         }
-        // Each admitted request waits a while, is checked again, and is then sent.
+        // Each admitted request waits for some rounds, is checked again, and is then sent.
         for (Request request : List.copyOf(router.admitted)) {
             if (random.nextInt(4) == 0) {
                 router.admitted.remove(request);
@@ -217,7 +217,7 @@
                             request.expiryNanos,
                             request.group.id,
                             router,
-                            router.run,
+                            router.incarnation,
                             request));
                 } else {
                     router.admission.requestEnded(request);
@@ -229,17 +229,17 @@
     private void runDueWrites() {
         inTransit.removeIf(write -> {
             Attempt attempt = write.request().attempts.get(0);
-            if (!write.request().ended && write.router().run == write.run() && random.nextInt(12) == 0) {
-                // Its client disconnects: the attempt is cancelled, but a host may still run it.
+            if (!write.request().ended && write.router().incarnation == write.incarnation() && random.nextInt(12) == 0) {
+                // The client disconnects: the attempt is cancelled, but a host may still run it.
                 write.request().ended = true;
                 write.router().admission.requestEnded(write.request());
                 attempt.ended = true;
                 write.router().admission.attemptEnded(attempt, Outcome.CANCELLED, HostReport.EMPTY, nowNanos);
             }
-            boolean isSameRun = write.router().run == write.run();
+            boolean isSameIncarnation = write.router().incarnation == write.incarnation();
             if (write.runsAtNanos() > nowNanos) {
-                // Its router abandons it at its expiry; its host may still run it until then.
-                if (isSameRun && nowNanos >= write.expiryNanos() && !write.request().ended) {
+                // The router ends the attempt at its expiry; the host may still run it until then.
+                if (isSameIncarnation && nowNanos >= write.expiryNanos() && !write.request().ended) {
                     write.request().ended = true;
                     write.router().admission.attemptEnded(attempt, Outcome.TIMED_OUT, HostReport.EMPTY, nowNanos);
                     write.router().admission.requestEnded(write.request());
@@ -253,7 +253,7 @@
                     runTimesInB.add(write.runsAtNanos());
                 }
             }
-            if (isSameRun && !write.request().ended) {
+            if (isSameIncarnation && !write.request().ended) {
                 write.request().ended = true;
                 boolean answered = random.nextInt(8) > 0;
                 write.router()
--- a/src/test/java/beaconladder/cells/PlacementPlannerTest.java
+++ b/src/test/java/beaconladder/cells/PlacementPlannerTest.java
@@ -19,7 +19,7 @@
                 .collect(Collectors.joining(" "));
     }
 
-    /** No single migration lowers the cost here: two tenants have to swap. */
+    /** No single migration lowers the cost of this plan: two tenants have to swap cells. */
     @Test
     void theSolverFindsASwapThatNoSingleMigrationLeadsTo() {
         String plan = """
--- a/src/test/java/beaconladder/cells/TenantMigrationsTest.java
+++ b/src/test/java/beaconladder/cells/TenantMigrationsTest.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The coordinator's steps, alone and against simulated routers. */
+/** Tests of the coordinator's state machine, alone and with simulated routers. */
 class TenantMigrationsTest {
     private static final long MS = 1_000_000;
     private static final long START = 1_000_000 * MS;
@@ -58,8 +58,8 @@
         migrations.grantLease("n0", version, List.of(new WriteActivity("t", 2, List.of(0L))), START + 2 * MS);
         migrations.recordObservation("t", 0, observation(START + 10 * MS, "s", START + 10 * MS, "d", START + 9 * MS));
         applyDueSteps(migrations, trace, START + 10 * MS);
-        // The router has applied the fence, but two writes are in flight; later none, and a commit beyond the position
-        // that the source showed.
+        // The router has applied the fence with two writes in flight. Later it reports none, and a commit that is newer
+        // than the source's position.
         migrations.grantLease(
                 "n0", migrations.version(), List.of(new WriteActivity("t", 2, List.of(0L))), START + 20 * MS);
         migrations.recordObservation("t", 0, observation(START + 25 * MS, "s", START + 25 * MS, "d", START + 25 * MS));
@@ -74,7 +74,8 @@
         applyDueSteps(migrations, trace, START + 46 * MS);
         migrations.recordObservation("t", 0, observation(START + 55 * MS, "s", START + 55 * MS, "d", START + 50 * MS));
         applyDueSteps(migrations, trace, START + 56 * MS);
-        // Sealed, but the router has not applied it. Its lease ends at 240: a little later it counts as applied.
+        // Sealed, but the router has not applied it. Its lease ends at 240 ms; the next step is due once the clock skew
+        // has passed as well.
         migrations.recordObservation(
                 "t", 0, observation(START + 200 * MS, "s", START + 200 * MS, "d", START + 200 * MS));
         applyDueSteps(migrations, trace, START + 200 * MS);
@@ -190,7 +191,8 @@
     }
 
     /**
-     * See {@link MigrationSimulation}: no write runs behind the fence in the old cell or before the switch in the new.
+     * No write runs in the old cell after the fence or in the new cell before the switch; see
+     * {@link MigrationSimulation} for the faults.
      */
     @Test
     void noOrderOfEventsLetsAWriteRunInTheWrongCell() {
@@ -198,7 +200,7 @@
         for (int seed = 0; seed < 1_500; seed++) {
             new MigrationSimulation(staticPlacement(), START, seed).run(ends);
         }
-        // The random faults must not have undone all migrations, nor none.
+        // The random faults must undo some migrations, but not most.
         assertThat(ends.get(Kind.DONE)).isGreaterThan(500);
         assertThat(ends.get(Kind.UNDONE)).isGreaterThan(50);
     }
--- a/src/test/java/beaconladder/coordinator/CoordinatorProtocolTest.java
+++ b/src/test/java/beaconladder/coordinator/CoordinatorProtocolTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The texts that are stored and sent, as literals: they stay as they are when names in the code change. */
+/** Pins the stored and transmitted JSON as literals, so that renames in the code can't change it. */
 @Timeout(60)
 class CoordinatorProtocolTest {
     private static final String STEP = """
--- a/src/test/java/beaconladder/coordinator/StoredMigrationsTest.java
+++ b/src/test/java/beaconladder/coordinator/StoredMigrationsTest.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Records that an earlier build has written are read by this one, and it continues from them. The fixture
- * src/test/resources/stored/coordinator holds one finished move (t), one that is switched (u) and one that is sealed
- * (v). It is made by {@link #generate} and is not to be made anew when the code changes.
+ * Compatibility test for stored records: this build must read the records of an earlier build and continue from them.
+ * The fixture src/test/resources/stored/coordinator has a completed migration (t), a switched one (u) and a sealed one
+ * (v). It was written by {@link #generate} and must not be generated again when the code changes.
  */
 @Timeout(60)
 class StoredMigrationsTest {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Lets all of the move be seen as copied at this time, and takes what is due then. */
+    /** Reports drained writes and a complete copy at this time, and writes the steps that are due then. */
     private static void observeAsCopied(
             TenantMigrations migrations, DurableRecords records, String tenant, long nowNanos) throws IOException {
         migrations.grantLease(
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Writes the fixture into this folder, which must be empty. The steps are the ones that a keeper writes, at fixed
-     * times.
+     * Writes the fixture into this directory, which must be empty. The steps are those that a coordinator writes, at
+     * fixed times.
      */
     static void generate(Path targetDirectory) throws IOException {
         Path sourceDirectory = Files.createTempDirectory("steps");
@@ -120,7 +120,7 @@
         try (DurableRecords records = DurableRecords.open(sourceDirectory)) {
             allRecords = records.recovered();
         }
-        // Each append costs a block of 4 KB; a snapshot first keeps the fixture small.
+        // Each append takes a block of 4 KB, so a snapshot of most records keeps the fixture small.
         try (DurableRecords records = DurableRecords.open(targetDirectory)) {
             records.replace(allRecords.subList(0, allRecords.size() - 2));
             for (byte[] record : allRecords.subList(allRecords.size() - 2, allRecords.size())) {
@@ -199,7 +199,7 @@
         return line.replaceAll("\\{\"kind\":\"(\\w+)\",\"tenant\":\"(\\w*)\".*", "$1 $2");
     }
 
-    /** By the clock of the machine, the fence of the sealed move is long over: it is undone, not lost. */
+    /** By the real clock, the time limit of the sealed migration's fence is long exceeded: it is undone, not lost. */
     @Test
     void aCoordinatorThatStartsOnStoredRecordsContinuesFromThem() throws Exception {
         Path store = copyFixture();
