--- a/src/main/java/beaconladder/cells/CellAdmission.java
+++ b/src/main/java/beaconladder/cells/CellAdmission.java
@@ -29,7 +29,7 @@
     private final RouterPlacement placement;
     private final AdmissionQuotas quotas;
     private final Map<Request, AdmissionPermit> permits = new IdentityHashMap<>();
-    private final InFlightWrites writes = new InFlightWrites();
+    private final InFlightWrites inFlightWrites = new InFlightWrites();
 
     /**
      * Creates the admission control of one router, which has no granted placement yet.
@@ -45,20 +45,20 @@
     }
 
     /** Replaces the plan by a compatible one; requests in flight keep the quota that they have acquired. */
-    public void replacePlan(StaticPlacement next) {
-        placement.replacePlan(next);
-        quotas.replacePlan(next.plan());
-        servedCells = servedCells(next);
+    public void replacePlan(StaticPlacement newPlacement) {
+        placement.replacePlan(newPlacement);
+        quotas.replacePlan(newPlacement.plan());
+        servedCells = servedCells(newPlacement);
     }
 
-    private List<Integer> servedCells(StaticPlacement next) {
-        List<String> names = next.plan().cellsByRouter().get(router);
-        return names == null ? null : names.stream().map(next::cellIndex).toList();
+    private List<Integer> servedCells(StaticPlacement newPlacement) {
+        List<String> names = newPlacement.plan().cellsByRouter().get(router);
+        return names == null ? null : names.stream().map(newPlacement::cellIndex).toList();
     }
 
     /** Returns the reason, for an operator, why this plan can't replace the current one, or null if it can. */
-    public String incompatibility(StaticPlacement next) {
-        return PlanCompatibility.incompatibility(staticPlacement(), next);
+    public String incompatibility(StaticPlacement newPlacement) {
+        return PlanCompatibility.incompatibility(staticPlacement(), newPlacement);
     }
 
     // ---- Requests -----------------------------------------------------------------------------------------
@@ -113,10 +113,10 @@
             permit.floor = placement.floor(permit);
             return AdmissionDecision.admit(permit);
         }
-        long queueUntil = permit.arrivedNanos + (permit.expiryNanos - permit.arrivedNanos) / QUEUE_TIME_DIVISOR;
+        long queueUntilNanos = permit.arrivedNanos + (permit.expiryNanos - permit.arrivedNanos) / QUEUE_TIME_DIVISOR;
         boolean placedHere = placement.isPlacedInCellOf(permit);
-        if (nowNanos < queueUntil && placedHere) {
-            return AdmissionDecision.queue(permit, queueUntil);
+        if (nowNanos < queueUntilNanos && placedHere) {
+            return AdmissionDecision.queue(permit, queueUntilNanos);
         }
         quotas.releaseRequest(permit);
         return placedHere
@@ -139,7 +139,7 @@
         request.minPosition = permit.floor;
         permits.put(request, permit);
         if (permit.write) {
-            writes.started(permit.tenant);
+            inFlightWrites.started(permit.tenant);
         }
     }
 
@@ -156,11 +156,11 @@
             return;
         }
         if (outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED || outcome == Outcome.RESET) {
-            writes.outcomeUnknown(permit);
+            inFlightWrites.outcomeUnknown(permit);
         }
         if (outcome == Outcome.COMMITTED && placement.isMigrating(permit.tenant)) {
             int slots = staticPlacement().cell(permit.cellIndex).groups().size();
-            writes.committed(permit, slots, answer.position() == HostReport.NO_POSITION ? nowNanos : answer.position());
+            inFlightWrites.committed(permit, slots, answer.position() == HostReport.NO_POSITION ? nowNanos : answer.position());
         }
     }
 
@@ -171,10 +171,10 @@
             return;
         }
         if (permit.write) {
-            writes.ended(permit.tenant);
+            inFlightWrites.ended(permit.tenant);
             // A disconnect of the client ends its request, but hosts may still run the attempts in flight.
             if (placement.isCoordinated() && request.attemptsInFlight() > 0) {
-                writes.outcomeUnknown(permit);
+                inFlightWrites.outcomeUnknown(permit);
             }
         }
         quotas.releaseRequest(permit);
@@ -185,7 +185,7 @@
         quotas.releaseRequest(permit);
     }
 
-    // ---- Client connections ---------------------------------------------------------------------------------
+    // ---- Client connections -------------------------------------------------------------------------------
 
     /** Acquires a connection for the tenant of its first request; returns false if a quota does not allow it. */
     public boolean acquireConnection(AdmissionPermit permit, long nowNanos) {
@@ -209,12 +209,12 @@
      *
      * @return the groups whose requests must be checked again
      */
-    public List<Integer> applyPlacement(PlacementTable next) {
-        List<Integer> changedGroups = placement.groupsChangedBy(next);
-        if (!placement.apply(next)) {
+    public List<Integer> applyPlacement(PlacementTable newTable) {
+        List<Integer> changedGroups = placement.groupsChangedBy(newTable);
+        if (!placement.apply(newTable)) {
             return List.of();
         }
-        writes.retainMigrating(next.placements());
+        inFlightWrites.retainMigrating(newTable.placements());
         return changedGroups;
     }
 
@@ -225,7 +225,7 @@
 
     /** Returns the report for the coordinator: one entry for each tenant under migration. */
     public List<WriteActivity> writeActivity(long nowNanos) {
-        return writes.report(placement.granted().placements(), nowNanos);
+        return inFlightWrites.report(placement.granted().placements(), nowNanos);
     }
 
     // ---- For monitoring and tests -------------------------------------------------------------------------
--- a/src/main/java/beaconladder/cells/CellQuotas.java
+++ b/src/main/java/beaconladder/cells/CellQuotas.java
@@ -16,7 +16,7 @@
     private static final int EXPECTED_GROWTH = 2;
     /** The length of the window of a peak. A burst is visible within a second; loans depend on the last two windows. */
     private static final long WINDOW_NANOS = 1_000_000_000L;
-    /** The fraction of a limit that requests below the cell's average weight may use; the rest is for the others. */
+    /** The fraction of a limit for requests below the cell's average weight; the rest is for those at or above it. */
     private static final double LOW_WEIGHT_FRACTION = 0.9;
     /** The average weight is an exponential moving average over the last few dozen requests. */
     private static final double WEIGHT_SMOOTHING = 1.0 / 32;
--- a/src/main/java/beaconladder/cells/MigrationState.java
+++ b/src/main/java/beaconladder/cells/MigrationState.java
@@ -28,8 +28,8 @@
         this.routerLeases = routerLeases;
     }
 
-    void replacePlan(StaticPlacement next) {
-        staticPlacement = next;
+    void replacePlan(StaticPlacement newPlacement) {
+        staticPlacement = newPlacement;
     }
 
     StaticPlacement staticPlacement() {
--- a/src/main/java/beaconladder/cells/MigrationStep.java
+++ b/src/main/java/beaconladder/cells/MigrationStep.java
@@ -76,15 +76,15 @@
         return of(Kind.PLACED, tenant, cell, cell, nowNanos, null).withFloors(floors);
     }
 
-    MigrationStep withFences(List<Long> next) {
-        return new MigrationStep(kind, tenant, fromCell, toCell, atNanos, next, floors, sources, detail);
+    MigrationStep withFences(List<Long> newFences) {
+        return new MigrationStep(kind, tenant, fromCell, toCell, atNanos, newFences, floors, sources, detail);
     }
 
-    MigrationStep withFloors(List<Long> next) {
-        return new MigrationStep(kind, tenant, fromCell, toCell, atNanos, fences, next, sources, detail);
+    MigrationStep withFloors(List<Long> newFloors) {
+        return new MigrationStep(kind, tenant, fromCell, toCell, atNanos, fences, newFloors, sources, detail);
     }
 
-    MigrationStep withSources(List<String> next) {
-        return new MigrationStep(kind, tenant, fromCell, toCell, atNanos, fences, floors, next, detail);
+    MigrationStep withSources(List<String> newSources) {
+        return new MigrationStep(kind, tenant, fromCell, toCell, atNanos, fences, floors, newSources, detail);
     }
 }
--- a/src/main/java/beaconladder/cells/PlacementSolver.java
+++ b/src/main/java/beaconladder/cells/PlacementSolver.java
@@ -34,7 +34,7 @@
     /** The node limit of the complete search, which takes about a second. */
     private static final long MAX_COMPLETE_NODES = 100_000;
     /** Time limit of a search per second of total time: each of the two searches may use half. */
-    private static final long MILLIS_PER_SEARCH_AND_SECOND = 500;
+    private static final long SEARCH_MILLIS_PER_SECOND = 500;
     /** An upper bound on a peak with which the solver's sums fit in an int. */
     private static final int PEAK_UPPER_BOUND = Integer.MAX_VALUE / 16;
 
@@ -195,7 +195,7 @@
         IntVar[] recorded = Arrays.copyOf(cellOf, cellOf.length + 1);
         recorded[cellOf.length] = cost;
         Solution best = new Solution(model, recorded);
-        solver.limitTime(maxSeconds * MILLIS_PER_SEARCH_AND_SECOND);
+        solver.limitTime(maxSeconds * SEARCH_MILLIS_PER_SECOND);
         solver.limitNode(MAX_COMPLETE_NODES);
         boolean found = recordSolutions(solver, best);
         boolean optimal = !solver.isStopCriterionMet();
@@ -208,7 +208,7 @@
             solver.setLNS(
                     new RandomNeighborhood(cellOf, FREED_PER_NEIGHBOURHOOD, new SplittableRandom(seed).nextLong()),
                     new FailCounter(model, FAILURES_PER_NEIGHBOURHOOD));
-            solver.limitTime(maxSeconds * MILLIS_PER_SEARCH_AND_SECOND);
+            solver.limitTime(maxSeconds * SEARCH_MILLIS_PER_SECOND);
             solver.limitRestart(MAX_NEIGHBOURHOODS);
             found |= recordSolutions(solver, best);
         }
--- a/src/main/java/beaconladder/cells/RouterPlacement.java
+++ b/src/main/java/beaconladder/cells/RouterPlacement.java
@@ -21,10 +21,10 @@
         replacePlan(staticPlacement);
     }
 
-    void replacePlan(StaticPlacement next) {
-        staticPlacement = next;
-        coordinated = next.plan().coordinator() != null;
-        planMatches = next.fingerprint().equals(granted.planFingerprint());
+    void replacePlan(StaticPlacement newPlacement) {
+        staticPlacement = newPlacement;
+        coordinated = newPlacement.plan().coordinator() != null;
+        planMatches = newPlacement.fingerprint().equals(granted.planFingerprint());
     }
 
     StaticPlacement staticPlacement() {
@@ -93,21 +93,21 @@
     }
 
     /** Applies a granted table; ignores it and returns false if it is older, or the same with no longer lease. */
-    boolean apply(PlacementTable next) {
-        if (next.version() < granted.version()
-                || next.version() == granted.version() && next.validUntilNanos() <= granted.validUntilNanos()) {
+    boolean apply(PlacementTable newTable) {
+        if (newTable.version() < granted.version()
+                || newTable.version() == granted.version() && newTable.validUntilNanos() <= granted.validUntilNanos()) {
             return false;
         }
-        granted = next;
-        planMatches = staticPlacement.fingerprint().equals(next.planFingerprint());
+        granted = newTable;
+        planMatches = staticPlacement.fingerprint().equals(newTable.planFingerprint());
         return true;
     }
 
     /** Returns the groups that currently serve a tenant whose placement changes with this table. */
-    List<Integer> groupsChangedBy(PlacementTable next) {
+    List<Integer> groupsChangedBy(PlacementTable newTable) {
         List<Integer> groups = new ArrayList<>();
-        if (next.version() > granted.version()) {
-            next.placements().forEach((tenant, after) -> {
+        if (newTable.version() > granted.version()) {
+            newTable.placements().forEach((tenant, after) -> {
                 TenantPlacement before = granted.placements().get(tenant);
                 if (before != null && !before.equals(after)) {
                     groups.addAll(staticPlacement.groupsOf(before.cell()));
--- a/src/main/java/beaconladder/cells/TenantMigrations.java
+++ b/src/main/java/beaconladder/cells/TenantMigrations.java
@@ -53,8 +53,8 @@
     }
 
     /** Replaces the plan; the recorded placements do not change. */
-    public void replacePlan(StaticPlacement next) {
-        state.replacePlan(next);
+    public void replacePlan(StaticPlacement newPlacement) {
+        state.replacePlan(newPlacement);
     }
 
     /** Must be called once all stored records are applied: routers may still hold leases granted before the restart. */
@@ -175,9 +175,9 @@
      * @param activity the write activity of each tenant under migration
      */
     public PlacementTable grantLease(String router, long appliedVersion, List<WriteActivity> activity, long nowNanos) {
-        long validUntil = routerLeases.grant(router, Math.min(appliedVersion, state.version()), activity, nowNanos);
+        long validUntilNanos = routerLeases.grant(router, Math.min(appliedVersion, state.version()), activity, nowNanos);
         return new PlacementTable(
-                state.version(), validUntil, state.staticPlacement().fingerprint(), state.placements());
+                state.version(), validUntilNanos, state.staticPlacement().fingerprint(), state.placements());
     }
 
     /** Records the state of the hosts of one slot of a migration. */
@@ -199,8 +199,8 @@
     }
 
     /** Returns the slots of a migration that has ended, whose hosts must be notified. */
-    public List<SlotQuery> slotQueries(MigrationStep end) {
-        return slotQueries(end.tenant(), end.fromCell(), end.toCell(), false);
+    public List<SlotQuery> slotQueries(MigrationStep endStep) {
+        return slotQueries(endStep.tenant(), endStep.fromCell(), endStep.toCell(), false);
     }
 
     private List<SlotQuery> slotQueries(String tenant, String fromCell, String toCell, boolean copying) {
--- a/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
+++ b/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
@@ -25,9 +25,9 @@
                 .put("until_ms", table.validUntilNanos() / NANOS_PER_MILLI)
                 .put("basis", table.planFingerprint());
         if (withPlacements) {
-            ArrayNode seats = root.putArray("seats");
+            ArrayNode placements = root.putArray("seats");
             table.placements().forEach((tenant, placement) -> {
-                ObjectNode entry = seats.addObject()
+                ObjectNode entry = placements.addObject()
                         .put("tenant", tenant)
                         .put("cell", placement.cell())
                         .put("writes", placement.admitsWrites())
@@ -49,26 +49,26 @@
     static ObjectNode cellsStatus(TenantMigrations migrations, long nowNanos) {
         ObjectNode root = MAPPER.createObjectNode();
         root.put("version", migrations.version());
-        ObjectNode seats = root.putObject("seats");
-        migrations.placements().forEach((tenant, placement) -> seats.put(tenant, placement.cell()));
+        ObjectNode placements = root.putObject("seats");
+        migrations.placements().forEach((tenant, placement) -> placements.put(tenant, placement.cell()));
         ObjectNode routers = root.putObject("routers");
         migrations
                 .nanosSinceLastReport(nowNanos)
                 .forEach((name, nanos) -> routers.put(name, nanos < 0 ? -1 : nanos / NANOS_PER_MILLI));
-        ArrayNode moves = root.putArray("moves");
+        ArrayNode migrationEntries = root.putArray("moves");
         migrations
                 .statuses(nowNanos)
-                .forEach(status -> moves.addObject()
+                .forEach(status -> migrationEntries.addObject()
                         .put("tenant", status.tenant())
                         .put("from", status.fromCell())
                         .put("to", status.toCell())
                         .put("state", status.state())
                         .put("waits_for", status.waitsFor())
                         .put("since_ms", status.stateSinceNanos() / NANOS_PER_MILLI));
-        ArrayNode ended = root.putArray("ended");
+        ArrayNode endedEntries = root.putArray("ended");
         migrations
                 .endedMigrations()
-                .forEach(step -> ended.addObject()
+                .forEach(step -> endedEntries.addObject()
                         .put("tenant", step.tenant())
                         .put("from", step.fromCell())
                         .put("to", step.toCell())
--- a/src/main/java/beaconladder/coordinator/HostConnection.java
+++ b/src/main/java/beaconladder/coordinator/HostConnection.java
@@ -60,6 +60,7 @@
             if (status != ReadStatus.MESSAGE) {
                 throw HostQueryException.noResponse(status);
             }
+            // S is ParameterStatus, D DataRow, E ErrorResponse, Z ReadyForQuery; other messages are not needed.
             switch (reader.type()) {
                 case 'S' -> {
                     if (!reader.isCStrings(2)) {
--- a/src/test/java/beaconladder/cells/CellAdmissionTest.java
+++ b/src/test/java/beaconladder/cells/CellAdmissionTest.java
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void anAddedCellTakesItsPartAndFewOthersChangeCells() {
+    void anAddedCellGetsItsShareAndFewOtherSessionsMove() {
         StringBuilder cells = new StringBuilder("(others (spread 2))");
         for (int i = 0; i < 16; i++) {
             cells.append("(cell c").append(i).append(" (groups ").append(i).append("))");
--- a/src/test/java/beaconladder/cells/CellQuotasTest.java
+++ b/src/test/java/beaconladder/cells/CellQuotasTest.java
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void oneOfManyTenantsIsNeverMostOfItsCell() {
+    void oneOfManyTenantsNeverGetsMoreThanHalfOfItsCell() {
         CellQuotas quotas = new CellQuotas(100, 1.0);
         int acquired = 0;
         while (quotas.tryAcquire(0, "flood", 0.2, 1, 1, 0) == Result.ACQUIRED) {
--- a/src/test/java/beaconladder/cells/MigrationSimulation.java
+++ b/src/test/java/beaconladder/cells/MigrationSimulation.java
@@ -271,12 +271,12 @@
 
     private void check(Map<Kind, Integer> countByEnd) {
         MigrationStep switched = records.stream()
-                .filter(s -> s.kind() == Kind.SWITCHED)
+                .filter(step -> step.kind() == Kind.SWITCHED)
                 .findFirst()
                 .orElse(null);
         String history = "seed " + seed + " "
                 + records.stream()
-                        .map(s -> s.kind() + "@" + (s.atNanos() - startNanos) / MS)
+                        .map(step -> step.kind() + "@" + (step.atNanos() - startNanos) / MS)
                         .collect(Collectors.joining(" "));
         if (switched == null) {
             assertThat(runTimesInB).as(history).isEmpty();
@@ -288,10 +288,10 @@
         }
         records.stream()
                 .map(MigrationStep::kind)
-                .filter(k -> k == Kind.DONE || k == Kind.UNDONE)
-                .forEach(k -> countByEnd.merge(k, 1, Integer::sum));
+                .filter(kind -> kind == Kind.DONE || kind == Kind.UNDONE)
+                .forEach(kind -> countByEnd.merge(kind, 1, Integer::sum));
         assertThat(coordinator.statuses(nowNanos).stream()
-                        .noneMatch(m -> m.state().equals("fenced") && nowNanos > m.stateSinceNanos() + 1_500 * MS))
+                        .noneMatch(status -> status.state().equals("fenced") && nowNanos > status.stateSinceNanos() + 1_500 * MS))
                 .as(history)
                 .isTrue();
     }
--- a/src/test/java/beaconladder/cells/PlacementPlannerTest.java
+++ b/src/test/java/beaconladder/cells/PlacementPlannerTest.java
@@ -14,7 +14,7 @@
 
     private static String migrations(PlacementProposal proposal) {
         return proposal.migrations().stream()
-                .map(m -> m.tenant() + ">" + m.toCell())
+                .map(migration -> migration.tenant() + ">" + migration.toCell())
                 .sorted()
                 .collect(Collectors.joining(" "));
     }
@@ -32,7 +32,7 @@
         assertThat(proposal.peakAfter()).isEqualTo(1_000);
         assertThat(proposal.costAfter()).isLessThan(proposal.costBefore());
         assertThat(proposal.migrations()).hasSize(2);
-        assertThat(proposal.migrations()).noneMatch(m -> m.tenant().endsWith("3"));
+        assertThat(proposal.migrations()).noneMatch(migration -> migration.tenant().endsWith("3"));
     }
 
     @Test
@@ -43,17 +43,17 @@
                 (tenant a3 (cell a) (fixed))
                 (tenant b1 (cell b) (load 3txns/s)) (tenant c1 (cell c) (load 3txns/s))
                 """;
-        PlacementProblem lost =
+        PlacementProblem problemWithoutCell =
                 PlacementProblem.of(PlanReader.read("p", plan).plan()).withoutCell("a");
-        PlacementProposal proposal = PlacementPlanner.propose(lost, 5, 5, 1);
+        PlacementProposal proposal = PlacementPlanner.propose(problemWithoutCell, 5, 5, 1);
         assertThat(proposal.migrations()).extracting(ProposedMigration::tenant).contains("a1", "a2", "a3");
-        assertThat(proposal.migrations()).noneMatch(m -> m.toCell().equals("a"));
-        assertThat(PlacementPlanner.propose(lost, 2, 5, 1).found()).isFalse();
-        assertThat(PlacementPlanner.propose(lost, 2, 5, 1).summary()).startsWith("no proposal");
+        assertThat(proposal.migrations()).noneMatch(migration -> migration.toCell().equals("a"));
+        assertThat(PlacementPlanner.propose(problemWithoutCell, 2, 5, 1).found()).isFalse();
+        assertThat(PlacementPlanner.propose(problemWithoutCell, 2, 5, 1).summary()).startsWith("no proposal");
     }
 
     @Test
-    void pairsThatShouldBeApartAreSeparatedAndAGoodPlacementStays() {
+    void pairsToSeparateAreSeparatedAndAGoodPlacementIsKept() {
         String plan = """
                 (cell a (groups 0)) (cell b (groups 1)) (cell c (groups 2))
                 (tenant x (cell a) (apart-from y)) (tenant y (cell a)) (tenant z (cell b))
--- a/src/test/java/beaconladder/cells/TenantMigrationsTest.java
+++ b/src/test/java/beaconladder/cells/TenantMigrationsTest.java
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aSourceThatFailsDuringTheFenceOrAnExceededLimitUndoes() {
+    void aSourceFailureDuringTheFenceOrAnExceededLimitUndoesTheMigration() {
         for (boolean sourceFails : new boolean[] {true, false}) {
             TenantMigrations migrations = new TenantMigrations(staticPlacement());
             StringBuilder trace = new StringBuilder();
@@ -165,7 +165,7 @@
                 recordDueSteps(migrations, records, atNanos);
                 if (random.nextInt(20) == 0
                         && migrations.statuses(atNanos).stream()
-                                .noneMatch(m -> m.state().equals("switched"))
+                                .noneMatch(status -> status.state().equals("switched"))
                         && !migrations.statuses(atNanos).isEmpty()) {
                     migrations.requestUndo("t", "me");
                 }
