--- a/src/main/java/beaconladder/cells/CellAdmission.java
+++ b/src/main/java/beaconladder/cells/CellAdmission.java
@@ -71,7 +71,7 @@
             return AdmissionDecision.invalid("clients at this address don't speak for " + tenant);
         }
         boolean fixed = placement.isFixed(tenant);
-        if (!fixed && placement.isLeaseOver(nowNanos)) {
+        if (!fixed && placement.isLeaseExpired(nowNanos)) {
             return AdmissionDecision.reject("the lease on the placement is over", RETRY_AFTER_NANOS);
         }
         if (!fixed && placement.isHashedByDifferentPlan(tenant)) {
@@ -109,7 +109,7 @@
 
     /** Decides again on a queued request; releases its permit if the request is rejected. */
     public AdmissionDecision recheck(AdmissionPermit permit, long nowNanos) {
-        if (placement.accepts(permit, nowNanos)) {
+        if (placement.admits(permit, nowNanos)) {
             permit.floor = placement.floor(permit);
             return AdmissionDecision.admit(permit);
         }
@@ -146,7 +146,7 @@
     /** Returns whether this request may still be sent to its cell; must also be checked right before each attempt. */
     public boolean isStillAdmitted(Request request, long nowNanos) {
         AdmissionPermit permit = permits.get(request);
-        return permit == null || placement.accepts(permit, nowNanos);
+        return permit == null || placement.admits(permit, nowNanos);
     }
 
     /** Records the end of an attempt. A write with an unknown outcome counts as in flight until its client gives up. */
@@ -160,7 +160,8 @@
         }
         if (outcome == Outcome.COMMITTED && placement.isMigrating(permit.tenant)) {
             int slots = staticPlacement().cell(permit.cellIndex).groups().size();
-            inFlightWrites.committed(permit, slots, answer.position() == HostReport.NO_POSITION ? nowNanos : answer.position());
+            inFlightWrites.committed(
+                    permit, slots, answer.position() == HostReport.NO_POSITION ? nowNanos : answer.position());
         }
     }
 
--- a/src/main/java/beaconladder/cells/MigrationStep.java
+++ b/src/main/java/beaconladder/cells/MigrationStep.java
@@ -8,10 +8,10 @@
  * crash. The JSON names of the components and kinds are stored and must not change. Times and positions are in
  * nanoseconds.
  *
- * @param kind what changes
+ * @param kind the kind of change
  * @param tenant the tenant; for ROUTER the router's name; for LEASE and VERSION empty
  * @param fromCell the cell that serves the tenant when the migration starts
- * @param toCell the cell to which it migrates
+ * @param toCell the cell to which the tenant migrates; for PLACED, the same as fromCell
  * @param atNanos when the step was decided; for LEASE the length of the leases, for VERSION the placement's version
  * @param fences for SEALED and SWITCHED: by slot, the position in the old cell's log up to which writes must be copied
  * @param floors for SWITCHED: by slot, the new floor, see {@link TenantPlacement#floors}; for PLACED the current floors
--- a/src/main/java/beaconladder/cells/PlacementProblem.java
+++ b/src/main/java/beaconladder/cells/PlacementProblem.java
@@ -41,7 +41,7 @@
                 .mapToDouble(Plan.Tenant::requestsPerSecond)
                 .sum();
         double totalValue = plan.tenants().stream()
-                .mapToDouble(t -> t.requestsPerSecond() * t.priorityWeight())
+                .mapToDouble(tenant -> tenant.requestsPerSecond() * tenant.priorityWeight())
                 .sum();
         Map<String, Integer> cellIndices = new HashMap<>();
         for (int i = 0; i < cellCount; i++) {
@@ -59,7 +59,7 @@
             movable[i] = !tenant.fixed();
         }
         int[] capacity = plan.cells().stream()
-                .mapToInt(c -> (int) Math.round(SCALE * cellCount * c.share()))
+                .mapToInt(cell -> (int) Math.round(SCALE * cellCount * cell.share()))
                 .toArray();
         return new PlacementProblem(
                 plan.tenants().stream().map(Plan.Tenant::name).toList(),
--- a/src/main/java/beaconladder/cells/RouterPlacement.java
+++ b/src/main/java/beaconladder/cells/RouterPlacement.java
@@ -45,7 +45,7 @@
         return !coordinated || declared != null && declared.fixed();
     }
 
-    boolean isLeaseOver(long nowNanos) {
+    boolean isLeaseExpired(long nowNanos) {
         return nowNanos >= granted.validUntilNanos() - CellAdmission.MAX_CLOCK_SKEW_NANOS;
     }
 
@@ -69,11 +69,11 @@
     }
 
     /** Returns whether a request with this permit may be sent to its cell now. */
-    boolean accepts(AdmissionPermit permit, long nowNanos) {
+    boolean admits(AdmissionPermit permit, long nowNanos) {
         if (isFixed(permit.tenant)) {
             return true;
         }
-        if (isLeaseOver(nowNanos)) {
+        if (isLeaseExpired(nowNanos)) {
             return false;
         }
         TenantPlacement placement = granted.placements().get(permit.tenant);
--- a/src/main/java/beaconladder/cells/TenantMigrations.java
+++ b/src/main/java/beaconladder/cells/TenantMigrations.java
@@ -175,7 +175,8 @@
      * @param activity the write activity of each tenant under migration
      */
     public PlacementTable grantLease(String router, long appliedVersion, List<WriteActivity> activity, long nowNanos) {
-        long validUntilNanos = routerLeases.grant(router, Math.min(appliedVersion, state.version()), activity, nowNanos);
+        long validUntilNanos =
+                routerLeases.grant(router, Math.min(appliedVersion, state.version()), activity, nowNanos);
         return new PlacementTable(
                 state.version(), validUntilNanos, state.staticPlacement().fingerprint(), state.placements());
     }
