--- a/src/main/java/beaconladder/cells/CellAdmission.java
+++ b/src/main/java/beaconladder/cells/CellAdmission.java
@@ -9,32 +9,33 @@
 import java.util.Map;
 
 /**
- * Admission of requests before they are routed: which cell a request belongs to, whether its quota has capacity, and
- * whether its tenant's migration lets it pass now; and, until its end, whether it is still admitted. It does no I/O and
- * reads no clock: the caller passes the time, in nanoseconds on the router's clock. Not thread-safe.
+ * Admission control for requests before they are routed: selects the cell of a request, checks the quotas of the cell
+ * and the tenant, and queues the request while a migration blocks its tenant. Until the request ends, it also tells
+ * whether the request is still admitted. It does no I/O and reads no clock: the caller passes the time, in nanoseconds
+ * on the router's clock. Not thread-safe.
  */
 public final class CellAdmission {
-    /** The most by which machines' clocks differ; a lease ends this much earlier for its holder. */
+    /** Upper bound on the difference between two machines' clocks; a lease ends this much earlier for its holder. */
     static final long MAX_CLOCK_SKEW_NANOS = 20_000_000L;
-    /** A request is queued for half of its time at most: a later rejection leaves its client no time to retry. */
+    /** A request is queued for at most half of its time: after a later rejection its client has no time to retry. */
     private static final int QUEUE_TIME_DIVISOR = 2;
-    /** A usual request ends within this time and releases its quota. */
+    /** Retry advice: a typical request ends within this time and releases its quota. */
     private static final long RETRY_AFTER_NANOS = 100_000_000L;
 
     private final String router;
-    /** The cells that this router serves, or null for all. */
+    /** Indices of the cells that this router serves, or null for all. */
     private List<Integer> servedCells;
 
     private final RouterPlacement placement;
     private final AdmissionQuotas quotas;
     private final Map<Request, AdmissionPermit> permits = new IdentityHashMap<>();
-    private final InFlightWrites writes = new InFlightWrites();
+    private final InFlightWrites inFlightWrites = new InFlightWrites();
 
     /**
-     * The admission of one router.
+     * Creates the admission control of one router, which has no granted placement yet.
      *
-     * @param router its name in the plan
-     * @param capacity the most that it may hold
+     * @param router the router's name in the plan
+     * @param capacity the resources that the router may use, over all cells
      */
     public CellAdmission(String router, StaticPlacement staticPlacement, RouterCapacity capacity) {
         this.router = router;
@@ -43,34 +44,34 @@
         servedCells = servedCells(staticPlacement);
     }
 
-    /** Replaces the plan by a compatible one; requests in flight keep the quota that they hold. */
-    public void replacePlan(StaticPlacement next) {
-        placement.replacePlan(next);
-        quotas.replacePlan(next.plan());
-        servedCells = servedCells(next);
+    /** Replaces the plan by a compatible one; requests in flight keep the quota that they have acquired. */
+    public void replacePlan(StaticPlacement newPlacement) {
+        placement.replacePlan(newPlacement);
+        quotas.replacePlan(newPlacement.plan());
+        servedCells = servedCells(newPlacement);
     }
 
-    private List<Integer> servedCells(StaticPlacement next) {
-        List<String> names = next.plan().cellsByRouter().get(router);
-        return names == null ? null : names.stream().map(next::cellIndex).toList();
+    private List<Integer> servedCells(StaticPlacement newPlacement) {
+        List<String> names = newPlacement.plan().cellsByRouter().get(router);
+        return names == null ? null : names.stream().map(newPlacement::cellIndex).toList();
     }
 
-    /** Why the plan can't be replaced by this one, for an operator; null if it can. */
-    public String incompatibility(StaticPlacement next) {
-        return PlanCompatibility.incompatibility(staticPlacement(), next);
+    /** Returns the reason, for an operator, why this plan can't replace the current one, or null if it can. */
+    public String incompatibility(StaticPlacement newPlacement) {
+        return PlanCompatibility.incompatibility(staticPlacement(), newPlacement);
     }
 
     // ---- Requests -----------------------------------------------------------------------------------------
 
-    /** Decides on a new request. A permit in the decision is to be given back when the request ends. */
-    public AdmissionDecision admit(AdmissionRequest request, long now) {
+    /** Decides on a new request. The caller must release a permit in the decision when the request ends. */
+    public AdmissionDecision admit(AdmissionRequest request, long nowNanos) {
         String tenant = request.tenant();
         StaticPlacement plan = staticPlacement();
         if (!plan.isClientAllowed(tenant, request.clientAddress())) {
             return AdmissionDecision.invalid("clients at this address don't speak for " + tenant);
         }
         boolean fixed = placement.isFixed(tenant);
-        if (!fixed && placement.isLeaseOver(now)) {
+        if (!fixed && placement.isLeaseExpired(nowNanos)) {
             return AdmissionDecision.reject("the lease on the placement is over", RETRY_AFTER_NANOS);
         }
         if (!fixed && placement.isHashedByDifferentPlan(tenant)) {
@@ -86,18 +87,18 @@
         if (servedCells != null && !servedCells.contains(cell)) {
             return AdmissionDecision.reject("this router does not serve cell " + cellName(cell), 0);
         }
-        CellQuotas.Result acquired = quotas.tryAcquireRequest(request, cell, plan.quotaOf(tenant), now);
+        CellQuotas.Result acquired = quotas.tryAcquireRequest(request, cell, plan.quotaOf(tenant), nowNanos);
         if (acquired != CellQuotas.Result.ACQUIRED) {
-            return AdmissionDecision.reject(fullReason(acquired, tenant, cell), RETRY_AFTER_NANOS);
+            return AdmissionDecision.reject(quotaRejectionReason(acquired, tenant, cell), RETRY_AFTER_NANOS);
         }
         int group = plan.groupInCell(cell, request.namedGroup());
-        return recheck(new AdmissionPermit(request, cell, group, plan.slotOf(group)), now);
+        return recheck(new AdmissionPermit(request, cell, group, plan.slotOf(group)), nowNanos);
     }
 
-    private String fullReason(CellQuotas.Result limit, String tenant, int cell) {
+    private String quotaRejectionReason(CellQuotas.Result limit, String tenant, int cell) {
         return switch (limit) {
-            case TENANT_FULL -> tenant + " holds its share";
-            case CELL_FULL -> "cell " + cellName(cell) + " holds its share";
+            case TENANT_LIMIT -> tenant + " holds its share";
+            case CELL_LIMIT -> "cell " + cellName(cell) + " holds its share";
             default -> "the router is full";
         };
     }
@@ -106,16 +107,16 @@
         return staticPlacement().cell(cell).name();
     }
 
-    /** Decides again on a request that was queued; releases its permit if it is rejected. */
-    public AdmissionDecision recheck(AdmissionPermit permit, long now) {
-        if (placement.accepts(permit, now)) {
+    /** Decides again on a queued request; releases its permit if the request is rejected. */
+    public AdmissionDecision recheck(AdmissionPermit permit, long nowNanos) {
+        if (placement.admits(permit, nowNanos)) {
             permit.floor = placement.floor(permit);
             return AdmissionDecision.admit(permit);
         }
-        long queueUntil = permit.arrivedNanos + (permit.expiryNanos - permit.arrivedNanos) / QUEUE_TIME_DIVISOR;
+        long queueUntilNanos = permit.arrivedNanos + (permit.expiryNanos - permit.arrivedNanos) / QUEUE_TIME_DIVISOR;
         boolean placedHere = placement.isPlacedInCellOf(permit);
-        if (now < queueUntil && placedHere) {
-            return AdmissionDecision.queue(permit, queueUntil);
+        if (nowNanos < queueUntilNanos && placedHere) {
+            return AdmissionDecision.queue(permit, queueUntilNanos);
         }
         quotas.releaseRequest(permit);
         return placedHere
@@ -123,77 +124,81 @@
                 : AdmissionDecision.reject(permit.tenant + " has moved", 0);
     }
 
-    /** The most that a request may be in flight, in nanoseconds: a write fence waits this long for unknown outcomes. */
+    /**
+     * Returns the longest time that a request may be in flight, in nanoseconds. A write fence waits up to this long for
+     * a write with an unknown outcome.
+     */
     public long maxInFlightNanos() {
         return placement.isCoordinated()
                 ? staticPlacement().plan().coordinator().requestExpiryNanos()
                 : Long.MAX_VALUE;
     }
 
-    /** An admitted request is in flight from now on. */
+    /** Records that an admitted request is in flight from now on, and sets its minimum position to the floor. */
     public void requestStarted(Request request, AdmissionPermit permit) {
         request.minPosition = permit.floor;
         permits.put(request, permit);
         if (permit.write) {
-            writes.started(permit.tenant);
+            inFlightWrites.started(permit.tenant);
         }
     }
 
-    /** Whether this request may still be sent to its cell; to be checked right before each attempt, too. */
-    public boolean isStillAdmitted(Request request, long now) {
+    /** Returns whether this request may still be sent to its cell; must also be checked right before each attempt. */
+    public boolean isStillAdmitted(Request request, long nowNanos) {
         AdmissionPermit permit = permits.get(request);
-        return permit == null || placement.accepts(permit, now);
+        return permit == null || placement.admits(permit, nowNanos);
     }
 
-    /** An attempt has ended. A write with an unknown outcome counts as in flight until its client's time is over. */
-    public void attemptEnded(Attempt attempt, Outcome outcome, HostReport answer, long now) {
+    /** Records the end of an attempt. A write with an unknown outcome counts as in flight until its client gives up. */
+    public void attemptEnded(Attempt attempt, Outcome outcome, HostReport answer, long nowNanos) {
         AdmissionPermit permit = permits.get(attempt.request);
         if (permit == null || !permit.write || !placement.isCoordinated()) {
             return;
         }
         if (outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED || outcome == Outcome.RESET) {
-            writes.outcomeUnknown(permit);
+            inFlightWrites.outcomeUnknown(permit);
         }
         if (outcome == Outcome.COMMITTED && placement.isMigrating(permit.tenant)) {
             int slots = staticPlacement().cell(permit.cellIndex).groups().size();
-            writes.committed(permit, slots, answer.position() == HostReport.NO_POSITION ? now : answer.position());
+            inFlightWrites.committed(
+                    permit, slots, answer.position() == HostReport.NO_POSITION ? nowNanos : answer.position());
         }
     }
 
-    /** A request has its final answer: its permit is released. */
+    /** Records the end of a request and releases its permit. */
     public void requestEnded(Request request) {
         AdmissionPermit permit = permits.remove(request);
         if (permit == null) {
             return;
         }
         if (permit.write) {
-            writes.ended(permit.tenant);
-            // A client that disconnects ends its request, but a host may still run the attempts that are out.
+            inFlightWrites.ended(permit.tenant);
+            // A disconnect of the client ends its request, but hosts may still run the attempts in flight.
             if (placement.isCoordinated() && request.attemptsInFlight() > 0) {
-                writes.outcomeUnknown(permit);
+                inFlightWrites.outcomeUnknown(permit);
             }
         }
         quotas.releaseRequest(permit);
     }
 
-    /** Releases the permit of a request that was admitted or queued and will not start. */
+    /** Releases the permit of a request that was admitted or queued but does not start. */
     public void release(AdmissionPermit permit) {
         quotas.releaseRequest(permit);
     }
 
-    // ---- Clients' connections -----------------------------------------------------------------------------
+    // ---- Client connections -------------------------------------------------------------------------------
 
-    /** Counts a connection for the tenant of its first request; false if the tenant may not have one more. */
-    public boolean acquireConnection(AdmissionPermit permit, long now) {
-        return quotas.tryAcquireConnection(permit, staticPlacement().quotaOf(permit.tenant), now);
+    /** Acquires a connection for the tenant of its first request; returns false if a quota does not allow it. */
+    public boolean acquireConnection(AdmissionPermit permit, long nowNanos) {
+        return quotas.tryAcquireConnection(permit, staticPlacement().quotaOf(permit.tenant), nowNanos);
     }
 
-    /** Releases a connection that was acquired with this permit. */
+    /** Releases the connection that was acquired with this permit. */
     public void releaseConnection(AdmissionPermit permit) {
         quotas.releaseConnection(permit);
     }
 
-    /** Whether a cell holds more connections than its quota, so that its idle ones are to be closed first. */
+    /** Returns whether a cell holds more connections than its quota; its idle connections should be closed first. */
     public boolean isBorrowingConnections(int cellIndex) {
         return quotas.isBorrowingConnections(cellIndex);
     }
@@ -201,37 +206,37 @@
     // ---- Placements from the coordinator ------------------------------------------------------------------
 
     /**
-     * Applies a placement; an older one, or the same with a shorter lease, changes nothing.
+     * Applies a placement; an older one, or the same version with no longer lease, is ignored.
      *
-     * @return the groups whose requests have to be checked again
+     * @return the groups whose requests must be checked again
      */
-    public List<Integer> applyPlacement(PlacementTable next) {
-        List<Integer> changedGroups = placement.groupsChangedBy(next);
-        if (!placement.apply(next)) {
+    public List<Integer> applyPlacement(PlacementTable newTable) {
+        List<Integer> changedGroups = placement.groupsChangedBy(newTable);
+        if (!placement.apply(newTable)) {
             return List.of();
         }
-        writes.retainMigrating(next.placements());
+        inFlightWrites.retainMigrating(newTable.placements());
         return changedGroups;
     }
 
-    /** The placement that applies now. */
+    /** Returns the last placement that the coordinator granted. */
     public PlacementTable placement() {
         return placement.granted();
     }
 
-    /** What to report to the coordinator: one entry for each tenant that is being migrated. */
-    public List<WriteActivity> writeActivity(long now) {
-        return writes.report(placement.granted().placements(), now);
+    /** Returns the report for the coordinator: one entry for each tenant under migration. */
+    public List<WriteActivity> writeActivity(long nowNanos) {
+        return inFlightWrites.report(placement.granted().placements(), nowNanos);
     }
 
     // ---- For monitoring and tests -------------------------------------------------------------------------
 
-    /** How many requests of a cell are in flight or queued. */
+    /** Returns the number of requests of a cell that are in flight or queued. */
     public long inFlight(int cellIndex) {
         return quotas.inFlight(cellIndex);
     }
 
-    /** The placement that the plan alone gives. */
+    /** Returns the placement computed from the plan alone. */
     public StaticPlacement staticPlacement() {
         return placement.staticPlacement();
     }
--- a/src/main/java/beaconladder/cells/CellQuotas.java
+++ b/src/main/java/beaconladder/cells/CellQuotas.java
@@ -4,141 +4,144 @@
 import java.util.Map;
 
 /**
- * How much cells, and the tenants in them, hold of one resource of a router: a bulkhead. Each cell has a quota of its
- * own. What cells have not used lately is lent to others; a cell gets it back on demand, at first from a reserve that
- * is never lent, while the loans end with the requests that hold them. Inside a cell the same holds for its tenants.
- * Not thread-safe; times are in nanoseconds and never run backwards.
+ * A bulkhead: divides one resource of a router among cells and the tenants in them. Each cell has a quota of its own.
+ * Capacity that a cell has not used recently is lent to other cells. When the cell needs it again, its first requests
+ * are served from a reserve that is never lent, until the loans end with the requests that hold them. The same scheme
+ * applies to the tenants within a cell. Not thread-safe; times are in nanoseconds and never run backwards.
  */
 public final class CellQuotas {
-    /** A quarter of what a cell or a tenant does not use is never lent, so that its first demand is always met. */
-    private static final double RESERVED = 0.25;
-    /** A cell that used some amount lately may need twice that within one window. */
-    private static final int GROWTH = 2;
-    /** A burst shows within a second; loans are bounded by the use of the last one or two. */
+    /** The fraction of a quota that is never lent, so that the first demand of its owner is always met. */
+    private static final double RESERVED_FRACTION = 0.25;
+    /** The factor by which a cell's use may exceed its recent peak within one window. */
+    private static final int EXPECTED_GROWTH = 2;
+    /** The length of the window of a peak. A burst is visible within a second; loans depend on the last two windows. */
     private static final long WINDOW_NANOS = 1_000_000_000L;
-    /** The last tenth of what a cell or a tenant may hold is for requests of at least the cell's usual value. */
-    private static final double PART_FOR_LOW_VALUE = 0.9;
-    /** The usual value is an exponential average over the last few dozen requests. */
-    private static final double VALUE_SMOOTHING = 1.0 / 32;
+    /** The fraction of a limit for requests below the cell's average weight; the rest is for those at or above it. */
+    private static final double LOW_WEIGHT_FRACTION = 0.9;
+    /** The average weight is an exponential moving average over the last few dozen requests. */
+    private static final double WEIGHT_SMOOTHING = 1.0 / 32;
 
-    /** Whether an amount was acquired, or which limit it would have exceeded. */
+    /** The result of an acquisition: whether it succeeded, or which limit it would have exceeded. */
     public enum Result {
         ACQUIRED,
-        TENANT_FULL,
-        CELL_FULL,
-        ROUTER_FULL
+        TENANT_LIMIT,
+        CELL_LIMIT,
+        ROUTER_LIMIT
     }
 
-    /** The use of a cell or a tenant: now, and its peaks in this window and the one before. */
+    /** The current use of a cell or a tenant, and its peaks in the current window and the previous one. */
     private static final class Usage {
         private long used;
         private long peak;
         private long previousPeak;
-        private long window;
+        private long windowIndex;
 
-        /** The most that was used at once in this window and the one before. */
-        long recentPeak(long now) {
-            roll(now);
+        /** Returns the peak use in the current window and the previous one. */
+        long recentPeak(long nowNanos) {
+            roll(nowNanos);
             return Math.max(peak, previousPeak);
         }
 
-        private void roll(long now) {
-            long number = Math.floorDiv(now, WINDOW_NANOS);
-            if (number != window) {
-                previousPeak = number == window + 1 ? peak : used;
+        private void roll(long nowNanos) {
+            long currentWindow = Math.floorDiv(nowNanos, WINDOW_NANOS);
+            if (currentWindow != windowIndex) {
+                previousPeak = currentWindow == windowIndex + 1 ? peak : used;
                 peak = used;
-                window = number;
+                windowIndex = currentWindow;
             }
         }
 
-        void add(long amount, long now) {
-            roll(now);
+        void add(long amount, long nowNanos) {
+            roll(nowNanos);
             used += amount;
             peak = Math.max(peak, used);
         }
     }
 
     private final long capacity;
-    private final double[] quotas;
+    private final double[] cellQuotas;
     private final Usage[] cells;
-    private final double[] usualValue;
+    private final double[] averageWeight;
     private final Map<String, Usage> tenants = new HashMap<>();
     private long used;
 
     /**
-     * One bulkhead.
+     * Creates a bulkhead of which nothing is used yet.
      *
-     * @param capacity of the router, in units of the resource
-     * @param quotas of each cell, from 0 to 1, at most 1 together
+     * @param capacity the capacity of the router, in units of the resource
+     * @param cellQuotas the quota of each cell as a fraction of the capacity; the sum is at most 1
      */
-    public CellQuotas(long capacity, double... quotas) {
+    public CellQuotas(long capacity, double... cellQuotas) {
         this.capacity = capacity;
-        this.quotas = quotas.clone();
-        this.cells = new Usage[quotas.length];
-        this.usualValue = new double[quotas.length];
+        this.cellQuotas = cellQuotas.clone();
+        this.cells = new Usage[cellQuotas.length];
+        this.averageWeight = new double[cellQuotas.length];
         for (int i = 0; i < cells.length; i++) {
             cells[i] = new Usage();
         }
     }
 
-    /** Replaces the quotas of the cells; what is held stays held. */
-    void updateQuotas(double... next) {
-        System.arraycopy(next, 0, quotas, 0, quotas.length);
+    /** Replaces the quotas of the cells; amounts already acquired are kept. */
+    void updateQuotas(double... newQuotas) {
+        System.arraycopy(newQuotas, 0, cellQuotas, 0, cellQuotas.length);
     }
 
-    /** The amount that a cell may always hold. */
-    private long guaranteed(int cell) {
-        return Math.max(1, (long) (quotas[cell] * capacity));
+    /** Returns the amount that a cell may always hold: at least 1. */
+    private long guaranteedAmount(int cell) {
+        return Math.max(1, (long) (cellQuotas[cell] * capacity));
     }
 
     /**
-     * Acquires an amount for a tenant in a cell; all or nothing.
+     * Acquires the whole amount for a tenant in a cell, or nothing.
      *
-     * @param tenantQuota the tenant's part of its cell's quota, from 0 to 1
-     * @param value the priority weight of the request: low values may not use the last tenth
+     * @param tenantQuota the tenant's fraction of its cell's quota, from 0 to 1
+     * @param priorityWeight of the request; one below the cell's average may not use the last tenth of a limit
      */
-    public Result tryAcquire(int cell, String tenant, double tenantQuota, long amount, double value, long now) {
-        usualValue[cell] += VALUE_SMOOTHING * (value - usualValue[cell]);
-        double usablePart = value < usualValue[cell] ? PART_FOR_LOW_VALUE : 1;
+    public Result tryAcquire(
+            int cell, String tenant, double tenantQuota, long amount, double priorityWeight, long nowNanos) {
+        averageWeight[cell] += WEIGHT_SMOOTHING * (priorityWeight - averageWeight[cell]);
+        double usableFraction = priorityWeight < averageWeight[cell] ? LOW_WEIGHT_FRACTION : 1;
         Usage usage = tenants.get(tenant);
-        long held = usage == null ? 0 : usage.used;
-        long guaranteed = guaranteed(cell);
-        long cellLimit = limit(cell, guaranteed, now);
+        long heldByTenant = usage == null ? 0 : usage.used;
+        long guaranteedAmount = guaranteedAmount(cell);
+        long cellLimit = cellLimit(cell, guaranteedAmount, nowNanos);
         if (used + amount > capacity) {
-            return Result.ROUTER_FULL;
+            return Result.ROUTER_LIMIT;
         }
-        if (cells[cell].used + amount > (long) (usablePart * cellLimit) && cells[cell].used > 0) {
-            return Result.CELL_FULL;
+        if (cells[cell].used + amount > (long) (usableFraction * cellLimit) && cells[cell].used > 0) {
+            return Result.CELL_LIMIT;
         }
-        // A tenant always gets its quota. Beyond it, it gets what others of its cell leave, without the reserve;
-        // a tenant with a stated quota never gets most of its cell.
-        long tenantGuaranteed = Math.max(1, (long) (tenantQuota * guaranteed));
-        if (held + amount > tenantGuaranteed
-                && (cells[cell].used + amount > (long) ((1 - RESERVED) * usablePart * cellLimit)
-                        || tenantQuota < 1 && held + amount > Math.max(tenantGuaranteed, guaranteed / 2))) {
-            return Result.TENANT_FULL;
+        // A tenant always gets its quota. Beyond that it may use what the other tenants of its cell leave, except the
+        // reserve; a tenant with a quota below 1 never gets more than half of its cell's amount that way.
+        long guaranteedToTenant = Math.max(1, (long) (tenantQuota * guaranteedAmount));
+        if (heldByTenant + amount > guaranteedToTenant
+                && (cells[cell].used + amount > (long) ((1 - RESERVED_FRACTION) * usableFraction * cellLimit)
+                        || tenantQuota < 1
+                                && heldByTenant + amount > Math.max(guaranteedToTenant, guaranteedAmount / 2))) {
+            return Result.TENANT_LIMIT;
         }
         if (usage == null) {
             usage = new Usage();
             tenants.put(tenant, usage);
         }
         usage.used += amount;
-        cells[cell].add(amount, now);
+        cells[cell].add(amount, nowNanos);
         used += amount;
         return Result.ACQUIRED;
     }
 
-    /** What a cell may hold now: its own amount and what the others have not used lately, without their reserves. */
-    private long limit(int cell, long guaranteed, long now) {
-        long heldForOthers = 0;
+    /** Returns what a cell may hold now: its own amount, and what the others neither use nor are expected to need. */
+    private long cellLimit(int cell, long guaranteedAmount, long nowNanos) {
+        long keptForOthers = 0;
         for (int i = 0; i < cells.length; i++) {
             if (i != cell) {
-                long theirs = guaranteed(i);
-                long expected = GROWTH * cells[i].recentPeak(now) + (long) Math.ceil(RESERVED * theirs);
-                heldForOthers += Math.max(cells[i].used, Math.min(theirs, expected));
+                long guaranteedToOther = guaranteedAmount(i);
+                long expectedDemand = EXPECTED_GROWTH * cells[i].recentPeak(nowNanos)
+                        + (long) Math.ceil(RESERVED_FRACTION * guaranteedToOther);
+                keptForOthers += Math.max(cells[i].used, Math.min(guaranteedToOther, expectedDemand));
             }
         }
-        return Math.max(guaranteed, capacity - heldForOthers);
+        return Math.max(guaranteedAmount, capacity - keptForOthers);
     }
 
     /** Releases an amount that was acquired for this tenant in this cell. */
@@ -152,19 +155,19 @@
         used -= amount;
     }
 
-    /** What a cell holds. */
+    /** Returns the amount that a cell holds. */
     public long used(int cell) {
         return cells[cell].used;
     }
 
-    /** What a tenant holds, in all cells. */
+    /** Returns the amount that a tenant holds, over all cells. */
     public long used(String tenant) {
         Usage usage = tenants.get(tenant);
         return usage == null ? 0 : usage.used;
     }
 
-    /** Whether a cell holds more than its own amount, so that it should give back first. */
+    /** Returns whether a cell holds more than its own amount, so that it should release first. */
     public boolean isBorrowing(int cell) {
-        return cells[cell].used > guaranteed(cell);
+        return cells[cell].used > guaranteedAmount(cell);
     }
 }
--- a/src/main/java/beaconladder/cells/PlacementProblem.java
+++ b/src/main/java/beaconladder/cells/PlacementProblem.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 
 /**
- * A placement problem in integers: tenants and cells are indices, amounts are thousandths of a cell's fair part (the
- * total over the number of cells).
+ * A placement problem in integers. Tenants and cells are indices; amounts are in thousandths of a cell's fair share,
+ * which is the total divided by the number of cells.
  *
- * @param tenants names, by tenant
- * @param cells names, by cell
- * @param currentCell the cell of each tenant today
- * @param load of each tenant
- * @param valueAtRisk of each tenant: its load times the value of its requests
- * @param capacity of each cell, in the same measure; 0 for a lost cell
- * @param apart pairs of tenants that should not share a cell
- * @param movable whether the planner may choose another cell, by tenant
+ * @param tenants the names of the tenants
+ * @param cells the names of the cells
+ * @param currentCell the current cell of each tenant
+ * @param load the load of each tenant
+ * @param valueAtRisk the load of each tenant times its priority weight
+ * @param capacity the capacity of each cell, in the unit of the load; 0 for a lost cell
+ * @param separatedPairs pairs of tenants that should not share a cell
+ * @param movable for each tenant, whether the planner may choose another cell
  */
 public record PlacementProblem(
         List<String> tenants,
@@ -26,14 +26,14 @@
         int[] load,
         int[] valueAtRisk,
         int[] capacity,
-        int[][] apart,
+        int[][] separatedPairs,
         boolean[] movable) {
-    /** Amounts are in thousandths of a cell's fair part, so that the solver has small integers. */
+    /** The fair share of a cell in units of the amounts; the solver works on small integers. */
     static final int SCALE = 1_000;
-    /** A divisor for a plan in which no tenant states a load. */
-    private static final double SMALLEST_TOTAL = 1e-9;
+    /** The divisor for a plan in which no tenant declares a load. */
+    private static final double MIN_TOTAL = 1e-9;
 
-    /** The problem of this plan; each tenant is where the plan states it. */
+    /** Returns the problem of this plan; each tenant is in the cell that the plan names. */
     public static PlacementProblem of(Plan plan) {
         int tenantCount = plan.tenants().size();
         int cellCount = plan.cells().size();
@@ -41,7 +41,7 @@
                 .mapToDouble(Plan.Tenant::requestsPerSecond)
                 .sum();
         double totalValue = plan.tenants().stream()
-                .mapToDouble(t -> t.requestsPerSecond() * t.priorityWeight())
+                .mapToDouble(tenant -> tenant.requestsPerSecond() * tenant.priorityWeight())
                 .sum();
         Map<String, Integer> cellIndices = new HashMap<>();
         for (int i = 0; i < cellCount; i++) {
@@ -59,7 +59,7 @@
             movable[i] = !tenant.fixed();
         }
         int[] capacity = plan.cells().stream()
-                .mapToInt(c -> (int) Math.round(SCALE * cellCount * c.share()))
+                .mapToInt(cell -> (int) Math.round(SCALE * cellCount * cell.share()))
                 .toArray();
         return new PlacementProblem(
                 plan.tenants().stream().map(Plan.Tenant::name).toList(),
@@ -68,15 +68,15 @@
                 load,
                 valueAtRisk,
                 capacity,
-                apart(plan.tenants()),
+                separatedPairs(plan.tenants()),
                 movable);
     }
 
     private static int scaled(double amount, double total) {
-        return (int) Math.round(SCALE * amount / Math.max(SMALLEST_TOTAL, total));
+        return (int) Math.round(SCALE * amount / Math.max(MIN_TOTAL, total));
     }
 
-    private static int[][] apart(List<Plan.Tenant> tenants) {
+    private static int[][] separatedPairs(List<Plan.Tenant> tenants) {
         Map<String, Integer> indices = new HashMap<>();
         for (int i = 0; i < tenants.size(); i++) {
             indices.put(tenants.get(i).name(), i);
@@ -91,15 +91,15 @@
     }
 
     /**
-     * The same problem with one cell lost: no tenant may stay in it or be moved into it, and its fixed tenants have to
-     * leave as well.
+     * Returns the same problem with one cell lost: no tenant may stay in that cell or migrate to it, and its fixed
+     * tenants have to leave as well.
      *
      * @throws IllegalArgumentException if there is no such cell or it is the only one
      */
     public PlacementProblem withoutCell(String lostCell) {
         int lost = cells.indexOf(lostCell);
         if (lost < 0 || cells.size() < 2) {
-            throw new IllegalArgumentException("no cell '" + lostCell + "' is there to be lost");
+            throw new IllegalArgumentException("cell '" + lostCell + "' is not in the plan or is its only cell");
         }
         boolean[] nextMovable = movable.clone();
         int[] nextCapacity = capacity.clone();
@@ -107,7 +107,8 @@
             nextMovable[i] |= currentCell[i] == lost;
         }
         nextCapacity[lost] = 0;
-        return new PlacementProblem(tenants, cells, currentCell, load, valueAtRisk, nextCapacity, apart, nextMovable);
+        return new PlacementProblem(
+                tenants, cells, currentCell, load, valueAtRisk, nextCapacity, separatedPairs, nextMovable);
     }
 
     int tenantCount() {
--- a/src/main/java/beaconladder/cells/PlacementSolver.java
+++ b/src/main/java/beaconladder/cells/PlacementSolver.java
@@ -20,70 +20,72 @@
 
 /**
  * Improves a placement with a constraint solver. The model has a variable for the cell of each free tenant and
- * minimizes the cost that {@link PlacementCost#of} computes; the other tenants stay where the start has them.
+ * minimizes the cost that {@link PlacementCost#of} computes; all other tenants stay in their cells of the start
+ * placement.
  */
 final class PlacementSolver {
-    /** Beyond this many tenants the small ones stay where they are: the large ones decide the peak. */
+    /** With more tenants than this, the smallest keep their cells: the peak depends on the large ones. */
     private static final int MAX_FREE_TENANTS = 160;
-    /** Large neighbourhood search frees twenty tenants at a time: some seconds in all at 160 tenants. */
+    /** Tenants that large neighbourhood search frees at a time; with 160 tenants it takes some seconds in total. */
     private static final int FREED_PER_NEIGHBOURHOOD = 20;
 
     private static final int FAILURES_PER_NEIGHBOURHOOD = 200;
     private static final int MAX_NEIGHBOURHOODS = 400;
-    /** A complete search of so many nodes takes about a second. */
+    /** The node limit of the complete search, which takes about a second. */
     private static final long MAX_COMPLETE_NODES = 100_000;
-    /** Each of the two searches may use half of the time. */
-    private static final long HALF_SECOND_MILLIS = 500;
-    /** An upper bound of a peak that leaves the solver's sums within an int. */
-    private static final int MAX_PEAK = Integer.MAX_VALUE / 16;
+    /** Time limit of a search per second of total time: each of the two searches may use half. */
+    private static final long SEARCH_MILLIS_PER_SECOND = 500;
+    /** An upper bound on a peak with which the solver's sums fit in an int. */
+    private static final int PEAK_UPPER_BOUND = Integer.MAX_VALUE / 16;
 
-    /** The best placement found, which is the start if there was none, and whether it is proved optimal. */
+    /** The best placement found, or the start placement if there is none better, and whether it is proved optimal. */
     record Result(int[] placement, boolean optimal) {}
 
     private final PlacementProblem problem;
-    private final int[] start;
-    private final int[] free;
+    private final int[] startPlacement;
+    private final int[] freeTenants;
     private final Model model = new Model("cells");
     /** The cell of each free tenant. */
     private final IntVar[] cellOf;
     /** For each free tenant and each cell, whether it is placed there. */
-    private final BoolVar[][] isIn;
+    private final BoolVar[][] isPlacedIn;
 
-    private final BoolVar[] migrates;
+    private final BoolVar[] isMigrated;
     private final IntVar loadPeak;
     private final IntVar valuePeak;
-    private final IntVar migrations;
-    private final IntVar together;
+    private final IntVar migrationCount;
+    private final IntVar colocatedPairs;
     private final IntVar cost;
 
     /**
-     * Builds the model. The order in which variables and constraints are created decides the solver's search.
+     * Builds the model. The solver's search depends on the order in which variables and constraints are created.
      *
-     * @param start a placement that needs at most so many migrations
-     * @param free the tenants whose cell may change
+     * @param startPlacement a placement that needs at most {@code maxMigrations} migrations
+     * @param freeTenants the tenants whose cells may change
      */
-    PlacementSolver(PlacementProblem problem, int[] start, int[] free, int maxMigrations) {
+    PlacementSolver(PlacementProblem problem, int[] startPlacement, int[] freeTenants, int maxMigrations) {
         this.problem = problem;
-        this.start = start;
-        this.free = free;
-        cellOf = new IntVar[free.length];
-        isIn = new BoolVar[free.length][problem.cellCount()];
-        migrates = new BoolVar[free.length];
+        this.startPlacement = startPlacement;
+        this.freeTenants = freeTenants;
+        cellOf = new IntVar[freeTenants.length];
+        isPlacedIn = new BoolVar[freeTenants.length][problem.cellCount()];
+        isMigrated = new BoolVar[freeTenants.length];
         createTenantVariables();
         loadPeak = peak(problem.load());
         valuePeak = peak(problem.valueAtRisk());
-        migrations = model.intVar("moves", 0, Math.min(maxMigrations, free.length));
-        model.sum(migrates, "=", migrations).post();
-        together = pairsTogether();
-        cost = model.intVar("cost", 0, PlacementCost.of(problem, start));
+        migrationCount = model.intVar("moves", 0, Math.min(maxMigrations, freeTenants.length));
+        model.sum(isMigrated, "=", migrationCount).post();
+        colocatedPairs = colocatedPairs();
+        cost = model.intVar("cost", 0, PlacementCost.of(problem, startPlacement));
         postCost();
     }
 
-    /** The tenants the solver may move: the movable ones with the most load, and all that should be apart. */
-    static int[] freeTenants(PlacementProblem problem) {
+    /** Returns the tenants that the solver may migrate: first those in separated pairs, then by descending load. */
+    static int[] selectFreeTenants(PlacementProblem problem) {
         boolean[] inPair = new boolean[problem.tenantCount()];
-        Arrays.stream(problem.apart()).forEach(pair -> Arrays.stream(pair).forEach(tenant -> inPair[tenant] = true));
-        int[] all = IntStream.range(0, problem.tenantCount())
+        Arrays.stream(problem.separatedPairs())
+                .forEach(pair -> Arrays.stream(pair).forEach(tenant -> inPair[tenant] = true));
+        int[] candidates = IntStream.range(0, problem.tenantCount())
                 .filter(tenant -> problem.movable()[tenant])
                 .boxed()
                 .sorted(Comparator.<Integer>comparingInt(tenant -> inPair[tenant] ? 0 : 1)
@@ -91,73 +93,73 @@
                         .thenComparingInt(tenant -> tenant))
                 .mapToInt(tenant -> tenant)
                 .toArray();
-        return all.length <= MAX_FREE_TENANTS ? all : Arrays.copyOf(all, MAX_FREE_TENANTS);
+        return candidates.length <= MAX_FREE_TENANTS ? candidates : Arrays.copyOf(candidates, MAX_FREE_TENANTS);
     }
 
     private void createTenantVariables() {
         int cellCount = problem.cellCount();
-        for (int i = 0; i < free.length; i++) {
+        for (int i = 0; i < freeTenants.length; i++) {
             cellOf[i] = model.intVar(
-                    problem.tenants().get(free[i]),
+                    problem.tenants().get(freeTenants[i]),
                     IntStream.range(0, cellCount)
                             .filter(cell -> !problem.isLost(cell))
                             .toArray());
             for (int cell = 0; cell < cellCount; cell++) {
-                isIn[i][cell] = model.boolVar();
+                isPlacedIn[i][cell] = model.boolVar();
             }
-            model.boolsIntChanneling(isIn[i], cellOf[i], 0).post();
-            migrates[i] = isIn[i][problem.currentCell()[free[i]]].not();
+            model.boolsIntChanneling(isPlacedIn[i], cellOf[i], 0).post();
+            isMigrated[i] = isPlacedIn[i][problem.currentCell()[freeTenants[i]]].not();
         }
     }
 
-    /** The largest part of its capacity that any cell uses, in thousandths. */
+    /** Creates a variable for the highest utilization of any cell, in thousandths of its capacity. */
     private IntVar peak(int[] amounts) {
         int[] capacity = problem.capacity();
         int total = Arrays.stream(amounts).sum();
-        int smallest = Math.max(
+        int smallestCapacity = Math.max(
                 1, Arrays.stream(capacity).filter(each -> each > 0).min().orElse(1));
-        IntVar peak =
-                model.intVar("peak", 0, (int) Math.min(MAX_PEAK, (long) total * PlacementProblem.SCALE / smallest + 1));
-        int[] fixed = fixedSums(amounts);
+        IntVar peak = model.intVar("peak", 0, (int)
+                Math.min(PEAK_UPPER_BOUND, (long) total * PlacementProblem.SCALE / smallestCapacity + 1));
+        int[] fixedSums = fixedSums(amounts);
         for (int cell = 0; cell < problem.cellCount(); cell++) {
             if (problem.isLost(cell)) {
                 continue;
             }
-            IntVar[] variables = new IntVar[free.length + 1];
-            int[] factors = new int[free.length + 1];
-            for (int i = 0; i < free.length; i++) {
-                variables[i] = isIn[i][cell];
-                factors[i] = amounts[free[i]] * PlacementProblem.SCALE / Math.max(1, capacity[cell]);
+            IntVar[] variables = new IntVar[freeTenants.length + 1];
+            int[] coefficients = new int[freeTenants.length + 1];
+            for (int i = 0; i < freeTenants.length; i++) {
+                variables[i] = isPlacedIn[i][cell];
+                coefficients[i] = amounts[freeTenants[i]] * PlacementProblem.SCALE / Math.max(1, capacity[cell]);
             }
-            variables[free.length] = peak;
-            factors[free.length] = -1;
-            int fixedPart = (int) ((long) fixed[cell] * PlacementProblem.SCALE / Math.max(1, capacity[cell]));
-            model.scalar(variables, factors, "<=", -fixedPart).post();
+            variables[freeTenants.length] = peak;
+            coefficients[freeTenants.length] = -1;
+            int fixedPart = (int) ((long) fixedSums[cell] * PlacementProblem.SCALE / Math.max(1, capacity[cell]));
+            model.scalar(variables, coefficients, "<=", -fixedPart).post();
         }
         return peak;
     }
 
-    /** By cell, the sum over the tenants that are not free. */
+    /** Returns by cell the sum over the tenants that are not free. */
     private int[] fixedSums(int[] amounts) {
-        boolean[] isFree = new boolean[start.length];
-        Arrays.stream(free).forEach(tenant -> isFree[tenant] = true);
+        boolean[] isFree = new boolean[startPlacement.length];
+        Arrays.stream(freeTenants).forEach(tenant -> isFree[tenant] = true);
         int[] sums = new int[problem.cellCount()];
-        for (int tenant = 0; tenant < start.length; tenant++) {
+        for (int tenant = 0; tenant < startPlacement.length; tenant++) {
             if (!isFree[tenant]) {
-                sums[start[tenant]] += amounts[tenant];
+                sums[startPlacement[tenant]] += amounts[tenant];
             }
         }
         return sums;
     }
 
-    /** How many pairs that should be apart share a cell. */
-    private IntVar pairsTogether() {
+    /** Creates a variable for the number of pairs of free tenants that should be separated but share a cell. */
+    private IntVar colocatedPairs() {
         Map<Integer, Integer> freeIndices = new HashMap<>();
-        for (int i = 0; i < free.length; i++) {
-            freeIndices.put(free[i], i);
+        for (int i = 0; i < freeTenants.length; i++) {
+            freeIndices.put(freeTenants[i], i);
         }
         List<BoolVar> pairs = new ArrayList<>();
-        for (int[] pair : problem.apart()) {
+        for (int[] pair : problem.separatedPairs()) {
             Integer first = freeIndices.get(pair[0]);
             Integer second = freeIndices.get(pair[1]);
             if (first != null && second != null) {
@@ -170,10 +172,12 @@
     }
 
     private void postCost() {
-        // Twice everything, so that the half weight of the value at risk stays an integer.
+        // All coefficients are doubled, so that the half weight of the value at risk is an integer.
         model.scalar(
-                        new IntVar[] {loadPeak, valuePeak, together, migrations, cost},
-                        new int[] {2, 1, 2 * PlacementCost.PER_PAIR_TOGETHER, 2 * PlacementCost.PER_MIGRATION, -2},
+                        new IntVar[] {loadPeak, valuePeak, colocatedPairs, migrationCount, cost},
+                        new int[] {
+                            2, 1, 2 * PlacementCost.COST_PER_COLOCATED_PAIR, 2 * PlacementCost.COST_PER_MIGRATION, -2
+                        },
                         "<=",
                         1)
                 .post();
@@ -181,8 +185,9 @@
     }
 
     /**
-     * Searches: first completely, which proves optimality where the problem is small; then, from the best known, by
-     * large neighbourhoods. Both stop by counts, so that the same seed gives the same result, or by the time.
+     * Searches for a better placement: first completely, which proves optimality of small problems, then by large
+     * neighbourhood search from the best solution. Both stop at a count, so that the same seed gives the same result,
+     * or at the time limit.
      */
     Result solve(int maxSeconds, long seed) {
         Solver solver = model.getSolver();
@@ -190,7 +195,7 @@
         IntVar[] recorded = Arrays.copyOf(cellOf, cellOf.length + 1);
         recorded[cellOf.length] = cost;
         Solution best = new Solution(model, recorded);
-        solver.limitTime(maxSeconds * HALF_SECOND_MILLIS);
+        solver.limitTime(maxSeconds * SEARCH_MILLIS_PER_SECOND);
         solver.limitNode(MAX_COMPLETE_NODES);
         boolean found = recordSolutions(solver, best);
         boolean optimal = !solver.isStopCriterionMet();
@@ -203,18 +208,18 @@
             solver.setLNS(
                     new RandomNeighborhood(cellOf, FREED_PER_NEIGHBOURHOOD, new SplittableRandom(seed).nextLong()),
                     new FailCounter(model, FAILURES_PER_NEIGHBOURHOOD));
-            solver.limitTime(maxSeconds * HALF_SECOND_MILLIS);
+            solver.limitTime(maxSeconds * SEARCH_MILLIS_PER_SECOND);
             solver.limitRestart(MAX_NEIGHBOURHOODS);
             found |= recordSolutions(solver, best);
         }
-        int[] placement = start.clone();
-        for (int i = 0; found && i < free.length; i++) {
-            placement[free[i]] = best.getIntVal(cellOf[i]);
+        int[] placement = startPlacement.clone();
+        for (int i = 0; found && i < freeTenants.length; i++) {
+            placement[freeTenants[i]] = best.getIntVal(cellOf[i]);
         }
         return new Result(placement, optimal);
     }
 
-    /** Records each better solution until the search stops; whether there was any. */
+    /** Records each better solution until the search stops; returns whether there was any. */
     private static boolean recordSolutions(Solver solver, Solution best) {
         boolean found = false;
         while (solver.solve()) {
@@ -224,18 +229,18 @@
         return found;
     }
 
-    /** Tries for each tenant its cell in the start first; then fixes the sums. */
+    /** Tries for each tenant its cell in the start placement first, then assigns the sums. */
     private AbstractStrategy<?>[] strategies() {
         Map<IntVar, Integer> startCells = new HashMap<>();
         for (int i = 0; i < cellOf.length; i++) {
-            startCells.put(cellOf[i], start[free[i]]);
+            startCells.put(cellOf[i], startPlacement[freeTenants[i]]);
         }
         return new AbstractStrategy<?>[] {
             Search.intVarSearch(
                     PlacementSolver::firstUnassigned,
                     each -> each.contains(startCells.get(each)) ? startCells.get(each) : each.getLB(),
                     cellOf),
-            Search.inputOrderLBSearch(loadPeak, valuePeak, together, migrations, cost)
+            Search.inputOrderLBSearch(loadPeak, valuePeak, colocatedPairs, migrationCount, cost)
         };
     }
 
--- a/src/main/java/beaconladder/cells/RouterPlacement.java
+++ b/src/main/java/beaconladder/cells/RouterPlacement.java
@@ -5,26 +5,26 @@
 import java.util.List;
 
 /**
- * The placement by which one router acts: the plan's, and for tenants that may be migrated the table that the
- * coordinator granted it last. Times are in nanoseconds on the router's clock. Not thread-safe.
+ * The placement that one router acts on: the plan's for fixed and undeclared tenants, and the table that the
+ * coordinator granted last for all others. Times are in nanoseconds on the router's clock. Not thread-safe.
  */
 final class RouterPlacement {
     private StaticPlacement staticPlacement;
-    /** Whether a coordinator grants placements; otherwise the plan alone decides. */
+    /** Whether a coordinator grants placements; if not, the plan alone decides. */
     private boolean coordinated;
 
     private PlacementTable granted = PlacementTable.NONE;
-    /** Whether this router's plan places tenants by hash as the coordinator's does. */
+    /** Whether this router's plan places undeclared tenants in the same cells as the coordinator's plan. */
     private boolean planMatches;
 
     RouterPlacement(StaticPlacement staticPlacement) {
         replacePlan(staticPlacement);
     }
 
-    void replacePlan(StaticPlacement next) {
-        staticPlacement = next;
-        coordinated = next.plan().coordinator() != null;
-        planMatches = next.fingerprint().equals(granted.planFingerprint());
+    void replacePlan(StaticPlacement newPlacement) {
+        staticPlacement = newPlacement;
+        coordinated = newPlacement.plan().coordinator() != null;
+        planMatches = newPlacement.fingerprint().equals(granted.planFingerprint());
     }
 
     StaticPlacement staticPlacement() {
@@ -39,22 +39,22 @@
         return coordinated;
     }
 
-    /** Whether this tenant is never migrated, so that the plan alone decides and no lease is needed. */
+    /** Returns whether this tenant is never migrated, so that the plan alone decides and no lease is needed. */
     boolean isFixed(String tenant) {
-        Plan.Tenant stated = staticPlacement.tenant(tenant);
-        return !coordinated || stated != null && stated.fixed();
+        Plan.Tenant declared = staticPlacement.tenant(tenant);
+        return !coordinated || declared != null && declared.fixed();
     }
 
-    boolean isLeaseOver(long now) {
-        return now >= granted.validUntilNanos() - CellAdmission.MAX_CLOCK_SKEW_NANOS;
+    boolean isLeaseExpired(long nowNanos) {
+        return nowNanos >= granted.validUntilNanos() - CellAdmission.MAX_CLOCK_SKEW_NANOS;
     }
 
-    /** Whether the cell of this tenant depends on a hash that the coordinator, by its plan, would compute otherwise. */
+    /** Returns whether the tenant's cell depends on a hash that could differ under the coordinator's plan. */
     boolean isHashedByDifferentPlan(String tenant) {
         return !granted.placements().containsKey(tenant) && !planMatches;
     }
 
-    /** The cell for a tenant and session, or -1 if no cell serves the tenant. */
+    /** Returns the cell for a tenant and session, or -1 if no cell serves the tenant. */
     int cellFor(String tenant, long sessionKey) {
         TenantPlacement placement = granted.placements().get(tenant);
         return placement == null || isFixed(tenant)
@@ -62,25 +62,26 @@
                 : staticPlacement.cellIndex(placement.cell());
     }
 
-    /** Whether the tenant is still placed in the cell for which the request was admitted; false if it has no entry. */
+    /** Returns whether the tenant is still placed in the cell of this permit; false if the table has no entry. */
     boolean isPlacedInCellOf(AdmissionPermit permit) {
         TenantPlacement placement = granted.placements().get(permit.tenant);
         return placement != null && staticPlacement.cellIndex(placement.cell()) == permit.cellIndex;
     }
 
-    /** Whether a request with this permit may be sent to its cell now. */
-    boolean accepts(AdmissionPermit permit, long now) {
+    /** Returns whether a request with this permit may be sent to its cell now. */
+    boolean admits(AdmissionPermit permit, long nowNanos) {
         if (isFixed(permit.tenant)) {
             return true;
         }
-        if (isLeaseOver(now)) {
+        if (isLeaseExpired(nowNanos)) {
             return false;
         }
         TenantPlacement placement = granted.placements().get(permit.tenant);
-        return placement == null || isPlacedInCellOf(permit) && (permit.write ? placement.writes() : placement.reads());
+        return placement == null
+                || isPlacedInCellOf(permit) && (permit.write ? placement.admitsWrites() : placement.admitsReads());
     }
 
-    /** The floor for a request with this permit, or Long.MIN_VALUE for none. */
+    /** Returns the floor for a request with this permit, or Long.MIN_VALUE for none. */
     long floor(AdmissionPermit permit) {
         TenantPlacement placement = granted.placements().get(permit.tenant);
         return placement == null ? Long.MIN_VALUE : placement.floor(permit.slot);
@@ -88,25 +89,25 @@
 
     boolean isMigrating(String tenant) {
         TenantPlacement placement = granted.placements().get(tenant);
-        return placement != null && placement.moving();
+        return placement != null && placement.migrating();
     }
 
-    /** Applies a granted table; false if it is older, or the same with no longer lease, and changes nothing. */
-    boolean apply(PlacementTable next) {
-        if (next.version() < granted.version()
-                || next.version() == granted.version() && next.validUntilNanos() <= granted.validUntilNanos()) {
+    /** Applies a granted table; ignores it and returns false if it is older, or the same with no longer lease. */
+    boolean apply(PlacementTable newTable) {
+        if (newTable.version() < granted.version()
+                || newTable.version() == granted.version() && newTable.validUntilNanos() <= granted.validUntilNanos()) {
             return false;
         }
-        granted = next;
-        planMatches = staticPlacement.fingerprint().equals(next.planFingerprint());
+        granted = newTable;
+        planMatches = staticPlacement.fingerprint().equals(newTable.planFingerprint());
         return true;
     }
 
-    /** The groups that serve tenants today whose placement changes with this table. */
-    List<Integer> groupsChangedBy(PlacementTable next) {
+    /** Returns the groups that currently serve a tenant whose placement changes with this table. */
+    List<Integer> groupsChangedBy(PlacementTable newTable) {
         List<Integer> groups = new ArrayList<>();
-        if (next.version() > granted.version()) {
-            next.placements().forEach((tenant, after) -> {
+        if (newTable.version() > granted.version()) {
+            newTable.placements().forEach((tenant, after) -> {
                 TenantPlacement before = granted.placements().get(tenant);
                 if (before != null && !before.equals(after)) {
                     groups.addAll(staticPlacement.groupsOf(before.cell()));
--- a/src/test/java/beaconladder/cells/TenantMigrationsTest.java
+++ b/src/test/java/beaconladder/cells/TenantMigrationsTest.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The coordinator's steps, alone and against simulated routers. */
+/** Tests of the coordinator's state machine, alone and with simulated routers. */
 class TenantMigrationsTest {
     private static final long MS = 1_000_000;
     private static final long START = 1_000_000 * MS;
@@ -27,14 +27,16 @@
         return new StaticPlacement(PlanReader.read("p", PLAN).plan());
     }
 
-    private static MigrationObservation observation(long at, String source, long position, String target, long copied) {
-        return new MigrationObservation(at, source, position, target, at, List.of(copied, copied + MS));
+    private static MigrationObservation observation(
+            long atNanos, String sourcePrimary, long sourcePosition, String targetPrimary, long copiedNanos) {
+        return new MigrationObservation(
+                atNanos, sourcePrimary, sourcePosition, targetPrimary, atNanos, List.of(copiedNanos, copiedNanos + MS));
     }
 
-    private static void applyDueSteps(TenantMigrations migrations, StringBuilder trace, long now) {
-        for (MigrationStep step = migrations.nextStep(now); step != null; step = migrations.nextStep(now)) {
+    private static void applyDueSteps(TenantMigrations migrations, StringBuilder trace, long nowNanos) {
+        for (MigrationStep step = migrations.nextStep(nowNanos); step != null; step = migrations.nextStep(nowNanos)) {
             migrations.apply(step);
-            trace.append((now - START) / MS)
+            trace.append((nowNanos - START) / MS)
                     .append(' ')
                     .append(step.kind())
                     .append(step.tenant().isEmpty() ? "" : " " + step.tenant())
@@ -44,7 +46,7 @@
     }
 
     @Test
-    void aMigrationWaitsForRoutersForQuietWritesAndForTheCopy() {
+    void aMigrationWaitsForRoutersForDrainedWritesAndForTheCopy() {
         TenantMigrations migrations = new TenantMigrations(staticPlacement());
         StringBuilder trace = new StringBuilder();
         applyDueSteps(migrations, trace, START);
@@ -56,8 +58,8 @@
         migrations.grantLease("n0", version, List.of(new WriteActivity("t", 2, List.of(0L))), START + 2 * MS);
         migrations.recordObservation("t", 0, observation(START + 10 * MS, "s", START + 10 * MS, "d", START + 9 * MS));
         applyDueSteps(migrations, trace, START + 10 * MS);
-        // The router has applied the fence, but two writes are in flight; later none, and a commit beyond the position
-        // that the source showed.
+        // The router has applied the fence with two writes in flight. Later it reports none, and a commit that is newer
+        // than the source's position.
         migrations.grantLease(
                 "n0", migrations.version(), List.of(new WriteActivity("t", 2, List.of(0L))), START + 20 * MS);
         migrations.recordObservation("t", 0, observation(START + 25 * MS, "s", START + 25 * MS, "d", START + 25 * MS));
@@ -72,7 +74,8 @@
         applyDueSteps(migrations, trace, START + 46 * MS);
         migrations.recordObservation("t", 0, observation(START + 55 * MS, "s", START + 55 * MS, "d", START + 50 * MS));
         applyDueSteps(migrations, trace, START + 56 * MS);
-        // Sealed, but the router has not applied it. Its lease ends at 240: a little later it counts as applied.
+        // Sealed, but the router has not applied it. Its lease ends at 240 ms; the next step is due once the clock skew
+        // has passed as well.
         migrations.recordObservation(
                 "t", 0, observation(START + 200 * MS, "s", START + 200 * MS, "d", START + 200 * MS));
         applyDueSteps(migrations, trace, START + 200 * MS);
@@ -96,8 +99,8 @@
         TenantMigrations migrations = new TenantMigrations(staticPlacement());
         applyDueSteps(migrations, new StringBuilder(), START);
         StringBuilder messages = new StringBuilder();
-        for (String[] attempt : new String[][] {{"x", "b"}, {"f", "b"}, {"t", "c"}, {"t", "a"}}) {
-            assertThatThrownBy(() -> migrations.propose(attempt[0], attempt[1], "me", START))
+        for (String[] proposal : new String[][] {{"x", "b"}, {"f", "b"}, {"t", "c"}, {"t", "a"}}) {
+            assertThatThrownBy(() -> migrations.propose(proposal[0], proposal[1], "me", START))
                     .satisfies(e -> messages.append(e.getMessage()).append('\n'));
         }
         migrations.apply(migrations.propose("t", "b", "me", START));
@@ -116,7 +119,7 @@
     }
 
     @Test
-    void aSourceThatFailsDuringTheFenceOrAnExceededLimitUndoes() {
+    void aSourceFailureDuringTheFenceOrAnExceededLimitUndoesTheMigration() {
         for (boolean sourceFails : new boolean[] {true, false}) {
             TenantMigrations migrations = new TenantMigrations(staticPlacement());
             StringBuilder trace = new StringBuilder();
@@ -140,7 +143,7 @@
                     2000 UNDONE t the fence had to go: a primary of a
                     """);
             assertThat(migrations.placements().get("t").cell()).isEqualTo("a");
-            assertThat(migrations.placements().get("t").writes()).isTrue();
+            assertThat(migrations.placements().get("t").admitsWrites()).isTrue();
         }
     }
 
@@ -149,21 +152,21 @@
         List<MigrationStep> records = new ArrayList<>();
         TenantMigrations migrations = new TenantMigrations(staticPlacement());
         for (int round = 0; records.size() < 10_100; round++) {
-            long now = START + round * 10_000 * MS;
+            long nowNanos = START + round * 10_000 * MS;
             SplittableRandom random = new SplittableRandom(round);
-            recordDueSteps(migrations, records, now);
-            String to = migrations.placements().get("t").cell().equals("a") ? "b" : "a";
-            MigrationStep proposed = migrations.propose("t", to, "me", now);
+            recordDueSteps(migrations, records, nowNanos);
+            String toCell = migrations.placements().get("t").cell().equals("a") ? "b" : "a";
+            MigrationStep proposed = migrations.propose("t", toCell, "me", nowNanos);
             records.add(proposed);
             migrations.apply(proposed);
             for (int i = 1; i < 8; i++) {
-                long at = now + i * 10 * MS;
-                migrations.recordObservation("t", 0, observation(at, "s", at, "d", at));
-                recordDueSteps(migrations, records, at);
+                long atNanos = nowNanos + i * 10 * MS;
+                migrations.recordObservation("t", 0, observation(atNanos, "s", atNanos, "d", atNanos));
+                recordDueSteps(migrations, records, atNanos);
                 if (random.nextInt(20) == 0
-                        && migrations.statuses(at).stream()
-                                .noneMatch(m -> m.state().equals("switched"))
-                        && !migrations.statuses(at).isEmpty()) {
+                        && migrations.statuses(atNanos).stream()
+                                .noneMatch(status -> status.state().equals("switched"))
+                        && !migrations.statuses(atNanos).isEmpty()) {
                     migrations.requestUndo("t", "me");
                 }
             }
@@ -180,15 +183,16 @@
         assertThat(fromSnapshot.version()).isEqualTo(migrations.version());
     }
 
-    private static void recordDueSteps(TenantMigrations migrations, List<MigrationStep> records, long now) {
-        for (MigrationStep step = migrations.nextStep(now); step != null; step = migrations.nextStep(now)) {
+    private static void recordDueSteps(TenantMigrations migrations, List<MigrationStep> records, long nowNanos) {
+        for (MigrationStep step = migrations.nextStep(nowNanos); step != null; step = migrations.nextStep(nowNanos)) {
             records.add(step);
             migrations.apply(step);
         }
     }
 
     /**
-     * See {@link MigrationSimulation}: no write runs behind the fence in the old cell or before the switch in the new.
+     * No write runs in the old cell after the fence or in the new cell before the switch; see
+     * {@link MigrationSimulation} for the faults.
      */
     @Test
     void noOrderOfEventsLetsAWriteRunInTheWrongCell() {
@@ -196,7 +200,7 @@
         for (int seed = 0; seed < 1_500; seed++) {
             new MigrationSimulation(staticPlacement(), START, seed).run(ends);
         }
-        // The random faults must not have undone all migrations, nor none.
+        // The random faults must undo some migrations, but not most.
         assertThat(ends.get(Kind.DONE)).isGreaterThan(500);
         assertThat(ends.get(Kind.UNDONE)).isGreaterThan(50);
     }
