--- a/src/main/java/beaconladder/discovery/DiscoverySchedule.java
+++ b/src/main/java/beaconladder/discovery/DiscoverySchedule.java
@@ -1,47 +1,51 @@
 package beaconladder.discovery;
 
 /**
- * When discovery is called next, and how long each call may take: a strategy for agents and one for a shared service.
+ * Decides when discovery is called next and how long each call may take. One implementation is for an agent on the same
+ * machine, the other for a service that all routers share.
  */
 interface DiscoverySchedule {
-    /** The protocol's limit: so long after discovery has a change, a router counts as notified of it. */
-    int NOTIFIED_MILLIS = 6_000;
-    /** Calls of more than half the notification limit would leave no time for the changes behind a complete list. */
+    /** The delay after which, by the protocol, every router counts as notified of a change in discovery. */
+    int NOTIFICATION_LIMIT_MILLIS = 6_000;
+    /**
+     * The longest timeout of a call without a wait, less than half the notification limit: longer ones would leave no
+     * time to fetch the changes that follow a complete list.
+     */
     int MAX_CALL_MILLIS = 2_500;
 
     /**
-     * One call.
+     * The wait and the timeouts of one call.
      *
-     * @param waitMillis how long discovery may wait for a change before it answers; 0 for an immediate answer
-     * @param timeoutMillis after how long the call times out
-     * @param responseMillis the limit from the first byte of the answer to its last
+     * @param waitMillis how long discovery may wait for a change before it responds; 0 for an immediate response
+     * @param timeoutMillis the timeout of the call, from its start to the last byte of the response
+     * @param responseMillis the limit from the first byte of the response to its last
      */
     record Call(int waitMillis, int timeoutMillis, int responseMillis) {}
 
-    /** Forgets everything learned about the previous address. */
+    /** Discards everything that was learned about the previous address. */
     void reset();
 
     /**
-     * The next call.
+     * Returns the wait and the timeouts of the next call.
      *
-     * @param isWatching whether the previous call was answered, so that this one may wait for changes
+     * @param isWatching whether the previous call succeeded, so that this one may wait for changes
      */
     Call nextCall(boolean isWatching);
 
     /**
-     * A call was answered.
+     * Records that a call received a valid response.
      *
-     * @param changed whether the answer has a new version
-     * @return milliseconds to rest before the next call, as for all methods below
+     * @param changed whether the response has a new version
+     * @return the delay before the next call in milliseconds, as for all methods below
      */
-    int onAnswer(Call call, long elapsedNanos, boolean changed);
+    int onResponse(Call call, long elapsedNanos, boolean changed);
 
-    /** A call timed out. */
+    /** Records that a call timed out. */
     int onTimeout(Call call);
 
-    /** The connection was refused or broken, or the answer was invalid. */
+    /** Records that the connection was refused or broken, or that the response was invalid. */
     int onFailure();
 
-    /** Discovery is reachable and has rejected the call as too many or failed itself. */
+    /** Records that discovery rejected the call with status 429 or a server error, so it is reachable. */
     int onRejected(Call call);
 }
--- a/src/main/java/beaconladder/discovery/EndpointListReader.java
+++ b/src/main/java/beaconladder/discovery/EndpointListReader.java
@@ -12,56 +12,57 @@
 import java.util.Map;
 
 /**
- * Reads a list of hosts as discovery sends it, by streaming: only the entries are kept in memory. One invalid entry
- * invalidates the complete list.
+ * Reads an endpoint list from discovery as a stream: only its entries are kept in memory. One invalid entry invalidates
+ * the complete list.
  */
 final class EndpointListReader {
     /** Over three times the 5,800 hosts of the largest expected deployment; an entry takes some 200 bytes of memory. */
     static final int MAX_ENTRIES = 20_000;
 
     /**
-     * The answer is JSON but no valid list, or does not continue the list that is held; recover with a complete list.
+     * The response is JSON but no valid list, or its changes are not based on the list that the watch holds. Requesting
+     * the complete list recovers from this.
      */
     static final class InvalidListException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        InvalidListException(String cause) {
-            super(cause);
+        InvalidListException(String message) {
+            super(message);
         }
     }
 
     /**
-     * An answer of discovery.
+     * A response of discovery.
      *
-     * @param complete whether the entries are the complete list, or only what has changed up to this version
+     * @param complete whether the entries are the complete list, or only the changes up to this version
      */
     record EndpointUpdate(long version, boolean complete, List<EndpointWatch.Entry> entries) {}
 
     private EndpointListReader() {}
 
-    /** Reads one answer up to its end. */
+    /** Reads one response up to its end. */
     static EndpointUpdate read(InputStream in) throws IOException, JsonReader.ParseException {
-        try (JsonParser json = JsonReader.parser(in)) {
-            if (json.nextToken() != JsonToken.START_OBJECT) {
+        try (JsonParser parser = JsonReader.createParser(in)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new InvalidListException("no list of hosts");
             }
             BigDecimal version = null;
             boolean complete = false;
             List<EndpointWatch.Entry> entries = null;
-            while (json.nextToken() != JsonToken.END_OBJECT) {
-                String name = json.currentName();
-                if (json.nextToken() == JsonToken.START_ARRAY && name.equals("servers")) {
-                    entries = readEntries(json);
+            while (parser.nextToken() != JsonToken.END_OBJECT) {
+                String name = parser.currentName();
+                if (parser.nextToken() == JsonToken.START_ARRAY && name.equals("servers")) {
+                    entries = readEntries(parser);
                     continue;
                 }
-                Object value = JsonReader.value(json);
+                Object value = JsonReader.readValue(parser);
                 if (name.equals("version")) {
                     version = value instanceof BigDecimal number ? number : null;
                 } else if (name.equals("full")) {
                     complete = Boolean.TRUE.equals(value);
                 }
             }
-            if (json.nextToken() != null) {
+            if (parser.nextToken() != null) {
                 throw new InvalidListException("more after the list of hosts");
             }
             if (entries == null) {
@@ -77,14 +78,14 @@
         }
     }
 
-    private static List<EndpointWatch.Entry> readEntries(JsonParser json)
+    private static List<EndpointWatch.Entry> readEntries(JsonParser parser)
             throws IOException, JsonReader.ParseException {
         List<EndpointWatch.Entry> entries = new ArrayList<>();
-        while (json.nextToken() != JsonToken.END_ARRAY) {
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (entries.size() == MAX_ENTRIES) {
                 throw new InvalidListException("a list of more than " + MAX_ENTRIES + " hosts");
             }
-            entries.add(parseEntry(JsonReader.value(json)));
+            entries.add(parseEntry(JsonReader.readValue(parser)));
         }
         return entries;
     }
@@ -106,7 +107,7 @@
         if (address == null && state != EndpointWatch.State.GONE) {
             throw new InvalidListException("no address of " + id);
         }
-        long launched = fields.get("started_ms") instanceof BigDecimal started ? started.longValue() : 0;
+        long launchedMillis = fields.get("started_ms") instanceof BigDecimal started ? started.longValue() : 0;
         return new EndpointWatch.Entry(
                 id,
                 address,
@@ -114,6 +115,6 @@
                 group.intValue(),
                 state,
                 "leader".equals(fields.get("role")),
-                launched);
+                launchedMillis);
     }
 }
--- a/src/main/java/beaconladder/discovery/EndpointWatch.java
+++ b/src/main/java/beaconladder/discovery/EndpointWatch.java
@@ -13,21 +13,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches discovery for as long as the program runs: fetches the complete list of endpoints first and then its changes.
- * Calls are made by the thread that runs this; the other methods may be called by any thread.
+ * Watches discovery while the program runs: fetches the complete endpoint list first and then its changes. The thread
+ * that runs this task makes the calls; all other methods are thread-safe.
  */
 public final class EndpointWatch implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
-    /** No version is known: the next call requests the complete list. */
+    /** The version while none is known: the next call requests the complete list. */
     private static final long NO_VERSION = -1;
 
     /**
      * One host as discovery lists it.
      *
-     * @param address null for a host that is {@link State#GONE}
-     * @param group the replication group that it belongs to
-     * @param leader whether it is its group's primary
-     * @param launchedMillis when it was launched, in milliseconds since the epoch; 0 if discovery does not state it
+     * @param address null only for a host that is {@link State#GONE}
+     * @param group the replication group of the host
+     * @param leader whether the host is the primary of its group
+     * @param launchedMillis the host's launch time in milliseconds since the epoch; 0 if discovery does not state it
      */
     public record Entry(
             String id,
@@ -38,17 +38,17 @@
             boolean leader,
             long launchedMillis) {}
 
-    /** A host's state in discovery. The names are written to the trace. */
+    /** The state of a host in discovery. The constants' names are written to the trace. */
     public enum State {
         READY,
         DRAINING,
         GONE
     }
 
-    /** Receives what discovery answers, on the watch's thread. */
+    /** Receives the endpoints from discovery, on the watch's thread. */
     public interface Listener {
         /**
-         * Called for each answer that brings something.
+         * Called for each response that is a complete list or has changes.
          *
          * @param complete whether the entries are all endpoints, or only those that have changed
          */
@@ -57,60 +57,64 @@
 
     private final Listener listener;
     private final DiscoverySchedule schedule;
-    /** The connection to the present address; that to an earlier one is closed. */
-    private volatile HttpFetcher http;
+    /** The connection to the current address; those to previous addresses are closed. */
+    private volatile HttpFetcher fetcher;
 
     private final long createdAtNanos = System.nanoTime();
-    private volatile boolean answered;
+    private volatile boolean hasValidResponse;
     private volatile boolean stopped;
 
-    // Only the thread of run() uses the fields below.
+    // The fields below are confined to the thread of run().
 
-    /** The connection that the state below belongs to. */
-    private HttpFetcher current;
-    /** The version of the last answer; changes since then can be requested. */
+    /** The connection that the version and the flag below refer to. */
+    private HttpFetcher currentFetcher;
+    /** The version of the last response; changes since then can be requested. */
     private long version = NO_VERSION;
-    /** Whether the last call was answered, so that the next one may wait for changes. */
+    /** Whether the last call succeeded, so that the next one may wait for changes. */
     private boolean isWatching;
-    /** Faults that have been logged since discovery last answered. */
+    /** The faults that have been logged since the last valid response. */
     private final Set<String> loggedFaults = new HashSet<>();
 
-    /** A watch for a process that is not one of a fleet and has no grace period for draining hosts. */
+    /** Creates a watch for a process that is not part of a fleet and has no grace period for draining hosts. */
     public EndpointWatch(InetSocketAddress discovery, Listener listener) {
-        this(discovery, WatchSchedule.NOTIFIED_MILLIS, 0, listener);
+        this(discovery, WatchSchedule.NOTIFICATION_LIMIT_MILLIS, 0, listener);
     }
 
     /**
-     * A watch of a discovery agent on the same machine, not yet running.
+     * Creates a watch of a discovery agent on the same machine, not yet running.
      *
      * @param graceMillis how long after the notification limit requests may still be sent to a draining host
-     * @param seed for the random parts of the schedule
+     * @param seed the seed of the schedule's jitter and backoff
      */
     public EndpointWatch(InetSocketAddress discovery, long graceMillis, long seed, Listener listener) {
         this(discovery, new WatchSchedule(graceMillis, seed), listener);
     }
 
     private EndpointWatch(InetSocketAddress discovery, DiscoverySchedule schedule, Listener listener) {
-        this.http = new HttpFetcher(discovery);
+        this.fetcher = new HttpFetcher(discovery);
         this.listener = listener;
         this.schedule = schedule;
     }
 
     /**
-     * A watch of a discovery that is one service for all routers, which its schedule must not overload.
+     * Creates a watch of a discovery that is one service for all routers, with a schedule that avoids overloading it.
      *
-     * @param everyMillis the period at which a client without a watch should poll
-     * @param seed for the random parts of the schedule
+     * @param pollPeriodMillis the period at which a client without a watch should poll, in milliseconds
+     * @param seed the seed of the schedule's jitter and backoff
      */
-    public static EndpointWatch polling(InetSocketAddress discovery, long everyMillis, long seed, Listener listener) {
-        return new EndpointWatch(discovery, new PollSchedule(everyMillis, seed), listener);
+    public static EndpointWatch polling(
+            InetSocketAddress discovery, long pollPeriodMillis, long seed, Listener listener) {
+        return new EndpointWatch(discovery, new PollSchedule(pollPeriodMillis, seed), listener);
     }
 
-    /** Sets the address of discovery; a change cancels the call in flight and requests the complete list again. */
+    /**
+     * Sets the address of discovery. A new address cancels the call in flight, and the complete list is requested
+     * again.
+     */
     public synchronized void changeAddress(InetSocketAddress discovery) {
-        HttpFetcher previous = http;
+        HttpFetcher previous = fetcher;
         if (!previous.address().equals(discovery)) {
-            http = new HttpFetcher(discovery);
+            fetcher = new HttpFetcher(discovery);
             previous.close();
             notifyAll();
         }
@@ -122,42 +126,42 @@
             resetIfAddressChanged();
             DiscoverySchedule.Call call = schedule.nextCall(isWatching);
             long startNanos = System.nanoTime();
-            int restMillis;
+            int delayMillis;
             try {
                 EndpointListReader.EndpointUpdate update = fetch(call);
                 if (isAddressChanged()) {
                     continue;
                 }
-                restMillis = onUpdate(update, call, startNanos);
+                delayMillis = onUpdate(update, call, startNanos);
             } catch (IOException | JsonReader.ParseException e) {
                 if (isAddressChanged()) {
                     continue;
                 }
-                restMillis = onFault(e, call);
+                delayMillis = onFault(e, call);
             } catch (RuntimeException | Error e) {
-                LOG.error("discovery: the last list stands", e);
-                startOver();
-                restMillis = schedule.onFailure();
+                LOG.error("discovery: internal error; keeping the last endpoint list", e);
+                forgetVersion();
+                delayMillis = schedule.onFailure();
             }
-            rest(restMillis);
+            awaitNextCall(delayMillis);
         }
-        http.close();
+        fetcher.close();
     }
 
     private boolean isAddressChanged() {
-        return current != http;
+        return currentFetcher != fetcher;
     }
 
-    /** Versions are only comparable within the address that gave them. */
+    /** Resets the watch after a change of the address: versions of different addresses are not comparable. */
     private void resetIfAddressChanged() {
         if (isAddressChanged()) {
-            current = http;
-            startOver();
+            currentFetcher = fetcher;
+            forgetVersion();
             schedule.reset();
         }
     }
 
-    private void startOver() {
+    private void forgetVersion() {
         version = NO_VERSION;
         isWatching = false;
     }
@@ -165,30 +169,30 @@
     private EndpointListReader.EndpointUpdate fetch(DiscoverySchedule.Call call)
             throws IOException, JsonReader.ParseException {
         String path = version < 0 ? "/v1/servers" : "/v1/servers?index=" + version + "&wait=" + call.waitMillis();
-        return current.get(path, call.timeoutMillis(), call.responseMillis(), EndpointListReader::read);
+        return currentFetcher.get(path, call.timeoutMillis(), call.responseMillis(), EndpointListReader::read);
     }
 
-    /** Applies an answer; returns the milliseconds to rest before the next call. */
+    /** Processes a valid response; returns the delay before the next call in milliseconds. */
     private int onUpdate(EndpointListReader.EndpointUpdate update, DiscoverySchedule.Call call, long startNanos)
             throws IOException {
         checkVersion(update);
         if (update.complete() || !update.entries().isEmpty()) {
             listener.onEndpoints(update.complete(), update.entries());
         }
-        answered = true;
+        hasValidResponse = true;
         boolean changed = update.version() != version;
         version = update.version();
         isWatching = true;
         if (!loggedFaults.isEmpty()) {
-            LOG.info("discovery answers again");
+            LOG.info("discovery is available again");
             loggedFaults.clear();
         }
-        return schedule.onAnswer(call, System.nanoTime() - startNanos, changed);
+        return schedule.onResponse(call, System.nanoTime() - startNanos, changed);
     }
 
     /**
-     * Refuses changes that do not continue the list that is held: with a lower version they are of a discovery that has
-     * restarted and does not know that list, and with the same version there can be none.
+     * Rejects changes that are not based on the list that the watch holds. A lower version comes from a discovery that
+     * has restarted without that list; with the same version there can be no changes.
      */
     private void checkVersion(EndpointListReader.EndpointUpdate update) throws IOException {
         if (!update.complete()
@@ -199,15 +203,15 @@
         }
     }
 
-    /** Handles a call that brought no valid answer; returns the milliseconds to rest before the next call. */
+    /** Handles a call without a valid response; returns the delay before the next call in milliseconds. */
     private int onFault(Exception fault, DiscoverySchedule.Call call) {
         isWatching = false;
         boolean isTimeout = fault instanceof SocketTimeoutException;
-        // A watch also times out when nothing has changed: only the call after it shows whether there is a fault.
-        boolean isQuietWatch = call.waitMillis() > 0 && isTimeout;
-        // Each fault is logged once until discovery answers again: calls are repeated twice a second.
-        if (!isQuietWatch && loggedFaults.add(String.valueOf(fault.getMessage()))) {
-            LOG.warn("discovery: {}; the last list stands", fault.getMessage());
+        // A watch also times out if nothing has changed: only the next call shows whether there is a fault.
+        boolean isWatchTimeout = call.waitMillis() > 0 && isTimeout;
+        // Logs each fault once until the next valid response, as calls are repeated twice a second.
+        if (!isWatchTimeout && loggedFaults.add(String.valueOf(fault.getMessage()))) {
+            LOG.warn("discovery: {}; keeping the last endpoint list", fault.getMessage());
         }
         if (isTimeout) {
             return schedule.onTimeout(call);
@@ -215,7 +219,7 @@
         if (fault instanceof HttpFetcher.StatusException status && status.isRetryable()) {
             return schedule.onRejected(call);
         }
-        // After an answer that is invalid, or does not continue the held list, the complete list is needed.
+        // After a response that is invalid, or not based on the list that is held, the complete list is needed.
         if (fault instanceof EndpointListReader.InvalidListException
                 || fault instanceof JsonReader.ParseException
                 || fault instanceof HttpFetcher.StatusException) {
@@ -224,9 +228,10 @@
         return schedule.onFailure();
     }
 
-    /** Whether the first answer is still to be waited for: there was none yet, and the time limit has not passed. */
+    /** Returns whether a start still waits for the first valid response: none was received, within the time limit. */
     public boolean isAwaitingFirstAnswer() {
-        return !answered && System.nanoTime() - createdAtNanos < WatchSchedule.START_MILLIS * 1_000_000L;
+        return !hasValidResponse
+                && System.nanoTime() - createdAtNanos < WatchSchedule.FIRST_LIST_TIMEOUT_MILLIS * 1_000_000L;
     }
 
     /** Ends the watch after the call in flight. */
@@ -235,14 +240,14 @@
         notifyAll();
     }
 
-    /** Waits until the next call is due, the address changes or the watch is stopped. */
-    private synchronized void rest(int millis) {
-        long untilNanos = System.nanoTime() + millis * 1_000_000L;
+    /** Waits for the delay before the next call, or until the address changes or the watch is stopped. */
+    private synchronized void awaitNextCall(int delayMillis) {
+        long deadlineNanos = System.nanoTime() + delayMillis * 1_000_000L;
         try {
-            for (long remaining = untilNanos - System.nanoTime();
-                    remaining > 0 && !stopped && !isAddressChanged();
-                    remaining = untilNanos - System.nanoTime()) {
-                TimeUnit.NANOSECONDS.timedWait(this, remaining);
+            for (long remainingNanos = deadlineNanos - System.nanoTime();
+                    remainingNanos > 0 && !stopped && !isAddressChanged();
+                    remainingNanos = deadlineNanos - System.nanoTime()) {
+                TimeUnit.NANOSECONDS.timedWait(this, remainingNanos);
             }
         } catch (InterruptedException e) {
             stopped = true;
@@ -250,9 +255,9 @@
     }
 
     /**
-     * The entries of a list that has been read as JSON.
+     * Converts a list that has been parsed as JSON to its entries.
      *
-     * @param list the list as a map, as in a configuration file
+     * @param list the parsed list, for example from a configuration file
      * @throws IOException if any entry is invalid; there are no partial results
      */
     public static List<Entry> parseEntries(Map<?, ?> list) throws IOException {
@@ -260,16 +265,16 @@
             throw new IOException("no list of hosts");
         }
         List<Entry> entries = new ArrayList<>();
-        for (Object each : servers) {
-            entries.add(EndpointListReader.parseEntry(each));
+        for (Object server : servers) {
+            entries.add(EndpointListReader.parseEntry(server));
         }
         return entries;
     }
 
     /**
-     * Parses an address such as 10.0.0.4:5432 or [::1]:5432.
+     * Parses an address such as 10.0.0.4:5432 or [::1]:5432. Host names are not resolved.
      *
-     * @return null for any other text; host names are not resolved
+     * @return null for any other text
      */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/beaconladder/discovery/HttpFetcher.java
+++ b/src/main/java/beaconladder/discovery/HttpFetcher.java
@@ -18,41 +18,41 @@
 import org.apache.hc.core5.http.protocol.HttpCoreContext;
 
 /**
- * HTTP/1.1 GET requests to one address over one persistent connection. Apache HttpCore does the framing; this class
- * bounds the duration of the complete call, also when its bytes arrive slowly one by one.
+ * Sends HTTP/1.1 GET requests to one address over one persistent connection. Apache HttpCore does the framing; this
+ * class bounds the duration of the complete call, even if its bytes arrive slowly one by one.
  *
- * <p>Requests are made by one thread at a time; {@link #close} may be called by any thread.
+ * <p>Only one thread at a time may make requests; {@link #close} may be called by any thread.
  */
 public final class HttpFetcher implements AutoCloseable {
     /** The limit of a body that is read into memory as text, in bytes. */
     private static final int MAX_TEXT_BYTES = 4 << 20;
-    /** The limit of a body that is streamed: 5,800 hosts at a kilobyte each, twice; 200 to 600 hosts are usual. */
+    /** The limit of a streamed body, in bytes: over twice 5,800 hosts at 1 kB each; 200 to 600 hosts are usual. */
     static final int MAX_STREAM_BYTES = 16 << 20;
 
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
 
-    /** The answer has an unexpected status, so the server was reachable. */
+    /** The server responded with an unexpected status, so it is reachable. */
     public static final class StatusException extends IOException {
         private static final long serialVersionUID = 1L;
         private static final int TOO_MANY_REQUESTS = 429;
         private static final int SERVER_ERROR = 500;
-        private final int code;
+        private final int statusCode;
 
-        StatusException(int code, String reason) {
-            super("answered " + code + " " + reason);
-            this.code = code;
+        StatusException(int statusCode, String reason) {
+            super("answered " + statusCode + " " + reason);
+            this.statusCode = statusCode;
         }
 
-        /** Whether the request itself was valid and may be repeated as it was. */
+        /** Returns whether the server may accept the same request later: status 429 or a server error. */
         public boolean isRetryable() {
-            return code == TOO_MANY_REQUESTS || code >= SERVER_ERROR;
+            return statusCode == TOO_MANY_REQUESTS || statusCode >= SERVER_ERROR;
         }
     }
 
-    private static final int CONNECT_MILLIS = 1_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final HttpRequestExecutor EXECUTOR = new HttpRequestExecutor();
-    private static final Http1Config CONFIG = Http1Config.custom()
+    private static final Http1Config HTTP_CONFIG = Http1Config.custom()
             .setBufferSize(4096)
             .setMaxLineLength(8192)
             .setMaxHeaderCount(128)
@@ -63,50 +63,55 @@
     private volatile Connection connection;
     private volatile boolean closed;
 
-    /** A client that connects with its first request. */
+    /** Creates a client that connects on its first request. */
     public HttpFetcher(InetSocketAddress address) {
         this(address, false);
     }
 
     /**
-     * A client that connects with its first request.
+     * Creates a client that connects on its first request.
      *
-     * @param acceptBadRequest whether the body of a 400 answer is returned, too, as it describes the error
+     * @param acceptBadRequest whether the body of a response with status 400, which describes the error, is also
+     *     returned
      */
     public HttpFetcher(InetSocketAddress address, boolean acceptBadRequest) {
         this.address = address;
         this.acceptBadRequest = acceptBadRequest;
     }
 
-    /** The server's address. */
+    /** Returns the address of the server. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Closes the client for good; a call in flight in another thread fails. */
+    /** Closes the client permanently; a call in flight in another thread fails. */
     @Override
     public void close() {
         closed = true;
         disconnect();
     }
 
-    /** Reads a body as it arrives, up to its end. */
+    /** Reads a response body as it arrives, up to its end. */
     interface BodyReader<T> {
         T read(InputStream body) throws IOException, JsonReader.ParseException;
     }
 
     /**
-     * The body of a 200 answer; after any exception the next call opens a new connection.
+     * Returns the body of a response with status 200. After any exception the next call opens a new connection.
      *
-     * @param timeoutMillis for the complete call, from connecting to the last byte
+     * @param timeoutMillis the timeout of the complete call, from connecting to the last byte
      * @throws SocketTimeoutException if the call is not complete by then
-     * @throws StatusException if the answer has another status
+     * @throws StatusException if the response has another status
      */
     public String get(String path, int timeoutMillis) throws IOException {
         return get(path, timeoutMillis, timeoutMillis);
     }
 
-    /** The same, with a separate limit from the first byte of the answer to its last. */
+    /**
+     * Returns the body as {@link #get(String, int)} does, with a separate limit for the response.
+     *
+     * @param responseMillis the limit from the first byte of the response to its last
+     */
     public String get(String path, int timeoutMillis, int responseMillis) throws IOException {
         try {
             return get(path, timeoutMillis, responseMillis, HttpFetcher::readText);
@@ -116,31 +121,31 @@
     }
 
     /**
-     * The same for a body that is streamed.
+     * Streams the body to a reader and returns its result; otherwise as {@link #get(String, int)}.
      *
-     * @param responseMillis the limit from the first byte of the answer to its last
+     * @param responseMillis the limit from the first byte of the response to its last
      */
     <T> T get(String path, int timeoutMillis, int responseMillis, BodyReader<T> reader)
             throws IOException, JsonReader.ParseException {
         long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000L;
         boolean isReusable = false;
         try {
-            Connection used = connection;
-            if (used == null) {
-                used = connect(timeoutMillis);
+            Connection active = connection;
+            if (active == null) {
+                active = connect(timeoutMillis);
             }
-            used.socket.start(deadlineNanos, responseMillis * 1_000_000L);
+            active.socket.startCall(deadlineNanos, responseMillis * 1_000_000L);
             ClassicHttpRequest request = new BasicClassicHttpRequest("GET", path);
             request.setHeader("Host", address.getHostString() + ":" + address.getPort());
             request.setHeader("Accept", "application/json");
             HttpCoreContext context = HttpCoreContext.create();
-            ClassicHttpResponse response = EXECUTOR.execute(request, used.http, context);
-            int code = response.getCode();
-            if (code != OK && !(acceptBadRequest && code == BAD_REQUEST)) {
-                throw new StatusException(code, response.getReasonPhrase());
+            ClassicHttpResponse response = EXECUTOR.execute(request, active.http, context);
+            int statusCode = response.getCode();
+            if (statusCode != OK && !(acceptBadRequest && statusCode == BAD_REQUEST)) {
+                throw new StatusException(statusCode, response.getReasonPhrase());
             }
             T body = reader.read(limitedStream(response.getEntity()));
-            isReusable = EXECUTOR.keepAlive(request, response, used.http, context);
+            isReusable = EXECUTOR.keepAlive(request, response, active.http, context);
             return body;
         } catch (HttpException e) {
             throw new IOException("no HTTP answer: " + e.getMessage(), e);
@@ -153,13 +158,13 @@
 
     private Connection connect(int timeoutMillis) throws IOException {
         Connection opened = new Connection();
-        // Set before the check, so that close() either closes this socket or is noticed here.
+        // Set before the check: a concurrent close() either closes this socket or is detected here.
         connection = opened;
         if (closed) {
             throw new IOException("the address has changed");
         }
         opened.socket.setTcpNoDelay(true);
-        opened.socket.connect(address, Math.min(timeoutMillis, CONNECT_MILLIS));
+        opened.socket.connect(address, Math.min(timeoutMillis, CONNECT_TIMEOUT_MILLIS));
         opened.http.bind(opened.socket);
         return opened;
     }
@@ -203,10 +208,10 @@
     }
 
     private void disconnect() {
-        Connection open = connection;
+        Connection previous = connection;
         try {
-            if (open != null) {
-                open.socket.close();
+            if (previous != null) {
+                previous.socket.close();
             }
         } catch (IOException e) {
             // The socket is closed in any case.
@@ -214,26 +219,23 @@
         connection = null;
     }
 
-    /** The socket is held as well, because closing it ends a call in flight in another thread at once. */
+    /** A connection and its socket: closing the socket ends a call in flight in another thread at once. */
     private static final class Connection {
         private final DeadlineSocket socket = new DeadlineSocket();
-        private final DefaultBHttpClientConnection http = new DefaultBHttpClientConnection(CONFIG);
+        private final DefaultBHttpClientConnection http = new DefaultBHttpClientConnection(HTTP_CONFIG);
     }
 
-    /**
-     * A socket whose reads share one deadline: a timeout for each read would not bound a call whose bytes arrive
-     * slowly.
-     */
+    /** A socket whose reads share one deadline: a timeout per read would not bound a call whose bytes arrive slowly. */
     private static final class DeadlineSocket extends Socket {
         private volatile long deadlineNanos;
         private volatile long responseNanos;
-        private volatile boolean hasResponse;
+        private volatile boolean hasResponseStarted;
 
-        /** Starts a call. */
-        private void start(long callDeadlineNanos, long limitNanos) {
+        /** Sets the deadline and the response limit of the next call. */
+        private void startCall(long callDeadlineNanos, long callResponseNanos) {
             deadlineNanos = callDeadlineNanos;
-            responseNanos = limitNanos;
-            hasResponse = false;
+            responseNanos = callResponseNanos;
+            hasResponseStarted = false;
         }
 
         @Override
@@ -243,7 +245,7 @@
                 public int read() throws IOException {
                     setRemainingTimeout();
                     int read = in.read();
-                    onBytes();
+                    onBytesRead();
                     return read;
                 }
 
@@ -251,16 +253,16 @@
                 public int read(byte[] buffer, int offset, int length) throws IOException {
                     setRemainingTimeout();
                     int count = in.read(buffer, offset, length);
-                    onBytes();
+                    onBytesRead();
                     return count;
                 }
             };
         }
 
-        /** From the first byte on the limit of the response applies: if it stalls, waiting longer is useless. */
-        private void onBytes() {
-            if (!hasResponse) {
-                hasResponse = true;
+        /** Applies the response limit from the first byte on: a response that stalls is not worth the full timeout. */
+        private void onBytesRead() {
+            if (!hasResponseStarted) {
+                hasResponseStarted = true;
                 deadlineNanos = Math.min(deadlineNanos, System.nanoTime() + responseNanos);
             }
         }
--- a/src/main/java/beaconladder/discovery/JsonReader.java
+++ b/src/main/java/beaconladder/discovery/JsonReader.java
@@ -15,25 +15,28 @@
 import java.util.Map;
 
 /**
- * Parses JSON with Jackson's streaming parser into maps in the order of the text, lists, strings, exact
- * {@link BigDecimal} numbers, booleans and null.
+ * Parses JSON with Jackson's streaming parser into maps in document order, lists, strings, exact {@link BigDecimal}
+ * numbers, booleans and null.
  */
 public final class JsonReader {
     /** The text is not valid JSON; the message states the position. */
     public static final class ParseException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        ParseException(long position, String cause) {
-            super("bad JSON at character " + position + ": " + cause);
+        ParseException(long position, String message) {
+            super("bad JSON at character " + position + ": " + message);
         }
     }
 
-    /** Deeper than any document in use, and shallow enough for a small thread stack. */
+    /** Nesting depth: more than any document in use has, and little enough for a small thread stack. */
     private static final int MAX_DEPTH = 64;
-    /** Digits or scale of a number: no valid value exceeds this, and writing a longer one out would take memory. */
+    /**
+     * Digits or scale of a number: no valid value exceeds it, and the plain text of a longer one would take much
+     * memory.
+     */
     private static final int MAX_NUMBER_LENGTH = 400;
 
-    /** Duplicate names are rejected, as it is unclear which value applies. */
+    /** Rejects duplicate names, as it would be unclear which value applies. */
     private static final JsonFactory FACTORY = JsonFactory.builder()
             .streamReadConstraints(StreamReadConstraints.builder()
                     .maxNestingDepth(MAX_DEPTH)
@@ -45,16 +48,16 @@
     private JsonReader() {}
 
     /**
-     * Parses a text that is one JSON value.
+     * Parses a text that consists of one JSON value.
      *
-     * @throws ParseException if it is not
+     * @throws ParseException if the text is anything else
      */
     public static Object parse(String text) throws ParseException {
         try (JsonParser json = FACTORY.createParser(text)) {
             if (json.nextToken() == null) {
                 throw new ParseException(0, "the text ends where a value belongs");
             }
-            Object value = value(json);
+            Object value = readValue(json);
             if (json.nextToken() != null) {
                 throw new ParseException(json.currentTokenLocation().getCharOffset(), "more after the value");
             }
@@ -66,8 +69,8 @@
         }
     }
 
-    /** A parser for bytes as they arrive; the position in an exception is then that of a byte. */
-    static JsonParser parser(InputStream in) throws IOException {
+    /** Creates a parser for a stream of bytes; positions in its exceptions count bytes. */
+    static JsonParser createParser(InputStream in) throws IOException {
         return FACTORY.createParser(in);
     }
 
@@ -75,27 +78,27 @@
         long position = e.getLocation() == null
                 ? 0
                 : Math.max(e.getLocation().getCharOffset(), e.getLocation().getByteOffset());
-        // For a text that ends early Jackson adds where the value started, which is not the position of the error.
+        // For a truncated text Jackson's message adds where the value started, which is not the position of the error.
         return new ParseException(
                 position, e.getOriginalMessage().replaceFirst(" \\((start marker|for \\w+ starting) at .*", ""));
     }
 
     /** Reads the value that starts with the current token. */
-    static Object value(JsonParser json) throws IOException, ParseException {
+    static Object readValue(JsonParser json) throws IOException, ParseException {
         switch (json.currentToken()) {
             case START_OBJECT -> {
                 Map<String, Object> map = new LinkedHashMap<>();
                 while (json.nextToken() != JsonToken.END_OBJECT) {
                     String name = json.currentName();
                     json.nextToken();
-                    map.put(name, value(json));
+                    map.put(name, readValue(json));
                 }
                 return map;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
                 while (json.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(json));
+                    list.add(readValue(json));
                 }
                 return list;
             }
@@ -127,8 +130,9 @@
     }
 
     /**
-     * Flattens a value to dotted names, the form of the simulator's settings: plain values of a list are joined by
-     * commas, a list of objects has its length under count, and spaces and commas within values become underscores.
+     * Flattens a value to dotted names, the format of the simulator's settings. Scalar values of a list are joined by
+     * commas, the length of a list of objects is stored under {@code count}, and spaces and commas within values become
+     * underscores.
      *
      * @param name the name of the value, empty for the root
      * @param into receives the names and values
@@ -145,14 +149,14 @@
             } else {
                 into.put(
                         name,
-                        String.join(",", list.stream().map(JsonReader::plain).toList()));
+                        String.join(",", list.stream().map(JsonReader::flatText).toList()));
             }
         } else if (value != null) {
-            into.put(name, plain(value));
+            into.put(name, flatText(value));
         }
     }
 
-    private static String plain(Object value) {
+    private static String flatText(Object value) {
         return value instanceof BigDecimal number
                 ? number.toPlainString()
                 : String.valueOf(value).replace(' ', '_').replace(',', '_');
--- a/src/main/java/beaconladder/discovery/package-info.java
+++ b/src/main/java/beaconladder/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Service discovery of the database hosts: a watch that fetches the list of endpoints and its changes over HTTP, the
- * schedules of its calls, and the JSON reader that is used for settings, too.
+ * Service discovery of the database hosts: a watch that fetches the endpoint list and its changes over HTTP, the
+ * schedules of its calls, and the JSON reader, which also reads configuration files.
  */
 package beaconladder.discovery;
--- a/src/test/java/beaconladder/discovery/EndpointListLiteralTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointListLiteralTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A list of hosts as discovery sends it, and settings as a file has them: literal JSON to values. */
+/** Parses a literal endpoint list of discovery and literal settings: the names in the JSON must not change. */
 class EndpointListLiteralTest {
     private static final String LIST = """
             {"version": 42, "full": true, "servers": [
--- a/src/test/java/beaconladder/discovery/EndpointListReaderTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointListReaderTest.java
@@ -25,7 +25,7 @@
 class EndpointListReaderTest {
     private static final ObjectMapper WRITER = new ObjectMapper();
 
-    /** Read by streaming, indented or not, a list equals the one from its JSON tree. */
+    /** A list that is read as a stream, indented or not, equals the one from its JSON tree. */
     @Property(tries = 300, seed = "1")
     void streamedListEqualsItsTree(@ForAll("lists") Map<String, Object> list) throws Exception {
         String text = WRITER.writeValueAsString(list);
@@ -46,7 +46,7 @@
                 .isInstanceOfAny(JsonReader.ParseException.class, EndpointListReader.InvalidListException.class);
     }
 
-    /** Any bytes are a list or rejected with an expected exception. */
+    /** Arbitrary bytes are read as a list or rejected with an expected exception. */
     @Property(tries = 500, seed = "1")
     void anyBytesAreReadOrRejected(@ForAll byte[] bytes) throws IOException {
         try {
@@ -61,22 +61,24 @@
 
     @Test
     void invalidListIsDescribed() {
-        String good = entry(1);
+        String validEntry = entry(1);
         Map<String, String> cases = new LinkedHashMap<>();
         cases.put("[]", "no list of hosts");
         cases.put("{\"version\":1}", "no list of hosts");
         cases.put("{\"version\":1,\"servers\":{}}", "no list of hosts");
         cases.put("{\"servers\":[]}", "a list without its version");
         cases.put("{\"version\":-1,\"servers\":[]}", "a list without its version");
-        cases.put("{\"version\":1,\"servers\":[" + good + "]} {}", "more after the list of hosts");
-        cases.put("{\"version\":1,\"servers\":[" + good + ",7]}", "an entry without id or group");
+        cases.put("{\"version\":1,\"servers\":[" + validEntry + "]} {}", "more after the list of hosts");
+        cases.put("{\"version\":1,\"servers\":[" + validEntry + ",7]}", "an entry without id or group");
         cases.put(
-                "{\"version\":1,\"servers\":[" + good + "," + good.replace("Ready", "Off") + "]}",
+                "{\"version\":1,\"servers\":[" + validEntry + "," + validEntry.replace("Ready", "Off") + "]}",
                 "an unknown state Off");
-        cases.put("{\"version\":1,\"servers\":[" + good.replace("\"kind\"", "\"id\"") + "]}", "Duplicate field 'id'");
+        cases.put(
+                "{\"version\":1,\"servers\":[" + validEntry.replace("\"kind\"", "\"id\"") + "]}",
+                "Duplicate field 'id'");
         cases.put("{\"version\":1,\"version\":1,\"servers\":[]}", "Duplicate field 'version'");
         cases.put(
-                "{\"version\":1,\"servers\":[" + good.replace("\"weight\":1.0", "\"weight\":1e999999999") + "]}",
+                "{\"version\":1,\"servers\":[" + validEntry.replace("\"weight\":1.0", "\"weight\":1e999999999") + "]}",
                 "a number out of range");
         cases.forEach((text, cause) -> assertThatThrownBy(() -> read(text)).hasMessageContaining(cause));
     }
@@ -84,10 +86,10 @@
     /** The number of entries is limited, to bound the memory. */
     @Test
     void listOfTooManyHostsIsRejected() {
-        String some = IntStream.range(0, EndpointListReader.MAX_ENTRIES + 1)
+        String entries = IntStream.range(0, EndpointListReader.MAX_ENTRIES + 1)
                 .mapToObj(EndpointListReaderTest::entry)
                 .collect(Collectors.joining(","));
-        assertThatThrownBy(() -> read("{\"version\":1,\"servers\":[" + some + "]}"))
+        assertThatThrownBy(() -> read("{\"version\":1,\"servers\":[" + entries + "]}"))
                 .hasMessageContaining("more than");
     }
 
@@ -98,9 +100,9 @@
                 + IntStream.range(0, 5_800)
                         .mapToObj(EndpointListReaderTest::entry)
                         .collect(Collectors.joining(",")) + "]}";
-        String margin = "\n" + " ".repeat(70) + "\"";
-        String indented = text.replace(",\"", "," + margin)
-                .replace("{\"", "{" + margin)
+        String indentation = "\n" + " ".repeat(70) + "\"";
+        String indented = text.replace(",\"", "," + indentation)
+                .replace("{\"", "{" + indentation)
                 .replace(":", " : ")
                 .replace("127.0.0.1 : ", "127.0.0.1:");
         assertThat(indented.length()).isBetween(4 << 20, HttpFetcher.MAX_STREAM_BYTES);
--- a/src/test/java/beaconladder/discovery/EndpointWatchMovesTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchMovesTest.java
@@ -13,30 +13,31 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Discovery gets another address while a watch rests, as the one before could not be had. */
+/** The address of discovery changes while watches back off, because the previous address refused connections. */
 @Timeout(60)
 class EndpointWatchMovesTest extends WatchedDiscovery {
     private static final int WATCHES = 8;
 
     @Test
-    void restingWatchCallsANewAddressAtOnce() throws Exception {
-        InetSocketAddress nobody;
+    void watchInBackoffCallsANewAddressAtOnce() throws Exception {
+        InetSocketAddress unreachable;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
+            unreachable = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
         DiscoveryStandIn discovery = discovery();
         discovery.list(true, host("Ready"));
-        CountDownLatch told = new CountDownLatch(WATCHES);
+        CountDownLatch listsReceived = new CountDownLatch(WATCHES);
         List<EndpointWatch> watches = new ArrayList<>();
         for (int seed = 0; seed < WATCHES; seed++) {
-            watches.add(EndpointWatch.polling(nobody, 10_000, seed, (complete, entries) -> told.countDown()));
+            watches.add(
+                    EndpointWatch.polling(unreachable, 10_000, seed, (complete, entries) -> listsReceived.countDown()));
             start(watches.get(seed));
         }
-        // Each failure lets them rest longer; by now they do for seconds.
+        // Each failure lengthens the backoff; by then it takes seconds.
         Thread.sleep(8_000);
-        watches.forEach(watch -> watch.changeAddress(at(discovery)));
-        assertThat(told.await(1, TimeUnit.SECONDS))
-                .as("all but " + told.getCount() + " within 1 s")
+        watches.forEach(watch -> watch.changeAddress(address(discovery)));
+        assertThat(listsReceived.await(1, TimeUnit.SECONDS))
+                .as("all but " + listsReceived.getCount() + " watches received the list within 1 s")
                 .isTrue();
     }
 }
--- a/src/test/java/beaconladder/discovery/EndpointWatchTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchTest.java
@@ -21,50 +21,55 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A change in discovery counts as notified 6 s later, and at the end of an outage only the grace period of draining
- * hosts remains. By then the watch has fetched it, whichever way a call fails.
+ * A change in discovery counts as notified after 6 s; after an outage only the grace period of draining hosts remains.
+ * The watch has to fetch the change by then, however calls fail.
  */
 @Timeout(90)
 class EndpointWatchTest extends WatchedDiscovery {
-    private static final long NOTIFIED = 6_000;
-    private static final long SLACK = 50;
+    private static final long NOTIFICATION_LIMIT_MILLIS = 6_000;
+    private static final long SLACK_MILLIS = 50;
     /**
-     * A fault that starts while a watch waits, and the draining of a host right after it.
+     * A fault that starts while a watch waits, and a host that starts to drain right after it.
      *
-     * @param lasts how long discovery is unavailable, in milliseconds
+     * @param outageMillis how long discovery is unavailable; 0 if new connections still work
      */
-    private record Case(String name, Consumer<DiscoveryStandIn> fault, long lasts) {
-        long bound() {
-            return lasts == 0 ? NOTIFIED : lasts + GRACE + SLACK;
+    private record Case(String name, Consumer<DiscoveryStandIn> fault, long outageMillis) {
+        long boundMillis() {
+            return outageMillis == 0 ? NOTIFICATION_LIMIT_MILLIS : outageMillis + GRACE_MILLIS + SLACK_MILLIS;
         }
     }
 
     @TestFactory
     Stream<DynamicTest> drainingIsReceivedBeforeItCountsAsNotified() throws Exception {
         List<Case> cases = List.of(
-                new Case("the link is cut and says nothing", DiscoveryStandIn::silenceOpenConnections, 0),
-                new Case("half an answer, then silence", d -> d.manner = Manner.HALF, 500),
-                new Case("half an answer, then the end", d -> d.manner = Manner.CUT, 3_000),
-                new Case("bytes that drip", d -> d.manner = Manner.DRIP, 500),
-                new Case("silence for a while, also to new calls", d -> d.manner = Manner.SILENT, 5_300),
-                new Case("silence for long", d -> d.manner = Manner.SILENT, 20_500),
-                new Case("nonsense", d -> d.garbage = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}", 4_000),
-                new Case("a body without length, reset once its list looks whole", d -> d.manner = Manner.RESET, 4_000),
-                new Case("answers that are late by 1.2 s", d -> d.lateMillis = 1_200, 0));
-        Map<String, Long> took = new ConcurrentHashMap<>();
-        List<Thread> all = new ArrayList<>();
+                new Case("open connections fall silent", DiscoveryStandIn::silenceOpenConnections, 0),
+                new Case("half a response, then silence", d -> d.manner = Manner.HALF, 500),
+                new Case("half a response, then the end of the connection", d -> d.manner = Manner.CUT, 3_000),
+                new Case("a response that arrives byte by byte", d -> d.manner = Manner.DRIP, 500),
+                new Case("no response to any call for 5.3 s", d -> d.manner = Manner.SILENT, 5_300),
+                new Case("no response to any call for 20.5 s", d -> d.manner = Manner.SILENT, 20_500),
+                new Case("invalid JSON", d -> d.garbage = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}", 4_000),
+                new Case(
+                        "a body without length, reset once its list looks complete",
+                        d -> d.manner = Manner.RESET,
+                        4_000),
+                new Case("responses that are delayed by 1.2 s", d -> d.lateMillis = 1_200, 0));
+        Map<String, Long> receivedAfterMillis = new ConcurrentHashMap<>();
+        List<Thread> threads = new ArrayList<>();
         for (Case each : cases) {
-            Thread thread = new Thread(() -> took.put(each.name(), millisUntilReceived(each)));
+            Thread thread = new Thread(() -> receivedAfterMillis.put(each.name(), millisUntilReceived(each)));
             thread.start();
-            all.add(thread);
+            threads.add(thread);
         }
-        for (Thread thread : all) {
+        for (Thread thread : threads) {
             thread.join();
         }
         return cases.stream()
                 .map(each -> DynamicTest.dynamicTest(
                         each.name(),
-                        () -> assertThat(took.get(each.name())).isNotNull().isLessThan(each.bound())));
+                        () -> assertThat(receivedAfterMillis.get(each.name()))
+                                .isNotNull()
+                                .isLessThan(each.boundMillis())));
     }
 
     /** Milliseconds from the start of the fault to the receipt of the change. */
@@ -74,7 +79,7 @@
             discovery.waitMillis = 60_000;
             discovery.list(true, host("Ready"));
             AtomicLong receivedAtNanos = new AtomicLong();
-            start(new EndpointWatch(at(discovery), GRACE, 7, (complete, entries) -> {
+            start(new EndpointWatch(address(discovery), GRACE_MILLIS, 7, (complete, entries) -> {
                 if (entries.get(0).state() == EndpointWatch.State.DRAINING) {
                     receivedAtNanos.compareAndSet(0, System.nanoTime());
                 }
@@ -83,8 +88,8 @@
             each.fault().accept(discovery);
             long startNanos = System.nanoTime();
             discovery.list(true, host("Terminating"));
-            if (each.lasts() > 0) {
-                Thread.sleep(each.lasts());
+            if (each.outageMillis() > 0) {
+                Thread.sleep(each.outageMillis());
                 discovery.manner = Manner.ANSWER;
                 discovery.garbage = null;
                 discovery.lateMillis = 0;
@@ -110,14 +115,17 @@
 
     @Test
     void changedAddressCancelsTheCallAndIndentedListsAreRead() throws Exception {
-        DiscoveryStandIn old = discovery();
-        old.waitMillis = 60_000;
-        old.list(true, host("Ready"));
+        DiscoveryStandIn previous = discovery();
+        previous.waitMillis = 60_000;
+        previous.list(true, host("Ready"));
         List<EndpointWatch.State> received = new ArrayList<>();
         EndpointWatch watch = new EndpointWatch(
-                at(old), GRACE, 7, (complete, entries) -> entries.forEach(e -> received.add(e.state())));
+                address(previous),
+                GRACE_MILLIS,
+                7,
+                (complete, entries) -> entries.forEach(e -> received.add(e.state())));
         start(watch);
-        Awaitility.await().until(() -> old.calls.get() >= 2);
+        Awaitility.await().until(() -> previous.calls.get() >= 2);
         DiscoveryStandIn next = discovery();
         next.list(
                 true,
@@ -126,23 +134,26 @@
                         .replace(":", " :\r\n ")
                         .replace("127.0.0.1 :\r\n ", "127.0.0.1:"));
         long startNanos = System.nanoTime();
-        watch.changeAddress(at(next));
+        watch.changeAddress(address(next));
         Awaitility.await()
                 .pollInterval(Duration.ofMillis(5))
                 .until(() -> received.contains(EndpointWatch.State.DRAINING));
         assertThat(System.nanoTime() - startNanos).isLessThan(1_000_000_000L);
-        int calls = old.calls.get();
+        int calls = previous.calls.get();
         Thread.sleep(300);
-        assertThat(old.calls.get()).isEqualTo(calls);
+        assertThat(previous.calls.get()).isEqualTo(calls);
     }
 
-    /** No process answers, though the operating system accepts connections. */
+    /** The operating system accepts connections, but no process responds. */
     @Test
-    void startWaitsForTheFirstListNoLongerThanItsBound() throws Exception {
-        ServerSocket mute = new ServerSocket(0);
-        open.add(mute);
+    void startWaitsForTheFirstListNoLongerThanItsTimeout() throws Exception {
+        ServerSocket unresponsive = new ServerSocket(0);
+        closeables.add(unresponsive);
         EndpointWatch watch = new EndpointWatch(
-                new InetSocketAddress("127.0.0.1", mute.getLocalPort()), GRACE, 7, (complete, all) -> {});
+                new InetSocketAddress("127.0.0.1", unresponsive.getLocalPort()),
+                GRACE_MILLIS,
+                7,
+                (complete, entries) -> {});
         start(watch);
         long startNanos = System.nanoTime();
         Awaitility.await().pollInterval(Duration.ofMillis(5)).until(() -> !watch.isAwaitingFirstAnswer());
--- a/src/test/java/beaconladder/discovery/EndpointWatchVersionsTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchVersionsTest.java
@@ -10,33 +10,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Missed changes are requested from the held version, the complete list only if that is impossible. */
+/**
+ * A watch requests missed changes since the version that it holds, and the complete list only if that is impossible.
+ */
 @Timeout(90)
 class EndpointWatchVersionsTest extends WatchedDiscovery {
-    /** After a timeout, a broken connection and a lost answer only changes are requested; nothing is sent twice. */
+    /** After a timeout, a broken connection and a lost response only changes are requested; nothing is sent twice. */
     @Test
     void changesMissedByAWatchAreRequestedFromItsVersion() throws Exception {
         DiscoveryStandIn discovery = discovery();
         discovery.waitMillis = 60_000;
-        String[] hosts = new String[40];
-        Arrays.setAll(hosts, i -> host("Ready").replace("s-1", "s-" + (i + 1)));
-        discovery.list(true, hosts);
+        String[] entries = new String[40];
+        Arrays.setAll(entries, i -> host("Ready").replace("s-1", "s-" + (i + 1)));
+        discovery.list(true, entries);
         List<EndpointWatch.State> received = watch(discovery);
         Awaitility.await().until(() -> discovery.calls.get() >= 2);
-        long first = discovery.bytes.get();
-        // Times out without a change, then calls again without a wait.
+        long bytesOfFirstList = discovery.bytes.get();
+        // The watch times out without a change, and the next call does not wait.
         Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> discovery.calls.get() >= 4);
         discovery.silenceOpenConnections();
         discovery.list(false, host("Terminating"));
         Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> received.contains(EndpointWatch.State.DRAINING));
-        assertThat(received).hasSize(hosts.length + 1);
+        assertThat(received).hasSize(entries.length + 1);
         assertThat(discovery.paths.get(0)).isEqualTo("/v1/servers");
         assertThat(discovery.paths.subList(1, discovery.paths.size()))
                 .allMatch(path -> path.startsWith("/v1/servers?index="));
-        assertThat(discovery.bytes.get() - first).isLessThan(first / 4);
+        assertThat(discovery.bytes.get() - bytesOfFirstList).isLessThan(bytesOfFirstList / 4);
     }
 
-    /** One that has begun anew, with fewer versions than we heard of, is heard whole. */
+    /** After a restart of discovery with fewer versions than the watch holds, the complete list is requested. */
     @Test
     void lowerVersionLeadsToARequestForTheCompleteList() throws Exception {
         DiscoveryStandIn discovery = discovery();
@@ -50,7 +52,7 @@
         Awaitility.await().atMost(Duration.ofSeconds(10)).until(() -> received.contains(EndpointWatch.State.DRAINING));
     }
 
-    /** Nonsense may have been news. */
+    /** An invalid response may have had changes, so the complete list is requested. */
     @Test
     void invalidAnswerLeadsToARequestForTheCompleteList() throws Exception {
         DiscoveryStandIn discovery = discovery();
--- a/src/test/java/beaconladder/discovery/FleetWatchTest.java
+++ b/src/test/java/beaconladder/discovery/FleetWatchTest.java
@@ -18,22 +18,22 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Thirty watches of one discovery that can serve a call of each in three seconds: whatever made them all call at once,
- * each receives the next change, and none is rejected afterwards.
+ * Thirty watches of one discovery that needs three seconds to serve one call of each. After all of them called at once,
+ * for whichever reason, each receives the next change, and few calls are rejected afterwards.
  */
 @Timeout(180)
 class FleetWatchTest {
     private static final int WATCHES = 30;
     private static final int HOSTS = 40;
     private static final int CALL_LINES = 30;
-    private static final int LINES = WATCHES * (HOSTS + CALL_LINES) / 3;
+    private static final int CAPACITY_LINES = WATCHES * (HOSTS + CALL_LINES) / 3;
     private static final int QUEUE_MILLIS = 1_000;
-    /** Twice the notification limit, as this machine may be busy. */
-    private static final Duration RECEIVED_WITHIN = Duration.ofSeconds(12);
+    /** Twice the notification limit, as the machine may be busy. */
+    private static final Duration RECEIPT_TIMEOUT = Duration.ofSeconds(12);
 
     private DiscoveryStandIn discovery;
     private final List<EndpointWatch> watches = new ArrayList<>();
-    /** The launch of the first host that each watch received last. */
+    /** By watch, the launch number of the first host in the last list that it received. */
     private final List<AtomicInteger> lastLaunches = new ArrayList<>();
 
     private int launch;
@@ -45,14 +45,14 @@
         discovery.capacity = capacity();
         discovery.list(true, IntStream.range(0, HOSTS).mapToObj(i -> host(i, 0)).toArray(String[]::new));
         for (int i = 0; i < WATCHES; i++) {
-            AtomicInteger last = new AtomicInteger(-1);
-            lastLaunches.add(last);
+            AtomicInteger lastLaunch = new AtomicInteger(-1);
+            lastLaunches.add(lastLaunch);
             watches.add(watch(
                     new InetSocketAddress("127.0.0.1", discovery.port()),
                     i,
                     (complete, entries) -> entries.stream()
                             .filter(e -> e.id().equals("s-0"))
-                            .forEach(e -> last.set((int) e.launchedMillis()))));
+                            .forEach(e -> lastLaunch.set((int) e.launchedMillis()))));
         }
     }
 
@@ -62,14 +62,14 @@
         discovery.close();
     }
 
-    /** All routers of a site start at the same time. */
+    /** All routers of a site start at once. */
     @Test
     void watchesRecoverAfterSimultaneousStart() throws Exception {
         startAll();
         assertSteadyAfterwards();
     }
 
-    /** Discovery is silent until every watch has timed out, and returns. */
+    /** Discovery does not respond until every watch has timed out, and then recovers. */
     @Test
     void watchesRecoverAfterOutage() throws Exception {
         startAll();
@@ -82,7 +82,7 @@
         assertSteadyAfterwards();
     }
 
-    /** Other clients use the complete capacity just after every watch was broken. */
+    /** Other clients use up the capacity just after the watches were rejected. */
     @Test
     void watchesRecoverAfterBurstOfRejections() throws Exception {
         startAll();
@@ -98,12 +98,12 @@
 
     // ---- Helpers ------------------------------------------------------------------------------------------
 
-    private EndpointWatch watch(InetSocketAddress at, int i, EndpointWatch.Listener listener) {
-        return EndpointWatch.polling(at, 10_000, 1_000 + i, listener);
+    private EndpointWatch watch(InetSocketAddress address, int i, EndpointWatch.Listener listener) {
+        return EndpointWatch.polling(address, 10_000, 1_000 + i, listener);
     }
 
     private static Capacity capacity() {
-        return new Capacity(LINES, CALL_LINES, QUEUE_MILLIS);
+        return new Capacity(CAPACITY_LINES, CALL_LINES, QUEUE_MILLIS);
     }
 
     private void startAll() throws Exception {
@@ -115,7 +115,7 @@
         awaitAllNotified(0);
     }
 
-    /** All receive one change and then a second; in between there are no more rejections than watches. */
+    /** All receive one change and then a second; in between there are fewer rejections than watches. */
     private void assertSteadyAfterwards() throws Exception {
         change();
         long rejected = discovery.capacity.refused();
@@ -134,7 +134,7 @@
 
     private void awaitAllNotified(int launched) {
         Awaitility.await()
-                .atMost(RECEIVED_WITHIN)
+                .atMost(RECEIPT_TIMEOUT)
                 .pollInterval(Duration.ofMillis(20))
                 .untilAsserted(() -> assertThat(lastLaunches.stream()
                                 .filter(each -> each.get() == launched)
--- a/src/test/java/beaconladder/discovery/JsonReaderTest.java
+++ b/src/test/java/beaconladder/discovery/JsonReaderTest.java
@@ -17,7 +17,7 @@
 class JsonReaderTest {
     private static final ObjectMapper WRITER = new ObjectMapper();
 
-    /** What another writer wrote, indented or not, is read as it was. */
+    /** JSON written by another library, indented or not, is parsed to the original value. */
     @Property(tries = 300, seed = "1")
     void writtenValueIsParsedBack(@ForAll("trees") Map<String, Object> tree) throws Exception {
         assertThat(JsonReader.parse(WRITER.writeValueAsString(tree))).isEqualTo(tree);
@@ -25,16 +25,16 @@
                 .isEqualTo(tree);
     }
 
-    /** An answer that broke off anywhere is no list. */
+    /** A text that is truncated anywhere is rejected. */
     @Property(tries = 300, seed = "1")
-    void truncatedTextIsRejected(@ForAll("trees") Map<String, Object> tree, @ForAll int at) throws Exception {
+    void truncatedTextIsRejected(@ForAll("trees") Map<String, Object> tree, @ForAll int end) throws Exception {
         String text = WRITER.writeValueAsString(tree);
-        assertThatThrownBy(() -> JsonReader.parse(text.substring(0, Math.floorMod(at, text.length()))))
+        assertThatThrownBy(() -> JsonReader.parse(text.substring(0, Math.floorMod(end, text.length()))))
                 .isInstanceOf(JsonReader.ParseException.class)
                 .hasMessageStartingWith("bad JSON at character ");
     }
 
-    /** Any text at all is read or refused, never anything else. */
+    /** Any text is parsed or rejected with a ParseException, never another one. */
     @Property(tries = 500, seed = "1")
     void anyTextIsParsedOrRejected(@ForAll("texts") String text) {
         try {
@@ -53,7 +53,7 @@
 
     @Provide
     Arbitrary<Map<String, Object>> trees() {
-        Arbitrary<Object> plain = Arbitraries.oneOf(
+        Arbitrary<Object> scalars = Arbitraries.oneOf(
                 Arbitraries.strings().ofMaxLength(8).map(s -> (Object) s),
                 Arbitraries.bigDecimals()
                         .between(new BigDecimal("-1e15"), new BigDecimal("1e15"))
@@ -61,16 +61,16 @@
                         .map(n -> (Object) n),
                 Arbitraries.of(true, false).map(b -> (Object) b));
         Arbitrary<Object> nested = Arbitraries.lazyOf(
-                () -> plain,
-                () -> plain,
-                () -> plain.list().ofMaxSize(4).map(l -> (Object) l),
+                () -> scalars,
+                () -> scalars,
+                () -> scalars.list().ofMaxSize(4).map(l -> (Object) l),
                 () -> trees().map(m -> (Object) m));
         return Arbitraries.maps(Arbitraries.strings().ofMaxLength(6), nested)
                 .ofMaxSize(4)
                 .map(m -> (Map<String, Object>) new LinkedHashMap<>(m));
     }
 
-    /** The order of lists is significant in settings. */
+    /** Lists keep their order, which is significant in settings. */
     @Property(tries = 20, seed = "1")
     void listsKeepTheirOrder(@ForAll List<Integer> numbers) throws Exception {
         assertThat(JsonReader.parse(numbers.toString()))
--- a/src/test/java/beaconladder/discovery/WatchedDiscovery.java
+++ b/src/test/java/beaconladder/discovery/WatchedDiscovery.java
@@ -7,22 +7,22 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.AfterEach;
 
-/** Base of tests that watch a stand-in for discovery. */
+/** Base class of tests that watch a stand-in for discovery. */
 abstract class WatchedDiscovery {
-    static final long GRACE = 2_000;
-    final List<AutoCloseable> open = new ArrayList<>();
+    static final long GRACE_MILLIS = 2_000;
+    final List<AutoCloseable> closeables = new ArrayList<>();
 
     @AfterEach
     void close() throws Exception {
-        for (AutoCloseable each : open) {
+        for (AutoCloseable each : closeables) {
             each.close();
         }
     }
 
     DiscoveryStandIn discovery() throws Exception {
         DiscoveryStandIn discovery = new DiscoveryStandIn();
-        synchronized (open) {
-            open.add(discovery);
+        synchronized (closeables) {
+            closeables.add(discovery);
         }
         return discovery;
     }
@@ -30,7 +30,10 @@
     List<EndpointWatch.State> watch(DiscoveryStandIn discovery) {
         List<EndpointWatch.State> received = new CopyOnWriteArrayList<>();
         start(new EndpointWatch(
-                at(discovery), GRACE, 7, (complete, entries) -> entries.forEach(e -> received.add(e.state()))));
+                address(discovery),
+                GRACE_MILLIS,
+                7,
+                (complete, entries) -> entries.forEach(e -> received.add(e.state()))));
         return received;
     }
 
@@ -38,12 +41,12 @@
         Thread thread = new Thread(watch);
         thread.setDaemon(true);
         thread.start();
-        synchronized (open) {
-            open.add(watch::stop);
+        synchronized (closeables) {
+            closeables.add(watch::stop);
         }
     }
 
-    static InetSocketAddress at(DiscoveryStandIn discovery) {
+    static InetSocketAddress address(DiscoveryStandIn discovery) {
         return new InetSocketAddress("127.0.0.1", discovery.port());
     }
 
