--- a/src/main/java/beaconladder/feed/AcknowledgementSummary.java
+++ b/src/main/java/beaconladder/feed/AcknowledgementSummary.java
@@ -4,33 +4,35 @@
 import java.util.Map;
 
 /**
- * The latest acknowledgement of each of a relay's routers, by name; summed up for the log's leader, which never learns
- * the names. Times are nanoseconds of one clock. Thread-safe.
+ * The latest acknowledgement of each router of a relay, summarized for the log's leader without the routers' names. All
+ * times are nanoseconds of one clock. Thread-safe.
  *
- * <p>A router is counted once although it changes relay: a relay counts it for {@link #SILENT_NANOS} after its last
- * acknowledgement, the leader counts a relay for {@link #REPORT_EXPIRY_NANOS} after its last report, and an
- * acknowledgement to another relay, or of another incarnation, counts only {@link #RELOCATION_NANOS} later, which is
+ * <p>A router that changes relay is never counted twice. A relay counts it for {@link #SILENCE_TIMEOUT_NANOS} after its
+ * last acknowledgement, and the leader counts a relay for {@link #REPORT_EXPIRY_NANOS} after its last report. An
+ * acknowledgement to another relay, or of another incarnation, counts only {@link #RELAY_CHANGE_NANOS} later, which is
  * more than both together.
  */
 final class AcknowledgementSummary {
-    /** Three polls at rest. */
-    static final long SILENT_NANOS = 3_000_000_000L;
-    /** Four reports at rest. */
+    /** The time after which a router is silent: three polls without a change. */
+    static final long SILENCE_TIMEOUT_NANOS = 3_000_000_000L;
+    /** The time after which a relay's report expires: four reports without a change. */
     static final long REPORT_EXPIRY_NANOS = 2_000_000_000L;
-    /** Both, and a second for messages in flight. */
-    static final long RELOCATION_NANOS = SILENT_NANOS + REPORT_EXPIRY_NANOS + 1_000_000_000L;
-    /** A router that was silent for so long is dropped from the silent ones: it is replaced, or at another relay. */
-    private static final long FORGET_NANOS = 60_000_000_000L;
-    /** Bound on the routers: a fleet of twice the intended size, all at one relay. */
+    /** The delay before another relay may count a router: both times above and a second for messages in flight. */
+    static final long RELAY_CHANGE_NANOS = SILENCE_TIMEOUT_NANOS + REPORT_EXPIRY_NANOS + 1_000_000_000L;
+    /** The time after which a silent router is no longer counted: it was replaced or polls another relay. */
+    private static final long REMOVAL_NANOS = 60_000_000_000L;
+    /** The limit of the routers: a fleet of twice the intended size, all on one relay. */
     private static final int MAX_ROUTERS = 8_192;
-    /** So many versions are reported one by one; older ones as one number. */
+    /** The number of versions that are reported individually; older ones are reported as one number. */
     private static final int REPORTED_VERSIONS = 4;
 
     private record Entry(Acknowledgement acknowledgement, long receivedAtNanos) {}
 
     private final Map<String, Entry> latest = new HashMap<>();
 
-    /** Records an acknowledgement; ignored if not countable, of an earlier incarnation, or of one router too many. */
+    /**
+     * Records an acknowledgement, unless it is not countable, of an earlier incarnation or beyond the limit of routers.
+     */
     synchronized void record(Acknowledgement acknowledgement, long nowNanos) {
         Entry previous = latest.get(acknowledgement.router());
         boolean outdated = previous != null && previous.acknowledgement().incarnation() > acknowledgement.incarnation();
@@ -40,13 +42,13 @@
         latest.put(acknowledgement.router(), new Entry(acknowledgement, nowNanos));
     }
 
-    /** The sums as of now, with the relay's own version and lag. */
+    /** Returns a report with the current counts and the relay's own version and lag. */
     synchronized RelayReport report(long version, long lagMillis, long nowNanos) {
-        latest.values().removeIf(entry -> nowNanos - entry.receivedAtNanos() > FORGET_NANOS);
+        latest.values().removeIf(entry -> nowNanos - entry.receivedAtNanos() > REMOVAL_NANOS);
         VersionCounts counts = new VersionCounts();
         int silent = 0;
         for (Entry entry : latest.values()) {
-            if (nowNanos - entry.receivedAtNanos() > SILENT_NANOS) {
+            if (nowNanos - entry.receivedAtNanos() > SILENCE_TIMEOUT_NANOS) {
                 silent++;
                 continue;
             }
--- a/src/main/java/beaconladder/feed/Applier.java
+++ b/src/main/java/beaconladder/feed/Applier.java
@@ -2,19 +2,20 @@
 
 import java.io.IOException;
 
-/** Puts states in force in a router. */
+/** Applies states to a router. */
 public interface Applier {
     /**
-     * Checks whether a state could be in force here; has no effect.
+     * Checks whether a state can be applied; has no effect.
      *
-     * @throws IOException the reason to reject it
+     * @throws IOException with the reason if the state must be rejected
      */
     void validate(VersionedState next) throws IOException;
 
     /**
-     * Puts a state in force that was validated and is stored already.
+     * Applies a state that was validated and is already stored.
      *
-     * @throws IOException the reason to reject it after all; the state before is in force then
+     * @throws IOException with the reason if the state must be rejected after all; the previous state then remains
+     *     applied
      */
     void apply(VersionedState next) throws IOException;
 }
--- a/src/main/java/beaconladder/feed/Change.java
+++ b/src/main/java/beaconladder/feed/Change.java
@@ -10,23 +10,23 @@
 /**
  * A committed change, from one version to the next.
  *
- * @param version the one that it leads to
- * @param set texts of new or replaced documents, by name
- * @param remove names of removed documents
- * @param digest of the state after the change
+ * @param version the version after the change
+ * @param set the texts of added or replaced documents, by name
+ * @param remove the names of removed documents
+ * @param digest the digest of the state after the change
  */
 public record Change(
         @JsonProperty(required = true) long version,
         @JsonProperty(required = true) Map<String, String> set,
         @JsonProperty(required = true) List<String> remove,
         @JsonProperty(required = true) String digest) {
-    /** Copies the collections, so that the change is immutable. */
+    /** Copies the collections so that the change is immutable. */
     public Change {
         set = Collections.unmodifiableMap(new TreeMap<>(set));
         remove = List.copyOf(remove);
     }
 
-    /** Its part of the bound on a history. */
+    /** Returns the number of characters that count towards the limit of a history. */
     @JsonIgnore
     int characterCount() {
         return Documents.characterCount(set)
--- a/src/main/java/beaconladder/feed/Documents.java
+++ b/src/main/java/beaconladder/feed/Documents.java
@@ -2,17 +2,17 @@
 
 import java.util.Map;
 
-/** Rules on documents, the named texts that a state consists of. */
+/** Validates documents, the named texts that a state consists of. */
 final class Documents {
-    private static final String NAME = "[A-Za-z0-9_.-]{1,64}";
+    private static final String NAME_PATTERN = "[A-Za-z0-9_.-]{1,64}";
 
     private Documents() {}
 
     static boolean isValidName(String name) {
-        return name != null && name.matches(NAME);
+        return name != null && name.matches(NAME_PATTERN);
     }
 
-    /** Characters of all names and texts together. */
+    /** Returns the total number of characters of all names and texts. */
     static int characterCount(Map<String, String> documents) {
         return documents.entrySet().stream()
                 .mapToInt(document ->
@@ -20,11 +20,11 @@
                 .sum();
     }
 
-    /** What is wrong with the first invalid document, or null if all are valid. */
-    static String fault(Map<String, String> documents) {
+    /** Describes the error in the first invalid document; null if all are valid. */
+    static String describeError(Map<String, String> documents) {
         for (Map.Entry<String, String> document : documents.entrySet()) {
             if (!isValidName(document.getKey())) {
-                return nameFault(document.getKey());
+                return describeInvalidName(document.getKey());
             }
             if (document.getValue() == null) {
                 return "'" + document.getKey() + "' has no text";
@@ -33,7 +33,7 @@
         return null;
     }
 
-    static String nameFault(String name) {
+    static String describeInvalidName(String name) {
         return "'" + name + "' is no name of a document";
     }
 }
--- a/src/main/java/beaconladder/feed/FeedJson.java
+++ b/src/main/java/beaconladder/feed/FeedJson.java
@@ -6,7 +6,9 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
-/** JSON of all the feed's messages and records. Reading is strict about the form; callers validate the contents. */
+/**
+ * Serializes the feed's messages and records as JSON. Deserializing checks the structure; callers check the contents.
+ */
 public final class FeedJson {
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
@@ -17,7 +19,7 @@
 
     private FeedJson() {}
 
-    /** Serializes a value in one line. */
+    /** Serializes a value as one line. */
     public static String text(Object value) {
         try {
             return MAPPER.writeValueAsString(value);
@@ -29,7 +31,7 @@
     /**
      * Deserializes a text.
      *
-     * @throws InvalidMessageException if it is not the JSON of exactly this type
+     * @throws InvalidMessageException if the text is not JSON of exactly this type
      */
     public static <T> T read(String text, Class<T> type) throws InvalidMessageException {
         try {
--- a/src/main/java/beaconladder/feed/InvalidMessageException.java
+++ b/src/main/java/beaconladder/feed/InvalidMessageException.java
@@ -6,12 +6,12 @@
 public final class InvalidMessageException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** One whose message names the cause. */
+    /** Creates an exception whose message states the cause. */
     InvalidMessageException(String message) {
         super(message);
     }
 
-    /** One that another exception led to. */
+    /** Creates an exception that was caused by another one. */
     InvalidMessageException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/beaconladder/feed/InvalidProposalException.java
+++ b/src/main/java/beaconladder/feed/InvalidProposalException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A proposal violates a rule on its form or size; retrying it unchanged cannot succeed. */
+/** A proposal is malformed or too large; retrying it unchanged can't succeed. */
 public final class InvalidProposalException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/beaconladder/feed/LastConfirmation.java
+++ b/src/main/java/beaconladder/feed/LastConfirmation.java
@@ -1,21 +1,21 @@
 package beaconladder.feed;
 
 /**
- * When the version held here was last known to be the log's newest. One thread writes, any thread reads. Times are
- * those of {@link System#nanoTime}.
+ * The last time at which the version held here was known to be the log's newest. One thread writes, any thread reads.
+ * Times are those of {@link System#nanoTime}.
  */
 final class LastConfirmation {
-    private volatile long atNanos;
+    private volatile long confirmedAtNanos;
     private volatile boolean known;
 
     void set(long nanos) {
-        atNanos = nanos;
+        confirmedAtNanos = nanos;
         known = true;
     }
 
-    /** Sets the time unless a later one is known: responses of two relays may arrive out of order. */
+    /** Sets the time unless a later one is known: the responses of two relays may arrive out of order. */
     void advanceTo(long nanos) {
-        atNanos = known ? Math.max(atNanos, nanos) : nanos;
+        confirmedAtNanos = known ? Math.max(confirmedAtNanos, nanos) : nanos;
         known = true;
     }
 
@@ -23,8 +23,8 @@
         return known;
     }
 
-    /** Nanoseconds since the confirmation; meaningful only if it {@link #isKnown}. */
+    /** Returns the time since the confirmation in nanoseconds; meaningful only if it {@link #isKnown}. */
     long ageNanos() {
-        return System.nanoTime() - atNanos;
+        return System.nanoTime() - confirmedAtNanos;
     }
 }
--- a/src/main/java/beaconladder/feed/LogClient.java
+++ b/src/main/java/beaconladder/feed/LogClient.java
@@ -11,16 +11,16 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A client of the log for operators: tries one lease server after the other, until the leader responds. */
+/** A client of the log for operators' commands. It tries one lease server after the other until the leader responds. */
 public final class LogClient {
     private final List<InetSocketAddress> leaseServers;
     private final Duration timeout;
     private final HttpClient http;
 
     /**
-     * Connects only on demand.
+     * Creates a client that connects on demand.
      *
-     * @param timeoutMillis for each lease server
+     * @param timeoutMillis the timeout of a request to one lease server
      */
     public LogClient(List<InetSocketAddress> leaseServers, long timeoutMillis) {
         this.leaseServers = List.copyOf(leaseServers);
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Proposes a change. Idempotent: a retry of the same proposal commits it at most once.
+     * Proposes a change. Idempotent: a proposal that is retried unchanged is committed at most once.
      *
      * @throws InvalidProposalException if the log rejects it as malformed
-     * @throws LogUnavailableException if no leader with a quorum responds; it may be committed or not
+     * @throws LogUnavailableException if no leader with a quorum responds; the proposal may have been committed
      * @throws InvalidMessageException if the response is malformed
      */
     public CommitResult propose(Proposal proposal) throws IOException {
@@ -47,24 +47,26 @@
     }
 
     /**
-     * The fleet's summary, as the leader has it.
+     * Returns the leader's summary of the fleet.
      *
      * @throws LogUnavailableException if no leader responds
      * @throws InvalidMessageException if the response is malformed
      */
     public RelayReports.FleetStatus status() throws IOException {
         return FeedJson.read(
-                send(server -> HttpRequest.newBuilder(uri(server, FeedApi.STATUS))), RelayReports.FleetStatus.class);
+                send(server -> HttpRequest.newBuilder(uri(server, FeedApi.FLEET_STATUS))),
+                RelayReports.FleetStatus.class);
     }
 
     /**
-     * What a client that holds this version lacks, as the leader has it.
+     * Returns the leader's update for a client that holds the given version.
      *
      * @throws LogUnavailableException if no leader responds
      * @throws InvalidMessageException if the response is malformed
      */
     public Update updateSince(long version) throws IOException {
-        String path = FeedApi.FEED + "?" + FeedApi.WAIT + "=0" + FeedApi.parameter(FeedApi.SINCE, version);
+        String path =
+                FeedApi.FEED + "?" + FeedApi.WAIT_MILLIS + "=0" + FeedApi.parameter(FeedApi.SINCE_VERSION, version);
         return FeedJson.read(send(server -> HttpRequest.newBuilder(uri(server, path))), Update.class);
     }
 
@@ -76,7 +78,7 @@
         return URI.create("http://" + server.getAddress().getHostAddress() + ":" + server.getPort() + path);
     }
 
-    /** The body of the first successful response. */
+    /** Sends a request to each lease server in turn; returns the body of the first successful response. */
     private String send(RequestFactory requests) throws InvalidProposalException, LogUnavailableException {
         String lastError = "no grantor is stated";
         for (InetSocketAddress server : leaseServers) {
@@ -104,7 +106,7 @@
                 "no grantor answers with a leader; is a quorum of them up? The last said: " + lastError);
     }
 
-    /** The message of an error response, or all of a body that has none. */
+    /** Returns the message of an error response, or its complete body if it has none. */
     private static String error(String body) {
         try {
             return FeedJson.read(body, JsonNode.class).path("error").asText(body);
--- a/src/main/java/beaconladder/feed/LogEndpoint.java
+++ b/src/main/java/beaconladder/feed/LogEndpoint.java
@@ -8,27 +8,28 @@
 import java.util.Map;
 
 /**
- * The feed's HTTP endpoint of a lease server. Only the leader responds, from what the log has applied, so that relays
- * never receive what could be lost again; their reports are summed up here for {@code feed status}.
+ * The feed's HTTP endpoint on a lease server. Only the leader responds, and only with applied log entries, so that
+ * relays never receive a version that could still be lost. This class also summarizes the reports of the relays, for
+ * {@code feed status}.
  */
 public final class LogEndpoint {
-    /** Bound on a proposal: a state of the largest size, each character escaped, and its frame. */
+    /** The limit of a proposal: a state of the largest size with each character escaped, and its JSON structure. */
     private static final int MAX_BODY_BYTES = 8 * VersionedState.MAX_CHARACTERS;
 
     private static final long MAX_WAIT_MILLIS = 5_000;
 
     /** The replicated log behind the endpoint. */
     public interface Log {
-        /** Publishes what this replica has applied. */
+        /** Returns the notifier that publishes the versions that this replica has applied. */
         VersionNotifier versions();
 
-        /** Whether this replica is the leader, as far as it knows. */
+        /** Returns whether this replica is the leader; the result may be outdated. */
         boolean isLeader();
 
         /**
          * Commits a proposal.
          *
-         * @throws IOException if no quorum accepts it in time; whether it is committed is unknown then
+         * @throws IOException if no quorum accepts the proposal in time; it may or may not be committed then
          */
         CommitResult commit(Proposal proposal) throws IOException;
     }
@@ -50,7 +51,7 @@
     public LogEndpoint(HttpServer server, Log log) {
         this.log = log;
         register(server, FeedApi.FEED, this::update);
-        register(server, FeedApi.STATUS, this::status);
+        register(server, FeedApi.FLEET_STATUS, this::status);
         register(server, FeedApi.PROPOSE, this::propose);
     }
 
@@ -64,8 +65,8 @@
 
     private Update update(HttpExchange exchange) throws IOException, InterruptedException {
         QueryString query = new QueryString(exchange.getRequestURI().getRawQuery());
-        long since = query.number(FeedApi.SINCE, Long.MAX_VALUE);
-        long waitMillis = query.number(FeedApi.WAIT, MAX_WAIT_MILLIS);
+        long since = query.number(FeedApi.SINCE_VERSION, Long.MAX_VALUE);
+        long waitMillis = query.number(FeedApi.WAIT_MILLIS, MAX_WAIT_MILLIS);
         requireLeader();
         String relay = query.text(FeedApi.RELAY_NAME);
         if (relay != null) {
@@ -113,7 +114,7 @@
 
     private static Response respond(HttpExchange exchange, String path, Handler handler) {
         try {
-            // The server also routes longer paths here.
+            // The HTTP server also routes longer paths to this handler.
             if (!exchange.getRequestURI().getPath().equals(path)) {
                 throw new InvalidMessageException("no such path");
             }
--- a/src/main/java/beaconladder/feed/LogFollower.java
+++ b/src/main/java/beaconladder/feed/LogFollower.java
@@ -11,28 +11,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A relay's task that replicates the log: long polls to the lease servers, one after the other until the leader
- * responds. Each poll carries the summary of the acknowledgements of the relay's routers.
+ * A relay's task that replicates the log by long polls to the lease servers, one after the other until the leader
+ * responds. Each poll carries a summary of the acknowledgements of the relay's routers.
  */
 final class LogFollower extends PollLoop {
     private static final Logger LOG = LoggerFactory.getLogger(LogFollower.class);
-    /** How long the leader may delay a response: at rest, a relay's state is at most this old. */
+    /** The longest time that the leader may delay a response; without changes a relay's state is at most this old. */
     static final int WAIT_MILLIS = 500;
-    /** A leader that takes this much longer may have failed: the next lease server is polled. */
-    private static final int SLACK_MILLIS = 500;
-    /** Confirmed by the last poll, or one poll ago while another is in progress. */
-    static final long FRESH_MILLIS = WAIT_MILLIS + 100;
-    /** Mean pause after a round in which no lease server was the leader. */
-    private static final int ROUND_MILLIS = 100;
+    /** The time for a response beyond the wait, after which the next lease server is polled. */
+    private static final int RESPONSE_SLACK_MILLIS = 500;
+    /** The lag up to which a state is fresh: confirmed by the last poll, while the next one may be in progress. */
+    static final long FRESH_LAG_MILLIS = WAIT_MILLIS + 100;
+    /** The mean pause after a round in which no lease server was the leader. */
+    private static final int ROUND_PAUSE_MILLIS = 100;
     /**
-     * A single change is forwarded at once; while more follow, routers receive them in steps that grow from this to
-     * {@link #MAX_STEP_MILLIS}, so that a burst costs each of them a few responses and not one for each change.
+     * The first interval between batches of changes. A single change is forwarded at once; during a burst the interval
+     * grows to {@link #MAX_BATCH_INTERVAL_MILLIS}, so that a burst costs each router a few responses and not one for
+     * each change.
      */
-    private static final int FIRST_STEP_MILLIS = 100;
+    private static final int FIRST_BATCH_INTERVAL_MILLIS = 100;
 
-    private static final int MAX_STEP_MILLIS = 500;
-    /** The lag, in milliseconds, of a relay that never reached the log: about thirty years. */
-    private static final long NEVER_MILLIS = 1_000_000_000_000L;
+    private static final int MAX_BATCH_INTERVAL_MILLIS = 500;
+    /** The lag of a relay that has never reached the log: about thirty years. */
+    private static final long UNKNOWN_LAG_MILLIS = 1_000_000_000_000L;
 
     private final String name;
     private final List<HttpFetcher> leaseServers;
@@ -42,8 +43,8 @@
     private final SplittableRandom random = new SplittableRandom();
     private final LastConfirmation lastConfirmation = new LastConfirmation();
     private int currentServer;
-    private int failuresInARow;
-    private int stepMillis;
+    private int consecutiveFailures;
+    private int batchIntervalMillis;
     private boolean requestFullState;
     private boolean disconnected;
 
@@ -61,57 +62,59 @@
         this.currentServer = Math.floorMod(name.hashCode(), leaseServers.size());
     }
 
-    /** Milliseconds since the log's leader confirmed that this relay's version is the newest. */
+    /** Returns the time in milliseconds since the log's leader confirmed that this relay's version is the newest. */
     long lagMillis() {
-        return lastConfirmation.isKnown() ? Math.max(0, lastConfirmation.ageNanos()) / 1_000_000 : NEVER_MILLIS;
+        return lastConfirmation.isKnown() ? Math.max(0, lastConfirmation.ageNanos()) / 1_000_000 : UNKNOWN_LAG_MILLIS;
     }
 
     @Override
     void poll() throws IOException {
         boolean newer = replicate();
-        failuresInARow = 0;
+        consecutiveFailures = 0;
         if (disconnected) {
             LOG.info(
-                    "relay {} hears from the log again, version {}",
+                    "relay {} follows the log again from version {}",
                     name,
                     versions.current().newest().version());
             disconnected = false;
         }
         if (newer) {
-            stepMillis = Math.min(MAX_STEP_MILLIS, stepMillis == 0 ? FIRST_STEP_MILLIS : 2 * stepMillis);
+            batchIntervalMillis = Math.min(
+                    MAX_BATCH_INTERVAL_MILLIS,
+                    batchIntervalMillis == 0 ? FIRST_BATCH_INTERVAL_MILLIS : 2 * batchIntervalMillis);
         } else {
-            stepMillis = 0;
+            batchIntervalMillis = 0;
         }
-        pause(stepMillis);
+        pause(batchIntervalMillis);
     }
 
     @Override
     void onFailure(Exception cause) {
         currentServer = (currentServer + 1) % leaseServers.size();
-        if (++failuresInARow % leaseServers.size() == 0) {
-            pause(ROUND_MILLIS / 2 + random.nextInt(ROUND_MILLIS));
+        if (++consecutiveFailures % leaseServers.size() == 0) {
+            pause(ROUND_PAUSE_MILLIS / 2 + random.nextInt(ROUND_PAUSE_MILLIS));
         }
-        if (!disconnected && lagMillis() > Subscriber.STALE_MILLIS) {
-            LOG.warn("relay {} hears nothing from the log: {}", name, cause.getMessage());
+        if (!disconnected && lagMillis() > Subscriber.STALE_LAG_MILLIS) {
+            LOG.warn("relay {} has lost the log: {}", name, cause.getMessage());
             disconnected = true;
-            // Polls that wait here are answered with the lag now, so that their routers can fail over.
+            // Responds to waiting polls with the present lag, so that their routers can fail over.
             versions.wakeAll();
         }
     }
 
-    /** Polls the current lease server once; whether there was a newer version. */
+    /** Polls the current lease server once; returns whether there was a newer version. */
     private boolean replicate() throws IOException {
         VersionHistory before = versions.current();
         String response = leaseServers
                 .get(currentServer)
-                .get(pollPath(before.newest().version()), WAIT_MILLIS + SLACK_MILLIS, SLACK_MILLIS);
+                .get(pollPath(before.newest().version()), WAIT_MILLIS + RESPONSE_SLACK_MILLIS, RESPONSE_SLACK_MILLIS);
         Update update = FeedJson.read(response, Update.class);
         VersionHistory next = merge(before, update);
         boolean newer = next.newest().version() > before.newest().version();
         if (newer) {
             store.save(next.newest(), System.currentTimeMillis());
         }
-        // Before it is published: the polls that this wakes must not report the lag from before.
+        // Before the version is published: the polls that this wakes must not report the old lag.
         lastConfirmation.set(System.nanoTime());
         if (newer) {
             versions.publish(next);
@@ -121,8 +124,8 @@
 
     private String pollPath(long heldVersion) {
         RelayReport report = acknowledgements.report(heldVersion, lagMillis(), System.nanoTime());
-        return FeedApi.FEED + "?" + FeedApi.SINCE + "=" + heldVersion
-                + FeedApi.parameter(FeedApi.WAIT, WAIT_MILLIS)
+        return FeedApi.FEED + "?" + FeedApi.SINCE_VERSION + "=" + heldVersion
+                + FeedApi.parameter(FeedApi.WAIT_MILLIS, WAIT_MILLIS)
                 + FeedApi.flag(FeedApi.FULL_STATE, requestFullState)
                 + FeedApi.parameter(FeedApi.RELAY_NAME, name)
                 + FeedApi.parameter(FeedApi.REPORT, URLEncoder.encode(FeedJson.text(report), StandardCharsets.UTF_8));
@@ -135,7 +138,7 @@
             requestFullState = false;
         } catch (InvalidStateException e) {
             requestFullState = true;
-            LOG.warn("relay {}: what a grantor told is void: {}", name, e.getMessage());
+            LOG.warn("relay {}: invalid update from a lease server: {}", name, e.getMessage());
             throw e;
         }
         VersionedState newest = next.newest();
@@ -147,7 +150,7 @@
     }
 
     @Override
-    void release() {
+    void releaseResources() {
         store.close();
     }
 
--- a/src/main/java/beaconladder/feed/PollLoop.java
+++ b/src/main/java/beaconladder/feed/PollLoop.java
@@ -7,17 +7,17 @@
 abstract class PollLoop implements Runnable, AutoCloseable {
     private volatile boolean closed;
 
-    /** One poll and what follows from its response. */
+    /** Polls the current upstream once and processes the response. */
     abstract void poll() throws IOException;
 
-    /** The poll failed: selects another upstream, and pauses where none is left. */
+    /** Selects another upstream after a failed poll, and pauses after all of them have failed. */
     abstract void onFailure(Exception cause);
 
-    /** Closes the connections, which also interrupts a poll in progress. */
+    /** Closes the connections, which also ends a poll in progress. */
     abstract void closeConnections();
 
-    /** Releases what the loop's thread uses; called by that thread after the last poll. */
-    abstract void release();
+    /** Releases the resources that the loop's thread uses; called by that thread after the last poll. */
+    abstract void releaseResources();
 
     @Override
     public final void run() {
@@ -28,7 +28,7 @@
                 onFailure(e);
             }
         }
-        release();
+        releaseResources();
     }
 
     final boolean isClosed() {
--- a/src/main/java/beaconladder/feed/Proposal.java
+++ b/src/main/java/beaconladder/feed/Proposal.java
@@ -7,48 +7,48 @@
 import java.util.TreeMap;
 
 /**
- * A proposed change. The log commits it by compare-and-set: only while the version that it is based on is the newest.
+ * A proposed change. The log commits it by compare-and-set, only if its base version is the newest version.
  *
  * @param baseVersion the version that the change is based on
- * @param set texts of new or replaced documents, by name
- * @param remove names of documents to remove
+ * @param set the texts of documents to add or replace, by name
+ * @param remove the names of documents to remove
  */
 public record Proposal(
         @JsonProperty(value = "against", required = true) long baseVersion,
         @JsonProperty(required = true) Map<String, String> set,
         @JsonProperty(required = true) List<String> remove) {
-    /** Copies the collections, so that the proposal is immutable. */
+    /** Copies the collections so that the proposal is immutable. */
     public Proposal {
         set = Collections.unmodifiableMap(new TreeMap<>(set));
         remove = List.copyOf(remove);
     }
 
-    /** Whether this can be the name of a document, a relay or a router: 1 to 64 letters, digits, {@code _ . -}. */
+    /** Returns whether a name is valid for a document, a relay or a router: 1 to 64 letters, digits, {@code _ . -}. */
     public static boolean isValidName(String name) {
         return Documents.isValidName(name);
     }
 
     /**
-     * This proposal, if it satisfies all rules that can be checked without the log.
+     * Returns this proposal after all checks that do not need the log.
      *
-     * @throws InvalidProposalException if a name is invalid, nothing is changed, or a bound is exceeded
+     * @throws InvalidProposalException if a name is invalid, nothing is changed, or a limit is exceeded
      */
     public Proposal validated() throws InvalidProposalException {
-        String fault = fault();
-        if (fault != null) {
-            throw new InvalidProposalException(fault);
+        String error = describeError();
+        if (error != null) {
+            throw new InvalidProposalException(error);
         }
         return this;
     }
 
-    private String fault() {
-        String fault = Documents.fault(set);
-        if (fault != null) {
-            return fault;
+    private String describeError() {
+        String error = Documents.describeError(set);
+        if (error != null) {
+            return error;
         }
         for (String name : remove) {
             if (!isValidName(name)) {
-                return Documents.nameFault(name);
+                return Documents.describeInvalidName(name);
             }
             if (set.containsKey(name)) {
                 return "'" + name + "' is set and removed at once";
--- a/src/main/java/beaconladder/feed/QueryString.java
+++ b/src/main/java/beaconladder/feed/QueryString.java
@@ -12,10 +12,10 @@
     private final Map<String, String> values = new HashMap<>();
 
     /**
-     * Parses what follows a path's question mark.
+     * Parses the part of a URI after the question mark.
      *
-     * @param raw still encoded, or null for none
-     * @throws InvalidMessageException if a part is no {@code name=value}, or a name occurs twice
+     * @param raw the encoded text, or null for none
+     * @throws InvalidMessageException if a part is not of the form {@code name=value}, or a name occurs twice
      */
     QueryString(String raw) throws InvalidMessageException {
         if (raw == null || raw.isEmpty()) {
@@ -38,20 +38,20 @@
         }
     }
 
-    /** The value of a parameter, or null. */
+    /** Returns the value of a parameter, or null. */
     String text(String name) {
         return values.get(name);
     }
 
-    /** Whether a flag is set, by the value 1. */
+    /** Returns whether a flag is set, that is, has the value 1. */
     boolean isSet(String name) {
         return "1".equals(values.get(name));
     }
 
     /**
-     * The value of a required number.
+     * Returns the value of a required numeric parameter.
      *
-     * @throws InvalidMessageException if it is missing, or not from 0 to {@code max}
+     * @throws InvalidMessageException if it is missing or not a number from 0 to {@code max}
      */
     long number(String name, long max) throws InvalidMessageException {
         String text = values.get(name);
--- a/src/main/java/beaconladder/feed/Relay.java
+++ b/src/main/java/beaconladder/feed/Relay.java
@@ -10,13 +10,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Replicates the log to routers. Each relay follows the log itself, so that no router is more than two hops from it.
+ * Replicates the log to routers. Each relay follows the log directly, so that every router is at most two hops from it.
  */
 public final class Relay implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
-    /** Bound on how long a poll may wait. */
+    /** The longest time that a poll may wait. */
     private static final long MAX_WAIT_MILLIS = 10_000;
-    /** Of the follower's thread, in bytes. */
+    /** The stack size of the follower's thread. */
     private static final long STACK_BYTES = 256 * 1024;
 
     private final String name;
@@ -27,14 +27,14 @@
     private final RelayServer server;
 
     /**
-     * A relay's own state and counters since its start.
+     * The state of a relay and its counters since its start.
      *
-     * @param relay its name
-     * @param lagMillis since the log confirmed the version as the newest
-     * @param connections open ones, of routers and of who asks for the status
-     * @param answers responses sent
-     * @param fullStateAnswers updates serialized with a full state
-     * @param rejectedConnections connections beyond the bound
+     * @param relay the relay's name
+     * @param lagMillis the time since the log confirmed the version as the newest
+     * @param connections the open connections, including those that request the status
+     * @param answers the responses sent
+     * @param fullStateAnswers the updates that were serialized with a full state
+     * @param rejectedConnections the connections rejected because of the limit
      */
     public record Status(
             @JsonProperty(required = true) String relay,
@@ -54,10 +54,10 @@
     /**
      * Starts a relay.
      *
-     * @param address where routers connect
-     * @param leaseServers the log's
-     * @param folder where the state is stored, or null to start without one
-     * @param maxRouters bound on the connections
+     * @param address the address that routers connect to
+     * @param leaseServers the addresses of the lease servers, which replicate the log
+     * @param folder the folder in which the state is stored, or null to store nothing
+     * @param maxRouters the limit of the connections
      * @throws CorruptStateException if the stored state fails its checks
      * @throws IOException if the address is in use or the folder can't be used
      */
@@ -78,21 +78,21 @@
         thread.setDaemon(true);
         thread.start();
         LOG.info(
-                "relay {} answers at {}, for up to {} routers, from version {}",
+                "relay {} listens on {} for up to {} routers, starting from version {}",
                 name,
                 server.address(),
                 maxRouters,
                 store.stored().state().version());
     }
 
-    /** Where routers connect. */
+    /** Returns the address that routers connect to. */
     public InetSocketAddress address() {
         return server.address();
     }
 
     private byte[] respond(String path, QueryString query) throws IOException, InterruptedException {
         return switch (path) {
-            case FeedApi.RELAY -> serialize(status());
+            case FeedApi.RELAY_STATUS -> serialize(status());
             case FeedApi.FEED -> poll(query);
             default -> throw new InvalidMessageException("no such path");
         };
@@ -118,7 +118,7 @@
         if (!Proposal.isValidName(router)) {
             throw new InvalidMessageException("name is none");
         }
-        long since = query.number(FeedApi.SINCE, Long.MAX_VALUE);
+        long since = query.number(FeedApi.SINCE_VERSION, Long.MAX_VALUE);
         acknowledgements.record(
                 new Acknowledgement(
                         router,
@@ -127,16 +127,16 @@
                         query.number(FeedApi.REJECTED_VERSION, Long.MAX_VALUE),
                         query.isSet(FeedApi.COUNTABLE)),
                 System.nanoTime());
-        long waitMillis = query.number(FeedApi.WAIT, MAX_WAIT_MILLIS);
-        // A router fails over from a stale relay, and must not wait before it can.
-        boolean mayWait = follower.lagMillis() <= Subscriber.STALE_MILLIS || query.isSet(FeedApi.ACCEPTS_STALE);
+        long waitMillis = query.number(FeedApi.WAIT_MILLIS, MAX_WAIT_MILLIS);
+        // A router fails over from a stale relay, which a wait would delay.
+        boolean mayWait = follower.lagMillis() <= Subscriber.STALE_LAG_MILLIS || query.isSet(FeedApi.ACCEPTS_STALE);
         VersionHistory history = versions.awaitNewer(since, mayWait ? waitMillis : 0);
         return update(history, since, query.isSet(FeedApi.FULL_STATE));
     }
 
     private byte[] update(VersionHistory history, long since, boolean fullState) {
         long lagMillis = follower.lagMillis();
-        if (fullState || since >= history.newest().version() || lagMillis > LogFollower.FRESH_MILLIS) {
+        if (fullState || since >= history.newest().version() || lagMillis > LogFollower.FRESH_LAG_MILLIS) {
             return serialize(history.updateSince(since, fullState).withLag(lagMillis));
         }
         return cache.get(history, since);
--- a/src/main/java/beaconladder/feed/RelayReport.java
+++ b/src/main/java/beaconladder/feed/RelayReport.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * A relay's summary for the log's leader; of the same size for ten routers and for a thousand.
+ * A relay's summary of its routers for the log's leader. Its size does not depend on the number of routers.
  *
- * @param version the newest one that the relay holds
- * @param lagMillis how long ago the log confirmed it as the newest
- * @param counts the newest versions that routers applied or rejected
- * @param older routers with an older version in force
- * @param silent routers that polled within the last minute and no longer do; some may poll another relay
+ * @param version the newest version that the relay holds
+ * @param lagMillis the time since the log confirmed that version as the newest
+ * @param counts the routers by the newest versions that they applied or rejected
+ * @param older the number of routers that have applied an older version than those in the counts
+ * @param silent the number of routers that polled within the last minute and no longer do; some may poll another relay
  */
 public record RelayReport(
         @JsonProperty(required = true) long version,
@@ -18,14 +18,14 @@
         @JsonProperty(required = true) List<Count> counts,
         @JsonProperty(required = true) int older,
         @JsonProperty(required = true) int silent) {
-    /** More than a relay reports. */
+    /** The limit of the counts that is accepted; a relay reports fewer. */
     private static final int MAX_COUNTS = 16;
 
     /**
-     * Routers by one version.
+     * The routers that applied or rejected one version.
      *
-     * @param applied how many have it in force
-     * @param rejected how many rejected it
+     * @param applied the number of routers that have applied it
+     * @param rejected the number of routers that rejected it
      */
     public record Count(
             @JsonProperty(required = true) long version,
@@ -34,7 +34,7 @@
             @JsonProperty(value = "refused", required = true)
             int rejected) {}
 
-    /** Copies the list, so that the report is immutable. */
+    /** Copies the list so that the report is immutable. */
     public RelayReport {
         counts = List.copyOf(counts);
     }
--- a/src/main/java/beaconladder/feed/RelayReports.java
+++ b/src/main/java/beaconladder/feed/RelayReports.java
@@ -7,16 +7,16 @@
 import java.util.TreeMap;
 
 /**
- * The latest report of each relay, at the log's leader; in memory only, not in the log. Times are nanoseconds of one
- * clock. Thread-safe.
+ * The latest report of each relay, held by the log's leader in memory and not in the log. All times are nanoseconds of
+ * one clock. Thread-safe.
  */
 public final class RelayReports {
-    /** Eight relays are planned for; the bound keeps made-up names from filling the memory. */
+    /** The limit of the relays, of which eight are planned: false names in reports can't exhaust the memory. */
     private static final int MAX_RELAYS = 64;
 
     private record Entry(RelayReport report, long receivedAtNanos) {}
 
-    /** A relay's latest report, and how long ago it was received. */
+    /** The latest report of a relay and the time since it was received. */
     public record ReceivedReport(
             @JsonProperty(required = true) String relay,
 
@@ -26,16 +26,16 @@
             @JsonProperty(required = true) RelayReport report) {}
 
     /**
-     * The summary of the whole fleet.
+     * The summary of the complete fleet.
      *
-     * @param version the log's newest one
-     * @param digest of that version
-     * @param entryCount its documents
-     * @param characterCount of its names and texts
-     * @param counts versions that routers applied or rejected, newest first
-     * @param older routers with an older version in force
-     * @param silent routers that polled within the last minute and no longer do; an upper bound
-     * @param relays by name
+     * @param version the newest version of the log
+     * @param digest the digest of that version
+     * @param entryCount the number of its documents
+     * @param characterCount the number of characters of its names and texts
+     * @param counts the routers by version that they applied or rejected, newest version first
+     * @param older the number of routers that have applied an older version than those in the relays' counts
+     * @param silent the number of routers that polled within the last minute and no longer do; an upper bound
+     * @param relays the latest reports, by name of the relay
      */
     public record FleetStatus(
             @JsonProperty(required = true) long version,
@@ -52,7 +52,7 @@
 
     private final Map<String, Entry> latest = new TreeMap<>();
 
-    /** Records a relay's report in the place of its last; ignored for one relay too many. */
+    /** Records a relay's report in place of its previous one; ignored beyond the limit of relays. */
     synchronized void record(String relay, RelayReport report, long nowNanos) {
         removeExpired(nowNanos);
         if (latest.containsKey(relay) || latest.size() < MAX_RELAYS) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** All reports together, as of now. */
+    /** Summarizes the reports that have not expired. */
     synchronized FleetStatus summarize(VersionedState newest, long nowNanos) {
         removeExpired(nowNanos);
         VersionCounts counts = new VersionCounts();
--- a/src/main/java/beaconladder/feed/RelayResponseCache.java
+++ b/src/main/java/beaconladder/feed/RelayResponseCache.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 
 /**
- * Serialized updates to one newest version, by the version that they start from: after a change most routers request
- * the same one. Their lag is 0, so they are valid only while the relay's state is fresh. Thread-safe.
+ * Caches serialized updates to the newest version by the version that they start from: after a change most routers
+ * request the same update. Their lag is 0, so they are valid only while the relay's state is fresh. Thread-safe.
  */
 final class RelayResponseCache {
-    /** After a burst routers hold a few different versions. */
+    /** The limit of the responses; after a burst of changes routers hold a few different versions. */
     private static final int MAX_RESPONSES = 32;
 
     private final Map<Long, byte[]> responses = new HashMap<>();
     private long newestVersion = -1;
     private long fullStateResponses;
 
-    /** The response to a router that holds this version, serialized at the first request. */
+    /** Returns the response to a router that holds a version; it is serialized on the first request. */
     synchronized byte[] get(VersionHistory history, long since) {
         long newest = history.newest().version();
         if (newestVersion != newest || responses.size() >= MAX_RESPONSES) {
@@ -35,7 +35,7 @@
         return response;
     }
 
-    /** How many responses with a full state were serialized. */
+    /** Returns how many responses with a full state were serialized. */
     synchronized long fullStateResponses() {
         return fullStateResponses;
     }
--- a/src/main/java/beaconladder/feed/RelaySelector.java
+++ b/src/main/java/beaconladder/feed/RelaySelector.java
@@ -8,102 +8,106 @@
 import java.util.SplittableRandom;
 
 /**
- * Which relay a router polls: its first by rendezvous hashing; the second while the first has failed or is stale; the
- * others in their order while neither responds. One connection at a time. Where the responding relays are stale it
- * settles on the first of them: the log is unavailable, and going round would help nobody.
+ * Selects the relay that a router polls: the first by rendezvous hashing, the second while the first has failed or is
+ * stale, and the others in order while neither responds. It has one connection at a time. If the responding relays are
+ * stale, it settles on the first of them: the log is unavailable then, and polling further relays would only add load.
  */
 final class RelaySelector implements AutoCloseable {
-    /** Mean time from another relay back to the first, by a jitter of half to one and a half of it: 3 to 9 s. */
+    /** The mean delay before a router on another relay retries the first; jitter makes it 3 to 9 s. */
     private static final long PREFERRED_RETRY_MILLIS = 6_000;
 
-    private final List<String> order;
+    private final List<String> preferenceOrder;
     private final Map<String, InetSocketAddress> addresses;
     private final SplittableRandom random;
     private HttpFetcher connection;
-    private int connectedRelay = -1;
-    private int current;
-    /** The first relay of this round that responded and was stale, or -1. */
-    private int firstStale = -1;
+    private int connectedIndex = -1;
+    private int currentIndex;
+    /** The first relay of this round that responded but was stale, or -1. */
+    private int firstStaleIndex = -1;
 
     private boolean probing = true;
     private boolean settledOnStale;
     private long preferredRetryAtNanos;
-    /** The relay that may count this router, and from when on; see {@link AcknowledgementSummary}. */
-    private int countingRelay = -1;
+    /** The relay that may count this router, from the time below on; see {@link AcknowledgementSummary}. */
+    private int countingIndex = -1;
 
     private long countableFromNanos;
     private boolean closed;
 
     /**
-     * Connects only on demand.
+     * Creates a selector that connects on demand.
      *
-     * @param relays addresses by name, at least one
+     * @param relays the addresses by name, at least one
      */
     RelaySelector(String router, Map<String, InetSocketAddress> relays, SplittableRandom random) {
-        this.order = Rendezvous.order(router, relays.keySet());
+        this.preferenceOrder = Rendezvous.preferenceOrder(router, relays.keySet());
         this.addresses = Map.copyOf(relays);
         this.random = random;
-        if (order.isEmpty()) {
+        if (preferenceOrder.isEmpty()) {
             throw new IllegalArgumentException("no relay is stated");
         }
     }
 
-    /** Whether it still searches for a fresh relay; polls must not wait then. */
+    /** Returns whether it is searching for a fresh relay; polls must not wait then. */
     synchronized boolean isProbing() {
         return probing;
     }
 
-    /** Whether it stays with a relay that is stale. */
+    /** Returns whether it has settled on a stale relay, as no relay is fresh. */
     synchronized boolean isSettledOnStale() {
         return settledOnStale;
     }
 
-    /** Whether the current relay may count this router: no other relay can still do so. */
+    /** Returns whether the current relay may count this router, as no other relay can still do so. */
     synchronized boolean isCountable() {
-        return current == countingRelay && System.nanoTime() - countableFromNanos >= 0;
+        return currentIndex == countingIndex && System.nanoTime() - countableFromNanos >= 0;
     }
 
-    /** The name of the relay to poll. */
+    /** Returns the name of the relay to poll. */
     synchronized String currentRelay() {
-        return order.get(current);
+        return preferenceOrder.get(currentIndex);
     }
 
-    /** The connection to the current relay. */
+    /** Returns the connection to the current relay. */
     synchronized HttpFetcher connection() throws IOException {
         if (closed) {
             throw new IOException("closed");
         }
-        if (connectedRelay != current) {
+        if (connectedIndex != currentIndex) {
             disconnect();
-            connection = new HttpFetcher(addresses.get(order.get(current)));
-            connectedRelay = current;
+            connection = new HttpFetcher(addresses.get(preferenceOrder.get(currentIndex)));
+            connectedIndex = currentIndex;
         }
         return connection;
     }
 
     /**
-     * The current relay responded.
+     * Records a response of the current relay and selects the relay for the next poll.
      *
-     * @param fresh whether it knows the log's newest version, and that is not older than the router's
+     * @param fresh whether the relay's lag is small and its version is not older than the router's
      */
     synchronized void onResponse(boolean fresh) {
         boolean preferredRetryDue = System.nanoTime() - preferredRetryAtNanos >= 0;
-        if (fresh && current == 0 || settledOnStale && !preferredRetryDue) {
-            settle(current, !fresh);
+        if (fresh && currentIndex == 0 || settledOnStale && !preferredRetryDue) {
+            settle(currentIndex, !fresh);
         } else if (settledOnStale || fresh && !probing && preferredRetryDue) {
             settledOnStale = false;
             probeFromFirst();
         } else if (fresh) {
-            settle(current, false);
-        } else if (firstStale >= 0) {
-            settle(firstStale, true);
+            settle(currentIndex, false);
+        } else if (firstStaleIndex >= 0) {
+            settle(firstStaleIndex, true);
         } else {
-            firstStale = current;
+            firstStaleIndex = currentIndex;
             probeNext();
         }
     }
 
-    /** The current relay did not respond. Returns true if none of them did in this round: the caller backs off then. */
+    /**
+     * Records a failure of the current relay and selects the next one.
+     *
+     * @return whether all relays have failed in this round, so that the caller has to back off
+     */
     synchronized boolean onFailure() {
         disconnect();
         if (settledOnStale) {
@@ -115,37 +119,37 @@
     }
 
     private void probeFromFirst() {
-        current = 0;
+        currentIndex = 0;
         probing = true;
-        firstStale = -1;
+        firstStaleIndex = -1;
         schedulePreferredRetry();
     }
 
     private boolean probeNext() {
         probing = true;
-        current++;
-        if (current < order.size()) {
+        currentIndex++;
+        if (currentIndex < preferenceOrder.size()) {
             return false;
         }
-        if (firstStale >= 0) {
-            settle(firstStale, true);
+        if (firstStaleIndex >= 0) {
+            settle(firstStaleIndex, true);
             return false;
         }
         probeFromFirst();
         return true;
     }
 
-    private void settle(int relay, boolean stale) {
+    private void settle(int index, boolean stale) {
         if (probing || settledOnStale != stale) {
             schedulePreferredRetry();
         }
-        current = relay;
+        currentIndex = index;
         probing = false;
         settledOnStale = stale;
-        firstStale = -1;
-        if (countingRelay != relay) {
-            countingRelay = relay;
-            countableFromNanos = System.nanoTime() + AcknowledgementSummary.RELOCATION_NANOS;
+        firstStaleIndex = -1;
+        if (countingIndex != index) {
+            countingIndex = index;
+            countableFromNanos = System.nanoTime() + AcknowledgementSummary.RELAY_CHANGE_NANOS;
         }
     }
 
@@ -159,7 +163,7 @@
             connection.close();
         }
         connection = null;
-        connectedRelay = -1;
+        connectedIndex = -1;
     }
 
     @Override
--- a/src/main/java/beaconladder/feed/RelayServer.java
+++ b/src/main/java/beaconladder/feed/RelayServer.java
@@ -22,11 +22,11 @@
 import org.apache.hc.core5.http.message.BasicClassicHttpResponse;
 
 /**
- * A relay's HTTP server: one thread for each connection, a bound on the connections, and one request at a time on each.
- * No response is queued for a router that does not read.
+ * The HTTP server of a relay, with one thread per connection, a limit on the connections, and one request at a time on
+ * each connection. Responses are not queued for a router that does not read them.
  */
 final class RelayServer implements AutoCloseable {
-    /** Several times what a poll needs; the few kilobytes per connection are most of a relay's memory. */
+    /** Limits of several times what a poll needs. The few kilobytes per connection are most of a relay's memory. */
     private static final Http1Config HTTP_CONFIG = Http1Config.custom()
             .setBufferSize(1024)
             .setMaxLineLength(2048)
@@ -34,30 +34,30 @@
             .build();
 
     private static final int BACKLOG = 1024;
-    /** Pause after a connection could not be accepted. */
+    /** The pause after a connection could not be accepted. */
     private static final int ACCEPT_RETRY_MILLIS = 20;
-    /** A router polls again at once; a connection idle for so long is closed. */
-    private static final int IDLE_MILLIS = 10_000;
-    /** The largest response takes less at a hundredth of a gigabit a second; slower readers are disconnected. */
+    /** The idle time after which a connection is closed; a router polls again at once. */
+    private static final int IDLE_TIMEOUT_MILLIS = 10_000;
+    /** The time to write a response, enough for the largest one at 10 Mbit/s; slower readers are disconnected. */
     private static final long WRITE_TIMEOUT_NANOS = 5_000_000_000L;
 
-    private static final int WRITE_CHECK_SECONDS = 1;
-    /** As for a router's threads; pages that are never touched take no memory. */
+    private static final int WRITE_CHECK_INTERVAL_SECONDS = 1;
+    /** The stack size of a thread, as for a router's threads; pages that are never touched take no memory. */
     private static final long STACK_BYTES = 256 * 1024;
 
-    /** Answers requests. */
+    /** Responds to requests. */
     interface RequestHandler {
         /**
-         * The response's body, as JSON.
+         * Returns the body of the response, as JSON.
          *
-         * @throws IOException if the request is invalid: its message goes into a response with status 400
+         * @throws IOException if the request is invalid; its message is sent in a response with status 400
          */
         byte[] respond(String path, QueryString query) throws IOException, InterruptedException;
     }
 
     private static final class Connection {
         private final Socket socket;
-        /** When writing the current response began, never 0; 0 while none is written. */
+        /** The start of writing the current response, never 0; or 0 while no response is being written. */
         private volatile long writeStartNanos;
 
         private Connection(Socket socket) {
@@ -83,7 +83,7 @@
     private final AtomicLong rejectedConnections = new AtomicLong();
     private volatile boolean closed;
 
-    /** Starts to accept connections, up to the bound. */
+    /** Binds the address and starts to accept connections, up to the limit. */
     RelayServer(InetSocketAddress address, int maxConnections, RequestHandler handler) throws IOException {
         this.handler = handler;
         this.maxConnections = maxConnections;
@@ -153,28 +153,28 @@
         try (connection.socket;
                 DefaultBHttpServerConnection http = new DefaultBHttpServerConnection("http", HTTP_CONFIG)) {
             connection.socket.setTcpNoDelay(true);
-            connection.socket.setSoTimeout(IDLE_MILLIS);
+            connection.socket.setSoTimeout(IDLE_TIMEOUT_MILLIS);
             http.bind(connection.socket);
-            long countedIn = 0;
-            long countedOut = 0;
+            long countedBytesIn = 0;
+            long countedBytesOut = 0;
             while (!closed && handleRequest(connection, http)) {
                 EndpointDetails details = http.getEndpointDetails();
-                long received = details.getReceivedBytesCount();
-                long sent = details.getSentBytesCount();
-                bytesIn.addAndGet(received - countedIn);
-                bytesOut.addAndGet(sent - countedOut);
-                countedIn = received;
-                countedOut = sent;
+                long receivedBytes = details.getReceivedBytesCount();
+                long sentBytes = details.getSentBytesCount();
+                bytesIn.addAndGet(receivedBytes - countedBytesIn);
+                bytesOut.addAndGet(sentBytes - countedBytesOut);
+                countedBytesIn = receivedBytes;
+                countedBytesOut = sentBytes;
                 responses.incrementAndGet();
             }
         } catch (IOException | HttpException | InterruptedException e) {
-            // The router disconnected, or sent what is no HTTP request: the connection is closed.
+            // The router disconnected or sent an invalid HTTP request: the connection is closed.
         } finally {
             connections.remove(connection);
         }
     }
 
-    /** Handles one request; whether the connection can be used for another. */
+    /** Handles one request; returns whether the connection can be used for another. */
     private boolean handleRequest(Connection connection, DefaultBHttpServerConnection http)
             throws IOException, HttpException, InterruptedException {
         ClassicHttpRequest request = http.receiveRequestHeader();
@@ -195,9 +195,9 @@
     }
 
     private byte[] respond(String pathAndQuery) throws IOException, InterruptedException {
-        int mark = pathAndQuery.indexOf('?');
-        String path = mark < 0 ? pathAndQuery : pathAndQuery.substring(0, mark);
-        String query = mark < 0 ? null : pathAndQuery.substring(mark + 1);
+        int queryMark = pathAndQuery.indexOf('?');
+        String path = queryMark < 0 ? pathAndQuery : pathAndQuery.substring(0, queryMark);
+        String query = queryMark < 0 ? null : pathAndQuery.substring(queryMark + 1);
         return handler.respond(path, new QueryString(query));
     }
 
@@ -222,7 +222,7 @@
                 }
             }
             try {
-                TimeUnit.SECONDS.sleep(WRITE_CHECK_SECONDS);
+                TimeUnit.SECONDS.sleep(WRITE_CHECK_INTERVAL_SECONDS);
             } catch (InterruptedException e) {
                 return;
             }
--- a/src/main/java/beaconladder/feed/StateStore.java
+++ b/src/main/java/beaconladder/feed/StateStore.java
@@ -10,30 +10,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The newest state on the own disk, for a start while no upstream answers. Without a folder it is kept in memory only.
- * Not thread-safe: one thread saves and restores.
+ * Stores the newest state on the local disk, for a start while no upstream responds. Without a folder the state is kept
+ * in memory only. Not thread-safe: one thread saves and restores.
  */
 final class StateStore implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
 
     private final DurableRecords records;
     private Snapshot stored = new Snapshot(VersionedState.empty(), 0);
-    /** Has to replace what is stored, as that version was rejected after it had been written; or null. */
+    /** The state that has to replace the stored one, whose version was rejected after it had been written; or null. */
     private Snapshot pendingRestore;
 
     /**
      * A stored state.
      *
-     * @param confirmedAtMillis Unix time when the state was known to be the newest
+     * @param confirmedAtMillis the Unix time at which the state was known to be the newest
      */
     record Snapshot(
             @JsonProperty(required = true) VersionedState state,
             @JsonProperty(value = "heard", required = true) long confirmedAtMillis) {}
 
     /**
-     * Opens a folder.
+     * Opens the store and reads the stored state.
      *
-     * @param folder where the state is, or null to store nothing
+     * @param folder the folder of the state, or null to store nothing
      * @throws CorruptStateException if the stored state can't be read or fails its checks
      * @throws IOException if the folder can't be used, or another process has it open
      */
@@ -51,16 +51,16 @@
         }
     }
 
-    /** What was found when the folder was opened, or was saved last. */
+    /** Returns the state that was saved last, or found when the folder was opened. */
     Snapshot stored() {
         return stored;
     }
 
     /**
-     * Replaces the stored state; it is durable once this returns.
+     * Replaces the stored state. The new state is durable once this returns.
      *
-     * @param confirmedAtMillis Unix time when the state was known to be the newest
-     * @throws IOException if the disk is full or fails; then the state stored before remains
+     * @param confirmedAtMillis the Unix time at which the state was known to be the newest
+     * @throws IOException if the disk is full or fails; the previous state remains stored then
      */
     void save(VersionedState state, long confirmedAtMillis) throws IOException {
         Snapshot next = new Snapshot(state, confirmedAtMillis);
@@ -71,13 +71,13 @@
         pendingRestore = null;
     }
 
-    /** Writes an earlier state back; if that fails, {@link #retryRestore} tries again. */
+    /** Stores an earlier state again; if that fails, {@link #retryRestore} retries it. */
     void restore(Snapshot earlier) {
         pendingRestore = earlier;
         retryRestore();
     }
 
-    /** Retries a restore that failed, if there is one. */
+    /** Retries a failed restore, if there is one. */
     void retryRestore() {
         if (pendingRestore == null) {
             return;
@@ -86,7 +86,7 @@
             save(pendingRestore.state(), pendingRestore.confirmedAtMillis());
         } catch (IOException e) {
             LOG.warn(
-                    "version {} can't be written back yet: {}",
+                    "version {} can't be restored on the disk yet: {}",
                     pendingRestore.state().version(),
                     e.getMessage());
         }
--- a/src/main/java/beaconladder/feed/Subscriber.java
+++ b/src/main/java/beaconladder/feed/Subscriber.java
@@ -11,27 +11,28 @@
 
 /**
  * A router's client of the feed: one task that polls one relay, applies or rejects each new version, and acknowledges
- * it with the next poll. It never polls the log: four thousand routers that lost all relays would overload the lease
- * servers, which leases depend on. Meanwhile the applied version remains, and {@link #ageMillis} is its age.
+ * it with the next poll. It never polls the log: if four thousand routers lost all relays, they would overload the
+ * lease servers, on which leases depend. While no relay responds, the applied version remains; {@link #ageMillis} is
+ * its age.
  */
 public final class Subscriber extends PollLoop {
     private static final Logger LOG = LoggerFactory.getLogger(Subscriber.class);
-    /** How long a relay may delay a response, and so how long its failure goes unnoticed. */
+    /** The longest time that a relay may delay a response, and so the time in which its failure goes undetected. */
     static final int WAIT_MILLIS = 1_000;
-    /** What a response may take beyond that; with the wait, two thirds of the 3 s that a change may take. */
-    private static final int SLACK_MILLIS = 800;
+    /** The time for a response beyond the wait; together they are two thirds of the 3 s that a change may take. */
+    private static final int RESPONSE_SLACK_MILLIS = 800;
     /**
-     * The slack is multiplied, by this at most, after each round in which no relay answered in time: requests to
-     * overloaded relays would else be repeated without a response ever being read.
+     * The limit of the factor by which the slack grows with each round in which no relay responded in time: otherwise
+     * requests to overloaded relays would be retried without any response ever being read.
      */
     private static final int MAX_SLACK_FACTOR = 4;
-    /** After so many responses in time the factor decreases by one. */
-    private static final int RESPONSES_PER_STEP = 16;
-    /** A relay with a larger lag is stale: two of its own time-outs, and an election. */
-    static final long STALE_MILLIS = 2_000;
-    /** Bound of the full jitter after no relay answered, so that the routers of a recovering region poll evenly. */
-    private static final int BACKOFF_MILLIS = 2_000;
-    /** Pause after a write to the disk failed. */
+    /** The number of responses in time after which the factor decreases by one. */
+    private static final int RESPONSES_PER_DECREASE = 16;
+    /** The lag above which a relay is stale: two timeouts of its own polls, and an election. */
+    static final long STALE_LAG_MILLIS = 2_000;
+    /** The limit of the backoff after no relay responded; full jitter spreads the polls of a recovering region. */
+    private static final int MAX_BACKOFF_MILLIS = 2_000;
+    /** The pause after a failed write to the disk. */
     private static final int DISK_RETRY_MILLIS = 500;
 
     private final RelaySelector relays;
@@ -46,11 +47,11 @@
     private int responsesInTime;
 
     /**
-     * Opens the folder; polls only once it is run.
+     * Opens the folder. Polls start only when the task is run.
      *
-     * @param incarnation larger than at any earlier start of this router
-     * @param relays addresses by name
-     * @param folder where the state is stored, or null: then a start while no relay answers has nothing to apply
+     * @param incarnation a number that is larger than at any earlier start of this router
+     * @param relays the addresses by name
+     * @param folder the folder in which the state is stored; if null, a start while no relay responds applies nothing
      * @throws CorruptStateException if the stored state fails its checks
      * @throws IOException if the folder can't be used
      */
@@ -76,17 +77,17 @@
         this.relays = new RelaySelector(name, relays, random);
     }
 
-    /** The version in force; 0 for none. */
+    /** Returns the version that is applied; 0 for none. */
     public long appliedVersion() {
         return installer.appliedVersion();
     }
 
-    /** What was in force when this router ended, for a start with it; empty at the first start. */
+    /** Returns the stored state, which a restarted router starts with; the empty state on the first start. */
     public VersionedState storedState() {
         return installer.stored();
     }
 
-    /** Milliseconds since the version held was last confirmed as the newest; Long.MAX_VALUE if it never was. */
+    /** Returns the time since the held version was last confirmed as the newest; Long.MAX_VALUE if it never was. */
     public long ageMillis() {
         return lastConfirmation.isKnown() ? lastConfirmation.ageNanos() / 1_000_000 : Long.MAX_VALUE;
     }
@@ -96,9 +97,9 @@
         installer.retryRestore();
         int waitMillis = relays.isProbing() ? 0 : WAIT_MILLIS;
         HttpFetcher relay = relays.connection();
-        int slackMillis = slackFactor * SLACK_MILLIS;
+        int slackMillis = slackFactor * RESPONSE_SLACK_MILLIS;
         String response = relay.get(pollPath(waitMillis), waitMillis + slackMillis, slackMillis);
-        if (slackFactor > 1 && ++responsesInTime == RESPONSES_PER_STEP) {
+        if (slackFactor > 1 && ++responsesInTime == RESPONSES_PER_DECREASE) {
             slackFactor--;
             responsesInTime = 0;
         }
@@ -108,8 +109,8 @@
     }
 
     private String pollPath(int waitMillis) {
-        return FeedApi.FEED + "?" + FeedApi.SINCE + "=" + strategy.requestedVersion(installer.held())
-                + FeedApi.parameter(FeedApi.WAIT, waitMillis)
+        return FeedApi.FEED + "?" + FeedApi.SINCE_VERSION + "=" + strategy.requestedVersion(installer.held())
+                + FeedApi.parameter(FeedApi.WAIT_MILLIS, waitMillis)
                 + FeedApi.parameter(FeedApi.ROUTER_NAME, name)
                 + FeedApi.parameter(FeedApi.INCARNATION, incarnation)
                 + FeedApi.parameter(FeedApi.APPLIED_VERSION, installer.appliedVersion())
@@ -137,14 +138,14 @@
         if (current) {
             lastConfirmation.advanceTo(System.nanoTime() - Math.max(0, update.lagMillis()) * 1_000_000);
         }
-        relays.onResponse(update.lagMillis() <= STALE_MILLIS && current);
+        relays.onResponse(update.lagMillis() <= STALE_LAG_MILLIS && current);
     }
 
-    /** Requests the full state once; if that is invalid too, the relay counts as failed. */
+    /** Requests the full state once; if that is invalid as well, the relay counts as failed. */
     private void onInvalidUpdate(InvalidStateException cause) throws InvalidStateException {
         boolean wasFullState = requestFullState;
         requestFullState = true;
-        LOG.warn("{}: what relay {} told is void: {}", name, relays.currentRelay(), cause.getMessage());
+        LOG.warn("{}: invalid update from relay {}: {}", name, relays.currentRelay(), cause.getMessage());
         if (wasFullState) {
             throw cause;
         }
@@ -159,16 +160,16 @@
         responsesInTime = 0;
         installer.installStored(lastConfirmation);
         LOG.warn(
-                "{}: no relay answers ({}); version {} stays in force, {} ms old",
+                "{}: no relay responds ({}); version {} remains applied, confirmed {} ms ago",
                 name,
                 cause,
                 appliedVersion(),
                 ageMillis());
-        pause(random.nextInt(BACKOFF_MILLIS));
+        pause(random.nextInt(MAX_BACKOFF_MILLIS));
     }
 
     @Override
-    void release() {
+    void releaseResources() {
         relays.close();
         installer.close();
     }
--- a/src/main/java/beaconladder/feed/UpdateStrategy.java
+++ b/src/main/java/beaconladder/feed/UpdateStrategy.java
@@ -1,8 +1,8 @@
 package beaconladder.feed;
 
-/** How a router merges an update into the state that it holds; tests replace it by faulty ones. */
+/** Defines how a router merges an update into the state that it holds; tests substitute faulty strategies. */
 interface UpdateStrategy {
-    /** All changes in order, or none of them; never an older version. */
+    /** Merges all changes in order, or none of them, and never an older version. */
     UpdateStrategy STRICT = new UpdateStrategy() {
         @Override
         public long requestedVersion(VersionedState held) {
@@ -29,11 +29,11 @@
         }
     };
 
-    /** Since which version the router requests changes. */
+    /** Returns the version since which the router requests changes. */
     long requestedVersion(VersionedState held);
 
     /**
-     * The state with the update merged in; {@code held} itself if the update is older.
+     * Returns the state after the update; {@code held} itself if the update is older.
      *
      * @throws InvalidStateException if the update does not lead to the version and digest that it states
      */
--- a/src/main/java/beaconladder/feed/VersionCounts.java
+++ b/src/main/java/beaconladder/feed/VersionCounts.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How many routers applied or rejected each version, newest first. */
+/** Counts the routers that applied or rejected each version, newest version first. */
 final class VersionCounts {
     private static final int APPLIED = 0;
     private static final int REJECTED = 1;
@@ -19,7 +19,7 @@
         counts[REJECTED] += rejected;
     }
 
-    /** The newest versions, at most so many. */
+    /** Returns the counts of the newest versions, at most {@code max}. */
     List<RelayReport.Count> newest(int max) {
         List<RelayReport.Count> newest = new ArrayList<>();
         for (Map.Entry<Long, int[]> entry : countsByVersion.entrySet()) {
@@ -31,7 +31,7 @@
         return newest;
     }
 
-    /** Routers with a version in force that is not among the newest so many. */
+    /** Returns how many routers have applied a version that is not among the {@code max} newest. */
     int appliedBeyond(int max) {
         return countsByVersion.values().stream()
                 .skip(max)
--- a/src/main/java/beaconladder/feed/VersionHistory.java
+++ b/src/main/java/beaconladder/feed/VersionHistory.java
@@ -5,36 +5,39 @@
 import java.util.List;
 
 /**
- * The newest state and the last changes that led to it: the state machine that the log's replicas share, and what a
- * relay holds. Immutable.
+ * The newest state and the most recent changes that led to it. It is the replicated state of the log, and the state
+ * that a relay holds. Immutable.
  *
- * @param changes the last ones, oldest first; the last of them leads to the newest state
+ * @param newest the newest state
+ * @param changes the most recent changes, oldest first; the last of them leads to the newest state
  */
 public record VersionHistory(
         @JsonProperty(required = true) VersionedState newest,
         @JsonProperty(required = true) List<Change> changes) {
-    /** At 8,700 changes a day this is most of an hour; a client that was away for longer gets the full state. */
+    /**
+     * The limit of the changes: most of an hour at 8,700 a day. A client that was away for longer gets the full state.
+     */
     static final int MAX_CHANGES = 256;
 
     /**
-     * What applying a proposal led to.
+     * The outcome of applying a proposal.
      *
-     * @param history after it; the same as before if the proposal was not committed
-     * @param result for the proposer
+     * @param history the history after the proposal; unchanged if the proposal was not committed
+     * @param result the response to the proposer
      */
     public record Transition(VersionHistory history, CommitResult result) {}
 
-    /** Copies the list, so that the history is immutable. */
+    /** Copies the list so that the history is immutable. */
     public VersionHistory {
         changes = List.copyOf(changes);
     }
 
-    /** The history before the first version. */
+    /** Returns the history before the first version. */
     public static VersionHistory empty() {
         return of(VersionedState.empty());
     }
 
-    /** A history without changes. */
+    /** Creates a history without changes. */
     static VersionHistory of(VersionedState state) {
         return new VersionHistory(state, List.of());
     }
@@ -54,7 +57,7 @@
         return new Transition(history, history.result(CommitResult.Outcome.COMMITTED));
     }
 
-    /** Whether a retry of a proposal finds its change committed already. */
+    /** Returns whether the change of a retried proposal is already committed. */
     private boolean isCommitted(Proposal proposal) {
         return changes.stream()
                 .anyMatch(change -> change.version() == proposal.baseVersion() + 1
@@ -70,7 +73,7 @@
         return new CommitResult(outcome, newest.version(), newest.digest());
     }
 
-    /** Drops the oldest changes beyond the count, or while all together exceed the size of a state. */
+    /** Appends changes, and drops the oldest ones while their number or their total size exceeds its limit. */
     private VersionHistory append(VersionedState next, List<Change> added) {
         List<Change> all = new ArrayList<>(changes);
         all.addAll(added);
@@ -82,10 +85,11 @@
     }
 
     /**
-     * What a client lacks: nothing, the changes since its version, or the full state if that is smaller.
+     * Returns the update for a client: nothing new, the changes since its version, or the full state if that is smaller
+     * or the changes are no longer held.
      *
-     * @param version the one that the client holds
-     * @param fullState whether the client requests the full state in place of changes
+     * @param version the version that the client holds
+     * @param fullState whether the client requests the full state instead of changes
      */
     public Update updateSince(long version, boolean fullState) {
         if (version >= newest.version()) {
@@ -101,10 +105,10 @@
     }
 
     /**
-     * The history with an update from outside merged in, after checking it.
+     * Merges an update that was received, after checking it.
      *
-     * @return this one if the update has nothing newer
-     * @throws InvalidStateException if the update breaks an invariant; nothing of it is merged then
+     * @return the history after the update; this history if the update has nothing newer
+     * @throws InvalidStateException if the update violates an invariant; nothing of it is merged then
      */
     VersionHistory merge(Update update) throws InvalidStateException {
         if (update.base() != null) {
@@ -118,9 +122,9 @@
     }
 
     /**
-     * This history, if a snapshot that was read back satisfies all invariants.
+     * Returns this history after checking all invariants, for a snapshot that is restored.
      *
-     * @throws InvalidStateException if versions have a gap, or a digest or bound does not hold
+     * @throws InvalidStateException if a version is missing, a digest is invalid, or a limit is exceeded
      */
     public VersionHistory validated() throws InvalidStateException {
         newest.validated();
--- a/src/main/java/beaconladder/feed/VersionInstaller.java
+++ b/src/main/java/beaconladder/feed/VersionInstaller.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which version a router holds, applies or has rejected, in memory and on the disk. The subscriber's thread installs;
- * {@link #appliedVersion} may be called by any thread.
+ * Installs versions in a router, and holds which version was received, applied and rejected, in memory and on disk.
+ * Only the subscriber's thread installs versions; {@link #appliedVersion} may be called by any thread.
  */
 final class VersionInstaller implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(VersionInstaller.class);
@@ -15,13 +15,13 @@
     private final String router;
     private final Applier applier;
     private final StateStore store;
-    /** The newest state received: the applied one, or a newer one that was rejected. */
+    /** The newest state received: the applied one or a newer one that was rejected. */
     private VersionedState held;
 
     private long appliedVersion;
     private long rejectedVersion;
 
-    /** Opens the folder; see {@link StateStore#StateStore}. */
+    /** Opens the folder as {@link StateStore#StateStore} does. */
     VersionInstaller(String router, Path folder, Applier applier) throws IOException {
         this.router = router;
         this.applier = applier;
@@ -29,32 +29,32 @@
         held = store.stored().state();
     }
 
-    /** The newest state received; for the installing thread. */
+    /** Returns the newest state received; only for the installing thread. */
     VersionedState held() {
         return held;
     }
 
-    /** The version applied; 0 for none. */
+    /** Returns the version that is applied; 0 for none. */
     synchronized long appliedVersion() {
         return appliedVersion;
     }
 
-    /** The version rejected last, if none was applied since; else 0. For the installing thread. */
+    /** Returns the last rejected version, or 0 if one was applied since; only for the installing thread. */
     long rejectedVersion() {
         return rejectedVersion;
     }
 
-    /** The state on the disk. */
+    /** Returns the state on the disk. */
     VersionedState stored() {
         return store.stored().state();
     }
 
-    /** Retries to write back what a rejected version replaced on the disk. */
+    /** Retries to restore the state that a rejected version has replaced on the disk. */
     void retryRestore() {
         store.retryRestore();
     }
 
-    /** Applies or rejects a version; false if it could not be stored yet, and so was neither. */
+    /** Applies or rejects a version; returns false if it was neither, as it could not be stored yet. */
     synchronized boolean install(VersionedState next) {
         if (next.version() == rejectedVersion || next.version() == held.version() && appliedVersion == held.version()) {
             return true;
@@ -67,12 +67,13 @@
             return true;
         }
         try {
-            // Before it is applied: after a kill at this point the router must not start with an older version.
+            // Stored before it is applied: after a kill the router must not restart with an older version than it
+            // applied.
             store.save(next, System.currentTimeMillis());
         } catch (IOException e) {
-            // A full or failing disk is no reason to reject the version.
+            // A full or failing disk is not a reason to reject the version.
             LOG.warn(
-                    "{}: version {} can't be written yet, {} stays in force: {}",
+                    "{}: version {} can't be stored yet, version {} remains applied: {}",
                     router,
                     next.version(),
                     appliedVersion,
@@ -93,7 +94,7 @@
 
     private void reject(VersionedState next, IOException reason) {
         LOG.warn(
-                "{}: version {} is refused, {} stays in force: {}",
+                "{}: version {} is rejected, version {} remains applied: {}",
                 router,
                 next.version(),
                 appliedVersion,
@@ -102,7 +103,7 @@
         held = next;
     }
 
-    /** At a start while no relay answers: applies the stored state, until a relay has a newer one. */
+    /** Applies the stored state on a start while no relay responds, until a relay has a newer one. */
     synchronized void installStored(LastConfirmation lastConfirmation) {
         if (held.version() == 0 || appliedVersion != 0 || rejectedVersion != 0) {
             return;
@@ -113,9 +114,9 @@
             applier.validate(held);
             applier.apply(held);
             appliedVersion = held.version();
-            LOG.info("{}: no relay answers; version {} is in force from the disk", router, appliedVersion);
+            LOG.info("{}: no relay responds; version {} is applied from the disk", router, appliedVersion);
         } catch (IOException e) {
-            LOG.warn("{}: version {} on the disk is refused: {}", router, held.version(), e.getMessage());
+            LOG.warn("{}: version {} on the disk is rejected: {}", router, held.version(), e.getMessage());
             rejectedVersion = held.version();
         }
     }
--- a/src/main/java/beaconladder/feed/VersionNotifier.java
+++ b/src/main/java/beaconladder/feed/VersionNotifier.java
@@ -4,27 +4,27 @@
 public final class VersionNotifier {
     private VersionHistory history = VersionHistory.empty();
 
-    /** The history published last; empty before the first. */
+    /** Returns the history that was published last; the empty history before the first. */
     public synchronized VersionHistory current() {
         return history;
     }
 
-    /** Replaces the history, and wakes all waiting threads. */
+    /** Replaces the history and wakes all waiting threads. */
     public synchronized void publish(VersionHistory next) {
         history = next;
         notifyAll();
     }
 
-    /** Wakes all waiting threads without a new version: something else in their responses has changed. */
+    /** Wakes all waiting threads without a new version, after something else in their responses has changed. */
     synchronized void wakeAll() {
         notifyAll();
     }
 
     /**
-     * Waits once for a newer version, and returns the history that is current then, newer or not.
+     * Waits at most once for a newer version, and returns the current history, newer or not.
      *
      * @param version the version that the caller holds
-     * @param timeoutMillis the longest wait; 0 returns at once
+     * @param timeoutMillis the longest wait; 0 to return at once
      * @throws InterruptedException if the waiting thread is interrupted
      */
     public synchronized VersionHistory awaitNewer(long version, long timeoutMillis) throws InterruptedException {
--- a/src/main/java/beaconladder/feed/VersionedState.java
+++ b/src/main/java/beaconladder/feed/VersionedState.java
@@ -14,33 +14,33 @@
 /**
  * All documents of one version: settings and plans. Immutable.
  *
- * @param version assigned by the log alone, consecutively from 1; 0 is the empty state
- * @param entries texts by document name
- * @param digest over the version and all entries, as 32 hexadecimal digits
+ * @param version the version, assigned only by the log, consecutively from 1; 0 is the empty state
+ * @param entries the texts by document name
+ * @param digest the hash of the version and all entries, as 32 hexadecimal digits
  */
 public record VersionedState(
         @JsonProperty(required = true) long version,
         @JsonProperty(required = true) SortedMap<String, String> entries,
         @JsonProperty(required = true) String digest) {
     /**
-     * Bound on all names and texts together, in characters: a plan of some thousand tenants, and settings of the same
-     * size. A router holds two states at once, which have to stay far below its 64 MB for control.
+     * The limit of all names and texts together, in characters: enough for a plan of some thousand tenants and settings
+     * of the same size. A router holds two states at once, which have to stay far below its 64 MB for control.
      */
     public static final int MAX_CHARACTERS = 512 * 1024;
-    /** Bound on the documents; an installation has some dozens. */
+    /** The limit of the number of documents; an installation has some dozens. */
     static final int MAX_ENTRIES = 256;
 
-    /** Copies the map, so that the state is immutable. */
+    /** Copies the map so that the state is immutable. */
     public VersionedState {
         entries = Collections.unmodifiableSortedMap(new TreeMap<>(entries));
     }
 
-    /** Version 0, without documents. */
+    /** Returns version 0, which has no documents. */
     public static VersionedState empty() {
         return of(0, Map.of());
     }
 
-    /** A state with its digest. */
+    /** Creates a state and computes its digest. */
     static VersionedState of(long version, Map<String, String> entries) {
         TreeMap<String, String> sorted = new TreeMap<>(entries);
         return new VersionedState(version, sorted, digest(version, sorted));
@@ -53,12 +53,12 @@
         return String.format("%016x%016x", value.getMostSignificantBits(), value.getLeastSignificantBits());
     }
 
-    /** The digest of the actual contents, whether or not {@link #digest} is right. */
+    /** Computes the digest of the actual contents, whether or not it equals {@link #digest}. */
     public String computeDigest() {
         return digest(version, entries);
     }
 
-    /** Characters of all names and texts; at most {@link #MAX_CHARACTERS} in a valid state. */
+    /** Returns the number of characters of all names and texts, at most {@link #MAX_CHARACTERS} in a valid state. */
     @JsonIgnore
     public int characterCount() {
         return Documents.characterCount(entries);
@@ -70,26 +70,26 @@
     }
 
     /**
-     * This state, if what came from outside satisfies all invariants.
+     * Returns this state after checking all invariants, for a state that was received or read from disk.
      *
-     * @throws InvalidStateException if a document, a bound or the digest is wrong
+     * @throws InvalidStateException if a document or the digest is invalid, or a limit is exceeded
      */
     VersionedState validated() throws InvalidStateException {
         if (version < 0) {
             throw new InvalidStateException("a version below nought");
         }
         requireValid(entries);
-        return requireBounds().requireDigest(digest(version, entries));
+        return requireWithinBounds().requireDigest(digest(version, entries));
     }
 
     private static void requireValid(Map<String, String> documents) throws InvalidStateException {
-        String fault = Documents.fault(documents);
-        if (fault != null) {
-            throw new InvalidStateException(fault);
+        String error = Documents.describeError(documents);
+        if (error != null) {
+            throw new InvalidStateException(error);
         }
     }
 
-    private VersionedState requireBounds() throws InvalidStateException {
+    private VersionedState requireWithinBounds() throws InvalidStateException {
         if (!isWithinBounds()) {
             throw new InvalidStateException(
                     "a state of more than " + MAX_CHARACTERS + " characters or " + MAX_ENTRIES + " entries");
@@ -104,7 +104,7 @@
         return this;
     }
 
-    /** The next version, by a proposal that the log commits. */
+    /** Returns the next version, after a proposal that the log commits. */
     VersionedState after(Proposal proposal) {
         TreeMap<String, String> next = new TreeMap<>(entries);
         next.putAll(proposal.set());
@@ -113,10 +113,11 @@
     }
 
     /**
-     * A later version, by changes from outside; those up to this version are skipped. Only the digest of the last
-     * change is checked: the states between are not built.
+     * Returns a later version, after changes that were received; those up to this version are skipped. Only the digest
+     * of the last change is checked, as the intermediate states are not built.
      *
-     * @throws InvalidStateException if a version is missing, or a document, a bound or the last digest is wrong
+     * @throws InvalidStateException if a version is missing, a document or the last digest is invalid, or a limit is
+     *     exceeded
      */
     VersionedState after(List<Change> changes) throws InvalidStateException {
         TreeMap<String, String> next = new TreeMap<>(entries);
@@ -137,6 +138,6 @@
             return this;
         }
         String expectedDigest = changes.get(changes.size() - 1).digest();
-        return of(nextVersion, next).requireBounds().requireDigest(expectedDigest);
+        return of(nextVersion, next).requireWithinBounds().requireDigest(expectedDigest);
     }
 }
--- a/src/test/java/beaconladder/feed/FaultySubscribers.java
+++ b/src/test/java/beaconladder/feed/FaultySubscribers.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Subscribers that are wrong in one way each, for the judge to find. */
+/** Subscribers with one fault each, which the checker of the feed's scenario has to detect. */
 public final class FaultySubscribers {
     private FaultySubscribers() {}
 
-    /** As it should be. */
-    public static Subscriber right(String name, Map<String, InetSocketAddress> relays, Applier applier)
+    /** Creates a subscriber without a fault. */
+    public static Subscriber correct(String name, Map<String, InetSocketAddress> relays, Applier applier)
             throws IOException {
         return new Subscriber(name, 1, relays, null, applier);
     }
 
-    /** Of several changes it takes the last alone. */
-    public static Subscriber skips(String name, Map<String, InetSocketAddress> relays, Applier applier)
+    /** Creates a subscriber that applies only the last of several changes. */
+    public static Subscriber skipsChanges(String name, Map<String, InetSocketAddress> relays, Applier applier)
             throws IOException {
         return new Subscriber(name, 1, relays, null, applier, new UpdateStrategy() {
             @Override
@@ -38,8 +38,8 @@
         });
     }
 
-    /** It takes whatever base it is update, also one that is older than what it holds. */
-    public static Subscriber goesBack(String name, Map<String, InetSocketAddress> relays, Applier applier)
+    /** Creates a subscriber that applies every full state, even one that is older than its own. */
+    public static Subscriber revertsToOlderVersions(String name, Map<String, InetSocketAddress> relays, Applier applier)
             throws IOException {
         return new Subscriber(name, 1, relays, null, applier, new UpdateStrategy() {
             @Override
@@ -53,8 +53,8 @@
                     return update.base();
                 }
                 VersionedState next = update.changes().isEmpty() ? held : VersionedState.empty();
-                for (Change each : update.changes()) {
-                    next = next.after(new Proposal(next.version(), each.set(), each.remove()));
+                for (Change change : update.changes()) {
+                    next = next.after(new Proposal(next.version(), change.set(), change.remove()));
                 }
                 return next;
             }
--- a/src/test/java/beaconladder/feed/FeedJsonTest.java
+++ b/src/test/java/beaconladder/feed/FeedJsonTest.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The feed's messages as exact texts, written and read: nodes of two releases speak to each other. */
+/** Exact texts of the feed's messages, written and read: processes of two releases have to work together. */
 class FeedJsonTest {
     private static final VersionedState STATE = new VersionedState(3, new TreeMap<>(Map.of("b", "2", "a", "1")), "d3");
     private static final String STATE_TEXT = "{\"version\":3,\"entries\":{\"a\":\"1\",\"b\":\"2\"},\"digest\":\"d3\"}";
@@ -20,19 +20,19 @@
     private static final String REPORT_TEXT = "{\"version\":3,\"lagMillis\":40,\"counts\":"
             + "[{\"version\":3,\"applied\":5,\"refused\":6}],\"older\":7,\"silent\":8}";
 
-    private static <T> void same(T value, Class<T> type, String text) throws IOException {
+    private static <T> void assertRoundTrip(T value, Class<T> type, String text) throws IOException {
         assertThat(FeedJson.text(value)).isEqualTo(text);
         assertThat(FeedJson.read(text, type)).isEqualTo(value);
     }
 
     @Test
     void statesAndStoredStates() throws IOException {
-        same(STATE, VersionedState.class, STATE_TEXT);
-        same(
+        assertRoundTrip(STATE, VersionedState.class, STATE_TEXT);
+        assertRoundTrip(
                 new StateStore.Snapshot(STATE, 12),
                 StateStore.Snapshot.class,
                 "{\"state\":" + STATE_TEXT + ",\"heard\":12}");
-        same(
+        assertRoundTrip(
                 new VersionHistory(STATE, List.of(CHANGE)),
                 VersionHistory.class,
                 "{\"newest\":" + STATE_TEXT + ",\"changes\":[" + CHANGE_TEXT + "]}");
@@ -46,37 +46,37 @@
 
     @Test
     void changesAndUpdates() throws IOException {
-        same(CHANGE, Change.class, CHANGE_TEXT);
-        same(
+        assertRoundTrip(CHANGE, Change.class, CHANGE_TEXT);
+        assertRoundTrip(
                 new Update(3, "d3", 40, STATE, List.of()),
                 Update.class,
                 "{\"version\":3,\"digest\":\"d3\",\"lagMillis\":40,\"base\":" + STATE_TEXT + ",\"changes\":[]}");
         String changes = ",\"changes\":[" + CHANGE_TEXT + "]}";
-        same(
+        assertRoundTrip(
                 new Update(3, "d3", 0, null, List.of(CHANGE)),
                 Update.class,
                 "{\"version\":3,\"digest\":\"d3\",\"lagMillis\":0,\"base\":null" + changes);
         assertThatThrownBy(
                         () -> FeedJson.read("{\"version\":3,\"digest\":\"d3\",\"lagMillis\":0" + changes, Update.class))
-                .as("a base that is not even null")
+                .as("an update without a base, not even null")
                 .isInstanceOf(IOException.class);
     }
 
     @Test
     void proposalsAndCommitResults() throws IOException {
-        same(
+        assertRoundTrip(
                 new Proposal(2, Map.of("b", "2", "a", "1"), List.of("c")),
                 Proposal.class,
                 "{\"against\":2,\"set\":{\"a\":\"1\",\"b\":\"2\"},\"remove\":[\"c\"]}");
-        same(
+        assertRoundTrip(
                 new CommitResult(CommitResult.Outcome.COMMITTED, 3, "d3"),
                 CommitResult.class,
                 "{\"outcome\":\"WRITTEN\",\"version\":3,\"digest\":\"d3\"}");
-        same(
+        assertRoundTrip(
                 new CommitResult(CommitResult.Outcome.VERSION_CONFLICT, 3, "d3"),
                 CommitResult.class,
                 "{\"outcome\":\"OUT_OF_TURN\",\"version\":3,\"digest\":\"d3\"}");
-        same(
+        assertRoundTrip(
                 new CommitResult(CommitResult.Outcome.TOO_LARGE, 3, "d3"),
                 CommitResult.class,
                 "{\"outcome\":\"TOO_LARGE\",\"version\":3,\"digest\":\"d3\"}");
@@ -85,8 +85,8 @@
 
     @Test
     void reportsAndTheirSummary() throws IOException {
-        same(REPORT, RelayReport.class, REPORT_TEXT);
-        same(
+        assertRoundTrip(REPORT, RelayReport.class, REPORT_TEXT);
+        assertRoundTrip(
                 new RelayReports.FleetStatus(
                         3,
                         "d3",
@@ -100,7 +100,7 @@
                 "{\"version\":3,\"digest\":\"d3\",\"entries\":2,\"size\":4,\"counts\":"
                         + "[{\"version\":3,\"applied\":5,\"refused\":6}],\"older\":7,\"silent\":8,"
                         + "\"relays\":[{\"relay\":\"a\",\"agoMillis\":20,\"report\":" + REPORT_TEXT + "}]}");
-        same(
+        assertRoundTrip(
                 new Relay.Status("a", 3, "d3", 1, 2, 4, 5, 6, 7, 8),
                 Relay.Status.class,
                 "{\"relay\":\"a\",\"version\":3,\"digest\":\"d3\",\"lagMillis\":1,\"connections\":2,"
--- a/src/test/java/beaconladder/feed/InMemoryLog.java
+++ b/src/test/java/beaconladder/feed/InMemoryLog.java
@@ -9,35 +9,35 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** The grantors' log without the grantors: its real door, on a history in memory. */
+/** A log without lease servers: the real HTTP endpoint with a history in memory. */
 public final class InMemoryLog implements LogEndpoint.Log, AutoCloseable {
     private final VersionNotifier versions = new VersionNotifier();
     private final HttpServer server;
-    private final ExecutorService threads = Executors.newCachedThreadPool();
+    private final ExecutorService executor = Executors.newCachedThreadPool();
     private volatile boolean leader = true;
 
     public InMemoryLog() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
-        server.setExecutor(threads);
+        server.setExecutor(executor);
         new LogEndpoint(server, this);
         server.start();
     }
 
-    public InetSocketAddress at() {
+    public InetSocketAddress address() {
         return server.getAddress();
     }
 
-    /** What has been written, oldest first, as far as it is kept. */
+    /** Returns the newest state and the recent changes. */
     public VersionHistory history() {
         return versions.current();
     }
 
-    /** Sets a document. */
+    /** Commits a change that sets a document; returns the new state. */
     public VersionedState set(String name, String text) {
-        VersionHistory.Transition applied = versions.current()
+        VersionHistory.Transition transition = versions.current()
                 .apply(new Proposal(versions.current().newest().version(), Map.of(name, text), List.of()));
-        versions.publish(applied.history());
-        return applied.history().newest();
+        versions.publish(transition.history());
+        return transition.history().newest();
     }
 
     void publish(VersionHistory history) {
@@ -60,14 +60,14 @@
 
     @Override
     public synchronized CommitResult commit(Proposal proposal) {
-        VersionHistory.Transition applied = versions.current().apply(proposal);
-        versions.publish(applied.history());
-        return applied.result();
+        VersionHistory.Transition transition = versions.current().apply(proposal);
+        versions.publish(transition.history());
+        return transition.result();
     }
 
     @Override
     public void close() {
         server.stop(0);
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/test/java/beaconladder/feed/RecordingApplier.java
+++ b/src/test/java/beaconladder/feed/RecordingApplier.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** RecordingApplier what is put in force, and refuses what says so. */
+/** Records the applied states, and rejects states with a document named "bad". */
 final class RecordingApplier implements Applier {
     private final List<VersionedState> applied = new CopyOnWriteArrayList<>();
 
     @Override
     public void validate(VersionedState next) throws IOException {
         if (next.entries().containsKey("bad")) {
-            throw new IOException("a bad one");
+            throw new IOException("a document is named bad");
         }
     }
 
--- a/src/test/java/beaconladder/feed/RelaySelectorTest.java
+++ b/src/test/java/beaconladder/feed/RelaySelectorTest.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Which relay a router polls after which answer. */
+/** Which relay a router polls after which responses and failures. */
 class RelaySelectorTest {
     private final Map<String, InetSocketAddress> relays = new TreeMap<>();
     private final List<String> order;
@@ -21,17 +21,17 @@
         for (int i = 0; i < 4; i++) {
             relays.put("r" + i, new InetSocketAddress("127.0.0.1", 9));
         }
-        order = Rendezvous.order("n", relays.keySet());
+        order = Rendezvous.preferenceOrder("n", relays.keySet());
         selector = new RelaySelector("n", relays, new SplittableRandom(1));
     }
 
     @Test
     void staysWithTheFirstRelayWhileItIsFresh() {
-        assertThat(at()).isZero();
+        assertThat(currentIndex()).isZero();
         assertThat(selector.isProbing()).isTrue();
         for (int i = 0; i < 5; i++) {
             selector.onResponse(true);
-            assertThat(at()).isZero();
+            assertThat(currentIndex()).isZero();
             assertThat(selector.isProbing()).isFalse();
         }
     }
@@ -40,15 +40,15 @@
     void failsOverToTheSecondRelayAndThenToTheOthers() {
         selector.onResponse(true);
         assertThat(selector.onFailure()).isFalse();
-        assertThat(at()).isEqualTo(1);
+        assertThat(currentIndex()).isEqualTo(1);
         assertThat(selector.isProbing()).isTrue();
         selector.onResponse(true);
-        assertThat(at()).isEqualTo(1);
+        assertThat(currentIndex()).isEqualTo(1);
         assertThat(selector.isProbing()).isFalse();
         assertThat(selector.onFailure()).isFalse();
-        assertThat(at()).isEqualTo(2);
+        assertThat(currentIndex()).isEqualTo(2);
         selector.onResponse(true);
-        assertThat(at()).isEqualTo(2);
+        assertThat(currentIndex()).isEqualTo(2);
     }
 
     @Test
@@ -57,27 +57,27 @@
             assertThat(selector.onFailure()).as("relay " + i).isFalse();
         }
         assertThat(selector.onFailure()).isTrue();
-        assertThat(at()).isZero();
+        assertThat(currentIndex()).isZero();
     }
 
     @Test
     void settlesOnTheFirstOfTwoStaleRelays() {
         selector.onResponse(true);
         selector.onResponse(false);
-        assertThat(at()).isEqualTo(1);
+        assertThat(currentIndex()).isEqualTo(1);
         assertThat(selector.isSettledOnStale()).isFalse();
         selector.onResponse(false);
-        assertThat(at()).isZero();
+        assertThat(currentIndex()).isZero();
         assertThat(selector.isSettledOnStale()).isTrue();
-        // It goes on there and nowhere else, poll by poll.
+        // Further polls stay with that relay.
         for (int i = 0; i < 5; i++) {
             selector.onResponse(false);
-            assertThat(at()).isZero();
+            assertThat(currentIndex()).isZero();
             assertThat(selector.isProbing()).isFalse();
         }
         selector.onResponse(true);
         assertThat(selector.isSettledOnStale()).isFalse();
-        assertThat(at()).isZero();
+        assertThat(currentIndex()).isZero();
     }
 
     @Test
@@ -86,11 +86,11 @@
         selector.onResponse(false);
         selector.onFailure();
         selector.onFailure();
-        assertThat(at()).isEqualTo(1);
+        assertThat(currentIndex()).isEqualTo(1);
         assertThat(selector.isSettledOnStale()).isTrue();
-        // When that one dies too, all are tried anew.
+        // After that relay fails, too, all relays are tried again.
         assertThat(selector.onFailure()).isFalse();
-        assertThat(at()).isZero();
+        assertThat(currentIndex()).isZero();
         assertThat(selector.isSettledOnStale()).isFalse();
     }
 
@@ -109,7 +109,7 @@
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
-    private int at() {
+    private int currentIndex() {
         return order.indexOf(selector.currentRelay());
     }
 }
--- a/src/test/java/beaconladder/feed/StoredFeedTest.java
+++ b/src/test/java/beaconladder/feed/StoredFeedTest.java
@@ -20,16 +20,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Folders that a router and a relay wrote at commit 88160da are opened by the present program, which goes on from them.
- * The files under {@code stored/} are never written anew to get a pass: a program that does not read them does not read
- * what installations have on their disks either. {@link #main} wrote them.
+ * Guards against builds that can't read stored states of earlier builds. The present program opens folders that a
+ * router and a relay wrote at commit 88160da, by {@link #main}, and continues from them. The files under
+ * {@code stored/} must not be regenerated to make a test pass: a program that can't read them can't read those of
+ * installations either.
  */
 @Timeout(60)
 class StoredFeedTest {
     private static final Path STORED = Path.of("src/test/resources/stored");
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final Duration LONG = Duration.ofSeconds(20);
-    private static final List<Proposal> WRITTEN = List.of(
+    private static final List<Proposal> PROPOSALS = List.of(
             new Proposal(0, Map.of("settings", "limit=10", "plan.eu", "pool=a"), List.of()),
             new Proposal(1, Map.of("plan.us", "pool=\"b\"\nname=\u00fc"), List.of()),
             new Proposal(2, Map.of("settings", "limit=20"), List.of("plan.eu")));
@@ -57,15 +58,15 @@
         }
     }
 
-    /** A log that has come to the version in the fixtures by the same proposals. */
+    /** Creates a log that reached the version of the fixtures by the same proposals. */
     private static InMemoryLog log() throws IOException {
         InMemoryLog log = new InMemoryLog();
-        WRITTEN.forEach(log::commit);
+        PROPOSALS.forEach(log::commit);
         return log;
     }
 
-    private static String get(InetSocketAddress at, String path) throws IOException {
-        HttpFetcher http = new HttpFetcher(at);
+    private static String get(InetSocketAddress address, String path) throws IOException {
+        HttpFetcher http = new HttpFetcher(address);
         try {
             return http.get(path, 5_000);
         } finally {
@@ -103,12 +104,12 @@
 
     @Test
     void aRouterWithoutARelayAppliesTheStoredState() throws Exception {
-        InetSocketAddress nobody;
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = (InetSocketAddress) taken.getLocalSocketAddress();
+        InetSocketAddress unreachable;
+        try (ServerSocket closedSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            unreachable = (InetSocketAddress) closedSocket.getLocalSocketAddress();
         }
         RecordingApplier applier = new RecordingApplier();
-        try (Subscriber router = new Subscriber("n", 2, Map.of("a", nobody), copy("feed-router"), applier)) {
+        try (Subscriber router = new Subscriber("n", 2, Map.of("a", unreachable), copy("feed-router"), applier)) {
             run(router);
             await().atMost(LONG).until(() -> router.appliedVersion() == 3);
         }
@@ -120,7 +121,7 @@
         Path folder = copy("feed-router");
         RecordingApplier applier = new RecordingApplier();
         try (InMemoryLog log = log();
-                Relay relay = new Relay("a", ANY, List.of(log.at()), null, 10);
+                Relay relay = new Relay("a", ANY, List.of(log.address()), null, 10);
                 Subscriber router = new Subscriber("n", 2, Map.of("a", relay.address()), folder, applier)) {
             assertThat(FeedJson.text(router.storedState())).isEqualTo(STATE);
             run(router);
@@ -140,7 +141,7 @@
         String poll = "/v1/feed?since=0&wait=0&name=n&life=1&force=0&refused=0";
         try (InMemoryLog log = log()) {
             log.setLeader(false);
-            try (Relay relay = new Relay("a", ANY, List.of(log.at()), folder, 10)) {
+            try (Relay relay = new Relay("a", ANY, List.of(log.address()), folder, 10)) {
                 assertThat(get(relay.address(), poll))
                         .isEqualTo("{\"version\":3,\"digest\":\"" + DIGEST + "\",\"lagMillis\":1000000000000,\"base\":"
                                 + STATE + ",\"changes\":[]}");
@@ -157,19 +158,19 @@
     }
 
     /**
-     * Wrote the fixtures: a log, a relay and a router with folders of their own go through three versions. Not a test;
-     * run by hand with the folder that {@code feed-router} and {@code feed-relay} are to be made in.
+     * Writes the fixtures: a log, a relay and a router with their own folders go through three versions. Not a test;
+     * run manually with the folder in which to create {@code feed-router} and {@code feed-relay}.
      */
     public static void main(String[] args) throws Exception {
         Path into = Path.of(args[0]);
         try (InMemoryLog log = new InMemoryLog();
-                Relay relay = new Relay("a", ANY, List.of(log.at()), into.resolve("feed-relay"), 10);
+                Relay relay = new Relay("a", ANY, List.of(log.address()), into.resolve("feed-relay"), 10);
                 Subscriber router = new Subscriber(
                         "n", 1, Map.of("a", relay.address()), into.resolve("feed-router"), new RecordingApplier())) {
             run(router);
-            for (Proposal each : WRITTEN) {
-                log.commit(each);
-                await().atMost(LONG).until(() -> router.appliedVersion() == each.baseVersion() + 1);
+            for (Proposal proposal : PROPOSALS) {
+                log.commit(proposal);
+                await().atMost(LONG).until(() -> router.appliedVersion() == proposal.baseVersion() + 1);
             }
         }
         for (String name : List.of("feed-router", "feed-relay")) {
--- a/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
+++ b/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A router's part of the feed, in a process of its own, while writes to its folder fail. */
+/** A subscriber in its own process while writes to its folder fail. */
 @Timeout(120)
 class SubscriberDiskFaultTest {
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -29,7 +29,7 @@
     private static final int ENOSPC = 28;
     private static final int EIO = 5;
     private static final long FAULT_MILLIS = 3_000;
-    /** Long enough for the disk to be full when the version is put back. */
+    /** Long enough for the disk to fill up before the previous version is restored. */
     private static final long PAUSE_MILLIS = 1_000;
 
     @TempDir
@@ -38,32 +38,32 @@
     private InMemoryLog log;
     private Relay relay;
     private FaultPlan plan;
-    private Path out;
+    private Path output;
     private Process process;
 
-    /** Subscribes at this relay with this folder, and says each version that it puts in force. */
+    /** Runs a subscriber of the given relay with the given folder, and prints each version that it applies. */
     public static void main(String[] args) throws Exception {
         Applier applier = new Applier() {
             @Override
             public void validate(VersionedState next) throws IOException {
                 if (next.entries().containsKey("bad")) {
-                    throw new IOException("a bad one");
+                    throw new IOException("a document is named bad");
                 }
             }
 
             @Override
             public void apply(VersionedState next) throws IOException {
                 if (next.entries().containsKey("late")) {
-                    System.out.println("tried " + next.version());
+                    System.out.println("applying " + next.version());
                     pause();
-                    throw new IOException("it shows only now that it can't be in force");
+                    throw new IOException("rejected while it is applied");
                 }
-                System.out.println("in force " + next.version());
+                System.out.println("applied " + next.version());
             }
         };
         try (Subscriber subscriber = new Subscriber(
                 "n", System.nanoTime(), Map.of("a", EndpointWatch.parseAddress(args[0])), Path.of(args[1]), applier)) {
-            System.out.println("kept " + subscriber.storedState().version());
+            System.out.println("stored " + subscriber.storedState().version());
             subscriber.run();
         }
     }
@@ -77,23 +77,23 @@
     }
 
     @BeforeEach
-    void standIns() throws Exception {
+    void startFeed() throws Exception {
         log = new InMemoryLog();
-        relay = new Relay("a", ANY, List.of(log.at()), null, 10);
+        relay = new Relay("a", ANY, List.of(log.address()), null, 10);
         plan = new FaultPlan(folder.resolve("plan"));
         Files.createDirectory(folder.resolve("store"));
         start();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stopAll() throws Exception {
         process.destroyForcibly().onExit().join();
         relay.close();
         log.close();
     }
 
     private void start() throws IOException, InterruptedException {
-        out = Files.createTempFile(folder, "out", ".txt");
+        output = Files.createTempFile(folder, "out", ".txt");
         Path store = folder.resolve("store");
         ProcessBuilder builder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -103,7 +103,7 @@
                         "127.0.0.1:" + relay.address().getPort(),
                         store.toString())
                 .redirectErrorStream(true)
-                .redirectOutput(out.toFile());
+                .redirectOutput(output.toFile());
         builder.environment()
                 .put("LD_PRELOAD", FaultShim.build(folder).library().toString());
         builder.environment().put("FAULT_SHIM_PLAN", plan.file().toString());
@@ -111,41 +111,44 @@
         process = builder.start();
     }
 
-    private void awaitSaid(String line) {
+    private void awaitLine(String line) {
         await().atMost(LONG)
-                .untilAsserted(() -> assertThat(Files.readString(out).lines()).contains(line));
+                .untilAsserted(
+                        () -> assertThat(Files.readString(output).lines()).contains(line));
     }
 
-    /** A disk that is full for a while says nothing of the version. */
+    /** A disk that is full for a while is no reason to reject a version. */
     @Test
     void aVersionThatCouldNotBeStoredIsAppliedOnceTheDiskRecovers() throws Exception {
         log.set("x", "1");
-        awaitSaid("in force 1");
+        awaitLine("applied 1");
         int version = 1;
         for (int fault : new int[] {ENOSPC, EIO}) {
             plan.set(Field.FILE_ERRNO, fault);
             log.set("x", String.valueOf(++version));
             Thread.sleep(FAULT_MILLIS);
-            assertThat(Files.readString(out)).as("in force before it was kept").doesNotContain("in force " + version);
+            assertThat(Files.readString(output))
+                    .as("applied before it was stored")
+                    .doesNotContain("applied " + version);
             plan.clear();
-            awaitSaid("in force " + version);
+            awaitLine("applied " + version);
         }
     }
 
-    /** It was kept before it was tried, and the one before could not be put back in its place. */
+    /** The version was stored before it was rejected, and the previous one could not be restored at first. */
     @Test
     void aRejectedVersionIsNotWhatAKilledRouterRestartsWith() throws Exception {
         log.set("x", "1");
-        awaitSaid("in force 1");
+        awaitLine("applied 1");
         log.set("late", "1");
-        awaitSaid("tried 2");
+        awaitLine("applying 2");
         plan.set(Field.FILE_ERRNO, ENOSPC);
-        await().atMost(LONG).until(() -> Files.readString(out).contains("version 2 is refused"));
+        await().atMost(LONG).until(() -> Files.readString(output).contains("version 2 is rejected"));
         Thread.sleep(FAULT_MILLIS);
         plan.clear();
         Thread.sleep(FAULT_MILLIS);
         process.destroyForcibly().onExit().join();
         start();
-        awaitSaid("kept 1");
+        awaitLine("stored 1");
     }
 }
--- a/src/test/java/beaconladder/feed/SubscriberTest.java
+++ b/src/test/java/beaconladder/feed/SubscriberTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Log, relays and subscribers in one process, on real sockets. */
+/** A log, relays and subscribers in one process, connected by real sockets. */
 @Timeout(60)
 class SubscriberTest {
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -34,7 +34,7 @@
     private final Map<String, InetSocketAddress> relays = new TreeMap<>();
 
     @AfterEach
-    void end() throws Exception {
+    void close() throws Exception {
         for (AutoCloseable each : open) {
             each.close();
         }
@@ -50,13 +50,13 @@
     }
 
     private Relay relay(String name, InMemoryLog log, Path store) throws IOException {
-        Relay relay = open(new Relay(name, ANY, List.of(log.at()), store, 100));
+        Relay relay = open(new Relay(name, ANY, List.of(log.address()), store, 100));
         relays.put(name, relay.address());
         return relay;
     }
 
-    private Subscriber subscriber(String name, long life, Path store, Applier applier) throws IOException {
-        Subscriber subscriber = open(new Subscriber(name, life, relays, store, applier));
+    private Subscriber subscriber(String name, long incarnation, Path store, Applier applier) throws IOException {
+        Subscriber subscriber = open(new Subscriber(name, incarnation, relays, store, applier));
         Thread thread = new Thread(subscriber, name);
         thread.setDaemon(true);
         thread.start();
@@ -75,10 +75,10 @@
         VersionedState two = log.set("x", "2");
         await().atMost(LONG).until(() -> two.equals(applier.last()));
         assertThat(subscriber.ageMillis()).isLessThan(10_000);
-        LogClient proposer = new LogClient(List.of(log.at()), 2_000);
+        LogClient proposer = new LogClient(List.of(log.address()), 2_000);
         await().atMost(LONG).until(() -> proposer.status().counts().equals(List.of(new RelayReport.Count(2, 1, 0))));
         assertThat(proposer.status().relays()).hasSize(2);
-        // The one before stays in force until a better one comes.
+        // The previous version remains applied until a valid one follows.
         log.set("bad", "1");
         await().atMost(LONG)
                 .until(() -> proposer.status()
@@ -96,17 +96,17 @@
     @Test
     void failsOverFromAStaleRelay() throws Exception {
         InMemoryLog log = log();
-        InMemoryLog cut = log();
-        String first = Rendezvous.order("n", List.of("a", "b")).get(0);
-        relay(first, cut, null);
+        InMemoryLog disconnectedLog = log();
+        String first = Rendezvous.preferenceOrder("n", List.of("a", "b")).get(0);
+        relay(first, disconnectedLog, null);
         relay(first.equals("a") ? "b" : "a", log, null);
-        cut.publish(log.history());
+        disconnectedLog.publish(log.history());
         RecordingApplier applier = new RecordingApplier();
         subscriber("n", 1, null, applier);
-        cut.set("x", "1");
+        disconnectedLog.set("x", "1");
         VersionedState one = log.set("x", "1");
         await().atMost(LONG).until(() -> one.equals(applier.last()));
-        cut.setLeader(false);
+        disconnectedLog.setLeader(false);
         VersionedState two = log.set("x", "2");
         await().atMost(LONG).until(() -> two.equals(applier.last()));
     }
@@ -133,26 +133,28 @@
     @Test
     void aRelayWithAnOldStoredStateDoesNotRevertRouters(@TempDir Path folder) throws Exception {
         InMemoryLog log = log();
-        String first = Rendezvous.order("n", List.of("a", "b")).get(0);
+        String first = Rendezvous.preferenceOrder("n", List.of("a", "b")).get(0);
         Relay old = relay(first, log, folder.resolve("now"));
         VersionedState one = log.set("x", "1");
-        await().atMost(LONG).until(() -> Files.exists(folder.resolve("now")) && kept(old) == 1);
+        await().atMost(LONG).until(() -> Files.exists(folder.resolve("now")) && version(old) == 1);
         old.close();
         relays.clear();
-        InMemoryLog away = log();
-        away.setLeader(false);
-        await().atMost(LONG).ignoreExceptions().until(() -> relay(first, away, folder.resolve("now")), each -> true);
+        InMemoryLog unavailable = log();
+        unavailable.setLeader(false);
+        await().atMost(LONG)
+                .ignoreExceptions()
+                .until(() -> relay(first, unavailable, folder.resolve("now")), each -> true);
         relay(first.equals("a") ? "b" : "a", log, null);
         VersionedState two = log.set("x", "2");
         RecordingApplier applier = new RecordingApplier();
         subscriber("n", 1, null, applier);
         await().atMost(LONG).until(() -> two.equals(applier.last()));
-        // It may have had what the old one has at its first look, and never after the newer one.
+        // The first poll may have returned the version of the old relay, which must not follow the newer one.
         Thread.sleep(1_500);
         assertThat(applier.applied()).isSubsetOf(one, two).endsWith(two);
     }
 
-    private static long kept(Relay relay) throws IOException {
+    private static long version(Relay relay) throws IOException {
         return status(relay).version();
     }
 
@@ -205,7 +207,7 @@
 
     @Test
     void aRelayRejectsConnectionsBeyondTheBound() throws Exception {
-        Relay relay = open(new Relay("a", ANY, List.of(log().at()), null, 2));
+        Relay relay = open(new Relay("a", ANY, List.of(log().address()), null, 2));
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             sockets.add(open(
@@ -223,8 +225,8 @@
     void aRouterThatDoesNotReadIsDisconnectedAndNoResponseIsQueued() throws Exception {
         InMemoryLog log = log();
         log.set("x", "x".repeat(VersionedState.MAX_CHARACTERS / 2));
-        Relay relay = open(new Relay("a", ANY, List.of(log.at()), null, 10));
-        await().atMost(LONG).until(() -> kept(relay) == 1);
+        Relay relay = open(new Relay("a", ANY, List.of(log.address()), null, 10));
+        await().atMost(LONG).until(() -> version(relay) == 1);
         Socket slow = open(new Socket());
         slow.setReceiveBufferSize(16 * 1024);
         slow.connect(relay.address());
@@ -233,15 +235,15 @@
         for (int i = 0; i < 100; i++) {
             slow.getOutputStream().write(poll);
         }
-        // That of the look itself is one.
+        // Only the connection of the status request remains.
         await().atMost(LONG).until(() -> status(relay).connections() == 1);
         assertThat(status(relay).bytesOut()).isLessThan(50L * VersionedState.MAX_CHARACTERS / 2);
     }
 
     @Test
     void anInvalidPollIsAnsweredWithAnErrorAndTheConnectionIsClosed() throws Exception {
-        Relay relay = open(new Relay("a", ANY, List.of(log().at()), null, 10));
-        for (String wrong : List.of(
+        Relay relay = open(new Relay("a", ANY, List.of(log().address()), null, 10));
+        for (String invalid : List.of(
                 "/v1/feed",
                 "/v1/feed?since=1",
                 "/v1/feed?since=-1&wait=0&name=n&life=1" + "&force=0&refused=0",
@@ -250,7 +252,7 @@
                 "/v1/feed?since=0&since=0",
                 "/v1/other")) {
             HttpFetcher http = new HttpFetcher(relay.address(), true);
-            assertThat(http.get(wrong, 2_000)).as(wrong).contains("error");
+            assertThat(http.get(invalid, 2_000)).as(invalid).contains("error");
             http.close();
         }
     }
--- a/src/test/java/beaconladder/feed/VersionHistoryTest.java
+++ b/src/test/java/beaconladder/feed/VersionHistoryTest.java
@@ -9,17 +9,17 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Versions, digests, and what a relay or a log gives to one that lacks something. */
+/** Versions, digests, and the updates that a relay or the log serves to a client with an older version. */
 class VersionHistoryTest {
     @Test
     void versionsAreConsecutiveAndEachHasItsOwnDigest() {
-        VersionHistory one = written(VersionHistory.empty(), Map.of("a", "1"));
+        VersionHistory one = commit(VersionHistory.empty(), Map.of("a", "1"));
         assertThat(one.newest().version()).isEqualTo(1);
         assertThat(one.newest().entries()).isEqualTo(new TreeMap<>(Map.of("a", "1")));
-        VersionHistory two = written(one, Map.of("a", "1"));
+        VersionHistory two = commit(one, Map.of("a", "1"));
         assertThat(two.newest().digest()).isNotEqualTo(one.newest().digest());
         assertThat(VersionedState.of(2, Map.of("a", "1"))).isEqualTo(two.newest());
-        // What stands between a name and its text, and between two documents, counts.
+        // The digest distinguishes where a name, a text or a document ends.
         assertThat(VersionedState.of(1, Map.of("ab", "c")).digest())
                 .isNotEqualTo(VersionedState.of(1, Map.of("a", "bc")).digest());
         assertThat(VersionedState.of(1, Map.of("a", "b", "c", "d")).digest())
@@ -28,24 +28,24 @@
 
     @Test
     void aConflictingProposalChangesNothingAndARetriedOneIsCommittedOnce() {
-        VersionHistory one = written(VersionHistory.empty(), Map.of("a", "1"));
-        Proposal late = new Proposal(0, Map.of("a", "2"), List.of());
-        assertThat(one.apply(late).history()).isEqualTo(one);
-        assertThat(one.apply(late).result().outcome()).isEqualTo(CommitResult.Outcome.VERSION_CONFLICT);
-        assertThat(one.apply(late).result().version()).isEqualTo(1);
+        VersionHistory one = commit(VersionHistory.empty(), Map.of("a", "1"));
+        Proposal conflicting = new Proposal(0, Map.of("a", "2"), List.of());
+        assertThat(one.apply(conflicting).history()).isEqualTo(one);
+        assertThat(one.apply(conflicting).result().outcome()).isEqualTo(CommitResult.Outcome.VERSION_CONFLICT);
+        assertThat(one.apply(conflicting).result().version()).isEqualTo(1);
         assertThat(one.apply(new Proposal(5, Map.of("a", "2"), List.of()))
                         .result()
                         .outcome())
                 .isEqualTo(CommitResult.Outcome.VERSION_CONFLICT);
-        Proposal again = new Proposal(0, Map.of("a", "1"), List.of());
-        assertThat(one.apply(again).history()).isEqualTo(one);
-        assertThat(one.apply(again).result().outcome()).isEqualTo(CommitResult.Outcome.COMMITTED);
+        Proposal retry = new Proposal(0, Map.of("a", "1"), List.of());
+        assertThat(one.apply(retry).history()).isEqualTo(one);
+        assertThat(one.apply(retry).result().outcome()).isEqualTo(CommitResult.Outcome.COMMITTED);
     }
 
     @Test
     void aProposalBeyondTheSizeBoundIsNotCommitted() {
         String half = "x".repeat(VersionedState.MAX_CHARACTERS / 2);
-        VersionHistory one = written(VersionHistory.empty(), Map.of("a", half));
+        VersionHistory one = commit(VersionHistory.empty(), Map.of("a", half));
         VersionHistory.Transition two = one.apply(new Proposal(1, Map.of("b", half), List.of()));
         assertThat(two.result().outcome()).isEqualTo(CommitResult.Outcome.TOO_LARGE);
         assertThat(two.history()).isEqualTo(one);
@@ -56,16 +56,16 @@
 
     @Test
     void invalidProposalsAreRejected() {
-        for (Proposal wrong : List.of(
+        for (Proposal invalid : List.of(
                 new Proposal(0, Map.of(), List.of()),
                 new Proposal(-1, Map.of("a", "1"), List.of()),
                 new Proposal(0, Map.of("../a", "1"), List.of()),
                 new Proposal(0, Map.of("a", "1"), List.of("a")),
                 new Proposal(0, Map.of(), List.of("a b")),
                 new Proposal(0, Map.of("a", "x".repeat(VersionedState.MAX_CHARACTERS)), List.of()))) {
-            assertThatThrownBy(wrong::validated).as(wrong.toString()).isInstanceOf(IOException.class);
+            assertThatThrownBy(invalid::validated).as(invalid.toString()).isInstanceOf(IOException.class);
         }
-        for (String wrong : List.of(
+        for (String invalid : List.of(
                 "",
                 "{}",
                 "null",
@@ -74,8 +74,8 @@
                 "{\"against\":0,\"set\":{\"a\":\"1\",\"a\":\"2\"},\"remove\":[]}",
                 "{\"against\":0,\"set\":{},\"remove\":[]} {}",
                 "{\"against\":null,\"set\":{},\"remove\":[]}")) {
-            assertThatThrownBy(() -> FeedJson.read(wrong, Proposal.class))
-                    .as(wrong)
+            assertThatThrownBy(() -> FeedJson.read(invalid, Proposal.class))
+                    .as(invalid)
                     .isInstanceOf(IOException.class);
         }
     }
@@ -84,7 +84,7 @@
     void anUpdateHasWhatTheClientLacksAndNoMore() throws IOException {
         VersionHistory all = VersionHistory.empty();
         for (int i = 1; i <= 10; i++) {
-            all = written(all, Map.of("a", "some text that takes a little room", "n" + i, "" + i));
+            all = commit(all, Map.of("a", "some text that takes a little room", "n" + i, "" + i));
         }
         assertThat(all.updateSince(10, false))
                 .isEqualTo(new Update(10, all.newest().digest(), 0, null, List.of()));
@@ -92,7 +92,7 @@
         Update one = all.updateSince(9, false);
         assertThat(one.base()).isNull();
         assertThat(one.changes()).extracting(Change::version).containsExactly(10L);
-        // All changes together are more than the base.
+        // The changes since version 0 are larger than the full state.
         assertThat(all.updateSince(0, false).base()).isEqualTo(all.newest());
         assertThat(all.updateSince(0, false).changes()).isEmpty();
         assertThat(all.updateSince(9, true).base()).isEqualTo(all.newest());
@@ -102,9 +102,9 @@
     void changesBeyondTheBoundAreDroppedAndTheFullStateIsSentInstead() {
         VersionHistory all = VersionHistory.empty();
         Map<String, String> large = Map.of("large", "x".repeat(100_000));
-        all = written(all, large);
+        all = commit(all, large);
         for (int i = 0; i < VersionHistory.MAX_CHANGES + 5; i++) {
-            all = written(all, Map.of("a", "" + i));
+            all = commit(all, Map.of("a", "" + i));
         }
         assertThat(all.changes()).hasSize(VersionHistory.MAX_CHANGES);
         long newest = all.newest().version();
@@ -113,9 +113,9 @@
         assertThat(all.updateSince(newest - VersionHistory.MAX_CHANGES - 1, false)
                         .base())
                 .isEqualTo(all.newest());
-        // Large changes are forgotten sooner.
+        // Large changes are dropped sooner.
         for (int i = 0; i < 10; i++) {
-            all = written(all, Map.of("large", i + "x".repeat(100_000)));
+            all = commit(all, Map.of("large", i + "x".repeat(100_000)));
         }
         assertThat(all.changes().size()).isLessThan(7);
     }
@@ -125,7 +125,7 @@
         VersionHistory log = VersionHistory.empty();
         VersionHistory relay = VersionHistory.empty();
         for (int i = 1; i <= 40; i++) {
-            log = written(log, Map.of("n" + i % 7, "text " + i));
+            log = commit(log, Map.of("n" + i % 7, "text " + i));
             if (i % 3 != 0) {
                 String text = FeedJson.text(log.updateSince(relay.newest().version(), false));
                 relay = relay.merge(FeedJson.read(text, Update.class));
@@ -139,17 +139,17 @@
 
     @Test
     void inconsistentUpdatesAreRejected() throws IOException {
-        VersionHistory log = written(
-                written(written(VersionHistory.empty(), Map.of("a", "a longer text than most")), Map.of("b", "2")),
+        VersionHistory log = commit(
+                commit(commit(VersionHistory.empty(), Map.of("a", "a longer text than most")), Map.of("b", "2")),
                 Map.of("c", "3"));
         Update two = log.updateSince(1, false);
         assertThat(two.changes()).hasSize(2);
         VersionedState one =
                 log.newest().version() == 3 ? VersionedState.of(1, Map.of("a", "a longer text than most")) : null;
         assertThat(UpdateStrategy.STRICT.merge(one, two)).isEqualTo(log.newest());
-        // A gap, another text under the version, another state under it, a digest that was made up.
+        // A gap in the versions, missing changes, wrong contents, wrong digests, wrong versions.
         Change last = two.changes().get(1);
-        for (Update wrong : List.of(
+        for (Update invalid : List.of(
                 new Update(3, two.digest(), 0, null, List.of(last)),
                 new Update(3, two.digest(), 0, null, List.of()),
                 new Update(3, two.digest(), 0, null, List.of(two.changes().get(0))),
@@ -164,8 +164,8 @@
                 new Update(3, "0", 0, log.newest(), List.of()),
                 new Update(4, two.digest(), 0, log.newest(), List.of()),
                 new Update(1, "0", 0, null, List.of()))) {
-            assertThatThrownBy(() -> UpdateStrategy.STRICT.merge(one, wrong))
-                    .as(wrong.toString())
+            assertThatThrownBy(() -> UpdateStrategy.STRICT.merge(one, invalid))
+                    .as(invalid.toString())
                     .isInstanceOf(IOException.class);
         }
         assertThatThrownBy(() -> UpdateStrategy.STRICT.merge(VersionedState.of(1, Map.of("a", "other")), two))
@@ -174,12 +174,12 @@
 
     @Test
     void olderUpdatesAreIgnored() throws IOException {
-        VersionHistory old = written(VersionHistory.empty(), Map.of("a", "1"));
-        VersionHistory log = written(old, Map.of("a", "2"));
-        assertThat(UpdateStrategy.STRICT.merge(log.newest(), old.updateSince(0, false)))
+        VersionHistory older = commit(VersionHistory.empty(), Map.of("a", "1"));
+        VersionHistory log = commit(older, Map.of("a", "2"));
+        assertThat(UpdateStrategy.STRICT.merge(log.newest(), older.updateSince(0, false)))
                 .isEqualTo(log.newest());
-        assertThat(log.merge(old.updateSince(0, false))).isEqualTo(log);
-        assertThat(old.updateSince(2, false).base()).isNull();
+        assertThat(log.merge(older.updateSince(0, false))).isEqualTo(log);
+        assertThat(older.updateSince(2, false).base()).isNull();
     }
 
     @Test
@@ -189,10 +189,10 @@
         List<String> seven = eight.subList(0, 7);
         int[] first = new int[8];
         for (int i = 0; i < 4_100; i++) {
-            List<String> order = Rendezvous.order("n" + i, eight);
+            List<String> order = Rendezvous.preferenceOrder("n" + i, eight);
             assertThat(order).containsExactlyInAnyOrderElementsOf(eight);
             first[order.get(0).charAt(1) - '0']++;
-            List<String> fewer = Rendezvous.order("n" + i, seven);
+            List<String> fewer = Rendezvous.preferenceOrder("n" + i, seven);
             assertThat(fewer).isEqualTo(order.stream().filter(seven::contains).toList());
         }
         for (int each : first) {
@@ -200,10 +200,10 @@
         }
     }
 
-    static VersionHistory written(VersionHistory before, Map<String, String> set) {
-        VersionHistory.Transition applied =
+    static VersionHistory commit(VersionHistory before, Map<String, String> set) {
+        VersionHistory.Transition transition =
                 before.apply(new Proposal(before.newest().version(), set, List.of()));
-        assertThat(applied.result().outcome()).isEqualTo(CommitResult.Outcome.COMMITTED);
-        return applied.history();
+        assertThat(transition.result().outcome()).isEqualTo(CommitResult.Outcome.COMMITTED);
+        return transition.history();
     }
 }
--- a/src/test/java/beaconladder/testbed/FeedConfiguredRouterIT.java
+++ b/src/test/java/beaconladder/testbed/FeedConfiguredRouterIT.java
@@ -35,7 +35,7 @@
                 ChildProcesses programs = new ChildProcesses(folder)) {
             first.list(true, HOST);
             second.list(true, HOST);
-            Relay relay = new Relay("a", ANY, List.of(log.at()), null, 10);
+            Relay relay = new Relay("a", ANY, List.of(log.address()), null, 10);
             Program router = programs.program(
                     "m0",
                     RouterFile.of("m0", ChildProcesses.freePort(), first, 256, 192, HOST),
@@ -49,7 +49,7 @@
             assertThat(second.calls.get()).isZero();
 
             // Discovery's address counts at once.
-            LogClient logClient = new LogClient(List.of(log.at()), 5_000);
+            LogClient logClient = new LogClient(List.of(log.address()), 5_000);
             String moved = "{\"discovery\":\"127.0.0.1:" + second.port() + "\"}";
             logClient.propose(new Proposal(0, Map.of("router.json", moved), List.of()));
             await().atMost(LONG).until(() -> second.calls.get() > 0);
@@ -77,7 +77,7 @@
             int before = first.calls.get();
             router.start();
             await().atMost(LONG).until(() -> second.calls.get() > calls);
-            await().atMost(LONG).until(() -> router.log().contains("version 1 is in force from the disk"));
+            await().atMost(LONG).until(() -> router.log().contains("version 1 is applied from the disk"));
             assertThat(first.calls.get()).isEqualTo(before);
         }
     }
--- a/src/test/java/beaconladder/testbed/FeedMutantsTest.java
+++ b/src/test/java/beaconladder/testbed/FeedMutantsTest.java
@@ -39,17 +39,17 @@
 
     @Test
     void aRouterThatSkipsAChangeIsFoundByItsDigests() throws Exception {
-        play(FaultySubscribers::right);
+        play(FaultySubscribers::correct);
         assertThat(verdict()).isEmpty();
         journal.clear();
         logged.clear();
-        play(FaultySubscribers::skips);
+        play(FaultySubscribers::skipsChanges);
         assertThat(verdict()).anyMatch(line -> line.startsWith("two contents under one version"));
     }
 
     @Test
     void aRouterThatRevertsToAnOlderVersionIsFound() throws Exception {
-        play(FaultySubscribers::goesBack);
+        play(FaultySubscribers::revertsToOlderVersions);
         assertThat(verdict()).anyMatch(line -> line.startsWith("a version went back"));
     }
 
@@ -61,8 +61,8 @@
     private void play(Maker maker) throws Exception {
         try (InMemoryLog log = new InMemoryLog();
                 InMemoryLog old = new InMemoryLog();
-                Relay a = new Relay("a", ANY, List.of(log.at()), null, 10);
-                Relay b = new Relay("b", ANY, List.of(old.at()), null, 10)) {
+                Relay a = new Relay("a", ANY, List.of(log.address()), null, 10);
+                Relay b = new Relay("b", ANY, List.of(old.address()), null, 10)) {
             // One whose own relay is the first.
             String name = "n0";
             for (int i = 1; !first(name); i++) {
