--- a/src/main/java/beaconladder/discovery/PollSchedule.java
+++ b/src/main/java/beaconladder/discovery/PollSchedule.java
@@ -63,7 +63,7 @@
     private int watchWaitMillis;
     private int latencyMillis;
     private int rejections;
-    private int failures;
+    private int consecutiveFailures;
     private boolean isRetryingWatch;
 
     /**
@@ -84,7 +84,7 @@
         watchWaitMillis = MIN_WAIT_MILLIS;
         latencyMillis = 0;
         rejections = 0;
-        failures = 0;
+        consecutiveFailures = 0;
         isRetryingWatch = false;
     }
 
@@ -107,7 +107,7 @@
     public int onResponse(Call call, long elapsedNanos, boolean changed) {
         // One successful call does not show that the overload is over.
         rejections /= 2;
-        failures = 0;
+        consecutiveFailures = 0;
         isRetryingWatch = false;
         if (call.waitMillis() == 0 || !changed) {
             latencyMillis = (int) Math.max(0, Math.min(MAX_CALL_MILLIS, elapsedNanos / 1_000_000 - call.waitMillis()));
@@ -129,10 +129,10 @@
     @Override
     public int onFailure() {
         isRetryingWatch = false;
-        int boundMillis = failures >= COUNTER_LIMIT
+        int boundMillis = consecutiveFailures >= COUNTER_LIMIT
                 ? periodMillis
-                : Math.min(MAX_FAILURE_BACKOFF_MILLIS, FAILURE_BACKOFF_MILLIS << failures);
-        failures = Math.min(COUNTER_LIMIT, failures + 1);
+                : Math.min(MAX_FAILURE_BACKOFF_MILLIS, FAILURE_BACKOFF_MILLIS << consecutiveFailures);
+        consecutiveFailures = Math.min(COUNTER_LIMIT, consecutiveFailures + 1);
         return random.nextInt(boundMillis);
     }
 
--- a/src/main/java/beaconladder/discovery/WatchSchedule.java
+++ b/src/main/java/beaconladder/discovery/WatchSchedule.java
@@ -61,7 +61,7 @@
 
     WatchSchedule(long graceMillis, long seed) {
         random = new SplittableRandom(seed);
-        // A longer grace does not help: the notification limit applies as well.
+        // With a longer grace period the notification limit is the stricter one.
         graceLimitMillis = (int) Math.min(graceMillis, NOTIFICATION_LIMIT_MILLIS / 3);
         minTimeoutMillis =
                 Math.max(MIN_TIMEOUT_MILLIS, Math.min(CALL_TIMEOUT_MILLIS, graceLimitMillis / 2 - GRACE_MARGIN_MILLIS));
--- a/src/main/java/beaconladder/feed/AcknowledgementSummary.java
+++ b/src/main/java/beaconladder/feed/AcknowledgementSummary.java
@@ -59,6 +59,10 @@
             }
         }
         return new RelayReport(
-                version, lagMillis, counts.newest(REPORTED_VERSIONS), counts.appliedBeyond(REPORTED_VERSIONS), silent);
+                version,
+                lagMillis,
+                counts.newest(REPORTED_VERSIONS),
+                counts.countAppliedBeyond(REPORTED_VERSIONS),
+                silent);
     }
 }
--- a/src/main/java/beaconladder/feed/LastConfirmation.java
+++ b/src/main/java/beaconladder/feed/LastConfirmation.java
@@ -8,14 +8,14 @@
     private volatile long confirmedAtNanos;
     private volatile boolean known;
 
-    void set(long nanos) {
-        confirmedAtNanos = nanos;
+    void set(long nanoTime) {
+        confirmedAtNanos = nanoTime;
         known = true;
     }
 
     /** Sets the time unless a later one is known: the responses of two relays may arrive out of order. */
-    void advanceTo(long nanos) {
-        confirmedAtNanos = known ? Math.max(confirmedAtNanos, nanos) : nanos;
+    void advanceTo(long nanoTime) {
+        confirmedAtNanos = known ? Math.max(confirmedAtNanos, nanoTime) : nanoTime;
         known = true;
     }
 
--- a/src/main/java/beaconladder/feed/LogClient.java
+++ b/src/main/java/beaconladder/feed/LogClient.java
@@ -79,13 +79,13 @@
     }
 
     /** Sends a request to each lease server in turn; returns the body of the first successful response. */
-    private String send(RequestFactory requests) throws InvalidProposalException, LogUnavailableException {
+    private String send(RequestFactory requestFactory) throws InvalidProposalException, LogUnavailableException {
         String lastError = "no grantor is stated";
         for (InetSocketAddress server : leaseServers) {
             HttpResponse<String> response;
             try {
                 HttpRequest request =
-                        requests.requestTo(server).timeout(timeout).build();
+                        requestFactory.requestTo(server).timeout(timeout).build();
                 response = http.send(request, HttpResponse.BodyHandlers.ofString());
             } catch (IOException e) {
                 lastError = e.getMessage() == null ? e.toString() : e.getMessage();
@@ -97,7 +97,7 @@
             if (response.statusCode() == HttpURLConnection.HTTP_OK) {
                 return response.body();
             }
-            lastError = error(response.body());
+            lastError = errorMessage(response.body());
             if (response.statusCode() == HttpURLConnection.HTTP_BAD_REQUEST) {
                 throw new InvalidProposalException(lastError);
             }
@@ -107,7 +107,7 @@
     }
 
     /** Returns the message of an error response, or its complete body if it has none. */
-    private static String error(String body) {
+    private static String errorMessage(String body) {
         try {
             return FeedJson.read(body, JsonNode.class).path("error").asText(body);
         } catch (InvalidMessageException e) {
--- a/src/main/java/beaconladder/feed/LogEndpoint.java
+++ b/src/main/java/beaconladder/feed/LogEndpoint.java
@@ -65,16 +65,16 @@
 
     private Update update(HttpExchange exchange) throws IOException, InterruptedException {
         QueryString query = new QueryString(exchange.getRequestURI().getRawQuery());
-        long since = query.number(FeedApi.SINCE_VERSION, Long.MAX_VALUE);
+        long sinceVersion = query.number(FeedApi.SINCE_VERSION, Long.MAX_VALUE);
         long waitMillis = query.number(FeedApi.WAIT_MILLIS, MAX_WAIT_MILLIS);
         requireLeader();
         String relay = query.text(FeedApi.RELAY_NAME);
         if (relay != null) {
             recordReport(relay, query.text(FeedApi.REPORT));
         }
-        VersionHistory history = log.versions().awaitNewer(since, waitMillis);
+        VersionHistory history = log.versions().awaitNewer(sinceVersion, waitMillis);
         requireLeader();
-        return history.updateSince(since, query.isSet(FeedApi.FULL_STATE));
+        return history.updateSince(sinceVersion, query.isSet(FeedApi.FULL_STATE));
     }
 
     private void recordReport(String relay, String report) throws InvalidMessageException {
--- a/src/main/java/beaconladder/feed/LogFollower.java
+++ b/src/main/java/beaconladder/feed/LogFollower.java
@@ -46,7 +46,7 @@
     private int consecutiveFailures;
     private int batchIntervalMillis;
     private boolean requestFullState;
-    private boolean disconnected;
+    private boolean isDisconnected;
 
     LogFollower(
             String name,
@@ -69,16 +69,16 @@
 
     @Override
     void poll() throws IOException {
-        boolean newer = replicate();
+        boolean hasNewerVersion = replicate();
         consecutiveFailures = 0;
-        if (disconnected) {
+        if (isDisconnected) {
             LOG.info(
                     "relay {} follows the log again from version {}",
                     name,
                     versions.current().newest().version());
-            disconnected = false;
+            isDisconnected = false;
         }
-        if (newer) {
+        if (hasNewerVersion) {
             batchIntervalMillis = Math.min(
                     MAX_BATCH_INTERVAL_MILLIS,
                     batchIntervalMillis == 0 ? FIRST_BATCH_INTERVAL_MILLIS : 2 * batchIntervalMillis);
@@ -94,9 +94,9 @@
         if (++consecutiveFailures % leaseServers.size() == 0) {
             pause(ROUND_PAUSE_MILLIS / 2 + random.nextInt(ROUND_PAUSE_MILLIS));
         }
-        if (!disconnected && lagMillis() > Subscriber.STALE_LAG_MILLIS) {
+        if (!isDisconnected && lagMillis() > Subscriber.STALE_LAG_MILLIS) {
             LOG.warn("relay {} has lost the log: {}", name, cause.getMessage());
-            disconnected = true;
+            isDisconnected = true;
             // Responds to waiting polls with the present lag, so that their routers can fail over.
             versions.wakeAll();
         }
@@ -104,22 +104,22 @@
 
     /** Polls the current lease server once; returns whether there was a newer version. */
     private boolean replicate() throws IOException {
-        VersionHistory before = versions.current();
+        VersionHistory previous = versions.current();
         String response = leaseServers
                 .get(currentServer)
-                .get(pollPath(before.newest().version()), WAIT_MILLIS + RESPONSE_SLACK_MILLIS, RESPONSE_SLACK_MILLIS);
+                .get(pollPath(previous.newest().version()), WAIT_MILLIS + RESPONSE_SLACK_MILLIS, RESPONSE_SLACK_MILLIS);
         Update update = FeedJson.read(response, Update.class);
-        VersionHistory next = merge(before, update);
-        boolean newer = next.newest().version() > before.newest().version();
-        if (newer) {
+        VersionHistory next = merge(previous, update);
+        boolean hasNewerVersion = next.newest().version() > previous.newest().version();
+        if (hasNewerVersion) {
             store.save(next.newest(), System.currentTimeMillis());
         }
         // Before the version is published: the polls that this wakes must not report the old lag.
         lastConfirmation.set(System.nanoTime());
-        if (newer) {
+        if (hasNewerVersion) {
             versions.publish(next);
         }
-        return newer;
+        return hasNewerVersion;
     }
 
     private String pollPath(long heldVersion) {
@@ -131,10 +131,10 @@
                 + FeedApi.parameter(FeedApi.REPORT, URLEncoder.encode(FeedJson.text(report), StandardCharsets.UTF_8));
     }
 
-    private VersionHistory merge(VersionHistory before, Update update) throws InvalidStateException {
+    private VersionHistory merge(VersionHistory previous, Update update) throws InvalidStateException {
         VersionHistory next;
         try {
-            next = before.merge(update);
+            next = previous.merge(update);
             requestFullState = false;
         } catch (InvalidStateException e) {
             requestFullState = true;
--- a/src/main/java/beaconladder/feed/Relay.java
+++ b/src/main/java/beaconladder/feed/Relay.java
@@ -22,7 +22,7 @@
     private final String name;
     private final VersionNotifier versions = new VersionNotifier();
     private final AcknowledgementSummary acknowledgements = new AcknowledgementSummary();
-    private final RelayResponseCache cache = new RelayResponseCache();
+    private final RelayResponseCache responseCache = new RelayResponseCache();
     private final LogFollower follower;
     private final RelayServer server;
 
@@ -107,7 +107,7 @@
                 follower.lagMillis(),
                 server.connectionCount(),
                 server.responses(),
-                cache.fullStateResponses(),
+                responseCache.fullStateResponses(),
                 server.rejectedConnections(),
                 server.bytesIn(),
                 server.bytesOut());
@@ -118,7 +118,7 @@
         if (!Proposal.isValidName(router)) {
             throw new InvalidMessageException("name is none");
         }
-        long since = query.number(FeedApi.SINCE_VERSION, Long.MAX_VALUE);
+        long sinceVersion = query.number(FeedApi.SINCE_VERSION, Long.MAX_VALUE);
         acknowledgements.record(
                 new Acknowledgement(
                         router,
@@ -130,16 +130,16 @@
         long waitMillis = query.number(FeedApi.WAIT_MILLIS, MAX_WAIT_MILLIS);
         // A router fails over from a stale relay, which a wait would delay.
         boolean mayWait = follower.lagMillis() <= Subscriber.STALE_LAG_MILLIS || query.isSet(FeedApi.ACCEPTS_STALE);
-        VersionHistory history = versions.awaitNewer(since, mayWait ? waitMillis : 0);
-        return update(history, since, query.isSet(FeedApi.FULL_STATE));
+        VersionHistory history = versions.awaitNewer(sinceVersion, mayWait ? waitMillis : 0);
+        return update(history, sinceVersion, query.isSet(FeedApi.FULL_STATE));
     }
 
-    private byte[] update(VersionHistory history, long since, boolean fullState) {
+    private byte[] update(VersionHistory history, long sinceVersion, boolean fullState) {
         long lagMillis = follower.lagMillis();
-        if (fullState || since >= history.newest().version() || lagMillis > LogFollower.FRESH_LAG_MILLIS) {
-            return serialize(history.updateSince(since, fullState).withLag(lagMillis));
+        if (fullState || sinceVersion >= history.newest().version() || lagMillis > LogFollower.FRESH_LAG_MILLIS) {
+            return serialize(history.updateSince(sinceVersion, fullState).withLag(lagMillis));
         }
-        return cache.get(history, since);
+        return responseCache.get(history, sinceVersion);
     }
 
     private static byte[] serialize(Object value) {
--- a/src/main/java/beaconladder/feed/RelayResponseCache.java
+++ b/src/main/java/beaconladder/feed/RelayResponseCache.java
@@ -17,20 +17,20 @@
     private long fullStateResponses;
 
     /** Returns the response to a router that holds a version; it is serialized on the first request. */
-    synchronized byte[] get(VersionHistory history, long since) {
+    synchronized byte[] get(VersionHistory history, long sinceVersion) {
         long newest = history.newest().version();
         if (newestVersion != newest || responses.size() >= MAX_RESPONSES) {
             responses.clear();
             newestVersion = newest;
         }
-        byte[] response = responses.get(since);
+        byte[] response = responses.get(sinceVersion);
         if (response == null) {
-            Update update = history.updateSince(since, false);
+            Update update = history.updateSince(sinceVersion, false);
             if (update.base() != null) {
                 fullStateResponses++;
             }
             response = FeedJson.text(update).getBytes(StandardCharsets.UTF_8);
-            responses.put(since, response);
+            responses.put(sinceVersion, response);
         }
         return response;
     }
--- a/src/main/java/beaconladder/feed/RelayServer.java
+++ b/src/main/java/beaconladder/feed/RelayServer.java
@@ -73,7 +73,7 @@
         }
     }
 
-    private final ServerSocket listener = new ServerSocket();
+    private final ServerSocket serverSocket = new ServerSocket();
     private final RequestHandler handler;
     private final int maxConnections;
     private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
@@ -87,14 +87,14 @@
     RelayServer(InetSocketAddress address, int maxConnections, RequestHandler handler) throws IOException {
         this.handler = handler;
         this.maxConnections = maxConnections;
-        listener.setReuseAddress(true);
-        listener.bind(address, BACKLOG);
+        serverSocket.setReuseAddress(true);
+        serverSocket.bind(address, BACKLOG);
         startThread(this::acceptConnections);
         startThread(this::disconnectSlowReaders);
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) listener.getLocalSocketAddress();
+        return (InetSocketAddress) serverSocket.getLocalSocketAddress();
     }
 
     int connectionCount() {
@@ -126,7 +126,7 @@
     private void acceptConnections() {
         while (!closed) {
             try {
-                Socket socket = listener.accept();
+                Socket socket = serverSocket.accept();
                 if (connections.size() >= maxConnections) {
                     rejectedConnections.incrementAndGet();
                     socket.close();
@@ -233,7 +233,7 @@
     public void close() {
         closed = true;
         try {
-            listener.close();
+            serverSocket.close();
         } catch (IOException e) {
             // The socket is unusable either way.
         }
--- a/src/main/java/beaconladder/feed/Subscriber.java
+++ b/src/main/java/beaconladder/feed/Subscriber.java
@@ -12,8 +12,8 @@
 /**
  * A router's client of the feed: one task that polls one relay, applies or rejects each new version, and acknowledges
  * it with the next poll. It never polls the log: if four thousand routers lost all relays, they would overload the
- * lease servers, on which leases depend. While no relay responds, the applied version remains; {@link #ageMillis} is
- * its age.
+ * lease servers, on which leases depend. While no relay responds, the applied version remains;
+ * {@link #confirmationAgeMillis} is the time since its last confirmation.
  */
 public final class Subscriber extends PollLoop {
     private static final Logger LOG = LoggerFactory.getLogger(Subscriber.class);
@@ -35,7 +35,7 @@
     /** The pause after a failed write to the disk. */
     private static final int DISK_RETRY_MILLIS = 500;
 
-    private final RelaySelector relays;
+    private final RelaySelector relaySelector;
     private final String name;
     private final long incarnation;
     private final UpdateStrategy strategy;
@@ -74,7 +74,7 @@
         this.strategy = strategy;
         installer = new VersionInstaller(name, folder, applier);
         random = new SplittableRandom(incarnation ^ name.hashCode());
-        this.relays = new RelaySelector(name, relays, random);
+        this.relaySelector = new RelaySelector(name, relays, random);
     }
 
     /** Returns the version that is applied; 0 for none. */
@@ -88,15 +88,15 @@
     }
 
     /** Returns the time since the held version was last confirmed as the newest; Long.MAX_VALUE if it never was. */
-    public long ageMillis() {
+    public long confirmationAgeMillis() {
         return lastConfirmation.isKnown() ? lastConfirmation.ageNanos() / 1_000_000 : Long.MAX_VALUE;
     }
 
     @Override
     void poll() throws IOException {
         installer.retryRestore();
-        int waitMillis = relays.isProbing() ? 0 : WAIT_MILLIS;
-        HttpFetcher relay = relays.connection();
+        int waitMillis = relaySelector.isProbing() ? 0 : WAIT_MILLIS;
+        HttpFetcher relay = relaySelector.connection();
         int slackMillis = slackFactor * RESPONSE_SLACK_MILLIS;
         String response = relay.get(pollPath(waitMillis), waitMillis + slackMillis, slackMillis);
         if (slackFactor > 1 && ++responsesInTime == RESPONSES_PER_DECREASE) {
@@ -115,8 +115,8 @@
                 + FeedApi.parameter(FeedApi.INCARNATION, incarnation)
                 + FeedApi.parameter(FeedApi.APPLIED_VERSION, installer.appliedVersion())
                 + FeedApi.parameter(FeedApi.REJECTED_VERSION, installer.rejectedVersion())
-                + FeedApi.flag(FeedApi.COUNTABLE, relays.isCountable())
-                + FeedApi.flag(FeedApi.ACCEPTS_STALE, relays.isSettledOnStale())
+                + FeedApi.flag(FeedApi.COUNTABLE, relaySelector.isCountable())
+                + FeedApi.flag(FeedApi.ACCEPTS_STALE, relaySelector.isSettledOnStale())
                 + FeedApi.flag(FeedApi.FULL_STATE, requestFullState);
     }
 
@@ -134,18 +134,18 @@
             return;
         }
         requestFullState = false;
-        boolean current = update.version() >= versionBefore;
-        if (current) {
+        boolean isCurrent = update.version() >= versionBefore;
+        if (isCurrent) {
             lastConfirmation.advanceTo(System.nanoTime() - Math.max(0, update.lagMillis()) * 1_000_000);
         }
-        relays.onResponse(update.lagMillis() <= STALE_LAG_MILLIS && current);
+        relaySelector.onResponse(update.lagMillis() <= STALE_LAG_MILLIS && isCurrent);
     }
 
     /** Requests the full state once; if that is invalid as well, the relay counts as failed. */
     private void onInvalidUpdate(InvalidStateException cause) throws InvalidStateException {
         boolean wasFullState = requestFullState;
         requestFullState = true;
-        LOG.warn("{}: invalid update from relay {}: {}", name, relays.currentRelay(), cause.getMessage());
+        LOG.warn("{}: invalid update from relay {}: {}", name, relaySelector.currentRelay(), cause.getMessage());
         if (wasFullState) {
             throw cause;
         }
@@ -153,7 +153,7 @@
 
     @Override
     void onFailure(Exception cause) {
-        if (!relays.onFailure() || isClosed()) {
+        if (!relaySelector.onFailure() || isClosed()) {
             return;
         }
         slackFactor = Math.min(MAX_SLACK_FACTOR, slackFactor + 1);
@@ -164,18 +164,18 @@
                 name,
                 cause,
                 appliedVersion(),
-                ageMillis());
+                confirmationAgeMillis());
         pause(random.nextInt(MAX_BACKOFF_MILLIS));
     }
 
     @Override
     void releaseResources() {
-        relays.close();
+        relaySelector.close();
         installer.close();
     }
 
     @Override
     void closeConnections() {
-        relays.close();
+        relaySelector.close();
     }
 }
--- a/src/main/java/beaconladder/feed/UpdateStrategy.java
+++ b/src/main/java/beaconladder/feed/UpdateStrategy.java
@@ -18,7 +18,7 @@
             if (update.base() != null && update.version() > held.version()) {
                 next = update.base().validated();
             } else {
-                next = held.after(update.changes());
+                next = held.apply(update.changes());
             }
             if (next.version() != update.version() || !next.digest().equals(update.digest())) {
                 throw new InvalidStateException("the update is to version " + update.version() + " with digest "
--- a/src/main/java/beaconladder/feed/VersionCounts.java
+++ b/src/main/java/beaconladder/feed/VersionCounts.java
@@ -19,11 +19,11 @@
         counts[REJECTED] += rejected;
     }
 
-    /** Returns the counts of the newest versions, at most {@code max}. */
-    List<RelayReport.Count> newest(int max) {
+    /** Returns the counts of the newest versions, at most {@code maxVersions}. */
+    List<RelayReport.Count> newest(int maxVersions) {
         List<RelayReport.Count> newest = new ArrayList<>();
         for (Map.Entry<Long, int[]> entry : countsByVersion.entrySet()) {
-            if (newest.size() == max) {
+            if (newest.size() == maxVersions) {
                 break;
             }
             newest.add(new RelayReport.Count(entry.getKey(), entry.getValue()[APPLIED], entry.getValue()[REJECTED]));
@@ -31,10 +31,10 @@
         return newest;
     }
 
-    /** Returns how many routers have applied a version that is not among the {@code max} newest. */
-    int appliedBeyond(int max) {
+    /** Returns how many routers have applied a version that is not among the {@code maxVersions} newest. */
+    int countAppliedBeyond(int maxVersions) {
         return countsByVersion.values().stream()
-                .skip(max)
+                .skip(maxVersions)
                 .mapToInt(counts -> counts[APPLIED])
                 .sum();
     }
--- a/src/main/java/beaconladder/feed/VersionHistory.java
+++ b/src/main/java/beaconladder/feed/VersionHistory.java
@@ -48,7 +48,7 @@
             return unchanged(
                     isCommitted(proposal) ? CommitResult.Outcome.COMMITTED : CommitResult.Outcome.VERSION_CONFLICT);
         }
-        VersionedState next = newest.after(proposal);
+        VersionedState next = newest.apply(proposal);
         if (!next.isWithinBounds()) {
             return unchanged(CommitResult.Outcome.TOO_LARGE);
         }
@@ -75,13 +75,13 @@
 
     /** Appends changes, and drops the oldest ones while their number or their total size exceeds its limit. */
     private VersionHistory append(VersionedState next, List<Change> added) {
-        List<Change> all = new ArrayList<>(changes);
-        all.addAll(added);
-        int characters = all.stream().mapToInt(Change::characterCount).sum();
-        while (all.size() > MAX_CHANGES || characters > VersionedState.MAX_CHARACTERS) {
-            characters -= all.remove(0).characterCount();
+        List<Change> allChanges = new ArrayList<>(changes);
+        allChanges.addAll(added);
+        int characters = allChanges.stream().mapToInt(Change::characterCount).sum();
+        while (allChanges.size() > MAX_CHANGES || characters > VersionedState.MAX_CHARACTERS) {
+            characters -= allChanges.remove(0).characterCount();
         }
-        return new VersionHistory(next, all);
+        return new VersionHistory(next, allChanges);
     }
 
     /**
@@ -95,11 +95,11 @@
         if (version >= newest.version()) {
             return Update.none(newest);
         }
-        int first = changes.size() - (int) Math.min(Integer.MAX_VALUE, newest.version() - version);
-        if (fullState || first < 0) {
+        int firstIndex = changes.size() - (int) Math.min(Integer.MAX_VALUE, newest.version() - version);
+        if (fullState || firstIndex < 0) {
             return Update.full(newest);
         }
-        List<Change> missed = changes.subList(first, changes.size());
+        List<Change> missed = changes.subList(firstIndex, changes.size());
         int characters = missed.stream().mapToInt(Change::characterCount).sum();
         return characters > newest.characterCount() ? Update.full(newest) : Update.incremental(newest, missed);
     }
@@ -118,7 +118,7 @@
         List<Change> newer = update.changes().stream()
                 .filter(change -> change.version() > newest.version())
                 .toList();
-        return newer.isEmpty() ? this : append(newest.after(newer), newer);
+        return newer.isEmpty() ? this : append(newest.apply(newer), newer);
     }
 
     /**
--- a/src/main/java/beaconladder/feed/VersionInstaller.java
+++ b/src/main/java/beaconladder/feed/VersionInstaller.java
@@ -59,7 +59,7 @@
         if (next.version() == rejectedVersion || next.version() == held.version() && appliedVersion == held.version()) {
             return true;
         }
-        StateStore.Snapshot before = store.stored();
+        StateStore.Snapshot previous = store.stored();
         try {
             applier.validate(next);
         } catch (IOException e) {
@@ -86,7 +86,7 @@
             rejectedVersion = 0;
             held = next;
         } catch (IOException e) {
-            store.restore(before);
+            store.restore(previous);
             reject(next, e);
         }
         return true;
--- a/src/main/java/beaconladder/feed/VersionedState.java
+++ b/src/main/java/beaconladder/feed/VersionedState.java
@@ -104,8 +104,8 @@
         return this;
     }
 
-    /** Returns the next version, after a proposal that the log commits. */
-    VersionedState after(Proposal proposal) {
+    /** Returns the next version, with a proposal applied that the log commits. */
+    VersionedState apply(Proposal proposal) {
         TreeMap<String, String> next = new TreeMap<>(entries);
         next.putAll(proposal.set());
         next.keySet().removeAll(proposal.remove());
@@ -113,13 +113,13 @@
     }
 
     /**
-     * Returns a later version, after changes that were received; those up to this version are skipped. Only the digest
-     * of the last change is checked, as the intermediate states are not built.
+     * Returns a later version, with received changes applied; those up to this version are skipped. Only the digest of
+     * the last change is checked, as the intermediate states are not built.
      *
      * @throws InvalidStateException if a version is missing, a document or the last digest is invalid, or a limit is
      *     exceeded
      */
-    VersionedState after(List<Change> changes) throws InvalidStateException {
+    VersionedState apply(List<Change> changes) throws InvalidStateException {
         TreeMap<String, String> next = new TreeMap<>(entries);
         long nextVersion = version;
         for (Change change : changes) {
--- a/src/test/java/beaconladder/discovery/EndpointWatchMovesTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchAddressChangeTest.java
@@ -15,7 +15,7 @@
 
 /** The address of discovery changes while watches back off, because the previous address refused connections. */
 @Timeout(60)
-class EndpointWatchMovesTest extends WatchedDiscovery {
+class EndpointWatchAddressChangeTest extends EndpointWatchTestBase {
     private static final int WATCHES = 8;
 
     @Test
--- a/src/test/java/beaconladder/discovery/FleetWatchTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchFleetTest.java
@@ -22,7 +22,7 @@
  * for whichever reason, each receives the next change, and few calls are rejected afterwards.
  */
 @Timeout(180)
-class FleetWatchTest {
+class EndpointWatchFleetTest {
     private static final int WATCHES = 30;
     private static final int HOSTS = 40;
     private static final int CALL_LINES = 30;
--- a/src/test/java/beaconladder/discovery/EndpointWatchTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchTest.java
@@ -25,7 +25,7 @@
  * The watch has to fetch the change by then, however calls fail.
  */
 @Timeout(90)
-class EndpointWatchTest extends WatchedDiscovery {
+class EndpointWatchTest extends EndpointWatchTestBase {
     private static final long NOTIFICATION_LIMIT_MILLIS = 6_000;
     private static final long SLACK_MILLIS = 50;
     /**
--- a/src/test/java/beaconladder/discovery/WatchedDiscovery.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchTestBase.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.AfterEach;
 
 /** Base class of tests that watch a stand-in for discovery. */
-abstract class WatchedDiscovery {
+abstract class EndpointWatchTestBase {
     static final long GRACE_MILLIS = 2_000;
     final List<AutoCloseable> closeables = new ArrayList<>();
 
--- a/src/test/java/beaconladder/discovery/EndpointWatchVersionsTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchVersionsTest.java
@@ -14,7 +14,7 @@
  * A watch requests missed changes since the version that it holds, and the complete list only if that is impossible.
  */
 @Timeout(90)
-class EndpointWatchVersionsTest extends WatchedDiscovery {
+class EndpointWatchVersionsTest extends EndpointWatchTestBase {
     /** After a timeout, a broken connection and a lost response only changes are requested; nothing is sent twice. */
     @Test
     void changesMissedByAWatchAreRequestedFromItsVersion() throws Exception {
--- a/src/test/java/beaconladder/feed/FaultySubscribers.java
+++ b/src/test/java/beaconladder/feed/FaultySubscribers.java
@@ -54,7 +54,7 @@
                 }
                 VersionedState next = update.changes().isEmpty() ? held : VersionedState.empty();
                 for (Change change : update.changes()) {
-                    next = next.after(new Proposal(next.version(), change.set(), change.remove()));
+                    next = next.apply(new Proposal(next.version(), change.set(), change.remove()));
                 }
                 return next;
             }
--- a/src/test/java/beaconladder/feed/FeedDoorsTest.java
+++ b/src/test/java/beaconladder/feed/FeedHttpTest.java
@@ -25,9 +25,9 @@
 
 /** Exact paths, query parameters and bodies of the HTTP interfaces of the log and of a relay. */
 @Timeout(60)
-class FeedDoorsTest {
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final Duration LONG = Duration.ofSeconds(20);
+class FeedHttpTest {
+    private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final String EMPTY_DIGEST = "2c0a8a99dc147d5445c3b49d035665b2";
     private static final String DIGEST = "6c5e0ed73a1bfccc0d349728d06dcea6";
     private static final String STATE = "{\"version\":1,\"entries\":{\"x\":\"1\"},\"digest\":\"" + DIGEST + "\"}";
@@ -89,15 +89,15 @@
     @Test
     void theRelayServesRoutersAndItsStatus() throws Exception {
         try (InMemoryLog log = new InMemoryLog();
-                Relay relay = new Relay("a", ANY, List.of(log.address()), null, 10)) {
+                Relay relay = new Relay("a", ANY_PORT, List.of(log.address()), null, 10)) {
             log.set("x", "1");
             String poll = "/v1/feed?wait=0&name=n&life=1&force=0&refused=0&counts=1&patient=1&since=0";
-            await().atMost(LONG)
+            await().atMost(TIMEOUT)
                     .untilAsserted(
                             () -> assertThat(send(relay.address(), poll, null)).isEqualTo("200 " + HEAD + CHANGES));
             assertThat(send(relay.address(), poll + "&whole=1", null).replaceAll("(\"lagMillis\":)\\d+", "$10"))
                     .isEqualTo("200 " + FULL_STATE);
-            await().atMost(LONG)
+            await().atMost(TIMEOUT)
                     .untilAsserted(() -> assertThat(send(log.address(), "/v1/feed/status", null))
                             .contains("\"counts\":[{\"version\":0,\"applied\":1,\"refused\":0}]"));
             assertThat(send(relay.address(), "/v1/relay", null)
@@ -113,7 +113,7 @@
     @Test
     void routersAndRelaysPollWithTheseParameters() throws Exception {
         BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-        HttpServer server = HttpServer.create(ANY, 10);
+        HttpServer server = HttpServer.create(ANY_PORT, 10);
         server.createContext("/", exchange -> {
             requests.add(exchange.getRequestURI().getRawPath() + "?"
                     + exchange.getRequestURI().getQuery());
@@ -130,7 +130,7 @@
             }
             TimeUnit.MILLISECONDS.sleep(100);
             requests.clear();
-            try (Relay relay = new Relay("r", ANY, List.of(server.getAddress()), null, 10)) {
+            try (Relay relay = new Relay("r", ANY_PORT, List.of(server.getAddress()), null, 10)) {
                 assertThat(relay).isNotNull();
                 assertThat(requests.poll(20, TimeUnit.SECONDS))
                         .isEqualTo("/v1/feed?since=0&wait=500&relay=r"
--- a/src/test/java/beaconladder/feed/StoredFeedTest.java
+++ b/src/test/java/beaconladder/feed/StoredFeedTest.java
@@ -28,8 +28,8 @@
 @Timeout(60)
 class StoredFeedTest {
     private static final Path STORED = Path.of("src/test/resources/stored");
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final Duration LONG = Duration.ofSeconds(20);
+    private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final List<Proposal> PROPOSALS = List.of(
             new Proposal(0, Map.of("settings", "limit=10", "plan.eu", "pool=a"), List.of()),
             new Proposal(1, Map.of("plan.us", "pool=\"b\"\nname=\u00fc"), List.of()),
@@ -97,7 +97,7 @@
                             Map.entry("plan.us", "pool=\"b\"\nname=\u00fc"), Map.entry("settings", "limit=20"));
             assertThat(state.digest()).isEqualTo(DIGEST).isEqualTo(state.computeDigest());
             assertThat(store.stored().confirmedAtMillis()).isEqualTo(1796225597712L);
-            store.save(state.after(new Proposal(3, Map.of("plan.us", "pool=c"), List.of())), 99);
+            store.save(state.apply(new Proposal(3, Map.of("plan.us", "pool=c"), List.of())), 99);
         }
         assertThat(record(folder)).isEqualTo("{\"state\":" + NEXT_STATE + ",\"heard\":99}");
     }
@@ -111,7 +111,7 @@
         RecordingApplier applier = new RecordingApplier();
         try (Subscriber router = new Subscriber("n", 2, Map.of("a", unreachable), copy("feed-router"), applier)) {
             run(router);
-            await().atMost(LONG).until(() -> router.appliedVersion() == 3);
+            await().atMost(TIMEOUT).until(() -> router.appliedVersion() == 3);
         }
         assertThat(FeedJson.text(applier.last())).isEqualTo(STATE);
     }
@@ -121,16 +121,16 @@
         Path folder = copy("feed-router");
         RecordingApplier applier = new RecordingApplier();
         try (InMemoryLog log = log();
-                Relay relay = new Relay("a", ANY, List.of(log.address()), null, 10);
+                Relay relay = new Relay("a", ANY_PORT, List.of(log.address()), null, 10);
                 Subscriber router = new Subscriber("n", 2, Map.of("a", relay.address()), folder, applier)) {
             assertThat(FeedJson.text(router.storedState())).isEqualTo(STATE);
             run(router);
-            await().atMost(LONG).until(() -> router.appliedVersion() == 3);
+            await().atMost(TIMEOUT).until(() -> router.appliedVersion() == 3);
             log.set("plan.us", "pool=c");
-            await().atMost(LONG).until(() -> router.appliedVersion() == 4);
+            await().atMost(TIMEOUT).until(() -> router.appliedVersion() == 4);
         }
         assertThat(FeedJson.text(applier.last())).isEqualTo(NEXT_STATE);
-        await().atMost(LONG)
+        await().atMost(TIMEOUT)
                 .ignoreExceptions()
                 .untilAsserted(() -> assertThat(record(folder)).startsWith("{\"state\":" + NEXT_STATE + ",\"heard\":"));
     }
@@ -141,18 +141,18 @@
         String poll = "/v1/feed?since=0&wait=0&name=n&life=1&force=0&refused=0";
         try (InMemoryLog log = log()) {
             log.setLeader(false);
-            try (Relay relay = new Relay("a", ANY, List.of(log.address()), folder, 10)) {
+            try (Relay relay = new Relay("a", ANY_PORT, List.of(log.address()), folder, 10)) {
                 assertThat(get(relay.address(), poll))
                         .isEqualTo("{\"version\":3,\"digest\":\"" + DIGEST + "\",\"lagMillis\":1000000000000,\"base\":"
                                 + STATE + ",\"changes\":[]}");
                 log.setLeader(true);
                 log.set("plan.us", "pool=c");
-                await().atMost(LONG)
+                await().atMost(TIMEOUT)
                         .untilAsserted(
                                 () -> assertThat(get(relay.address(), poll)).contains("\"base\":" + NEXT_STATE));
             }
         }
-        await().atMost(LONG)
+        await().atMost(TIMEOUT)
                 .ignoreExceptions()
                 .untilAsserted(() -> assertThat(record(folder)).startsWith("{\"state\":" + NEXT_STATE + ",\"heard\":"));
     }
@@ -164,17 +164,17 @@
     public static void main(String[] args) throws Exception {
         Path into = Path.of(args[0]);
         try (InMemoryLog log = new InMemoryLog();
-                Relay relay = new Relay("a", ANY, List.of(log.address()), into.resolve("feed-relay"), 10);
+                Relay relay = new Relay("a", ANY_PORT, List.of(log.address()), into.resolve("feed-relay"), 10);
                 Subscriber router = new Subscriber(
                         "n", 1, Map.of("a", relay.address()), into.resolve("feed-router"), new RecordingApplier())) {
             run(router);
             for (Proposal proposal : PROPOSALS) {
                 log.commit(proposal);
-                await().atMost(LONG).until(() -> router.appliedVersion() == proposal.baseVersion() + 1);
+                await().atMost(TIMEOUT).until(() -> router.appliedVersion() == proposal.baseVersion() + 1);
             }
         }
         for (String name : List.of("feed-router", "feed-relay")) {
-            await().atMost(LONG)
+            await().atMost(TIMEOUT)
                     .ignoreExceptions()
                     .until(() -> !record(into.resolve(name)).isEmpty());
         }
--- a/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
+++ b/src/test/java/beaconladder/feed/SubscriberDiskFaultTest.java
@@ -24,8 +24,8 @@
 /** A subscriber in its own process while writes to its folder fail. */
 @Timeout(120)
 class SubscriberDiskFaultTest {
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final Duration LONG = Duration.ofSeconds(20);
+    private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final int ENOSPC = 28;
     private static final int EIO = 5;
     private static final long FAULT_MILLIS = 3_000;
@@ -79,7 +79,7 @@
     @BeforeEach
     void startFeed() throws Exception {
         log = new InMemoryLog();
-        relay = new Relay("a", ANY, List.of(log.address()), null, 10);
+        relay = new Relay("a", ANY_PORT, List.of(log.address()), null, 10);
         plan = new FaultPlan(folder.resolve("plan"));
         Files.createDirectory(folder.resolve("store"));
         start();
@@ -112,7 +112,7 @@
     }
 
     private void awaitLine(String line) {
-        await().atMost(LONG)
+        await().atMost(TIMEOUT)
                 .untilAsserted(
                         () -> assertThat(Files.readString(output).lines()).contains(line));
     }
@@ -143,7 +143,7 @@
         log.set("late", "1");
         awaitLine("applying 2");
         plan.set(Field.FILE_ERRNO, ENOSPC);
-        await().atMost(LONG).until(() -> Files.readString(output).contains("version 2 is rejected"));
+        await().atMost(TIMEOUT).until(() -> Files.readString(output).contains("version 2 is rejected"));
         Thread.sleep(FAULT_MILLIS);
         plan.clear();
         Thread.sleep(FAULT_MILLIS);
