--- a/src/main/java/beaconladder/discovery/EndpointWatch.java
+++ b/src/main/java/beaconladder/discovery/EndpointWatch.java
@@ -199,7 +199,7 @@
                 && (update.version() < version
                         || update.version() == version && !update.entries().isEmpty())) {
             throw new EndpointListReader.InvalidListException(
-                    "changes up to version " + update.version() + " since " + version);
+                    "changes up to version " + update.version() + " do not continue version " + version);
         }
     }
 
--- a/src/main/java/beaconladder/feed/LogFollower.java
+++ b/src/main/java/beaconladder/feed/LogFollower.java
@@ -95,7 +95,7 @@
             pause(ROUND_PAUSE_MILLIS / 2 + random.nextInt(ROUND_PAUSE_MILLIS));
         }
         if (!isDisconnected && lagMillis() > Subscriber.STALE_LAG_MILLIS) {
-            LOG.warn("relay {} has lost the log: {}", name, cause.getMessage());
+            LOG.warn("relay {} can't reach the log's leader: {}", name, cause.getMessage());
             isDisconnected = true;
             // Responds to waiting polls with the present lag, so that their routers can fail over.
             versions.wakeAll();
--- a/src/test/java/beaconladder/discovery/EndpointWatchFleetTest.java
+++ b/src/test/java/beaconladder/discovery/EndpointWatchFleetTest.java
@@ -26,7 +26,7 @@
     private static final int WATCHES = 30;
     private static final int HOSTS = 40;
     private static final int CALL_LINES = 30;
-    private static final int CAPACITY_LINES = WATCHES * (HOSTS + CALL_LINES) / 3;
+    private static final int LINES_PER_SECOND = WATCHES * (HOSTS + CALL_LINES) / 3;
     private static final int QUEUE_MILLIS = 1_000;
     /** Twice the notification limit, as the machine may be busy. */
     private static final Duration RECEIPT_TIMEOUT = Duration.ofSeconds(12);
@@ -103,7 +103,7 @@
     }
 
     private static Capacity capacity() {
-        return new Capacity(CAPACITY_LINES, CALL_LINES, QUEUE_MILLIS);
+        return new Capacity(LINES_PER_SECOND, CALL_LINES, QUEUE_MILLIS);
     }
 
     private void startAll() throws Exception {
