--- a/src/main/java/beaconladder/feed/VersionCounts.java
+++ b/src/main/java/beaconladder/feed/VersionCounts.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How many routers applied or rejected each version, newest first. */
+/** Counts the routers that applied or rejected each version, newest version first. */
 final class VersionCounts {
     private static final int APPLIED = 0;
     private static final int REJECTED = 1;
@@ -19,11 +19,11 @@
         counts[REJECTED] += rejected;
     }
 
-    /** The newest versions, at most so many. */
-    List<RelayReport.Count> newest(int max) {
+    /** Returns the counts of the newest versions, at most {@code maxVersions}. */
+    List<RelayReport.Count> newest(int maxVersions) {
         List<RelayReport.Count> newest = new ArrayList<>();
         for (Map.Entry<Long, int[]> entry : countsByVersion.entrySet()) {
-            if (newest.size() == max) {
+            if (newest.size() == maxVersions) {
                 break;
             }
             newest.add(new RelayReport.Count(entry.getKey(), entry.getValue()[APPLIED], entry.getValue()[REJECTED]));
@@ -31,10 +31,10 @@
         return newest;
     }
 
-    /** Routers with a version in force that is not among the newest so many. */
-    int appliedBeyond(int max) {
+    /** Returns how many routers have applied a version that is not among the {@code maxVersions} newest. */
+    int countAppliedBeyond(int maxVersions) {
         return countsByVersion.values().stream()
-                .skip(max)
+                .skip(maxVersions)
                 .mapToInt(counts -> counts[APPLIED])
                 .sum();
     }
