--- a/src/main/java/beaconladder/server/CellDispatcher.java
+++ b/src/main/java/beaconladder/server/CellDispatcher.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.BooleanSupplier;
 
-/** Admission to cells and their placement, under the dispatcher's lock and by its clock. */
+/** Runs the operations of {@link CellAdmission} under the dispatcher's lock and with the time of its clock. */
 final class CellDispatcher {
-    /** How often a queued request checks whether its client is still connected. */
+    /** The interval at which a queued request's client is checked for having disconnected. */
     private static final long CLIENT_CHECK_NANOS = 50_000_000;
 
     private final RequestDispatcher dispatcher;
@@ -34,28 +34,43 @@
     /**
      * Admits or rejects a request; waits while it is queued.
      *
-     * @param clientGone whether the client has disconnected or cancelled it: then the result is null
+     * @param sessionKey the key of the request's session
+     * @param namedGroup the number of the group that the client names
+     * @param classIndex the index of its request class
+     * @param bytes the length of its query
+     * @param arrivedNanos when its time budget began to run
+     * @param expiryNanos its deadline
+     * @param isAbandoned whether the client has disconnected or has cancelled the request
+     * @return the decision, or null where the request was abandoned while it was queued
      */
     AdmissionDecision admit(
             String tenant,
-            long key,
-            int named,
+            long sessionKey,
+            int namedGroup,
             boolean write,
-            int type,
-            long size,
-            InetAddress from,
-            long arrived,
-            long expiry,
-            BooleanSupplier clientGone)
+            int classIndex,
+            long bytes,
+            InetAddress clientAddress,
+            long arrivedNanos,
+            long expiryNanos,
+            BooleanSupplier isAbandoned)
             throws InterruptedException {
         lock.lock();
         try {
             AdmissionDecision decision = admission.admit(
                     new AdmissionRequest(
-                            tenant, key, named, write, dispatcher.priorityWeight(type), size, from, arrived, expiry),
+                            tenant,
+                            sessionKey,
+                            namedGroup,
+                            write,
+                            dispatcher.priorityWeight(classIndex),
+                            bytes,
+                            clientAddress,
+                            arrivedNanos,
+                            expiryNanos),
                     dispatcher.nowNanos());
             while (decision.kind() == AdmissionDecision.Kind.QUEUE) {
-                if (clientGone.getAsBoolean()) {
+                if (isAbandoned.getAsBoolean()) {
                     admission.release(decision.permit());
                     return null;
                 }
@@ -74,7 +89,7 @@
         }
     }
 
-    /** Returns the permit of a request that is not submitted after all. */
+    /** Releases the permit of a request that was admitted and is not submitted. */
     void releasePermit(AdmissionPermit permit) {
         lock.lock();
         try {
@@ -84,7 +99,7 @@
         }
     }
 
-    /** Counts one more connection of this permit's cell; false where its quota does not allow it. */
+    /** Counts one more connection of this permit's cell; returns false where its quota does not allow it. */
     boolean admitConnection(AdmissionPermit permit) {
         lock.lock();
         try {
@@ -103,7 +118,7 @@
         }
     }
 
-    /** Whether the cell of this permit uses more connections than its own quota. */
+    /** Returns whether the cell of this permit uses more connections than its own quota. */
     boolean borrowsConnections(AdmissionPermit permit) {
         lock.lock();
         try {
@@ -122,7 +137,8 @@
         }
     }
 
-    List<WriteActivity> busyTenants() {
+    /** The writes of the tenants that are being migrated, as they are reported to the coordinator. */
+    List<WriteActivity> writeActivity() {
         lock.lock();
         try {
             return admission.writeActivity(dispatcher.nowNanos());
@@ -131,7 +147,7 @@
         }
     }
 
-    /** Applies a placement of the coordinator and wakes the queued requests. */
+    /** Applies a placement that the coordinator granted, and rechecks the queued requests. */
     void updatePlacement(PlacementTable placement) {
         dispatcher.applyEvent(now -> {
             for (int number : admission.applyPlacement(placement)) {
@@ -144,15 +160,15 @@
         });
     }
 
-    /** Replaces the plan; returns why it can't, or null where it did. */
+    /** Replaces the plan by a compatible one; returns null, or why the plan was not replaced. */
     String replacePlan(StaticPlacement next) {
         lock.lock();
         try {
-            String objection = admission.incompatibility(next);
-            if (objection == null) {
+            String incompatibility = admission.incompatibility(next);
+            if (incompatibility == null) {
                 admission.replacePlan(next);
             }
-            return objection;
+            return incompatibility;
         } finally {
             lock.unlock();
         }
--- a/src/test/java/beaconladder/server/PlacementWatcherTest.java
+++ b/src/test/java/beaconladder/server/PlacementWatcherTest.java
@@ -23,10 +23,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a router asks of the keeper and reads in its answer, as literals. */
+/** The request that a router sends to the coordinator for its placement, and the response, as literals on the wire. */
 @Timeout(60)
 class PlacementWatcherTest {
-    private static final String ANSWER = """
+    private static final String RESPONSE = """
             {"version":7,"until_ms":1234,"basis":"beef","seats":[\
             {"tenant":"t","cell":"a","writes":true,"reads":false,"moving":false,"floors_ms":[]},\
             {"tenant":"u","cell":"b","writes":false,"reads":true,"moving":true,"floors_ms":[3,5]}]}""";
@@ -34,58 +34,59 @@
     private static final String PLAN =
             "(cell a (groups 0)) (cell b (groups 1)) (tenant t (cell a)) (tenant u (cell b))";
 
-    private static RequestDispatcher desk() {
-        Map<String, String> start = new LinkedHashMap<>(
+    private static RequestDispatcher dispatcher() {
+        Map<String, String> settings = new LinkedHashMap<>(
                 Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east"));
-        RequestDispatcher desk = new RequestDispatcher(
+        RequestDispatcher dispatcher = new RequestDispatcher(
                 1,
-                start,
+                settings,
                 new CellAdmission(
                         "n0",
                         new StaticPlacement(PlanReader.read("p", PLAN).plan()),
                         RouterCapacity.ofThreads(8, 8, 1 << 20)));
-        desk.setHostActions(new ServerConnectionPool(
-                desk,
-                start,
+        dispatcher.setHostActions(new ServerConnectionPool(
+                dispatcher,
+                settings,
                 task -> {
                     task.run();
                     return true;
                 },
                 new MemoryLimit(0),
                 new DescriptorLimit(64),
-                (address, room) -> {
-                    throw new IOException("nobody there");
+                (address, memory) -> {
+                    throw new IOException("no host at this address");
                 }));
-        return desk;
+        return dispatcher;
     }
 
     @Test
-    void aRouterAsksAndReadsUnderTheseNames() throws Exception {
-        BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-        HttpServer keeper = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        keeper.createContext("/", exchange -> {
-            asked.add(exchange.getRequestURI().toString());
-            byte[] body = ANSWER.getBytes(StandardCharsets.UTF_8);
+    void requestAndResponseUseTheNamesOfTheWireFormat() throws Exception {
+        BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+        HttpServer coordinator = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
+        coordinator.createContext("/", exchange -> {
+            requests.add(exchange.getRequestURI().toString());
+            byte[] body = RESPONSE.getBytes(StandardCharsets.UTF_8);
             exchange.sendResponseHeaders(200, body.length);
             exchange.getResponseBody().write(body);
             exchange.close();
         });
-        keeper.start();
-        RequestDispatcher desk = desk();
-        PlacementWatcher placements = new PlacementWatcher(keeper.getAddress(), 1_000_000_000L, "n0", "r1", desk);
-        Thread thread = new Thread(placements, "placements");
+        coordinator.start();
+        RequestDispatcher dispatcher = dispatcher();
+        PlacementWatcher watcher =
+                new PlacementWatcher(coordinator.getAddress(), 1_000_000_000L, "n0", "r1", dispatcher);
+        Thread thread = new Thread(watcher, "placement-watcher");
         try {
             thread.start();
-            assertThat(asked.poll(30, TimeUnit.SECONDS))
+            assertThat(requests.poll(30, TimeUnit.SECONDS))
                     .isEqualTo("/v1/placement?router=n0&run=r1&version=0&wait=333&busy=");
-            assertThat(asked.poll(30, TimeUnit.SECONDS))
+            assertThat(requests.poll(30, TimeUnit.SECONDS))
                     .isEqualTo("/v1/placement?router=n0&run=r1&version=7&wait=10&busy=u:0");
         } finally {
-            placements.stop();
+            watcher.stop();
             thread.join();
-            keeper.stop(0);
+            coordinator.stop(0);
         }
-        assertThat(desk.cells().placement())
+        assertThat(dispatcher.cells().placement())
                 .isEqualTo(new PlacementTable(
                         7,
                         1_234_000_000L,
