--- a/src/main/java/beaconladder/server/Admission.java
+++ b/src/main/java/beaconladder/server/Admission.java
@@ -5,14 +5,14 @@
 import beaconladder.pg.MessageWriter;
 import java.util.function.BooleanSupplier;
 
-/** Where there are cells: admits a client's requests, and counts its connection towards its tenant's quota. */
+/** Admits a client's requests to cells, and counts the client's connection towards its tenant's quota. */
 final class Admission {
     /**
-     * Whether a request is admitted.
+     * The result of admission.
      *
-     * @param permit null where it is not
-     * @param answer the answer to the client where it is not admitted
-     * @param closesConnection whether its connection closes after that answer
+     * @param permit the permit of an admitted request, or null where the request is not admitted
+     * @param answer the answer to the client, or null where the request is admitted
+     * @param closesConnection whether the client's connection closes after the answer
      */
     record Result(AdmissionPermit permit, MessageWriter answer, boolean closesConnection) {
         static Result admitted(AdmissionPermit permit) {
@@ -27,7 +27,9 @@
     private final RequestDispatcher dispatcher;
     private final ClientChannel channel;
     private final PipelineQueue queue;
-    /** The permit by which the connection counts towards a tenant's quota, or null; guarded by this. */
+    /**
+     * The permit by which the connection counts towards its tenant's quota, or null; guarded by this object's monitor.
+     */
     private AdmissionPermit connectionPermit;
 
     Admission(RequestDispatcher dispatcher, ClientChannel channel, PipelineQueue queue) {
@@ -36,8 +38,8 @@
         this.queue = queue;
     }
 
-    /** Asks the cell to admit a request, and waits for its decision until the request is abandoned. */
-    Result admit(ParsedQuery query, int size, long arrivedNanos, long expiryNanos, BooleanSupplier isAbandoned)
+    /** Admits or rejects a request; waits while it is queued, unless it is abandoned. */
+    Result admit(ParsedQuery query, int bytes, long arrivedNanos, long expiryNanos, BooleanSupplier isAbandoned)
             throws InterruptedException {
         String tenant = query.statement().parameter("t");
         AdmissionDecision decision = dispatcher
@@ -48,7 +50,7 @@
                         query.groupNumber(),
                         query.writes(dispatcher),
                         query.classIndex(),
-                        size,
+                        bytes,
                         channel.remoteAddress(),
                         arrivedNanos,
                         expiryNanos,
@@ -78,7 +80,10 @@
         }
     }
 
-    /** The first request shows the connection's tenant; false when the tenant has no quota for one more connection. */
+    /**
+     * Counts the connection towards the quota of the tenant that its first request names; returns false where the quota
+     * does not allow one more connection.
+     */
     private boolean admitConnection(AdmissionPermit permit) {
         if (connectionPermit() != null || queue.isClosed()) {
             return true;
@@ -101,7 +106,7 @@
         return connectionPermit;
     }
 
-    /** The connection has closed: it no longer counts towards its tenant's quota. */
+    /** Removes a closed connection from its tenant's quota. */
     void releaseConnection() {
         AdmissionPermit released;
         synchronized (this) {
--- a/src/main/java/beaconladder/server/AttemptEvents.java
+++ b/src/main/java/beaconladder/server/AttemptEvents.java
@@ -11,7 +11,7 @@
 import beaconladder.routing.state.Host;
 import java.util.concurrent.locks.ReentrantLock;
 
-/** What exchanges with hosts ask and report: whether an attempt may be sent, that it was sent, how it ended. */
+/** Applies the events of exchanges with hosts: decides whether an attempt may be sent, and records how it ended. */
 final class AttemptEvents {
     private final RequestDispatcher dispatcher;
     private final ReentrantLock lock;
@@ -38,7 +38,7 @@
         this.monitor = monitor;
     }
 
-    /** Whether this attempt may still be sent; asked right before its first byte, as connecting takes time. */
+    /** Returns whether this attempt may still be sent; called right before its first byte, as connecting takes time. */
     boolean maySend(Attempt attempt) {
         lock.lock();
         try {
@@ -53,13 +53,13 @@
         }
     }
 
-    /** The time budget in nanoseconds to state to a host where so much of the attempt's time remains. */
-    long statedBudgetNanos(long remainingNanos) {
+    /** The time budget in nanoseconds to state to a host, for an attempt with this much time remaining. */
+    long advertisedTimeoutNanos(long remainingNanos) {
         return router.advertisedTimeoutNanos(remainingNanos);
     }
 
-    /** The query of an attempt has been written: checks the invariants on it. */
-    void sent(SentAttempt sent) {
+    /** Checks the invariants on an attempt whose query has been written. */
+    void attemptSent(SentAttempt sent) {
         lock.lock();
         try {
             monitor.invariants().checkAttempt(sent);
@@ -68,25 +68,38 @@
         }
     }
 
-    /** An attempt has ended: lets the policy decide what follows, and passes a committed response on. */
-    void attemptEnded(Attempt attempt, Outcome outcome, HostReport answer, HostReport report, MessageWriter messages) {
+    /**
+     * Records the end of an attempt, carries out what the policy decides on it, and passes a committed response on.
+     *
+     * @param responseReport what the response itself states about the host
+     * @param loadReport what the load report sent with the response states
+     * @param messages the response, or null where it is not complete
+     */
+    void attemptEnded(
+            Attempt attempt,
+            Outcome outcome,
+            HostReport responseReport,
+            HostReport loadReport,
+            MessageWriter messages) {
         dispatcher.applyEvent(now -> {
             if (attempt.ended) {
                 return;
             }
             trace.attemptEnded(attempt, outcome, now);
             monitor.counters().add(attempt.index == 0 ? "first_attempt" : "retry", outcome);
-            boolean finished = attempt.request.ended || outcome == Outcome.COMMITTED;
+            boolean settled = attempt.request.ended || outcome == Outcome.COMMITTED;
             InFlightRequest request = pendingActions.find(attempt.request);
             decisionLoop.execute(
-                    attempt.request, router.onAttemptEnded(attempt, outcome, finished, answer, report, now), now);
+                    attempt.request,
+                    router.onAttemptEnded(attempt, outcome, settled, responseReport, loadReport, now),
+                    now);
             if (request != null && outcome == Outcome.COMMITTED) {
                 request.enqueue(InFlightRequest.Command.committed(attempt, messages));
             }
         });
     }
 
-    /** A health check of this host has ended. */
+    /** Records the end of a health check of this host. */
     void healthCheckEnded(Host host, Outcome outcome, HostReport report) {
         dispatcher.applyEvent(now -> {
             trace.healthCheckEnded(host, outcome, host.lastProbeNanos, now);
--- a/src/main/java/beaconladder/server/ExchangeResult.java
+++ b/src/main/java/beaconladder/server/ExchangeResult.java
@@ -8,7 +8,7 @@
 /**
  * How an exchange with a host ended, and how far it got.
  *
- * @param reach how far it got
+ * @param progress how far it got
  * @param errorCode the host's SQLSTATE, or null where it reported no error
  * @param complete whether a complete, valid response with its row was received
  * @param timedOut whether the wait for the response timed out
@@ -17,7 +17,7 @@
  * @param reusable whether the connection can serve another exchange
  */
 record ExchangeResult(
-        Reach reach,
+        Progress progress,
         String errorCode,
         boolean complete,
         boolean timedOut,
@@ -29,53 +29,54 @@
     private static final String INVALID_RESPONSE = "";
 
     /** How far an exchange had got when it ended. */
-    enum Reach {
+    enum Progress {
         NOT_CONNECTED,
-        PART_WRITTEN,
-        WRITTEN,
-        ANSWER_BEGUN
+        QUERY_INCOMPLETE,
+        QUERY_WRITTEN,
+        RESPONSE_BEGUN
     }
 
     /**
      * What a host reports about itself in parameter status messages.
      *
      * @param role its role, or {@link Role#UNKNOWN}
-     * @param positionNanos its replication position in nanoseconds, or {@link HostReport#NONE}
+     * @param positionNanos its replication position in nanoseconds, or {@link HostReport#NO_POSITION}
      * @param load its load report, not yet parsed, or null
      */
     record HostStatus(Role role, long positionNanos, String load) {
         static final HostStatus UNKNOWN = new HostStatus(Role.UNKNOWN, HostReport.NO_POSITION, null);
     }
 
-    /** The exchange ended before any of the response was awaited. */
-    static ExchangeResult unanswered(Reach reach) {
-        return interrupted(reach, false);
+    /** The result of an exchange that ended before a response was awaited. */
+    static ExchangeResult unanswered(Progress progress) {
+        return interrupted(progress, false);
     }
 
-    /** The connection broke or the wait timed out before a complete response; what was received is discarded. */
-    static ExchangeResult interrupted(Reach reach, boolean timedOut) {
-        return new ExchangeResult(reach, null, false, timedOut, HostStatus.UNKNOWN, null, false);
+    /** The result where the connection broke or the wait timed out before a complete response, which is discarded. */
+    static ExchangeResult interrupted(Progress progress, boolean timedOut) {
+        return new ExchangeResult(progress, null, false, timedOut, HostStatus.UNKNOWN, null, false);
     }
 
-    /** The response violates the protocol: the query may have run, and nothing that the response states counts. */
+    /** The result of a response that violates the protocol: the query may have run; the content is ignored. */
     static ExchangeResult invalidResponse() {
-        return new ExchangeResult(Reach.ANSWER_BEGUN, INVALID_RESPONSE, false, false, HostStatus.UNKNOWN, null, false);
+        return new ExchangeResult(
+                Progress.RESPONSE_BEGUN, INVALID_RESPONSE, false, false, HostStatus.UNKNOWN, null, false);
     }
 
-    /** The host closed the connection, possibly after an error; the error code, if any, counts. */
-    static ExchangeResult closedByHost(Reach reach, String errorCode, HostStatus status) {
-        return new ExchangeResult(reach, errorCode, false, false, status, null, false);
+    /** The result where the host closed the connection; the error code is that of an error sent before, or null. */
+    static ExchangeResult closedByHost(Progress progress, String errorCode, HostStatus status) {
+        return new ExchangeResult(progress, errorCode, false, false, status, null, false);
     }
 
-    /** The response ended as the protocol requires: with a row, or with an error where there is a code. */
+    /** The result of a valid response: an error where there is an error code, a row otherwise. */
     static ExchangeResult finished(
-            Reach reach, String errorCode, HostStatus status, MessageWriter messages, boolean reusable) {
-        return new ExchangeResult(reach, errorCode, errorCode == null, false, status, messages, reusable);
+            Progress progress, String errorCode, HostStatus status, MessageWriter messages, boolean reusable) {
+        return new ExchangeResult(progress, errorCode, errorCode == null, false, status, messages, reusable);
     }
 
     /** The outcome in the terms of the routing policy. */
     Outcome outcome() {
-        if (reach == Reach.NOT_CONNECTED || reach == Reach.PART_WRITTEN) {
+        if (progress == Progress.NOT_CONNECTED || progress == Progress.QUERY_INCOMPLETE) {
             return Outcome.UNREACHABLE;
         }
         if (complete) {
@@ -91,14 +92,14 @@
         return timedOut ? Outcome.TIMED_OUT : Outcome.RESET;
     }
 
-    /** What the response itself states about the host: exact at the time of the response. */
-    HostReport statedByResponse() {
+    /** The host's report in the response itself, which is exact at the time of the response. */
+    HostReport responseReport() {
         return status.role() == Role.UNKNOWN && status.positionNanos() == HostReport.NO_POSITION
                 ? HostReport.EMPTY
                 : new HostReport(status.role(), status.positionNanos(), -1);
     }
 
-    /** What the load report that accompanied the response states. */
+    /** The load report that the host sent with the response. */
     HostReport loadReport() {
         return LoadReportParser.parse(status.load());
     }
--- a/src/main/java/beaconladder/server/HostActions.java
+++ b/src/main/java/beaconladder/server/HostActions.java
@@ -3,7 +3,7 @@
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Host;
 
-/** Actions on connections to hosts outside the requests' own tasks; run without the dispatcher's lock. */
+/** Actions on connections to hosts that run outside of the requests' tasks, without the dispatcher's lock. */
 interface HostActions {
     /** Starts a health check of this host. */
     void probe(Host host);
@@ -11,9 +11,9 @@
     /** Closes the idle connections to this host. */
     void closeIdle(Host host);
 
-    /** Starts an attempt whose request's task is busy with another one. */
+    /** Starts an attempt of a request whose task is busy with another attempt. */
     void start(InFlightRequest request, InFlightRequest.Command command);
 
-    /** Cancels this attempt by closing its connection; without effect where it has ended. */
+    /** Cancels this attempt by closing its connection; has no effect on one that has ended. */
     void cancel(Attempt attempt);
 }
--- a/src/main/java/beaconladder/server/HostExchange.java
+++ b/src/main/java/beaconladder/server/HostExchange.java
@@ -7,15 +7,15 @@
 import beaconladder.routing.api.Router.Outcome;
 import beaconladder.routing.state.Attempt;
 import beaconladder.routing.state.Host;
-import beaconladder.server.ExchangeResult.Reach;
+import beaconladder.server.ExchangeResult.Progress;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One exchange with a host on the thread that runs it: an attempt of a request, or a health check. Any thread may
- * cancel it; the connection and the flag of the cancellation are guarded by this object's monitor.
+ * An exchange with a host, on the thread that runs it: an attempt of a request, or a health check. Any thread may
+ * cancel it; the connection and the cancellation flag are guarded by this object's monitor.
  */
 final class HostExchange implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(HostExchange.class);
@@ -25,7 +25,7 @@
     private final Host host;
     private final Attempt attempt;
     private final Statement statement;
-    private final long untilNanos;
+    private final long deadlineNanos;
     /** The connection in use, or null before and after. */
     private ServerConnection connection;
 
@@ -38,8 +38,9 @@
     /**
      * An exchange that has not begun.
      *
-     * @param attempt what is sent, or null for a health check
-     * @param untilNanos when it has to end, on System.nanoTime's clock
+     * @param attempt the attempt to send, or null for a health check
+     * @param statement the attempt's statement, or null for a health check
+     * @param deadlineNanos when the exchange has to end, on System.nanoTime's clock
      */
     HostExchange(
             ServerConnectionPool pool,
@@ -47,35 +48,36 @@
             Host host,
             Attempt attempt,
             Statement statement,
-            long untilNanos) {
+            long deadlineNanos) {
         this.pool = pool;
         this.dispatcher = dispatcher;
         this.host = host;
         this.attempt = attempt;
         this.statement = statement;
-        this.untilNanos = untilNanos;
+        this.deadlineNanos = deadlineNanos;
     }
 
     @Override
     public void run() {
         pool.register(this);
-        ExchangeResult result = ExchangeResult.unanswered(Reach.NOT_CONNECTED);
+        ExchangeResult result = ExchangeResult.unanswered(Progress.NOT_CONNECTED);
         boolean notSent = false;
         try {
             boolean connected = connect();
-            // Where its own time ran out before it was sent, that is no evidence against the host.
+            // An attempt whose time ran out before it was sent is no evidence against the host.
             notSent = attempt != null
-                    && (connected ? !dispatcher.attemptEvents().maySend(attempt) : System.nanoTime() >= untilNanos);
+                    && (connected ? !dispatcher.attemptEvents().maySend(attempt) : System.nanoTime() >= deadlineNanos);
             if (connected && !notSent) {
                 result = exchange();
             }
         } catch (RuntimeException | Error e) {
-            // The request needs an outcome in any case, and what was written may have run.
-            LOG.error("an exchange with a host ends by an internal error", e);
-            result = ExchangeResult.unanswered(writeBegun ? Reach.WRITTEN : Reach.NOT_CONNECTED);
+            // The request needs an outcome in any case, and a query that was written may have run.
+            LOG.error("internal error in an exchange with a host", e);
+            result = ExchangeResult.unanswered(writeBegun ? Progress.QUERY_WRITTEN : Progress.NOT_CONNECTED);
         }
         pool.unregister(this);
-        boolean wasCancelled = finish(connection != null && (notSent ? connection.isEstablished() : result.reusable()));
+        boolean wasCancelled =
+                releaseConnection(connection != null && (notSent ? connection.isEstablished() : result.reusable()));
         if (attempt == null) {
             reportHealthCheck(result);
         } else {
@@ -99,41 +101,41 @@
         }
         dispatcher
                 .attemptEvents()
-                .attemptEnded(attempt, outcome, result.statedByResponse(), result.loadReport(), result.messages());
+                .attemptEnded(attempt, outcome, result.responseReport(), result.loadReport(), result.messages());
     }
 
     private ExchangeResult exchange() {
         if (attempt == null) {
             writeBegun = true;
             return connection.send(MessageWriter.query(pool.healthCheckQuery()))
-                    ? connection.receive(untilNanos)
-                    : ExchangeResult.unanswered(Reach.PART_WRITTEN);
+                    ? connection.receive(deadlineNanos)
+                    : ExchangeResult.unanswered(Progress.QUERY_INCOMPLETE);
         }
         long writeBeginNanos = dispatcher.nowNanos();
-        long budgetMillis =
-                Math.max(1, dispatcher.attemptEvents().statedBudgetNanos(untilNanos - System.nanoTime()) / 1_000_000);
+        long budgetMillis = Math.max(
+                1, dispatcher.attemptEvents().advertisedTimeoutNanos(deadlineNanos - System.nanoTime()) / 1_000_000);
         MessageWriter query = MessageWriter.query(statement.withDelayMillis(budgetMillis));
         writeBegun = true;
         if (!connection.send(query)) {
-            return ExchangeResult.unanswered(Reach.PART_WRITTEN);
+            return ExchangeResult.unanswered(Progress.QUERY_INCOMPLETE);
         }
-        // Read before the check, which waits for the dispatcher's lock.
+        // Read before attemptSent, which waits for the dispatcher's lock: the wait is not part of the write.
         long writeEndNanos = dispatcher.nowNanos();
         dispatcher
                 .attemptEvents()
-                .sent(new SentAttempt(attempt, writeBeginNanos, writeEndNanos, budgetMillis * 1_000_000));
-        return connection.receive(untilNanos);
+                .attemptSent(new SentAttempt(attempt, writeBeginNanos, writeEndNanos, budgetMillis * 1_000_000));
+        return connection.receive(deadlineNanos);
     }
 
-    /** Takes an idle connection that is still open, or opens one; false where there is none in time. */
+    /** Takes an idle connection that is still open, or opens one; returns false where neither succeeds in time. */
     private boolean connect() {
         InetSocketAddress address = dispatcher.address(host);
         while (address != null) {
-            ServerConnection candidate = pool.idle().take(host, System.nanoTime() - dispatcher.keepIdleNanos());
+            ServerConnection candidate = pool.idle().take(host, System.nanoTime() - dispatcher.maxIdleNanos());
             boolean isNew = candidate == null;
             if (isNew) {
                 try {
-                    candidate = pool.newConnection(address, untilNanos);
+                    candidate = pool.newConnection(address, deadlineNanos);
                 } catch (IOException e) {
                     return recordLocalFault();
                 }
@@ -149,7 +151,7 @@
             }
             if (isNew) {
                 ServerConnection.OpenResult opened =
-                        candidate.open(Math.min(untilNanos, System.nanoTime() + pool.connectTimeoutNanos()));
+                        candidate.open(Math.min(deadlineNanos, System.nanoTime() + pool.connectTimeoutNanos()));
                 return opened == ServerConnection.OpenResult.LOCAL_FAULT
                         ? recordLocalFault()
                         : opened == ServerConnection.OpenResult.OPEN;
@@ -157,18 +159,18 @@
             if (candidate.address.equals(address) && candidate.isAlive()) {
                 return true;
             }
-            discard();
+            discardConnection();
         }
         return false;
     }
 
-    /** Closes a connection that can't be reused. */
-    private synchronized void discard() {
+    /** Closes an idle connection that can't be reused. */
+    private synchronized void discardConnection() {
         pool.idle().close(connection);
         connection = null;
     }
 
-    /** Counts a connection that failed on this machine; false, as there is no connection. */
+    /** Counts a connection attempt that failed on this machine; returns false, as there is no connection. */
     private boolean recordLocalFault() {
         localFault = true;
         dispatcher.monitor().counters().add("network", LocalNetworkFault.CONNECT);
@@ -179,12 +181,12 @@
         return attempt;
     }
 
-    /** When it has to end, on System.nanoTime's clock. */
-    long untilNanos() {
-        return untilNanos;
+    /** When the exchange has to end, on System.nanoTime's clock. */
+    long deadlineNanos() {
+        return deadlineNanos;
     }
 
-    /** Cancels it: its connection is closed, so that a late response can't be taken for the next one. */
+    /** Cancels the exchange; its connection is closed, so that a late response can't be taken for the next one. */
     synchronized void cancel() {
         cancelled = true;
         if (connection != null) {
@@ -192,7 +194,8 @@
         }
     }
 
-    private synchronized boolean finish(boolean reusable) {
+    /** Keeps or closes the connection; returns whether the exchange was cancelled. */
+    private synchronized boolean releaseConnection(boolean reusable) {
         if (connection != null) {
             if (reusable && !cancelled) {
                 pool.idle().release(host, connection);
--- a/src/main/java/beaconladder/server/IdleConnections.java
+++ b/src/main/java/beaconladder/server/IdleConnections.java
@@ -8,31 +8,35 @@
 import java.util.List;
 import java.util.Map;
 
-/** The idle connections by host, the most recently used first; guarded by the monitor of their map. */
+/** The idle connections of each host, the most recently used first; guarded by the monitor of the map. */
 final class IdleConnections {
-    /** Bytes a host writes behind its response arrive within a millisecond; until then a connection is not reused. */
+    /**
+     * A connection is not reused before it has been idle this long: bytes that a host sends after its response, such as
+     * a duplicate response, arrive within a millisecond.
+     */
     private static final long MIN_IDLE_NANOS = 3_000_000;
 
     private final DescriptorLimit descriptors;
-    private final Map<Host, Deque<ServerConnection>> idle = new HashMap<>();
+    private final Map<Host, Deque<ServerConnection>> idleByHost = new HashMap<>();
 
     IdleConnections(DescriptorLimit descriptors) {
         this.descriptors = descriptors;
     }
 
-    /** Closes the connection that has been idle longest; false where none is idle. */
+    /** Closes the connection that has been idle longest; returns false where none is idle. */
     boolean closeOldest() {
         ServerConnection oldest = null;
-        synchronized (idle) {
-            Deque<ServerConnection> source = null;
-            for (Deque<ServerConnection> ofHost : idle.values()) {
-                if (!ofHost.isEmpty() && (oldest == null || ofHost.peekLast().lastUsedNanos < oldest.lastUsedNanos)) {
-                    oldest = ofHost.peekLast();
-                    source = ofHost;
+        synchronized (idleByHost) {
+            Deque<ServerConnection> oldestQueue = null;
+            for (Deque<ServerConnection> connections : idleByHost.values()) {
+                if (!connections.isEmpty()
+                        && (oldest == null || connections.peekLast().lastUsedNanos < oldest.lastUsedNanos)) {
+                    oldest = connections.peekLast();
+                    oldestQueue = connections;
                 }
             }
-            if (source != null) {
-                source.removeLast();
+            if (oldestQueue != null) {
+                oldestQueue.removeLast();
             }
         }
         if (oldest != null) {
@@ -42,21 +46,21 @@
     }
 
     /**
-     * Takes the most recently used connection that has been idle long enough to show a duplicate response.
+     * Takes the most recently used connection that has been idle long enough to detect a duplicate response.
      *
-     * @param oldestNanos the earliest last use to accept, on System.nanoTime's clock
-     * @return null where there is none
+     * @param minLastUsedNanos the earliest last use to accept, on System.nanoTime's clock
+     * @return the connection, or null where there is none
      */
-    ServerConnection take(Host host, long oldestNanos) {
+    ServerConnection take(Host host, long minLastUsedNanos) {
         long now = System.nanoTime();
-        synchronized (idle) {
-            Deque<ServerConnection> ofHost = idle.get(host);
-            for (ServerConnection connection : ofHost == null ? List.<ServerConnection>of() : ofHost) {
-                if (connection.lastUsedNanos < oldestNanos) {
+        synchronized (idleByHost) {
+            Deque<ServerConnection> connections = idleByHost.get(host);
+            for (ServerConnection connection : connections == null ? List.<ServerConnection>of() : connections) {
+                if (connection.lastUsedNanos < minLastUsedNanos) {
                     break;
                 }
                 if (connection.lastUsedNanos <= now - MIN_IDLE_NANOS) {
-                    ofHost.remove(connection);
+                    connections.remove(connection);
                     return connection;
                 }
             }
@@ -64,11 +68,11 @@
         return null;
     }
 
-    /** Keeps a connection for its next use, or closes it where its host is not ready. */
+    /** Keeps a connection for its next use; closes it where its host is not ready. */
     void release(Host host, ServerConnection connection) {
-        synchronized (idle) {
+        synchronized (idleByHost) {
             if (host.state == Host.State.READY) {
-                idle.computeIfAbsent(host, h -> new ArrayDeque<>()).addFirst(connection);
+                idleByHost.computeIfAbsent(host, h -> new ArrayDeque<>()).addFirst(connection);
                 return;
             }
         }
@@ -77,27 +81,28 @@
 
     /** Closes all idle connections to this host. */
     void close(Host host) {
-        Deque<ServerConnection> all;
-        synchronized (idle) {
-            all = idle.remove(host);
+        Deque<ServerConnection> removed;
+        synchronized (idleByHost) {
+            removed = idleByHost.remove(host);
         }
-        if (all != null) {
-            all.forEach(this::close);
+        if (removed != null) {
+            removed.forEach(this::close);
         }
     }
 
-    /** Closes those last used before this time on System.nanoTime's clock. */
-    void sweep(long oldestNanos) {
+    /** Closes the connections last used before this time on System.nanoTime's clock. */
+    void sweep(long minLastUsedNanos) {
         List<ServerConnection> expired = new ArrayList<>();
-        synchronized (idle) {
-            idle.values()
-                    .forEach(ofHost -> ofHost.removeIf(
-                            connection -> connection.lastUsedNanos < oldestNanos && expired.add(connection)));
+        synchronized (idleByHost) {
+            idleByHost
+                    .values()
+                    .forEach(connections -> connections.removeIf(
+                            connection -> connection.lastUsedNanos < minLastUsedNanos && expired.add(connection)));
         }
         expired.forEach(this::close);
     }
 
-    /** Closes a connection, idle or in use, and returns its descriptor. */
+    /** Closes a connection, whether it was idle or in use, and releases its descriptor. */
     void close(ServerConnection connection) {
         connection.release();
         descriptors.release(DescriptorLimit.Use.SERVER, 1);
--- a/src/main/java/beaconladder/server/InFlightRequest.java
+++ b/src/main/java/beaconladder/server/InFlightRequest.java
@@ -10,7 +10,7 @@
 /** A request in flight: the queue of commands from the dispatcher to the task that completes the request. */
 final class InFlightRequest {
 
-    /** What the task has to do. */
+    /** The kind of a command. */
     enum Kind {
         SEND,
         COMMITTED,
@@ -20,35 +20,35 @@
     }
 
     /**
-     * One command to the task.
+     * A command to the task.
      *
-     * @param attempt for SEND, null otherwise
-     * @param deadlineNanos for SEND: when the attempt times out, on the dispatcher's clock
-     * @param retryAfterNanos for REJECTED: how long the client should back off, or 0 where that is unknown
-     * @param answer for COMMITTED: the host's messages
+     * @param attempt the attempt of a SEND or COMMITTED, null otherwise
+     * @param deadlineNanos when the attempt of a SEND times out, on the dispatcher's clock
+     * @param retryAfterNanos the back-off of a REJECTED for the client, or 0 where that is unknown
+     * @param answer the host's messages of a COMMITTED
      */
     record Command(Kind kind, Attempt attempt, long deadlineNanos, long retryAfterNanos, MessageWriter answer) {
-        /** Send this attempt to its host; it times out at the deadline. */
+        /** Sends this attempt to its host; it times out at the deadline. */
         static Command send(Attempt attempt, long deadlineNanos) {
             return new Command(Kind.SEND, attempt, deadlineNanos, 0, null);
         }
 
-        /** Return the host's messages to the client. */
+        /** Returns the host's messages to the client. */
         static Command committed(Attempt attempt, MessageWriter answer) {
             return new Command(Kind.COMMITTED, attempt, 0, 0, answer);
         }
 
-        /** Reject the request, which has not run; the client may retry after this time. */
+        /** Rejects the request, which has not run; the client may retry after this time. */
         static Command rejected(long retryAfterNanos) {
             return new Command(Kind.REJECTED, null, 0, retryAfterNanos, null);
         }
 
-        /** Report a request that failed and may have run. */
+        /** Reports to the client that the request failed and may have run. */
         static Command rolledBack() {
             return new Command(Kind.ROLLED_BACK, null, 0, 0, null);
         }
 
-        /** Stop: the client has disconnected or has cancelled the request. */
+        /** Ends the task, since the client has disconnected or has cancelled the request. */
         static Command clientGone() {
             return new Command(Kind.CLIENT_GONE, null, 0, 0, null);
         }
@@ -57,7 +57,7 @@
     final Request request;
     final Statement statement;
     private final ArrayDeque<Command> commands = new ArrayDeque<>();
-    /** Whether the task is busy with an attempt, and can't start another. */
+    /** Whether the task is busy with an attempt, so that it can't start another. */
     private boolean sending;
 
     InFlightRequest(Request request, Statement statement) {
@@ -66,31 +66,32 @@
     }
 
     /**
-     * The request that these parameters describe.
+     * Creates the request that these parameters describe.
      *
-     * @param number a number that no other request of this process has
+     * @param sequenceNumber a number that no other request of this process has
      * @param requestClass the class that the parameters name by its index
-     * @param tenant the index of the client's tenant
+     * @param tenantIndex the index of the client's tenant
      */
-    static InFlightRequest of(long number, RequestParameters parameters, RequestClass requestClass, int tenant) {
+    static InFlightRequest of(
+            long sequenceNumber, RequestParameters parameters, RequestClass requestClass, int tenantIndex) {
         Statement statement = parameters.statement();
         boolean retriedByClient = "1".equals(statement.parameter("r"));
         return new InFlightRequest(
                 new Request(
-                        number,
+                        sequenceNumber,
                         requestClass,
                         parameters.group(),
                         statement.sessionId(),
                         parameters.minPositionNanos(),
-                        tenant,
+                        tenantIndex,
                         retriedByClient,
                         parameters.arrivedNanos(),
                         parameters.expiryNanos(),
-                        number),
+                        sequenceNumber),
                 statement);
     }
 
-    /** Passes the task a command; false for a SEND that another thread has to start, as the task is busy. */
+    /** Passes a command to the task; returns false for a SEND that another thread has to start, as the task is busy. */
     synchronized boolean enqueue(Command command) {
         if (command.kind() == Kind.SEND && (sending || !commands.isEmpty())) {
             return false;
@@ -100,7 +101,7 @@
         return true;
     }
 
-    /** Waits for the next command; the caller is done with the one before. */
+    /** Waits for the next command; the caller has completed the one before. */
     synchronized Command awaitCommand() throws InterruptedException {
         sending = false;
         while (commands.isEmpty()) {
--- a/src/main/java/beaconladder/server/LoadReportParser.java
+++ b/src/main/java/beaconladder/server/LoadReportParser.java
@@ -10,8 +10,11 @@
     static final int MILLIS_TO_NANOS = 6;
     /** Decimal exponent from seconds, the unit of a report's position, to nanoseconds. */
     private static final int SECONDS_TO_NANOS = 9;
-    /** Exclusive bound of a plausible figure: far more requests than a host can have in flight. */
-    private static final double FIGURE_BOUND = 1e6;
+    /** Exclusive bound of a plausible value: far more requests than a host can have in flight. */
+    private static final double VALUE_BOUND = 1e6;
+
+    /** The role field is 1 for a primary and 0 for a replica. */
+    private static final double PRIMARY_THRESHOLD = 0.5;
 
     private LoadReportParser() {}
 
@@ -19,7 +22,7 @@
      * Parses a load report, {@code key=value} pairs separated by commas.
      *
      * @param load the report, or null for none
-     * @return what it states; silent where there is no report or where any field of it can't be read
+     * @return the report; {@link HostReport#EMPTY} where there is none or where any field of it is invalid
      */
     static HostReport parse(String load) {
         if (load == null) {
@@ -31,39 +34,40 @@
         for (String pair : load.split(",")) {
             int equals = pair.indexOf('=');
             String value = pair.substring(equals + 1).strip();
-            double figure = equals <= 0 ? -1 : parseFigure(value);
-            boolean readable = figure >= 0;
+            double number = equals <= 0 ? -1 : parseValue(value);
+            boolean valid = number >= 0;
             switch (pair.substring(0, Math.max(0, equals)).strip()) {
                 case "x0" -> {
                     positionNanos = parsePositionNanos(value, SECONDS_TO_NANOS);
-                    readable = positionNanos != HostReport.NO_POSITION;
+                    valid = positionNanos != HostReport.NO_POSITION;
                 }
-                case "x1" -> role = figure >= 0.5 ? Role.PRIMARY : Role.REPLICA;
-                case "inflight", "rif" -> inFlight = figure;
+                case "x1" -> role = number >= PRIMARY_THRESHOLD ? Role.PRIMARY : Role.REPLICA;
+                case "inflight", "rif" -> inFlight = number;
                 default -> {}
             }
-            if (!readable) {
+            if (!valid) {
                 return HostReport.EMPTY;
             }
         }
         return new HostReport(role, positionNanos, inFlight);
     }
 
-    private static double parseFigure(String text) {
+    /** Parses a value within the plausible range; returns -1 for any other text. */
+    private static double parseValue(String text) {
         try {
             double value = Double.parseDouble(text);
-            return value >= 0 && value < FIGURE_BOUND ? value : -1;
+            return value >= 0 && value < VALUE_BOUND ? value : -1;
         } catch (NumberFormatException e) {
             return -1;
         }
     }
 
     /**
-     * Reads a replication position exactly, rounded down to nanoseconds.
+     * Parses a replication position exactly, rounded down to nanoseconds.
      *
      * @param text a decimal number in the sender's unit
      * @param powerOfTen decimal exponent from that unit to nanoseconds: 6 for milliseconds, 9 for seconds
-     * @return nanoseconds since the epoch, or {@link HostReport#NONE} where the text is no position
+     * @return nanoseconds since the epoch, or {@link HostReport#NO_POSITION} where the text is not a position
      */
     static long parsePositionNanos(String text, int powerOfTen) {
         long nanos = Decimal.parseScaled(text, powerOfTen);
--- a/src/main/java/beaconladder/server/PendingActions.java
+++ b/src/main/java/beaconladder/server/PendingActions.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * Carries out decisions under the dispatcher's lock: commands go to the requests' tasks at once, actions on other
- * sockets are kept until the lock is released.
+ * Carries out decisions under the dispatcher's lock: commands are passed to the requests' tasks at once, and actions on
+ * connections to hosts are collected until the lock is released.
  */
 final class PendingActions implements DecisionLoop.ActionHandler {
     private final RequestDispatcher dispatcher;
@@ -24,9 +24,9 @@
     private final EventTrace trace;
     private final Monitor monitor;
     /** Requests whose missed deadline has been counted. */
-    private final Set<Request> overdue = new HashSet<>();
-    /** The requests in flight. */
-    private final Map<Request, InFlightRequest> requests = new HashMap<>();
+    private final Set<Request> overdueRequests = new HashSet<>();
+
+    private final Map<Request, InFlightRequest> inFlightRequests = new HashMap<>();
     /** Actions to run once the lock is released. */
     private final List<Consumer<HostActions>> hostActions = new ArrayList<>();
 
@@ -38,28 +38,28 @@
     }
 
     void add(InFlightRequest inFlight) {
-        requests.put(inFlight.request, inFlight);
+        inFlightRequests.put(inFlight.request, inFlight);
     }
 
-    /** The request in flight with this state, or null where it has ended. */
+    /** The request in flight with this routing state, or null where it has ended. */
     InFlightRequest find(Request request) {
-        return requests.get(request);
+        return inFlightRequests.get(request);
     }
 
     int size() {
-        return requests.size();
+        return inFlightRequests.size();
     }
 
-    /** Counts each request that is past its deadline without an answer, once. */
+    /** Counts each request that has passed its deadline without an answer; each is counted once. */
     void checkOverdue(long now) {
-        for (Request request : requests.keySet()) {
-            if (!overdue.contains(request) && monitor.invariants().countIfOverdue(request, now)) {
-                overdue.add(request);
+        for (Request request : inFlightRequests.keySet()) {
+            if (!overdueRequests.contains(request) && monitor.invariants().countIfOverdue(request, now)) {
+                overdueRequests.add(request);
             }
         }
     }
 
-    /** Removes and returns the actions to run without the lock. */
+    /** Removes and returns the actions to run once the lock is released. */
     List<Consumer<HostActions>> drainHostActions() {
         if (hostActions.isEmpty()) {
             return List.of();
@@ -71,7 +71,7 @@
 
     @Override
     public void send(Attempt attempt, long timeoutNanos) {
-        InFlightRequest inFlight = requests.get(attempt.request);
+        InFlightRequest inFlight = inFlightRequests.get(attempt.request);
         trace.attemptSent(attempt, timeoutNanos);
         InFlightRequest.Command command = InFlightRequest.Command.send(attempt, attempt.sentNanos + timeoutNanos);
         if (!inFlight.enqueue(command)) {
@@ -89,22 +89,22 @@
         trace.requestEvent(request, "decline " + reason, dispatcher.nowNanos());
         monitor.counters().add("refused", reason);
         monitor.invariants().checkRejection(request);
-        requests.get(request).enqueue(InFlightRequest.Command.rejected(retryAfterNanos));
+        inFlightRequests.get(request).enqueue(InFlightRequest.Command.rejected(retryAfterNanos));
     }
 
     @Override
     public void rollBack(Request request, RoutingDecision.Reason reason) {
         trace.requestEvent(request, "rollback " + reason, dispatcher.nowNanos());
         monitor.counters().add("rolled_back", reason);
-        requests.get(request).enqueue(InFlightRequest.Command.rolledBack());
+        inFlightRequests.get(request).enqueue(InFlightRequest.Command.rolledBack());
     }
 
     @Override
     public void onRequestEnded(Request request) {
         trace.requestEvent(request, "over", dispatcher.nowNanos());
         trace.forget(request);
-        requests.remove(request);
-        overdue.remove(request);
+        inFlightRequests.remove(request);
+        overdueRequests.remove(request);
         if (admission != null) {
             admission.requestEnded(request);
         }
--- a/src/main/java/beaconladder/server/QueryHandler.java
+++ b/src/main/java/beaconladder/server/QueryHandler.java
@@ -29,7 +29,7 @@
         this.admission = admission;
     }
 
-    /** The final answer to a query, after at most its time budget. */
+    /** Returns the final answer to a query, after at most the query's time budget. */
     QueryReply answer(PipelineEntry entry) throws InterruptedException {
         if (entry.query() == null) {
             return QueryReply.of(
@@ -48,7 +48,7 @@
                     ErrorResponse.CANNOT_CONNECT_NOW, "no time is left for it here; it has not run"));
         }
         if (dispatcher.hasCells()) {
-            return answerWithAdmission(entry, query, arrivedNanos, expiryNanos);
+            return executeIfAdmitted(entry, query, arrivedNanos, expiryNanos);
         }
         return execute(entry, query, query.requestParameters(query.group(), arrivedNanos, expiryNanos, null));
     }
@@ -61,15 +61,15 @@
                 : shutdown.expiryNanos(arrivedNanos, budgetNanos, query.writes(dispatcher));
     }
 
-    /** Where there are cells: executes the query once its cell has admitted it. */
-    private QueryReply answerWithAdmission(PipelineEntry entry, ParsedQuery query, long arrivedNanos, long expiryNanos)
+    /** Executes a query once its cell has admitted it; used where cells are configured. */
+    private QueryReply executeIfAdmitted(PipelineEntry entry, ParsedQuery query, long arrivedNanos, long expiryNanos)
             throws InterruptedException {
-        Admission.Result admitted =
+        Admission.Result result =
                 admission.admit(query, entry.query().length(), arrivedNanos, expiryNanos, isAbandoned(entry));
-        AdmissionPermit permit = admitted.permit();
+        AdmissionPermit permit = result.permit();
         if (permit == null) {
             QueryRejection.NOT_ADMITTED.record(dispatcher.monitor());
-            return new QueryReply(entry.isCancelled() ? cancelled() : admitted.answer(), admitted.closesConnection());
+            return new QueryReply(entry.isCancelled() ? cancelled() : result.answer(), result.closesConnection());
         }
         Group group = dispatcher.group(permit.group());
         if (group == null) {
--- a/src/main/java/beaconladder/server/QueryRejection.java
+++ b/src/main/java/beaconladder/server/QueryRejection.java
@@ -1,6 +1,6 @@
 package beaconladder.server;
 
-/** Why a query is answered before the routing policy sees it; the names are those of the counters. */
+/** Why a query is rejected before it reaches the routing policy; the names are the kinds of the counters. */
 enum QueryRejection {
     NO_THREAD,
     NO_TIME,
--- a/src/main/java/beaconladder/server/RequestDispatcher.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -22,9 +22,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns the routing policy, its one lock and its one clock. Each event is applied under the lock, followed by the
- * decisions that are due; what these require on sockets is done by the requests' tasks, or here once the lock is
- * released.
+ * Owns the routing policy, with the one lock and the one clock for all of its state. Each event is applied under the
+ * lock, followed by the decisions that are due. I/O that the decisions require is done without the lock: by the
+ * requests' tasks, or by the thread that applied the event.
  */
 final class RequestDispatcher implements EndpointWatch.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
@@ -33,17 +33,22 @@
     private final WakeupTimer timer = new WakeupTimer(this, lock);
     private final Router router;
     private final DecisionLoop decisionLoop;
-    /** Admission to cells; both null where no cells are configured. */
+    /** Null where no cells are configured. */
     private final CellAdmission admission;
-
+    /** Null where no cells are configured. */
     private final CellDispatcher cells;
+
     private final PendingActions pendingActions;
     private final Monitor monitor;
     private final AttemptEvents attemptEvents;
+    /** The clients' ids of the requests that are not answered. */
     private final Set<String> inFlightIds = new HashSet<>();
+
     private final EndpointList endpoints;
     private final SettingIndex settingIndex;
+    /** Unix time minus System.nanoTime, in nanoseconds. */
     private final long nanoTimeOffset = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
+
     private volatile HostActions hostActions;
     private final EventTrace trace = new EventTrace();
     private long submittedCount;
@@ -67,17 +72,17 @@
         trace.settings(settings);
     }
 
-    /** Sets who carries out actions on connections to hosts; before the first event that may need one. */
+    /** Sets the handler of actions on connections to hosts; called before the first event that may require one. */
     void setHostActions(HostActions actions) {
         hostActions = actions;
     }
 
-    /** Unix time in nanoseconds; never runs backwards. */
+    /** The Unix time in nanoseconds; it never runs backwards. */
     long nowNanos() {
         return nanoTimeOffset + System.nanoTime();
     }
 
-    /** Converts a time of this clock to System.nanoTime's. */
+    /** Converts a time of this clock to one of System.nanoTime's clock. */
     long toNanoTime(long unixNanos) {
         return unixNanos - nanoTimeOffset;
     }
@@ -86,7 +91,7 @@
         return monitor;
     }
 
-    /** What exchanges with hosts ask and report. */
+    /** The interface for exchanges with hosts. */
     AttemptEvents attemptEvents() {
         return attemptEvents;
     }
@@ -95,7 +100,7 @@
         return settingIndex;
     }
 
-    /** Whether requests of this class write. */
+    /** Returns whether requests of this class write. */
     boolean isWrite(int classIndex) {
         return router.requestClass(classIndex).consistency() == RequestClass.Consistency.WRITE;
     }
@@ -112,12 +117,12 @@
         return endpoints.address(host);
     }
 
-    /** How long a connection to a host may have been idle and still be used. */
-    long keepIdleNanos() {
+    /** The longest time for which a connection to a host may have been idle and still be used. */
+    long maxIdleNanos() {
         return router.maxIdleNanos();
     }
 
-    /** How many hosts, requests and ids are held, to detect leaks. */
+    /** The number of hosts, requests and ids held, to detect leaks. */
     int trackedCount() {
         lock.lock();
         try {
@@ -135,21 +140,21 @@
         return admission != null;
     }
 
-    /** Admission to cells and their placement; null where no cells are configured. */
+    /** Admission to cells and the placement; null where no cells are configured. */
     CellDispatcher cells() {
         return cells;
     }
 
-    /** The longest that a request may be in flight. */
+    /** The longest time for which a request may be in flight. */
     long maxRequestNanos() {
         return admission == null ? Long.MAX_VALUE : admission.maxInFlightNanos();
     }
 
     /**
-     * Accepts a request and decides on its first attempt. Its task takes its commands from the result, and releases the
-     * id at the end.
+     * Accepts a request and decides on its first attempt. The request's task takes its commands from the result, and
+     * releases the id once the request is answered.
      *
-     * @return null where another request of this id is in flight
+     * @return the request, or null where another one with this id is in flight
      */
     InFlightRequest submit(RequestParameters parameters) {
         lock.lock();
@@ -175,7 +180,7 @@
         return inFlight;
     }
 
-    /** The request of this id has been answered. */
+    /** Releases the id of a request that has been answered. */
     void releaseId(String id) {
         lock.lock();
         try {
@@ -185,7 +190,7 @@
         }
     }
 
-    /** The client of this request has disconnected or cancelled it. */
+    /** Notifies the policy and the request's task that the client has disconnected or has cancelled the request. */
     void abandon(InFlightRequest inFlight) {
         applyEvent(now -> {
             inFlight.request.disconnectedNanos = Math.min(inFlight.request.disconnectedNanos, now);
@@ -206,7 +211,7 @@
         }
     }
 
-    /** Forgets the hosts that are gone and that no request needs, and checks for overdue requests. */
+    /** Removes the hosts that are gone and that no request needs, and counts the overdue requests. */
     void sweep() {
         lock.lock();
         try {
@@ -218,10 +223,10 @@
     }
 
     /**
-     * Applies an event under the lock, carries out the decisions that are due, and runs their actions on sockets
-     * without it.
+     * Applies an event and carries out the decisions that are due, under the lock; then runs their actions on
+     * connections to hosts without it.
      *
-     * @param event is given the current time of this clock
+     * @param event accepts the current time of this clock
      */
     void applyEvent(LongConsumer event) {
         List<Consumer<HostActions>> actions;
@@ -237,15 +242,15 @@
             lock.unlock();
         }
         trace.flush(traceLines);
-        actions.forEach(this::run);
+        actions.forEach(this::runHostAction);
     }
 
-    /** A failing action does not prevent the others. */
-    private void run(Consumer<HostActions> action) {
+    /** Runs an action; one that fails does not prevent the others. */
+    private void runHostAction(Consumer<HostActions> action) {
         try {
             action.accept(hostActions);
         } catch (RuntimeException | Error e) {
-            LOG.error("an action on a host fails by an internal error", e);
+            LOG.error("internal error in an action on a host", e);
         }
     }
 
--- a/src/main/java/beaconladder/server/ServerConnection.java
+++ b/src/main/java/beaconladder/server/ServerConnection.java
@@ -13,14 +13,17 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 
-/** A connection to a host, for one exchange at a time. The reading thread owns it; any thread may close it. */
+/**
+ * A connection to a host, for one exchange at a time. Only the thread of the exchange reads and writes it; any thread
+ * may close it.
+ */
 final class ServerConnection {
     private final Socket socket;
     private final SocketChannel channel;
     private final MemoryLimit memory;
     private MessageReader in;
     private boolean established;
-    /** When it was last used, on System.nanoTime's clock. */
+    /** When the connection was last used, on System.nanoTime's clock. */
     long lastUsedNanos = System.nanoTime();
 
     final InetSocketAddress address;
@@ -32,7 +35,7 @@
         this.socket = channel.socket();
     }
 
-    /** On a socket without a channel, for which {@link #isAlive} can't detect that the host closed it while idle. */
+    /** A connection on a socket without a channel: {@link #isAlive} can't detect that the host has closed it. */
     ServerConnection(InetSocketAddress address, MemoryLimit memory, Socket socket) {
         this.address = address;
         this.memory = memory;
@@ -50,10 +53,10 @@
     /**
      * Connects and runs the startup exchange.
      *
-     * @param untilNanos when the host counts as failed, on System.nanoTime's clock
+     * @param deadlineNanos when the host counts as failed if the startup is not complete, on System.nanoTime's clock
      */
-    OpenResult open(long untilNanos) {
-        long remainingMillis = (untilNanos - System.nanoTime()) / 1_000_000;
+    OpenResult open(long deadlineNanos) {
+        long remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000;
         if (remainingMillis <= 0) {
             return OpenResult.HOST_FAILED;
         }
@@ -63,18 +66,18 @@
         } catch (ConnectException | NoRouteToHostException | SocketTimeoutException e) {
             return OpenResult.HOST_FAILED;
         } catch (IOException e) {
-            // No free port, no buffer, no route: the host was never contacted.
+            // For example no free local port or no buffer space: the host was never contacted.
             return OpenResult.LOCAL_FAULT;
         }
-        return startUp(untilNanos) ? OpenResult.OPEN : OpenResult.HOST_FAILED;
+        return startUp(deadlineNanos) ? OpenResult.OPEN : OpenResult.HOST_FAILED;
     }
 
-    private boolean startUp(long untilNanos) {
+    private boolean startUp(long deadlineNanos) {
         try {
             in = new MessageReader(socket, memory);
             write(MessageWriter.startup("app", "shop"));
             while (true) {
-                if (in.readMessage(untilNanos, HostResponseReader.MAX_RESPONSE_NANOS) != ReadStatus.MESSAGE) {
+                if (in.readMessage(deadlineNanos, HostResponseReader.MAX_RESPONSE_NANOS) != ReadStatus.MESSAGE) {
                     return false;
                 }
                 switch (in.type()) {
@@ -98,12 +101,14 @@
         }
     }
 
-    /** Whether the startup exchange is complete. */
+    /** Returns whether the startup exchange is complete. */
     boolean isEstablished() {
         return established;
     }
 
-    /** Whether an idle connection can be reused: still open, and without bytes that nobody asked for. */
+    /**
+     * Returns whether an idle connection can be reused: it is open, and the host has sent nothing after its response.
+     */
     boolean isAlive() {
         if (in.hasUnread()) {
             return false;
@@ -121,7 +126,7 @@
         }
     }
 
-    /** Sends a query; false where not all of it was written. */
+    /** Sends a query; returns false where not all of it was written. */
     boolean send(MessageWriter query) {
         try {
             write(query);
@@ -131,14 +136,14 @@
         }
     }
 
-    /** Waits for the complete response, until this time on System.nanoTime's clock. */
-    ExchangeResult receive(long untilNanos) {
-        ExchangeResult result = new HostResponseReader(in).read(untilNanos);
+    /** Reads the complete response; waits for it until this time on System.nanoTime's clock. */
+    ExchangeResult receive(long deadlineNanos) {
+        ExchangeResult result = new HostResponseReader(in).read(deadlineNanos);
         lastUsedNanos = System.nanoTime();
         return result;
     }
 
-    /** Closes the connection and returns its buffer; only for the reading thread, or once nobody reads. */
+    /** Closes the connection and releases its buffer; called by the reading thread, or when no thread reads. */
     void release() {
         close();
         if (in != null) {
@@ -154,7 +159,7 @@
         }
     }
 
-    private void write(MessageWriter out) throws IOException {
-        out.writeTo(socket.getOutputStream());
+    private void write(MessageWriter messages) throws IOException {
+        messages.writeTo(socket.getOutputStream());
     }
 }
--- a/src/main/java/beaconladder/server/ServerConnectionPool.java
+++ b/src/main/java/beaconladder/server/ServerConnectionPool.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The connections to hosts: those in use, one thread each, and the idle ones. */
+/** The connections to hosts: those in use, each by an exchange on its own thread, and the idle ones. */
 final class ServerConnectionPool implements HostActions {
-    /** An exchange that is so long past its deadline is stuck in a write. */
+    /** An exchange that has not ended this long after its deadline is blocked in a write. */
     private static final long STUCK_NANOS = 100_000_000;
 
     private final RequestDispatcher dispatcher;
@@ -44,7 +44,7 @@
         this.memory = memory;
         this.taskStarter = taskStarter;
         this.connectTimeoutNanos = Long.parseLong(settings.getOrDefault("limits.dial_timeout_us", "250000")) * 1_000;
-        // A plain query shows only that the process runs; a load report states position, role and load.
+        // The response to SELECT 1 shows only that the process runs; a load report has position, role and load.
         this.healthChecksReportLoad = !"off".equals(settings.getOrDefault("load_report.how", "off"));
         this.healthCheckQuery = healthChecksReportLoad ? "SHOW server_load" : "SELECT 1";
     }
@@ -54,22 +54,23 @@
         ServerConnection create(InetSocketAddress address, MemoryLimit memory) throws IOException;
     }
 
-    /** How many descriptors the connections to hosts hold. */
+    /** The number of descriptors that connections to hosts hold. */
     int openCount() {
         return descriptors.held(DescriptorLimit.Use.SERVER);
     }
 
     /**
-     * Creates a connection that is not yet open; closes the oldest idle one where descriptors are short.
+     * Creates a connection that is not yet open; where no descriptor is free, the connection that has been idle longest
+     * is closed for it.
      *
-     * @param untilNanos how long to wait for a descriptor, on System.nanoTime's clock
-     * @return null where there is no descriptor by then
+     * @param deadlineNanos how long to wait for a descriptor, on System.nanoTime's clock
+     * @return the connection, or null where no descriptor is free by then
      */
-    ServerConnection newConnection(InetSocketAddress address, long untilNanos) throws IOException {
-        boolean taken = descriptors.acquire(DescriptorLimit.Use.SERVER)
+    ServerConnection newConnection(InetSocketAddress address, long deadlineNanos) throws IOException {
+        boolean acquired = descriptors.acquire(DescriptorLimit.Use.SERVER)
                 || idle.closeOldest() && descriptors.acquire(DescriptorLimit.Use.SERVER)
-                || descriptors.acquire(DescriptorLimit.Use.SERVER, untilNanos);
-        if (!taken) {
+                || descriptors.acquire(DescriptorLimit.Use.SERVER, deadlineNanos);
+        if (!acquired) {
             return null;
         }
         boolean created = false;
@@ -87,7 +88,7 @@
         return idle;
     }
 
-    /** How long opening a connection may take. */
+    /** The longest time that opening a connection may take. */
     long connectTimeoutNanos() {
         return connectTimeoutNanos;
     }
@@ -96,12 +97,12 @@
         return healthCheckQuery;
     }
 
-    /** Whether the response to a health check is a load report. */
+    /** Returns whether the response to a health check is a load report. */
     boolean healthChecksReportLoad() {
         return healthChecksReportLoad;
     }
 
-    /** From now on this exchange can be cancelled. */
+    /** Makes a running exchange available for cancellation. */
     void register(HostExchange exchange) {
         exchanges.add(exchange);
     }
@@ -110,7 +111,10 @@
         exchanges.remove(exchange);
     }
 
-    /** Runs an attempt, on the caller's thread where it can be cancelled; the dispatcher is notified of its outcome. */
+    /**
+     * Runs an attempt and reports its outcome to the dispatcher: on the caller's thread where attempts can be
+     * cancelled, else on a thread of its own if one is free.
+     */
     void send(InFlightRequest.Command command, Statement statement) {
         HostExchange exchange = new HostExchange(
                 this,
@@ -119,7 +123,7 @@
                 command.attempt(),
                 statement,
                 dispatcher.toNanoTime(command.deadlineNanos()));
-        // A hedged request's response must not wait for an attempt that can't be cancelled, unless no thread is left.
+        // The response to a hedged request must not wait for an attempt that can't be cancelled.
         if (cancelsAttempts || !taskStarter.tryExecute(exchange)) {
             exchange.run();
         }
@@ -134,7 +138,7 @@
         }
     }
 
-    /** An attempt whose exchange has not begun is not sent either: its request has ended by then. */
+    /** {@inheritDoc} An attempt whose exchange has not begun is not sent either, as its request has ended by then. */
     @Override
     public void cancel(Attempt attempt) {
         for (HostExchange exchange : exchanges) {
@@ -157,13 +161,13 @@
         idle.close(host);
     }
 
-    /** Closes connections that were idle too long, and cancels exchanges that are stuck past their deadline. */
+    /** Closes connections that were idle too long, and cancels exchanges that are blocked past their deadline. */
     void sweep() {
         long now = System.nanoTime();
-        idle.sweep(now - dispatcher.keepIdleNanos());
+        idle.sweep(now - dispatcher.maxIdleNanos());
         for (HostExchange exchange : exchanges) {
-            // Exchanges end by their own timeouts; only one stuck in a write gets here.
-            if (now - exchange.untilNanos() > STUCK_NANOS) {
+            // Exchanges end by their own timeouts, except one that is blocked in a write.
+            if (now - exchange.deadlineNanos() > STUCK_NANOS) {
                 exchange.cancel();
             }
         }
