--- a/src/main/java/beaconladder/server/ErrorResponse.java
+++ b/src/main/java/beaconladder/server/ErrorResponse.java
@@ -2,7 +2,7 @@
 
 import beaconladder.pg.MessageWriter;
 
-/** The errors that the router itself sends to clients, by their SQLSTATE. */
+/** The SQL errors that the router itself sends to clients, with their SQLSTATEs. */
 final class ErrorResponse {
     static final String PROTOCOL_VIOLATION = "08P01";
     static final String FEATURE_NOT_SUPPORTED = "0A000";
@@ -26,17 +26,17 @@
         return new MessageWriter().error("FATAL", sqlState, message, null);
     }
 
-    /** The query is rejected for this reason and has not run. */
+    /** The rejection of a query for this reason; the query has not run. */
     static MessageWriter rejected(String reason, long retryAfterNanos) {
         return notRun("declined, as " + reason + "; it has not run", retryAfterNanos);
     }
 
-    /** The routing policy has rejected the query; it has not run. */
+    /** The rejection of a query by the routing policy; the query has not run. */
     static MessageWriter rejected(long retryAfterNanos) {
         return notRun("declined; it has not run, try again", retryAfterNanos);
     }
 
-    /** The detail is the back-off in milliseconds; without one there is no detail. */
+    /** The error of a query that has not run; its detail is the back-off in milliseconds, absent where that is 0. */
     private static MessageWriter notRun(String message, long retryAfterNanos) {
         String detail = retryAfterNanos > 0 ? String.valueOf(retryAfterNanos / 1_000_000) : null;
         return new MessageWriter()
--- a/src/main/java/beaconladder/server/EventTrace.java
+++ b/src/main/java/beaconladder/server/EventTrace.java
@@ -14,11 +14,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The events of each request and what was learned of each host, one line an event, at the level DEBUG of the logger
- * {@code beaconladder.trace}; off by default. Lines are gathered under the dispatcher's lock and written once it is
- * free. Times are milliseconds since the request arrived; ids are those of the clients and of discovery.
+ * Logs the events of each request and of each host, one line per event, at the level DEBUG of the logger
+ * {@code beaconladder.trace}; off by default. Lines are collected under the dispatcher's lock and written after its
+ * release. Times are milliseconds since the request arrived; ids are those of the clients and of discovery.
  *
- * <p>Switch it on with {@code -Dorg.slf4j.simpleLogger.log.beaconladder.trace=debug} in the command line.
+ * <p>{@code -Dorg.slf4j.simpleLogger.log.beaconladder.trace=debug} on the command line enables it.
  */
 final class EventTrace {
     private static final Logger LOG = LoggerFactory.getLogger("beaconladder.trace");
@@ -30,9 +30,9 @@
     /** Discovery's id of each host. */
     private final Map<Host, String> hostIds = new HashMap<>();
 
-    /** A query was answered before it reached the dispatcher. */
-    static void rejectedEarly(String what) {
-        LOG.debug("door {}", what);
+    /** Logs a query that was answered before it reached the dispatcher. */
+    static void rejectedEarly(String event) {
+        LOG.debug("door {}", event);
     }
 
     void settings(Map<String, String> settings) {
@@ -57,12 +57,12 @@
         }
     }
 
-    void attemptSent(Attempt attempt, long timeout) {
+    void attemptSent(Attempt attempt, long timeoutNanos) {
         if (enabled) {
             Host host = attempt.host;
             add("send " + idOf(attempt.request) + " n=" + attempt.index + " host=" + idOf(host) + " " + roleOf(host)
                     + " at="
-                    + ms(attempt.sentNanos - attempt.request.arrivedNanos) + " timeout=" + ms(timeout) + " out="
+                    + ms(attempt.sentNanos - attempt.request.arrivedNanos) + " timeout=" + ms(timeoutNanos) + " out="
                     + attempt.hostConcurrency
                     + " lagms=" + (host.position == Long.MIN_VALUE ? "-" : ms(attempt.sentNanos - host.position))
                     + " cold=" + (host.launchedNanos > 0 ? ms(attempt.sentNanos - host.launchedNanos) : "-")
@@ -86,21 +86,21 @@
         }
     }
 
-    /** A client's connection was closed. */
-    static void clientClosed(long key, CloseCause cause, int unanswered, int unread) {
+    /** Logs that a client's connection was closed. */
+    static void clientClosed(long clientKey, CloseCause cause, int unansweredQueries, int unreadBytes) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "close client={} cause={} unanswered={} unread_bytes={}",
-                    Long.toHexString(key),
+                    Long.toHexString(clientKey),
                     cause,
-                    unanswered,
-                    unread);
+                    unansweredQueries,
+                    unreadBytes);
         }
     }
 
-    void requestEvent(Request request, String what, long now) {
+    void requestEvent(Request request, String event, long now) {
         if (enabled) {
-            add(what + " " + idOf(request) + " at=" + ms(now - request.arrivedNanos) + " left="
+            add(event + " " + idOf(request) + " at=" + ms(now - request.arrivedNanos) + " left="
                     + ms(request.expiryNanos - now) + " subs=" + request.attempts.size() + " want=" + request.probeNeed
                     + " asked=" + request.probesSent);
         }
@@ -118,34 +118,34 @@
         }
     }
 
-    void healthCheckEnded(Host host, Outcome outcome, long sent, long now) {
+    void healthCheckEnded(Host host, Outcome outcome, long sentNanos, long now) {
         if (enabled) {
-            add("probed host=" + idOf(host) + " " + outcome + " took=" + ms(now - sent));
+            add("probed host=" + idOf(host) + " " + outcome + " took=" + ms(now - sentNanos));
         }
     }
 
-    void hostListed(Host host, String state, boolean leader, long launched) {
+    void hostListed(Host host, String state, boolean leader, long launchedMillis) {
         if (enabled) {
             add("listed host=" + idOf(host) + " group=" + host.group.id + " zone=" + host.zone + " " + state
-                    + (leader ? " leader" : "") + " started=" + launched);
+                    + (leader ? " leader" : "") + " started=" + launchedMillis);
         }
     }
 
-    /** Writes gathered lines; called without the dispatcher's lock. */
-    void flush(List<String> gathered) {
-        for (String line : gathered) {
+    /** Logs collected lines; called without the dispatcher's lock. */
+    void flush(List<String> lines) {
+        for (String line : lines) {
             LOG.debug(line);
         }
     }
 
-    /** Removes and returns the gathered lines; the caller holds the dispatcher's lock. */
+    /** Removes and returns the collected lines; the caller holds the dispatcher's lock. */
     List<String> drain() {
         if (pendingLines.isEmpty()) {
             return List.of();
         }
-        List<String> all = List.copyOf(pendingLines);
+        List<String> lines = List.copyOf(pendingLines);
         pendingLines.clear();
-        return all;
+        return lines;
     }
 
     private void add(String line) {
--- a/src/main/java/beaconladder/server/LocalNetworkFault.java
+++ b/src/main/java/beaconladder/server/LocalNetworkFault.java
@@ -1,6 +1,6 @@
 package beaconladder.server;
 
-/** System calls that failed on this machine, independent of the peer; the names are those of the counters. */
+/** System calls that failed on this machine, whatever the peer; the names are the kinds of the counters. */
 enum LocalNetworkFault {
     ACCEPT,
     CONNECT
--- a/src/main/java/beaconladder/server/ParsedQuery.java
+++ b/src/main/java/beaconladder/server/ParsedQuery.java
@@ -8,15 +8,15 @@
 import java.util.Locale;
 
 /**
- * A query as it was parsed: a request for the hosts, or the answer that the router gives by itself.
+ * A parsed query: either a request that a host executes, or the router's own answer to it.
  *
- * @param answer the answer of the router itself; null for a request, and only then the others count
+ * @param answer the router's own answer; null for a request, and only then the other components are set
  * @param id the client's id of the request
  * @param classIndex the index of its request class in the settings
  * @param groupNumber the number of the group of hosts that the client names
- * @param group null where no such group is known and there are cells
- * @param minPositionNanos the replication position that the read must see, or HostReport.NO_POSITION
- * @param budgetNanos how long the client waits
+ * @param group the group of that number, or null where none is known and cells are configured
+ * @param minPositionNanos the least replication position that a read must see, or HostReport.NO_POSITION
+ * @param budgetNanos how long the client waits for the answer
  */
 record ParsedQuery(
         MessageWriter answer,
@@ -29,10 +29,10 @@
         long budgetNanos) {
     private static final int MAX_ID_LENGTH = 128;
     private static final int MAX_BUDGET_MILLIS = 600_000;
-    /** Keeps the sum of digits well within a long. */
+    /** Numbers of this many digits do not overflow a long. */
     private static final int MAX_DIGITS = 15;
 
-    /** Parses a query; one that is invalid has an error as its answer. */
+    /** Parses a query; the answer to an invalid one is an error. */
     static ParsedQuery parse(String query, Statement statement, RequestDispatcher dispatcher) {
         String text = query.strip();
         String command = firstWord(text);
@@ -42,14 +42,14 @@
         if (command.equals("SET") || command.equals("RESET") || command.equals("DISCARD")) {
             return answered(new MessageWriter().commandComplete(command).readyForQuery());
         }
-        String fault = statement.parseError();
-        if (fault != null) {
-            return answered(ErrorResponse.error(ErrorResponse.SYNTAX_ERROR, fault));
+        String parseError = statement.parseError();
+        if (parseError != null) {
+            return answered(ErrorResponse.error(ErrorResponse.SYNTAX_ERROR, parseError));
         }
         return parseComment(statement, dispatcher);
     }
 
-    /** Reads the request's parameters from the statement's comment; the first invalid one is reported. */
+    /** Reads the request's parameters from the statement's comment; the answer reports the first invalid one. */
     private static ParsedQuery parseComment(Statement statement, RequestDispatcher dispatcher) {
         String id = statement.parameter("id");
         if (id == null || id.isEmpty() || id.length() > MAX_ID_LENGTH) {
@@ -69,38 +69,44 @@
         if (budgetMillis <= 0 || budgetMillis > MAX_BUDGET_MILLIS) {
             return invalid(statement, "d");
         }
-        String after = statement.parameter("after");
-        long minPositionNanos = after == null
+        String minPosition = statement.parameter("after");
+        long minPositionNanos = minPosition == null
                 ? HostReport.NO_POSITION
-                : LoadReportParser.parsePositionNanos(after, LoadReportParser.MILLIS_TO_NANOS);
-        if (after != null && minPositionNanos == HostReport.NO_POSITION) {
+                : LoadReportParser.parsePositionNanos(minPosition, LoadReportParser.MILLIS_TO_NANOS);
+        if (minPosition != null && minPositionNanos == HostReport.NO_POSITION) {
             return invalid(statement, "after");
         }
         return new ParsedQuery(
                 null, statement, id, classIndex, (int) groupNumber, group, minPositionNanos, budgetMillis * 1_000_000);
     }
 
-    private static ParsedQuery invalid(Statement statement, String name) {
+    private static ParsedQuery invalid(Statement statement, String parameter) {
         return answered(
-                statement.parameter(name) == null
-                        ? ErrorResponse.error(ErrorResponse.SYNTAX_ERROR, "the comment lacks " + name)
+                statement.parameter(parameter) == null
+                        ? ErrorResponse.error(ErrorResponse.SYNTAX_ERROR, "the comment lacks " + parameter)
                         : ErrorResponse.error(
-                                ErrorResponse.INVALID_PARAMETER_VALUE, "the comment has an impossible " + name));
+                                ErrorResponse.INVALID_PARAMETER_VALUE, "the comment has an impossible " + parameter));
     }
 
     private static ParsedQuery answered(MessageWriter answer) {
         return new ParsedQuery(answer, null, null, 0, 0, null, 0, 0);
     }
 
-    /** Whether its request class or the statement itself writes. */
+    /** Returns whether the request class or the statement itself writes. */
     boolean writes(RequestDispatcher dispatcher) {
         return dispatcher.isWrite(classIndex) || statement.isWrite();
     }
 
-    /** What the dispatcher has to know of it, in this group and with this permit, or null without cells. */
-    RequestParameters requestParameters(Group servedBy, long arrivedNanos, long expiryNanos, AdmissionPermit permit) {
+    /**
+     * Returns the parameters of the request.
+     *
+     * @param servingGroup the group of hosts that serves it
+     * @param permit the permit of its cell, or null where no cells are configured
+     */
+    RequestParameters requestParameters(
+            Group servingGroup, long arrivedNanos, long expiryNanos, AdmissionPermit permit) {
         return new RequestParameters(
-                id, classIndex, servedBy, statement, minPositionNanos, arrivedNanos, expiryNanos, permit);
+                id, classIndex, servingGroup, statement, minPositionNanos, arrivedNanos, expiryNanos, permit);
     }
 
     private static String firstWord(String text) {
@@ -111,7 +117,7 @@
         return text.substring(0, end).toUpperCase(Locale.ROOT);
     }
 
-    /** A decimal number without a sign, or -1. */
+    /** Parses a decimal number without a sign; returns -1 for any other text. */
     private static long parseDigits(String digits) {
         if (digits == null || digits.isEmpty() || digits.length() > MAX_DIGITS) {
             return -1;
--- a/src/main/java/beaconladder/server/PipelineEntry.java
+++ b/src/main/java/beaconladder/server/PipelineEntry.java
@@ -4,8 +4,8 @@
 import beaconladder.pg.Statement;
 
 /**
- * One place in a client's pipeline: a query (null where it was not valid UTF-8), or ready messages that take the place
- * of an answer. The package-private fields are guarded by the {@link PipelineQueue}'s lock.
+ * An entry of a client's pipeline: a query (null where it was not valid UTF-8), or messages that the router sends in
+ * the order of the answers. The package-private fields are guarded by the {@link PipelineQueue}'s monitor.
  */
 final class PipelineEntry {
     private final String query;
@@ -17,13 +17,15 @@
     private InFlightRequest inFlight;
     private boolean cancelled;
 
-    /** A query whose last byte arrived at this moment of the dispatcher's clock. */
+    /** An entry for a query whose last byte arrived at this time of the dispatcher's clock. */
     PipelineEntry(String query, long arrivedNanos) {
         this.query = query;
         this.startNanos = arrivedNanos;
     }
 
-    /** Messages for the client; the connection closes after them if that is asked for. */
+    /**
+     * An entry for messages to the client, after which the connection closes where {@code closesConnection} is true.
+     */
     PipelineEntry(MessageWriter messages, boolean closesConnection) {
         this(null, 0);
         this.answer = messages;
@@ -35,7 +37,7 @@
         return query;
     }
 
-    /** When its time budget began to run: with its last byte, or with the answer that it had to wait for. */
+    /** When its time budget began to run: at its last byte, or at the answer to the conflicting query before it. */
     long startNanos() {
         return startNanos;
     }
@@ -44,12 +46,12 @@
         return answer;
     }
 
-    /** Whether the connection closes once the answer is written. */
+    /** Returns whether the connection closes once the answer is written. */
     boolean closesConnection() {
         return closesConnection;
     }
 
-    /** The parsed query; parsed once, by the first thread that needs it. */
+    /** The parsed query; the first call parses it. */
     synchronized Statement statement() {
         if (statement == null) {
             statement = Statement.parse(query);
@@ -78,7 +80,7 @@
         return query == null ? 0 : query.length();
     }
 
-    /** Whether both name one row and one of them writes: the later one has to see the effect of the earlier one. */
+    /** Returns whether both access the same row and one of them writes, so that they must run in their order. */
     boolean conflictsWith(PipelineEntry other) {
         return query != null
                 && other.query != null
--- a/src/main/java/beaconladder/server/PipelineQueue.java
+++ b/src/main/java/beaconladder/server/PipelineQueue.java
@@ -5,37 +5,37 @@
 import java.util.List;
 
 /**
- * The pipelined queries of one client, shared by the reader that adds them, the tasks that complete them concurrently,
- * and whichever task writes the answers, in the order in which the queries arrived.
+ * The pipelined queries of one client. The reader adds them and several tasks complete them concurrently; one task at a
+ * time writes the answers, in the order in which the queries arrived.
  */
 final class PipelineQueue {
-    /** This many pipelined queries are read; further ones wait in the socket. */
+    /** At most this many pipelined queries are read; further ones stay in the socket's receive buffer. */
     private static final int MAX_ENTRIES = 64;
-    /** Their characters together are bounded by those of one query of the maximum length. */
+    /** Bound of the characters of all queries in the queue: those of one query of the maximum length. */
     private static final int MAX_CHARS = MessageReader.MAX_MESSAGE_BYTES / 2;
-    /** Concurrent tasks of one client: a quarter of the smallest thread limit that is possible. */
+    /** Bound of one client's concurrent tasks: a quarter of the smallest possible thread limit. */
     private static final int MAX_TASKS = 16;
 
-    /** What the caller has to do after adding an entry. */
+    /** What the caller of {@link #add} has to do. */
     enum AddResult {
         QUEUED,
         START_TASK,
         WRITE_NOW
     }
 
-    /** In order of arrival, each until its answer is written. */
+    /** The entries whose answers are not completely written, in the order of their arrival. */
     private final ArrayDeque<PipelineEntry> entries = new ArrayDeque<>();
 
     private int chars;
-    private int tasks;
+    private int taskCount;
     /** Whether a task is writing the answer of the first entry. */
     private boolean writing;
-    /** Whether the reader waits until the tasks have made progress. */
+    /** Whether the reader waits until answers have been written. */
     private boolean readerPaused;
 
     private boolean closed;
 
-    /** Adds an entry; the caller may have to start a task for it, or to write it at once. */
+    /** Adds an entry, unless the queue is closed or the entry has its answer and can be written at once. */
     synchronized AddResult add(PipelineEntry entry) {
         if (closed) {
             return AddResult.QUEUED;
@@ -48,37 +48,37 @@
         return reserveTask(MAX_TASKS) ? AddResult.START_TASK : AddResult.QUEUED;
     }
 
-    /** Whether one more task has something to do now; if so, it counts as started. */
+    /** Returns whether one more task can run an entry now; if so, the task counts as started. */
     synchronized boolean reserveTask(int maxTasks) {
-        boolean reserved = tasks < Math.min(MAX_TASKS, maxTasks) && !closed && firstRunnable() != null;
-        tasks += reserved ? 1 : 0;
+        boolean reserved = taskCount < Math.min(MAX_TASKS, maxTasks) && !closed && firstRunnable() != null;
+        taskCount += reserved ? 1 : 0;
         return reserved;
     }
 
     /**
-     * Takes back a reserved task that could not be started.
+     * Releases a reserved task that could not be started.
      *
-     * @return whether the entry was removed, as no other task is left to complete it
+     * @return whether the entry was removed, as no other task is running to complete it
      */
     synchronized boolean releaseTask(PipelineEntry entry) {
-        tasks--;
-        boolean removed = tasks == 0 && entries.remove(entry);
+        taskCount--;
+        boolean removed = taskCount == 0 && entries.remove(entry);
         chars -= removed ? entry.queryLength() : 0;
         return removed;
     }
 
-    /** The next entry for a task that is free; null ends the task. */
+    /** Starts and returns the next entry for a task; null where the task has to end. */
     synchronized PipelineEntry startNext(int maxTasks) {
-        PipelineEntry next = closed || tasks > maxTasks ? null : firstRunnable();
+        PipelineEntry next = closed || taskCount > maxTasks ? null : firstRunnable();
         if (next == null) {
-            tasks--;
+            taskCount--;
         } else {
             next.started = true;
         }
         return next;
     }
 
-    /** The first entry that is not started and does not have to wait for the answer of an earlier one. */
+    /** The first entry that is not started and conflicts with no earlier entry without an answer. */
     private PipelineEntry firstRunnable() {
         for (PipelineEntry each : entries) {
             if (!each.started
@@ -91,16 +91,16 @@
         return null;
     }
 
-    /** Sets an entry's answer; the time budget of those that had to wait for it begins now. */
-    synchronized void complete(PipelineEntry done, QueryReply reply, long nowNanos) {
-        done.answer = reply.messages();
-        done.closesConnection = reply.closesConnection();
+    /** Sets an entry's answer; the time budget of the entries that had to wait for it begins now. */
+    synchronized void complete(PipelineEntry completed, QueryReply reply, long nowNanos) {
+        completed.answer = reply.messages();
+        completed.closesConnection = reply.closesConnection();
         entries.stream()
-                .filter(each -> !each.started && each.conflictsWith(done))
+                .filter(each -> !each.started && each.conflictsWith(completed))
                 .forEach(each -> each.startNanos = nowNanos);
     }
 
-    /** The first entry, if it has its answer and no task is writing: the caller then has to write it. */
+    /** Returns the first entry if it has its answer and no task is writing, else null; the caller has to write it. */
     synchronized PipelineEntry beginWrite() {
         PipelineEntry first = entries.peek();
         if (writing || closed || first == null || first.answer == null) {
@@ -110,7 +110,7 @@
         return first;
     }
 
-    /** The answer of the first entry has been written. */
+    /** Removes the first entry, whose answer has been written. */
     synchronized void endWrite() {
         writing = false;
         PipelineEntry first = entries.poll();
@@ -122,32 +122,32 @@
         return entries.stream().filter(each -> each.answer == null).findFirst().orElse(null);
     }
 
-    /** The number of queries whose answer has not begun to be written. */
+    /** The number of queries for which the writing of the answer has not begun. */
     synchronized int unansweredQueries() {
-        int begun = writing ? 1 : 0;
+        int beingWritten = writing ? 1 : 0;
         return (int) entries.stream()
-                .skip(begun)
+                .skip(beingWritten)
                 .filter(each -> each.query() != null)
                 .count();
     }
 
-    /** Whether an answer is due that has not begun to be written. */
+    /** Returns whether there is an entry for which the writing of the answer has not begun. */
     synchronized boolean hasUnwritten() {
         return entries.size() > (writing ? 1 : 0);
     }
 
-    /** Whether no more is to be read until answers have been written. */
+    /** Returns whether no more queries may be read until answers have been written. */
     synchronized boolean isFull() {
         return !closed && (entries.size() >= MAX_ENTRIES || chars >= MAX_CHARS);
     }
 
-    /** Whether the queue is full; if so, the reader waits until {@link #resumeReader} has returned true. */
+    /** Returns whether the queue is full; if so, the reader waits until {@link #resumeReader} has returned true. */
     synchronized boolean pauseReaderIfFull() {
         readerPaused = isFull();
         return readerPaused;
     }
 
-    /** Whether the reader has paused; returned once per pause, the caller has to wake the reader. */
+    /** Returns whether the reader has paused, once per pause; the caller then has to wake the reader. */
     synchronized boolean resumeReader() {
         boolean paused = readerPaused;
         readerPaused = false;
@@ -155,7 +155,8 @@
     }
 
     /**
-     * The client has disconnected or its connection is closing: what is not started is dropped.
+     * Closes the queue, as the client has disconnected or its connection is closing; entries that are not started are
+     * dropped.
      *
      * @return the entries that were in the queue
      */
@@ -171,7 +172,7 @@
         return closed;
     }
 
-    /** Whether an answer is not completely written. */
+    /** Returns whether there is an answer that is not completely written. */
     synchronized boolean hasEntries() {
         return !entries.isEmpty();
     }
--- a/src/main/java/beaconladder/server/RequestTask.java
+++ b/src/main/java/beaconladder/server/RequestTask.java
@@ -9,15 +9,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Completes a client's queries, one after the other, while there are any. Several threads run it concurrently for a
- * client that pipelines, since the time budget of each query runs from its own last byte; whichever has the answer that
- * is due next writes it.
+ * Completes a client's queries, one after the other, until the queue is empty. For a client that pipelines, several
+ * threads run it concurrently, since the time budget of each query runs from the query's own last byte. The thread that
+ * has completed the answer that is due next writes it.
  */
 final class RequestTask implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(RequestTask.class);
-    /** A client that reads nothing for this long while it is written to is disconnected. */
+    /** A client is disconnected when none of an answer could be written to it for this long. */
     private static final long WRITE_TIMEOUT_NANOS = 5_000_000_000L;
 
+    private static final int WRITE_RETRY_MILLIS = 2;
+
     private final ClientConnection client;
     private final ClientServer clientServer;
     private final RequestDispatcher dispatcher;
@@ -52,7 +54,7 @@
             } catch (IOException | InterruptedException e) {
                 closeConnection();
             } catch (RuntimeException | Error e) {
-                LOG.error("a client's connection ends", e);
+                LOG.error("closing a client's connection after an internal error", e);
                 closeConnection();
             }
             client.activity().markUsed();
@@ -62,12 +64,14 @@
         }
     }
 
-    /** Where there are cells, the first request shows the connection's tenant, and runs alone. */
+    /**
+     * Where cells are configured, the first request names the connection's tenant; until then only one task may run.
+     */
     private int maxTasks() {
         return dispatcher.hasCells() && admission.connectionPermit() == null ? 1 : Integer.MAX_VALUE;
     }
 
-    /** Starts a task for each entry that can start now; without a free thread the entry waits for this task. */
+    /** Starts a task for each entry that can run now; an entry for which no thread is free is left to this task. */
     private void startMoreTasks() {
         while (queue.reserveTask(maxTasks())) {
             if (!clientServer.execute(this)) {
@@ -77,7 +81,7 @@
         }
     }
 
-    /** Closes a connection that failed and abandons its requests in flight. */
+    /** Closes a connection that failed, and abandons its requests in flight. */
     private void closeConnection() {
         client.closeChannel();
         abandon(queue.close());
@@ -100,7 +104,7 @@
         }
     }
 
-    /** Cancels the query whose answer is due next; the queries pipelined behind it stay. */
+    /** Cancels the query whose answer is due next; the queries pipelined after it continue. */
     void cancel() {
         PipelineEntry current = queue.firstUnanswered();
         if (current != null) {
@@ -114,7 +118,9 @@
         return admission.connectionPermit();
     }
 
-    /** The client has disconnected: abandons its requests in flight and releases its place in the tenant's quota. */
+    /**
+     * Abandons the requests in flight of a client that has disconnected, and releases its part of the tenant's quota.
+     */
     void onDisconnected() {
         List<PipelineEntry> entries = queue.close();
         admission.releaseConnection();
@@ -130,17 +136,17 @@
         }
     }
 
-    /** Writes all of it, and waits for a client that reads slowly. */
-    private void write(MessageWriter out) throws IOException, InterruptedException {
-        ByteBuffer bytes = out.asByteBuffer();
-        long lastProgress = System.nanoTime();
+    /** Writes all of these messages; waits while the client's receive window is full. */
+    private void write(MessageWriter messages) throws IOException, InterruptedException {
+        ByteBuffer bytes = messages.asByteBuffer();
+        long lastProgressNanos = System.nanoTime();
         while (bytes.hasRemaining()) {
             if (channel.write(bytes) > 0) {
-                lastProgress = System.nanoTime();
-            } else if (System.nanoTime() - lastProgress > WRITE_TIMEOUT_NANOS) {
+                lastProgressNanos = System.nanoTime();
+            } else if (System.nanoTime() - lastProgressNanos > WRITE_TIMEOUT_NANOS) {
                 throw new ClientStalledException();
             } else {
-                Thread.sleep(2);
+                Thread.sleep(WRITE_RETRY_MILLIS);
             }
         }
     }
--- a/src/main/java/beaconladder/server/ThreadLimit.java
+++ b/src/main/java/beaconladder/server/ThreadLimit.java
@@ -11,16 +11,16 @@
 /** The router's threads, and how many of them its memory allows. */
 final class ThreadLimit implements TaskStarter {
     private static final Logger LOG = LoggerFactory.getLogger(ThreadLimit.class);
-    /** The deepest calls here take some ten kilobytes; the JVM touches eighty more below them. */
+    /** The deepest call chains take some 10 KB of stack; the JVM touches 80 KB more below them. */
     private static final long STACK_BYTES = 256 * 1024;
-    /** A thread with its connection was measured at 95 KB resident, 72 of them stack. */
+    /** A thread with its connection was measured at 95 KB of resident memory, 72 KB of them stack. */
     private static final int THREAD_KB = 96;
-    /** The process alone was measured at 47 MB; as much again is left for large values in the heap. */
+    /** The process without clients was measured at 47 MB; as much again is reserved for large values in the heap. */
     private static final int PROCESS_MB = 96;
-    /** Under load a thread is reused within milliseconds; each idle one lengthens every JVM safepoint. */
+    /** Under load a thread is reused within milliseconds; each idle thread lengthens every JVM safepoint. */
     private static final int KEEP_ALIVE_SECONDS = 2;
 
-    /** The limit is at least this, however little memory is configured. */
+    /** The least limit, however little memory is configured. */
     private static final int MIN_LIMIT = 64;
 
     private final AtomicInteger threadNumber = new AtomicInteger();
@@ -33,24 +33,24 @@
         maxThreads = Math.max(MIN_LIMIT, (memoryMb - PROCESS_MB) * 1024 / THREAD_KB);
     }
 
-    /** How many threads may run at once, by the memory that the settings state. */
+    /** The number of threads that may run at once, derived from the memory that the settings state. */
     int maxThreads() {
         return maxThreads;
     }
 
-    /** Whether this many more threads may start. */
-    boolean hasCapacity(int more) {
-        return inUse.get() + more <= maxThreads;
+    /** Returns whether this many additional threads may start. */
+    boolean hasCapacity(int additional) {
+        return inUse.get() + additional <= maxThreads;
     }
 
-    /** A daemon thread, not yet started, outside the limit. */
+    /** Creates a daemon thread that is not started and does not count towards the limit. */
     Thread newThread(Runnable task) {
         Thread thread = new Thread(null, task, "router-" + threadNumber.incrementAndGet(), STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Fails where the operating system has no thread, which can happen below this process's own limit. */
+    /** {@inheritDoc} The operating system may refuse a thread even below this process's own limit. */
     @Override
     public boolean tryExecute(Runnable task) {
         inUse.incrementAndGet();
@@ -64,9 +64,9 @@
             });
             return true;
         } catch (OutOfMemoryError | RejectedExecutionException e) {
-            // Thread.start reports that no thread is available as OutOfMemoryError.
+            // Thread.start throws OutOfMemoryError where the operating system has no thread.
             inUse.decrementAndGet();
-            LOG.warn("no thread could be started: {}", e.getMessage());
+            LOG.warn("could not start a thread: {}", e.getMessage());
             return false;
         }
     }
