--- a/src/test/java/beaconladder/server/PartsTest.java
+++ b/src/test/java/beaconladder/server/ParsersAndResourcesTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The parsers at the door: figures stay exact, and what can't be read is said so. */
-class PartsTest {
+class ParsersAndResourcesTest {
 
     /** One object of settings, in the form of the sockets and in the drill's. */
     @Test
--- a/src/test/java/beaconladder/server/HardTimesIT.java
+++ b/src/test/java/beaconladder/server/RestartAndOverloadIT.java
@@ -24,7 +24,7 @@
  * its connection is reset with it unread. Nothing else is good enough.
  */
 @Timeout(240)
-class HardTimesIT {
+class RestartAndOverloadIT {
     @TempDir
     Path folder;
 
