--- a/src/test/java/beaconladder/server/FaultySocket.java
+++ b/src/test/java/beaconladder/server/FaultySocket.java
@@ -8,21 +8,26 @@
 import java.net.SocketAddress;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A host that completes the startup and reads a query, and reading whose answer throws this fault. */
+/** A socket to a host that completes the startup and accepts a query; reading the response then throws an exception. */
 final class FaultySocket extends Socket {
     private final Throwable fault;
-    private final AtomicInteger queries;
-    private final byte[] greeting;
+    private final AtomicInteger writtenQueries;
+    private final byte[] startupResponse;
     private int position;
     private volatile boolean querySent;
 
-    /** Counts the queries that are written to it. */
-    FaultySocket(Throwable fault, AtomicInteger queries) {
+    /**
+     * A socket that is connected.
+     *
+     * @param fault the unchecked exception or error to throw
+     * @param writtenQueries counts the queries that are written to the socket
+     */
+    FaultySocket(Throwable fault, AtomicInteger writtenQueries) {
         this.fault = fault;
-        this.queries = queries;
+        this.writtenQueries = writtenQueries;
         MessageWriter out = new MessageWriter().authenticationOk().readyForQuery();
-        greeting = new byte[out.size()];
-        out.asByteBuffer().get(greeting);
+        startupResponse = new byte[out.size()];
+        out.asByteBuffer().get(startupResponse);
     }
 
     @Override
@@ -56,10 +61,10 @@
                     }
                     throw (RuntimeException) fault;
                 }
-                int n = Math.min(length, greeting.length - position);
-                System.arraycopy(greeting, position, target, offset, n);
-                position += n;
-                return n;
+                int count = Math.min(length, startupResponse.length - position);
+                System.arraycopy(startupResponse, position, target, offset, count);
+                position += count;
+                return count;
             }
         };
     }
@@ -76,7 +81,7 @@
             public void write(byte[] source, int offset, int length) {
                 if (source[offset] == 'Q') {
                     querySent = true;
-                    queries.incrementAndGet();
+                    writtenQueries.incrementAndGet();
                 }
             }
         };
--- a/src/test/java/beaconladder/server/PipelineIT.java
+++ b/src/test/java/beaconladder/server/PipelineIT.java
@@ -14,82 +14,82 @@
 class PipelineIT extends ServedProgram {
     private static final String ROW = "T D:00ff27 C:SELECT 1 Z";
 
-    /** One after the other they would take 2.4 s, longer than a client waits for one of them. */
+    /** Run one after the other, the reads would take 2.4 s, twice the time budget of each. */
     @Test
     void pipelinedReadsRunConcurrently() throws Exception {
         start();
-        TestClient c = caller();
-        ask(c, read("warm", 2000));
+        TestClient client = caller();
+        ask(client, read("warm", 2000));
         b.delayMillis = 300;
-        MessageWriter all = new MessageWriter();
+        MessageWriter queries = new MessageWriter();
         for (int i = 0; i < 8; i++) {
-            all.append(MessageWriter.query(read("s" + i, 1200)));
+            queries.append(MessageWriter.query(read("s" + i, 1200)));
         }
-        long from = System.nanoTime();
-        all.writeTo(c.out);
+        long startNanos = System.nanoTime();
+        queries.writeTo(client.out);
         for (int i = 0; i < 8; i++) {
-            say(c.answer());
+            say(client.answer());
         }
-        assertThat((System.nanoTime() - from) / 1_000_000).isLessThan(1_250);
+        assertThat((System.nanoTime() - startNanos) / 1_000_000).isLessThan(1_250);
         assertThat(trace.toString()).isEqualTo((ROW + "\n").repeat(8));
     }
 
-    /** The first is the slowest: the answers to those behind it are ready before, and wait. */
+    /** The first query is the slowest: the answers to the queries after it are complete earlier and have to wait. */
     @Test
     void answersAreWrittenInTheOrderOfTheirQueries() throws Exception {
         start();
-        TestClient c = caller();
-        ask(c, read("warm", 2000));
+        TestClient client = caller();
+        ask(client, read("warm", 2000));
         b.delayMillis = 600;
-        MessageWriter.query(read("slow", 2000)).writeTo(c.out);
+        MessageWriter.query(read("slow", 2000)).writeTo(client.out);
         await(() -> b.queries().stream().anyMatch(q -> q.contains("id=slow")));
         b.delayMillis = 0;
         MessageWriter.query(read("fast", 2000))
                 .append(MessageWriter.query("DROP TABLE items"))
                 .append(MessageWriter.query(""))
-                .writeTo(c.out);
+                .writeTo(client.out);
         await(() -> b.queries().stream().anyMatch(q -> q.contains("id=fast")));
-        assertThat(c.waiting()).isZero();
+        assertThat(client.waiting()).isZero();
         for (int i = 0; i < 4; i++) {
-            say(c.answer());
+            say(client.answer());
         }
         assertThat(trace.toString()).isEqualTo(ROW + "\n" + ROW + "\nE:42601 Z\nI Z\n");
     }
 
-    /** A read of a row that an earlier write changes is forwarded only once the write has its answer. */
+    /** A read of a row that an earlier query writes is forwarded only once that write has its answer. */
     @Test
     void queriesOfOneRowKeepTheirOrderAroundAWrite() throws Exception {
         start();
-        TestClient c = caller();
-        ask(c, read("warm", 2000));
+        TestClient client = caller();
+        ask(client, read("warm", 2000));
         a.delayMillis = 300;
         MessageWriter.query(read("r1", 2000))
                 .append(MessageWriter.query(write("w2", 2000)))
                 .append(MessageWriter.query(read("r3", 2000)))
                 .append(MessageWriter.query(read("other", 2000).replace("'k'", "'another'")))
-                .writeTo(c.out);
+                .writeTo(client.out);
         await(() -> a.queries().stream().anyMatch(q -> q.contains("id=w2")));
         TimeUnit.MILLISECONDS.sleep(150);
-        List<String> seen = b.queries();
-        assertThat(seen).anyMatch(q -> q.contains("id=other")).noneMatch(q -> q.contains("id=r3"));
+        List<String> forwarded = b.queries();
+        assertThat(forwarded).anyMatch(q -> q.contains("id=other")).noneMatch(q -> q.contains("id=r3"));
         for (int i = 0; i < 4; i++) {
-            say(c.answer());
+            say(client.answer());
         }
         assertThat(trace.toString()).isEqualTo((ROW + "\n").repeat(4));
     }
 
-    /** The time spent waiting for an earlier answer does not count. */
+    /** The time that a query waits for the answer to an earlier one must not count towards its budget. */
     @Test
     void aQueryThatHadToWaitForAnEarlierOneHasItsCompleteBudget() throws Exception {
         start();
-        TestClient c = caller();
-        ask(c, write("warm", 2000));
+        TestClient client = caller();
+        ask(client, write("warm", 2000));
         a.delayMillis = 700;
         MessageWriter.query(write("w1", 1000))
                 .append(MessageWriter.query(read("r2", 1000)))
-                .writeTo(c.out);
-        say(c.answer());
-        say(c.answer());
+                .writeTo(client.out);
+        say(client.answer());
+        say(client.answer());
         assertThat(trace.toString()).isEqualTo(ROW + "\n" + ROW + "\n");
     }
 }
--- a/src/test/java/beaconladder/server/PipelineQueueTest.java
+++ b/src/test/java/beaconladder/server/PipelineQueueTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The order and the concurrency of pipelined queries, without threads or sockets. */
 class PipelineQueueTest {
     private static final int UNLIMITED = Integer.MAX_VALUE;
     private final PipelineQueue queue = new PipelineQueue();
--- a/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
+++ b/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What becomes of a once-only write whose exchange with its host ends in a way that nobody foresaw. */
+/** Unexpected faults and delays in an exchange with a host: a write must not run twice, nor a descriptor leak. */
 @Timeout(20)
 class ServerConnectionPoolTest {
     private static final Map<String, String> SETTINGS = new LinkedHashMap<>(Map.of(
@@ -43,103 +43,110 @@
             "east",
             "limits.conn_idle_us",
             "15000000"));
-    private static final int USES = 5;
+    private static final int REQUESTS_BEFORE_MOVE = 5;
     private static final int BUDGET_MILLIS = 2_000;
-    /** The protocol's slack, the hold-up that it allows for, and what a part of a core takes besides. */
-    private static final int SLACK_MILLIS = 150;
+    /** By how much the time budget stated to a host may exceed the client's remaining time, by the protocol. */
+    private static final int BUDGET_TOLERANCE_MILLIS = 150;
+    /** A pause of the process between stating the time budget and the end of the write, as long as that tolerance. */
+    private static final int PROCESS_PAUSE_MILLIS = 150;
+    /** The further delay of a write on a shared CPU core. */
+    private static final int WRITE_DELAY_MILLIS = 30;
 
-    private static final int HOLD_UP_MILLIS = 150;
-    private static final int REST_OF_THE_WAY_MILLIS = 30;
-    private static final int LOCK_MILLIS = 400;
+    private static final int LOCK_HOLD_MILLIS = 400;
     private static final String WRITE = "INSERT INTO items (id, doc) VALUES ('k', '\\x00') RETURNING doc "
             + "/* id=w1,c=write,t=acme,d=2000,cluster=1 */";
 
-    private final AtomicInteger written = new AtomicInteger();
-    private final RequestDispatcher desk = new RequestDispatcher(1, SETTINGS, null);
-    private volatile long expiry;
+    private final AtomicInteger writtenQueries = new AtomicInteger();
+    private final RequestDispatcher dispatcher = new RequestDispatcher(1, SETTINGS, null);
+    private volatile long expiryNanos;
 
-    /** Sends a write by connections of this kind until it has its final answer. */
-    private InFlightRequest.Command finalAnswer(ServerConnectionPool.Opener opener) throws Exception {
-        ServerConnectionPool lines = new ServerConnectionPool(
-                desk, SETTINGS, new ThreadLimit(192), new MemoryLimit(1 << 20), new DescriptorLimit(128), opener);
-        desk.setHostActions(lines);
-        desk.onEndpoints(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
-        Thread timer = new Thread(desk.timer());
+    /** Submits a write and runs its attempts on connections of this opener; returns the final command. */
+    private InFlightRequest.Command finalCommand(ServerConnectionPool.Opener opener) throws Exception {
+        ServerConnectionPool pool = new ServerConnectionPool(
+                dispatcher, SETTINGS, new ThreadLimit(192), new MemoryLimit(1 << 20), new DescriptorLimit(128), opener);
+        dispatcher.setHostActions(pool);
+        dispatcher.onEndpoints(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
+        Thread timer = new Thread(dispatcher.timer());
         timer.setDaemon(true);
         timer.start();
-        long now = desk.nowNanos();
-        expiry = now + BUDGET_MILLIS * 1_000_000L;
+        long now = dispatcher.nowNanos();
+        expiryNanos = now + BUDGET_MILLIS * 1_000_000L;
         Statement statement = Statement.parse(WRITE);
-        InFlightRequest hand = desk.submit(
-                new RequestParameters("w1", 0, desk.group(1), statement, HostReport.NO_POSITION, now, expiry, null));
-        for (InFlightRequest.Command command = hand.awaitCommand(); ; command = hand.awaitCommand()) {
+        InFlightRequest inFlight = dispatcher.submit(new RequestParameters(
+                "w1", 0, dispatcher.group(1), statement, HostReport.NO_POSITION, now, expiryNanos, null));
+        for (InFlightRequest.Command command = inFlight.awaitCommand(); ; command = inFlight.awaitCommand()) {
             if (command.kind() != InFlightRequest.Kind.SEND) {
-                desk.stop();
+                dispatcher.stop();
                 return command;
             }
-            lines.send(command, statement);
+            pool.send(command, statement);
         }
     }
 
     @Test
-    void whatFailsInAnUnforeseenWayBehindTheQueryMayHaveRun() throws Exception {
-        InFlightRequest.Command answer = finalAnswer((address, room) -> new ServerConnection(
+    void aWriteIsNotSentAgainAfterAnExceptionWhileItsResponseIsRead() throws Exception {
+        InFlightRequest.Command finalCommand = finalCommand((address, memory) -> new ServerConnection(
                 address,
-                room,
-                new FaultySocket(new IllegalStateException("a fault of our own while the answer is read"), written)));
-        assertThat(written.get()).as("queries written to a host").isEqualTo(1);
-        assertThat(answer.kind()).isEqualTo(InFlightRequest.Kind.ROLLED_BACK);
+                memory,
+                new FaultySocket(
+                        new IllegalStateException("internal error while the response is read"), writtenQueries)));
+        assertThat(writtenQueries.get()).as("queries written to a host").isEqualTo(1);
+        assertThat(finalCommand.kind()).isEqualTo(InFlightRequest.Kind.ROLLED_BACK);
     }
 
     @Test
-    void norIsItSentAgainWhereMemoryRanOut() throws Exception {
-        InFlightRequest.Command answer = finalAnswer((address, room) -> new ServerConnection(
+    void aWriteIsNotSentAgainAfterAnErrorWhileItsResponseIsRead() throws Exception {
+        InFlightRequest.Command finalCommand = finalCommand((address, memory) -> new ServerConnection(
                 address,
-                room,
-                new FaultySocket(new Error("as where memory runs out while the answer is read"), written)));
-        assertThat(written.get()).as("queries written to a host").isEqualTo(1);
-        assertThat(answer.kind()).isEqualTo(InFlightRequest.Kind.ROLLED_BACK);
+                memory,
+                new FaultySocket(
+                        new Error("in place of an OutOfMemoryError while the response is read"), writtenQueries)));
+        assertThat(writtenQueries.get()).as("queries written to a host").isEqualTo(1);
+        assertThat(finalCommand.kind()).isEqualTo(InFlightRequest.Kind.ROLLED_BACK);
     }
 
     /**
-     * Seen under stops of the process: with 10 ms kept back, a hold-up of the 150 ms that are allowed for and 30 ms for
-     * the rest of the way told a host of more time than the client still had, and the slack.
+     * The router states less than the remaining time to a host, to allow for delays of the write. With a reserve of
+     * only 10 ms, a pause of the process of 150 ms and a further delay of 30 ms made the stated time budget exceed the
+     * client's remaining time by more than the tolerance.
      */
     @Test
-    void theTimeThatAHostIsToldHoldsWhereTheWriteIsHeldUp() throws Exception {
-        List<Long> excess = new ArrayList<>();
-        InFlightRequest.Command answer = finalAnswer((address, room) ->
-                new ServerConnection(address, room, new InMemorySocket(new byte[0], query -> {
+    void theTimeBudgetStatedToAHostIsWithinTheToleranceWhenTheWriteIsDelayed() throws Exception {
+        List<Long> excessMillis = new ArrayList<>();
+        InFlightRequest.Command finalCommand = finalCommand((address, memory) ->
+                new ServerConnection(address, memory, new InMemorySocket(new byte[0], query -> {
                     if (query[0] == 'Q') {
-                        sleep(HOLD_UP_MILLIS + REST_OF_THE_WAY_MILLIS);
+                        sleep(PROCESS_PAUSE_MILLIS + WRITE_DELAY_MILLIS);
                         String text = new String(query, 5, query.length - 6, StandardCharsets.UTF_8);
-                        long told = Long.parseLong(Statement.parse(text).parameter("d"));
-                        excess.add(told - (expiry - desk.nowNanos()) / 1_000_000);
+                        long statedMillis = Long.parseLong(Statement.parse(text).parameter("d"));
+                        excessMillis.add(statedMillis - (expiryNanos - dispatcher.nowNanos()) / 1_000_000);
                     }
-                    return answer(query, new InetSocketAddress("127.0.0.1", 1));
+                    return respond(query, new InetSocketAddress("127.0.0.1", 1));
                 })));
-        assertThat(answer.kind()).isEqualTo(InFlightRequest.Kind.COMMITTED);
-        assertThat(excess).singleElement().satisfies(ms -> assertThat(ms).isLessThanOrEqualTo(SLACK_MILLIS));
+        assertThat(finalCommand.kind()).isEqualTo(InFlightRequest.Kind.COMMITTED);
+        assertThat(excessMillis)
+                .singleElement()
+                .satisfies(ms -> assertThat(ms).isLessThanOrEqualTo(BUDGET_TOLERANCE_MILLIS));
     }
 
-    /** The check of a send takes the lock of the decisions; what it waits for that is no part of the send. */
+    /** The check of a sent attempt takes the dispatcher's lock; the wait for it must not count as part of the write. */
     @Test
-    void aSendThatWaitsForTheLockToBeCheckedIsNotHeldAgainstItself() throws Exception {
-        InFlightRequest.Command answer = finalAnswer((address, room) ->
-                new ServerConnection(address, room, new InMemorySocket(new byte[0], query -> {
+    void waitingForTheLockToCheckASentAttemptViolatesNoInvariant() throws Exception {
+        InFlightRequest.Command finalCommand = finalCommand((address, memory) ->
+                new ServerConnection(address, memory, new InMemorySocket(new byte[0], query -> {
                     if (query[0] == 'Q') {
-                        holdLock(LOCK_MILLIS);
+                        holdLock(LOCK_HOLD_MILLIS);
                     }
-                    return answer(query, new InetSocketAddress("127.0.0.1", 1));
+                    return respond(query, new InetSocketAddress("127.0.0.1", 1));
                 })));
-        assertThat(answer.kind()).isEqualTo(InFlightRequest.Kind.COMMITTED);
-        assertThat(desk.monitor().invariants().violations().total()).isZero();
+        assertThat(finalCommand.kind()).isEqualTo(InFlightRequest.Kind.COMMITTED);
+        assertThat(dispatcher.monitor().invariants().violations().total()).isZero();
     }
 
-    /** Another thread takes the lock of the decisions now, and keeps it for so long. */
+    /** Makes another thread take the dispatcher's lock and hold it for this long; returns once it is taken. */
     private void holdLock(long millis) {
         CountDownLatch held = new CountDownLatch(1);
-        Thread holder = new Thread(() -> desk.applyEvent(now -> {
+        Thread holder = new Thread(() -> dispatcher.applyEvent(now -> {
             held.countDown();
             sleep(millis);
         }));
@@ -160,50 +167,55 @@
         }
     }
 
-    /** Read in the same paths: a connection found dead, and then none to be had in its place. */
+    /** An idle connection can't be reused and opening another one fails: its descriptor is released exactly once. */
     @Test
-    void aConnectionThatIsOfNoUseGivesItsDescriptorBackOnce() throws Exception {
+    void anUnusableConnectionReleasesItsDescriptorOnce() throws Exception {
         DescriptorLimit descriptors = new DescriptorLimit(128);
-        InetSocketAddress moved = new InetSocketAddress("127.0.0.1", 2);
-        ServerConnectionPool lines = new ServerConnectionPool(
-                desk, SETTINGS, new ThreadLimit(192), new MemoryLimit(1 << 20), descriptors, (address, room) -> {
-                    if (address.equals(moved)) {
+        InetSocketAddress newAddress = new InetSocketAddress("127.0.0.1", 2);
+        ServerConnectionPool pool = new ServerConnectionPool(
+                dispatcher,
+                SETTINGS,
+                new ThreadLimit(192),
+                new MemoryLimit(1 << 20),
+                descriptors,
+                (address, memory) -> {
+                    if (address.equals(newAddress)) {
                         throw new IOException("no buffer space available");
                     }
                     return new ServerConnection(
-                            address, room, new InMemorySocket(new byte[0], query -> answer(query, moved)));
+                            address, memory, new InMemorySocket(new byte[0], query -> respond(query, newAddress)));
                 });
-        desk.setHostActions(lines);
-        desk.onEndpoints(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
+        dispatcher.setHostActions(pool);
+        dispatcher.onEndpoints(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
         Statement statement = Statement.parse(WRITE);
-        // Connections to a host that was used less are not kept.
-        for (int i = 0; i <= USES; i++) {
-            InFlightRequest hand = desk.submit(new RequestParameters(
+        // The policy closes the idle connections of a host with fewer than three recent responses.
+        for (int i = 0; i <= REQUESTS_BEFORE_MOVE; i++) {
+            InFlightRequest inFlight = dispatcher.submit(new RequestParameters(
                     "w" + i,
                     0,
-                    desk.group(1),
+                    dispatcher.group(1),
                     statement,
                     HostReport.NO_POSITION,
-                    desk.nowNanos(),
-                    desk.nowNanos() + 100_000_000,
+                    dispatcher.nowNanos(),
+                    dispatcher.nowNanos() + 100_000_000,
                     null));
-            lines.send(hand.awaitCommand(), statement);
-            // An idle connection is used again once it has rested.
+            pool.send(inFlight.awaitCommand(), statement);
+            // A connection is reused only after it has been idle for some milliseconds.
             Thread.sleep(10);
-            desk.abandon(hand);
+            dispatcher.abandon(inFlight);
         }
         assertThat(descriptors.held(DescriptorLimit.Use.SERVER)).isZero();
     }
 
     /**
-     * While it answers for the last time, its host moves: the connection goes back to those that wait, of no use any
-     * more.
+     * Returns the host's response to a message. During the last response the host gets a new address, so that the
+     * connection becomes idle but can't be reused.
      */
-    private byte[] answer(byte[] query, InetSocketAddress moved) {
+    private byte[] respond(byte[] query, InetSocketAddress newAddress) {
         MessageWriter out = new MessageWriter();
         if (query[0] == 'Q') {
-            if (written.incrementAndGet() == USES) {
-                desk.onEndpoints(false, List.of(entry(moved)));
+            if (writtenQueries.incrementAndGet() == REQUESTS_BEFORE_MOVE) {
+                dispatcher.onEndpoints(false, List.of(entry(newAddress)));
             }
             out.singleColumnResult("doc", new byte[] {1})
                     .commandComplete("INSERT 0 1")
