--- a/src/test/java/beaconladder/server/ParsersAndResourcesTest.java
+++ b/src/test/java/beaconladder/server/ParsersAndResourcesTest.java
@@ -22,12 +22,12 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The parsers at the door: figures stay exact, and what can't be read is said so. */
+/** The parsers of settings, load reports, statements and endpoint lists, and the bounds of memory and of held state. */
 class ParsersAndResourcesTest {
 
-    /** One object of settings, in the form of the sockets and in the drill's. */
+    /** The same settings as the nested JSON of the configuration file and as the flat lines of the simulator. */
     @Test
-    void nestedSettingsBecomeTheDrillsFlatLines() throws Exception {
+    void nestedSettingsAreFlattenedToDottedKeys() throws Exception {
         Map<String, String> flat = new LinkedHashMap<>();
         JsonReader.flatten("", JsonReader.parse("""
                 {"clients":{"marks_retry":true},"family_info":{"freshness":["recent","update"],
@@ -36,7 +36,7 @@
                  "request_classes":[{"effect":"pure","give_up_us":2000000,"name":"cab-board","points":1.0,
                  "stream":false},{"effect":"side_effect","name":"trip\\u002dbook","points":3.0}],
                  "my_number":0,"nothing":null,"empty":[]}"""), flat);
-        Map<String, String> drill = new TreeMap<>();
+        Map<String, String> expected = new TreeMap<>();
         """
                 clients.marks_retry=true
                 empty=
@@ -56,16 +56,16 @@
                 request_classes.1.effect=side_effect
                 request_classes.1.name=trip-book
                 request_classes.1.points=3.0
-                """.lines().forEach(line -> drill.put(line.split("=")[0], line.substring(line.indexOf('=') + 1)));
-        assertThat(new TreeMap<>(flat)).isEqualTo(drill);
+                """.lines().forEach(line -> expected.put(line.split("=")[0], line.substring(line.indexOf('=') + 1)));
+        assertThat(new TreeMap<>(flat)).isEqualTo(expected);
     }
 
     @Test
-    void positionsStayExactAndAreRoundedDownOnly() {
-        StringBuilder trace = new StringBuilder();
+    void positionsAreExactToTheNanosecondAndRoundedDown() {
+        StringBuilder results = new StringBuilder();
         for (String position : new String[] {"1767225600123", "1767225600123.9999999", "0", "-3", "1e30", "x", ""}) {
             long nanos = LoadReportParser.parsePositionNanos(position, 6);
-            trace.append(position)
+            results.append(position)
                     .append(" ms: ")
                     .append(nanos == HostReport.NO_POSITION ? "none" : nanos)
                     .append('\n');
@@ -80,17 +80,17 @@
             "nonsense",
             ""
         }) {
-            HostReport word = LoadReportParser.parse(load);
-            trace.append(load)
+            HostReport report = LoadReportParser.parse(load);
+            results.append(load)
                     .append(": ")
-                    .append(word.role())
+                    .append(report.role())
                     .append(' ')
-                    .append(word.position() == HostReport.NO_POSITION ? "none" : word.position())
+                    .append(report.position() == HostReport.NO_POSITION ? "none" : report.position())
                     .append(' ')
-                    .append(word.inFlight())
+                    .append(report.inFlight())
                     .append('\n');
         }
-        assertThat(trace.toString()).isEqualTo("""
+        assertThat(results.toString()).isEqualTo("""
                 1767225600123 ms: 1767225600123000000
                 1767225600123.9999999 ms: 1767225600123999999
                 0 ms: none
@@ -109,9 +109,12 @@
                 """);
     }
 
-    /** Seen: 28 s and all of the heap for the eleven characters of one number, of a client or of a spoilt answer. */
+    /**
+     * Parsing a number such as 1e500000000, sent by a client or in an invalid response of a host, took 28 s and all of
+     * the heap.
+     */
     @Test
-    void aNumberWithALongExponentIsReadAtOnce() {
+    void aNumberWithALongExponentIsParsedQuickly() {
         for (String number : new String[] {
             "1e5000000",
             "1e50000000",
@@ -135,7 +138,7 @@
     }
 
     @Test
-    void onlyTheTimeToWaitChangesInAStatementThatIsPassedOn() {
+    void onlyTheTimeBudgetChangesInAForwardedStatement() {
         String text = "SELECT doc FROM items WHERE id = 'it/d=1,/' " + "/* id=9,c=x , d=480,cluster=2,after=5,k=z */ ";
         Statement statement = Statement.parse(text);
         assertThat(statement.parseError()).isNull();
@@ -146,10 +149,10 @@
         assertThat(Statement.parse(text.replace("it", "is")).sessionId()).isNotEqualTo(statement.sessionId());
     }
 
-    /** The place, at which a file is to be mended; the words are the parser's. */
+    /** Checks the position in each error message, which operators need to correct a file; the rest is not checked. */
     @Test
-    void badJsonIsNamedWithItsPlace() {
-        StringBuilder trace = new StringBuilder();
+    void jsonErrorsStateTheirPosition() {
+        StringBuilder results = new StringBuilder();
         for (String text : new String[] {
             "",
             "{",
@@ -168,17 +171,17 @@
             "NaN"
         }) {
             try {
-                trace.append(JsonReader.parse(text)).append('\n');
+                results.append(JsonReader.parse(text)).append('\n');
             } catch (JsonReader.ParseException e) {
-                trace.append(e.getMessage().replaceAll("bad JSON at character (\\d+): .+", "$1 "));
+                results.append(e.getMessage().replaceAll("bad JSON at character (\\d+): .+", "$1 "));
             }
         }
-        assertThat(trace.toString()).isEqualTo("0 1 5 3 2 3 2 2 0 1 3 0 5 10 3 ");
+        assertThat(results.toString()).isEqualTo("0 1 5 3 2 3 2 2 0 1 3 0 5 10 3 ");
     }
 
     @Test
-    void anEntryThatCannotBeReadMakesTheListVoid() throws Exception {
-        StringBuilder trace = new StringBuilder();
+    void anInvalidEntryInvalidatesTheCompleteEndpointList() throws Exception {
+        StringBuilder results = new StringBuilder();
         String good = """
                 {"id":"s-1","addr":"10.1.0.18:5432","zone":"a","cell":3,"state":"Ready",
                  "started_ms":1767225600123,"role":"leader"}""";
@@ -192,13 +195,13 @@
             "7"
         }) {
             try {
-                Map<?, ?> news = (Map<?, ?>) JsonReader.parse("{\"servers\":[" + entry + "]}");
-                trace.append(EndpointWatch.parseEntries(news)).append('\n');
+                Map<?, ?> response = (Map<?, ?>) JsonReader.parse("{\"servers\":[" + entry + "]}");
+                results.append(EndpointWatch.parseEntries(response)).append('\n');
             } catch (IOException e) {
-                trace.append(e.getMessage()).append('\n');
+                results.append(e.getMessage()).append('\n');
             }
         }
-        assertThat(trace.toString().replace("Entry", "")).isEqualTo("""
+        assertThat(results.toString().replace("Entry", "")).isEqualTo("""
                 [[id=s-1, address=/10.1.0.18:5432, zone=a, group=3, state=READY, leader=true, \
                 launchedMillis=1767225600123]]
                 [[id=s-1, address=null, zone=a, group=3, state=GONE, leader=true, \
@@ -211,27 +214,27 @@
                 """);
     }
 
-    /** Hosts come and go under new ids all day; nothing is held for those that are gone. */
+    /** Hosts are continually replaced under new ids; the dispatcher must hold no state for those that are gone. */
     @Test
-    void hostsThatAreGoneAreLetGo() throws Exception {
-        Map<String, String> start = new LinkedHashMap<>(
+    void hostsThatAreGoneAreRemoved() throws Exception {
+        Map<String, String> settings = new LinkedHashMap<>(
                 Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east"));
-        RequestDispatcher desk = new RequestDispatcher(1, start, null);
-        desk.setHostActions(new ServerConnectionPool(
-                desk,
-                start,
+        RequestDispatcher dispatcher = new RequestDispatcher(1, settings, null);
+        dispatcher.setHostActions(new ServerConnectionPool(
+                dispatcher,
+                settings,
                 task -> {
                     task.run();
                     return true;
                 },
                 new MemoryLimit(0),
                 new DescriptorLimit(64),
-                (address, room) -> {
-                    throw new IOException("nobody there");
+                (address, memory) -> {
+                    throw new IOException("no host at this address");
                 }));
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 1);
         for (int i = 0; i < 3_000; i++) {
-            desk.onEndpoints(
+            dispatcher.onEndpoints(
                     false,
                     List.of(
                             new EndpointWatch.Entry(
@@ -239,82 +242,82 @@
                             new EndpointWatch.Entry(
                                     "s" + (i - 5), null, "east", i % 2, EndpointWatch.State.GONE, false, 0)));
             Statement read = Statement.parse("SELECT doc FROM items WHERE id = 'k' /* id=1,c=x,d=9 */");
-            InFlightRequest hand = desk.submit(new RequestParameters(
+            InFlightRequest inFlight = dispatcher.submit(new RequestParameters(
                     "t" + i,
                     0,
-                    desk.group(i % 2),
+                    dispatcher.group(i % 2),
                     read,
                     HostReport.NO_POSITION,
-                    desk.nowNanos(),
-                    desk.nowNanos() + 1_000_000,
+                    dispatcher.nowNanos(),
+                    dispatcher.nowNanos() + 1_000_000,
                     null));
-            desk.abandon(hand);
-            desk.releaseId("t" + i);
-            desk.sweep();
+            dispatcher.abandon(inFlight);
+            dispatcher.releaseId("t" + i);
+            dispatcher.sweep();
         }
-        assertThat(desk.trackedCount()).isLessThan(30);
+        assertThat(dispatcher.trackedCount()).isLessThan(30);
     }
 
-    /** At rest a list costs nothing: what looks for hosts that are gone does not walk all others. */
+    /** A sweep for hosts that are gone must not iterate over the complete endpoint list. */
     @Test
-    void aSweepCostsNoMoreOfALongList() throws Exception {
-        RequestDispatcher few = listing(58);
-        RequestDispatcher many = listing(5_800);
-        sweeps(few);
-        sweeps(many);
-        long short58 = Long.MAX_VALUE;
-        long long5800 = Long.MAX_VALUE;
+    void theCostOfASweepDoesNotGrowWithTheEndpointList() throws Exception {
+        RequestDispatcher shortList = dispatcherWithHosts(58);
+        RequestDispatcher longList = dispatcherWithHosts(5_800);
+        sweepNanos(shortList);
+        sweepNanos(longList);
+        long shortNanos = Long.MAX_VALUE;
+        long longNanos = Long.MAX_VALUE;
         for (int i = 0; i < 5; i++) {
-            short58 = Math.min(short58, sweeps(few));
-            long5800 = Math.min(long5800, sweeps(many));
+            shortNanos = Math.min(shortNanos, sweepNanos(shortList));
+            longNanos = Math.min(longNanos, sweepNanos(longList));
         }
-        assertThat(long5800).isLessThan(10 * short58);
+        assertThat(longNanos).isLessThan(10 * shortNanos);
     }
 
-    private static RequestDispatcher listing(int count) {
-        RequestDispatcher desk = new RequestDispatcher(
+    private static RequestDispatcher dispatcherWithHosts(int count) {
+        RequestDispatcher dispatcher = new RequestDispatcher(
                 1,
                 new LinkedHashMap<>(
                         Map.of("request_classes.count", "1", "family_info.freshness", "loose", "zones", "east")),
                 null);
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 1);
-        desk.onEndpoints(
+        dispatcher.onEndpoints(
                 true,
                 IntStream.range(0, count)
                         .mapToObj(i -> new EndpointWatch.Entry(
                                 "s" + i, address, "east", i / 3, EndpointWatch.State.READY, false, 0))
                         .toList());
-        return desk;
+        return dispatcher;
     }
 
-    private static long sweeps(RequestDispatcher desk) {
-        long from = System.nanoTime();
+    private static long sweepNanos(RequestDispatcher dispatcher) {
+        long startNanos = System.nanoTime();
         for (int i = 0; i < 300; i++) {
-            desk.sweep();
+            dispatcher.sweep();
         }
-        return System.nanoTime() - from;
+        return System.nanoTime() - startNanos;
     }
 
-    /** What a cell's clients take, they take from all, and beyond their part they get nothing. */
+    /** The memory of a cell's clients counts towards the total too, and none is granted beyond the cell's own limit. */
     @Test
-    void aPartOfTheRoomIsBoundedByItselfAndByTheWhole() throws Exception {
-        MemoryLimit whole = new MemoryLimit(8_192);
-        MemoryLimit part = new MemoryLimit(2_048, whole);
-        MessageReader in = new MessageReader(whole);
-        in.chargeTo(part);
+    void theMemoryOfACellIsBoundedByItsOwnLimitAndTheTotal() throws Exception {
+        MemoryLimit totalLimit = new MemoryLimit(8_192);
+        MemoryLimit cellLimit = new MemoryLimit(2_048, totalLimit);
+        MessageReader in = new MessageReader(totalLimit);
+        in.chargeTo(cellLimit);
         byte[] message = new byte[6_000];
         message[0] = 'Q';
         message[3] = 0x20;
         ReadableByteChannel channel = Channels.newChannel(new ByteArrayInputStream(message));
-        MessageReader.ReadStatus got = MessageReader.ReadStatus.INCOMPLETE;
-        while (got == MessageReader.ReadStatus.INCOMPLETE && in.readFrom(channel) > 0) {
-            got = in.nextMessage(false);
+        MessageReader.ReadStatus readStatus = MessageReader.ReadStatus.INCOMPLETE;
+        while (readStatus == MessageReader.ReadStatus.INCOMPLETE && in.readFrom(channel) > 0) {
+            readStatus = in.nextMessage(false);
         }
-        assertThat(got).isEqualTo(MessageReader.ReadStatus.OUT_OF_MEMORY);
-        assertThat(part.availableBytes()).isZero();
-        assertThat(whole.availableBytes()).isEqualTo(8_192 - 2_048);
+        assertThat(readStatus).isEqualTo(MessageReader.ReadStatus.OUT_OF_MEMORY);
+        assertThat(cellLimit.availableBytes()).isZero();
+        assertThat(totalLimit.availableBytes()).isEqualTo(8_192 - 2_048);
         in.release();
-        assertThat(whole.availableBytes()).isEqualTo(8_192);
-        assertThat(part.availableBytes()).isEqualTo(2_048);
+        assertThat(totalLimit.availableBytes()).isEqualTo(8_192);
+        assertThat(cellLimit.availableBytes()).isEqualTo(2_048);
     }
 }
--- a/src/test/java/beaconladder/server/RestartAndOverloadIT.java
+++ b/src/test/java/beaconladder/server/RestartAndOverloadIT.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The packaged program while it is stopped, restarted and flooded. Clients write ahead; what they wrote is answered, or
- * its connection is reset with it unread. Nothing else is good enough.
+ * The packaged program while its process is paused, restarted and flooded with connections. Clients pipeline requests;
+ * each request is answered, or its connection is reset before the request was read.
  */
 @Timeout(240)
 class RestartAndOverloadIT {
@@ -29,108 +29,110 @@
     Path folder;
 
     private final List<AutoCloseable> open = new ArrayList<>();
-    private PipeliningClients writers;
-    private volatile boolean over;
+    private PipeliningClients pipeliningClients;
+    private volatile boolean finished;
     private HostStandIn a;
     private HostStandIn b;
     private DiscoveryStandIn discovery;
 
     @BeforeEach
-    void standIns() throws IOException {
+    void startStandIns() throws IOException {
         a = keep(new HostStandIn("leader"));
         b = keep(new HostStandIn("follower"));
-        writers = new PipeliningClients(List.of(a, b), port -> false);
+        pipeliningClients = new PipeliningClients(List.of(a, b), port -> false);
         discovery = keep(new DiscoveryStandIn());
         discovery.list(true, a.entry("a", "Ready"), b.entry("b", "Ready"));
     }
 
     @AfterEach
-    void end() throws Exception {
+    void closeResources() throws Exception {
         for (AutoCloseable each : open) {
             each.close();
         }
     }
 
     @Test
-    void atALimitOf128DescriptorsAFloodIsAnsweredAndNoCallMeetsTheLimit() throws Exception {
+    void aConnectionFloodIsAnsweredWithinALimitOf128Descriptors() throws Exception {
         flood(128, 128);
     }
 
     @Test
-    void atALimitOf256DescriptorsAFloodIsAnsweredAndNoCallMeetsTheLimit() throws Exception {
+    void aConnectionFloodIsAnsweredWithinALimitOf256Descriptors() throws Exception {
         flood(256, 256);
     }
 
-    /** The program meets the limit then, and goes on taking clients in once it has descriptors again. */
+    /** System calls fail at the limit; the program must accept clients again once descriptors are free. */
     @Test
-    void whereFewerDescriptorsThanStatedCanBeHadAFloodIsAnsweredAllTheSame() throws Exception {
+    void aConnectionFloodIsAnsweredWithFewerDescriptorsThanConfigured() throws Exception {
         flood(128, 80);
     }
 
-    /** Three times as many clients as there are descriptors, all at once, four times over. */
-    private void flood(int stated, int limit) throws Exception {
+    /** Connects three times as many concurrent clients as there are descriptors, each of them four times in a row. */
+    private void flood(int configuredDescriptors, int availableDescriptors) throws Exception {
         a.delayMillis = 40;
         b.delayMillis = 40;
-        Program program = start(stated, "ulimit -n " + limit + "; ");
-        AtomicInteger mostFiles = new AtomicInteger();
-        Thread watch = thread(() -> {
-            while (!over) {
-                mostFiles.accumulateAndGet(program.files(), Math::max);
+        Program program = start(configuredDescriptors, "ulimit -n " + availableDescriptors + "; ");
+        AtomicInteger maxOpenFiles = new AtomicInteger();
+        Thread fileWatch = startThread(() -> {
+            while (!finished) {
+                maxOpenFiles.accumulateAndGet(program.files(), Math::max);
                 TimeUnit.MILLISECONDS.sleep(1);
             }
         });
         List<Thread> clients = new ArrayList<>();
-        for (int i = 0; i < 3 * limit; i++) {
-            int n = i;
-            clients.add(thread(() -> {
-                SplittableRandom chance = new SplittableRandom(n);
+        for (int i = 0; i < 3 * availableDescriptors; i++) {
+            int clientNumber = i;
+            clients.add(startThread(() -> {
+                SplittableRandom random = new SplittableRandom(clientNumber);
                 for (int k = 0; k < 4; k++) {
-                    writers.batch(program.port, "f" + n + "-" + k, 1, chance, () -> over);
+                    pipeliningClients.batch(program.port, "f" + clientNumber + "-" + k, 1, random, () -> finished);
                 }
             }));
         }
         for (Thread each : clients) {
             each.join();
         }
-        over = true;
-        watch.join();
-        assertThat(writers.odd).isEmpty();
-        assertThat(program.log().contains("Too many open files")).isEqualTo(limit < stated);
-        assertThat(mostFiles.get()).isBetween(limit / 2, limit);
-        assertThat(writers.answered.get()).isEqualTo(4 * 3 * limit);
-        // With fewer descriptors than it counts on it may decline nearly all, but it answers and goes on.
-        assertThat(writers.served.get()).isGreaterThan(limit < stated ? 0 : limit / 2);
-        assertThat(writers.writesThatRanTwice()).isEmpty();
+        finished = true;
+        fileWatch.join();
+        assertThat(pipeliningClients.odd).isEmpty();
+        assertThat(program.log().contains("Too many open files"))
+                .isEqualTo(availableDescriptors < configuredDescriptors);
+        assertThat(maxOpenFiles.get()).isBetween(availableDescriptors / 2, availableDescriptors);
+        assertThat(pipeliningClients.answered.get()).isEqualTo(4 * 3 * availableDescriptors);
+        // With fewer descriptors than configured it may reject nearly all requests, but it answers and continues.
+        assertThat(pipeliningClients.served.get())
+                .isGreaterThan(availableDescriptors < configuredDescriptors ? 0 : availableDescriptors / 2);
+        assertThat(pipeliningClients.writesThatRanTwice()).isEmpty();
     }
 
-    /** Two programs, ten restarts each, while clients write ahead and come anew all the time. */
+    /** Restarts two programs ten times each, while clients pipeline requests and connect again continually. */
     @Test
-    void twentyRestartsUnderLoadDropNothingThatWasTaken() throws Exception {
+    void twentyRestartsUnderLoadLoseNoRequestThatWasRead() throws Exception {
         a.delayMillis = 5;
         b.delayMillis = 5;
         List<Thread> restarts = new ArrayList<>();
         List<Thread> clients = new ArrayList<>();
-        AtomicInteger zeros = new AtomicInteger();
+        AtomicInteger cleanExits = new AtomicInteger();
         for (int p = 0; p < 2; p++) {
             int port = Program.freePort();
-            restarts.add(thread(() -> {
+            restarts.add(startThread(() -> {
                 for (int k = 0; k < 10; k++) {
                     Program program = start(1024, "", port);
                     TimeUnit.MILLISECONDS.sleep(300);
                     program.signal("TERM");
                     if (program.process.waitFor(15, TimeUnit.SECONDS) && program.process.exitValue() == 0) {
-                        zeros.incrementAndGet();
+                        cleanExits.incrementAndGet();
                     }
                     program.close();
                 }
             }));
             for (int i = 0; i < 6; i++) {
                 String name = "r" + p + "-" + i;
-                int n = 10 * p + i;
-                clients.add(thread(() -> {
-                    SplittableRandom chance = new SplittableRandom(n);
-                    for (int k = 0; !over; k++) {
-                        writers.batch(port, name + "-" + k, 1 + chance.nextInt(5), chance, () -> over);
+                int clientNumber = 10 * p + i;
+                clients.add(startThread(() -> {
+                    SplittableRandom random = new SplittableRandom(clientNumber);
+                    for (int k = 0; !finished; k++) {
+                        pipeliningClients.batch(port, name + "-" + k, 1 + random.nextInt(5), random, () -> finished);
                     }
                 }));
             }
@@ -138,80 +140,82 @@
         for (Thread each : restarts) {
             each.join();
         }
-        over = true;
+        finished = true;
         for (Thread each : clients) {
             each.join();
         }
-        assertThat(writers.odd).isEmpty();
-        assertThat(zeros.get()).isEqualTo(20);
-        assertThat(writers.served.get()).isGreaterThan(500);
-        assertThat(writers.writesThatRanTwice()).isEmpty();
+        assertThat(pipeliningClients.odd).isEmpty();
+        assertThat(cleanExits.get()).isEqualTo(20);
+        assertThat(pipeliningClients.served.get()).isGreaterThan(500);
+        assertThat(pipeliningClients.writesThatRanTwice()).isEmpty();
     }
 
     /**
-     * The process is stopped wherever it just is, 200 times for 20 to 200 ms, while clients come, stay idle, are ended
-     * for it, and write at that very moment.
+     * The process is paused at arbitrary points, 200 times for 20 to 200 ms, while clients connect, stay idle, are
+     * disconnected for being idle, and send requests at that very moment.
      */
     @Test
-    void twoHundredStopsOfTheProcessUnderLoadLoseNothing() throws Exception {
+    void twoHundredPausesOfTheProcessUnderLoadLoseNoRequest() throws Exception {
         a.delayMillis = 2;
         b.delayMillis = 2;
         Program program = start(128, "");
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            int n = i;
-            clients.add(thread(() -> {
-                SplittableRandom chance = new SplittableRandom(n);
-                for (int k = 0; !over; k++) {
-                    TestClient caller = writers.open(program.port);
-                    if (caller == null) {
+            int clientNumber = i;
+            clients.add(startThread(() -> {
+                SplittableRandom random = new SplittableRandom(clientNumber);
+                for (int k = 0; !finished; k++) {
+                    TestClient client = pipeliningClients.open(program.port);
+                    if (client == null) {
                         continue;
                     }
-                    try (caller) {
-                        boolean stays = true;
-                        for (int j = 0; stays && !over; j++) {
-                            stays = writers.ask(
-                                    program.port, caller, "s" + n + "-" + k + "-" + j, 1 + chance.nextInt(2), chance);
-                            TimeUnit.MILLISECONDS.sleep(chance.nextInt(300));
+                    try (client) {
+                        boolean connected = true;
+                        for (int j = 0; connected && !finished; j++) {
+                            connected = pipeliningClients.ask(
+                                    program.port,
+                                    client,
+                                    "s" + clientNumber + "-" + k + "-" + j,
+                                    1 + random.nextInt(2),
+                                    random);
+                            TimeUnit.MILLISECONDS.sleep(random.nextInt(300));
                         }
                     }
                 }
             }));
         }
-        SplittableRandom chance = new SplittableRandom(5);
+        SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 200; i++) {
             program.signal("STOP");
-            TimeUnit.MILLISECONDS.sleep(20 + chance.nextInt(181));
+            TimeUnit.MILLISECONDS.sleep(20 + random.nextInt(181));
             program.signal("CONT");
-            TimeUnit.MILLISECONDS.sleep(chance.nextInt(50));
+            TimeUnit.MILLISECONDS.sleep(random.nextInt(50));
         }
-        over = true;
+        finished = true;
         for (Thread each : clients) {
             each.join();
         }
-        assertThat(writers.odd).isEmpty();
-        assertThat(writers.served.get()).isGreaterThan(1_000);
-        // Clients were ended while idle, or this has shown nothing.
-        assertThat(writers.unread.get()).isPositive();
+        assertThat(pipeliningClients.odd).isEmpty();
+        assertThat(pipeliningClients.served.get()).isGreaterThan(1_000);
+        // The test shows nothing unless clients were disconnected while idle.
+        assertThat(pipeliningClients.unread.get()).isPositive();
         assertThat(program.log()).doesNotContain("ERROR", "Exception");
-        assertThat(writers.writesThatRanTwice()).isEmpty();
+        assertThat(pipeliningClients.writesThatRanTwice()).isEmpty();
     }
 
-    // ---- Helpers ------------------------------------------------------------------------------------------
-
-    /** What may throw. */
-    private interface Work {
+    /** A task that may throw. */
+    private interface ThrowingTask {
         void run() throws Exception;
     }
 
-    private Thread thread(Work work) {
+    private Thread startThread(ThrowingTask task) {
         Thread thread = new Thread(
                 null,
                 () -> {
                     try {
-                        work.run();
+                        task.run();
                     } catch (Exception | AssertionError e) {
-                        writers.odd.add(e.toString());
+                        pipeliningClients.odd.add(e.toString());
                     }
                 },
                 "client",
@@ -220,13 +224,16 @@
         return thread;
     }
 
-    private Program start(int limit, String before) throws Exception {
-        return start(limit, before, Program.freePort());
+    private Program start(int descriptors, String shellPrefix) throws Exception {
+        return start(descriptors, shellPrefix, Program.freePort());
     }
 
-    private Program start(int limit, String before, int port) throws Exception {
+    private Program start(int descriptors, String shellPrefix, int port) throws Exception {
         return keep(new Program(
-                        folder, Program.config(port, discovery, limit, 192, a.entry("a", "Ready")), port, before))
+                        folder,
+                        Program.config(port, discovery, descriptors, 192, a.entry("a", "Ready")),
+                        port,
+                        shellPrefix))
                 .ready();
     }
 
