--- a/src/main/java/beaconladder/server/HostExchange.java
+++ b/src/main/java/beaconladder/server/HostExchange.java
@@ -131,7 +131,8 @@
     private boolean connect() {
         InetSocketAddress address = dispatcher.address(host);
         while (address != null) {
-            ServerConnection candidate = pool.idle().take(host, System.nanoTime() - dispatcher.maxIdleNanos());
+            ServerConnection candidate =
+                    pool.idleConnections().take(host, System.nanoTime() - dispatcher.maxIdleNanos());
             boolean isNew = candidate == null;
             if (isNew) {
                 try {
@@ -166,7 +167,7 @@
 
     /** Closes an idle connection that can't be reused. */
     private synchronized void discardConnection() {
-        pool.idle().close(connection);
+        pool.idleConnections().close(connection);
         connection = null;
     }
 
@@ -198,9 +199,9 @@
     private synchronized boolean releaseConnection(boolean reusable) {
         if (connection != null) {
             if (reusable && !cancelled) {
-                pool.idle().release(host, connection);
+                pool.idleConnections().release(host, connection);
             } else {
-                pool.idle().close(connection);
+                pool.idleConnections().close(connection);
             }
             connection = null;
         }
--- a/src/main/java/beaconladder/server/InFlightRequest.java
+++ b/src/main/java/beaconladder/server/InFlightRequest.java
@@ -7,7 +7,7 @@
 import beaconladder.routing.state.RequestClass;
 import java.util.ArrayDeque;
 
-/** A request in flight: the queue of commands from the dispatcher to the task that completes the request. */
+/** A request in flight, with the queue of commands from the dispatcher to the task that completes the request. */
 final class InFlightRequest {
 
     /** The kind of a command. */
@@ -28,27 +28,27 @@
      * @param answer the host's messages of a COMMITTED
      */
     record Command(Kind kind, Attempt attempt, long deadlineNanos, long retryAfterNanos, MessageWriter answer) {
-        /** Sends this attempt to its host; it times out at the deadline. */
+        /** The command to send this attempt to its host; the attempt times out at the deadline. */
         static Command send(Attempt attempt, long deadlineNanos) {
             return new Command(Kind.SEND, attempt, deadlineNanos, 0, null);
         }
 
-        /** Returns the host's messages to the client. */
+        /** The command to return the host's messages to the client. */
         static Command committed(Attempt attempt, MessageWriter answer) {
             return new Command(Kind.COMMITTED, attempt, 0, 0, answer);
         }
 
-        /** Rejects the request, which has not run; the client may retry after this time. */
+        /** The command to reject the request, which has not run; the client may retry after this time. */
         static Command rejected(long retryAfterNanos) {
             return new Command(Kind.REJECTED, null, 0, retryAfterNanos, null);
         }
 
-        /** Reports to the client that the request failed and may have run. */
+        /** The command to report to the client that the request failed and may have run. */
         static Command rolledBack() {
             return new Command(Kind.ROLLED_BACK, null, 0, 0, null);
         }
 
-        /** Ends the task, since the client has disconnected or has cancelled the request. */
+        /** The command to stop, as the client has disconnected or has cancelled the request. */
         static Command clientGone() {
             return new Command(Kind.CLIENT_GONE, null, 0, 0, null);
         }
--- a/src/main/java/beaconladder/server/ServerConnectionPool.java
+++ b/src/main/java/beaconladder/server/ServerConnectionPool.java
@@ -24,8 +24,8 @@
     private final String healthCheckQuery;
     private final boolean healthChecksReportLoad;
     private final boolean cancelsAttempts;
-    private final Opener opener;
-    private final IdleConnections idle;
+    private final ConnectionFactory connectionFactory;
+    private final IdleConnections idleConnections;
     private final Set<HostExchange> exchanges = ConcurrentHashMap.newKeySet();
     private final DescriptorLimit descriptors;
 
@@ -35,11 +35,11 @@
             TaskStarter taskStarter,
             MemoryLimit memory,
             DescriptorLimit descriptors,
-            Opener opener) {
+            ConnectionFactory connectionFactory) {
         this.dispatcher = dispatcher;
         this.descriptors = descriptors;
-        this.idle = new IdleConnections(descriptors);
-        this.opener = opener;
+        this.idleConnections = new IdleConnections(descriptors);
+        this.connectionFactory = connectionFactory;
         this.cancelsAttempts = "true".equals(settings.get("limits.cancel"));
         this.memory = memory;
         this.taskStarter = taskStarter;
@@ -50,7 +50,7 @@
     }
 
     /** Creates a connection that is not yet open. */
-    interface Opener {
+    interface ConnectionFactory {
         ServerConnection create(InetSocketAddress address, MemoryLimit memory) throws IOException;
     }
 
@@ -63,19 +63,19 @@
      * Creates a connection that is not yet open; where no descriptor is free, the connection that has been idle longest
      * is closed for it.
      *
-     * @param deadlineNanos how long to wait for a descriptor, on System.nanoTime's clock
+     * @param deadlineNanos when to stop waiting for a descriptor, on System.nanoTime's clock
      * @return the connection, or null where no descriptor is free by then
      */
     ServerConnection newConnection(InetSocketAddress address, long deadlineNanos) throws IOException {
         boolean acquired = descriptors.acquire(DescriptorLimit.Use.SERVER)
-                || idle.closeOldest() && descriptors.acquire(DescriptorLimit.Use.SERVER)
+                || idleConnections.closeOldest() && descriptors.acquire(DescriptorLimit.Use.SERVER)
                 || descriptors.acquire(DescriptorLimit.Use.SERVER, deadlineNanos);
         if (!acquired) {
             return null;
         }
         boolean created = false;
         try {
-            ServerConnection connection = opener.create(address, memory);
+            ServerConnection connection = connectionFactory.create(address, memory);
             created = true;
             return connection;
         } finally {
@@ -84,8 +84,8 @@
     }
 
     /** The connections that are not in use. */
-    IdleConnections idle() {
-        return idle;
+    IdleConnections idleConnections() {
+        return idleConnections;
     }
 
     /** The longest time that opening a connection may take. */
@@ -158,13 +158,13 @@
 
     @Override
     public void closeIdle(Host host) {
-        idle.close(host);
+        idleConnections.close(host);
     }
 
     /** Closes connections that were idle too long, and cancels exchanges that are blocked past their deadline. */
     void sweep() {
         long now = System.nanoTime();
-        idle.sweep(now - dispatcher.maxIdleNanos());
+        idleConnections.sweep(now - dispatcher.maxIdleNanos());
         for (HostExchange exchange : exchanges) {
             // Exchanges end by their own timeouts, except one that is blocked in a write.
             if (now - exchange.deadlineNanos() > STUCK_NANOS) {
@@ -174,6 +174,6 @@
     }
 
     boolean closeOldestIdle() {
-        return idle.closeOldest();
+        return idleConnections.closeOldest();
     }
 }
--- a/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
+++ b/src/test/java/beaconladder/server/ServerConnectionPoolTest.java
@@ -60,10 +60,16 @@
     private final RequestDispatcher dispatcher = new RequestDispatcher(1, SETTINGS, null);
     private volatile long expiryNanos;
 
-    /** Submits a write and runs its attempts on connections of this opener; returns the final command. */
-    private InFlightRequest.Command finalCommand(ServerConnectionPool.Opener opener) throws Exception {
+    /** Submits a write and runs its attempts on connections of this factory; returns the final command. */
+    private InFlightRequest.Command finalCommand(ServerConnectionPool.ConnectionFactory connectionFactory)
+            throws Exception {
         ServerConnectionPool pool = new ServerConnectionPool(
-                dispatcher, SETTINGS, new ThreadLimit(192), new MemoryLimit(1 << 20), new DescriptorLimit(128), opener);
+                dispatcher,
+                SETTINGS,
+                new ThreadLimit(192),
+                new MemoryLimit(1 << 20),
+                new DescriptorLimit(128),
+                connectionFactory);
         dispatcher.setHostActions(pool);
         dispatcher.onEndpoints(true, List.of(entry(new InetSocketAddress("127.0.0.1", 1))));
         Thread timer = new Thread(dispatcher.timer());
