--- a/src/test/java/beaconladder/cells/MigrationSimulation.java
+++ b/src/test/java/beaconladder/cells/MigrationSimulation.java
@@ -159,7 +159,8 @@
             router.restart();
         }
         if (random.nextInt(4) == 0) {
-            MigrationStep registration = coordinator.registration(router.name, String.valueOf(router.incarnation), nowNanos);
+            MigrationStep registration =
+                    coordinator.registration(router.name, String.valueOf(router.incarnation), nowNanos);
             if (registration != null) {
                 recordAndApply(registration);
             }
@@ -229,7 +230,9 @@
     private void runDueWrites() {
         inTransit.removeIf(write -> {
             Attempt attempt = write.request().attempts.get(0);
-            if (!write.request().ended && write.router().incarnation == write.incarnation() && random.nextInt(12) == 0) {
+            if (!write.request().ended
+                    && write.router().incarnation == write.incarnation()
+                    && random.nextInt(12) == 0) {
                 // The client disconnects: the attempt is cancelled, but a host may still run it.
                 write.request().ended = true;
                 write.router().admission.requestEnded(write.request());
@@ -291,7 +294,8 @@
                 .filter(kind -> kind == Kind.DONE || kind == Kind.UNDONE)
                 .forEach(kind -> countByEnd.merge(kind, 1, Integer::sum));
         assertThat(coordinator.statuses(nowNanos).stream()
-                        .noneMatch(status -> status.state().equals("fenced") && nowNanos > status.stateSinceNanos() + 1_500 * MS))
+                        .noneMatch(status ->
+                                status.state().equals("fenced") && nowNanos > status.stateSinceNanos() + 1_500 * MS))
                 .as(history)
                 .isTrue();
     }
