--- a/src/main/java/beaconladder/coordinator/Coordinator.java
+++ b/src/main/java/beaconladder/coordinator/Coordinator.java
@@ -26,8 +26,8 @@
 
 /**
  * The coordinator: grants placement leases to routers, carries out migrations step by step, and serves operators.
- * {@link TenantMigrations} makes all decisions; a step is durable before it is applied. This object's monitor guards the
- * migrations and their records; it is notified after every step, for routers that wait for a newer placement.
+ * {@link TenantMigrations} makes all decisions; a step is durable before it is applied. This object's monitor guards
+ * the migrations and their records; it is notified after every step, for routers that wait for a newer placement.
  */
 public final class Coordinator implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Coordinator.class);
