--- a/src/main/java/beaconladder/routing/DeadlinePolicy.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -101,7 +101,9 @@
                 ? 0
                 : outliers.typicalResponseNanos(primary) * 3 / 2;
         return Math.min(
-                Math.min(request.expiryNanos - request.requestClass.slaNanos(), request.slaEndNanos - primaryResponseNanos),
+                Math.min(
+                        request.expiryNanos - request.requestClass.slaNanos(),
+                        request.slaEndNanos - primaryResponseNanos),
                 latestUsefulSendNanos(request) - roundNanos());
     }
 
@@ -114,9 +116,11 @@
         if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return latestSafeSendNanos(request);
         }
-        long usefulUntilNanos = request.requestClass.lateShare() > WORTHWHILE_LATE_SHARE ? request.expiryNanos : request.slaEndNanos;
+        long usefulUntilNanos =
+                request.requestClass.lateShare() > WORTHWHILE_LATE_SHARE ? request.expiryNanos : request.slaEndNanos;
         return Math.min(
-                usefulUntilNanos - request.group.responseTimes.quantile(EXPECTED_RESPONSE_QUANTILE), responseDeadlineNanos(request));
+                usefulUntilNanos - request.group.responseTimes.quantile(EXPECTED_RESPONSE_QUANTILE),
+                responseDeadlineNanos(request));
     }
 
     /**
@@ -133,9 +137,12 @@
                 recent ? primary.newestResponseDurationNanos : 0,
                 request.group.responseTimes.quantile(EXPECTED_RESPONSE_QUANTILE));
         // A host may silently drop a write after the timeout stated to it, which is earlier by the margin.
-        long latestResponseNanos =
-                responseNanos == 0 ? responseDeadlineNanos(request) : responseDeadlineNanos(request) - TIMEOUT_MARGIN_NANOS;
-        return (request.requestClass.lateShare() > WORTHWHILE_LATE_SHARE ? latestResponseNanos : Math.min(request.slaEndNanos, latestResponseNanos))
+        long latestResponseNanos = responseNanos == 0
+                ? responseDeadlineNanos(request)
+                : responseDeadlineNanos(request) - TIMEOUT_MARGIN_NANOS;
+        return (request.requestClass.lateShare() > WORTHWHILE_LATE_SHARE
+                        ? latestResponseNanos
+                        : Math.min(request.slaEndNanos, latestResponseNanos))
                 - responseNanos;
     }
 
@@ -165,7 +172,9 @@
     long attemptTimeoutNanos(Request request, long now) {
         boolean lateAnswerUseful =
                 request.requestClass.lateShare() > 0 || request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
-        return (lateAnswerUseful ? responseDeadlineNanos(request) : Math.min(request.slaEndNanos, responseDeadlineNanos(request)))
+        return (lateAnswerUseful
+                        ? responseDeadlineNanos(request)
+                        : Math.min(request.slaEndNanos, responseDeadlineNanos(request)))
                 - now;
     }
 
--- a/src/main/java/beaconladder/routing/HostStateTracker.java
+++ b/src/main/java/beaconladder/routing/HostStateTracker.java
@@ -222,14 +222,15 @@
         }
         host.responseTimes.add(now - attempt.sentNanos, attempt.hostConcurrency, now);
         // At a host with far more load than usual a timeout shows the load, elsewhere a fault of the host.
-        if (attempt.hostReportedInFlight > OVERLOAD_FACTOR * traffic.responseTimesByLoad.meanLoad(UNSET) + OVERLOAD_ALLOWANCE) {
+        if (attempt.hostReportedInFlight
+                > OVERLOAD_FACTOR * traffic.responseTimesByLoad.meanLoad(UNSET) + OVERLOAD_ALLOWANCE) {
             outliers.recordResponseTime(attempt, now);
         }
     }
 
     /**
-     * Records whether the attempt succeeded. An error counts as much as a lost response, since a host that fails at once
-     * looks idle and fast.
+     * Records whether the attempt succeeded. An error counts as much as a lost response, since a host that fails at
+     * once looks idle and fast.
      */
     private void recordSuccess(Attempt attempt, Outcome outcome, long now) {
         Host host = attempt.host;
--- a/src/main/java/beaconladder/routing/SlowStart.java
+++ b/src/main/java/beaconladder/routing/SlowStart.java
@@ -66,7 +66,8 @@
         boolean noneWarm = countWarm(group, now) == 0;
         long periodStartNanos = now - RECENT_PERIOD_NANOS;
         if (noneWarm) {
-            periodStartNanos = Math.max(periodStartNanos, Math.max(group.primaryFoundNanos, primary.startNotifiedNanos));
+            periodStartNanos =
+                    Math.max(periodStartNanos, Math.max(group.primaryFoundNanos, primary.startNotifiedNanos));
         }
         int priorWeight = noneWarm ? PRIOR_WEIGHT : 1;
         // The share of requests that need the primary in all traffic of this router; counts where the group has few
@@ -128,7 +129,8 @@
         }
         long periodStartNanos = now - RECENT_PERIOD_NANOS;
         SampleWindow commits = group.warmCommits;
-        double shareOfWarmMember = (commits.sumSince(periodStartNanos) + 1.0) / (commits.countSince(periodStartNanos) + 1) / warm;
+        double shareOfWarmMember =
+                (commits.sumSince(periodStartNanos) + 1.0) / (commits.countSince(periodStartNanos) + 1) / warm;
         return Math.min(
                 safeFactor * shareOfWarmMember, MAX_SHARE * multiple * memberShare(group, group.warmCommitShares, now));
     }
--- a/src/test/java/beaconladder/routing/RandomEvents.java
+++ b/src/test/java/beaconladder/routing/RandomEvents.java
@@ -58,7 +58,8 @@
             public NextWakeup nextWakeup(long now) {
                 NextWakeup wakeup = inner.nextWakeup(now);
                 reroutes += wakeup.requestsToRoute().size();
-                appendLine("pause " + (wakeup.dueNanos() - RandomEvents.this.nowNanos) + " " + ids(wakeup.hostsToProbe())
+                appendLine("pause " + (wakeup.dueNanos() - RandomEvents.this.nowNanos) + " "
+                        + ids(wakeup.hostsToProbe())
                         + wakeup.requestsToRoute().stream()
                                 .map(request -> " " + request.sequenceNumber)
                                 .collect(Collectors.joining())
--- a/src/test/java/beaconladder/routing/RetryTest.java
+++ b/src/test/java/beaconladder/routing/RetryTest.java
@@ -15,8 +15,8 @@
 class RetryTest {
     /**
      * Guards against a fault seen in tests of restarts. Hosts went from milliseconds to 1.2 s per answer at once. The
-     * writes that waited behind the first slow one were sent when its answer arrived, with 0.8 s left, and timed out, so
-     * that they ended as possibly executed, although the response time of 1.2 s was known by then.
+     * writes that waited behind the first slow one were sent when its answer arrived, with 0.8 s left, and timed out,
+     * so that they ended as possibly executed, although the response time of 1.2 s was known by then.
      */
     @Test
     void aNonIdempotentWriteIsNotSentWithLessTimeThanItsPrimaryLastTook() {
