--- a/src/main/java/beaconladder/testbed/soak/FaultKind.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultKind.java
@@ -1,58 +1,58 @@
 package beaconladder.testbed.soak;
 
-/** What can go wrong in a soak; two or three at a time. */
+/** The faults that a soak injects, two or three at a time. */
 public enum FaultKind {
-    /** A router gets SIGTERM and is restarted. */
+    /** A router receives SIGTERM and is restarted. */
     TERMINATE,
-    /** A router is killed and restarted. */
+    /** A router receives SIGKILL and is restarted. */
     KILL,
-    /** A new configuration moves discovery; sometimes twice in a row, or with a broken file behind it. */
+    /** A router reloads a configuration with another discovery agent, sometimes twice or followed by a broken file. */
     RELOAD,
-    /** A router is paused for up to 0.15 s, several times. */
+    /** A router is stopped for up to 0.15 s, several times. */
     PAUSE,
-    /** The wall clock of a router is stepped by seconds or an hour, either way, and stays there. */
+    /** The wall clock of a router steps by seconds or an hour, forward or backward, and is not corrected. */
     CLOCK_STEP,
-    /** A router is killed, starts with a wall clock that is off by as much, and has it put right later. */
+    /** A router is killed and restarts with a wall clock that is off by seconds or an hour, and is corrected later. */
     CLOCK_WRONG_AT_START,
     /** accept fails: ECONNABORTED, ENFILE, EMFILE, ENOBUFS, EINTR. */
     ACCEPT_FAILS,
     /** connect or socket fails: ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT. */
     CONNECT_FAILS,
-    /** A third of the threads can't be started for a while. */
+    /** A third of the attempts to start a thread fail. */
     THREADS_FAIL,
-    /** Reads and writes on sockets are short or interrupted. */
+    /** Reads and writes on sockets transfer fewer bytes than requested, or are interrupted. */
     SHORT_IO,
-    /** Once a second a write on a socket is held up for 0.15 s, and its clock was read as long before. */
+    /** At most once a second, a write on a socket is delayed by 0.15 s after the router has read its clock. */
     HELD_UP,
-    /** Discovery is silent. */
+    /** A discovery agent does not answer. */
     DISCOVERY_SILENT,
-    /** Discovery's answers are cut, dripped or reset. */
+    /** A discovery agent's answers are cut off, incomplete or end with a reset. */
     DISCOVERY_BREAKS,
-    /** Discovery answers up to a second late. */
+    /** A discovery agent answers up to a second late. */
     DISCOVERY_SLOW,
     /** A replica drains, is removed, and returns in slow start. */
     HOST_DRAINS,
     /** A host crashes and returns in slow start. */
     HOST_CRASHES,
-    /** A host hangs with all that it has. */
+    /** A host accepts connections and requests but answers none. */
     HOST_HANGS,
-    /** A host is partitioned: silent, and new connections are never established. */
+    /** A host is partitioned: open connections pass no bytes, and new ones are never established. */
     HOST_SILENT,
-    /** A host fails, rejects, or loses its answers. */
+    /** A host answers with errors, rejects requests as full, drops its answers or answers twice. */
     HOST_FAILS,
-    /** A host's answers are spoilt. */
+    /** A host's answers violate the protocol or break off. */
     HOST_SPOILS,
-    /** Connections to hosts come up late, and are reset under requests. */
+    /** Connections to hosts are established late, and are reset while requests are in flight. */
     HOST_NETWORK,
-    /** Hosts close what is idle early. */
+    /** Hosts close idle connections early. */
     HOST_IDLE_CLOSE,
-    /** Hosts that answered in milliseconds take a second. */
+    /** Hosts take about a second to answer, instead of milliseconds. */
     HOSTS_SLOW,
-    /** Replicas lag behind a bound. */
+    /** The lag of replicas exceeds the bound of bounded reads. */
     REPLICAS_LAG,
-    /** Another host becomes the primary; endpoint lists show it late. */
+    /** Another host becomes the primary; the endpoint lists show it later. */
     PRIMARY_MOVES,
-    /** Bad clients come. */
+    /** Some clients send malformed or incomplete input. */
     BAD_CLIENTS,
     /** Idle clients take all descriptors that a router has for clients. */
     IDLE_CROWD
--- a/src/main/java/beaconladder/testbed/soak/FaultPlan.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultPlan.java
@@ -8,9 +8,9 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** What the preloaded shim does to the system calls of one process; it takes effect with the next call. */
+/** The faults that the preloaded shim injects into system calls of one process; changes apply from the next call. */
 public final class FaultPlan {
-    /** What can be set, in the order of the shim. */
+    /** The settings, in the order in which the shim lays them out in the shared file. */
     public enum Field {
         WALL_OFFSET_NANOS,
         ACCEPT_ERRNO,
@@ -31,32 +31,34 @@
     private final Path file;
     private final ByteBuffer values;
 
-    /** A plan in this file, without any fault. */
+    /** Creates a plan in the given file, with no fault set. */
     public FaultPlan(Path file) throws IOException {
         this.file = file;
-        int size = Field.values().length * Long.BYTES;
+        int sizeBytes = Field.values().length * Long.BYTES;
         try (FileChannel channel =
                 FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            channel.write(ByteBuffer.allocate(size));
-            values = channel.map(MapMode.READ_WRITE, 0, size).order(ByteOrder.nativeOrder());
+            channel.write(ByteBuffer.allocate(sizeBytes));
+            values = channel.map(MapMode.READ_WRITE, 0, sizeBytes).order(ByteOrder.nativeOrder());
         }
     }
 
+    /** Returns the file that the plan is shared in. */
     public Path file() {
         return file;
     }
 
+    /** Sets one field. */
     public synchronized void set(Field field, long value) {
         values.putLong(field.ordinal() * Long.BYTES, value);
     }
 
-    /** Moves the wall clock by so much, from where it stands now. */
+    /** Shifts the wall clock of the process by {@code nanos}, in addition to all earlier steps. */
     public synchronized void stepWallClock(long nanos) {
-        int at = Field.WALL_OFFSET_NANOS.ordinal() * Long.BYTES;
-        values.putLong(at, values.getLong(at) + nanos);
+        int offset = Field.WALL_OFFSET_NANOS.ordinal() * Long.BYTES;
+        values.putLong(offset, values.getLong(offset) + nanos);
     }
 
-    /** No system call fails any more; the wall clock stays where it is. */
+    /** Ends all system-call faults; the offset of the wall clock stays. */
     public synchronized void clear() {
         for (Field field : Field.values()) {
             if (field != Field.WALL_OFFSET_NANOS) {
--- a/src/main/java/beaconladder/testbed/soak/FaultShim.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultShim.java
@@ -6,28 +6,29 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 
-/** The library that processes are started with so that their system calls can be made to fail. */
+/** The shared library that is preloaded into processes to inject faults into their system calls. */
 public final class FaultShim {
-    private static final String SOURCE = "fault_shim.c";
+    private static final String SOURCE_FILE = "fault_shim.c";
     private final Path library;
 
     private FaultShim(Path library) {
         this.library = library;
     }
 
+    /** Returns the path of the built library. */
     public Path library() {
         return library;
     }
 
     /**
-     * Builds it with the system's C compiler.
+     * Builds the library in the given folder with the system's C compiler.
      *
-     * @throws IOException where there is no compiler, or the source does not compile here
+     * @throws IOException if there is no compiler, or the source does not compile on this system
      */
     public static FaultShim build(Path folder) throws IOException, InterruptedException {
-        Path source = folder.resolve(SOURCE);
+        Path source = folder.resolve(SOURCE_FILE);
         Path library = folder.resolve("fault_shim.so");
-        try (InputStream in = FaultShim.class.getResourceAsStream(SOURCE)) {
+        try (InputStream in = FaultShim.class.getResourceAsStream(SOURCE_FILE)) {
             Files.copy(in, source, StandardCopyOption.REPLACE_EXISTING);
         }
         Process compiler = new ProcessBuilder(
@@ -43,9 +44,9 @@
                         "-ldl")
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(compiler.getInputStream().readAllBytes());
+        String compilerOutput = new String(compiler.getInputStream().readAllBytes());
         if (compiler.waitFor() != 0) {
-            throw new IOException("the fault shim does not compile: " + said);
+            throw new IOException("the fault shim does not compile: " + compilerOutput);
         }
         return new FaultShim(library);
     }
--- a/src/main/resources/beaconladder/testbed/soak/fault_shim.c
+++ b/src/main/resources/beaconladder/testbed/soak/fault_shim.c
@@ -1,7 +1,8 @@
 /*
- * Faults of the operating system for one process: preloaded, it lets the calls below fail or end early, and moves the wall clock, as a
- * plan in a shared file says (FAULT_SHIM_PLAN: 64-bit integers in the order of enum field). Files are only touched below the folder that
- * FAULT_SHIM_FOLDER names. The monotonic clock runs on. Built and used by the soak alone.
+ * Injects operating-system faults into one process. Preloaded, it makes the calls below fail or transfer fewer bytes than
+ * requested, and shifts the wall clock, as set in a shared file (FAULT_SHIM_PLAN: 64-bit integers in the order of enum
+ * field). File faults apply only to regular files whose path begins with FAULT_SHIM_FOLDER. The monotonic clock is not
+ * changed. Used by tests and scenarios only.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -30,9 +31,9 @@
 static volatile int64_t *plan;
 static const char *folder;
 static int (*real_clock_gettime)(clockid_t, struct timespec *);
-static __thread uint64_t chance;
+static __thread uint64_t random_state;
 
-__attribute__((constructor)) static void start(void) {
+__attribute__((constructor)) static void initialize(void) {
     real_clock_gettime = dlsym(RTLD_NEXT, "clock_gettime");
     folder = getenv("FAULT_SHIM_FOLDER");
     const char *file = getenv("FAULT_SHIM_PLAN");
@@ -45,40 +46,40 @@
     plan = mapped == MAP_FAILED ? NULL : mapped;
 }
 
-static int64_t value(enum field of) {
-    return plan ? plan[of] : 0;
+static int64_t plan_value(enum field index) {
+    return plan ? plan[index] : 0;
 }
 
-/* Whether an event of this share, in thousandths, comes now. */
-static int comes(enum field of) {
-    int64_t share = value(of);
-    if (share <= 0) {
+/* Whether a fault with this probability, in thousandths, is injected into the current call. */
+static int should_inject(enum field probability) {
+    int64_t per_mille = plan_value(probability);
+    if (per_mille <= 0) {
         return 0;
     }
-    if (chance == 0) {
-        chance = (uint64_t) &chance ^ ((uint64_t) syscall(SYS_gettid) << 32) ^ 0x9e3779b97f4a7c15ULL;
+    if (random_state == 0) {
+        random_state = (uint64_t) &random_state ^ ((uint64_t) syscall(SYS_gettid) << 32) ^ 0x9e3779b97f4a7c15ULL;
     }
-    chance ^= chance << 13;
-    chance ^= chance >> 7;
-    chance ^= chance << 17;
-    return (int64_t) (chance % 1000) < share;
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    return (int64_t) (random_state % 1000) < per_mille;
 }
 
-static int fails(enum field error, enum field share) {
-    if (value(error) == 0 || !comes(share)) {
+static int inject_error(enum field error, enum field probability) {
+    if (plan_value(error) == 0 || !should_inject(probability)) {
         return 0;
     }
-    errno = (int) value(error);
+    errno = (int) plan_value(error);
     return 1;
 }
 
-static mode_t kind(int fd) {
-    struct stat about;
-    return fstat(fd, &about) == 0 ? about.st_mode & S_IFMT : 0;
+static mode_t file_type(int fd) {
+    struct stat status;
+    return fstat(fd, &status) == 0 ? status.st_mode & S_IFMT : 0;
 }
 
-static int below_folder(int fd) {
-    if (!folder || kind(fd) != S_IFREG) {
+static int is_below_folder(int fd) {
+    if (!folder || file_type(fd) != S_IFREG) {
         return 0;
     }
     char link[64];
@@ -92,11 +93,11 @@
 
 int clock_gettime(clockid_t clock, struct timespec *into) {
     int result = real_clock_gettime ? real_clock_gettime(clock, into) : (int) syscall(SYS_clock_gettime, clock, into);
-    int64_t offset = clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE ? value(WALL_OFFSET_NANOS) : 0;
+    int64_t offset = clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE ? plan_value(WALL_OFFSET_NANOS) : 0;
     if (result == 0 && offset != 0) {
-        int64_t all = (int64_t) into->tv_sec * 1000000000 + into->tv_nsec + offset;
-        into->tv_sec = all / 1000000000;
-        into->tv_nsec = all % 1000000000;
+        int64_t total_nanos = (int64_t) into->tv_sec * 1000000000 + into->tv_nsec + offset;
+        into->tv_sec = total_nanos / 1000000000;
+        into->tv_nsec = total_nanos % 1000000000;
     }
     return result;
 }
@@ -120,103 +121,104 @@
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
-    return fails(ACCEPT_ERRNO, ACCEPT_PER_MILLE) ? -1 : REAL(accept)(fd, address, length);
+    return inject_error(ACCEPT_ERRNO, ACCEPT_PER_MILLE) ? -1 : REAL(accept)(fd, address, length);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
-    return address->sa_family == AF_INET && fails(CONNECT_ERRNO, CONNECT_PER_MILLE) ? -1 : REAL(connect)(fd, address, length);
+    return address->sa_family == AF_INET && inject_error(CONNECT_ERRNO, CONNECT_PER_MILLE) ? -1 : REAL(connect)(fd, address, length);
 }
 
 int socket(int family, int type, int protocol) {
-    return family == AF_INET && fails(SOCKET_ERRNO, SOCKET_PER_MILLE) ? -1 : REAL(socket)(family, type, protocol);
+    return family == AF_INET && inject_error(SOCKET_ERRNO, SOCKET_PER_MILLE) ? -1 : REAL(socket)(family, type, protocol);
 }
 
-int pthread_create(pthread_t *thread, const pthread_attr_t *with, void *(*run)(void *), void *argument) {
-    return comes(THREAD_PER_MILLE) ? EAGAIN : REAL(pthread_create)(thread, with, run, argument);
+int pthread_create(pthread_t *thread, const pthread_attr_t *attributes, void *(*routine)(void *), void *argument) {
+    return should_inject(THREAD_PER_MILLE) ? EAGAIN : REAL(pthread_create)(thread, attributes, routine, argument);
 }
 
-static size_t shortened(int fd, size_t length) {
-    return length > 1 && comes(SHORT_PER_MILLE) && kind(fd) == S_IFSOCK ? 1 + length / 3 : length;
+static size_t shorten(int fd, size_t length) {
+    return length > 1 && should_inject(SHORT_PER_MILLE) && file_type(fd) == S_IFSOCK ? 1 + length / 3 : length;
 }
 
-static int interrupted(int fd) {
-    if (comes(INTERRUPT_PER_MILLE) && kind(fd) == S_IFSOCK) {
+static int inject_interrupt(int fd) {
+    if (should_inject(INTERRUPT_PER_MILLE) && file_type(fd) == S_IFSOCK) {
         errno = EINTR;
         return 1;
     }
     return 0;
 }
 
-/* When the process was last held up, on the monotonic clock. */
-static int64_t held_up_at;
-static const int64_t HOLD_UP_REST_NANOS = 1000000000;
+/* When the process was last held up, in nanoseconds of the monotonic clock. */
+static int64_t last_hold_up_nanos;
+static const int64_t MIN_HOLD_UP_INTERVAL_NANOS = 1000000000;
 
 /*
- * The clock that the caller has read is as old as this when its bytes go. The process is held up once a second at the most: held up at
- * write after write, one thread that greets a crowd would stand still for seconds.
+ * Delays a write on a socket by HOLD_UP_MICROS, so that the caller's last reading of the clock is outdated by as much when
+ * the bytes are sent. A process is delayed at most once a second: with a delay on write after write, a thread that sends
+ * the greetings to many new clients would be blocked for seconds.
  */
 static void hold_up(int fd) {
-    if (!comes(HOLD_UP_PER_MILLE) || kind(fd) != S_IFSOCK) {
+    if (!should_inject(HOLD_UP_PER_MILLE) || file_type(fd) != S_IFSOCK) {
         return;
     }
-    struct timespec at;
-    clock_gettime(CLOCK_MONOTONIC, &at);
-    int64_t now = (int64_t) at.tv_sec * 1000000000 + at.tv_nsec;
-    int64_t last = __atomic_load_n(&held_up_at, __ATOMIC_RELAXED);
-    if (now - last >= HOLD_UP_REST_NANOS
-            && __atomic_compare_exchange_n(&held_up_at, &last, now, 0, __ATOMIC_RELAXED, __ATOMIC_RELAXED)) {
-        usleep((useconds_t) value(HOLD_UP_MICROS));
+    struct timespec reading;
+    clock_gettime(CLOCK_MONOTONIC, &reading);
+    int64_t now = (int64_t) reading.tv_sec * 1000000000 + reading.tv_nsec;
+    int64_t previous = __atomic_load_n(&last_hold_up_nanos, __ATOMIC_RELAXED);
+    if (now - previous >= MIN_HOLD_UP_INTERVAL_NANOS
+            && __atomic_compare_exchange_n(&last_hold_up_nanos, &previous, now, 0, __ATOMIC_RELAXED, __ATOMIC_RELAXED)) {
+        usleep((useconds_t) plan_value(HOLD_UP_MICROS));
     }
 }
 
-static int file_fails(int fd) {
-    if (value(FILE_ERRNO) != 0 && below_folder(fd)) {
-        errno = (int) value(FILE_ERRNO);
+static int inject_file_error(int fd) {
+    if (plan_value(FILE_ERRNO) != 0 && is_below_folder(fd)) {
+        errno = (int) plan_value(FILE_ERRNO);
         return 1;
     }
     return 0;
 }
 
-static size_t file_shortened(int fd, size_t length) {
-    return length > 1 && value(FILE_SHORT) != 0 && below_folder(fd) ? 1 + length / 2 : length;
+static size_t shorten_file_write(int fd, size_t length) {
+    return length > 1 && plan_value(FILE_SHORT) != 0 && is_below_folder(fd) ? 1 + length / 2 : length;
 }
 
 ssize_t read(int fd, void *into, size_t length) {
-    return interrupted(fd) ? -1 : REAL(read)(fd, into, shortened(fd, length));
+    return inject_interrupt(fd) ? -1 : REAL(read)(fd, into, shorten(fd, length));
 }
 
 ssize_t recv(int fd, void *into, size_t length, int flags) {
-    return interrupted(fd) ? -1 : REAL(recv)(fd, into, shortened(fd, length), flags);
+    return inject_interrupt(fd) ? -1 : REAL(recv)(fd, into, shorten(fd, length), flags);
 }
 
 ssize_t write(int fd, const void *from, size_t length) {
-    if (interrupted(fd) || file_fails(fd)) {
+    if (inject_interrupt(fd) || inject_file_error(fd)) {
         return -1;
     }
     hold_up(fd);
-    return REAL(write)(fd, from, file_shortened(fd, shortened(fd, length)));
+    return REAL(write)(fd, from, shorten_file_write(fd, shorten(fd, length)));
 }
 
 ssize_t send(int fd, const void *from, size_t length, int flags) {
-    if (interrupted(fd)) {
+    if (inject_interrupt(fd)) {
         return -1;
     }
     hold_up(fd);
-    return REAL(send)(fd, from, shortened(fd, length), flags);
+    return REAL(send)(fd, from, shorten(fd, length), flags);
 }
 
-ssize_t pwrite(int fd, const void *from, size_t length, off_t at) {
-    return file_fails(fd) ? -1 : REAL(pwrite)(fd, from, file_shortened(fd, length), at);
+ssize_t pwrite(int fd, const void *from, size_t length, off_t offset) {
+    return inject_file_error(fd) ? -1 : REAL(pwrite)(fd, from, shorten_file_write(fd, length), offset);
 }
 
-ssize_t pwrite64(int fd, const void *from, size_t length, off64_t at) {
-    return file_fails(fd) ? -1 : REAL(pwrite64)(fd, from, file_shortened(fd, length), at);
+ssize_t pwrite64(int fd, const void *from, size_t length, off64_t offset) {
+    return inject_file_error(fd) ? -1 : REAL(pwrite64)(fd, from, shorten_file_write(fd, length), offset);
 }
 
 int fsync(int fd) {
-    return file_fails(fd) ? -1 : REAL(fsync)(fd);
+    return inject_file_error(fd) ? -1 : REAL(fsync)(fd);
 }
 
 int fdatasync(int fd) {
-    return file_fails(fd) ? -1 : REAL(fdatasync)(fd);
+    return inject_file_error(fd) ? -1 : REAL(fdatasync)(fd);
 }
