--- a/src/main/java/beaconladder/testbed/soak/Request.java
+++ b/src/main/java/beaconladder/testbed/soak/Request.java
@@ -3,77 +3,94 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request, as its client and the hosts saw it; times are System.nanoTime's. */
+/** One request as its client and the hosts observed it; times in nanoseconds are those of {@code System.nanoTime}. */
 final class Request {
-    /** How it ended for its client. */
-    enum End {
+    /** The outcome of a request as its client observed it. */
+    enum Outcome {
+        /** No outcome yet. */
         PENDING,
+        /** Answered with a row. */
         SERVED,
+        /** Rejected by the router with SQLSTATE 53300 or 57P03: no host may have run it. */
         REFUSED,
+        /** Answered with any other error. */
         FAILED,
+        /** The client closed its connection without waiting for the answer. */
         LEFT,
+        /** The connection was reset before an answer, so the router may not have read the request. */
         UNREAD,
+        /** The connection was closed before or within the answer. */
         CUT,
+        /** No answer arrived in time, on an open connection. */
         SILENT
     }
 
     /**
-     * One arrival at a host.
+     * The arrival of one attempt at a host.
      *
-     * @param ran whether the host ran it, or may have
-     * @param leavingSince when the host was listed as leaving, or 0
-     * @param position the log position that the host had applied, in Unix milliseconds
-     * @param waitMillis the time that it was told
+     * @param host the number of the host
+     * @param group the group of the host
+     * @param arrivedAtNanos when it arrived
+     * @param ran whether the host ran the request, or may have
+     * @param leavingSinceNanos when discovery began to list the host as leaving, or 0
+     * @param positionMillis the log position that the host had applied, in Unix milliseconds
+     * @param wallMillis when it arrived, in Unix milliseconds
+     * @param remainingMillis the remaining time that the router stated in the statement's comment
      */
     record Arrival(
             int host,
             int group,
-            long at,
+            long arrivedAtNanos,
             boolean ran,
-            long leavingSince,
-            long position,
+            long leavingSinceNanos,
+            long positionMillis,
             long wallMillis,
-            long waitMillis) {}
+            long remainingMillis) {}
 
-    /** No kind of request waits longer. */
-    private static final long LONGEST_MILLIS = 2_000;
+    /** The longest time that a client waits for a request of any kind. */
+    private static final long MAX_BUDGET_MILLIS = 2_000;
 
     final String id;
     final RequestKind kind;
-    /** How long its client waits. */
+    /** How long the client waits for the answer. */
     final int budgetMillis;
 
     final int router;
     final int group;
-    /** How many queries were written ahead of it at once. */
-    private final int ahead;
+    /** The number of queries pipelined before this one in the same write. */
+    private final int queriesAhead;
 
-    final long sentAt;
+    final long sentAtNanos;
     private final List<Arrival> arrivals = new ArrayList<>();
-    private End end = End.PENDING;
+    private Outcome outcome = Outcome.PENDING;
     private String code = "";
-    private long endedAt;
+    private long endedAtNanos;
 
-    Request(String id, RequestKind kind, int budgetMillis, int router, int group, int ahead, long sentAt) {
+    Request(String id, RequestKind kind, int budgetMillis, int router, int group, int queriesAhead, long sentAtNanos) {
         this.budgetMillis = budgetMillis;
-        this.ahead = ahead;
+        this.queriesAhead = queriesAhead;
         this.id = id;
         this.kind = kind;
         this.router = router;
         this.group = group;
-        this.sentAt = sentAt;
+        this.sentAtNanos = sentAtNanos;
     }
 
-    /** How long a query written ahead may have waited for the answer before it, whose time does not count. */
-    long waitedAhead() {
-        return ahead * LONGEST_MILLIS * 1_000_000L;
+    /**
+     * Returns the longest time that a pipelined query can have waited for the answers before it; this time does not
+     * count against its budget.
+     */
+    long maxPipelineWaitNanos() {
+        return queriesAhead * MAX_BUDGET_MILLIS * 1_000_000L;
     }
 
-    long deadline() {
-        return sentAt + budgetMillis * 1_000_000L;
+    /** Returns when the client's budget ends if the query was not pipelined. */
+    long deadlineNanos() {
+        return sentAtNanos + budgetMillis * 1_000_000L;
     }
 
-    synchronized void arrived(Arrival arrival) {
+    /** Records an arrival at a host. */
+    synchronized void addArrival(Arrival arrival) {
         arrivals.add(arrival);
     }
 
@@ -81,25 +98,35 @@
         return List.copyOf(arrivals);
     }
 
-    synchronized void ended(End how, String with, long at) {
-        end = how;
-        code = with;
-        endedAt = at;
+    /**
+     * Records the outcome.
+     *
+     * @param finalCode the SQLSTATE of a rejection or the text of an error, otherwise empty
+     * @param atNanos when the client observed it
+     */
+    synchronized void end(Outcome finalOutcome, String finalCode, long atNanos) {
+        outcome = finalOutcome;
+        code = finalCode;
+        endedAtNanos = atNanos;
     }
 
-    synchronized End end() {
-        return end;
+    synchronized Outcome outcome() {
+        return outcome;
     }
 
     synchronized String code() {
         return code;
     }
 
-    synchronized long endedAt() {
-        return endedAt;
+    synchronized long endedAtNanos() {
+        return endedAtNanos;
     }
 
-    /** The statement; its row is to hold its id. */
+    /**
+     * Returns the statement; the row of its answer holds the request's id.
+     *
+     * @param after the position that a session's read must include, in Unix milliseconds, or 0 for none
+     */
     String statement(long after) {
         String comment = " /* id=" + id + ",c=" + kind.label + ",t=acme,d=" + budgetMillis + ",cluster=" + group
                 + (kind == RequestKind.SESSION && after > 0 ? ",after=" + after : "") + " */";
@@ -110,20 +137,20 @@
 
     @Override
     public synchronized String toString() {
-        StringBuilder all = new StringBuilder(id + " " + kind + " router " + router + " " + end + " " + code + " after "
-                + (endedAt - sentAt) / 1_000_000 + " ms;");
-        for (Arrival a : arrivals) {
-            all.append(" host ")
-                    .append(a.host())
+        StringBuilder text = new StringBuilder(id + " " + kind + " router " + router + " " + outcome + " " + code
+                + " after " + (endedAtNanos - sentAtNanos) / 1_000_000 + " ms;");
+        for (Arrival arrival : arrivals) {
+            text.append(" host ")
+                    .append(arrival.host())
                     .append(" at ")
-                    .append((a.at() - sentAt) / 1_000_000)
-                    .append(a.ran() ? " ran" : " not run")
+                    .append((arrival.arrivedAtNanos() - sentAtNanos) / 1_000_000)
+                    .append(arrival.ran() ? " ran" : " not run")
                     .append(", lag ")
-                    .append(a.wallMillis() - a.position())
-                    .append(", told ")
-                    .append(a.waitMillis())
+                    .append(arrival.wallMillis() - arrival.positionMillis())
+                    .append(", remaining time ")
+                    .append(arrival.remainingMillis())
                     .append(';');
         }
-        return all.toString();
+        return text.toString();
     }
 }
--- a/src/main/java/beaconladder/testbed/soak/RequestKind.java
+++ b/src/main/java/beaconladder/testbed/soak/RequestKind.java
@@ -1,6 +1,6 @@
 package beaconladder.testbed.soak;
 
-/** The kinds of requests, as the settings name them. */
+/** The kinds of requests that clients send, each a request class of the routers' settings. */
 enum RequestKind {
     ANY("any", "loose", "pure", 1_500),
     BOUNDED("fresh", "recent", "pure", 1_500),
@@ -8,14 +8,15 @@
     WRITE("write", "update", "side_effect", 2_000),
     TOKEN("token", "update", "token", 2_000);
 
-    /** How old the data of a bounded read may be. */
+    /** The maximum age of the data that a bounded read returns. */
     static final int BOUND_MILLIS = 500;
-    /** How long a host discards repeats of a token. */
-    static final int MEMORY_MILLIS = 600;
+    /** How long a host recognizes and discards repeats of a token. */
+    static final int DEDUPLICATION_MILLIS = 600;
 
     final String label;
     final String freshness;
     final String effect;
+    /** How long a client waits for the answer, unless it sets a shorter time. */
     final int budgetMillis;
 
     RequestKind(String label, String freshness, String effect, int budgetMillis) {
--- a/src/main/java/beaconladder/testbed/soak/Soak.java
+++ b/src/main/java/beaconladder/testbed/soak/Soak.java
@@ -83,7 +83,7 @@
 
     private boolean verdict(SoakFleet fleet, long wellFrom, Path folder) {
         SoakOracle oracle = new SoakOracle(fleet);
-        oracle.judge();
+        oracle.checkAll();
         List<String> broken = new ArrayList<>(fleet.broken());
         for (SoakRouter router : fleet.routers()) {
             router.log()
@@ -93,23 +93,23 @@
                     .forEach(line -> broken.add("router " + router.number + " logged: " + line));
         }
         List<Request> well = fleet.requests().values().stream()
-                .filter(r -> r.sentAt > wellFrom)
-                .filter(r -> r.end() != Request.End.LEFT && r.end() != Request.End.UNREAD)
+                .filter(r -> r.sentAtNanos > wellFrom)
+                .filter(r -> r.outcome() != Request.Outcome.LEFT && r.outcome() != Request.Outcome.UNREAD)
                 .filter(r -> r.budgetMillis == r.kind.budgetMillis)
                 .toList();
         long servedWell =
-                well.stream().filter(r -> r.end() == Request.End.SERVED).count();
+                well.stream().filter(r -> r.outcome() == Request.Outcome.SERVED).count();
         if (well.isEmpty() || servedWell < SERVED_AT_END * well.size()) {
             broken.add("after the last fault only " + servedWell + " of " + well.size() + " were served");
         }
-        broken.addAll(oracle.shown());
+        broken.addAll(oracle.descriptions());
         broken.stream().limit(MOST_SHOWN).forEach(out::println);
         boolean held = broken.isEmpty();
         if (!held) {
             out.println("logs in " + folder);
         }
         long served = fleet.requests().values().stream()
-                .filter(r -> r.end() == Request.End.SERVED)
+                .filter(r -> r.outcome() == Request.Outcome.SERVED)
                 .count();
         out.printf(
                 Locale.ROOT,
@@ -124,7 +124,7 @@
                 served,
                 servedWell / Math.max(1.0, well.size()),
                 counts(oracle.counts()),
-                broken.size() - oracle.shown().size(),
+                broken.size() - oracle.descriptions().size(),
                 held);
         out.flush();
         return held;
--- a/src/main/java/beaconladder/testbed/soak/SoakClients.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakClients.java
@@ -95,7 +95,7 @@
             Deque<Request> out = send(caller, router, ahead, after, chance);
             if (dice >= 92) {
                 StandInThreads.sleep(chance.nextInt(300));
-                out.forEach(request -> request.ended(Request.End.LEFT, "", System.nanoTime()));
+                out.forEach(request -> request.end(Request.Outcome.LEFT, "", System.nanoTime()));
                 socket.close();
                 return;
             }
@@ -138,30 +138,32 @@
     /** Takes the answer to the first; false at the connection's end, with the others ended too. */
     private boolean receive(Socket socket, TestClient caller, Deque<Request> out) throws IOException {
         Request first = out.peek();
-        long left = (first.deadline() - System.nanoTime()) / 1_000_000 + PATIENCE_MILLIS;
+        long left = (first.deadlineNanos() - System.nanoTime()) / 1_000_000 + PATIENCE_MILLIS;
         socket.setSoTimeout((int) Math.max(1, left));
         String answer;
         try {
             answer = caller.answer();
         } catch (SocketTimeoutException e) {
-            endAll(out, Request.End.SILENT);
+            endAll(out, Request.Outcome.SILENT);
             return false;
         }
         long now = System.nanoTime();
         if (answer.endsWith("closed")) {
             endAll(
                     out,
-                    !answer.equals("closed") ? Request.End.CUT : caller.reset() ? Request.End.UNREAD : Request.End.CUT);
+                    !answer.equals("closed")
+                            ? Request.Outcome.CUT
+                            : caller.reset() ? Request.Outcome.UNREAD : Request.Outcome.CUT);
             return false;
         }
         out.poll();
         if (answer.startsWith("T D:")) {
             check(first, answer);
-            first.ended(Request.End.SERVED, "", now);
+            first.end(Request.Outcome.SERVED, "", now);
         } else if (answer.startsWith("E:53300") || answer.startsWith("E:57P03")) {
-            first.ended(Request.End.REFUSED, answer.substring(2, 7), now);
+            first.end(Request.Outcome.REFUSED, answer.substring(2, 7), now);
         } else {
-            first.ended(Request.End.FAILED, answer, now);
+            first.end(Request.Outcome.FAILED, answer, now);
         }
         return true;
     }
@@ -174,9 +176,9 @@
         }
     }
 
-    private static void endAll(Deque<Request> out, Request.End how) {
+    private static void endAll(Deque<Request> out, Request.Outcome outcome) {
         long now = System.nanoTime();
-        out.forEach(request -> request.ended(how, "", now));
+        out.forEach(request -> request.end(outcome, "", now));
         out.clear();
     }
 
--- a/src/main/java/beaconladder/testbed/soak/SoakConfiguration.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakConfiguration.java
@@ -26,7 +26,7 @@
     static String of(String name, int port, int discovery, SoakPlan plan, String known) {
         String classes = Arrays.stream(RequestKind.values())
                 .map(kind -> REQUEST_CLASS.formatted(
-                        kind.label, kind.effect, RequestKind.MEMORY_MILLIS * 1_000L, kind.budgetMillis * 1_000L))
+                        kind.label, kind.effect, RequestKind.DEDUPLICATION_MILLIS * 1_000L, kind.budgetMillis * 1_000L))
                 .collect(Collectors.joining(","));
         String file = """
                 {"name":"%s","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"%x",
--- a/src/main/java/beaconladder/testbed/soak/SoakHost.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakHost.java
@@ -114,7 +114,7 @@
         }
         boolean misses = misses(request, text);
         missed.set(misses);
-        request.arrived(new Request.Arrival(
+        request.addArrival(new Request.Arrival(
                 number,
                 group,
                 arrivedAt.get(),
--- a/src/main/java/beaconladder/testbed/soak/SoakOracle.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakOracle.java
@@ -5,151 +5,183 @@
 import java.util.List;
 import java.util.Map;
 
-/** Judges a soak by what clients and hosts saw of each request; the routers' own word is judged beside it. */
+/**
+ * Checks each request of a soak against the rules, from what clients and hosts observed; the routers' logs are checked
+ * separately.
+ */
 final class SoakOracle {
-    /** Rules, as the protocol has them. */
-    enum Broken {
+    /** The kinds of violations of the protocol's rules. */
+    enum Violation {
+        /** A request was not answered although its router was not killed. */
         UNANSWERED,
+        /** An answer arrived after the client's time had ended. */
         LATE_ANSWER,
+        /** A write without a token ran more than once. */
         RAN_TWICE,
+        /** A write was rejected although a host may have run it. */
         REFUSED_THOUGH_RUN,
+        /** A write with a token was repeated after hosts may have discarded the token. */
         MEMORY_OVER,
+        /** An attempt arrived at a host after the client had closed its connection. */
         AFTER_CLOSE,
+        /** A host was given more time than the client has left. */
         TOO_MUCH_TIME,
+        /** An attempt arrived at a leaving host after the drain grace period. */
         DRAIN,
+        /** A bounded read ran on data older than its bound. */
         STALE,
+        /** An attempt arrived at a host after its client had been served. */
         AFTER_ANSWER
     }
 
-    private static final long MS = 1_000_000L;
-    /** An answer behind its time by so much is lost; the rest is for the slowness of this machine. */
-    private static final long LATE = 500 * MS + 200 * MS;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    /** An answer more than 500 ms past its deadline counts as lost; the other 200 ms allow for a slow machine. */
+    private static final long LATE_ANSWER_NANOS = 500 * NANOS_PER_MILLI + 200 * NANOS_PER_MILLI;
 
-    private static final long CLOSE_SLACK = 100 * MS;
-    private static final long TIME_SLACK = 150 * MS;
-    /** Between a router's write and a host's note lie a proxy and two threads of a busy machine. */
-    private static final long WAY = 100 * MS;
+    private static final long CLOSE_SLACK_NANOS = 100 * NANOS_PER_MILLI;
+    private static final long TIME_SLACK_NANOS = 150 * NANOS_PER_MILLI;
+    /** Allowance between a router's write and a host's record of it: a proxy and two threads of a busy machine. */
+    private static final long TRANSIT_SLACK_NANOS = 100 * NANOS_PER_MILLI;
 
-    private static final long PAUSE = 150 * MS;
-    private static final long NOTIFICATION_BOUND = 6_000 * MS;
-    private static final int SHOWN = 3;
+    /** The longest time that {@link FaultKind#PAUSE} or {@link FaultKind#HELD_UP} delays a router. */
+    private static final long MAX_PAUSE_NANOS = 150 * NANOS_PER_MILLI;
+    /** The longest time until a router knows of a change that it polls for, or that it missed during a fault. */
+    private static final long MAX_NOTIFICATION_NANOS = 6_000 * NANOS_PER_MILLI;
+    private static final int MAX_DESCRIPTIONS_PER_KIND = 3;
 
     private final SoakFleet fleet;
-    private final Map<Broken, Integer> counts = new EnumMap<>(Broken.class);
-    private final List<String> shown = new ArrayList<>();
+    private final Map<Violation, Integer> counts = new EnumMap<>(Violation.class);
+    private final List<String> descriptions = new ArrayList<>();
 
     SoakOracle(SoakFleet fleet) {
         this.fleet = fleet;
     }
 
-    /** Looks at all requests. */
-    void judge() {
-        fleet.requests().values().forEach(this::judge);
+    /** Checks all requests. */
+    void checkAll() {
+        fleet.requests().values().forEach(this::check);
     }
 
-    Map<Broken, Integer> counts() {
+    /** Returns the number of violations of each kind. */
+    Map<Violation, Integer> counts() {
         return counts;
     }
 
-    /** Some of each kind, in words. */
-    List<String> shown() {
-        return shown;
+    /** Returns descriptions of the first violations of each kind. */
+    List<String> descriptions() {
+        return descriptions;
     }
 
-    private void judge(Request request) {
-        boolean excused = fleet.routers()
+    private void check(Request request) {
+        boolean routerKilled = fleet.routers()
                 .get(request.router)
-                .killedWithin(request.sentAt, request.endedAt() == 0 ? Long.MAX_VALUE : request.endedAt());
-        answers(request, excused);
+                .killedWithin(
+                        request.sentAtNanos, request.endedAtNanos() == 0 ? Long.MAX_VALUE : request.endedAtNanos());
+        checkAnswer(request, routerKilled);
         List<Request.Arrival> arrivals = request.arrivals();
-        long ran = arrivals.stream().filter(Request.Arrival::ran).count();
-        if (request.kind == RequestKind.WRITE && ran > 1) {
-            add(Broken.RAN_TWICE, request);
+        long runCount = arrivals.stream().filter(Request.Arrival::ran).count();
+        if (request.kind == RequestKind.WRITE && runCount > 1) {
+            add(Violation.RAN_TWICE, request);
         }
-        if (request.kind.writes() && ran > 0 && request.end() == Request.End.REFUSED) {
-            add(Broken.REFUSED_THOUGH_RUN, request);
+        if (request.kind.writes() && runCount > 0 && request.outcome() == Request.Outcome.REFUSED) {
+            add(Violation.REFUSED_THOUGH_RUN, request);
         }
-        if (request.kind == RequestKind.TOKEN && ran > 1) {
-            memory(request, arrivals);
+        if (request.kind == RequestKind.TOKEN && runCount > 1) {
+            checkDeduplication(request, arrivals);
         }
-        arrivals.forEach(arrival -> arrived(request, arrival));
+        arrivals.forEach(arrival -> checkArrival(request, arrival));
     }
 
-    private void answers(Request request, boolean excused) {
-        switch (request.end()) {
+    private void checkAnswer(Request request, boolean routerKilled) {
+        switch (request.outcome()) {
             case SILENT, CUT, PENDING -> {
-                if (!excused) {
-                    add(Broken.UNANSWERED, request);
+                if (!routerKilled) {
+                    add(Violation.UNANSWERED, request);
                 }
             }
             case UNREAD -> {
-                if (!excused && !request.arrivals().isEmpty()) {
-                    add(Broken.UNANSWERED, request);
+                if (!routerKilled && !request.arrivals().isEmpty()) {
+                    add(Violation.UNANSWERED, request);
                 }
             }
             case SERVED, REFUSED, FAILED -> {
-                if (!excused && request.endedAt() > request.deadline() + request.waitedAhead() + LATE) {
-                    add(Broken.LATE_ANSWER, request);
+                if (!routerKilled
+                        && request.endedAtNanos()
+                                > request.deadlineNanos() + request.maxPipelineWaitNanos() + LATE_ANSWER_NANOS) {
+                    add(Violation.LATE_ANSWER, request);
                 }
             }
             default -> {}
         }
     }
 
-    private void memory(Request request, List<Request.Arrival> arrivals) {
+    private void checkDeduplication(Request request, List<Request.Arrival> arrivals) {
         Request.Arrival first =
                 arrivals.stream().filter(Request.Arrival::ran).findFirst().orElseThrow();
-        boolean late = arrivals.stream()
+        boolean repeatedTooLate = arrivals.stream()
                 .filter(Request.Arrival::ran)
-                .anyMatch(a -> a.at() > first.at() + RequestKind.MEMORY_MILLIS * MS + TIME_SLACK + WAY);
-        if (late) {
-            add(Broken.MEMORY_OVER, request);
+                .anyMatch(arrival -> arrival.arrivedAtNanos()
+                        > first.arrivedAtNanos()
+                                + RequestKind.DEDUPLICATION_MILLIS * NANOS_PER_MILLI
+                                + TIME_SLACK_NANOS
+                                + TRANSIT_SLACK_NANOS);
+        if (repeatedTooLate) {
+            add(Violation.MEMORY_OVER, request);
         }
     }
 
-    private void arrived(Request request, Request.Arrival arrival) {
-        if (request.end() == Request.End.LEFT && arrival.at() > request.endedAt() + CLOSE_SLACK + WAY + PAUSE) {
-            add(Broken.AFTER_CLOSE, request);
+    private void checkArrival(Request request, Request.Arrival arrival) {
+        if (request.outcome() == Request.Outcome.LEFT
+                && arrival.arrivedAtNanos()
+                        > request.endedAtNanos() + CLOSE_SLACK_NANOS + TRANSIT_SLACK_NANOS + MAX_PAUSE_NANOS) {
+            add(Violation.AFTER_CLOSE, request);
         }
-        if (request.end() == Request.End.SERVED && arrival.at() > request.endedAt() + WAY + PAUSE) {
-            add(Broken.AFTER_ANSWER, request);
+        if (request.outcome() == Request.Outcome.SERVED
+                && arrival.arrivedAtNanos() > request.endedAtNanos() + TRANSIT_SLACK_NANOS + MAX_PAUSE_NANOS) {
+            add(Violation.AFTER_ANSWER, request);
         }
-        // A query that was pipelined has its time from the answer before it: all of them are checked by
-        // their own.
-        long left = request.deadline() - arrival.at();
-        if (arrival.waitMillis() * MS > left + TIME_SLACK + WAY + request.waitedAhead()) {
-            add(Broken.TOO_MUCH_TIME, request);
+        // The budget of a pipelined query starts with the answer before it, so each query is checked with its own
+        // allowance.
+        long remainingNanos = request.deadlineNanos() - arrival.arrivedAtNanos();
+        if (arrival.remainingMillis() * NANOS_PER_MILLI
+                > remainingNanos + TIME_SLACK_NANOS + TRANSIT_SLACK_NANOS + request.maxPipelineWaitNanos()) {
+            add(Violation.TOO_MUCH_TIME, request);
         }
-        if (arrival.leavingSince() > 0
-                && arrival.at()
-                        > notifiedAtNanos(arrival.leavingSince()) + SoakConfiguration.GRACE_MILLIS * MS + WAY + PAUSE) {
-            add(Broken.DRAIN, request);
+        if (arrival.leavingSinceNanos() > 0
+                && arrival.arrivedAtNanos()
+                        > notificationDeadlineNanos(arrival.leavingSinceNanos())
+                                + SoakConfiguration.GRACE_MILLIS * NANOS_PER_MILLI
+                                + TRANSIT_SLACK_NANOS
+                                + MAX_PAUSE_NANOS) {
+            add(Violation.DRAIN, request);
         }
-        long age = arrival.wallMillis() - arrival.position();
+        long ageMillis = arrival.wallMillis() - arrival.positionMillis();
         if (request.kind == RequestKind.BOUNDED
                 && arrival.ran()
-                && age * MS > RequestKind.BOUND_MILLIS * MS + WAY + PAUSE) {
-            add(Broken.STALE, request);
+                && ageMillis * NANOS_PER_MILLI
+                        > RequestKind.BOUND_MILLIS * NANOS_PER_MILLI + TRANSIT_SLACK_NANOS + MAX_PAUSE_NANOS) {
+            add(Violation.STALE, request);
         }
     }
 
-    /** When a change made at this moment counts as notified, in nanoseconds. */
-    private long notifiedAtNanos(long changed) {
-        long notifiedAt = changed + (fleet.asks() ? NOTIFICATION_BOUND : WAY);
+    /** Returns by when a router must know of a change made at this time, both in nanoseconds. */
+    private long notificationDeadlineNanos(long changedAtNanos) {
+        long notifiedByNanos = changedAtNanos + (fleet.asks() ? MAX_NOTIFICATION_NANOS : TRANSIT_SLACK_NANOS);
         for (SoakFleet.Span span : fleet.discoveryFaults()) {
-            if (span.from() < changed + NOTIFICATION_BOUND && span.to() > changed - NOTIFICATION_BOUND) {
-                notifiedAt = span.to() == Long.MAX_VALUE
+            if (span.from() < changedAtNanos + MAX_NOTIFICATION_NANOS
+                    && span.to() > changedAtNanos - MAX_NOTIFICATION_NANOS) {
+                notifiedByNanos = span.to() == Long.MAX_VALUE
                         ? Long.MAX_VALUE / 2
-                        : Math.max(notifiedAt, span.to() + NOTIFICATION_BOUND);
-                notifiedAt = Math.max(notifiedAt, changed + NOTIFICATION_BOUND);
+                        : Math.max(notifiedByNanos, span.to() + MAX_NOTIFICATION_NANOS);
+                notifiedByNanos = Math.max(notifiedByNanos, changedAtNanos + MAX_NOTIFICATION_NANOS);
             }
         }
-        return notifiedAt;
+        return notifiedByNanos;
     }
 
-    private void add(Broken rule, Request request) {
-        if (counts.merge(rule, 1, Integer::sum) <= SHOWN) {
-            shown.add(rule + ": " + request);
+    private void add(Violation violation, Request request) {
+        if (counts.merge(violation, 1, Integer::sum) <= MAX_DESCRIPTIONS_PER_KIND) {
+            descriptions.add(violation + ": " + request);
         }
     }
 }
