--- a/src/main/java/beaconladder/testbed/soak/FaultProxy.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultProxy.java
@@ -8,93 +8,97 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Stands before a host: passes bytes on, late, not at all, or with a reset in their midst. */
+/** A TCP proxy in front of a host, which can delay, block or reset connections. */
 final class FaultProxy implements AutoCloseable {
-    private static final int LOOK_MILLIS = 2;
-    private static final int BUFFER = 16 * 1024;
+    private static final int SILENCE_POLL_MILLIS = 2;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+    private static final int BUFFER_BYTES = 16 * 1024;
 
     private final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-    private final int to;
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
-    /** A new connection comes up so much later. */
-    volatile int acceptMillis;
-    /** Nothing passes: what is open is silent, and new connections never come up. */
+    private final int hostPort;
+    private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
+    /** The delay before a new connection is forwarded. */
+    volatile int acceptDelayMillis;
+    /** Whether no bytes pass: open connections are silent, and new ones are not forwarded. */
     volatile boolean silent;
-    /** The host's process is gone: what is open was reset, and what comes is. */
+    /** Whether the host counts as crashed: new connections are reset at once. */
     volatile boolean down;
-    /** Of a thousand pieces that pass, so many are met by a reset of their connection. */
+    /** The number of forwarded chunks, in a thousand, at which the connection is reset instead. */
     volatile int resetsPerMille;
-    /** Connections are closed in order after so long without bytes, or 0. */
+    /** The time without bytes after which a connection is closed without a reset, or 0 for never. */
     volatile int idleCloseMillis;
 
-    FaultProxy(int to) throws IOException {
-        this.to = to;
+    /** Starts a proxy to the given port on loopback. */
+    FaultProxy(int hostPort) throws IOException {
+        this.hostPort = hostPort;
         StandInThreads.spawn(() -> {
             while (true) {
-                Socket in = listener.accept();
+                Socket client = listener.accept();
                 if (down) {
-                    reset(in);
+                    reset(client);
                     continue;
                 }
-                open.add(in);
-                StandInThreads.spawn(() -> join(in));
+                openSockets.add(client);
+                StandInThreads.spawn(() -> forward(client));
             }
         });
     }
 
+    /** Returns the port that the proxy listens on. */
     int port() {
         return listener.getLocalPort();
     }
 
-    /** Resets all connections that are open. */
+    /** Resets all open connections. */
     void resetAll() {
-        open.forEach(FaultProxy::reset);
-        open.clear();
+        openSockets.forEach(FaultProxy::reset);
+        openSockets.clear();
     }
 
-    private void join(Socket in) throws IOException {
-        StandInThreads.sleep(acceptMillis);
+    private void forward(Socket client) throws IOException {
+        StandInThreads.sleep(acceptDelayMillis);
         waitWhileSilent();
-        Socket out = new Socket();
-        open.add(out);
+        Socket host = new Socket();
+        openSockets.add(host);
         try {
-            out.connect(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), to), 1_000);
-            in.setTcpNoDelay(true);
-            out.setTcpNoDelay(true);
-            StandInThreads.spawn(() -> copy(out, in));
-            copy(in, out);
+            host.connect(
+                    new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), hostPort), CONNECT_TIMEOUT_MILLIS);
+            client.setTcpNoDelay(true);
+            host.setTcpNoDelay(true);
+            StandInThreads.spawn(() -> copy(host, client));
+            copy(client, host);
         } finally {
-            close(in);
-            close(out);
+            close(client);
+            close(host);
         }
     }
 
-    private void copy(Socket from, Socket into) throws IOException {
-        byte[] buffer = new byte[BUFFER];
+    private void copy(Socket source, Socket destination) throws IOException {
+        byte[] buffer = new byte[BUFFER_BYTES];
         try {
             while (true) {
-                from.setSoTimeout(idleCloseMillis);
-                int n = from.getInputStream().read(buffer);
-                if (n < 0) {
+                source.setSoTimeout(idleCloseMillis);
+                int length = source.getInputStream().read(buffer);
+                if (length < 0) {
                     return;
                 }
                 waitWhileSilent();
                 if (resetsPerMille > 0 && Math.floorMod(System.nanoTime() / 1_000, 1_000) < resetsPerMille) {
-                    reset(from);
-                    reset(into);
+                    reset(source);
+                    reset(destination);
                     return;
                 }
-                into.getOutputStream().write(buffer, 0, n);
+                destination.getOutputStream().write(buffer, 0, length);
             }
         } finally {
-            close(from);
-            close(into);
+            close(source);
+            close(destination);
         }
     }
 
     private void waitWhileSilent() {
         while (silent) {
-            StandInThreads.sleep(LOOK_MILLIS);
+            StandInThreads.sleep(SILENCE_POLL_MILLIS);
         }
     }
 
@@ -103,16 +107,16 @@
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
-            // It is gone either way.
+            // The socket is closed in either case.
         }
     }
 
     private void close(Socket socket) {
-        open.remove(socket);
+        openSockets.remove(socket);
         try {
             socket.close();
         } catch (IOException e) {
-            // It is gone either way.
+            // The socket is closed in either case.
         }
     }
 
--- a/src/main/java/beaconladder/testbed/soak/HostFaultInjector.java
+++ b/src/main/java/beaconladder/testbed/soak/HostFaultInjector.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Injects faults of database hosts, and ends them. */
+/** Injects faults of database hosts and ends them. */
 final class HostFaultInjector {
-    private static final Manner[] SPOILT = {
+    private static final Manner[] PROTOCOL_FAULTS = {
         Manner.CUT,
         Manner.GARBAGE,
         Manner.TWO_ROWS,
@@ -27,87 +27,87 @@
         this.fleet = fleet;
     }
 
-    /** Begins one of them; what it returns ends it. */
-    FaultInjector.End begin(FaultKind fault, SplittableRandom chance) throws IOException {
+    /** Begins a fault and returns the handle that ends it. */
+    FaultInjector.ActiveFault begin(FaultKind fault, SplittableRandom random) throws IOException {
         return switch (fault) {
-            case HOST_DRAINS, HOST_CRASHES -> replace(fault == FaultKind.HOST_CRASHES, chance);
-            case HOST_HANGS, HOST_SILENT, HOST_FAILS, HOST_SPOILS -> host(fault, chance);
-            case HOST_NETWORK, HOST_IDLE_CLOSE, HOSTS_SLOW, REPLICAS_LAG -> hosts(fault, chance);
-            case PRIMARY_MOVES -> movePrimary(chance);
+            case HOST_DRAINS, HOST_CRASHES -> restartOrDrain(fault == FaultKind.HOST_CRASHES, random);
+            case HOST_HANGS, HOST_SILENT, HOST_FAILS, HOST_SPOILS -> failOneHost(fault, random);
+            case HOST_NETWORK, HOST_IDLE_CLOSE, HOSTS_SLOW, REPLICAS_LAG -> degradeHosts(fault, random);
+            case PRIMARY_MOVES -> movePrimary(random);
             default -> throw new IllegalArgumentException(fault + " is not a fault of a host");
         };
     }
 
-    private SoakHost anyHost(SplittableRandom chance) {
-        return fleet.hosts().get(chance.nextInt(fleet.hosts().size()));
+    private SoakHost anyHost(SplittableRandom random) {
+        return fleet.hosts().get(random.nextInt(fleet.hosts().size()));
     }
 
-    private FaultInjector.End replace(boolean crash, SplittableRandom chance) throws IOException {
-        SoakHost host = anyHost(chance);
-        if (!host.state().equals("Ready") || host.leader() && !crash) {
-            return FaultInjector.NOTHING;
+    private FaultInjector.ActiveFault restartOrDrain(boolean crash, SplittableRandom random) throws IOException {
+        SoakHost host = anyHost(random);
+        if (!host.state().equals("Ready") || host.isPrimary() && !crash) {
+            return FaultInjector.NO_FAULT;
         }
         if (crash) {
             host.proxy().silent = false;
             host.proxy().down = true;
             host.proxy().resetAll();
             return () -> {
-                host.started();
+                host.markStarted();
                 host.proxy().down = false;
-                fleet.list(host);
+                fleet.publish(host);
             };
         }
-        host.state("Terminating");
-        fleet.list(host);
+        host.setState("Terminating");
+        fleet.publish(host);
         return () -> {
-            host.started();
-            host.state("Ready");
-            fleet.list(host);
+            host.markStarted();
+            host.setState("Ready");
+            fleet.publish(host);
         };
     }
 
-    private FaultInjector.End host(FaultKind fault, SplittableRandom chance) {
-        SoakHost host = anyHost(chance);
+    private FaultInjector.ActiveFault failOneHost(FaultKind fault, SplittableRandom random) {
+        SoakHost host = anyHost(random);
         switch (fault) {
-            case HOST_HANGS -> host.hangs = true;
+            case HOST_HANGS -> host.hanging = true;
             case HOST_SILENT -> host.proxy().silent = true;
-            case HOST_FAILS -> host.behavior = SoakHost.Behavior.values()[1 + chance.nextInt(4)];
-            default -> host.manner = SPOILT[chance.nextInt(SPOILT.length)];
+            case HOST_FAILS -> host.behavior = SoakHost.Behavior.values()[1 + random.nextInt(4)];
+            default -> host.manner = PROTOCOL_FAULTS[random.nextInt(PROTOCOL_FAULTS.length)];
         }
         return () -> {
-            host.hangs = false;
+            host.hanging = false;
             if (host.proxy().silent) {
                 host.proxy().resetAll();
             }
             host.proxy().silent = false;
-            host.behavior = SoakHost.Behavior.WELL;
+            host.behavior = SoakHost.Behavior.NORMAL;
             host.manner = Manner.ANSWER;
         };
     }
 
-    private FaultInjector.End hosts(FaultKind fault, SplittableRandom chance) {
-        List<SoakHost> some =
-                fleet.hosts().stream().filter(host -> chance.nextInt(3) != 0).toList();
-        for (SoakHost host : some) {
+    private FaultInjector.ActiveFault degradeHosts(FaultKind fault, SplittableRandom random) {
+        List<SoakHost> affected =
+                fleet.hosts().stream().filter(host -> random.nextInt(3) != 0).toList();
+        for (SoakHost host : affected) {
             switch (fault) {
                 case HOST_NETWORK -> {
-                    host.proxy().acceptMillis = chance.nextInt(300);
+                    host.proxy().acceptDelayMillis = random.nextInt(300);
                     host.proxy().resetsPerMille = 30;
                 }
-                case HOST_IDLE_CLOSE -> host.proxy().idleCloseMillis = 20 + chance.nextInt(500);
-                case HOSTS_SLOW -> host.delayMillis = 600 + chance.nextInt(800);
-                default -> host.lagMillis = 400 + chance.nextInt(3_000);
+                case HOST_IDLE_CLOSE -> host.proxy().idleCloseMillis = 20 + random.nextInt(500);
+                case HOSTS_SLOW -> host.delayMillis = 600 + random.nextInt(800);
+                default -> host.lagMillis = 400 + random.nextInt(3_000);
             }
         }
-        return () -> some.forEach(SoakFleet::calm);
+        return () -> affected.forEach(SoakFleet::resetDelays);
     }
 
-    private FaultInjector.End movePrimary(SplittableRandom chance) {
-        int group = 1 + chance.nextInt(Soak.GROUPS);
+    private FaultInjector.ActiveFault movePrimary(SplittableRandom random) {
+        int group = 1 + random.nextInt(Soak.GROUPS);
         List<SoakHost> members =
                 fleet.hosts().stream().filter(host -> host.group == group).toList();
-        SoakHost next = members.get(chance.nextInt(members.size()));
-        members.forEach(host -> host.lead(host == next));
-        return () -> fleet.list(next);
+        SoakHost newPrimary = members.get(random.nextInt(members.size()));
+        members.forEach(host -> host.setPrimary(host == newPrimary));
+        return () -> fleet.publish(newPrimary);
     }
 }
--- a/src/main/java/beaconladder/testbed/soak/Soak.java
+++ b/src/main/java/beaconladder/testbed/soak/Soak.java
@@ -19,7 +19,7 @@
 /** Plays rounds of overlapping faults to a fleet of real routers; the seed draws them. */
 public final class Soak {
     static final int GROUPS = 2;
-    static final int MEMBERS = 3;
+    static final int HOSTS_PER_GROUP = 3;
     private static final int CLIENTS_A_ROUTER = 4;
     private static final int ROUND_MILLIS = 2_500;
     private static final int MOST_AT_ONCE = 3;
@@ -33,21 +33,21 @@
 
     private final SoakPlan plan;
     private final PrintWriter out;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Map<FaultKind, Integer> played = new EnumMap<>(FaultKind.class);
 
     /** One that has not begun. */
     public Soak(SoakPlan plan, PrintWriter out) {
         this.plan = plan;
         this.out = out;
-        this.chance = new SplittableRandom(plan.seed());
+        this.random = new SplittableRandom(plan.seed());
     }
 
     /** Plays it; whether every rule held. */
     public boolean play() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("soak");
-        try (SoakFleet fleet = new SoakFleet(plan, folder, FaultShim.build(folder), chance.split())) {
-            fleet.clients().start(CLIENTS_A_ROUTER * plan.routers(), chance.split());
+        try (SoakFleet fleet = new SoakFleet(plan, folder, FaultShim.build(folder), random.split())) {
+            fleet.clients().start(CLIENTS_A_ROUTER * plan.routers(), random.split());
             StandInThreads.sleep(1_000 * plan.quietSeconds());
             for (int i = 0; i < plan.rounds(); i++) {
                 round(new FaultInjector(fleet));
@@ -63,21 +63,21 @@
 
     private void round(FaultInjector faults) throws IOException, InterruptedException {
         Set<FaultKind> drawn = new HashSet<>();
-        for (int i = 2 + chance.nextInt(MOST_AT_ONCE - 1); i > 0; i--) {
-            drawn.add(plan.faults().get(chance.nextInt(plan.faults().size())));
+        for (int i = 2 + random.nextInt(MOST_AT_ONCE - 1); i > 0; i--) {
+            drawn.add(plan.faults().get(random.nextInt(plan.faults().size())));
         }
         out.println("round: " + drawn.stream().map(Soak::name).sorted().collect(Collectors.joining(", ")));
         out.flush();
-        List<FaultInjector.End> ends = new ArrayList<>();
+        List<FaultInjector.ActiveFault> activeFaults = new ArrayList<>();
         for (FaultKind fault : drawn.stream().sorted().toList()) {
             played.merge(fault, 1, Integer::sum);
-            ends.add(faults.begin(fault, ROUND_MILLIS, chance));
-            StandInThreads.sleep(chance.nextInt(400));
+            activeFaults.add(faults.begin(fault, ROUND_MILLIS, random));
+            StandInThreads.sleep(random.nextInt(400));
         }
         StandInThreads.sleep(ROUND_MILLIS);
-        for (FaultInjector.End end : ends) {
-            end.run();
-            StandInThreads.sleep(chance.nextInt(200));
+        for (FaultInjector.ActiveFault fault : activeFaults) {
+            fault.end();
+            StandInThreads.sleep(random.nextInt(200));
         }
     }
 
--- a/src/main/java/beaconladder/testbed/soak/SoakClients.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakClients.java
@@ -37,8 +37,8 @@
     private final List<String> broken;
     private final AtomicLong ids = new AtomicLong();
     private final List<Thread> threads = new ArrayList<>();
-    /** Whether bad clients come. */
-    volatile boolean bad;
+    /** Whether some clients send malformed or incomplete input. */
+    volatile boolean malformedInput;
 
     private volatile boolean over;
 
@@ -48,9 +48,9 @@
         this.broken = broken;
     }
 
-    void start(int count, SplittableRandom chance) {
+    void start(int count, SplittableRandom random) {
         for (int i = 0; i < count; i++) {
-            SplittableRandom own = chance.split();
+            SplittableRandom own = random.split();
             threads.add(StandInThreads.spawn(() -> live(own)));
         }
     }
@@ -61,19 +61,19 @@
         threads.forEach(thread -> StandInThreads.join(thread, 10_000));
     }
 
-    private void live(SplittableRandom chance) {
+    private void live(SplittableRandom random) {
         while (!over) {
-            SoakRouter router = routers.get(chance.nextInt(routers.size()));
+            SoakRouter router = routers.get(random.nextInt(routers.size()));
             if (!router.ready()) {
                 StandInThreads.sleep(5);
                 continue;
             }
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), router.port)) {
                 socket.setTcpNoDelay(true);
-                if (bad && chance.nextInt(12) == 0) {
-                    behaveBadly(socket, chance);
+                if (malformedInput && random.nextInt(12) == 0) {
+                    behaveBadly(socket, random);
                 } else {
-                    converse(socket, router, chance);
+                    converse(socket, router, random);
                 }
             } catch (IOException e) {
                 StandInThreads.sleep(5);
@@ -81,7 +81,7 @@
         }
     }
 
-    private void converse(Socket socket, SoakRouter router, SplittableRandom chance) throws IOException {
+    private void converse(Socket socket, SoakRouter router, SplittableRandom random) throws IOException {
         TestClient caller = new TestClient(socket);
         socket.setSoTimeout(3_000);
         MessageWriter.startup("app", "shop").writeTo(caller.out);
@@ -89,12 +89,12 @@
             return;
         }
         long after = 0;
-        for (int turns = 1 + chance.nextInt(30); turns > 0 && !over; turns--) {
-            int dice = chance.nextInt(100);
-            int ahead = dice < 15 ? 2 + chance.nextInt(MOST_AHEAD - 1) : 1;
-            Deque<Request> out = send(caller, router, ahead, after, chance);
+        for (int turns = 1 + random.nextInt(30); turns > 0 && !over; turns--) {
+            int dice = random.nextInt(100);
+            int ahead = dice < 15 ? 2 + random.nextInt(MOST_AHEAD - 1) : 1;
+            Deque<Request> out = send(caller, router, ahead, after, random);
             if (dice >= 92) {
-                StandInThreads.sleep(chance.nextInt(300));
+                StandInThreads.sleep(random.nextInt(300));
                 out.forEach(request -> request.end(Request.Outcome.LEFT, "", System.nanoTime()));
                 socket.close();
                 return;
@@ -105,22 +105,22 @@
                 }
             }
             after = System.currentTimeMillis();
-            StandInThreads.sleep(chance.nextInt(20) == 0 ? chance.nextInt(4_000) : chance.nextInt(30));
+            StandInThreads.sleep(random.nextInt(20) == 0 ? random.nextInt(4_000) : random.nextInt(30));
         }
     }
 
-    private Deque<Request> send(TestClient caller, SoakRouter router, int count, long after, SplittableRandom chance) {
+    private Deque<Request> send(TestClient caller, SoakRouter router, int count, long after, SplittableRandom random) {
         Deque<Request> out = new ArrayDeque<>();
         MessageWriter text = new MessageWriter();
         for (int i = 0; i < count; i++) {
-            RequestKind kind = RequestKind.values()[chance.nextInt(RequestKind.values().length)];
-            boolean hurried = chance.nextInt(12) == 0;
+            RequestKind kind = RequestKind.values()[random.nextInt(RequestKind.values().length)];
+            boolean hurried = random.nextInt(12) == 0;
             Request request = new Request(
                     PREFIX + ids.incrementAndGet(),
                     kind,
-                    hurried ? 1 + chance.nextInt(HURRIED_MILLIS) : kind.budgetMillis,
+                    hurried ? 1 + random.nextInt(HURRIED_MILLIS) : kind.budgetMillis,
                     router.number,
-                    1 + chance.nextInt(Soak.GROUPS),
+                    1 + random.nextInt(Soak.GROUPS),
                     i,
                     System.nanoTime());
             requests.put(request.id, request);
@@ -183,12 +183,12 @@
     }
 
     /** Sends malformed or partial input and keeps the connection open; it must get an error or a close in time. */
-    private void behaveBadly(Socket socket, SplittableRandom chance) throws IOException {
+    private void behaveBadly(Socket socket, SplittableRandom random) throws IOException {
         byte[] start = bytes(MessageWriter.startup("app", "shop"));
         byte[] query = bytes(MessageWriter.query("SELECT doc FROM items WHERE id = 'x' /* id=b"
                 + ids.incrementAndGet()
-                + ",c=own,t=acme,d=900,cluster=1,after=1e" + chance.nextInt(99_999_999) + " */"));
-        int way = chance.nextInt(5);
+                + ",c=own,t=acme,d=900,cluster=1,after=1e" + random.nextInt(99_999_999) + " */"));
+        int way = random.nextInt(5);
         long from = System.nanoTime();
         switch (way) {
             case 0 -> socket.getOutputStream().write(start, 0, start.length / 2);
--- a/src/main/java/beaconladder/testbed/soak/SoakConfiguration.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakConfiguration.java
@@ -10,8 +10,8 @@
                 {"name":"%s","effect":"%s","dedup_scope":"cell","key_ttl_us":%d,"goal_time_us":500000,\
                 "give_up_us":%d,"late_share":0.5,"points":1.0}""";
     static final int GRACE_MILLIS = 1_500;
-    /** What a router may hold, its own files included. */
-    static final int DESCRIPTORS = 256;
+    /** The maximum number of descriptors of a router, its own files included. */
+    static final int MAX_DESCRIPTORS = 256;
 
     static final int WARM_MILLIS = 3_000;
 
@@ -45,7 +45,7 @@
                 port,
                 discovery,
                 port * 2654435761L,
-                DESCRIPTORS,
+                MAX_DESCRIPTORS,
                 known,
                 quoted(kind -> kind.freshness),
                 RequestKind.BOUND_MILLIS * 1_000,
--- a/src/main/java/beaconladder/testbed/soak/SoakFleet.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakFleet.java
@@ -43,11 +43,11 @@
     private long faultStartNanos;
 
     /** Stands it up and waits until all routers are ready. */
-    SoakFleet(SoakPlan plan, Path folder, FaultShim shim, SplittableRandom chance) throws IOException {
+    SoakFleet(SoakPlan plan, Path folder, FaultShim shim, SplittableRandom random) throws IOException {
         this.plan = plan;
         programs = new ChildProcesses(folder);
-        for (int i = 0; i < Soak.GROUPS * Soak.MEMBERS; i++) {
-            hosts.add(new SoakHost(i, 1 + i / Soak.MEMBERS, i % Soak.MEMBERS == 0, requests));
+        for (int i = 0; i < Soak.GROUPS * Soak.HOSTS_PER_GROUP; i++) {
+            hosts.add(new SoakHost(i, 1 + i / Soak.HOSTS_PER_GROUP, i % Soak.HOSTS_PER_GROUP == 0, requests));
         }
         for (int i = 0; i < 2; i++) {
             DiscoveryStandIn agent = new DiscoveryStandIn();
@@ -56,7 +56,7 @@
             discoveries.add(agent);
         }
         for (int i = 0; i < plan.routers(); i++) {
-            int port = freePort(chance);
+            int port = freePort(random);
             discoveryOf.put(i, i % 2);
             ChildProcesses.Program program = programs.program("n" + i, configuration(i, port), TRACED, "serve");
             FaultPlan faults = new FaultPlan(folder.resolve("plan" + i));
@@ -71,10 +71,10 @@
     }
 
     /** Below the ports that the system gives to connections: one of those would keep a restarted router from it. */
-    private static int freePort(SplittableRandom chance) throws IOException {
+    private static int freePort(SplittableRandom random) throws IOException {
         for (int i = 0; i < PORT_TRIES; i++) {
             try (ServerSocket free =
-                    new ServerSocket(LOWEST_PORT + chance.nextInt(PORTS), 5, InetAddress.getLoopbackAddress())) {
+                    new ServerSocket(LOWEST_PORT + random.nextInt(PORTS), 5, InetAddress.getLoopbackAddress())) {
                 return free.getLocalPort();
             } catch (BindException e) {
                 // Another one.
@@ -125,8 +125,8 @@
         return discoveryFaults;
     }
 
-    /** Publishes this host to discovery as it is now. */
-    void list(SoakHost host) {
+    /** Publishes the current entry of this host to all discovery agents. */
+    void publish(SoakHost host) {
         discoveries.forEach(agent -> agent.list(false, host.entry()));
     }
 
@@ -154,9 +154,9 @@
         }
     }
 
-    /** What is slow, late or far behind at this host is as usual again. */
-    static void calm(SoakHost host) {
-        host.proxy().acceptMillis = 0;
+    /** Ends all delays, resets and excess lag of this host. */
+    static void resetDelays(SoakHost host) {
+        host.proxy().acceptDelayMillis = 0;
         host.proxy().resetsPerMille = 0;
         host.proxy().idleCloseMillis = 0;
         host.delayMillis = USUAL_MILLIS;
--- a/src/main/java/beaconladder/testbed/soak/SoakHost.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakHost.java
@@ -7,82 +7,89 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** A database host of the soak, behind a proxy of its own; it notes each request that arrives. */
+/** A database host of the soak, behind its own proxy; it records each request that arrives. */
 final class SoakHost extends HostStandIn {
-    /** How it takes requests. */
+    /** How a host handles requests. */
     enum Behavior {
-        WELL,
+        /** Runs the request and answers it. */
+        NORMAL,
+        /** Runs the request and answers it with an error. */
         ERROR,
+        /** Rejects the request as full (SQLSTATE 53300) without running it. */
         FULL,
-        LOSES_ANSWERS,
-        ANSWERS_TWICE
+        /** Runs the request and closes the connection without an answer. */
+        DROP_ANSWER,
+        /** Runs the request and sends the answer twice. */
+        ANSWER_TWICE
     }
 
-    private static final int LAG_MILLIS = 20;
-    private static final int HANG_LOOK_MILLIS = 5;
+    private static final int DEFAULT_LAG_MILLIS = 20;
+    private static final int DEFAULT_DELAY_MILLIS = 5;
+    private static final int HANG_POLL_MILLIS = 5;
 
     final int number;
     final int group;
     private final Map<String, Request> requests;
     private final FaultProxy proxy;
-    /** When the request that this thread serves had arrived, and how it is taken. */
-    private final ThreadLocal<Long> arrivedAt = ThreadLocal.withInitial(System::nanoTime);
-
-    private final ThreadLocal<Behavior> taken = ThreadLocal.withInitial(() -> Behavior.WELL);
-    /** Whether this host may not take the request that this thread serves; judged when it arrives. */
-    private final ThreadLocal<Boolean> missed = ThreadLocal.withInitial(() -> false);
-
-    private long newestPosition;
-    volatile Behavior behavior = Behavior.WELL;
-    volatile boolean hangs;
-    volatile int lagMillis = LAG_MILLIS;
-    /** When it was listed as leaving, or 0. */
-    volatile long leavingSince;
-
-    private volatile boolean leader;
+    /** When the request that this thread handles arrived, in nanoseconds. */
+    private final ThreadLocal<Long> arrivedAtNanos = ThreadLocal.withInitial(System::nanoTime);
+
+    /** The behavior at the arrival of the request that this thread handles. */
+    private final ThreadLocal<Behavior> requestBehavior = ThreadLocal.withInitial(() -> Behavior.NORMAL);
+    /** Whether this host must reject the request that this thread handles, decided at its arrival. */
+    private final ThreadLocal<Boolean> rejectsRequest = ThreadLocal.withInitial(() -> false);
+
+    private long newestPositionMillis;
+    volatile Behavior behavior = Behavior.NORMAL;
+    volatile boolean hanging;
+    volatile int lagMillis = DEFAULT_LAG_MILLIS;
+    /** When discovery began to list the host as leaving, in nanoseconds, or 0 if it does not. */
+    volatile long leavingSinceNanos;
+
+    private volatile boolean primary;
     private volatile String state = "Ready";
     private volatile long startedMillis;
 
-    SoakHost(int number, int group, boolean leader, Map<String, Request> requests) throws IOException {
-        super(leader ? "leader" : "follower");
+    SoakHost(int number, int group, boolean primary, Map<String, Request> requests) throws IOException {
+        super(primary ? "leader" : "follower");
         this.number = number;
         this.group = group;
-        this.leader = leader;
+        this.primary = primary;
         this.requests = requests;
         this.proxy = new FaultProxy(port());
-        delayMillis = 5;
+        delayMillis = DEFAULT_DELAY_MILLIS;
     }
 
     FaultProxy proxy() {
         return proxy;
     }
 
-    boolean leader() {
-        return leader;
+    boolean isPrimary() {
+        return primary;
     }
 
-    /** It is the primary from now on, or no longer. */
-    void lead(boolean now) {
-        leader = now;
-        role(now ? "leader" : "follower");
+    /** Makes this host the primary of its group, or a replica. */
+    void setPrimary(boolean nowPrimary) {
+        primary = nowPrimary;
+        role(nowPrimary ? "leader" : "follower");
     }
 
     String state() {
         return state;
     }
 
-    /** How discovery is to list it from now on. */
-    void state(String next) {
-        state = next;
-        leavingSince = next.equals("Ready") ? 0 : System.nanoTime();
+    /** Sets the state in the host's entry in discovery. */
+    void setState(String newState) {
+        state = newState;
+        leavingSinceNanos = newState.equals("Ready") ? 0 : System.nanoTime();
     }
 
-    /** It has just started. */
-    void started() {
+    /** Records now as the time at which the host's process started. */
+    void markStarted() {
         startedMillis = System.currentTimeMillis();
     }
 
-    /** Discovery's entry. */
+    /** Returns the host's entry in the endpoint list. */
     String entry() {
         return """
                 {"id":"s-%d","addr":"127.0.0.1:%d","zone":"%s","kind":"m2","cell":%d,"state":"%s",\
@@ -93,64 +100,64 @@
                         group,
                         state,
                         startedMillis,
-                        leader ? "leader" : "follower");
+                        primary ? "leader" : "follower");
     }
 
     @Override
     protected void halt() {
-        arrivedAt.set(System.nanoTime());
-        while (hangs) {
-            StandInThreads.sleep(HANG_LOOK_MILLIS);
+        arrivedAtNanos.set(System.nanoTime());
+        while (hanging) {
+            StandInThreads.sleep(HANG_POLL_MILLIS);
         }
     }
 
     @Override
     protected void saw(String text) {
         Request request = requests.get(Statements.value(text, "id"));
-        Behavior now = behavior;
-        taken.set(now);
+        Behavior currentBehavior = behavior;
+        requestBehavior.set(currentBehavior);
         if (request == null) {
             return;
         }
-        boolean misses = misses(request, text);
-        missed.set(misses);
+        boolean rejected = mustReject(request, text);
+        rejectsRequest.set(rejected);
         request.addArrival(new Request.Arrival(
                 number,
                 group,
-                arrivedAt.get(),
-                now != Behavior.FULL && !misses,
-                leavingSince,
+                arrivedAtNanos.get(),
+                currentBehavior != Behavior.FULL && !rejected,
+                leavingSinceNanos,
                 position(),
                 System.currentTimeMillis(),
                 Long.parseLong(Statements.value(text, "d"))));
     }
 
-    private boolean misses(Request request, String text) {
+    private boolean mustReject(Request request, String text) {
         String after = Statements.value(text, "after");
-        return request.kind.writes() && !leader || after != null && position() < Long.parseLong(after);
+        return request.kind.writes() && !primary || after != null && position() < Long.parseLong(after);
     }
 
     @Override
     protected MessageWriter run(String text) {
         Request request = requests.get(Statements.value(text, "id"));
-        switch (taken.get()) {
+        switch (requestBehavior.get()) {
             case ERROR -> {
                 return said().error("ERROR", "XX000", "broken", null);
             }
             case FULL -> {
                 return said().error("ERROR", "53300", "full", null);
             }
-            case LOSES_ANSWERS -> {
+            case DROP_ANSWER -> {
                 return null;
             }
             default -> {
-                if (request != null && missed.get()) {
+                if (request != null && rejectsRequest.get()) {
                     return said().error("ERROR", request.kind.writes() ? "25006" : "72000", "not here", null);
                 }
                 byte[] row = Statements.value(text, "id").getBytes(StandardCharsets.US_ASCII);
                 String tag = text.startsWith("INSERT") ? "INSERT 0 1" : "SELECT 1";
                 MessageWriter answer = said().singleColumnResult("doc", row).commandComplete(tag);
-                return taken.get() == Behavior.ANSWERS_TWICE
+                return requestBehavior.get() == Behavior.ANSWER_TWICE
                         ? answer.readyForQuery()
                                 .append(said().singleColumnResult("doc", row).commandComplete(tag))
                         : answer;
@@ -158,11 +165,11 @@
         }
     }
 
-    /** The position does not advance while the lag grows, and never decreases. */
+    /** Returns the applied position in Unix milliseconds. It stands still while the lag grows, and never decreases. */
     @Override
     protected synchronized long position() {
-        newestPosition = Math.max(newestPosition, System.currentTimeMillis() - (leader ? 0 : lagMillis));
-        return newestPosition;
+        newestPositionMillis = Math.max(newestPositionMillis, System.currentTimeMillis() - (primary ? 0 : lagMillis));
+        return newestPositionMillis;
     }
 
     @Override
--- a/src/main/java/beaconladder/testbed/soak/SoakRouter.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakRouter.java
@@ -23,21 +23,21 @@
 
     final int number;
     final int port;
-    final FaultPlan plan;
+    final FaultPlan faultPlan;
     private final ChildProcesses.Program program;
     private final List<String> broken;
     /** When it was killed with requests in flight, on System.nanoTime. */
     private final List<Long> kills = new CopyOnWriteArrayList<>();
 
     private volatile boolean ready;
-    /** Held by who ends or starts it. */
-    private boolean busy;
+    /** Whether a task has reserved the router for stopping or starting it. */
+    private boolean reserved;
 
-    SoakRouter(int number, int port, ChildProcesses.Program program, FaultPlan plan, List<String> broken) {
+    SoakRouter(int number, int port, ChildProcesses.Program program, FaultPlan faultPlan, List<String> broken) {
         this.number = number;
         this.port = port;
         this.program = program;
-        this.plan = plan;
+        this.faultPlan = faultPlan;
         this.broken = broken;
     }
 
@@ -50,15 +50,16 @@
         return kills.stream().anyMatch(at -> at >= from && at <= to);
     }
 
-    /** Takes the right to end or start it; false where somebody else has it. */
-    synchronized boolean take() {
-        boolean free = !busy && ready;
-        busy |= free;
-        return free;
+    /** Reserves the router for stopping or starting it; returns false if it is reserved already or not ready. */
+    synchronized boolean tryReserve() {
+        boolean reservable = !reserved && ready;
+        reserved |= reservable;
+        return reservable;
     }
 
-    synchronized void give() {
-        busy = false;
+    /** Ends the reservation. */
+    synchronized void release() {
+        reserved = false;
     }
 
     void start() throws IOException {
