--- a/src/main/java/beaconladder/testbed/soak/Request.java
+++ b/src/main/java/beaconladder/testbed/soak/Request.java
@@ -11,7 +11,7 @@
         PENDING,
         /** Answered with a row. */
         SERVED,
-        /** Rejected by the router with SQLSTATE 53300 or 57P03: no host may have run it. */
+        /** Rejected with SQLSTATE 53300 or 57P03; a write that is rejected must not have run on any host. */
         REFUSED,
         /** Answered with any other error. */
         FAILED,
--- a/src/main/java/beaconladder/testbed/soak/SoakClients.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakClients.java
@@ -17,52 +17,59 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Clients of the soak: usual ones, ones that write ahead, that leave, that rest, and bad ones. */
+/**
+ * The clients of the soak: some pipeline queries, close their connection before the answer, stay idle for a while, or
+ * send malformed input.
+ */
 final class SoakClients {
-    /** Another soak on this machine may meet a port that was ours. */
-    private static final String PREFIX = "r" + ProcessHandle.current().pid() + "-";
+    /** Makes request ids unique: another soak on this machine may reuse a port of this one. */
+    private static final String ID_PREFIX = "r" + ProcessHandle.current().pid() + "-";
 
     private static final String GREETING = "R S S S S K Z";
-    /** A client counts on its answer for so long behind its time; then it is lost. */
-    private static final int PATIENCE_MILLIS = 1_500;
-    /** Bad clients get their error or their close within this, and some slack of the machine. */
-    private static final int BAD_MILLIS = 3_500;
-    /** Some come with less time than an answer takes. */
-    private static final int HURRIED_MILLIS = 60;
-
-    private static final int MOST_AHEAD = 5;
+    /** How long after its deadline a client waits for an answer before it counts as lost. */
+    private static final int ANSWER_GRACE_MILLIS = 1_500;
+    /** The time within which malformed input must get an error or a close, with an allowance for a slow machine. */
+    private static final int MALFORMED_INPUT_TIMEOUT_MILLIS = 3_500;
+    /** The upper bound of short budgets, which may be less than an answer takes. */
+    private static final int MAX_SHORT_BUDGET_MILLIS = 60;
+
+    private static final int MAX_PIPELINED = 5;
+    private static final int PIPELINING_PERCENT = 15;
+    /** Clients that draw this number or more, of 0 to 99, leave without waiting for the answer. */
+    private static final int FIRST_LEAVING_DRAW = 92;
 
     private final List<SoakRouter> routers;
     private final Map<String, Request> requests;
-    private final List<String> broken;
+    private final List<String> violations;
     private final AtomicLong ids = new AtomicLong();
     private final List<Thread> threads = new ArrayList<>();
     /** Whether some clients send malformed or incomplete input. */
     volatile boolean malformedInput;
 
-    private volatile boolean over;
+    private volatile boolean stopping;
 
-    SoakClients(List<SoakRouter> routers, Map<String, Request> requests, List<String> broken) {
+    SoakClients(List<SoakRouter> routers, Map<String, Request> requests, List<String> violations) {
         this.routers = routers;
         this.requests = requests;
-        this.broken = broken;
+        this.violations = violations;
     }
 
+    /** Starts the given number of clients. */
     void start(int count, SplittableRandom random) {
         for (int i = 0; i < count; i++) {
-            SplittableRandom own = random.split();
-            threads.add(StandInThreads.spawn(() -> live(own)));
+            SplittableRandom clientRandom = random.split();
+            threads.add(StandInThreads.spawn(() -> runClient(clientRandom)));
         }
     }
 
-    /** Ends them once what they have out is answered. */
+    /** Stops all clients as soon as their requests in flight are answered. */
     void end() {
-        over = true;
+        stopping = true;
         threads.forEach(thread -> StandInThreads.join(thread, 10_000));
     }
 
-    private void live(SplittableRandom random) {
-        while (!over) {
+    private void runClient(SplittableRandom random) {
+        while (!stopping) {
             SoakRouter router = routers.get(random.nextInt(routers.size()));
             if (!router.ready()) {
                 StandInThreads.sleep(5);
@@ -71,9 +78,9 @@
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), router.port)) {
                 socket.setTcpNoDelay(true);
                 if (malformedInput && random.nextInt(12) == 0) {
-                    behaveBadly(socket, random);
+                    sendMalformedInput(socket, random);
                 } else {
-                    converse(socket, router, random);
+                    useConnection(socket, router, random);
                 }
             } catch (IOException e) {
                 StandInThreads.sleep(5);
@@ -81,26 +88,26 @@
         }
     }
 
-    private void converse(Socket socket, SoakRouter router, SplittableRandom random) throws IOException {
-        TestClient caller = new TestClient(socket);
+    private void useConnection(Socket socket, SoakRouter router, SplittableRandom random) throws IOException {
+        TestClient client = new TestClient(socket);
         socket.setSoTimeout(3_000);
-        MessageWriter.startup("app", "shop").writeTo(caller.out);
-        if (!caller.answer().equals(GREETING)) {
+        MessageWriter.startup("app", "shop").writeTo(client.out);
+        if (!client.answer().equals(GREETING)) {
             return;
         }
         long after = 0;
-        for (int turns = 1 + random.nextInt(30); turns > 0 && !over; turns--) {
-            int dice = random.nextInt(100);
-            int ahead = dice < 15 ? 2 + random.nextInt(MOST_AHEAD - 1) : 1;
-            Deque<Request> out = send(caller, router, ahead, after, random);
-            if (dice >= 92) {
+        for (int writes = 1 + random.nextInt(30); writes > 0 && !stopping; writes--) {
+            int draw = random.nextInt(100);
+            int count = draw < PIPELINING_PERCENT ? 2 + random.nextInt(MAX_PIPELINED - 1) : 1;
+            Deque<Request> pending = send(client, router, count, after, random);
+            if (draw >= FIRST_LEAVING_DRAW) {
                 StandInThreads.sleep(random.nextInt(300));
-                out.forEach(request -> request.end(Request.Outcome.LEFT, "", System.nanoTime()));
+                pending.forEach(request -> request.end(Request.Outcome.LEFT, "", System.nanoTime()));
                 socket.close();
                 return;
             }
-            while (!out.isEmpty()) {
-                if (!receive(socket, caller, out)) {
+            while (!pending.isEmpty()) {
+                if (!receive(socket, client, pending)) {
                     return;
                 }
             }
@@ -109,54 +116,58 @@
         }
     }
 
-    private Deque<Request> send(TestClient caller, SoakRouter router, int count, long after, SplittableRandom random) {
-        Deque<Request> out = new ArrayDeque<>();
+    /** Sends this many queries in one write. */
+    private Deque<Request> send(TestClient client, SoakRouter router, int count, long after, SplittableRandom random) {
+        Deque<Request> pending = new ArrayDeque<>();
         MessageWriter text = new MessageWriter();
         for (int i = 0; i < count; i++) {
             RequestKind kind = RequestKind.values()[random.nextInt(RequestKind.values().length)];
-            boolean hurried = random.nextInt(12) == 0;
+            boolean shortBudget = random.nextInt(12) == 0;
             Request request = new Request(
-                    PREFIX + ids.incrementAndGet(),
+                    ID_PREFIX + ids.incrementAndGet(),
                     kind,
-                    hurried ? 1 + random.nextInt(HURRIED_MILLIS) : kind.budgetMillis,
+                    shortBudget ? 1 + random.nextInt(MAX_SHORT_BUDGET_MILLIS) : kind.budgetMillis,
                     router.number,
                     1 + random.nextInt(Soak.GROUPS),
                     i,
                     System.nanoTime());
             requests.put(request.id, request);
-            out.add(request);
+            pending.add(request);
             text.append(MessageWriter.query(request.statement(after)));
         }
         try {
-            text.writeTo(caller.out);
+            text.writeTo(client.out);
         } catch (IOException e) {
-            // The answer shows the outcome.
+            // The outcome is determined when the answer is read.
         }
-        return out;
+        return pending;
     }
 
-    /** Takes the answer to the first; false at the connection's end, with the others ended too. */
-    private boolean receive(Socket socket, TestClient caller, Deque<Request> out) throws IOException {
-        Request first = out.peek();
-        long left = (first.deadlineNanos() - System.nanoTime()) / 1_000_000 + PATIENCE_MILLIS;
-        socket.setSoTimeout((int) Math.max(1, left));
+    /**
+     * Receives the answer to the first pending request. Returns false when the connection has ended or the answer does
+     * not arrive in time; all pending requests have their outcome then.
+     */
+    private boolean receive(Socket socket, TestClient client, Deque<Request> pending) throws IOException {
+        Request first = pending.peek();
+        long remainingMillis = (first.deadlineNanos() - System.nanoTime()) / 1_000_000 + ANSWER_GRACE_MILLIS;
+        socket.setSoTimeout((int) Math.max(1, remainingMillis));
         String answer;
         try {
-            answer = caller.answer();
+            answer = client.answer();
         } catch (SocketTimeoutException e) {
-            endAll(out, Request.Outcome.SILENT);
+            endAll(pending, Request.Outcome.SILENT);
             return false;
         }
         long now = System.nanoTime();
         if (answer.endsWith("closed")) {
             endAll(
-                    out,
+                    pending,
                     !answer.equals("closed")
                             ? Request.Outcome.CUT
-                            : caller.reset() ? Request.Outcome.UNREAD : Request.Outcome.CUT);
+                            : client.reset() ? Request.Outcome.UNREAD : Request.Outcome.CUT);
             return false;
         }
-        out.poll();
+        pending.poll();
         if (answer.startsWith("T D:")) {
             check(first, answer);
             first.end(Request.Outcome.SERVED, "", now);
@@ -169,28 +180,29 @@
     }
 
     private void check(Request request, String answer) {
-        String own = HexFormat.of().formatHex(request.id.getBytes(StandardCharsets.US_ASCII));
-        String got = answer.substring("T D:".length()).split(" ")[0];
-        if (!own.startsWith(got)) {
-            broken.add("a value that no host made for it: " + answer + " to " + request);
+        String expectedValue = HexFormat.of().formatHex(request.id.getBytes(StandardCharsets.US_ASCII));
+        String receivedValue = answer.substring("T D:".length()).split(" ")[0];
+        if (!expectedValue.startsWith(receivedValue)) {
+            violations.add(
+                    "an answer with a value that no host returned for its request: " + answer + " to " + request);
         }
     }
 
-    private static void endAll(Deque<Request> out, Request.Outcome outcome) {
+    private static void endAll(Deque<Request> pending, Request.Outcome outcome) {
         long now = System.nanoTime();
-        out.forEach(request -> request.end(outcome, "", now));
-        out.clear();
+        pending.forEach(request -> request.end(outcome, "", now));
+        pending.clear();
     }
 
-    /** Sends malformed or partial input and keeps the connection open; it must get an error or a close in time. */
-    private void behaveBadly(Socket socket, SplittableRandom random) throws IOException {
+    /** Sends malformed or incomplete input and keeps the connection open; it must get an error or a close in time. */
+    private void sendMalformedInput(Socket socket, SplittableRandom random) throws IOException {
         byte[] start = bytes(MessageWriter.startup("app", "shop"));
         byte[] query = bytes(MessageWriter.query("SELECT doc FROM items WHERE id = 'x' /* id=b"
                 + ids.incrementAndGet()
                 + ",c=own,t=acme,d=900,cluster=1,after=1e" + random.nextInt(99_999_999) + " */"));
-        int way = random.nextInt(5);
-        long from = System.nanoTime();
-        switch (way) {
+        int variant = random.nextInt(5);
+        long startNanos = System.nanoTime();
+        switch (variant) {
             case 0 -> socket.getOutputStream().write(start, 0, start.length / 2);
             case 1 -> socket.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             case 2 -> {
@@ -206,23 +218,23 @@
                 socket.getOutputStream().write(query);
             }
         }
-        socket.setSoTimeout(BAD_MILLIS);
-        TestClient caller = new TestClient(socket);
-        socket.setSoTimeout(BAD_MILLIS);
-        String said = "";
+        socket.setSoTimeout(MALFORMED_INPUT_TIMEOUT_MILLIS);
+        TestClient client = new TestClient(socket);
+        socket.setSoTimeout(MALFORMED_INPUT_TIMEOUT_MILLIS);
+        String lastAnswer = "";
         try {
-            while (!said.contains("E:") && !said.contains("closed")) {
-                said = caller.answer();
+            while (!lastAnswer.contains("E:") && !lastAnswer.contains("closed")) {
+                lastAnswer = client.answer();
             }
         } catch (SocketTimeoutException e) {
-            broken.add("a bad client (way " + way + ") was neither told nor closed in "
-                    + (System.nanoTime() - from) / 1_000_000 + " ms, " + said);
+            violations.add("malformed input (variant " + variant + ") got neither an error nor a close within "
+                    + (System.nanoTime() - startNanos) / 1_000_000 + " ms, last answer: " + lastAnswer);
         }
     }
 
-    private static byte[] bytes(MessageWriter out) {
-        byte[] bytes = new byte[out.size()];
-        out.asByteBuffer().get(bytes);
+    private static byte[] bytes(MessageWriter message) {
+        byte[] bytes = new byte[message.size()];
+        message.asByteBuffer().get(bytes);
         return bytes;
     }
 }
--- a/src/main/java/beaconladder/testbed/soak/SoakConfiguration.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakConfiguration.java
@@ -4,31 +4,36 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The configuration file of a router in the soak. */
+/** Builds the configuration file of a router in the soak. */
 final class SoakConfiguration {
     private static final String REQUEST_CLASS = """
                 {"name":"%s","effect":"%s","dedup_scope":"cell","key_ttl_us":%d,"goal_time_us":500000,\
                 "give_up_us":%d,"late_share":0.5,"points":1.0}""";
-    static final int GRACE_MILLIS = 1_500;
+    /** How long a router may still send to a host that is listed as leaving. */
+    static final int DRAIN_GRACE_MILLIS = 1_500;
     /** The maximum number of descriptors of a router, its own files included. */
     static final int MAX_DESCRIPTORS = 256;
 
-    static final int WARM_MILLIS = 3_000;
+    /** How long a host that has started stays in slow start. */
+    static final int SLOW_START_MILLIS = 3_000;
+
+    /** 2^32 divided by the golden ratio, to derive well-spread seeds from ports. */
+    private static final long SEED_MULTIPLIER = 2654435761L;
 
     private SoakConfiguration() {}
 
     /**
-     * The file's text.
+     * Returns the text of the file.
      *
-     * @param discovery the port of discovery's agent
-     * @param known the entries of hosts, joined by commas
+     * @param discoveryPort the port of the router's discovery agent
+     * @param hostEntries the entries of the hosts in the endpoint list, joined by commas
      */
-    static String of(String name, int port, int discovery, SoakPlan plan, String known) {
+    static String of(String name, int port, int discoveryPort, SoakPlan plan, String hostEntries) {
         String classes = Arrays.stream(RequestKind.values())
                 .map(kind -> REQUEST_CLASS.formatted(
                         kind.label, kind.effect, RequestKind.DEDUPLICATION_MILLIS * 1_000L, kind.budgetMillis * 1_000L))
                 .collect(Collectors.joining(","));
-        String file = """
+        String template = """
                 {"name":"%s","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"%x",
                  "limits":{"cores":0.5,"sockets":%d,"memory_mb":160},
                  "known":{"version":1,"full":true,"servers":[%s]},
@@ -40,25 +45,25 @@
                   "load_report":{"fields":["x0","x1","rif"],"how":"inline"},"parties":[{"name":"acme"}],
                   "round_us":5000,"replicas_of_me":%d,
                   "discovery":"%s","zones":["east","west"],"request_classes":[%s]}}""";
-        return file.formatted(
+        return template.formatted(
                 name,
                 port,
-                discovery,
-                port * 2654435761L,
+                discoveryPort,
+                port * SEED_MULTIPLIER,
                 MAX_DESCRIPTORS,
-                known,
-                quoted(kind -> kind.freshness),
+                hostEntries,
+                quotedList(kind -> kind.freshness),
                 RequestKind.BOUND_MILLIS * 1_000,
-                GRACE_MILLIS * 1_000,
-                WARM_MILLIS * 1_000,
+                DRAIN_GRACE_MILLIS * 1_000,
+                SLOW_START_MILLIS * 1_000,
                 plan.routers(),
-                plan.asks() ? "ask" : "push",
+                plan.pollsDiscovery() ? "ask" : "push",
                 classes);
     }
 
-    private static String quoted(Function<RequestKind, String> of) {
+    private static String quotedList(Function<RequestKind, String> property) {
         return Arrays.stream(RequestKind.values())
-                .map(kind -> "\"" + of.apply(kind) + "\"")
+                .map(kind -> "\"" + property.apply(kind) + "\"")
                 .collect(Collectors.joining(","));
     }
 }
--- a/src/main/java/beaconladder/testbed/soak/SoakFleet.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakFleet.java
@@ -16,85 +16,92 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.stream.Collectors;
 
-/** Routers, hosts, discovery's agents and clients of one soak. */
+/** The routers, hosts, discovery agents and clients of one soak. */
 final class SoakFleet implements AutoCloseable {
-    private static final int LOWEST_PORT = 12_000;
-    private static final int PORTS = 18_000;
-    private static final int PORT_TRIES = 100;
-    private static final int USUAL_MILLIS = 5;
-    private static final int USUAL_LAG_MILLIS = 20;
-    private static final List<String> TRACED = List.of(
+    private static final int MIN_PORT = 12_000;
+    private static final int PORT_COUNT = 18_000;
+    private static final int MAX_PORT_ATTEMPTS = 100;
+    private static final int DISCOVERY_AGENTS = 2;
+    private static final int LONG_POLL_MILLIS = 60_000;
+    private static final int START_TIMEOUT_MILLIS = 40_000;
+    private static final int STOP_TIMEOUT_MILLIS = 10_000;
+    private static final int DEFAULT_DELAY_MILLIS = 5;
+    private static final int DEFAULT_LAG_MILLIS = 20;
+    private static final List<String> TRACE_OPTIONS = List.of(
             "-Dorg.slf4j.simpleLogger.log.beaconladder.trace=debug", "-Dorg.slf4j.simpleLogger.showDateTime=true");
 
-    /** A span, System.nanoTime's; its end is Long.MAX_VALUE while it lasts. */
-    record Span(long from, long to) {}
+    /** An interval of {@code System.nanoTime}; its end is {@code Long.MAX_VALUE} while it lasts. */
+    record Interval(long startNanos, long endNanos) {}
 
     private final SoakPlan plan;
-    private final ChildProcesses programs;
+    private final ChildProcesses processes;
     private final List<SoakRouter> routers = new ArrayList<>();
     private final List<SoakHost> hosts = new ArrayList<>();
     private final List<DiscoveryStandIn> discoveries = new ArrayList<>();
-    private final Map<Integer, Integer> discoveryOf = new ConcurrentHashMap<>();
+    private final Map<Integer, Integer> discoveryOfRouter = new ConcurrentHashMap<>();
     private final Map<String, Request> requests = new ConcurrentHashMap<>();
-    private final List<String> broken = new CopyOnWriteArrayList<>();
-    private final List<Span> discoveryFaults = new CopyOnWriteArrayList<>();
+    private final List<String> violations = new CopyOnWriteArrayList<>();
+    private final List<Interval> discoveryFaults = new CopyOnWriteArrayList<>();
     private final SoakClients clients;
     private int activeDiscoveryFaults;
     private long faultStartNanos;
 
-    /** Stands it up and waits until all routers are ready. */
+    /** Starts all hosts, discovery agents and routers, and waits until the routers are ready. */
     SoakFleet(SoakPlan plan, Path folder, FaultShim shim, SplittableRandom random) throws IOException {
         this.plan = plan;
-        programs = new ChildProcesses(folder);
+        processes = new ChildProcesses(folder);
         for (int i = 0; i < Soak.GROUPS * Soak.HOSTS_PER_GROUP; i++) {
             hosts.add(new SoakHost(i, 1 + i / Soak.HOSTS_PER_GROUP, i % Soak.HOSTS_PER_GROUP == 0, requests));
         }
-        for (int i = 0; i < 2; i++) {
+        for (int i = 0; i < DISCOVERY_AGENTS; i++) {
             DiscoveryStandIn agent = new DiscoveryStandIn();
-            agent.waitMillis = 60_000;
-            agent.list(true, known());
+            agent.waitMillis = LONG_POLL_MILLIS;
+            agent.list(true, hostEntries());
             discoveries.add(agent);
         }
         for (int i = 0; i < plan.routers(); i++) {
             int port = freePort(random);
-            discoveryOf.put(i, i % 2);
-            ChildProcesses.Program program = programs.program("n" + i, configuration(i, port), TRACED, "serve");
+            discoveryOfRouter.put(i, i % DISCOVERY_AGENTS);
+            ChildProcesses.Program program = processes.program("n" + i, configuration(i, port), TRACE_OPTIONS, "serve");
             FaultPlan faults = new FaultPlan(folder.resolve("plan" + i));
             program.environment("LD_PRELOAD", shim.library().toString());
             program.environment("FAULT_SHIM_PLAN", faults.file().toString());
-            routers.add(new SoakRouter(i, port, program, faults, broken));
+            routers.add(new SoakRouter(i, port, program, faults, violations));
         }
-        clients = new SoakClients(routers, requests, broken);
+        clients = new SoakClients(routers, requests, violations);
         List<Thread> starts = new ArrayList<>();
         routers.forEach(router -> starts.add(StandInThreads.spawn(router::start)));
-        starts.forEach(start -> StandInThreads.join(start, 40_000));
+        starts.forEach(start -> StandInThreads.join(start, START_TIMEOUT_MILLIS));
     }
 
-    /** Below the ports that the system gives to connections: one of those would keep a restarted router from it. */
+    /**
+     * Returns a free port below the range of ephemeral ports: an outgoing connection that got the port of a stopped
+     * router would keep the router from listening on it again.
+     */
     private static int freePort(SplittableRandom random) throws IOException {
-        for (int i = 0; i < PORT_TRIES; i++) {
+        for (int i = 0; i < MAX_PORT_ATTEMPTS; i++) {
             try (ServerSocket free =
-                    new ServerSocket(LOWEST_PORT + random.nextInt(PORTS), 5, InetAddress.getLoopbackAddress())) {
+                    new ServerSocket(MIN_PORT + random.nextInt(PORT_COUNT), 5, InetAddress.getLoopbackAddress())) {
                 return free.getLocalPort();
             } catch (BindException e) {
-                // Another one.
+                // The port is in use; the next attempt draws another.
             }
         }
-        throw new IOException("no free port");
+        throw new IOException("no free port found");
     }
 
     private String configuration(int router, int port) {
         return SoakConfiguration.of(
-                "n" + router, port, discoveries.get(discoveryOf.get(router)).port(), plan, known());
+                "n" + router, port, discoveries.get(discoveryOfRouter.get(router)).port(), plan, hostEntries());
     }
 
-    private String known() {
+    private String hostEntries() {
         return hosts.stream().map(SoakHost::entry).collect(Collectors.joining(","));
     }
 
-    /** Whether discovery has to be asked. */
-    boolean asks() {
-        return plan.asks();
+    /** Returns whether the routers poll discovery, instead of receiving pushed changes. */
+    boolean pollsDiscovery() {
+        return plan.pollsDiscovery();
     }
 
     List<SoakRouter> routers() {
@@ -117,11 +124,11 @@
         return requests;
     }
 
-    List<String> broken() {
-        return broken;
+    List<String> violations() {
+        return violations;
     }
 
-    List<Span> discoveryFaults() {
+    List<Interval> discoveryFaults() {
         return discoveryFaults;
     }
 
@@ -130,27 +137,27 @@
         discoveries.forEach(agent -> agent.list(false, host.entry()));
     }
 
-    /** Moves this router to another discovery agent by a new configuration. */
+    /** Moves this router to the other discovery agent by a new configuration. */
     void moveDiscovery(SoakRouter router) throws IOException, InterruptedException {
         recordDiscoveryFault(true);
-        discoveryOf.merge(router.number, 1, (at, one) -> (at + one) % 2);
+        discoveryOfRouter.merge(router.number, 1, (current, step) -> (current + step) % DISCOVERY_AGENTS);
         restoreConfiguration(router);
         recordDiscoveryFault(false);
     }
 
-    /** Its configuration as it should be. */
+    /** Makes this router reload its valid configuration. */
     void restoreConfiguration(SoakRouter router) throws IOException, InterruptedException {
         router.reload(configuration(router.number, router.port));
     }
 
-    /** Some discovery can't be reached from now on, or can again. */
+    /** Records the start or the end of a fault of some discovery agent; overlapping faults count as one interval. */
     synchronized void recordDiscoveryFault(boolean begins) {
         if (begins && activeDiscoveryFaults++ == 0) {
             faultStartNanos = System.nanoTime();
-            discoveryFaults.add(new Span(faultStartNanos, Long.MAX_VALUE));
+            discoveryFaults.add(new Interval(faultStartNanos, Long.MAX_VALUE));
         } else if (!begins && --activeDiscoveryFaults == 0) {
             discoveryFaults.remove(discoveryFaults.size() - 1);
-            discoveryFaults.add(new Span(faultStartNanos, System.nanoTime()));
+            discoveryFaults.add(new Interval(faultStartNanos, System.nanoTime()));
         }
     }
 
@@ -159,26 +166,26 @@
         host.proxy().acceptDelayMillis = 0;
         host.proxy().resetsPerMille = 0;
         host.proxy().idleCloseMillis = 0;
-        host.delayMillis = USUAL_MILLIS;
-        host.lagMillis = USUAL_LAG_MILLIS;
+        host.delayMillis = DEFAULT_DELAY_MILLIS;
+        host.lagMillis = DEFAULT_LAG_MILLIS;
     }
 
-    /** The routers end as planned. */
+    /** Terminates all routers; one that is not running is a violation. */
     void end() throws IOException, InterruptedException {
-        List<Thread> ends = new ArrayList<>();
+        List<Thread> stops = new ArrayList<>();
         for (SoakRouter router : routers) {
             if (!router.alive()) {
-                broken.add("router " + router.number + " had ended by itself");
+                violations.add("router " + router.number + " had exited before it was stopped");
                 continue;
             }
-            ends.add(StandInThreads.spawn(router::terminate));
+            stops.add(StandInThreads.spawn(router::terminate));
         }
-        ends.forEach(end -> StandInThreads.join(end, 10_000));
+        stops.forEach(stop -> StandInThreads.join(stop, STOP_TIMEOUT_MILLIS));
     }
 
     @Override
     public void close() throws IOException {
-        programs.close();
+        processes.close();
         for (SoakHost host : hosts) {
             host.close();
         }
--- a/src/main/java/beaconladder/testbed/soak/SoakOracle.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakOracle.java
@@ -150,7 +150,7 @@
         if (arrival.leavingSinceNanos() > 0
                 && arrival.arrivedAtNanos()
                         > notificationDeadlineNanos(arrival.leavingSinceNanos())
-                                + SoakConfiguration.GRACE_MILLIS * NANOS_PER_MILLI
+                                + SoakConfiguration.DRAIN_GRACE_MILLIS * NANOS_PER_MILLI
                                 + TRANSIT_SLACK_NANOS
                                 + MAX_PAUSE_NANOS) {
             add(Violation.DRAIN, request);
@@ -166,13 +166,13 @@
 
     /** Returns by when a router must know of a change made at this time, both in nanoseconds. */
     private long notificationDeadlineNanos(long changedAtNanos) {
-        long notifiedByNanos = changedAtNanos + (fleet.asks() ? MAX_NOTIFICATION_NANOS : TRANSIT_SLACK_NANOS);
-        for (SoakFleet.Span span : fleet.discoveryFaults()) {
-            if (span.from() < changedAtNanos + MAX_NOTIFICATION_NANOS
-                    && span.to() > changedAtNanos - MAX_NOTIFICATION_NANOS) {
-                notifiedByNanos = span.to() == Long.MAX_VALUE
+        long notifiedByNanos = changedAtNanos + (fleet.pollsDiscovery() ? MAX_NOTIFICATION_NANOS : TRANSIT_SLACK_NANOS);
+        for (SoakFleet.Interval fault : fleet.discoveryFaults()) {
+            if (fault.startNanos() < changedAtNanos + MAX_NOTIFICATION_NANOS
+                    && fault.endNanos() > changedAtNanos - MAX_NOTIFICATION_NANOS) {
+                notifiedByNanos = fault.endNanos() == Long.MAX_VALUE
                         ? Long.MAX_VALUE / 2
-                        : Math.max(notifiedByNanos, span.to() + MAX_NOTIFICATION_NANOS);
+                        : Math.max(notifiedByNanos, fault.endNanos() + MAX_NOTIFICATION_NANOS);
                 notifiedByNanos = Math.max(notifiedByNanos, changedAtNanos + MAX_NOTIFICATION_NANOS);
             }
         }
--- a/src/main/java/beaconladder/testbed/soak/SoakPlan.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakPlan.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * What a soak plays.
+ * The parameters of a soak.
  *
- * @param seed draws the faults; the same one gives the same script
- * @param routers how many real processes
- * @param rounds how often two or three faults begin together
- * @param quietSeconds how long all is well before the first of them
- * @param asks whether discovery is one service that is asked, or an agent that pushes changes
- * @param faults what is drawn from
+ * @param seed the seed of the faults; the same seed draws the same sequence of faults
+ * @param routers the number of router processes
+ * @param rounds the number of rounds, each with two or three overlapping faults
+ * @param faultFreeSeconds the time without faults before the first round, in seconds
+ * @param pollsDiscovery whether routers poll one discovery service, instead of receiving changes that an agent pushes
+ * @param faults the kinds of faults to draw from
  */
-public record SoakPlan(long seed, int routers, int rounds, int quietSeconds, boolean asks, List<FaultKind> faults) {
-    /** One without a quiet time, of all faults or those given. */
+public record SoakPlan(
+        long seed, int routers, int rounds, int faultFreeSeconds, boolean pollsDiscovery, List<FaultKind> faults) {
+    /** Returns a plan with the given faults, pushed discovery and no fault-free time before the first round. */
     public static SoakPlan of(long seed, int routers, int rounds, List<FaultKind> faults) {
         return new SoakPlan(seed, routers, rounds, 0, false, faults);
     }
--- a/src/main/java/beaconladder/testbed/soak/SoakRouter.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakRouter.java
@@ -10,44 +10,45 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** One router over all its lives. */
+/** One router, across all starts of its process. */
 final class SoakRouter {
-    /** SIGKILL comes this long after SIGTERM at the earliest. */
-    private static final int KILL_MILLIS = 3_700;
+    /** The shortest time after which SIGKILL follows SIGTERM. */
+    private static final int KILL_DELAY_MILLIS = 3_700;
 
-    private static final int READY_MILLIS = 30_000;
-    /** Nine in ten are to be ready within this; here all are. */
-    private static final int SOON_MILLIS = 10_000;
+    private static final int START_TIMEOUT_MILLIS = 30_000;
+    /** The requirement is that nine in ten starts are ready within this time; the soak demands it of every start. */
+    private static final int MAX_START_MILLIS = 10_000;
 
-    private static final int LOOK_MILLIS = 20;
+    private static final int START_POLL_MILLIS = 20;
 
     final int number;
     final int port;
     final FaultPlan faultPlan;
     private final ChildProcesses.Program program;
-    private final List<String> broken;
-    /** When it was killed with requests in flight, on System.nanoTime. */
-    private final List<Long> kills = new CopyOnWriteArrayList<>();
+    private final List<String> violations;
+    /** The times before and after each SIGKILL that may hit requests in flight, in nanoseconds. */
+    private final List<Long> killTimesNanos = new CopyOnWriteArrayList<>();
 
     private volatile boolean ready;
     /** Whether a task has reserved the router for stopping or starting it. */
     private boolean reserved;
 
-    SoakRouter(int number, int port, ChildProcesses.Program program, FaultPlan faultPlan, List<String> broken) {
+    SoakRouter(int number, int port, ChildProcesses.Program program, FaultPlan faultPlan, List<String> violations) {
         this.number = number;
         this.port = port;
         this.program = program;
         this.faultPlan = faultPlan;
-        this.broken = broken;
+        this.violations = violations;
     }
 
+    /** Returns whether the router accepts clients. */
     boolean ready() {
         return ready;
     }
 
-    /** Whether it was killed between these two. */
-    boolean killedWithin(long from, long to) {
-        return kills.stream().anyMatch(at -> at >= from && at <= to);
+    /** Returns whether the router was killed between these two times, in nanoseconds. */
+    boolean killedWithin(long startNanos, long endNanos) {
+        return killTimesNanos.stream().anyMatch(killedAt -> killedAt >= startNanos && killedAt <= endNanos);
     }
 
     /** Reserves the router for stopping or starting it; returns false if it is reserved already or not ready. */
@@ -62,69 +63,75 @@
         reserved = false;
     }
 
+    /** Starts the process and waits until it answers an empty query; a failed or slow start is a violation. */
     void start() throws IOException {
-        long from = System.nanoTime();
+        long beginNanos = System.nanoTime();
         program.start();
-        while (System.nanoTime() - from < READY_MILLIS * 1_000_000L) {
-            if (answers()) {
+        while (System.nanoTime() - beginNanos < START_TIMEOUT_MILLIS * 1_000_000L) {
+            if (answersEmptyQuery()) {
                 ready = true;
-                long took = (System.nanoTime() - from) / 1_000_000;
-                if (took > SOON_MILLIS) {
-                    broken.add("router " + number + " was ready after " + took + " ms");
+                long startMillis = (System.nanoTime() - beginNanos) / 1_000_000;
+                if (startMillis > MAX_START_MILLIS) {
+                    violations.add("router " + number + " took " + startMillis + " ms to become ready");
                 }
                 return;
             }
             if (!program.alive()) {
-                broken.add("router " + number + " ended while it started: " + program.exit());
+                violations.add("router " + number + " exited during its start: " + program.exit());
                 return;
             }
-            StandInThreads.sleep(LOOK_MILLIS);
+            StandInThreads.sleep(START_POLL_MILLIS);
         }
-        broken.add("router " + number + " was not ready in time");
+        violations.add("router " + number + " did not become ready in time");
     }
 
-    private boolean answers() {
+    private boolean answersEmptyQuery() {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-                TestClient caller = new TestClient(socket)) {
+                TestClient client = new TestClient(socket)) {
             socket.setSoTimeout(1_000);
-            MessageWriter.startup("app", "shop").append(MessageWriter.query("")).writeTo(caller.out);
-            caller.answer();
-            return caller.answer().equals("I Z");
+            MessageWriter.startup("app", "shop").append(MessageWriter.query("")).writeTo(client.out);
+            client.answer();
+            return client.answer().equals("I Z");
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** SIGTERM, and SIGKILL where it has not ended by then; no excuse for what is unanswered. */
+    /**
+     * Sends SIGTERM, and SIGKILL if the process has not exited in time. Unlike {@link #kill}, this does not excuse
+     * unanswered requests.
+     */
     void terminate() throws IOException, InterruptedException {
         ready = false;
-        long from = System.nanoTime();
+        long beginNanos = System.nanoTime();
         program.signal("TERM");
-        long left = KILL_MILLIS - (System.nanoTime() - from) / 1_000_000;
-        if (!program.ended(Math.max(0, left))) {
+        long remainingMillis = KILL_DELAY_MILLIS - (System.nanoTime() - beginNanos) / 1_000_000;
+        if (!program.ended(Math.max(0, remainingMillis))) {
             program.kill();
         } else if (program.exit() != 0) {
-            broken.add("router " + number + " ended with " + program.exit() + " after SIGTERM");
+            violations.add("router " + number + " exited with status " + program.exit() + " after SIGTERM");
         }
     }
 
+    /** Sends SIGKILL. */
     void kill() {
         ready = false;
-        kills.add(System.nanoTime());
+        killTimesNanos.add(System.nanoTime());
         program.kill();
-        kills.add(System.nanoTime());
+        killTimesNanos.add(System.nanoTime());
     }
 
     void signal(String name) throws IOException, InterruptedException {
         program.signal(name);
     }
 
+    /** Replaces the configuration file and makes the router reload it. */
     void reload(String config) throws IOException, InterruptedException {
         program.rewrite(config);
         program.signal("HUP");
     }
 
-    /** Whether it runs, as it should. */
+    /** Returns whether the process is running. */
     boolean alive() {
         return program.alive();
     }
--- a/src/test/java/beaconladder/testbed/soak/SoakIT.java
+++ b/src/test/java/beaconladder/testbed/soak/SoakIT.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A short part of the fault soak, each router the program itself. */
+/** Runs short fault soaks with real router processes; each fails if a rule of the protocol is violated. */
 @Timeout(180)
 class SoakIT {
     @Test
-    void aShortSoakOfAllTroublesHolds() throws Exception {
+    void allFaultKindsViolateNoRule() throws Exception {
         play(7, List.of(FaultKind.values()));
     }
 
     @Test
-    void systemCallsThatFailBesideStopsAndBadClientsHold() throws Exception {
+    void failingSystemCallsWithRestartsAndMalformedInputViolateNoRule() throws Exception {
         play(
                 8,
                 List.of(
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void hostsThatLeaveWhileDiscoveryIsAskedAndWritesAreHeldUpHold() throws Exception {
+    void leavingHostsWithPolledDiscoveryAndDelayedWritesViolateNoRule() throws Exception {
         play(new SoakPlan(
                 9,
                 4,
@@ -52,9 +52,9 @@
     }
 
     private static void play(SoakPlan plan) throws Exception {
-        StringWriter said = new StringWriter();
-        boolean held = new Soak(plan, new PrintWriter(said)).play();
-        assertThat(held).as(said.toString()).isTrue();
-        assertThat(said.toString()).contains("\"broken\":{}", "\"others\":0");
+        StringWriter output = new StringWriter();
+        boolean rulesHeld = new Soak(plan, new PrintWriter(output)).play();
+        assertThat(rulesHeld).as(output.toString()).isTrue();
+        assertThat(output.toString()).contains("\"broken\":{}", "\"others\":0");
     }
 }
