--- a/src/main/java/beaconladder/testbed/soak/Request.java
+++ b/src/main/java/beaconladder/testbed/soak/Request.java
@@ -125,11 +125,11 @@
     /**
      * Returns the statement; the row of its answer holds the request's id.
      *
-     * @param after the position that a session's read must include, in Unix milliseconds, or 0 for none
+     * @param afterMillis the position that a session's read must include, in Unix milliseconds, or 0 for none
      */
-    String statement(long after) {
+    String statement(long afterMillis) {
         String comment = " /* id=" + id + ",c=" + kind.label + ",t=acme,d=" + budgetMillis + ",cluster=" + group
-                + (kind == RequestKind.SESSION && after > 0 ? ",after=" + after : "") + " */";
+                + (kind == RequestKind.SESSION && afterMillis > 0 ? ",after=" + afterMillis : "") + " */";
         return kind.writes()
                 ? "INSERT INTO items (id, doc) VALUES ('" + id + "', '\\x9f03') RETURNING doc" + comment
                 : "SELECT doc FROM items WHERE id = '" + id + "'" + comment;
--- a/src/main/java/beaconladder/testbed/soak/Soak.java
+++ b/src/main/java/beaconladder/testbed/soak/Soak.java
@@ -25,6 +25,7 @@
     private static final int MAX_FAULTS_PER_ROUND = 3;
     private static final int MAX_VIOLATIONS_SHOWN = 30;
     private static final int MAX_LOG_LINES_PER_ROUTER = 3;
+    /** The time for recovery after the last fault, and the length of the measured period after it. */
     private static final int SETTLE_MILLIS = 4_000;
     /** The share of the requests sent after recovery from the last fault that must be served. */
     private static final double MIN_SERVED_SHARE = 0.9;
@@ -136,7 +137,7 @@
 
     private static String jsonCounts(Map<? extends Enum<?>, Integer> counts) {
         return counts.entrySet().stream()
-                .map(e -> "\"" + name(e.getKey()) + "\":" + e.getValue())
+                .map(entry -> "\"" + name(entry.getKey()) + "\":" + entry.getValue())
                 .collect(Collectors.joining(","));
     }
 
--- a/src/main/java/beaconladder/testbed/soak/SoakClients.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakClients.java
@@ -22,7 +22,7 @@
  * send malformed input.
  */
 final class SoakClients {
-    /** Makes request ids unique: another soak on this machine may reuse a port of this one. */
+    /** Makes ids unique across soaks: a client of another soak on this machine may connect to a port reused here. */
     private static final String ID_PREFIX = "r" + ProcessHandle.current().pid() + "-";
 
     private static final String GREETING = "R S S S S K Z";
@@ -33,6 +33,7 @@
     /** The upper bound of short budgets, which may be less than an answer takes. */
     private static final int MAX_SHORT_BUDGET_MILLIS = 60;
 
+    private static final int STOP_TIMEOUT_MILLIS = 10_000;
     private static final int MAX_PIPELINED = 5;
     private static final int PIPELINING_PERCENT = 15;
     /** Clients that draw this number or more, of 0 to 99, leave without waiting for the answer. */
@@ -65,7 +66,7 @@
     /** Stops all clients as soon as their requests in flight are answered. */
     void end() {
         stopping = true;
-        threads.forEach(thread -> StandInThreads.join(thread, 10_000));
+        threads.forEach(thread -> StandInThreads.join(thread, STOP_TIMEOUT_MILLIS));
     }
 
     private void runClient(SplittableRandom random) {
@@ -95,11 +96,11 @@
         if (!client.answer().equals(GREETING)) {
             return;
         }
-        long after = 0;
+        long afterMillis = 0;
         for (int writes = 1 + random.nextInt(30); writes > 0 && !stopping; writes--) {
             int draw = random.nextInt(100);
             int count = draw < PIPELINING_PERCENT ? 2 + random.nextInt(MAX_PIPELINED - 1) : 1;
-            Deque<Request> pending = send(client, router, count, after, random);
+            Deque<Request> pending = send(client, router, count, afterMillis, random);
             if (draw >= FIRST_LEAVING_DRAW) {
                 StandInThreads.sleep(random.nextInt(300));
                 pending.forEach(request -> request.end(Request.Outcome.LEFT, "", System.nanoTime()));
@@ -111,15 +112,16 @@
                     return;
                 }
             }
-            after = System.currentTimeMillis();
+            afterMillis = System.currentTimeMillis();
             StandInThreads.sleep(random.nextInt(20) == 0 ? random.nextInt(4_000) : random.nextInt(30));
         }
     }
 
     /** Sends this many queries in one write. */
-    private Deque<Request> send(TestClient client, SoakRouter router, int count, long after, SplittableRandom random) {
+    private Deque<Request> send(
+            TestClient client, SoakRouter router, int count, long afterMillis, SplittableRandom random) {
         Deque<Request> pending = new ArrayDeque<>();
-        MessageWriter text = new MessageWriter();
+        MessageWriter message = new MessageWriter();
         for (int i = 0; i < count; i++) {
             RequestKind kind = RequestKind.values()[random.nextInt(RequestKind.values().length)];
             boolean shortBudget = random.nextInt(12) == 0;
@@ -133,10 +135,10 @@
                     System.nanoTime());
             requests.put(request.id, request);
             pending.add(request);
-            text.append(MessageWriter.query(request.statement(after)));
+            message.append(MessageWriter.query(request.statement(afterMillis)));
         }
         try {
-            text.writeTo(client.out);
+            message.writeTo(client.out);
         } catch (IOException e) {
             // The outcome is determined when the answer is read.
         }
@@ -158,7 +160,7 @@
             endAll(pending, Request.Outcome.SILENT);
             return false;
         }
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         if (answer.endsWith("closed")) {
             endAll(
                     pending,
@@ -170,11 +172,11 @@
         pending.poll();
         if (answer.startsWith("T D:")) {
             check(first, answer);
-            first.end(Request.Outcome.SERVED, "", now);
+            first.end(Request.Outcome.SERVED, "", nowNanos);
         } else if (answer.startsWith("E:53300") || answer.startsWith("E:57P03")) {
-            first.end(Request.Outcome.REFUSED, answer.substring(2, 7), now);
+            first.end(Request.Outcome.REFUSED, answer.substring(2, 7), nowNanos);
         } else {
-            first.end(Request.Outcome.FAILED, answer, now);
+            first.end(Request.Outcome.FAILED, answer, nowNanos);
         }
         return true;
     }
@@ -189,8 +191,8 @@
     }
 
     private static void endAll(Deque<Request> pending, Request.Outcome outcome) {
-        long now = System.nanoTime();
-        pending.forEach(request -> request.end(outcome, "", now));
+        long nowNanos = System.nanoTime();
+        pending.forEach(request -> request.end(outcome, "", nowNanos));
         pending.clear();
     }
 
--- a/src/main/java/beaconladder/testbed/soak/SoakOracle.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakOracle.java
@@ -20,7 +20,7 @@
         RAN_TWICE,
         /** A write was rejected although a host may have run it. */
         REFUSED_THOUGH_RUN,
-        /** A write with a token was repeated after hosts may have discarded the token. */
+        /** A write with a token ran again after the time for which hosts recognize its repeats. */
         MEMORY_OVER,
         /** An attempt arrived at a host after the client had closed its connection. */
         AFTER_CLOSE,
@@ -38,6 +38,7 @@
     /** An answer more than 500 ms past its deadline counts as lost; the other 200 ms allow for a slow machine. */
     private static final long LATE_ANSWER_NANOS = 500 * NANOS_PER_MILLI + 200 * NANOS_PER_MILLI;
 
+    /** Allowance for the time until a router notices that a client has closed its connection. */
     private static final long CLOSE_SLACK_NANOS = 100 * NANOS_PER_MILLI;
     private static final long TIME_SLACK_NANOS = 150 * NANOS_PER_MILLI;
     /** Allowance between a router's write and a host's record of it: a proxy and two threads of a busy machine. */
@@ -47,6 +48,7 @@
     private static final long MAX_PAUSE_NANOS = 150 * NANOS_PER_MILLI;
     /** The longest time until a router knows of a change that it polls for, or that it missed during a fault. */
     private static final long MAX_NOTIFICATION_NANOS = 6_000 * NANOS_PER_MILLI;
+    /** The number of violations of each kind that are described in full. */
     private static final int MAX_DESCRIPTIONS_PER_KIND = 3;
 
     private final SoakFleet fleet;
