--- a/src/main/java/beaconladder/server/WarmUp.java
+++ b/src/main/java/beaconladder/server/WarmUp.java
@@ -15,101 +15,115 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Plays txns from client to host and back in memory, to a router that is then thrown away, so that the first clients
- * don't wait for cold code: on half a core a cold router took five seconds to catch up with them.
+ * Sends requests through a temporary router in memory, from client to host and back, so that the JVM has compiled the
+ * code before the first clients connect. On half a core, a router without warm-up took five seconds to catch up with
+ * its clients.
  */
 final class WarmUp {
     private static final int CLIENTS = 6;
-    /** After so many all that lies on a txn's way has been compiled. */
-    private static final int TXNS = 3_000;
-    /** A restart is not to take much longer for it: the others carry this router's load meanwhile. */
-    private static final long LONGEST_MILLIS = 1_000;
+    /** After this many requests, all code on the path of a request is compiled. */
+    private static final int REQUEST_COUNT = 3_000;
+    /** Upper bound of the warm-up: during a restart the other routers carry this router's load. */
+    private static final long MAX_DURATION_MILLIS = 1_000;
+
+    private static final long MEMORY_BYTES = 1 << 20;
+    /** A query shorter than this is a probe; statements are longer. */
+    private static final int MAX_PROBE_BYTES = 32;
 
     private WarmUp() {}
 
-    static void run(RouterConfiguration stated, ThreadLimit threads) throws InterruptedException {
-        MemoryLimit room = new MemoryLimit(1 << 20);
-        RequestDispatcher desk = new RequestDispatcher(
+    /** Runs the warm-up for at most a second; without request classes there is nothing to run. */
+    static void run(RouterConfiguration configuration, ThreadLimit threads) throws InterruptedException {
+        MemoryLimit memoryLimit = new MemoryLimit(MEMORY_BYTES);
+        RequestDispatcher dispatcher = new RequestDispatcher(
                 1,
-                stated.settings(),
+                configuration.settings(),
                 null,
-                // Cold code is slow, and no client is there yet: what it takes too long for is no violation.
-                new Monitor(stated.settings(), Violations.unlogged()));
-        InetSocketAddress nowhere = new InetSocketAddress("127.0.0.1", 1);
+                // Code that is not compiled yet is slow, and no client waits for it: exceeding a time limit during
+                // the warm-up is no violation.
+                new Monitor(configuration.settings(), Violations.unlogged()));
+        InetSocketAddress replica = new InetSocketAddress("127.0.0.1", 1);
         InetSocketAddress primary = new InetSocketAddress("127.0.0.1", 2);
-        DescriptorLimit descriptors = new DescriptorLimit(stated.descriptors());
-        ServerConnectionPool lines = new ServerConnectionPool(
-                desk,
-                stated.settings(),
+        DescriptorLimit descriptors = new DescriptorLimit(configuration.descriptors());
+        ServerConnectionPool connectionPool = new ServerConnectionPool(
+                dispatcher,
+                configuration.settings(),
                 threads,
-                room,
+                memoryLimit,
                 descriptors,
-                (address, of) -> new ServerConnection(
+                (address, connectionMemory) -> new ServerConnection(
                         address,
-                        of,
-                        new InMemorySocket(new byte[0], written -> host(written, address.equals(primary)))));
-        desk.setHostActions(lines);
-        desk.onEndpoints(
+                        connectionMemory,
+                        new InMemorySocket(new byte[0], written -> hostResponse(written, address.equals(primary)))));
+        dispatcher.setHostActions(connectionPool);
+        dispatcher.onEndpoints(
                 true,
                 List.of(
                         new EndpointWatch.Entry("a", primary, "", 0, EndpointWatch.State.READY, true, 0),
-                        new EndpointWatch.Entry("b", nowhere, "", 0, EndpointWatch.State.READY, false, 0),
-                        new EndpointWatch.Entry("c", nowhere, "", 0, EndpointWatch.State.READY, false, 0)));
-        ClientServer clients =
-                new ClientServer(desk, lines, threads, room, List.of(), descriptors, stated.descriptors());
-        List<String> types = new ArrayList<>();
-        for (String name; (name = stated.settings().get("request_classes." + types.size() + ".name")) != null; ) {
-            types.add(name);
+                        new EndpointWatch.Entry("b", replica, "", 0, EndpointWatch.State.READY, false, 0),
+                        new EndpointWatch.Entry("c", replica, "", 0, EndpointWatch.State.READY, false, 0)));
+        ClientServer clients = new ClientServer(
+                dispatcher,
+                connectionPool,
+                threads,
+                memoryLimit,
+                List.of(),
+                descriptors,
+                configuration.descriptors());
+        List<String> requestClasses = new ArrayList<>();
+        for (String name;
+                (name = configuration.settings().get("request_classes." + requestClasses.size() + ".name")) != null; ) {
+            requestClasses.add(name);
         }
-        if (types.isEmpty()) {
+        if (requestClasses.isEmpty()) {
             return;
         }
-        Thread timer = threads.newThread(desk.timer());
+        Thread timer = threads.newThread(dispatcher.timer());
         timer.start();
-        AtomicInteger left = new AtomicInteger(TXNS);
-        CountDownLatch done = new CountDownLatch(CLIENTS);
+        AtomicInteger remainingRequests = new AtomicInteger(REQUEST_COUNT);
+        CountDownLatch finished = new CountDownLatch(CLIENTS);
         for (int i = 0; i < CLIENTS; i++) {
-            ClientTape tape = new ClientTape(bytes(MessageWriter.startup("app", "shop")), written -> {
-                int n = left.decrementAndGet();
-                return n < 0 ? null : bytes(MessageWriter.query(query(desk, types, n)));
+            InMemoryClient channel = new InMemoryClient(bytes(MessageWriter.startup("app", "shop")), written -> {
+                int n = remainingRequests.decrementAndGet();
+                return n < 0 ? null : bytes(MessageWriter.query(query(dispatcher, requestClasses, n)));
             });
-            ClientConnection client = new ClientConnection(clients, desk, lines, tape);
+            ClientConnection client = new ClientConnection(clients, dispatcher, connectionPool, channel);
             boolean started = threads.tryExecute(() -> {
                 try {
                     while (client.onReadable()) {
-                        tape.await();
+                        channel.await();
                     }
                 } finally {
-                    done.countDown();
+                    finished.countDown();
                 }
             });
             if (!started) {
-                done.countDown();
+                finished.countDown();
             }
         }
-        done.await(LONGEST_MILLIS, TimeUnit.MILLISECONDS);
-        left.set(0);
-        desk.stop();
+        finished.await(MAX_DURATION_MILLIS, TimeUnit.MILLISECONDS);
+        remainingRequests.set(0);
+        dispatcher.stop();
         timer.interrupt();
     }
 
-    private static String query(RequestDispatcher desk, List<String> types, int n) {
-        int type = n % types.size();
-        String comment = " /* id=" + n + ",c=" + types.get(type) + ",t=t,d=900,cluster=0,after="
-                + (desk.nowNanos() / 1_000_000 - 50) + " */";
-        return desk.isWrite(type)
+    private static String query(RequestDispatcher dispatcher, List<String> requestClasses, int n) {
+        int classIndex = n % requestClasses.size();
+        String comment = " /* id=" + n + ",c=" + requestClasses.get(classIndex) + ",t=t,d=900,cluster=0,after="
+                + (dispatcher.nowNanos() / 1_000_000 - 50) + " */";
+        return dispatcher.isWrite(classIndex)
                 ? "INSERT INTO items (id, doc) VALUES ('k" + n + "', '\\x00') RETURNING doc" + comment
                 : "SELECT doc FROM items WHERE id = 'k" + n + "'" + comment;
     }
 
-    /** What a host says to this: the startup message, a probe, or a statement. */
-    private static byte[] host(byte[] written, boolean primary) {
+    /** Returns a host's response to a startup message, a probe or a statement. */
+    private static byte[] hostResponse(byte[] written, boolean primary) {
         if (written[0] != 'Q') {
             return bytes(new MessageWriter().authenticationOk().readyForQuery());
         }
         long millis = System.currentTimeMillis();
         String load = "x0=" + millis / 1_000 + ",x1=" + (primary ? 1 : 0) + ",inflight=1";
-        boolean probe = written.length < 32;
+        boolean probe = written.length < MAX_PROBE_BYTES;
         return bytes(new MessageWriter()
                 .parameterStatus("node_role", primary ? "leader" : "follower")
                 .parameterStatus("replay_position", String.valueOf(millis))
@@ -125,12 +139,12 @@
         return bytes;
     }
 
-    /** A client in memory, which answers each write of the router's with its next query. */
-    private static final class ClientTape implements ClientChannel {
+    /** A client in memory that sends its next query after each write of the router. */
+    private static final class InMemoryClient implements ClientChannel {
         private final UnaryOperator<byte[]> answer;
         private ByteBuffer next;
 
-        ClientTape(byte[] first, UnaryOperator<byte[]> answer) {
+        InMemoryClient(byte[] first, UnaryOperator<byte[]> answer) {
             this.next = ByteBuffer.wrap(first);
             this.answer = answer;
         }
@@ -138,7 +152,7 @@
         synchronized void await() {
             try {
                 if (next != null && !next.hasRemaining()) {
-                    wait(LONGEST_MILLIS);
+                    wait(MAX_DURATION_MILLIS);
                 }
             } catch (InterruptedException e) {
                 close();
@@ -160,8 +174,8 @@
         public synchronized int write(ByteBuffer from) {
             byte[] written = new byte[from.remaining()];
             from.get(written);
-            byte[] said = next == null ? null : answer.apply(written);
-            next = said == null ? null : ByteBuffer.wrap(said);
+            byte[] response = next == null ? null : answer.apply(written);
+            next = response == null ? null : ByteBuffer.wrap(response);
             notifyAll();
             return written.length;
         }
