--- a/src/main/java/beaconladder/server/EndpointList.java
+++ b/src/main/java/beaconladder/server/EndpointList.java
@@ -14,14 +14,14 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The hosts as discovery lists them, by its ids; guarded by the dispatcher's lock except for groups and addresses. */
+/** The hosts that discovery lists, by id. Guarded by the dispatcher's lock, except for groups and addresses. */
 final class EndpointList {
     private final Router router;
     private final EventTrace trace;
     private final List<String> zones;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
-    /** Hosts that are gone and not yet forgotten, so that a sweep does not walk the complete list. */
-    private final Map<String, Host> departed = new LinkedHashMap<>();
+    /** Hosts that are gone and not yet removed, kept apart so that a sweep need not visit the complete list. */
+    private final Map<String, Host> goneHosts = new LinkedHashMap<>();
 
     private final Map<Integer, Group> groups = new ConcurrentHashMap<>();
     private final Map<Host, InetSocketAddress> addresses = new ConcurrentHashMap<>();
@@ -46,52 +46,57 @@
         return addresses.isEmpty();
     }
 
-    /** How many entries it holds, to detect leaks. */
+    /** Returns the number of entries in all collections, to detect leaks. */
     int trackedCount() {
         return hosts.size()
-                + departed.size()
+                + goneHosts.size()
                 + addresses.size()
                 + groups.values().stream()
                         .mapToInt(group -> group.members.size())
                         .sum();
     }
 
-    /** Discovery's news; returns the hosts whose idle connections are of no use any more. */
-    List<Host> listed(boolean whole, List<EndpointWatch.Entry> entries, long now) {
+    /**
+     * Applies an update from discovery; returns the hosts whose idle connections can't be used any more.
+     *
+     * @param complete whether hosts that are not among the entries are gone
+     */
+    List<Host> update(boolean complete, List<EndpointWatch.Entry> entries, long now) {
         List<Host> stale = new ArrayList<>();
         Set<Host> present = new HashSet<>();
-        for (EndpointWatch.Entry e : entries) {
-            if (e.state() == EndpointWatch.State.GONE && !hosts.containsKey(e.id())) {
+        for (EndpointWatch.Entry entry : entries) {
+            if (entry.state() == EndpointWatch.State.GONE && !hosts.containsKey(entry.id())) {
                 continue;
             }
-            Group group = groups.computeIfAbsent(e.group(), Group::new);
-            Host host = hosts.computeIfAbsent(e.id(), id -> new Host(nextHostNumber++, group, zones.indexOf(e.zone())));
+            Group group = groups.computeIfAbsent(entry.group(), Group::new);
+            Host host = hosts.computeIfAbsent(
+                    entry.id(), id -> new Host(nextHostNumber++, group, zones.indexOf(entry.zone())));
             present.add(host);
-            trace.hostNamed(host, e.id());
-            trace.hostListed(host, e.state().name(), e.leader(), e.launchedMillis());
-            if (e.address() != null) {
-                InetSocketAddress before = addresses.put(host, e.address());
-                if (before != null && !before.equals(e.address())) {
+            trace.hostNamed(host, entry.id());
+            trace.hostListed(host, entry.state().name(), entry.leader(), entry.launchedMillis());
+            if (entry.address() != null) {
+                InetSocketAddress previous = addresses.put(host, entry.address());
+                if (previous != null && !previous.equals(entry.address())) {
                     stale.add(host);
                 }
             }
-            Host.State state = switch (e.state()) {
+            Host.State state = switch (entry.state()) {
                 case READY -> Host.State.READY;
                 case DRAINING -> Host.State.DRAINING;
                 case GONE -> Host.State.GONE;
             };
-            if (state != Host.State.READY || e.launchedMillis() * 1_000_000 > host.launchedNanos) {
+            if (state != Host.State.READY || entry.launchedMillis() * 1_000_000 > host.launchedNanos) {
                 stale.add(host);
             }
             if (state == Host.State.GONE) {
-                departed.put(e.id(), host);
+                goneHosts.put(entry.id(), host);
             }
-            router.updateHost(host, e.leader(), state, e.launchedMillis() * 1_000_000, now);
+            router.updateHost(host, entry.leader(), state, entry.launchedMillis() * 1_000_000, now);
         }
-        if (whole) {
+        if (complete) {
             hosts.forEach((id, host) -> {
                 if (!present.contains(host) && host.state != Host.State.GONE) {
-                    departed.put(id, host);
+                    goneHosts.put(id, host);
                     router.updateHost(host, false, Host.State.GONE, host.launchedNanos, now);
                     stale.add(host);
                 }
@@ -100,12 +105,12 @@
         return stale;
     }
 
-    /** Forgets the hosts that are gone and that no request needs any more. */
+    /** Removes the hosts that are gone and that no request needs any more. */
     void sweep(long now) {
-        departed.entrySet().removeIf(each -> {
+        goneHosts.entrySet().removeIf(each -> {
             Host host = each.getValue();
             if (host.state != Host.State.GONE) {
-                // It is listed again.
+                // Discovery lists the host again.
                 return true;
             }
             if (!router.removeHost(host, now)) {
--- a/src/main/java/beaconladder/server/ParsedQuery.java
+++ b/src/main/java/beaconladder/server/ParsedQuery.java
@@ -55,7 +55,7 @@
         if (id == null || id.isEmpty() || id.length() > MAX_ID_LENGTH) {
             return invalid(statement, "id");
         }
-        Integer classIndex = dispatcher.settingIndex().typeIndex(String.valueOf(statement.parameter("c")));
+        Integer classIndex = dispatcher.settingIndex().requestClassIndex(String.valueOf(statement.parameter("c")));
         if (classIndex == null) {
             return invalid(statement, "c");
         }
--- a/src/main/java/beaconladder/server/RequestDispatcher.java
+++ b/src/main/java/beaconladder/server/RequestDispatcher.java
@@ -205,7 +205,7 @@
     @Override
     public void onEndpoints(boolean complete, List<EndpointWatch.Entry> entries) {
         List<Host> stale = new ArrayList<>();
-        applyEvent(now -> stale.addAll(endpoints.listed(complete, entries, now)));
+        applyEvent(now -> stale.addAll(endpoints.update(complete, entries, now)));
         if (hostActions != null) {
             stale.forEach(hostActions::closeIdle);
         }
--- a/src/main/java/beaconladder/server/SettingIndex.java
+++ b/src/main/java/beaconladder/server/SettingIndex.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Maps the names of request classes and tenants to their positions in the settings. */
+/** Maps the names of request classes and tenants to their indexes in the settings. */
 final class SettingIndex {
     private static final int UNKNOWN_TENANT = -1;
 
@@ -24,12 +24,12 @@
         return indexes;
     }
 
-    /** The position of the request class of this name, or null where there is none. */
-    Integer typeIndex(String name) {
+    /** Returns the index of the request class with this name, or null if there is none. */
+    Integer requestClassIndex(String name) {
         return requestClasses.get(name);
     }
 
-    /** The position of the tenant of this name; less than 0 where there is none. */
+    /** Returns the index of the tenant with this name, or -1 if there is none. */
     int tenantIndex(String name) {
         return tenants.getOrDefault(name, UNKNOWN_TENANT);
     }
--- a/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
+++ b/src/test/java/beaconladder/server/RouterConfigurationLiteralTest.java
@@ -75,9 +75,9 @@
     @Test
     void typesAndTenantsHaveThePlacesOfTheirNames() throws Exception {
         SettingIndex places = new SettingIndex(settings());
-        assertThat(places.typeIndex("browse")).isZero();
-        assertThat(places.typeIndex("bill")).isEqualTo(4);
-        assertThat(places.typeIndex("other")).isNull();
+        assertThat(places.requestClassIndex("browse")).isZero();
+        assertThat(places.requestClassIndex("bill")).isEqualTo(4);
+        assertThat(places.requestClassIndex("other")).isNull();
         assertThat(places.tenantIndex("beta")).isEqualTo(1);
         assertThat(places.tenantIndex("other")).isEqualTo(-1);
     }
