--- a/src/main/java/beaconladder/server/RouterConfiguration.java
+++ b/src/main/java/beaconladder/server/RouterConfiguration.java
@@ -15,11 +15,13 @@
  * The operators' configuration file, validated completely before any of it takes effect.
  *
  * @param name the router's name, unique among routers
- * @param seed of the routing policy's random draws
+ * @param listen the address at which clients connect
+ * @param discovery the address of the discovery agent
+ * @param seed the seed of the routing policy's random decisions
  * @param settings the settings, flattened to dotted keys
- * @param memoryMb the memory of this process, from which the thread limit follows
- * @param descriptors how many file descriptors may be held
- * @param knownEndpoints the hosts as last listed; possibly out of date, or empty
+ * @param memoryMb the memory of this process in MB, from which the thread limit is derived
+ * @param descriptors the number of file descriptors that the process may use
+ * @param knownEndpoints the last known endpoint list; possibly out of date, or empty
  */
 record RouterConfiguration(
         String name,
@@ -30,10 +32,10 @@
         int memoryMb,
         int descriptors,
         List<EndpointWatch.Entry> knownEndpoints) {
-    /** Bound of the file's size: a thousand hosts take a hundred kilobytes. */
+    /** Upper bound of the file's size; a thousand hosts take a hundred kilobytes. */
     private static final long MAX_FILE_BYTES = 4 << 20;
 
-    /** How long after its notice a host may still be sent requests while it drains; two seconds by default. */
+    /** Returns how long a draining host may still be sent requests after its notice; two seconds by default. */
     long drainGraceMillis() {
         return drainGraceMillis(settings);
     }
@@ -42,17 +44,17 @@
         return Long.parseLong(settings.getOrDefault("rules.drain_grace_us", "2000000")) / 1_000;
     }
 
-    /** Whether the endpoint list has to be polled; else an agent on this machine pushes it. */
+    /** Whether the endpoint list has to be polled; otherwise an agent on this machine pushes it. */
     boolean pollsDiscovery() {
         return "ask".equals(settings.get("discovery"));
     }
 
-    /** The interval of polls for those that can't watch the endpoint list; ten seconds by default. */
+    /** Returns the polling interval of routers that can't watch the endpoint list; ten seconds by default. */
     long pollIntervalMillis() {
         return pollIntervalMillis(settings);
     }
 
-    /** The longest time budget of any request class, in microseconds; 0 where there is none. */
+    /** Returns the longest time budget of any request class in microseconds, or 0 if there are no request classes. */
     long maxRequestMicros() {
         long max = 0;
         for (int i = 0; settings.containsKey("request_classes." + i + ".give_up_us"); i++) {
@@ -65,7 +67,11 @@
         return Long.parseLong(settings.getOrDefault("rules.ask_every_us", "10000000")) / 1_000;
     }
 
-    /** Reads the file; the exception's message states what is wrong with it. */
+    /**
+     * Reads and validates a file.
+     *
+     * @throws IOException if the file can't be read or is invalid; the message states why
+     */
     static RouterConfiguration read(Path file) throws IOException {
         if (Files.size(file) > MAX_FILE_BYTES) {
             throw new IOException(file + " is too long for a configuration");
@@ -80,12 +86,12 @@
         }
     }
 
-    /** The configuration that this JSON object states. */
+    /** Returns the configuration that a JSON object contains. */
     static RouterConfiguration of(Map<?, ?> json) throws IOException {
         InetSocketAddress listen = address(json, "listen");
         InetSocketAddress discovery = address(json, "discovery");
-        Map<String, String> limits = flat(json, "limits");
-        Map<String, String> settings = flat(json, "settings");
+        Map<String, String> limits = flatten(json, "limits");
+        Map<String, String> settings = flatten(json, "settings");
         long seed;
         try {
             seed = Long.parseUnsignedLong(String.valueOf(json.get("seed")), 16);
@@ -112,10 +118,10 @@
         }
     }
 
-    private static Map<String, String> flat(Map<?, ?> json, String name) {
-        Map<String, String> flat = new LinkedHashMap<>();
-        JsonReader.flatten("", json.get(name) instanceof Map<?, ?> map ? map : Map.of(), flat);
-        return flat;
+    private static Map<String, String> flatten(Map<?, ?> json, String name) {
+        Map<String, String> flattened = new LinkedHashMap<>();
+        JsonReader.flatten("", json.get(name) instanceof Map<?, ?> map ? map : Map.of(), flattened);
+        return flattened;
     }
 
     private static InetSocketAddress address(Map<?, ?> json, String name) throws IOException {
--- a/src/main/java/beaconladder/server/RouterServer.java
+++ b/src/main/java/beaconladder/server/RouterServer.java
@@ -17,19 +17,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A router on sockets: created from the operators' files, started once, and drained at the end. */
+/** A router process: created from the operators' files, started once, and drained at shutdown. */
 public final class RouterServer {
     private static final Logger LOG = LoggerFactory.getLogger(RouterServer.class);
-    private static final int SWEEP_MILLIS = 100;
-    /** Time for responses in socket buffers to reach their clients before the process ends. */
+    private static final int SWEEP_INTERVAL_MILLIS = 100;
+    /** Time for responses in socket buffers to reach their clients before the process exits. */
     private static final int FLUSH_MILLIS = 100;
 
-    /** The divisor of the heap for large incoming messages; their texts and responses take as much again. */
+    /** The divisor of the heap for large incoming messages; their texts and the responses take as much again. */
     private static final int MESSAGE_MEMORY_DIVISOR = 6;
     /** The divisor of the descriptors for the connections that cells share. */
     private static final int CELL_CONNECTION_DIVISOR = 3;
 
-    private static final int POLL_MILLIS = 5;
+    private static final int POLL_INTERVAL_MILLIS = 5;
 
     private final Path file;
     private final RouterConfiguration configuration;
@@ -38,27 +38,27 @@
     private final ServerConnectionPool pool;
     private final ClientServer clients;
     private final EndpointWatch endpointWatch;
-    /** The file of the operators' plan, or null where there are no cells. */
+    /** The file of the operators' plan; null if there are no cells. */
     private final Path planFile;
-    /** Follows the coordinator's placement, or null where there is no coordinator. */
+    /** Watches the coordinator's placement; null if there is no coordinator. */
     private final PlacementWatcher placementWatcher;
-    /** The longest that a request can be in flight. */
+    /** The longest time budget of a request. */
     private final long maxRequestNanos;
-    /** Shortly after the start of the process: the virtual machine takes some tenths of a second before. */
-    private final long createdNanos = System.nanoTime();
+    /** The {@code System.nanoTime} of the creation, some tenths of a second after the start of the JVM. */
+    private final long createdNanoTime = System.nanoTime();
 
     private volatile boolean stopped;
-    /** Whether it accepts clients; guarded by this, like the request to shut down. */
+    /** Whether clients are accepted; guarded by this. */
     private boolean listening;
-
+    /** Guarded by this. */
     private boolean shutdownRequested;
 
     /**
      * Creates a router that does not yet listen.
      *
-     * @param file name, listen, discovery, seed, limits, known and settings as JSON
-     * @param planFile cells and their tenants, or null for none
-     * @throws IOException where a file can't be read or is invalid
+     * @param file the configuration as a JSON object of name, listen, discovery, seed, limits, known and settings
+     * @param planFile the cells and their tenants, or null for none
+     * @throws IOException if a file can't be read or is invalid
      */
     public RouterServer(Path file, Path planFile) throws IOException {
         this.file = file;
@@ -136,7 +136,7 @@
         return new StaticPlacement(read.plan());
     }
 
-    /** Warms up and listens once it knows hosts, unless a shutdown was requested; returns then. */
+    /** Warms up, waits for the first endpoint list, and starts listening unless a shutdown was requested meanwhile. */
     public void start() throws IOException, InterruptedException {
         threads.newThread(dispatcher.timer()).start();
         threads.newThread(endpointWatch).start();
@@ -145,22 +145,28 @@
             threads.newThread(placementWatcher).start();
         }
         WarmUp.run(configuration, threads);
-        // The known hosts may be out of date, and the agent's list is binding from its notice on: wait for it.
+        // The hosts in the configuration may be out of date, and the agent's endpoint list is binding as soon as the
+        // agent has it, so its first answer is awaited.
         while (!dispatcher.hasEndpoints() || endpointWatch.isAwaitingFirstAnswer()) {
-            Thread.sleep(POLL_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
         synchronized (this) {
             if (!shutdownRequested) {
                 clients.listen(configuration.listen());
                 threads.newThread(clients).start();
                 listening = true;
-                dispatcher.monitor().invariants().checkStartupTime(System.nanoTime() - createdNanos);
+                dispatcher.monitor().invariants().checkStartupTime(System.nanoTime() - createdNanoTime);
                 LOG.info("{} serves at {}", configuration.name(), configuration.listen());
             }
         }
     }
 
-    /** Validates a file, and a plan or null, as a start would; the exception's message states what is wrong. */
+    /**
+     * Validates the files as a start would.
+     *
+     * @param planFile the plan, or null for none
+     * @throws IOException if a file is invalid; the message states why
+     */
     public static void check(Path file, Path planFile) throws IOException {
         RouterConfiguration.read(file);
         if (planFile != null) {
@@ -169,42 +175,42 @@
     }
 
     /**
-     * Reads the files again. Discovery's address and the plan take effect at once, and all state stays; other changes
-     * wait for a restart. A file that is invalid changes nothing.
+     * Reads the files again. A new discovery address and a new plan take effect immediately, and no state is lost;
+     * other changes take effect at the next restart. An invalid file changes nothing.
      *
      * @return whether the files have taken effect
      */
     public synchronized boolean reload() {
         try {
-            RouterConfiguration next = RouterConfiguration.read(file);
-            List<String> restartOnly = changesThatNeedRestart(next);
+            RouterConfiguration reloaded = RouterConfiguration.read(file);
+            List<String> restartOnly = changesThatNeedRestart(reloaded);
             if (planFile != null) {
-                String objection = dispatcher.cells().replacePlan(readPlan(planFile));
-                if (objection != null) {
-                    throw new IOException(planFile + ": " + objection);
+                String refusal = dispatcher.cells().replacePlan(readPlan(planFile));
+                if (refusal != null) {
+                    throw new IOException(planFile + ": " + refusal);
                 }
             }
-            endpointWatch.changeAddress(next.discovery());
+            endpointWatch.changeAddress(reloaded.discovery());
             LOG.info(
                     "reloaded: discovery is at {}{}",
-                    next.discovery(),
-                    restartOnly.isEmpty() ? "" : "; for a restart: " + String.join(", ", restartOnly));
+                    reloaded.discovery(),
+                    restartOnly.isEmpty() ? "" : "; effective after a restart: " + String.join(", ", restartOnly));
             return true;
         } catch (IOException | RuntimeException e) {
-            LOG.warn("not reloaded, all stays as it was: {}", e.toString());
+            LOG.warn("not reloaded, the previous configuration stays in force: {}", e.toString());
             return false;
         }
     }
 
-    private List<String> changesThatNeedRestart(RouterConfiguration next) {
+    private List<String> changesThatNeedRestart(RouterConfiguration reloaded) {
         List<String> changes = new ArrayList<>();
-        if (!next.listen().equals(configuration.listen())) {
+        if (!reloaded.listen().equals(configuration.listen())) {
             changes.add("listen");
         }
-        if (!next.settings().equals(configuration.settings())) {
+        if (!reloaded.settings().equals(configuration.settings())) {
             changes.add("settings");
         }
-        if (next.memoryMb() != configuration.memoryMb() || next.descriptors() != configuration.descriptors()) {
+        if (reloaded.memoryMb() != configuration.memoryMb() || reloaded.descriptors() != configuration.descriptors()) {
             changes.add("limits");
         }
         return changes;
@@ -213,7 +219,7 @@
     private void sweep() {
         while (!stopped) {
             try {
-                Thread.sleep(SWEEP_MILLIS);
+                Thread.sleep(SWEEP_INTERVAL_MILLIS);
                 pool.sweep();
                 dispatcher.sweep();
                 dispatcher.monitor().sweep();
@@ -226,14 +232,14 @@
     }
 
     /**
-     * Shuts down gracefully: serves as before until clients can know of it, then closes each connection once its
-     * requests are answered; returns when all are closed or their time is over.
+     * Shuts down gracefully: serves as before during the notice period, then closes each connection once its requests
+     * are answered. Returns when all connections are closed or the deadline has passed.
      */
     public void drain() throws InterruptedException {
         synchronized (this) {
             shutdownRequested = true;
             if (!listening) {
-                LOG.info("ended before it served");
+                LOG.info("shut down before listening");
                 return;
             }
         }
@@ -243,7 +249,7 @@
         clients.drain(shutdown);
         while (clients.connectionCount() > 0
                 && dispatcher.nowNanos() < shutdown.endNanos() + ClientConnection.LINGER_NANOS) {
-            Thread.sleep(POLL_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
         Thread.sleep(FLUSH_MILLIS);
         stopped = true;
--- a/src/test/java/beaconladder/testbed/CellsIT.java
+++ b/src/test/java/beaconladder/testbed/CellsIT.java
@@ -80,7 +80,7 @@
                 assertThat(System.currentTimeMillis()).isLessThan(until);
                 Thread.sleep(20);
             }
-            assertThat(all.routers.get(0).log()).contains("not reloaded, all stays as it was");
+            assertThat(all.routers.get(0).log()).contains("not reloaded, the previous configuration stays in force");
             line.send(ClientLoad.query("after", "any", "t", "k", 0, 0, 0, 900));
             assertThat(line.answer()).isTrue();
             assertThat(line.code()).isNull();
