--- a/src/main/java/beaconladder/server/ConnectionTable.java
+++ b/src/main/java/beaconladder/server/ConnectionTable.java
@@ -6,42 +6,53 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Predicate;
 
-/** The client connections that are open, and which of them are closed first where descriptors are short. */
+/** Holds the open client connections and selects which of them to close first when descriptors are short. */
 final class ConnectionTable {
-    /** A client that was active within this time may have a query on its way. */
+    /** The time after a client's last activity during which its next query may be on the network. */
     private static final long RECENTLY_USED_NANOS = 100_000_000;
-    /** Most clients that reuse a connection do so within two seconds; one idle for longer is probably abandoned. */
+    /** Most clients that reuse a connection do so within two seconds; one that is idle longer is probably abandoned. */
     private static final long LONG_IDLE_NANOS = 2_500_000_000L;
 
+    /** The divisor of the configured descriptors for {@link #requestShare}. */
+    private static final int REQUEST_SHARE_DIVISOR = 3;
+    /** The divisor of the served connections for those on which no valid request has arrived yet. */
+    private static final int WITHOUT_REQUEST_DIVISOR = 5;
+    /** Lower bound of the limit for connections on which no valid request has arrived yet. */
+    private static final int MIN_WITHOUT_REQUEST = 8;
+    /** Connections that are idle for long are closed while there are more than the served ones divided by this. */
+    private static final int LONG_IDLE_CHECK_DIVISOR = 8;
+
+    private static final int ERROR_PAUSE_MILLIS = 10;
+
     private final ServerConnectionPool serverConnections;
     private final int maxServed;
-    /** Half of this many connections may stay with clients that have sent requests: of a third of the descriptors. */
+    /** A third of the descriptors; half of that is the limit for connections of clients that have sent requests. */
     private final int requestShare;
     /** The limit for connections on which no valid request has arrived yet. */
     private final int maxWithoutRequest;
 
     private final Set<ClientConnection> all = ConcurrentHashMap.newKeySet();
-    /** Routing does not depend on it, so it needs no configured seed; each process has different keys. */
+    /** Generates cancel keys. Routing does not depend on them, so each process has a seed of its own. */
     private final SplittableRandom keys = new SplittableRandom(System.nanoTime());
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
-     * @param maxDescriptors the descriptors that the settings allow to the whole process
+     * @param maxDescriptors the configured number of descriptors of the whole process
      */
     ConnectionTable(ServerConnectionPool serverConnections, DescriptorLimit descriptors, int maxDescriptors) {
         this.serverConnections = serverConnections;
         this.maxServed = descriptors.maxServed();
-        this.requestShare = maxDescriptors / 3;
-        this.maxWithoutRequest = Math.max(8, maxServed / 5);
+        this.requestShare = maxDescriptors / REQUEST_SHARE_DIVISOR;
+        this.maxWithoutRequest = Math.max(MIN_WITHOUT_REQUEST, maxServed / WITHOUT_REQUEST_DIVISOR);
     }
 
-    /** Cancels the query whose answer is due next on the connection of this key. */
+    /** Cancels the query whose answer is due next on the connection with this key. */
     void cancel(long key) {
         all.stream().filter(client -> client.cancelKey() == key).forEach(ClientConnection::cancel);
     }
 
-    /** A key for a new connection; for any thread. */
+    /** Returns a cancel key for a new connection. May be called by any thread. */
     synchronized long newCancelKey() {
         return keys.nextLong();
     }
@@ -50,7 +61,7 @@
         return all;
     }
 
-    /** Closes connections where descriptors are short before one more is accepted. */
+    /** Closes connections, if descriptors are short, before one more is accepted. */
     void freeDescriptorsForNext(int held) {
         if (all.stream().filter(client -> !client.activity().hasSentRequest()).count() >= maxWithoutRequest) {
             closeOldest(client -> !client.activity().hasSentRequest());
@@ -60,7 +71,7 @@
         }
     }
 
-    /** Clients without a request are closed first, then idle connections to hosts, then idle clients. */
+    /** Closes a client that has sent no request, else an idle connection to a host, else an idle client. */
     void freeDescriptor() {
         if (!closeOldest(client -> !client.activity().hasSentRequest()) && !serverConnections.closeOldestIdle()) {
             closeOldest(client -> true);
@@ -69,7 +80,7 @@
 
     private boolean closeOldest(Predicate<ClientConnection> eligible) {
         long recently = System.nanoTime() - RECENTLY_USED_NANOS;
-        // Their tasks run meanwhile: the sort key must not change during the sort.
+        // The clients' tasks run concurrently, so the sort key is copied: it must not change during the sort.
         record Aged(ClientConnection client, long lastUsedNanoTime) {}
 
         return all.stream()
@@ -81,10 +92,10 @@
                 .anyMatch(aged -> aged.client().closeIfIdle(recently));
     }
 
-    /** Whether a client that has just connected has to be rejected. */
+    /** Whether a client that has just connected must be rejected. */
     boolean isFull() {
         int held = all.size() + serverConnections.openCount();
-        // Closing connections hold descriptors for a moment longer, beyond those that are served.
+        // Closing connections still hold descriptors, in addition to those that are served.
         return held > maxServed && held - closing() > maxServed;
     }
 
@@ -93,35 +104,36 @@
     }
 
     /**
-     * Closes connections beyond the share that clients with requests may hold, the longest idle first.
+     * Closes connections beyond the share of clients that have sent requests, the longest idle first.
      *
-     * @param cells whether connections of a cell beyond its quota are closed before others
+     * @param byCellQuota whether connections of cells that exceed their quota are closed before others
      */
-    void closeExcess(boolean cells) {
-        // Otherwise clients that send one request and stay would leave nothing of the share to new clients.
+    void closeExcess(boolean byCellQuota) {
+        // Otherwise clients that send one request and stay connected would use up the share of new clients.
         long excess = all.stream()
                         .filter(client -> client.activity().hasSentRequest()
                                 && !client.activity().isClosing())
                         .count()
                 - requestShare / 2;
         while (excess-- > 0
-                && (cells && closeOldest(ClientConnection::exceedsCellQuota)
+                && (byCellQuota && closeOldest(ClientConnection::exceedsCellQuota)
                         || closeOldest(client -> client.activity().hasSentRequest()))) {
             continue;
         }
     }
 
-    /** Closes a connection that has been idle for long, while there are many. */
+    /** Closes a connection that has been idle for long, if there are many connections. */
     void closeIfLongIdle(ClientConnection client, long nowNanoTime) {
-        if (all.size() > maxServed / 8 && client.activity().lastUsedNanoTime() < nowNanoTime - LONG_IDLE_NANOS) {
+        if (all.size() > maxServed / LONG_IDLE_CHECK_DIVISOR
+                && client.activity().lastUsedNanoTime() < nowNanoTime - LONG_IDLE_NANOS) {
             client.closeIfIdle(nowNanoTime - LONG_IDLE_NANOS);
         }
     }
 
-    /** Pauses the reader after a fault that may persist for a while. */
+    /** Pauses the reader after an error that may recur for a while. */
     static void pauseAfterFault() {
         try {
-            Thread.sleep(10);
+            Thread.sleep(ERROR_PAUSE_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
