--- a/src/main/java/beaconladder/server/ClientAcceptor.java
+++ b/src/main/java/beaconladder/server/ClientAcceptor.java
@@ -11,13 +11,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Listens for clients and accepts them, within the limit of descriptors; for the reader's thread alone. */
+/** Listens for clients and accepts them within the limit of descriptors. Used by the reader's thread only. */
 final class ClientAcceptor {
     private static final Logger LOG = LoggerFactory.getLogger(ClientAcceptor.class);
     private static final int BACKLOG = 1024;
-    /** The pause after an accept that failed. */
+    /** The pause after a failed accept. */
     private static final long RETRY_DELAY_NANOS = 50_000_000;
-    /** After this many consecutive failures, half a second, a descriptor is freed: the shortage may be our own. */
+    /** After this many consecutive failures (half a second) descriptors are freed, in case this process lacks them. */
     private static final int FAILURES_BEFORE_FREEING = 10;
 
     private final Selector selector;
@@ -26,13 +26,13 @@
     private final ConnectionTable connectionTable;
     private final Monitor monitor;
     private final Consumer<SocketChannel> onAccepted;
-    /** Whether clients wait in the listener's queue, for a descriptor or for the end of a pause. */
+    /** Whether clients may wait in the listener's queue for a descriptor or the end of a pause. */
     private boolean queued;
 
     private long retryNanoTime = System.nanoTime();
-    private int failures;
+    private int consecutiveFailures;
 
-    /** Listens at this address from now on. */
+    /** Starts listening at this address. */
     ClientAcceptor(
             Selector selector,
             InetSocketAddress address,
@@ -53,7 +53,7 @@
         listener.register(selector, SelectionKey.OP_ACCEPT);
     }
 
-    /** Accepts the clients that had to wait, once the pause is over. */
+    /** Accepts the queued clients once the pause is over. */
     void acceptQueued() {
         if (queued && System.nanoTime() - retryNanoTime >= 0) {
             accept();
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Accepts the clients that wait, while there are descriptors: the others stay in the listener's queue, where their
-     * time runs but nothing that they send is lost.
+     * Accepts queued clients while descriptors are available. The others stay in the listener's queue: their time
+     * budgets run, but nothing that they send is lost.
      */
     void accept() {
         try {
@@ -75,7 +75,7 @@
                     descriptors.release(DescriptorLimit.Use.CLIENT, queued ? 0 : 1);
                     break;
                 }
-                failures = 0;
+                consecutiveFailures = 0;
                 onAccepted.accept(channel);
             }
             setAccepting(!queued);
@@ -86,18 +86,19 @@
     }
 
     /**
-     * The system accepts no connection now, for a cause that may be temporary (a connection that was aborted, a table
-     * that is full), so no connection is closed for it at once, and the others are still served.
+     * Schedules another attempt after a failed accept. The cause may be temporary (an aborted connection, a full system
+     * table) or a shortage of descriptors in this process, so existing connections are served on, and only repeated
+     * failures close one of them.
      */
     private void onFailure(IOException cause) {
-        failures++;
+        consecutiveFailures++;
         retryNanoTime = System.nanoTime() + RETRY_DELAY_NANOS;
         queued = listener.isOpen();
         monitor.counters().add("network", LocalNetworkFault.ACCEPT);
-        if (failures == 1) {
-            LOG.warn("no client can be taken in, tried again: {}", cause.toString());
+        if (consecutiveFailures == 1) {
+            LOG.warn("accepting clients failed, retrying: {}", cause.toString());
         }
-        if (failures > FAILURES_BEFORE_FREEING) {
+        if (consecutiveFailures > FAILURES_BEFORE_FREEING) {
             connectionTable.freeDescriptor();
         }
         setAccepting(false);
@@ -110,13 +111,13 @@
         }
     }
 
-    /** Closes the listener after accepting all clients in its queue, which the close would reset. */
+    /** Closes the listener after accepting the clients in its queue, whose connections the close would reset. */
     void close() {
         accept();
         try {
             listener.close();
         } catch (IOException e) {
-            LOG.warn("the listener: {}", e.toString());
+            LOG.warn("closing the listener failed: {}", e.toString());
         }
     }
 }
--- a/src/main/java/beaconladder/server/ClientActivity.java
+++ b/src/main/java/beaconladder/server/ClientActivity.java
@@ -1,12 +1,12 @@
 package beaconladder.server;
 
-/** When a client was last active and whether its connection is closing; read by other threads than its reader's. */
+/** Records when a client was last active and whether its connection is closing. May be read by any thread. */
 final class ClientActivity {
-    /** On System.nanoTime's clock. */
+    /** The {@code System.nanoTime} of the last activity. */
     private volatile long lastUsedNanoTime = System.nanoTime();
     /** Whether a valid request has arrived. */
     private volatile boolean sentRequest;
-    /** When the connection began to close, on System.nanoTime's clock, or 0. */
+    /** The {@code System.nanoTime} at which the connection began to close, or 0. */
     private volatile long closingSinceNanoTime;
 
     long lastUsedNanoTime() {
@@ -21,11 +21,11 @@
         return sentRequest;
     }
 
-    void setHasSentRequest(boolean now) {
-        sentRequest = now;
+    void setHasSentRequest(boolean hasSent) {
+        sentRequest = hasSent;
     }
 
-    /** The client has been sent an error after which its connection closes. */
+    /** Records that the client has been sent an error after which its connection closes. */
     void markClosing() {
         closingSinceNanoTime = System.nanoTime();
     }
@@ -34,7 +34,7 @@
         return closingSinceNanoTime != 0;
     }
 
-    /** When the connection began to close, or 0. */
+    /** Returns the {@code System.nanoTime} at which the connection began to close, or 0. */
     long closingSinceNanoTime() {
         return closingSinceNanoTime;
     }
--- a/src/main/java/beaconladder/server/ClientChannel.java
+++ b/src/main/java/beaconladder/server/ClientChannel.java
@@ -6,9 +6,9 @@
 import java.nio.channels.ByteChannel;
 import java.nio.channels.SocketChannel;
 
-/** A client's non-blocking connection: reads and writes transfer what is possible at once. */
+/** A client's non-blocking connection: reads and writes transfer what is possible without waiting. */
 interface ClientChannel extends ByteChannel {
-    /** Half-closes the connection; the other side may still write. */
+    /** Half-closes the connection; the client may still write. */
     void shutdownOutput() throws IOException;
 
     /** The client's address, or null for a connection in memory. */
--- a/src/main/java/beaconladder/server/ClientConnection.java
+++ b/src/main/java/beaconladder/server/ClientConnection.java
@@ -7,17 +7,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A client's connection: reads its messages, and decides when it is closed. For the reader's thread but where noted.
+ * A client's connection: reads its messages and decides when to close it. Methods must be called by the reader's thread
+ * unless stated otherwise.
  */
 final class ClientConnection {
     private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
-    /** The startup message is due this long after the connection, the rest of a message after its first byte. */
+    /** The time for the startup message after the accept, and for a complete message after its first byte. */
     private static final long MESSAGE_TIMEOUT_NANOS = 2_000_000_000L;
-    /** This much is still read and discarded after the final error, so that the client receives the error. */
+    /** How much is still read and discarded after the final error, so that the client receives the error. */
     private static final int MAX_DISCARDED_BYTES = 64 * 1024;
-    /** This much is read behind a full pipeline, as the client's close may follow it: some hundred queries. */
+    /** How much is read while the pipeline is full, some hundred queries, to notice a close that follows them. */
     private static final int MAX_BYTES_BEHIND_FULL_QUEUE = 128 * 1024;
-    /** What a client still sends after the final error is read for this long. */
+    /** How long a client's bytes are still read after the final error. */
     static final long LINGER_NANOS = 500_000_000L;
 
     private final ClientServer clientServer;
@@ -30,13 +31,13 @@
     private final ClientReader reader;
     private final long cancelKey;
     private int discardedBytes;
-    /** Whether the final read has been done: afterwards only a message that had begun is completed. */
+    /** Whether the final read has been done; afterwards only a message that had begun by then is completed. */
     private boolean finalReadDone;
-    /** Whether the message that had begun at the final read is still incomplete. */
-    private boolean restExpected;
-    /** Whether its large messages count towards the memory of its tenant's cell. */
+    /** Whether a message that had begun by the final read is still incomplete. */
+    private boolean partialMessagePending;
+    /** Whether the client's large messages count towards the memory limit of its tenant's cell. */
     private boolean chargedToCell;
-    /** When the bytes that the reader handles were read, on the dispatcher's clock. */
+    /** When the bytes being handled were read, in Unix nanoseconds of the dispatcher's clock. */
     private long readNanos;
 
     ClientConnection(
@@ -57,60 +58,60 @@
         return channel;
     }
 
-    /** The key by which a CancelRequest names this connection. */
+    /** Returns the key by which a CancelRequest identifies this connection. */
     long cancelKey() {
         return cancelKey;
     }
 
-    /** When the client was last active and whether the connection is closing; for any thread. */
+    /** Returns when the client was last active and whether its connection is closing. May be called by any thread. */
     ClientActivity activity() {
         return activity;
     }
 
-    /** When the bytes that the reader handles were read, on the dispatcher's clock. */
+    /** Returns when the bytes being handled were read, in Unix nanoseconds of the dispatcher's clock. */
     long readNanos() {
         return readNanos;
     }
 
-    /** Whether its tenant's cell uses more connections than its quota. */
+    /** Whether the cell of the client's tenant uses more connections than its quota. */
     boolean exceedsCellQuota() {
         AdmissionPermit permit = task.connectionPermit();
         return permit != null && dispatcher.cells().borrowsConnections(permit);
     }
 
-    /** Reads what has arrived and handles it; false when the connection is closed. */
+    /** Reads and handles what has arrived; returns false if the connection is closed. */
     boolean onReadable() {
         try {
             chargeCell();
-            int n = in.readFrom(channel);
+            int bytesRead = in.readFrom(channel);
             if (!queue.isFull()) {
                 readNanos = dispatcher.nowNanos();
             }
             if (activity.isClosing()) {
                 in.discard();
-                discardedBytes += Math.max(0, n);
-                if (n < 0) {
+                discardedBytes += Math.max(0, bytesRead);
+                if (bytesRead < 0) {
                     close(CloseCause.TOLD_TO_GO);
                 }
-            } else if (n >= 0) {
+            } else if (bytesRead >= 0) {
                 reader.handleMessages();
             } else if (in.hasUnread() && queue.isIdle()) {
                 reader.closeWithError("a message that is cut off");
             } else {
-                // Also with a request in flight: a half-close can't be distinguished from a full one.
+                // Also closed with a request in flight, as a half-close can't be distinguished from a full close.
                 close(CloseCause.CLIENT_CLOSED);
             }
         } catch (IOException e) {
-            LOG.debug("a client's connection broke: {}", e.toString());
+            LOG.debug("a client connection failed: {}", e.toString());
             close(CloseCause.CLIENT_BROKEN);
         } catch (RuntimeException | Error e) {
-            LOG.error("a client's connection ends", e);
+            LOG.error("closing a client connection after an internal error", e);
             close(CloseCause.FAULT);
         }
         return channel.isOpen();
     }
 
-    /** From the first admitted request on, its large messages count towards its cell's memory limit. */
+    /** Charges the client's large messages to its cell's memory limit from its first admitted request on. */
     private void chargeCell() {
         AdmissionPermit permit = chargedToCell || !dispatcher.hasCells() ? null : task.connectionPermit();
         if (permit != null) {
@@ -120,8 +121,8 @@
     }
 
     /**
-     * Whether more is to be read now: not from a client that has pipelined too much, or continues after the final
-     * error. After the final read only the sweep reads.
+     * Whether the selector should report readable bytes: not for a client that has pipelined too much or keeps sending
+     * after the final error, nor after the final read, when only the sweep reads.
      */
     boolean wantsRead() {
         return discardedBytes < MAX_DISCARDED_BYTES
@@ -129,10 +130,10 @@
                 && !(finalReadDone && !activity.isClosing() && in.messageStartNanos() == 0);
     }
 
-    /** Whether a query that has arrived now is rejected, as its first byte came after the final read. */
+    /** Whether the query that has just arrived must be rejected because its first byte came after the final read. */
     boolean isTooLate() {
-        boolean late = finalReadDone && !restExpected;
-        restExpected = false;
+        boolean late = finalReadDone && !partialMessagePending;
+        partialMessagePending = false;
         return late;
     }
 
@@ -141,7 +142,7 @@
         task.cancel();
     }
 
-    /** Handles messages again once the tasks have made progress; false when the connection is closed. */
+    /** Handles messages again once the pipeline has space; returns false if the connection is closed. */
     boolean resume() {
         try {
             reader.handleMessages();
@@ -152,7 +153,7 @@
     }
 
     void close(CloseCause cause) {
-        // Before anything else: what a client sends from here on stays unread, and a reset informs it of that.
+        // First, so that what the client sends from here on stays unread and a reset informs it of that.
         closeChannel();
         int unanswered = queue.unansweredQueries();
         dispatcher.monitor().counters().add("closed", cause);
@@ -165,32 +166,34 @@
         in.release();
     }
 
-    /** Closes the channel alone; for any thread. The reader's sweep does the rest. */
+    /** Closes only the channel; the sweep completes the close. May be called by any thread. */
     void closeChannel() {
         try {
             channel.close();
         } catch (IOException e) {
-            LOG.debug("a client's connection: {}", e.toString());
+            LOG.debug("closing a client connection failed: {}", e.toString());
         }
     }
 
-    /** Closes the connection if a time-out has passed; false when it is closed. */
+    /** Closes the connection if a timeout has passed; returns false if it is closed. */
     boolean sweep(long nowNanoTime) {
-        long closingSince = activity.closingSinceNanoTime();
+        long closingSinceNanoTime = activity.closingSinceNanoTime();
         if (!channel.isOpen()
-                || closingSince != 0 && nowNanoTime - closingSince > LINGER_NANOS && !queue.hasEntries()) {
-            close(closingSince != 0 ? CloseCause.TOLD_TO_GO : CloseCause.CLIENT_BROKEN);
+                || closingSinceNanoTime != 0
+                        && nowNanoTime - closingSinceNanoTime > LINGER_NANOS
+                        && !queue.hasEntries()) {
+            close(closingSinceNanoTime != 0 ? CloseCause.TOLD_TO_GO : CloseCause.CLIENT_BROKEN);
             return false;
         }
-        if (finalReadDone && closingSince == 0 && queue.hasUnwritten() && !onReadable()) {
+        if (finalReadDone && closingSinceNanoTime == 0 && queue.hasUnwritten() && !onReadable()) {
             return false;
         }
         try {
-            if (closingSince == 0
+            if (closingSinceNanoTime == 0
                     && !reader.isStarted()
                     && nowNanoTime - activity.lastUsedNanoTime() > MESSAGE_TIMEOUT_NANOS) {
                 reader.respond(StartupResponse.fatal(ErrorResponse.PROTOCOL_VIOLATION, "no startup message in time"));
-            } else if (closingSince == 0
+            } else if (closingSinceNanoTime == 0
                     && in.messageStartNanos() != 0
                     && nowNanoTime - in.messageStartNanos() > MESSAGE_TIMEOUT_NANOS) {
                 reader.closeWithError("a message whose rest did not come in time");
@@ -202,19 +205,19 @@
     }
 
     /**
-     * Closes the connection if it has been idle since before this nanoTime, after a last read of what has arrived; the
-     * client sees the close.
+     * Closes the connection if it has been idle since before this {@code System.nanoTime}, after reading what has
+     * arrived. Returns whether it has been closed.
      */
-    boolean closeIfIdle(long sinceNanoTime) {
+    boolean closeIfIdle(long idleBeforeNanoTime) {
         if (activity.isClosing()
                 || !finalReadDone && !onReadable()
-                || activity.lastUsedNanoTime() >= sinceNanoTime
-                || !isIdle(sinceNanoTime)) {
+                || activity.lastUsedNanoTime() >= idleBeforeNanoTime
+                || !isIdle(idleBeforeNanoTime)) {
             return false;
         }
-        // Closed, not half-closed: a query that crosses the close is answered by a reset, so the client knows that
-        // it was not read. The last read comes right before the close, as this thread may be suspended between
-        // any two steps.
+        // Closed, not half-closed: a query that crosses the close is answered by a reset, which tells the client that
+        // it was not read. The connection is read once more right before the close, as this thread may have been
+        // suspended since the check above.
         try {
             if (!finalReadDone && in.readFrom(channel) > 0) {
                 readNanos = dispatcher.nowNanos();
@@ -222,28 +225,28 @@
                 return false;
             }
         } catch (IOException e) {
-            LOG.debug("a client's connection broke: {}", e.toString());
+            LOG.debug("a client connection failed: {}", e.toString());
         }
         close(finalReadDone || clientServer.shutdown() != null ? CloseCause.DRAINED : CloseCause.IDLE);
         return true;
     }
 
     /**
-     * The router shuts down: reads the connection for the last time, and closes it now or after the answers to what has
-     * arrived by then; otherwise a client that keeps sending would keep it open until the process is killed. While the
-     * last answers are due the sweep still reads, as the client's close may follow, and rejects the queries it finds;
-     * what crosses the last answer stays unread.
+     * Reads the connection for the last time during a shutdown, and closes it now or after the answers to what has
+     * arrived by then. Without this limit a client that keeps sending would keep it open until the process is killed.
+     * While answers are due, the sweep still reads to notice a close by the client, and queries that it finds are
+     * rejected. What arrives after the last answer stays unread.
      */
     void readForLastTime() {
         closeIfIdle(Long.MAX_VALUE);
         finalReadDone = true;
-        restExpected = in.messageStartNanos() != 0;
+        partialMessagePending = in.messageStartNanos() != 0;
     }
 
-    private boolean isIdle(long sinceNanoTime) {
+    private boolean isIdle(long idleBeforeNanoTime) {
         return queue.isIdle()
                 && !activity.isClosing()
                 && (in.messageStartNanos() == 0
-                        || !activity.hasSentRequest() && in.messageStartNanos() < sinceNanoTime);
+                        || !activity.hasSentRequest() && in.messageStartNanos() < idleBeforeNanoTime);
     }
 }
--- a/src/main/java/beaconladder/server/ClientReader.java
+++ b/src/main/java/beaconladder/server/ClientReader.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** Handles a client's messages, one after the other; for the one thread that reads for all clients. */
+/** Handles a client's messages in order. Used only by the thread that reads for all clients. */
 final class ClientReader {
     private final ClientConnection client;
     private final ClientServer clientServer;
@@ -17,7 +17,7 @@
     private final RequestTask task;
     /** Whether the startup is complete. */
     private boolean started;
-    /** Whether messages of the extended protocol are skipped until Sync. */
+    /** Whether messages are skipped until Sync, as after an error in the extended query protocol. */
     private boolean skippingToSync;
 
     ClientReader(
@@ -41,21 +41,21 @@
         return started;
     }
 
-    /** Handles all messages that have arrived completely. */
+    /** Handles all messages that have arrived completely, as long as the pipeline has space. */
     void handleMessages() throws IOException {
         while (!client.activity().isClosing()) {
             if (queue.pauseReaderIfFull()) {
                 in.pauseMessageTimer();
                 return;
             }
-            ReadStatus got = in.nextMessage(!started);
-            if (got == ReadStatus.INCOMPLETE) {
+            ReadStatus status = in.nextMessage(!started);
+            if (status == ReadStatus.INCOMPLETE) {
                 return;
             }
-            if (got != ReadStatus.MESSAGE) {
+            if (status != ReadStatus.MESSAGE) {
                 if (started) {
                     closeWithError(
-                            got == ReadStatus.OUT_OF_MEMORY
+                            status == ReadStatus.OUT_OF_MEMORY
                                     ? "a long message while there is no room for more of them"
                                     : "a message of impossible length");
                 } else {
@@ -97,7 +97,7 @@
                 } else if (skippingToSync) {
                     return;
                 } else if (client.isTooLate()) {
-                    // It arrived after the final read: rejected in its turn, and not forwarded.
+                    // It arrived after the final read, so it is rejected in pipeline order and not forwarded.
                     QueryRejection.DRAINING.record(dispatcher.monitor());
                     add(new PipelineEntry(
                             ErrorResponse.error(ErrorResponse.CANNOT_CONNECT_NOW, "this router ends; it has not run"),
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Sends an error in its turn, after which the connection closes. */
+    /** Sends an error in pipeline order, after which the connection closes. */
     void closeWithError(String message) throws IOException {
         add(new PipelineEntry(ErrorResponse.fatal(ErrorResponse.PROTOCOL_VIOLATION, message), true));
         client.activity().markClosing();
@@ -138,7 +138,7 @@
         switch (queue.add(entry)) {
             case START_TASK -> {
                 if (!clientServer.execute(task) && queue.releaseTask(entry)) {
-                    // No thread is left to complete the request: it is rejected before it is submitted.
+                    // No thread is available, so the request is rejected before it is submitted.
                     QueryRejection.NO_THREAD.record(dispatcher.monitor());
                     sendNow(ErrorResponse.error(
                             ErrorResponse.TOO_MANY_CONNECTIONS,
@@ -146,7 +146,7 @@
                 }
             }
             case WRITE_NOW -> {
-                // What needs no task is written here; no other thread writes while no task is busy.
+                // An answer that needs no task is written here; no other thread writes, as no task is running.
                 sendNow(entry.answer());
                 if (entry.closesConnection()) {
                     channel.shutdownOutput();
@@ -156,9 +156,13 @@
         }
     }
 
-    /** Writes a short message without waiting; a client that does not read even that is disconnected. */
-    private void sendNow(MessageWriter out) throws IOException {
-        ByteBuffer bytes = out.asByteBuffer();
+    /**
+     * Writes a short message without waiting.
+     *
+     * @throws ClientStalledException if the socket's buffer is full because the client does not read
+     */
+    private void sendNow(MessageWriter message) throws IOException {
+        ByteBuffer bytes = message.asByteBuffer();
         channel.write(bytes);
         if (bytes.hasRemaining()) {
             throw new ClientStalledException();
--- a/src/main/java/beaconladder/server/ClientServer.java
+++ b/src/main/java/beaconladder/server/ClientServer.java
@@ -13,16 +13,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves clients: one thread accepts them and reads for all of them, within the limits of descriptors and memory. */
+/** Serves clients: one thread accepts and reads all connections, within the limits of descriptors and memory. */
 final class ClientServer implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(ClientServer.class);
-    private static final int SWEEP_MILLIS = 50;
+    private static final int SWEEP_INTERVAL_MILLIS = 50;
 
     private final RequestDispatcher dispatcher;
     private final ServerConnectionPool serverConnections;
     private final ThreadLimit threadLimit;
     private final MemoryLimit memoryLimit;
-    /** The part of it that the clients of each cell may use for large messages; empty where there are no cells. */
+    /** The parts of it that the clients of each cell may use for large messages; empty if there are no cells. */
     private final List<MemoryLimit> cellMemoryLimits;
 
     private final DescriptorLimit descriptors;
@@ -30,7 +30,7 @@
     private final Queue<ClientConnection> resumed = new ConcurrentLinkedQueue<>();
     private Selector selector;
     private ClientAcceptor acceptor;
-    /** Connections closed since the last selection began: the selector holds their descriptors until the next one. */
+    /** Connections closed since the last selection began; the selector holds their descriptors until the next one. */
     private int closedSinceSelect;
     /** The graceful shutdown that has begun, or null. */
     private volatile GracefulShutdown shutdown;
@@ -52,24 +52,24 @@
         this.connectionTable = new ConnectionTable(serverConnections, descriptors, maxDescriptors);
     }
 
-    /** Accepts clients at this address from now on. */
+    /** Starts listening at this address. */
     void listen(InetSocketAddress address) throws IOException {
         selector = Selector.open();
         acceptor = new ClientAcceptor(
                 selector, address, descriptors, connectionTable, dispatcher.monitor(), this::register);
     }
 
-    /** Reads for all clients until, after a drain, the last connection is closed. */
+    /** Accepts clients and reads from them until a drain has closed the last connection. */
     @Override
     public void run() {
-        long lastSweep = System.nanoTime();
+        long lastSweepNanoTime = System.nanoTime();
         boolean listenerClosed = false;
         while (!listenerClosed || !connectionTable.all().isEmpty()) {
             try {
                 int closed = closedSinceSelect;
                 closedSinceSelect = 0;
                 try {
-                    selector.select(this::onReady, SWEEP_MILLIS);
+                    selector.select(this::onReady, SWEEP_INTERVAL_MILLIS);
                 } finally {
                     descriptors.release(DescriptorLimit.Use.CLIENT, closed);
                 }
@@ -84,12 +84,12 @@
                     });
                 }
                 long now = System.nanoTime();
-                if (now - lastSweep >= SWEEP_MILLIS * 1_000_000L) {
-                    lastSweep = now;
+                if (now - lastSweepNanoTime >= SWEEP_INTERVAL_MILLIS * 1_000_000L) {
+                    lastSweepNanoTime = now;
                     sweep(now);
                 }
             } catch (IOException | RuntimeException | Error e) {
-                LOG.error("reading for clients goes on after a fault", e);
+                LOG.error("the client reader continues after an internal error", e);
                 connectionTable.freeDescriptor();
                 ConnectionTable.pauseAfterFault();
             }
@@ -98,14 +98,15 @@
     }
 
     /**
-     * A closed channel keeps its descriptor until the next selection, and only then a reset informs its client that the
-     * last bytes were not read. At the exit of the process that would happen some 400 ms later.
+     * Completes the closes of channels. A closed channel keeps its descriptor until the next selection, and only then
+     * is the connection reset, which informs the client that its last bytes were not read. Without this selection the
+     * reset would come at the exit of the process, some 400 ms later.
      */
     private void finishCloses() {
         try {
             selector.selectNow();
         } catch (IOException e) {
-            LOG.warn("the last closes are left to the end of the process: {}", e.toString());
+            LOG.warn("the last connections are closed only at the exit of the process: {}", e.toString());
         }
     }
 
@@ -149,12 +150,12 @@
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             channel.register(selector, SelectionKey.OP_READ, client);
         } catch (IOException e) {
-            LOG.debug("a client's connection broke: {}", e.toString());
+            LOG.debug("a client connection failed: {}", e.toString());
             client.close(CloseCause.CLIENT_BROKEN);
         }
     }
 
-    /** Has the reader handle a client's messages again, as its pipeline has space again; for any thread. */
+    /** Resumes reading from a client whose pipeline has space again. May be called by any thread. */
     void resume(ClientConnection client) {
         resumed.add(client);
         if (selector != null) {
@@ -162,12 +163,12 @@
         }
     }
 
-    private void sweep(long now) {
+    private void sweep(long nowNanoTime) {
         connectionTable.closeExcess(!cellMemoryLimits.isEmpty());
         for (ClientConnection client : connectionTable.all()) {
-            if (client.sweep(now)) {
+            if (client.sweep(nowNanoTime)) {
                 updateInterest(client);
-                connectionTable.closeIfLongIdle(client, now);
+                connectionTable.closeIfLongIdle(client, nowNanoTime);
                 if (shutdown != null) {
                     client.closeIfIdle(Long.MAX_VALUE);
                 }
@@ -179,12 +180,12 @@
         return connectionTable;
     }
 
-    /** For large messages of all clients. */
+    /** Returns the limit for large messages of all clients. */
     MemoryLimit memoryLimit() {
         return memoryLimit;
     }
 
-    /** For large messages of the clients of this cell. */
+    /** Returns the limit for large messages of the clients of this cell. */
     MemoryLimit memoryLimit(int cell) {
         return cellMemoryLimits.get(cell);
     }
@@ -194,12 +195,12 @@
         return connectionTable.all().size();
     }
 
-    /** Starts a client's task; false when no thread is available for it. */
+    /** Starts a client's task; returns false if no thread is available for it. */
     boolean execute(Runnable task) {
         return threadLimit.hasCapacity(1) && threadLimit.tryExecute(task);
     }
 
-    /** Forgets a client whose connection is closed; for the reader's thread. */
+    /** Removes a client whose connection is closed. Must be called by the reader's thread. */
     void onClosed(ClientConnection client) {
         if (connectionTable.all().remove(client)) {
             closedSinceSelect++;
@@ -211,9 +212,9 @@
         return shutdown;
     }
 
-    /** Accepts no more clients, and closes each connection once no request is in flight on it. */
-    void drain(GracefulShutdown begun) {
-        shutdown = begun;
+    /** Stops accepting clients, and closes each connection once no request is in flight on it. */
+    void drain(GracefulShutdown gracefulShutdown) {
+        shutdown = gracefulShutdown;
         selector.wakeup();
     }
 }
--- a/src/main/java/beaconladder/server/CloseCause.java
+++ b/src/main/java/beaconladder/server/CloseCause.java
@@ -1,8 +1,8 @@
 package beaconladder.server;
 
-/** Why a client's connection is closed; the names are those of the counters and of the trace. */
+/** Why a client's connection is closed. The constants' names appear in counters and in the trace. */
 enum CloseCause {
-    /** The client closed or half-closed it. */
+    /** The client closed or half-closed the connection. */
     CLIENT_CLOSED,
     /** The client sent Terminate. */
     CLIENT_TERMINATED,
@@ -10,16 +10,16 @@
     CLIENT_BROKEN,
     /** The connection carried a CancelRequest, after which it closes. */
     CANCEL_REQUEST,
-    /** A final error was sent, and what the client still sent was read and discarded. */
+    /** The client was sent an error after which the connection closes; what it sent afterwards was discarded. */
     TOLD_TO_GO,
-    /** It was idle, and its descriptor was needed or it had been idle for long. */
+    /** The connection was idle, and its descriptor was needed or it had been idle for long. */
     IDLE,
-    /** It was idle, and the router shuts down. */
+    /** The connection was idle, and the router shuts down. */
     DRAINED,
-    /** A fault of the router itself. */
+    /** An internal error of the router. */
     FAULT;
 
-    /** Whether the client closed it: then no answer is due. */
+    /** Whether the client ended the connection, so that no answer is due. */
     boolean isByClient() {
         return this == CLIENT_CLOSED || this == CLIENT_TERMINATED || this == CLIENT_BROKEN;
     }
