--- a/src/main/java/beaconladder/server/GracefulShutdown.java
+++ b/src/main/java/beaconladder/server/GracefulShutdown.java
@@ -1,35 +1,36 @@
 package beaconladder.server;
 
 /**
- * The deadlines of a router's graceful shutdown. Until the notice has passed, while endpoint lists and connection
- * poolers still route clients here, everything is served as before. Then each connection is read once more: what that
- * read finds is completed, what arrives later stays unread.
+ * The deadlines of a router's graceful shutdown. During the notice period endpoint lists and connection poolers may
+ * still direct clients to this router, so everything is served as before. Then each connection is read once more: what
+ * that read finds is completed, what arrives later is not served.
  *
  * @param requestedNanos when the shutdown was requested, in Unix nanoseconds of the dispatcher's clock
- * @param maxRequestNanos the longest that a request may be in flight
+ * @param maxRequestNanos the longest time budget of a request
  */
 record GracefulShutdown(long requestedNanos, long maxRequestNanos) {
-    /** Upper bound, by the protocol, of the time until those who hand out connections know of a shutdown. */
+    /** The notice period: the protocol's upper bound of the time until connections are directed elsewhere. */
     static final long NOTICE_NANOS = 700_000_000L;
-    /** The protocol counts the longest deadline as no shorter than this when it states when a kill may come. */
+    /** The protocol's lower bound of the time from the end of the notice period until the process may be killed. */
     private static final long MIN_KILL_DELAY_NANOS = 3_000_000_000L;
-    /** Margin: a signal arrives late on a fraction of a core, and an answer has to leave the machine. */
+    /** Margin for a signal that is handled late on a fraction of a core, and for sending the last answers. */
     private static final long SLACK_NANOS = 200_000_000L;
 
-    /** When the last read of each connection begins; afterwards only the rest of a message that had begun is read. */
+    /** Returns when the last read of each connection begins; later only messages begun by then are completed. */
     long readDeadlineNanos() {
         return requestedNanos + NOTICE_NANOS;
     }
 
-    /** When every request must have its answer: the process may be killed soon after. */
+    /** Returns when every request must have its answer, as the process may be killed soon afterwards. */
     long endNanos() {
         return readDeadlineNanos() + Math.max(maxRequestNanos, MIN_KILL_DELAY_NANOS) - SLACK_NANOS;
     }
 
     /**
-     * The expiry of a request that begins at the given time; equal to that time where it may not begin. The time of a
-     * pipelined query starts with the answer before it, so its budget may reach past the kill: a read is given what is
-     * left, while a write that is cut short might have run without an answer, so it gets its full budget or none.
+     * Returns the expiry of a request that begins at the given time, or that time itself if the request must not begin.
+     * The budget of a pipelined query starts with the answer before it, so it may reach past the time of the kill. A
+     * read then gets the remaining time. A write gets its full budget or none, because a write that is cut short may
+     * have run without an answer.
      */
     long expiryNanos(long beginNanos, long budgetNanos, boolean write) {
         boolean fullBudget = beginNanos <= readDeadlineNanos() && budgetNanos <= maxRequestNanos
--- a/src/main/java/beaconladder/server/InMemorySocket.java
+++ b/src/main/java/beaconladder/server/InMemorySocket.java
@@ -8,7 +8,7 @@
 import java.util.Arrays;
 import java.util.function.UnaryOperator;
 
-/** A socket in memory whose peer answers each write at once; for the warm-up and tests. */
+/** A socket in memory whose peer answers each write immediately; for the warm-up and tests. */
 final class InMemorySocket extends Socket {
     private final UnaryOperator<byte[]> answer;
     private byte[] bytes;
@@ -16,10 +16,10 @@
     private boolean closed;
 
     /**
-     * Makes a connected socket.
+     * Creates a connected socket.
      *
      * @param first the bytes that the peer sends first; may be empty
-     * @param answer the peer's answer to the bytes of one write; null when the peer closes
+     * @param answer returns the peer's answer to the bytes of one write, or null if the peer closes the connection
      */
     InMemorySocket(byte[] first, UnaryOperator<byte[]> answer) {
         this.bytes = first;
@@ -91,7 +91,7 @@
 
     @Override
     public void setSoTimeout(int millis) {
-        // The peer answers at once.
+        // The peer answers immediately, so no read can time out.
     }
 
     @Override
--- a/src/main/java/beaconladder/server/Monitor.java
+++ b/src/main/java/beaconladder/server/Monitor.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A router's own counters and the checks of its invariants; logged once a minute when changed, and at the end. */
+/** Holds a router's counters and invariant checks, and logs them once a minute if they changed, and at shutdown. */
 final class Monitor {
     private static final Logger LOG = LoggerFactory.getLogger(Monitor.class);
     private static final long LOG_INTERVAL_NANOS = 60_000_000_000L;
@@ -15,12 +15,12 @@
     private final Counters counters = new Counters();
     private final Violations violations;
     private final Invariants invariants;
-    /** When the counters were last due for the log, on System.nanoTime's clock. */
-    private long loggedAtNanos = System.nanoTime();
+    /** The {@code System.nanoTime} at which the sweep last logged the counters or found them unchanged. */
+    private long lastLogNanoTime = System.nanoTime();
 
-    private String lastLogged = "";
+    private String lastLoggedCounters = "";
 
-    /** A monitor with zero counts, for a router with these settings. */
+    /** Creates a monitor with zero counts for a router with these settings. */
     Monitor(Map<String, String> settings) {
         this(settings, new Violations());
     }
@@ -39,20 +39,20 @@
         return invariants;
     }
 
-    /** Called periodically: logs what has changed, at most once a minute. */
+    /** Logs changes at most once a minute; called periodically. */
     void sweep() {
         long now = System.nanoTime();
-        if (now - loggedAtNanos >= LOG_INTERVAL_NANOS) {
-            loggedAtNanos = now;
+        if (now - lastLogNanoTime >= LOG_INTERVAL_NANOS) {
+            lastLogNanoTime = now;
             logChanges();
         }
     }
 
-    /** Logs all counters unless none has changed since they were last logged. */
+    /** Logs all counters and violations if a counter has changed since the last time. */
     void logChanges() {
         String current = counters.toString();
-        if (!current.equals(lastLogged)) {
-            lastLogged = current;
+        if (!current.equals(lastLoggedCounters)) {
+            lastLoggedCounters = current;
             LOG.info("counters: {}", current);
             LOG.info("invariants violated: {}", violations);
         }
--- a/src/main/java/beaconladder/server/StartupResponse.java
+++ b/src/main/java/beaconladder/server/StartupResponse.java
@@ -6,18 +6,22 @@
 import java.util.List;
 
 /**
- * The response to a startup message, or to a request for encryption or for a cancel.
+ * The response to the first message of a connection: a startup message, an encryption request or a cancel request.
  *
- * @param answer null where the connection only closes
- * @param kind what the connection does next
- * @param key for CANCEL: the key of the connection whose query is to be cancelled
+ * @param answer the message to send, or null if the connection only closes
+ * @param kind what happens to the connection next
+ * @param key for CANCEL, the key of the connection whose query is to be cancelled; otherwise 0
  */
 record StartupResponse(MessageWriter answer, Kind kind, long key) {
-    /** Startup is complete, another startup message follows, the connection closes, or another's query is cancelled. */
+    /** What happens to the connection after the response. */
     enum Kind {
+        /** The startup is complete: queries may follow. */
         COMPLETE,
+        /** Another startup message follows. */
         CONTINUE,
+        /** The connection closes after an error. */
         FATAL,
+        /** A query on another connection is cancelled, and this connection closes. */
         CANCEL
     }
 
@@ -25,16 +29,21 @@
         this(answer, kind, 0);
     }
 
-    private static final int VERSION_3 = 3 << 16;
+    private static final int MAJOR_VERSION = 3;
+    private static final int VERSION_3 = MAJOR_VERSION << 16;
     private static final int CANCEL_REQUEST = 80877102;
     private static final int SSL_REQUEST = 80877103;
     private static final int GSSENC_REQUEST = 80877104;
+    /** The request code, the process number and the secret key. */
+    private static final int CANCEL_REQUEST_BODY_BYTES = 12;
+    /** The version and the terminating zero byte. */
+    private static final int MIN_STARTUP_BODY_BYTES = 5;
 
     /**
-     * The response to the message that the reader has just parsed.
+     * Returns the response to the message that the reader has just parsed.
      *
-     * @param full whether the router has no capacity for one more connection
-     * @param key the key by which a query on this connection can be cancelled
+     * @param full whether the router has no descriptor for one more connection
+     * @param key the key with which a query on this connection can be cancelled
      */
     static StartupResponse of(MessageReader in, boolean full, long key) {
         int length = in.messageEnd() - in.bodyStart();
@@ -45,14 +54,14 @@
             return new StartupResponse(
                     null,
                     Kind.CANCEL,
-                    length == 12
+                    length == CANCEL_REQUEST_BODY_BYTES
                             ? (long) in.int32(in.bodyStart() + 4) << 32 | in.int32(in.bodyStart() + 8) & 0xffffffffL
                             : 0);
-        } else if (version >> 16 != 3) {
+        } else if (version >> 16 != MAJOR_VERSION) {
             return fatal(
                     ErrorResponse.FEATURE_NOT_SUPPORTED,
                     "protocol " + (version >> 16) + "." + (version & 0xffff) + " is not spoken here, 3.0 is");
-        } else if (length < 5 || in.int8(in.messageEnd() - 1) != 0) {
+        } else if (length < MIN_STARTUP_BODY_BYTES || in.int8(in.messageEnd() - 1) != 0) {
             return fatal(ErrorResponse.PROTOCOL_VIOLATION, "a startup message without its end");
         } else if (full) {
             EventTrace.rejectedEarly("refused: no descriptor");
@@ -74,20 +83,20 @@
                 Kind.COMPLETE);
     }
 
-    /** An error after which the connection closes. */
+    /** Returns an error response after which the connection closes. */
     static StartupResponse fatal(String sqlState, String message) {
         return new StartupResponse(ErrorResponse.fatal(sqlState, message), Kind.FATAL);
     }
 
-    /** The protocol options that the client requests; none is supported. */
+    /** Returns the protocol options that the client requests; none is supported. */
     private static String[] unsupportedOptions(MessageReader in) {
         List<String> unsupported = new ArrayList<>();
-        for (int at = in.bodyStart() + 4; at < in.messageEnd() && in.int8(at) != 0; ) {
-            String name = in.cString(at);
+        for (int offset = in.bodyStart() + 4; offset < in.messageEnd() && in.int8(offset) != 0; ) {
+            String name = in.cString(offset);
             if (name.startsWith("_pq_.")) {
                 unsupported.add(name);
             }
-            at = in.afterCString(in.afterCString(at));
+            offset = in.afterCString(in.afterCString(offset));
         }
         return unsupported.toArray(String[]::new);
     }
--- a/src/main/java/beaconladder/server/WakeupTimer.java
+++ b/src/main/java/beaconladder/server/WakeupTimer.java
@@ -5,15 +5,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Waits until the next decision is due without an event, and then runs the decision loop. */
+/** Runs the decision loop at the times at which a decision is due without an event. */
 final class WakeupTimer implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(WakeupTimer.class);
-    /** Lower bound of the pause between two runs, so that the timer can't spin. */
+    /** Lower bound of the pause between two runs, so that the timer can't busy-loop. */
     private static final long MIN_PAUSE_MILLIS = 1;
 
     private final RequestDispatcher dispatcher;
     private final ReentrantLock lock;
-    /** Signalled when the next wakeup has become earlier. */
+    /** Signalled when the next run is moved to an earlier time. */
     private final Condition earlier;
     /** When the decision loop is due, in Unix nanoseconds of the dispatcher's clock; guarded by the lock. */
     private long dueNanos = Long.MAX_VALUE;
@@ -26,7 +26,7 @@
         this.earlier = lock.newCondition();
     }
 
-    /** Sets when the decision loop is due; the caller holds the lock. */
+    /** Sets when the decision loop is due, in Unix nanoseconds. The caller must hold the lock. */
     void schedule(long nextNanos) {
         if (nextNanos < dueNanos) {
             earlier.signal();
--- a/src/main/java/beaconladder/server/package-info.java
+++ b/src/main/java/beaconladder/server/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The router on sockets: it accepts clients, passes their queries through the routing policy, and exchanges them with
+ * The router's network side: accepts clients, passes their queries to the routing policy, and exchanges them with
  * hosts.
  *
  * <p>Path of a query: {@code ClientServer} reads it on the selector's thread, {@code RequestTask} parses it on a thread
@@ -7,20 +7,20 @@
  * carries an attempt out on a connection of {@code ServerConnectionPool} and reports its outcome to
  * {@code AttemptEvents}.
  *
- * <p>Who owns which state, and under which lock:
+ * <p>Ownership of state, and the lock that guards it:
  *
  * <ul>
  *   <li>The dispatcher's one lock guards the routing policy and all of its state, {@code PendingActions}, the lines
  *       gathered by {@code EventTrace}, the hosts of {@code EndpointList} (its groups and addresses are concurrent
  *       maps, readable without the lock), the wakeup time of {@code WakeupTimer}, and admission to cells
- *       ({@code CellDispatcher}). No socket is read, written or closed under it: actions on hosts and trace lines run
- *       after its release.
+ *       ({@code CellDispatcher}). No socket is read, written or closed under it: actions on hosts run and trace
+ *       lines are logged after its release.
  *   <li>Each {@code InFlightRequest}'s monitor guards the commands to its task. It may be taken under the dispatcher's
  *       lock, never the other way round.
  *   <li>Each {@code HostExchange}'s monitor guards its connection and whether it was cancelled; the connection itself
  *       is read and written by the exchange's thread only, while any thread may close it to cancel.
  *   <li>The monitor of the map in {@code IdleConnections} guards the idle connections; they are closed outside of it.
- *   <li>{@code RouterServer}'s monitor orders the start of listening, a reload and the begin of a drain.
+ *   <li>{@code RouterServer}'s monitor orders the start of listening, a reload and the start of a drain.
  *   <li>The selector's thread owns the connection table and registers, reads and removes clients.
  *   <li>{@code DescriptorLimit} and {@code ThreadLimit} count descriptors and threads for all of them.
  * </ul>
