--- a/src/test/java/beaconladder/server/ClockIT.java
+++ b/src/test/java/beaconladder/server/ClockIT.java
@@ -11,7 +11,7 @@
  * The wall clock of a router is wrong, or is stepped; the monotonic one runs on, and hosts tell positions by the true
  * time.
  */
-class ClockIT extends ServedProgram {
+class ClockIT extends RouterProcessFixture {
     private static final long HOUR = 3_600_000_000_000L;
     private static final int LOOKS = 40;
 
@@ -20,8 +20,8 @@
     private void start(long offset) throws Exception {
         plan = new FaultPlan(folder.resolve("plan"));
         plan.stepWallClock(offset);
-        int port = Program.freePort();
-        router = keep(new Program(
+        int port = RouterProcess.freePort();
+        router = closeAfterTest(new RouterProcess(
                         folder,
                         config(port),
                         port,
@@ -35,10 +35,10 @@
     }
 
     /** Reads within a bound of 500 ms, and writes, which tell the time as well. */
-    private void ask(TestClient c, String name, int count) throws InterruptedException {
+    private void query(TestClient c, String name, int count) throws InterruptedException {
         for (int i = 0; i < count; i++) {
-            assertThat(ask(c, fresh(name + i))).as(name + i).startsWith("T D:");
-            assertThat(ask(c, write(name + "w" + i, 1_500))).as(name + "w" + i).startsWith("T D:");
+            assertThat(query(c, fresh(name + i))).as(name + i).startsWith("T D:");
+            assertThat(query(c, write(name + "w" + i, 1_500))).as(name + "w" + i).startsWith("T D:");
             Thread.sleep(20);
         }
     }
@@ -47,20 +47,20 @@
     @Test
     void aClockThatWasBehindAtTheStartAndIsPutRightMakesNoReadStale() throws Exception {
         start(-HOUR);
-        TestClient c = caller();
+        TestClient c = connect();
         for (int i = 0; i < 5; i++) {
-            ask(c, fresh("behind" + i));
-            ask(c, write("behindw" + i, 1_500));
+            query(c, fresh("behind" + i));
+            query(c, write("behindw" + i, 1_500));
         }
         plan.stepWallClock(HOUR);
-        b.stoppedAt = System.currentTimeMillis();
+        replica.stoppedAt = System.currentTimeMillis();
         Thread.sleep(2_000);
-        b.queries.clear();
+        replica.queries.clear();
         for (int i = 0; i < LOOKS / 4; i++) {
-            ask(c, fresh("right" + i));
-            ask(c, write("rightw" + i, 1_500));
+            query(c, fresh("right" + i));
+            query(c, write("rightw" + i, 1_500));
         }
-        assertThat(b.queries())
+        assertThat(replica.queries())
                 .as("reads with a bound of 500 ms at a replica 2 s behind")
                 .noneMatch(query -> query.contains("c=fresh"));
     }
@@ -69,13 +69,13 @@
     void aClockThatIsWrongFromTheStartKeepsReplicasInUse() throws Exception {
         for (long offset : new long[] {-HOUR, HOUR}) {
             start(offset);
-            TestClient c = caller();
+            TestClient c = connect();
             // A primary that was never met gets no read; that is another matter.
-            ask(c, write("meet" + offset, 1_500));
-            ask(c, "first" + offset, LOOKS / 2);
-            b.queries.clear();
-            ask(c, "then" + offset, LOOKS / 2);
-            assertThat(b.queries().stream()
+            query(c, write("meet" + offset, 1_500));
+            query(c, "first" + offset, LOOKS / 2);
+            replica.queries.clear();
+            query(c, "then" + offset, LOOKS / 2);
+            assertThat(replica.queries().stream()
                             .filter(query -> query.contains("c=fresh"))
                             .count())
                     .as("bounded reads of " + LOOKS / 2 + " at the replica, off by " + offset)
@@ -86,13 +86,13 @@
     @Test
     void aClockThatIsSteppedWhileItRunsChangesNothing() throws Exception {
         start(0);
-        TestClient c = caller();
-        ask(c, "first", 5);
+        TestClient c = connect();
+        query(c, "first", 5);
         for (long step : new long[] {-HOUR, 2 * HOUR, -HOUR - 5_000_000_000L}) {
             plan.stepWallClock(step);
-            b.queries.clear();
-            ask(c, "step" + step, LOOKS / 4);
-            assertThat(b.queries().stream()
+            replica.queries.clear();
+            query(c, "step" + step, LOOKS / 4);
+            assertThat(replica.queries().stream()
                             .filter(query -> query.contains("c=fresh"))
                             .count())
                     .as("bounded reads at the replica after a step of " + step)
--- a/src/test/java/beaconladder/server/FullHouseIT.java
+++ b/src/test/java/beaconladder/server/DescriptorExhaustionIT.java
@@ -18,18 +18,18 @@
 
 /** Idle clients hold every descriptor they can get while discovery is down. */
 @Timeout(90)
-class FullHouseIT extends ServedProgram {
+class DescriptorExhaustionIT extends RouterProcessFixture {
     private static final int LIMIT = 80;
     private static final int IDLE = 2 * LIMIT;
 
     @Test
     void discoveryIsReachedAfterItsOutageAndAtANewAddressAndTheRouterDrains() throws Exception {
-        sockets = LIMIT;
-        int port = Program.freePort();
-        router = keep(new Program(folder, config(port), port, "ulimit -n " + LIMIT + "; "))
+        maxDescriptors = LIMIT;
+        int port = RouterProcess.freePort();
+        router = closeAfterTest(new RouterProcess(folder, config(port), port, "ulimit -n " + LIMIT + "; "))
                 .ready();
-        TestClient c = caller();
-        ask(c, read("warm", 2000));
+        TestClient c = connect();
+        query(c, read("warm", 2000));
         discovery.manner = Manner.SILENT;
         discovery.silenceOpenConnections();
         List<Socket> idle = new ArrayList<>();
@@ -38,18 +38,18 @@
         TimeUnit.MILLISECONDS.sleep(5_500);
         fill(idle);
 
-        HostStandIn d = keep(new HostStandIn("follower"));
-        discovery.list(true, a.entry("a", "Ready"), b.entry("b", "Terminating"), d.entry("d", "Ready"));
+        HostStandIn d = closeAfterTest(new HostStandIn("follower"));
+        discovery.list(true, primary.entry("a", "Ready"), replica.entry("b", "Terminating"), d.entry("d", "Ready"));
         discovery.manner = Manner.ANSWER;
         awaitServed(d, 2_050);
 
-        HostStandIn e = keep(new HostStandIn("follower"));
-        discovery = keep(new DiscoveryStandIn());
-        discovery.list(true, a.entry("a", "Ready"), d.entry("d", "Terminating"), e.entry("e", "Ready"));
+        HostStandIn e = closeAfterTest(new HostStandIn("follower"));
+        discovery = closeAfterTest(new DiscoveryStandIn());
+        discovery.list(true, primary.entry("a", "Ready"), d.entry("d", "Terminating"), e.entry("e", "Ready"));
         fill(idle);
         router.reload(config(port));
         awaitServed(e, 4_000);
-        assertThat(router.files()).isLessThanOrEqualTo(LIMIT);
+        assertThat(router.openFileCount()).isLessThanOrEqualTo(LIMIT);
 
         router.signal("TERM");
         assertThat(router.process.waitFor(10, TimeUnit.SECONDS)).isTrue();
@@ -59,15 +59,15 @@
 
     /** Keeps this many connections open, each served or rejected; a rejected client connects again. */
     private void fill(List<Socket> idle) throws IOException {
-        idle.removeIf(socket -> !open(socket));
+        idle.removeIf(socket -> !isOpen(socket));
         while (idle.size() < IDLE) {
-            Socket socket = keep(new Socket(InetAddress.getLoopbackAddress(), router.port));
+            Socket socket = closeAfterTest(new Socket(InetAddress.getLoopbackAddress(), router.port));
             idle.add(socket);
             MessageWriter.startup("app", "shop").writeTo(socket.getOutputStream());
         }
     }
 
-    private static boolean open(Socket socket) {
+    private static boolean isOpen(Socket socket) {
         try {
             socket.setSoTimeout(1);
             while (socket.getInputStream().available() > 0) {
--- a/src/test/java/beaconladder/server/GoneClientsIT.java
+++ b/src/test/java/beaconladder/server/DisconnectedClientsIT.java
@@ -22,17 +22,17 @@
  * After a client closes or cancels, no attempt for it begins more than a tenth of a second later, as seen by the hosts.
  */
 @Timeout(60)
-class GoneClientsIT extends ServedProgram {
+class DisconnectedClientsIT extends RouterProcessFixture {
     private static final long MAX_DELAY_MILLIS = 100;
 
     /** Its close follows queries that have not been read yet. */
     @Test
     void nothingIsForwardedFromAFullPipelineAfterItsClientHasClosed() throws Exception {
         start();
-        TestClient c = caller();
-        ask(c, read("warm", 2000));
-        a.delayMillis = 400;
-        b.delayMillis = 400;
+        TestClient c = connect();
+        query(c, read("warm", 2000));
+        primary.delayMillis = 400;
+        replica.delayMillis = 400;
         pipeline("p", 200).writeTo(c.out);
         // It has read what it received, so that its close is orderly and no reset.
         c.answer();
@@ -45,10 +45,10 @@
     @Test
     void nothingIsForwardedForAClientThatClosesInTheMiddleOfAMessage() throws Exception {
         start();
-        TestClient c = caller();
-        ask(c, read("warm", 2000));
-        a.delayMillis = 300;
-        b.delayMillis = 300;
+        TestClient c = connect();
+        query(c, read("warm", 2000));
+        primary.delayMillis = 300;
+        replica.delayMillis = 300;
         MessageWriter all = pipeline("h", 5);
         all.writeTo(c.out);
         c.out.write(new byte[] {'Q', 0, 0, 1, 0, 'S', 'E'});
@@ -61,10 +61,10 @@
     @Test
     void nothingIsForwardedForAClientThatClosesAfterTheFinalReadOfADrain() throws Exception {
         start();
-        TestClient c = caller();
-        ask(c, read("warm", 2000));
-        a.delayMillis = 400;
-        b.delayMillis = 400;
+        TestClient c = connect();
+        query(c, read("warm", 2000));
+        primary.delayMillis = 400;
+        replica.delayMillis = 400;
         router.signal("TERM");
         TimeUnit.MILLISECONDS.sleep(450);
         pipeline("d", 4).writeTo(c.out);
@@ -78,17 +78,17 @@
     @Test
     void whatArrivesAfterTheFinalReadOfADrainIsRejectedInItsTurn() throws Exception {
         start();
-        TestClient c = caller();
-        ask(c, read("warm", 2000));
-        a.delayMillis = 500;
-        b.delayMillis = 500;
+        TestClient c = connect();
+        query(c, read("warm", 2000));
+        primary.delayMillis = 500;
+        replica.delayMillis = 500;
         router.signal("TERM");
         TimeUnit.MILLISECONDS.sleep(450);
         pipeline("in", 1).writeTo(c.out);
         await(() -> !acceptsClients());
         pipeline("late", 2).writeTo(c.out);
-        say(c.answer(), c.answer(), c.answer(), c.answer());
-        assertThat(trace.toString()).isEqualTo("T D:00ff27 C:SELECT 1 Z\nE:57P03 Z\nE:57P03 Z\nclosed\n");
+        append(c.answer(), c.answer(), c.answer(), c.answer());
+        assertThat(transcript.toString()).isEqualTo("T D:00ff27 C:SELECT 1 Z\nE:57P03 Z\nE:57P03 Z\nclosed\n");
         assertThat(seen("late")).isEmpty();
     }
 
@@ -96,14 +96,14 @@
     @Test
     void nothingIsSentOverAConnectionThatOpensAfterTheClientHasClosed() throws Exception {
         start();
-        TestClient c = caller();
-        a.closesAfterAnswer = true;
-        b.closesAfterAnswer = true;
+        TestClient c = connect();
+        primary.closesAfterAnswer = true;
+        replica.closesAfterAnswer = true;
         for (int i = 0; i < 4; i++) {
-            ask(c, read("warm" + i, 2000));
+            query(c, read("warm" + i, 2000));
         }
-        a.greetMillis = 200;
-        b.greetMillis = 200;
+        primary.greetMillis = 200;
+        replica.greetMillis = 200;
         MessageWriter.query(read("g1", 2000)).writeTo(c.out);
         TimeUnit.MILLISECONDS.sleep(20);
         c.close();
@@ -114,12 +114,12 @@
     @Test
     void nothingIsForwardedForManyClientsThatCloseAtOnceWhileTheyWait() throws Exception {
         start();
-        TestClient first = caller();
-        ask(first, write("warm", 2000));
-        a.manner = Manner.MISS;
+        TestClient first = connect();
+        query(first, write("warm", 2000));
+        primary.manner = Manner.MISS;
         List<TestClient> all = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            all.add(caller());
+            all.add(connect());
             MessageWriter.query(write("m" + i + "x", 2000)).writeTo(all.get(i).out);
         }
         await(() -> !seen("m").isEmpty());
@@ -128,17 +128,17 @@
             c.close();
         }
         long gone = System.currentTimeMillis();
-        a.manner = Manner.ANSWER;
+        primary.manner = Manner.ANSWER;
         nothingAfter(gone, "m", 1_500);
-        await(() -> ask(first, write("again", 2000)).contains("C:"));
+        await(() -> query(first, write("again", 2000)).contains("C:"));
     }
 
     @Test
     void aCancelRequestCancelsTheQueryInFlightOnItsConnectionOnly() throws Exception {
         start();
         Keyed c = new Keyed();
-        a.manner = Manner.SILENT;
-        b.manner = Manner.SILENT;
+        primary.manner = Manner.SILENT;
+        replica.manner = Manner.SILENT;
         MessageWriter.query(write("c1", 2000))
                 .append(MessageWriter.query(write("c2", 2000)))
                 .writeTo(c.out);
@@ -146,14 +146,14 @@
         cancel(c.process, c.secret + 1);
         TimeUnit.MILLISECONDS.sleep(300);
         assertThat(c.waiting()).isZero();
-        a.manner = Manner.ANSWER;
-        b.manner = Manner.ANSWER;
+        primary.manner = Manner.ANSWER;
+        replica.manner = Manner.ANSWER;
         long from = System.currentTimeMillis();
         cancel(c.process, c.secret);
-        say(c.caller.answer());
+        append(c.caller.answer());
         assertThat(System.currentTimeMillis() - from).isLessThan(500);
-        say(c.caller.answer());
-        assertThat(trace.toString()).isEqualTo("E:57014 Z\nT D:00ff27 C:SELECT 1 Z\n");
+        append(c.caller.answer());
+        assertThat(transcript.toString()).isEqualTo("E:57014 Z\nT D:00ff27 C:SELECT 1 Z\n");
         assertThat(seen("c1")).hasSize(1);
     }
 
@@ -170,7 +170,7 @@
     /** The ids with this prefix that a host saw. */
     private List<String> seen(String name) {
         List<String> ids = new ArrayList<>();
-        for (HostStandIn host : List.of(a, b)) {
+        for (HostStandIn host : List.of(primary, replica)) {
             for (String query : host.queries()) {
                 if (query.contains("id=" + name)) {
                     ids.add(query.replaceAll(".*(id=[^,]*,).*", "$1"));
@@ -183,7 +183,7 @@
     private void nothingAfter(long gone, String name, long watch) throws InterruptedException {
         TimeUnit.MILLISECONDS.sleep(watch);
         for (String id : seen(name)) {
-            assertThat(a.sawBefore(id, gone + MAX_DELAY_MILLIS) || b.sawBefore(id, gone + MAX_DELAY_MILLIS))
+            assertThat(primary.sawBefore(id, gone + MAX_DELAY_MILLIS) || replica.sawBefore(id, gone + MAX_DELAY_MILLIS))
                     .as(id)
                     .isTrue();
         }
@@ -212,7 +212,7 @@
 
     /** A client that keeps its cancel key. */
     private final class Keyed {
-        private final Socket socket = keep(new Socket(InetAddress.getLoopbackAddress(), router.port));
+        private final Socket socket = closeAfterTest(new Socket(InetAddress.getLoopbackAddress(), router.port));
         private final java.io.OutputStream out = socket.getOutputStream();
         private final TestClient caller;
         private int process;
--- a/src/test/java/beaconladder/server/DiscoveryIT.java
+++ b/src/test/java/beaconladder/server/DiscoveryIT.java
@@ -75,7 +75,7 @@
                 agent -> agent.manner = Manner.SILENT,
                 agent -> agent.garbage = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[}");
         List<DiscoveryStandIn> agents = new ArrayList<>();
-        List<Program> routers = new ArrayList<>();
+        List<RouterProcess> routers = new ArrayList<>();
         for (int i = 0; i < faults.size(); i++) {
             agents.add(agent());
             routers.add(router("n" + i, agents.get(i)));
@@ -84,9 +84,9 @@
         DiscoveryStandIn moved = agent();
         moved.list(true, entries("Terminating"));
         DiscoveryStandIn before = agent();
-        int port = Program.freePort();
-        Program hungUp =
-                keep(new Program(folder, file("m", port, before), port)).ready();
+        int port = RouterProcess.freePort();
+        RouterProcess hungUp =
+                keep(new RouterProcess(folder, file("m", port, before), port)).ready();
         load("m", hungUp);
         Awaitility.await()
                 .until(() -> List.of("f0-", "f1-", "f2-", "f3-", "f4-", "m-").stream()
@@ -158,12 +158,12 @@
         return RouterFile.of(name, port, agent, 256, 144, entries("Ready"));
     }
 
-    private Program router(String name, DiscoveryStandIn agent) throws Exception {
-        int port = Program.freePort();
-        return keep(new Program(folder, file(name, port, agent), port)).ready();
+    private RouterProcess router(String name, DiscoveryStandIn agent) throws Exception {
+        int port = RouterProcess.freePort();
+        return keep(new RouterProcess(folder, file(name, port, agent), port)).ready();
     }
 
-    private void load(String name, Program router) {
+    private void load(String name, RouterProcess router) {
         Thread client = new Thread(() -> {
             SplittableRandom chance = new SplittableRandom(name.hashCode());
             try (TestClient caller = writers.open(router.port)) {
--- a/src/test/java/beaconladder/server/LastCloseIT.java
+++ b/src/test/java/beaconladder/server/DrainCloseIT.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A query that crosses the close of the last connection of a drain. */
-class LastCloseIT extends ServedProgram {
+class DrainCloseIT extends RouterProcessFixture {
     /** The router waits for 100 ms after the last answer, and the JVM up to 300 ms for threads in system calls. */
     private static final int SOON_MILLIS = 80;
 
@@ -19,9 +19,9 @@
     @Test
     void aQueryThatCrossesTheCloseIsResetAtOnce() throws Exception {
         start();
-        TestClient c = caller();
-        a.delayMillis = 1_200;
-        b.delayMillis = 1_200;
+        TestClient c = connect();
+        primary.delayMillis = 1_200;
+        replica.delayMillis = 1_200;
         MessageWriter.query(read("slow", 2_000)).writeTo(c.out);
         Thread.sleep(100);
         router.signal("TERM");
--- a/src/test/java/beaconladder/server/RestartAndOverloadIT.java
+++ b/src/test/java/beaconladder/server/RestartAndOverloadIT.java
@@ -71,11 +71,11 @@
     private void flood(int configuredDescriptors, int availableDescriptors) throws Exception {
         a.delayMillis = 40;
         b.delayMillis = 40;
-        Program program = start(configuredDescriptors, "ulimit -n " + availableDescriptors + "; ");
+        RouterProcess program = start(configuredDescriptors, "ulimit -n " + availableDescriptors + "; ");
         AtomicInteger maxOpenFiles = new AtomicInteger();
         Thread fileWatch = startThread(() -> {
             while (!finished) {
-                maxOpenFiles.accumulateAndGet(program.files(), Math::max);
+                maxOpenFiles.accumulateAndGet(program.openFileCount(), Math::max);
                 TimeUnit.MILLISECONDS.sleep(1);
             }
         });
@@ -114,10 +114,10 @@
         List<Thread> clients = new ArrayList<>();
         AtomicInteger cleanExits = new AtomicInteger();
         for (int p = 0; p < 2; p++) {
-            int port = Program.freePort();
+            int port = RouterProcess.freePort();
             restarts.add(startThread(() -> {
                 for (int k = 0; k < 10; k++) {
-                    Program program = start(1024, "", port);
+                    RouterProcess program = start(1024, "", port);
                     TimeUnit.MILLISECONDS.sleep(300);
                     program.signal("TERM");
                     if (program.process.waitFor(15, TimeUnit.SECONDS) && program.process.exitValue() == 0) {
@@ -158,7 +158,7 @@
     void twoHundredPausesOfTheProcessUnderLoadLoseNoRequest() throws Exception {
         a.delayMillis = 2;
         b.delayMillis = 2;
-        Program program = start(128, "");
+        RouterProcess program = start(128, "");
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             int clientNumber = i;
@@ -224,14 +224,14 @@
         return thread;
     }
 
-    private Program start(int descriptors, String shellPrefix) throws Exception {
-        return start(descriptors, shellPrefix, Program.freePort());
+    private RouterProcess start(int descriptors, String shellPrefix) throws Exception {
+        return start(descriptors, shellPrefix, RouterProcess.freePort());
     }
 
-    private Program start(int descriptors, String shellPrefix, int port) throws Exception {
-        return keep(new Program(
+    private RouterProcess start(int descriptors, String shellPrefix, int port) throws Exception {
+        return keep(new RouterProcess(
                         folder,
-                        Program.config(port, discovery, descriptors, 192, a.entry("a", "Ready")),
+                        RouterProcess.config(port, discovery, descriptors, 192, a.entry("a", "Ready")),
                         port,
                         shellPrefix))
                 .ready();
--- a/src/test/java/beaconladder/server/ServeLifeIT.java
+++ b/src/test/java/beaconladder/server/RouterLifecycleIT.java
@@ -21,38 +21,38 @@
 
 /** Limits, the list, a reload, a planned restart, and what cannot start. */
 @Timeout(60)
-class ServeLifeIT extends ServedProgram {
+class RouterLifecycleIT extends RouterProcessFixture {
     @Test
     void connectsAndClosesLeakNothing() throws Exception {
         start();
         for (int i = 0; i < 20; i++) {
-            ask(caller(), read("x", 2000));
+            query(connect(), read("x", 2000));
         }
-        closeCallers();
-        await(() -> router.files() < 60);
-        int files = router.files();
+        closeClients();
+        await(() -> router.openFileCount() < 60);
+        int files = router.openFileCount();
         for (int i = 0; i < 300; i++) {
-            TestClient c = caller();
+            TestClient c = connect();
             if (i % 3 == 0) {
                 MessageWriter.query(read("x" + i, 2000)).writeTo(c.out);
             } else if (i % 3 == 1) {
-                ask(c, read("x" + i, 2000));
+                query(c, read("x" + i, 2000));
             }
             c.close();
         }
-        await(() -> router.files() <= files + 5);
-        assertThat(router.threads()).isLessThan(100);
+        await(() -> router.openFileCount() <= files + 5);
+        assertThat(router.threadCount()).isLessThan(100);
     }
 
     @Test
     void aSlowReaderHoldsUpNobodyElse() throws Exception {
         start();
-        TestClient slow = caller();
-        b.value = new byte[60_000];
+        TestClient slow = connect();
+        replica.value = new byte[60_000];
         for (int i = 0; i < 200; i++) {
             MessageWriter.query(read("slow" + i, 10_000)).writeTo(slow.out);
         }
-        TestClient other = caller();
+        TestClient other = connect();
         for (int i = 0; i < 5; i++) {
             assertThat(other.ask(read("r" + i, 2000))).startsWith("T D:0000").endsWith("C:SELECT 1 Z");
         }
@@ -60,21 +60,21 @@
 
     @Test
     void nearTheLimitIdleConnectionsGoFirstAndWhoCannotStayIsTold() throws Exception {
-        sockets = 76;
+        maxDescriptors = 76;
         start();
         List<TestClient> idle = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            idle.add(caller());
+            idle.add(connect());
             TimeUnit.MILLISECONDS.sleep(15);
         }
-        say(
+        append(
                 "the newest of 30 " + idle.get(29).ask(""),
                 "the oldest " + idle.get(0).answer());
-        b.delayMillis = 1500;
-        a.delayMillis = 1500;
+        replica.delayMillis = 1500;
+        primary.delayMillis = 1500;
         List<TestClient> busy = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
-            TestClient c = new TestClient(keep(new Socket(InetAddress.getLoopbackAddress(), router.port)));
+            TestClient c = new TestClient(closeAfterTest(new Socket(InetAddress.getLoopbackAddress(), router.port)));
             MessageWriter.startup("app", "shop")
                     .append(MessageWriter.query(read("b" + i, 3000)))
                     .writeTo(c.out);
@@ -90,18 +90,18 @@
                         .contains(e))
                 .contains("E:53300 closed")
                 .contains("T D:00ff27 C:SELECT 1 Z");
-        assertThat(trace.toString()).isEqualTo("the newest of 30 I Z\nthe oldest closed\n");
+        assertThat(transcript.toString()).isEqualTo("the newest of 30 I Z\nthe oldest closed\n");
     }
 
     /** The least memory has room for 64 threads; a txn in hand takes one. */
     @Test
     void aTxnForWhichNoThreadIsLeftIsDeclinedAtOnce() throws Exception {
-        memory = 1;
+        memoryMb = 1;
         start();
-        b.delayMillis = 1000;
+        replica.delayMillis = 1000;
         List<TestClient> callers = new ArrayList<>();
         for (int i = 0; i < 80; i++) {
-            callers.add(caller());
+            callers.add(connect());
         }
         for (TestClient c : callers) {
             MessageWriter.query(read("x" + callers.indexOf(c), 2000)).writeTo(c.out);
@@ -115,14 +115,14 @@
             }
         }
         assertThat(early).isNotEmpty().hasSizeLessThan(40).containsOnly("E:53300 Z");
-        assertThat(router.threads()).isLessThan(100);
+        assertThat(router.threadCount()).isLessThan(100);
     }
 
     @Test
     void theListIsFollowedAndStandsWhileDiscoveryTalksNonsense() throws Exception {
         start();
-        TestClient c = caller();
-        say("at first " + c.ask(read("r1", 1500)));
+        TestClient c = connect();
+        append("at first " + c.ask(read("r1", 1500)));
         for (String bad : List.of(
                 "HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\n{}",
                 "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"version\":",
@@ -133,22 +133,22 @@
             discovery.garbage = bad;
             await(() -> discovery.calls.get() >= calls + 2);
             discovery.garbage = null;
-            say("after nonsense " + c.ask(read("r2", 1500)));
+            append("after nonsense " + c.ask(read("r2", 1500)));
         }
         assertThat(discovery.calls.get()).isLessThan(60);
-        HostStandIn d = keep(new HostStandIn("follower"));
-        discovery.list(false, d.entry("d", "Ready"), b.entry("b", "Terminating"));
-        int old = b.queries.size();
-        await(() -> d.queries.isEmpty() && ask(c, read("r3", 1500)).contains("C:") && !d.queries.isEmpty());
-        int atB = b.queries.size();
-        say("draining " + c.ask(read("r4", 1500)) + (b.queries.size() == atB ? "" : " at the drained host"));
-        HostStandIn moved = keep(new HostStandIn("follower"));
-        discovery.list(true, a.entry("a", "Ready"), moved.entry("d", "Ready"));
-        await(() -> ask(c, read("r5", 1500)).contains("C:") && !moved.queries.isEmpty());
+        HostStandIn d = closeAfterTest(new HostStandIn("follower"));
+        discovery.list(false, d.entry("d", "Ready"), replica.entry("b", "Terminating"));
+        int old = replica.queries.size();
+        await(() -> d.queries.isEmpty() && query(c, read("r3", 1500)).contains("C:") && !d.queries.isEmpty());
+        int atB = replica.queries.size();
+        append("draining " + c.ask(read("r4", 1500)) + (replica.queries.size() == atB ? "" : " at the drained host"));
+        HostStandIn moved = closeAfterTest(new HostStandIn("follower"));
+        discovery.list(true, primary.entry("a", "Ready"), moved.entry("d", "Ready"));
+        await(() -> query(c, read("r5", 1500)).contains("C:") && !moved.queries.isEmpty());
         int atD = d.queries.size();
-        say("moved " + c.ask(read("r6", 1500)) + (d.queries.size() == atD ? "" : " at the old address"));
+        append("moved " + c.ask(read("r6", 1500)) + (d.queries.size() == atD ? "" : " at the old address"));
         assertThat(old).isLessThanOrEqualTo(atB);
-        assertThat(trace.toString())
+        assertThat(transcript.toString())
                 .isEqualTo("at first T D:00ff27 C:SELECT 1 Z\n"
                         + "after nonsense T D:00ff27 C:SELECT 1 Z\n".repeat(5)
                         + "draining T D:00ff27 C:SELECT 1 Z\nmoved T D:00ff27 C:SELECT 1 Z\n");
@@ -157,17 +157,17 @@
     @Test
     void aReloadMovesTheWatchAndAFileThatCannotBeReadChangesNothing() throws Exception {
         start();
-        TestClient c = caller();
-        ask(c, read("warm", 2000));
+        TestClient c = connect();
+        query(c, read("warm", 2000));
         long faults = 0;
         for (int i = 0; i < 2; i++) {
             DiscoveryStandIn before = discovery;
-            HostStandIn d = keep(new HostStandIn("follower"));
-            discovery = keep(new DiscoveryStandIn());
-            discovery.list(true, a.entry("a", "Ready"), d.entry("d" + i, "Ready"));
+            HostStandIn d = closeAfterTest(new HostStandIn("follower"));
+            discovery = closeAfterTest(new DiscoveryStandIn());
+            discovery.list(true, primary.entry("a", "Ready"), d.entry("d" + i, "Ready"));
             router.reload(config(router.port));
             long from = System.nanoTime();
-            await(() -> ask(c, read("r" + System.nanoTime(), 1500)).contains("C:") && !d.queries.isEmpty());
+            await(() -> query(c, read("r" + System.nanoTime(), 1500)).contains("C:") && !d.queries.isEmpty());
             assertThat(System.nanoTime() - from).isLessThan(3_000_000_000L);
             int calls = before.calls.get();
             before.close();
@@ -185,26 +185,26 @@
                         == told);
             }
             assertThat(before.calls.get()).isEqualTo(calls);
-            say(c.ask(read("after" + i, 1500)));
+            append(c.ask(read("after" + i, 1500)));
         }
         router.process.toHandle().destroy();
         assertThat(router.process.waitFor(10, TimeUnit.SECONDS)).isTrue();
         assertThat(router.process.exitValue()).isZero();
         assertThat(router.log().lines().filter(l -> l.contains("not reloaded"))).hasSize(8);
-        assertThat(trace.toString()).isEqualTo("T D:00ff27 C:SELECT 1 Z\n".repeat(2));
+        assertThat(transcript.toString()).isEqualTo("T D:00ff27 C:SELECT 1 Z\n".repeat(2));
     }
 
     @Test
     void aPlannedRestartUnderLoadLosesNoTxnAndEndsWithZero() throws Exception {
         start();
-        b.delayMillis = 30;
+        replica.delayMillis = 30;
         AtomicInteger answered = new AtomicInteger();
         List<String> odd = new CopyOnWriteArrayList<>();
         List<Thread> load = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             int n = i;
             Thread thread = new Thread(() -> {
-                try (TestClient c = caller()) {
+                try (TestClient c = connect()) {
                     for (int k = 0; k < 400; k++) {
                         String answer = c.ask(read("l" + n + "-" + k, 2000));
                         if (answer.equals("closed")) {
@@ -228,7 +228,7 @@
         router.process.toHandle().destroy();
         TimeUnit.MILLISECONDS.sleep(400);
         // Who comes while others don't know yet is served.
-        assertThat(caller().ask(read("late", 2000))).isEqualTo("T D:00ff27 C:SELECT 1 Z");
+        assertThat(connect().ask(read("late", 2000))).isEqualTo("T D:00ff27 C:SELECT 1 Z");
         assertThat(router.process.waitFor(10, TimeUnit.SECONDS)).isTrue();
         for (Thread thread : load) {
             thread.join();
@@ -240,7 +240,7 @@
 
     @Test
     void whatCannotStartSaysWhyInOneLineAndExitsWithOne() throws Exception {
-        ServerSocket taken = keep(new ServerSocket(0, 5, InetAddress.getLoopbackAddress()));
+        ServerSocket taken = closeAfterTest(new ServerSocket(0, 5, InetAddress.getLoopbackAddress()));
         String config = config(taken.getLocalPort());
         for (String text : List.of(
                 "",
@@ -249,16 +249,16 @@
                 config.replace("127.0.0.1:" + taken.getLocalPort(), "nowhere"),
                 config.replace("\"seed\":\"1f\"", "\"seed\":\"dice\""),
                 config)) {
-            Program program = keep(new Program(folder, text, taken.getLocalPort()));
+            RouterProcess program = closeAfterTest(new RouterProcess(folder, text, taken.getLocalPort()));
             assertThat(program.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
-            say(program.process.exitValue() + " "
+            append(program.process.exitValue() + " "
                     + program.log()
                             .replaceAll("(?s)/\\S*config\\d*.json", "FILE")
                             .lines()
                             .filter(l -> !l.contains(" INFO "))
                             .collect(Collectors.joining("; ")));
         }
-        assertThat(trace.toString()).isEqualTo("""
+        assertThat(transcript.toString()).isEqualTo("""
                 1 beaconladder: bad JSON at character 0: the text ends where a value belongs
                 1 beaconladder: bad JSON at character 1: Unexpected end-of-input: expected close marker for \
                 Object
--- a/src/test/java/beaconladder/server/Program.java
+++ b/src/test/java/beaconladder/server/RouterProcess.java
@@ -16,36 +16,36 @@
 import org.awaitility.Awaitility;
 
 /** The program, started by the line that operators use. */
-final class Program implements AutoCloseable {
+final class RouterProcess implements AutoCloseable {
     final Process process;
     final int port;
     private final Path log;
     private final Path file;
 
-    Program(Path folder, String config, int port) throws IOException {
+    RouterProcess(Path folder, String config, int port) throws IOException {
         this(folder, config, port, "");
     }
 
     /** One whose shell does something first. */
-    Program(Path folder, String config, int port, String before) throws IOException {
+    RouterProcess(Path folder, String config, int port, String shellPrefix) throws IOException {
         this.port = port;
         file = Files.createTempFile(folder, "config", ".json");
         Files.writeString(file, config);
         log = Files.createTempFile(folder, "log", ".txt");
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+        String runCommand = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow()
                 .split("\"")[1];
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", before + run)
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", shellPrefix + runCommand)
                 .redirectErrorStream(true)
                 .redirectOutput(log.toFile());
         builder.environment().put("BALANCER_CONFIG", file.toString());
         process = builder.start();
     }
 
-    static String config(int port, DiscoveryStandIn discovery, int sockets, int memory, String known) {
-        return RouterFile.of("n0", port, discovery, sockets, memory, known);
+    static String config(int port, DiscoveryStandIn discovery, int maxDescriptors, int memoryMb, String known) {
+        return RouterFile.of("n0", port, discovery, maxDescriptors, memoryMb, known);
     }
 
     static int freePort() throws IOException {
@@ -55,18 +55,18 @@
     }
 
     /** Waits until it answers an empty query. */
-    Program ready() {
+    RouterProcess ready() {
         Awaitility.await()
                 .atMost(Duration.ofSeconds(20))
                 .pollInterval(Duration.ofMillis(10))
                 .until(() -> {
                     assertThat(process.isAlive()).as(log()).isTrue();
-                    try (TestClient caller = new TestClient(new Socket(InetAddress.getLoopbackAddress(), port))) {
+                    try (TestClient client = new TestClient(new Socket(InetAddress.getLoopbackAddress(), port))) {
                         MessageWriter.startup("app", "shop")
                                 .append(MessageWriter.query(""))
-                                .writeTo(caller.out);
-                        caller.answer();
-                        return caller.answer().equals("I Z");
+                                .writeTo(client.out);
+                        client.answer();
+                        return client.answer().equals("I Z");
                     } catch (IOException e) {
                         return false;
                     }
@@ -93,17 +93,17 @@
         }
     }
 
-    int files() {
+    int openFileCount() {
         return count("fd");
     }
 
-    int threads() {
+    int threadCount() {
         return count("task");
     }
 
-    private int count(String what) {
-        try (var all = Files.list(Path.of("/proc", String.valueOf(process.pid()), what))) {
-            return (int) all.count();
+    private int count(String entry) {
+        try (var entries = Files.list(Path.of("/proc", String.valueOf(process.pid()), entry))) {
+            return (int) entries.count();
         } catch (IOException e) {
             return -1;
         }
--- a/src/test/java/beaconladder/server/ServedProgram.java
+++ b/src/test/java/beaconladder/server/RouterProcessFixture.java
@@ -22,7 +22,7 @@
 
 /** Starts the packaged program as operators do and talks to it over sockets, between stand-ins. */
 @Timeout(60)
-abstract class ServedProgram {
+abstract class RouterProcessFixture {
     private static final String READ = "SELECT doc FROM items WHERE id = 'k' /* id=%s,c=any,t=acme,d=%d,cluster=1 */";
     private static final String WRITE = "INSERT INTO items (id, doc) VALUES ('k', '\\x9f03') RETURNING doc "
             + "/* id=%s,c=write,t=acme,d=%d,cluster=1 */";
@@ -30,26 +30,26 @@
     @TempDir
     Path folder;
 
-    final List<AutoCloseable> open = new ArrayList<>();
-    final StringBuilder trace = new StringBuilder();
-    int sockets = 1024;
-    int memory = 192;
-    HostStandIn a;
-    HostStandIn b;
+    final List<AutoCloseable> resources = new ArrayList<>();
+    final StringBuilder transcript = new StringBuilder();
+    int maxDescriptors = 1024;
+    int memoryMb = 192;
+    HostStandIn primary;
+    HostStandIn replica;
     DiscoveryStandIn discovery;
-    Program router;
+    RouterProcess router;
 
     @BeforeEach
-    void standIns() throws IOException {
-        a = keep(new HostStandIn("leader"));
-        b = keep(new HostStandIn("follower"));
-        discovery = keep(new DiscoveryStandIn());
-        discovery.list(true, a.entry("a", "Ready"), b.entry("b", "Ready"));
+    void startStandIns() throws IOException {
+        primary = closeAfterTest(new HostStandIn("leader"));
+        replica = closeAfterTest(new HostStandIn("follower"));
+        discovery = closeAfterTest(new DiscoveryStandIn());
+        discovery.list(true, primary.entry("a", "Ready"), replica.entry("b", "Ready"));
     }
 
     @AfterEach
-    void end() throws Exception {
-        for (AutoCloseable each : open) {
+    void closeResources() throws Exception {
+        for (AutoCloseable each : resources) {
             each.close();
         }
     }
@@ -62,7 +62,7 @@
         return WRITE.formatted(id, millis);
     }
 
-    static String ask(TestClient c, String query) {
+    static String query(TestClient c, String query) {
         try {
             return c.ask(query);
         } catch (IOException e) {
@@ -70,9 +70,9 @@
         }
     }
 
-    void say(String... lines) {
+    void append(String... lines) {
         for (String line : lines) {
-            trace.append(line).append('\n');
+            transcript.append(line).append('\n');
         }
     }
 
@@ -83,32 +83,32 @@
                 .until(done::getAsBoolean);
     }
 
-    synchronized <T extends AutoCloseable> T keep(T each) {
-        open.add(0, each);
+    synchronized <T extends AutoCloseable> T closeAfterTest(T each) {
+        resources.add(0, each);
         return each;
     }
 
-    void closeCallers() throws IOException {
-        for (AutoCloseable each : List.copyOf(open)) {
+    void closeClients() throws IOException {
+        for (AutoCloseable each : List.copyOf(resources)) {
             if (each instanceof TestClient c) {
                 c.close();
             }
         }
     }
 
-    TestClient caller() throws IOException {
-        TestClient c = keep(new TestClient(new Socket(InetAddress.getLoopbackAddress(), router.port)));
+    TestClient connect() throws IOException {
+        TestClient c = closeAfterTest(new TestClient(new Socket(InetAddress.getLoopbackAddress(), router.port)));
         MessageWriter.startup("app", "shop").writeTo(c.out);
         assertThat(c.answer()).isEqualTo("R S S S S K Z");
         return c;
     }
 
     void start() throws Exception {
-        int port = Program.freePort();
-        router = keep(new Program(folder, config(port), port)).ready();
+        int port = RouterProcess.freePort();
+        router = closeAfterTest(new RouterProcess(folder, config(port), port)).ready();
     }
 
     String config(int port) {
-        return Program.config(port, discovery, sockets, memory, a.entry("a", "Ready"));
+        return RouterProcess.config(port, discovery, maxDescriptors, memoryMb, primary.entry("a", "Ready"));
     }
 }
--- a/src/test/java/beaconladder/server/RouterServerIT.java
+++ b/src/test/java/beaconladder/server/RouterServerIT.java
@@ -17,14 +17,14 @@
 
 /** What clients get: the packaged program between stand-ins, over sockets. */
 @Timeout(60)
-class RouterServerIT extends ServedProgram {
+class RouterServerIT extends RouterProcessFixture {
     @Test
     void readsGoToTheReplicaAndWritesToThePrimaryWithTheirTextUnchangedAndTheRowAsItCame() throws Exception {
         start();
-        TestClient c = caller();
-        say(c.ask(read("r1", 1500)), c.ask(write("w1", 1500)), c.ask("SET x = 1"), c.ask(""), c.ask("reset all"));
-        say("a " + a.queries(), "b " + b.queries());
-        assertThat(trace.toString().replaceAll("d=1[34]\\d\\d", "d=less")).isEqualTo("""
+        TestClient c = connect();
+        append(c.ask(read("r1", 1500)), c.ask(write("w1", 1500)), c.ask("SET x = 1"), c.ask(""), c.ask("reset all"));
+        append("a " + primary.queries(), "b " + replica.queries());
+        assertThat(transcript.toString().replaceAll("d=1[34]\\d\\d", "d=less")).isEqualTo("""
                 T D:00ff27 C:SELECT 1 Z
                 T D:00ff27 C:SELECT 1 Z
                 C:SET Z
@@ -39,8 +39,8 @@
     @Test
     void queriesWrittenAheadAreAnsweredInTheirOrderAndTheFirstMayComeWithTheStartup() throws Exception {
         start();
-        Socket socket = keep(new Socket(InetAddress.getLoopbackAddress(), router.port));
-        b.delayMillis = 100;
+        Socket socket = closeAfterTest(new Socket(InetAddress.getLoopbackAddress(), router.port));
+        replica.delayMillis = 100;
         MessageWriter all = MessageWriter.startup("app", "shop")
                 .append(MessageWriter.query(read("r1", 2000)))
                 .append(MessageWriter.query(""))
@@ -48,8 +48,8 @@
                 .append(MessageWriter.query("DISCARD ALL"));
         all.writeTo(socket.getOutputStream());
         TestClient c = new TestClient(socket);
-        say(c.answer(), c.answer(), c.answer(), c.answer(), c.answer());
-        assertThat(trace.toString()).isEqualTo("""
+        append(c.answer(), c.answer(), c.answer(), c.answer(), c.answer());
+        assertThat(transcript.toString()).isEqualTo("""
                 R S S S S K Z
                 T D:00ff27 C:SELECT 1 Z
                 I Z
@@ -62,7 +62,7 @@
     @Test
     void everyOutcomeOfAHostIsToldApart() throws Exception {
         start();
-        TestClient c = caller();
+        TestClient c = connect();
         for (Manner manner : List.of(
                 Manner.MISS,
                 Manner.BEHIND,
@@ -82,18 +82,18 @@
                 Manner.HALF_AN_ERROR,
                 Manner.ODD_TAG,
                 Manner.STALL)) {
-            a.manner = manner;
-            b.manner = manner;
-            int before = a.queries.size() + b.queries.size();
+            primary.manner = manner;
+            replica.manner = manner;
+            int before = primary.queries.size() + replica.queries.size();
             String once = c.ask(write("w", 600));
-            int sent = a.queries.size() + b.queries.size() - before;
-            a.manner = Manner.ANSWER;
-            b.manner = Manner.ANSWER;
-            say(manner + ": " + once + (once.contains("40003") && sent > 1 ? " SENT AGAIN" : ""));
+            int sent = primary.queries.size() + replica.queries.size() - before;
+            primary.manner = Manner.ANSWER;
+            replica.manner = Manner.ANSWER;
+            append(manner + ": " + once + (once.contains("40003") && sent > 1 ? " SENT AGAIN" : ""));
             // What was held against the host is settled before the next.
-            await(() -> ask(c, write("again", 2000)).contains("C:SELECT 1"));
+            await(() -> query(c, write("again", 2000)).contains("C:SELECT 1"));
         }
-        assertThat(trace.toString()).isEqualTo("""
+        assertThat(transcript.toString()).isEqualTo("""
                 MISS: E:53300 Z
                 BEHIND: E:53300 Z
                 ERROR: E:40003 Z
@@ -119,14 +119,14 @@
     @Test
     void aReadWhoseAnswerIsSpoiltOrBreaksOffGoesAgainInTime() throws Exception {
         start();
-        TestClient c = caller();
-        HostStandIn d = keep(new HostStandIn("follower"));
+        TestClient c = connect();
+        HostStandIn d = closeAfterTest(new HostStandIn("follower"));
         discovery.list(false, d.entry("d", "Ready"));
-        await(() -> ask(c, read("warm", 2000)).contains("C:SELECT 1") && !d.queries.isEmpty());
-        b.manner = Manner.STALL;
+        await(() -> query(c, read("warm", 2000)).contains("C:SELECT 1") && !d.queries.isEmpty());
+        replica.manner = Manner.STALL;
         d.value = new byte[] {5};
-        int before = b.queries.size();
-        while (b.queries.size() == before) {
+        int before = replica.queries.size();
+        while (replica.queries.size() == before) {
             long from = System.nanoTime();
             assertThat(c.ask(read("r" + from, 1500))).isEqualTo("T D:05 C:SELECT 1 Z");
             assertThat(System.nanoTime() - from).isLessThan(450_000_000L);
@@ -136,13 +136,13 @@
     @Test
     void whatAHostSendsBehindItsAnswerIsNeverServedToTheNextTxn() throws Exception {
         start();
-        TestClient c = caller();
-        b.manner = Manner.TWICE;
+        TestClient c = connect();
+        replica.manner = Manner.TWICE;
         for (int i = 1; i <= 20; i++) {
-            b.value = new byte[] {(byte) i};
-            say(c.ask(read("t" + i, 1500)));
+            replica.value = new byte[] {(byte) i};
+            append(c.ask(read("t" + i, 1500)));
         }
-        assertThat(trace.toString())
+        assertThat(transcript.toString())
                 .isEqualTo(java.util.stream.IntStream.rangeClosed(1, 20)
                         .mapToObj(i -> "T D:%02x C:SELECT 1 Z\n".formatted(i))
                         .collect(Collectors.joining()));
@@ -151,26 +151,26 @@
     @Test
     void theIdOfATxnInHandIsRefusedAndThatTxnIsUnharmed() throws Exception {
         start();
-        b.delayMillis = 300;
-        TestClient first = caller();
-        TestClient second = caller();
+        replica.delayMillis = 300;
+        TestClient first = connect();
+        TestClient second = connect();
         MessageWriter.query(read("same", 2000)).writeTo(first.out);
-        await(() -> b.queries.size() == 1);
-        say(second.ask(read("same", 2000)), first.answer(), second.ask(read("same", 2000)));
-        assertThat(trace.toString()).isEqualTo("E:22023 Z\nT D:00ff27 C:SELECT 1 Z\nT D:00ff27 C:SELECT 1 Z\n");
+        await(() -> replica.queries.size() == 1);
+        append(second.ask(read("same", 2000)), first.answer(), second.ask(read("same", 2000)));
+        assertThat(transcript.toString()).isEqualTo("E:22023 Z\nT D:00ff27 C:SELECT 1 Z\nT D:00ff27 C:SELECT 1 Z\n");
     }
 
     /** Each is told within three seconds, and the usual clients don't notice. */
     @Test
     void whoConnectsAndSaysNothingOrHalfAMessageIsToldAndClosed() throws Exception {
-        sockets = 200;
+        maxDescriptors = 200;
         start();
-        TestClient usual = caller();
-        ask(usual, read("warm", 2000));
+        TestClient usual = connect();
+        query(usual, read("warm", 2000));
         List<TestClient> bad = new ArrayList<>();
         long from = System.nanoTime();
         for (int i = 0; i < 120; i++) {
-            TestClient each = new TestClient(keep(new Socket(InetAddress.getLoopbackAddress(), router.port)));
+            TestClient each = new TestClient(closeAfterTest(new Socket(InetAddress.getLoopbackAddress(), router.port)));
             if (i % 3 > 0) {
                 each.out.write(HexFormat.of().parseHex("000000"));
             }
@@ -186,6 +186,6 @@
         }
         assertThat(System.nanoTime() - from).isLessThan(3_000_000_000L);
         assertThat(usual.ask(read("end", 2000))).isEqualTo("T D:00ff27 C:SELECT 1 Z");
-        assertThat(router.threads()).isLessThan(60);
+        assertThat(router.threadCount()).isLessThan(60);
     }
 }
--- a/src/test/java/beaconladder/server/ServeClientsIT.java
+++ b/src/test/java/beaconladder/server/ServeClientsIT.java
@@ -17,54 +17,54 @@
 
 /** Clients that stay connected, send in fragments, or send what is invalid. */
 @Timeout(60)
-class ServeClientsIT extends ServedProgram {
+class ServeClientsIT extends RouterProcessFixture {
     /** Clients hold at most a third of the descriptors; those that stay leave half of it to new clients. */
     @Test
     void idleClientsAreClosedForNewOnesAndWhatCrossesTheCloseIsReset() throws Exception {
-        sockets = 120;
+        maxDescriptors = 120;
         start();
         List<TestClient> stay = new ArrayList<>();
-        int files = router.files();
+        int files = router.openFileCount();
         for (int i = 0; i < 36; i++) {
-            stay.add(caller());
+            stay.add(connect());
             assertThat(stay.get(i).ask(read("once" + i, 2000))).isEqualTo("T D:00ff27 C:SELECT 1 Z");
         }
         TimeUnit.MILLISECONDS.sleep(600);
-        assertThat(router.files()).isLessThanOrEqualTo(files + 30);
+        assertThat(router.openFileCount()).isLessThanOrEqualTo(files + 30);
         TestClient first = stay.get(0);
-        say(first.answer());
+        append(first.answer());
         MessageWriter.query(read("late", 2000)).writeTo(first.out);
         TimeUnit.MILLISECONDS.sleep(50);
         try {
             MessageWriter.query("").writeTo(first.out);
         } catch (SocketException e) {
-            say("reset");
+            append("reset");
         }
-        assertThat(trace.toString()).isEqualTo("closed\nreset\n");
-        assertThat(b.queries()).noneMatch(q -> q.contains("id=late"));
+        assertThat(transcript.toString()).isEqualTo("closed\nreset\n");
+        assertThat(replica.queries()).noneMatch(q -> q.contains("id=late"));
     }
 
     @Test
     void pipelinedQueriesThatTogetherTakeLongerThanOneBudgetAreAllServed() throws Exception {
         start();
-        TestClient c = caller();
-        ask(c, read("warm", 2000));
-        b.delayMillis = 150;
+        TestClient c = connect();
+        query(c, read("warm", 2000));
+        replica.delayMillis = 150;
         for (int i = 0; i < 6; i++) {
             MessageWriter.query(read("ahead" + i, 450)).writeTo(c.out);
         }
         for (int i = 0; i < 6; i++) {
-            say(c.answer());
+            append(c.answer());
         }
-        assertThat(trace.toString()).isEqualTo("T D:00ff27 C:SELECT 1 Z\n".repeat(6));
+        assertThat(transcript.toString()).isEqualTo("T D:00ff27 C:SELECT 1 Z\n".repeat(6));
     }
 
     /** Its first fragment was read; idle connections were closed before the rest arrived. */
     @Test
     void aQueryInFragmentsIsServedAlsoNearTheDescriptorLimit() throws Exception {
-        sockets = 76;
+        maxDescriptors = 76;
         start();
-        TestClient slow = new TestClient(keep(new Socket(InetAddress.getLoopbackAddress(), router.port)));
+        TestClient slow = new TestClient(closeAfterTest(new Socket(InetAddress.getLoopbackAddress(), router.port)));
         MessageWriter.startup("app", "shop").writeTo(slow.out);
         assertThat(slow.answer()).isEqualTo("R S S S S K Z");
         TimeUnit.MILLISECONDS.sleep(200);
@@ -73,7 +73,7 @@
         query.asByteBuffer().get(bytes);
         slow.out.write(bytes, 0, 2500);
         for (int i = 0; i < 10; i++) {
-            caller();
+            connect();
         }
         slow.out.write(bytes, 2500, bytes.length - 2500);
         assertThat(slow.answer()).isEqualTo("T D:00ff27 C:SELECT 1 Z");
@@ -82,7 +82,7 @@
     @Test
     void invalidQueriesAreRejectedWithTheirFaultAndNotForwarded() throws Exception {
         start();
-        TestClient c = caller();
+        TestClient c = connect();
         String tail = "t=acme,d=480,cluster=1 */";
         String read = "SELECT doc FROM items WHERE id = 'k' ";
         for (String q : List.of(
@@ -106,10 +106,10 @@
                 "INSERT INTO items (id, doc) VALUES ('k', '\\x9f0') RETURNING doc /* id=1,c=write," + tail,
                 read + "/* id=" + "1".repeat(200) + ",c=any," + tail,
                 read + "/* id=1,c=any,d=99999999999999999999,cluster=1 */")) {
-            say(c.ask(q) + " " + c.message);
+            append(c.ask(q) + " " + c.message);
         }
-        say(c.ask(read("r1", 1500)), a.queries() + " " + b.queries.size());
-        assertThat(trace.toString()).isEqualTo("""
+        append(c.ask(read("r1", 1500)), primary.queries() + " " + replica.queries.size());
+        assertThat(transcript.toString()).isEqualTo("""
                 E:42601 Z the statement has no comment with id, c, d and cluster
                 E:42601 Z the comment is not closed
                 E:42601 Z the comment holds 'nonsense' where a name and its value belong
@@ -143,9 +143,9 @@
                         new byte[] {'P', 0, 0, 0, 8, 0, 0, 0, 0, 'B', 0, 0, 0, 4, 'd', 0, 0, 0, 4, 'S', 0, 0, 0, 4},
                         0,
                         24);
-        TestClient c = caller();
+        TestClient c = connect();
         parse.writeTo(c.out);
-        say("extended " + c.answer() + ", then " + c.ask(""));
+        append("extended " + c.answer() + ", then " + c.ask(""));
         for (String hex : List.of(
                 "00000008 04d2162f",
                 "00000008 04d21630",
@@ -158,13 +158,13 @@
                 "0000000900030000 00 51 00000003",
                 "0000000900030000 00 7a 00000004",
                 "0000000900030000 00 58 00000004")) {
-            Socket socket = keep(new Socket(InetAddress.getLoopbackAddress(), router.port));
+            Socket socket = closeAfterTest(new Socket(InetAddress.getLoopbackAddress(), router.port));
             TestClient raw = new TestClient(socket);
             raw.out.write(HexFormat.of().parseHex(hex.replace(" ", "")));
             socket.shutdownOutput();
-            say(hex + " -> " + raw.rest());
+            append(hex + " -> " + raw.rest());
         }
-        assertThat(trace.toString()).isEqualTo("""
+        assertThat(transcript.toString()).isEqualTo("""
                 extended E:0A000 Z, then I Z
                 00000008 04d2162f -> N closed
                 00000008 04d21630 -> N closed
@@ -184,12 +184,12 @@
     @Test
     void theAnswerToARequestWhoseHostIsSilentIsSentBeforeItsDeadline() throws Exception {
         start();
-        TestClient c = caller();
-        ask(c, write("warm", 2000));
-        a.manner = Manner.SILENT;
+        TestClient c = connect();
+        query(c, write("warm", 2000));
+        primary.manner = Manner.SILENT;
         long from = System.nanoTime();
-        say(c.ask(write("w", 3000)));
+        append(c.ask(write("w", 3000)));
         assertThat((System.nanoTime() - from) / 1_000_000).isBetween(2_900L, 3_050L);
-        assertThat(trace.toString()).isEqualTo("E:40003 Z\n");
+        assertThat(transcript.toString()).isEqualTo("E:40003 Z\n");
     }
 }
--- a/src/test/java/beaconladder/server/SystemCallsIT.java
+++ b/src/test/java/beaconladder/server/SystemCallsIT.java
@@ -18,7 +18,7 @@
 
 /** System calls that fail for a while, for the program as operators start it. */
 @Timeout(200)
-class SystemCallsIT extends ServedProgram {
+class SystemCallsIT extends RouterProcessFixture {
     private static final int ENFILE = 23;
     private static final int ENETUNREACH = 101;
     private static final int ALWAYS = 1_000;
@@ -29,8 +29,8 @@
     void startWithTheShim() throws Exception {
         plan = new FaultPlan(folder.resolve("plan"));
         String shim = FaultShim.build(folder).library().toString();
-        int port = Program.freePort();
-        router = keep(new Program(
+        int port = RouterProcess.freePort();
+        router = closeAfterTest(new RouterProcess(
                         folder,
                         config(port),
                         port,
@@ -43,26 +43,26 @@
     void acceptThatFailsForAWhileClosesNobodyAndHoldsNobodyUp() throws Exception {
         List<TestClient> idle = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            idle.add(caller());
-            assertThat(ask(idle.get(i), read("i" + i, 900))).endsWith("Z");
+            idle.add(connect());
+            assertThat(query(idle.get(i), read("i" + i, 900))).endsWith("Z");
         }
-        TestClient busy = caller();
+        TestClient busy = connect();
         Thread.sleep(200);
         plan.set(Field.ACCEPT_ERRNO, ENFILE);
         plan.set(Field.ACCEPT_PER_MILLE, ALWAYS);
-        TestClient late = keep(new TestClient(new Socket(InetAddress.getLoopbackAddress(), router.port)));
+        TestClient late = closeAfterTest(new TestClient(new Socket(InetAddress.getLoopbackAddress(), router.port)));
         MessageWriter.startup("app", "shop").writeTo(late.out);
         long longest = 0;
         for (int i = 0; i < 50; i++) {
             long from = System.nanoTime();
-            assertThat(ask(busy, read("b" + i, 900))).startsWith("T D:");
+            assertThat(query(busy, read("b" + i, 900))).startsWith("T D:");
             longest = Math.max(longest, (System.nanoTime() - from) / 1_000_000);
             Thread.sleep(10);
         }
         plan.clear();
         assertThat(late.answer()).isEqualTo("R S S S S K Z");
         for (int i = 0; i < 5; i++) {
-            assertThat(ask(idle.get(i), read("j" + i, 900)))
+            assertThat(query(idle.get(i), read("j" + i, 900)))
                     .as("idle client " + i)
                     .startsWith("T D:");
         }
@@ -72,8 +72,8 @@
     /** Seen in the soak: queries written ahead without an answer, on connections that stayed open. */
     @Test
     void aThreadThatCannotBeStartedLosesNoRequest() throws Exception {
-        a.delayMillis = 30;
-        b.delayMillis = 30;
+        primary.delayMillis = 30;
+        replica.delayMillis = 30;
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             clients.add(impatientCaller());
@@ -107,7 +107,7 @@
     /** One that waits for no answer longer than twice its time. */
     private TestClient impatientCaller() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), router.port);
-        TestClient client = keep(new TestClient(socket));
+        TestClient client = closeAfterTest(new TestClient(socket));
         socket.setSoTimeout(1_800);
         MessageWriter.startup("app", "shop").writeTo(client.out);
         assertThat(client.answer()).isEqualTo("R S S S S K Z");
@@ -125,23 +125,23 @@
     /** No host has anything to do with it, and all of them would be set aside at once. */
     @Test
     void connectionsThatFailOnThisMachineAreHeldAgainstNoHost() throws Exception {
-        TestClient c = caller();
-        assertThat(ask(c, read("w", 900))).startsWith("T D:");
-        a.closesAfterAnswer = true;
-        b.closesAfterAnswer = true;
-        ask(c, read("x", 900));
-        ask(c, write("y", 900));
+        TestClient c = connect();
+        assertThat(query(c, read("w", 900))).startsWith("T D:");
+        primary.closesAfterAnswer = true;
+        replica.closesAfterAnswer = true;
+        query(c, read("x", 900));
+        query(c, write("y", 900));
         plan.set(Field.CONNECT_ERRNO, ENETUNREACH);
         plan.set(Field.CONNECT_PER_MILLE, ALWAYS);
         for (int i = 0; i < 6; i++) {
-            assertThat(ask(c, i % 2 == 0 ? read("f" + i, 200) : write("f" + i, 200)))
+            assertThat(query(c, i % 2 == 0 ? read("f" + i, 200) : write("f" + i, 200)))
                     .startsWith("E:53300");
         }
         plan.clear();
         List<Long> times = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             long from = System.nanoTime();
-            assertThat(ask(c, i % 2 == 0 ? read("g" + i, 900) : write("g" + i, 900)))
+            assertThat(query(c, i % 2 == 0 ? read("g" + i, 900) : write("g" + i, 900)))
                     .startsWith("T D:");
             times.add((System.nanoTime() - from) / 1_000_000);
         }
