--- a/src/main/java/beaconladder/server/ConnectionTable.java
+++ b/src/main/java/beaconladder/server/ConnectionTable.java
@@ -79,7 +79,7 @@
     }
 
     private boolean closeOldest(Predicate<ClientConnection> eligible) {
-        long recently = System.nanoTime() - RECENTLY_USED_NANOS;
+        long idleBeforeNanoTime = System.nanoTime() - RECENTLY_USED_NANOS;
         // The clients' tasks run concurrently, so the sort key is copied: it must not change during the sort.
         record Aged(ClientConnection client, long lastUsedNanoTime) {}
 
@@ -87,9 +87,9 @@
                 .filter(eligible)
                 .filter(client -> !client.activity().isClosing())
                 .map(client -> new Aged(client, client.activity().lastUsedNanoTime()))
-                .filter(aged -> aged.lastUsedNanoTime() < recently)
+                .filter(aged -> aged.lastUsedNanoTime() < idleBeforeNanoTime)
                 .sorted(Comparator.comparingLong(Aged::lastUsedNanoTime))
-                .anyMatch(aged -> aged.client().closeIfIdle(recently));
+                .anyMatch(aged -> aged.client().closeIfIdle(idleBeforeNanoTime));
     }
 
     /** Whether a client that has just connected must be rejected. */
--- a/src/test/java/beaconladder/server/RouterLifecycleIT.java
+++ b/src/test/java/beaconladder/server/RouterLifecycleIT.java
@@ -134,7 +134,7 @@
             discovery.garbage = invalid;
             await(() -> discovery.calls.get() >= callsBefore + 2);
             discovery.garbage = null;
-            append("after nonsense " + client.ask(read("r2", 1500)));
+            append("after an invalid response " + client.ask(read("r2", 1500)));
         }
         assertThat(discovery.calls.get()).isLessThan(60);
         HostStandIn newReplica = closeAfterTest(new HostStandIn("follower"));
@@ -155,7 +155,7 @@
         assertThat(queriesAtReplica).isLessThanOrEqualTo(queriesWhileDraining);
         assertThat(transcript.toString())
                 .isEqualTo("at first T D:00ff27 C:SELECT 1 Z\n"
-                        + "after nonsense T D:00ff27 C:SELECT 1 Z\n".repeat(5)
+                        + "after an invalid response T D:00ff27 C:SELECT 1 Z\n".repeat(5)
                         + "draining T D:00ff27 C:SELECT 1 Z\nmoved T D:00ff27 C:SELECT 1 Z\n");
     }
 
