--- a/src/main/java/beaconladder/cells/CellAdmission.java
+++ b/src/main/java/beaconladder/cells/CellAdmission.java
@@ -53,7 +53,9 @@
 
     private List<Integer> servedCells(StaticPlacement newPlacement) {
         List<String> names = newPlacement.plan().cellsByRouter().get(router);
-        return names == null ? null : names.stream().map(newPlacement::cellIndex).toList();
+        return names == null
+                ? null
+                : names.stream().map(newPlacement::cellIndex).toList();
     }
 
     /** Returns the reason, for an operator, why this plan can't replace the current one, or null if it can. */
--- a/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
+++ b/src/main/java/beaconladder/coordinator/CoordinatorProtocol.java
@@ -27,7 +27,8 @@
         if (withPlacements) {
             ArrayNode placements = root.putArray("seats");
             table.placements().forEach((tenant, placement) -> {
-                ObjectNode entry = placements.addObject()
+                ObjectNode entry = placements
+                        .addObject()
                         .put("tenant", tenant)
                         .put("cell", placement.cell())
                         .put("writes", placement.admitsWrites())
@@ -58,7 +59,8 @@
         ArrayNode migrationEntries = root.putArray("moves");
         migrations
                 .statuses(nowNanos)
-                .forEach(status -> migrationEntries.addObject()
+                .forEach(status -> migrationEntries
+                        .addObject()
                         .put("tenant", status.tenant())
                         .put("from", status.fromCell())
                         .put("to", status.toCell())
@@ -68,7 +70,8 @@
         ArrayNode endedEntries = root.putArray("ended");
         migrations
                 .endedMigrations()
-                .forEach(step -> endedEntries.addObject()
+                .forEach(step -> endedEntries
+                        .addObject()
                         .put("tenant", step.tenant())
                         .put("from", step.fromCell())
                         .put("to", step.toCell())
--- a/src/main/java/beaconladder/membership/Dissemination.java
+++ b/src/main/java/beaconladder/membership/Dissemination.java
@@ -72,7 +72,8 @@
 
     /** Sends the complete member list to a member that has just joined, split into several messages. */
     void sendAllMembers(String address, List<OutgoingMessage> outgoing) {
-        List<Member> allMembers = table.entries().stream().map(MemberEntry::member).toList();
+        List<Member> allMembers =
+                table.entries().stream().map(MemberEntry::member).toList();
         for (int i = 0; i < allMembers.size(); i += MAX_UPDATES) {
             List<Member> batch = List.copyOf(allMembers.subList(i, Math.min(allMembers.size(), i + MAX_UPDATES)));
             outgoing.add(new OutgoingMessage(address, new Message(Kind.NACK, table.self(), 0, "", batch)));
--- a/src/main/java/beaconladder/routing/DeadlinePolicy.java
+++ b/src/main/java/beaconladder/routing/DeadlinePolicy.java
@@ -42,6 +42,7 @@
 
     /** The longest time between two routings of a queued request that waits for no probe. */
     private static final long QUEUED_CHECK_NANOS = 100 * MILLISECOND;
+
     private static final long MIN_WAKEUP_DELAY_NANOS = 5 * MILLISECOND;
 
     /**
--- a/src/main/java/beaconladder/routing/HealthCheckScheduler.java
+++ b/src/main/java/beaconladder/routing/HealthCheckScheduler.java
@@ -44,6 +44,7 @@
     private static final int MAX_DOUBLINGS = 5;
     /** The longest interval after failures, and the longest while the host must lag. */
     private static final long MAX_FAILURE_INTERVAL_NANOS = 2_000 * MILLISECOND;
+
     private static final long MAX_LAG_INTERVAL_NANOS = 1_000 * MILLISECOND;
 
     /**
--- a/src/main/java/beaconladder/server/WarmUp.java
+++ b/src/main/java/beaconladder/server/WarmUp.java
@@ -63,13 +63,7 @@
                         new EndpointWatch.Entry("b", replica, "", 0, EndpointWatch.State.READY, false, 0),
                         new EndpointWatch.Entry("c", replica, "", 0, EndpointWatch.State.READY, false, 0)));
         ClientServer clients = new ClientServer(
-                dispatcher,
-                connectionPool,
-                threads,
-                memoryLimit,
-                List.of(),
-                descriptors,
-                configuration.descriptors());
+                dispatcher, connectionPool, threads, memoryLimit, List.of(), descriptors, configuration.descriptors());
         List<String> requestClasses = new ArrayList<>();
         for (String name;
                 (name = configuration.settings().get("request_classes." + requestClasses.size() + ".name")) != null; ) {
--- a/src/main/java/beaconladder/server/package-info.java
+++ b/src/main/java/beaconladder/server/package-info.java
@@ -13,8 +13,8 @@
  *   <li>The dispatcher's one lock guards the routing policy and all of its state, {@code PendingActions}, the lines
  *       gathered by {@code EventTrace}, the hosts of {@code EndpointList} (its groups and addresses are concurrent
  *       maps, readable without the lock), the wakeup time of {@code WakeupTimer}, and admission to cells
- *       ({@code CellDispatcher}). No socket is read, written or closed under it: actions on hosts run and trace
- *       lines are logged after its release.
+ *       ({@code CellDispatcher}). No socket is read, written or closed under it: actions on hosts run and trace lines
+ *       are logged after its release.
  *   <li>Each {@code InFlightRequest}'s monitor guards the commands to its task. It may be taken under the dispatcher's
  *       lock, never the other way round.
  *   <li>Each {@code HostExchange}'s monitor guards its connection and whether it was cancelled; the connection itself
--- a/src/main/java/beaconladder/testbed/soak/FaultInjector.java
+++ b/src/main/java/beaconladder/testbed/soak/FaultInjector.java
@@ -19,6 +19,7 @@
     private static final int[] CONNECT_ERRNOS = {105, 99, 101, 113, 110};
     /** The delay of a router between reading its clock and writing. */
     private static final int HOLD_UP_MICROS = 150_000;
+
     private static final int HOLD_UPS_PER_MILLE = 100;
     private static final int CALL_FAILURES_PER_MILLE = 300;
     private static final int THREAD_FAILURES_PER_MILLE = 333;
@@ -36,7 +37,7 @@
 
     FaultInjector(SoakFleet fleet) {
         this.fleet = fleet;
-        this.hosts = new HostFaultInjector(fleet);
+        this.hostFaults = new HostFaultInjector(fleet);
     }
 
     /** A fault in progress. */
--- a/src/main/java/beaconladder/testbed/soak/SoakFleet.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakFleet.java
@@ -92,7 +92,11 @@
 
     private String configuration(int router, int port) {
         return SoakConfiguration.of(
-                "n" + router, port, discoveries.get(discoveryOfRouter.get(router)).port(), plan, hostEntries());
+                "n" + router,
+                port,
+                discoveries.get(discoveryOfRouter.get(router)).port(),
+                plan,
+                hostEntries());
     }
 
     private String hostEntries() {
--- a/src/main/java/beaconladder/testbed/soak/SoakOracle.java
+++ b/src/main/java/beaconladder/testbed/soak/SoakOracle.java
@@ -40,6 +40,7 @@
 
     /** Allowance for the time until a router notices that a client has closed its connection. */
     private static final long CLOSE_SLACK_NANOS = 100 * NANOS_PER_MILLI;
+
     private static final long TIME_SLACK_NANOS = 150 * NANOS_PER_MILLI;
     /** Allowance between a router's write and a host's record of it: a proxy and two threads of a busy machine. */
     private static final long TRANSIT_SLACK_NANOS = 100 * NANOS_PER_MILLI;
--- a/src/main/java/beaconladder/testbed/soak/Statements.java
+++ b/src/main/java/beaconladder/testbed/soak/Statements.java
@@ -10,8 +10,9 @@
         for (int start = comment + 2; comment >= 0 && start < statement.length(); ) {
             int end = statement.indexOf(',', start);
             end = end < 0 ? statement.indexOf("*/", start) : end;
-            String pair =
-                    statement.substring(start, end < 0 ? statement.length() : end).strip();
+            String pair = statement
+                    .substring(start, end < 0 ? statement.length() : end)
+                    .strip();
             if (pair.startsWith(name + "=")) {
                 return pair.substring(name.length() + 1);
             }
--- a/src/test/java/beaconladder/cells/PlacementPlannerTest.java
+++ b/src/test/java/beaconladder/cells/PlacementPlannerTest.java
@@ -32,7 +32,8 @@
         assertThat(proposal.peakAfter()).isEqualTo(1_000);
         assertThat(proposal.costAfter()).isLessThan(proposal.costBefore());
         assertThat(proposal.migrations()).hasSize(2);
-        assertThat(proposal.migrations()).noneMatch(migration -> migration.tenant().endsWith("3"));
+        assertThat(proposal.migrations())
+                .noneMatch(migration -> migration.tenant().endsWith("3"));
     }
 
     @Test
@@ -47,9 +48,12 @@
                 PlacementProblem.of(PlanReader.read("p", plan).plan()).withoutCell("a");
         PlacementProposal proposal = PlacementPlanner.propose(problemWithoutCell, 5, 5, 1);
         assertThat(proposal.migrations()).extracting(ProposedMigration::tenant).contains("a1", "a2", "a3");
-        assertThat(proposal.migrations()).noneMatch(migration -> migration.toCell().equals("a"));
-        assertThat(PlacementPlanner.propose(problemWithoutCell, 2, 5, 1).found()).isFalse();
-        assertThat(PlacementPlanner.propose(problemWithoutCell, 2, 5, 1).summary()).startsWith("no proposal");
+        assertThat(proposal.migrations())
+                .noneMatch(migration -> migration.toCell().equals("a"));
+        assertThat(PlacementPlanner.propose(problemWithoutCell, 2, 5, 1).found())
+                .isFalse();
+        assertThat(PlacementPlanner.propose(problemWithoutCell, 2, 5, 1).summary())
+                .startsWith("no proposal");
     }
 
     @Test
--- a/src/test/java/beaconladder/server/ClientConnectionTest.java
+++ b/src/test/java/beaconladder/server/ClientConnectionTest.java
@@ -41,7 +41,8 @@
             for (int i = 0; i < 500 && !channel.writtenTypes().contains("Z") && !closed; i++) {
                 Thread.sleep(10);
             }
-            transcript.append(read)
+            transcript
+                    .append(read)
                     .append(closed ? " ended " : " stays ")
                     .append(channel.unread)
                     .append(" unread, ")
@@ -85,7 +86,7 @@
         }
 
         synchronized void clearWritten() {
-            written.clearWritten();
+            written.clear();
         }
 
         /** Returns the types of the messages written. */
--- a/src/test/java/beaconladder/server/ClockIT.java
+++ b/src/test/java/beaconladder/server/ClockIT.java
@@ -38,7 +38,9 @@
     private void sendReadsAndWrites(TestClient client, String name, int count) throws InterruptedException {
         for (int i = 0; i < count; i++) {
             assertThat(query(client, boundedRead(name + i))).as(name + i).startsWith("T D:");
-            assertThat(query(client, write(name + "w" + i, 1_500))).as(name + "w" + i).startsWith("T D:");
+            assertThat(query(client, write(name + "w" + i, 1_500)))
+                    .as(name + "w" + i)
+                    .startsWith("T D:");
             Thread.sleep(20);
         }
     }
--- a/src/test/java/beaconladder/server/DescriptorExhaustionIT.java
+++ b/src/test/java/beaconladder/server/DescriptorExhaustionIT.java
@@ -43,7 +43,10 @@
 
         HostStandIn secondReplica = closeAfterTest(new HostStandIn("follower"));
         discovery.list(
-                true, primary.entry("a", "Ready"), replica.entry("b", "Terminating"), secondReplica.entry("d", "Ready"));
+                true,
+                primary.entry("a", "Ready"),
+                replica.entry("b", "Terminating"),
+                secondReplica.entry("d", "Ready"));
         discovery.manner = Manner.ANSWER;
         awaitServed(secondReplica, 2_050);
 
--- a/src/test/java/beaconladder/server/DiscoveryIT.java
+++ b/src/test/java/beaconladder/server/DiscoveryIT.java
@@ -33,6 +33,7 @@
     private static final long HANGUP_NOTICE_MILLIS = 4_000;
     /** The time after its notice during which a draining host may still be sent requests. */
     private static final long GRACE_MILLIS = 2_000;
+
     private static final long SLACK_MILLIS = 50;
     /** How long an agent does not answer; its endpoint list applies as soon as it answers again. */
     private static final long OUTAGE_MILLIS = 4_800;
@@ -86,8 +87,8 @@
         newAgent.list(true, entries("Terminating"));
         DiscoveryStandIn oldAgent = startAgent();
         int port = RouterProcess.freePort();
-        RouterProcess reloadedRouter =
-                closeAfterTest(new RouterProcess(folder, config("m", port, oldAgent), port)).awaitReady();
+        RouterProcess reloadedRouter = closeAfterTest(new RouterProcess(folder, config("m", port, oldAgent), port))
+                .awaitReady();
         startLoad("m", reloadedRouter);
         Awaitility.await()
                 .until(() -> List.of("f0-", "f1-", "f2-", "f3-", "f4-", "m-").stream()
@@ -162,7 +163,8 @@
 
     private RouterProcess startRouter(String name, DiscoveryStandIn agent) throws Exception {
         int port = RouterProcess.freePort();
-        return closeAfterTest(new RouterProcess(folder, config(name, port, agent), port)).awaitReady();
+        return closeAfterTest(new RouterProcess(folder, config(name, port, agent), port))
+                .awaitReady();
     }
 
     private void startLoad(String name, RouterProcess router) {
--- a/src/test/java/beaconladder/server/ReloadIT.java
+++ b/src/test/java/beaconladder/server/ReloadIT.java
@@ -9,7 +9,8 @@
     @Test
     void aSighupThatIsIgnoredFromTheStartIsReportedInTheLog() throws Exception {
         int port = RouterProcess.freePort();
-        router = closeAfterTest(new RouterProcess(folder, config(port), port, "trap '' HUP; ")).awaitReady();
+        router = closeAfterTest(new RouterProcess(folder, config(port), port, "trap '' HUP; "))
+                .awaitReady();
         assertThat(router.log()).contains("SIGHUP is ignored");
     }
 
--- a/src/test/java/beaconladder/server/RouterLifecycleIT.java
+++ b/src/test/java/beaconladder/server/RouterLifecycleIT.java
@@ -172,8 +172,8 @@
             discovery.list(true, primary.entry("a", "Ready"), newReplica.entry("d" + i, "Ready"));
             router.reload(config(router.port));
             long startNanoTime = System.nanoTime();
-            await(() -> query(client, read("r" + System.nanoTime(), 1500)).contains("C:")
-                    && !newReplica.queries.isEmpty());
+            await(() ->
+                    query(client, read("r" + System.nanoTime(), 1500)).contains("C:") && !newReplica.queries.isEmpty());
             assertThat(System.nanoTime() - startNanoTime).isLessThan(3_000_000_000L);
             int callsBefore = oldDiscovery.calls.get();
             oldDiscovery.close();
--- a/src/test/java/beaconladder/server/SystemCallsIT.java
+++ b/src/test/java/beaconladder/server/SystemCallsIT.java
@@ -152,6 +152,8 @@
                     .startsWith("T D:");
             answerMillis.add((System.nanoTime() - startNanoTime) / 1_000_000);
         }
-        assertThat(answerMillis).as("ms of each answer once the network is well").allMatch(ms -> ms < 60);
+        assertThat(answerMillis)
+                .as("ms of each answer once the network is well")
+                .allMatch(ms -> ms < 60);
     }
 }
