--- a/src/main/java/beaconladder/feed/Subscriber.java
+++ b/src/main/java/beaconladder/feed/Subscriber.java
@@ -13,7 +13,7 @@
  * A router's client of the feed: one task that polls one relay, applies or rejects each new version, and acknowledges
  * it with the next poll. It never polls the log: if four thousand routers lost all relays, they would overload the
  * lease servers, on which leases depend. While no relay responds, the applied version remains;
- * {@link #confirmationAgeMillis} is the time since its last confirmation.
+ * {@link #ageMillis} is the time since its last confirmation.
  */
 public final class Subscriber extends PollLoop {
     private static final Logger LOG = LoggerFactory.getLogger(Subscriber.class);
@@ -88,7 +88,7 @@
     }
 
     /** Returns the time since the held version was last confirmed as the newest; Long.MAX_VALUE if it never was. */
-    public long confirmationAgeMillis() {
+    public long ageMillis() {
         return lastConfirmation.isKnown() ? lastConfirmation.ageNanos() / 1_000_000 : Long.MAX_VALUE;
     }
 
@@ -164,7 +164,7 @@
                 name,
                 cause,
                 appliedVersion(),
-                confirmationAgeMillis());
+                ageMillis());
         pause(random.nextInt(MAX_BACKOFF_MILLIS));
     }
 
--- a/src/test/java/beaconladder/feed/SubscriberTest.java
+++ b/src/test/java/beaconladder/feed/SubscriberTest.java
@@ -74,7 +74,7 @@
         await().atMost(TIMEOUT).until(() -> one.equals(applier.last()));
         VersionedState two = log.set("x", "2");
         await().atMost(TIMEOUT).until(() -> two.equals(applier.last()));
-        assertThat(subscriber.confirmationAgeMillis()).isLessThan(10_000);
+        assertThat(subscriber.ageMillis()).isLessThan(10_000);
         LogClient proposer = new LogClient(List.of(log.address()), 2_000);
         await().atMost(TIMEOUT).until(() -> proposer.status().counts().equals(List.of(new RelayReport.Count(2, 1, 0))));
         assertThat(proposer.status().relays()).hasSize(2);
@@ -126,7 +126,7 @@
         Subscriber second =
                 await().atMost(TIMEOUT).ignoreExceptions().until(() -> subscriber("n", 2, folder, after), each -> true);
         await().atMost(TIMEOUT).until(() -> one.equals(after.last()));
-        assertThat(second.confirmationAgeMillis()).isBetween(1_000L, 60_000L);
+        assertThat(second.ageMillis()).isBetween(1_000L, 60_000L);
         assertThat(second.appliedVersion()).isEqualTo(1);
     }
 
