--- a/src/main/java/beaconladder/testbed/scale/Child.java
+++ b/src/main/java/beaconladder/testbed/scale/ChildProcess.java
@@ -11,7 +11,7 @@
 import java.util.List;
 
 /** A process of this program that is measured from outside; it ends with its owner. */
-final class Child implements AutoCloseable {
+final class ChildProcess implements AutoCloseable {
     /** As the `run` line of deploy/balancer.toml has them; a test compares. */
     static final List<String> RUN = List.of(
             "-XX:-UsePerfData",
@@ -32,26 +32,26 @@
     private final Path log;
     private final Thread end = new Thread(this::kill);
 
-    private Child(ProcessBuilder builder, Path log) throws IOException {
+    private ChildProcess(ProcessBuilder builder, Path log) throws IOException {
         this.log = log;
         process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
         Runtime.getRuntime().addShutdownHook(end);
     }
 
     /** A process of this class path with these flags. */
-    static Child start(Path folder, String name, List<String> flags, String main, String... arguments)
+    static ChildProcess start(Path folder, String name, List<String> flags, String main, String... arguments)
             throws IOException {
-        return new Child(new ProcessBuilder(line(flags, classes(), main, arguments)), folder.resolve(name + ".log"));
+        return new ChildProcess(new ProcessBuilder(line(flags, classes(), main, arguments)), folder.resolve(name + ".log"));
     }
 
     /** A router as operators start one. */
-    static Child router(Path folder, String name, String config) throws IOException {
+    static ChildProcess router(Path folder, String name, String config) throws IOException {
         Path file = folder.resolve(name + ".json");
         Files.writeString(file, config);
         ProcessBuilder builder =
                 new ProcessBuilder(line(RUN, System.getProperty("java.class.path"), "beaconladder.app.Main", "serve"));
         builder.environment().put("BALANCER_CONFIG", file.toString());
-        return new Child(builder, folder.resolve(name + ".log"));
+        return new ChildProcess(builder, folder.resolve(name + ".log"));
     }
 
     private static List<String> line(List<String> flags, String classes, String main, String... arguments) {
@@ -101,8 +101,8 @@
         throw new IOException("a process of the test did not come up: " + log());
     }
 
-    Counters counters() throws IOException {
-        return Counters.of(process.pid());
+    ProcessCounters counters() throws IOException {
+        return ProcessCounters.of(process.pid());
     }
 
     long pid() {
--- a/src/main/java/beaconladder/testbed/scale/ClientsPart.java
+++ b/src/main/java/beaconladder/testbed/scale/ClientsPart.java
@@ -50,11 +50,11 @@
                 }
             });
         }
-        try (ListStandIn list = new ListStandIn(hosts.size(), i -> hosts.get(i).port())) {
+        try (DiscoveryStandIn list = new DiscoveryStandIn(hosts.size(), i -> hosts.get(i).port())) {
             connections(sizes, small, list, folder, report);
             if (!small) {
                 txns(list, chance, folder, report);
-                HostsAtWork.measure(hosts, chance, folder, report);
+                HostsUnderLoad.measure(hosts, chance, folder, report);
             }
         } finally {
             for (HostStandIn host : hosts) {
@@ -63,27 +63,27 @@
         }
     }
 
-    static Child router(ListStandIn list, Path folder, int port, String name) throws IOException, InterruptedException {
-        Child router = Child.router(folder, name, RouterText.of(name, port, list.port(), SOCKETS));
+    static ChildProcess router(DiscoveryStandIn list, Path folder, int port, String name) throws IOException, InterruptedException {
+        ChildProcess router = ChildProcess.router(folder, name, RouterConfig.of(name, port, list.port(), SOCKETS));
         router.listens(port);
         return router;
     }
 
-    private static void connections(List<Integer> sizes, boolean small, ListStandIn list, Path folder, Report report)
+    private static void connections(List<Integer> sizes, boolean small, DiscoveryStandIn list, Path folder, Report report)
             throws IOException, InterruptedException {
         List<Point> descriptors = new ArrayList<>();
         List<Point> resident = new ArrayList<>();
         List<Point> idle = new ArrayList<>();
         for (int count : sizes) {
-            int port = Child.freePort();
-            try (Child router = router(list, folder, port, "c" + count)) {
+            int port = ChildProcess.freePort();
+            try (ChildProcess router = router(list, folder, port, "c" + count)) {
                 int own = router.counters().descriptors();
-                try (Callers callers = new Callers(port, count)) {
+                try (RouterClients callers = new RouterClients(port, count)) {
                     callers.askAll();
                     Thread.sleep(small ? 0 : 1_500);
-                    Counters begun = router.counters();
+                    ProcessCounters begun = router.counters();
                     Thread.sleep(small ? 500 : 6_000);
-                    Counters now = router.counters();
+                    ProcessCounters now = router.counters();
                     descriptors.add(new Point(count, now.descriptors() - own));
                     resident.add(new Point(count, now.residentKb() / 1024.0));
                     idle.add(new Point(count, 100 * now.cores(begun)));
@@ -104,18 +104,18 @@
         }
     }
 
-    private static void txns(ListStandIn list, SplittableRandom chance, Path folder, Report report)
+    private static void txns(DiscoveryStandIn list, SplittableRandom chance, Path folder, Report report)
             throws IOException, InterruptedException {
         List<Point> cores = new ArrayList<>();
-        int port = Child.freePort();
-        try (Child router = router(list, folder, port, "txns");
-                Callers callers = new Callers(port, WORKING)) {
+        int port = ChildProcess.freePort();
+        try (ChildProcess router = router(list, folder, port, "txns");
+                RouterClients callers = new RouterClients(port, WORKING)) {
             callers.work(RATES.get(RATES.size() - 1), 6, chance.split());
             for (int rate : RATES) {
                 callers.times().reset();
-                Counters before = router.counters();
+                ProcessCounters before = router.counters();
                 double served = callers.work(rate, 4, chance.split());
-                Counters now = router.counters();
+                ProcessCounters now = router.counters();
                 cores.add(new Point(served, 100 * now.cores(before)));
                 report.times("clients.answer_us_at_" + rate, callers.times());
             }
--- a/src/main/java/beaconladder/testbed/scale/Settled.java
+++ b/src/main/java/beaconladder/testbed/scale/ConvergedMembership.java
@@ -11,10 +11,10 @@
  * A member that has known all others for long. By itself it comes there only once it has told each of them as news,
  * some twenty times: with thousands that takes half an hour, which a test does not have.
  */
-final class Settled {
+final class ConvergedMembership {
     private static final int NEWS = 10;
 
-    private Settled() {}
+    private ConvergedMembership() {}
 
     /** Tells it of all these, in messages as a newcomer is told. */
     static void introduce(SwimProtocol swim, Member from, List<Member> all, long now) {
--- a/src/main/java/beaconladder/testbed/scale/KeeperPart.java
+++ b/src/main/java/beaconladder/testbed/scale/CoordinatorPart.java
@@ -13,7 +13,7 @@
  * The keeper of cells, before the routers that it grants leases to. Real: its process with its records on disk, its
  * sockets. Hollow: the routers, a connection each; no tenant is moved.
  */
-final class KeeperPart implements Part {
+final class CoordinatorPart implements Part {
     private static final int TARGET = 4_100;
     private static final int LEASE_MILLIS = 2_000;
     /** As routers ask: three times a lease. */
@@ -43,10 +43,10 @@
         List<Point> bytes = new ArrayList<>();
         List<Point> cores = new ArrayList<>();
         List<Point> threads = new ArrayList<>();
-        try (OneForAll host = new OneForAll();
-                ListStandIn list = new ListStandIn(6, host.port())) {
+        try (SharedHostStandIn host = new SharedHostStandIn();
+                DiscoveryStandIn list = new DiscoveryStandIn(6, host.port())) {
             for (int count : sizes) {
-                int port = Child.freePort();
+                int port = ChildProcess.freePort();
                 Path plan = folder.resolve("keeper" + count + ".plan");
                 Files.writeString(
                         plan,
@@ -55,7 +55,7 @@
                                 + ") (discovery 127.0.0.1:" + list.port() + ") (store \""
                                 + folder.resolve("records" + count) + "\") (lease " + LEASE_MILLIS
                                 + "ms) (expiry 3s) (copy 10min) (fence 10s))\n");
-                try (Child keeper = Child.start(
+                try (ChildProcess keeper = ChildProcess.start(
                         folder,
                         "keeper" + count,
                         FLAGS,
@@ -65,15 +65,15 @@
                         "--plan",
                         plan.toString())) {
                     keeper.listens(port);
-                    try (Pollers pollers = new Pollers(port, count, WAIT_MILLIS)) {
+                    try (PlacementPollers pollers = new PlacementPollers(port, count, WAIT_MILLIS)) {
                         pollers.await(3L * count);
                         Thread.sleep(small ? 0 : 3_000);
-                        Counters before = keeper.counters();
+                        ProcessCounters before = keeper.counters();
                         long sent = pollers.bytes.get();
                         long calls = pollers.calls.get();
                         pollers.late().reset();
                         Thread.sleep(small ? 2_000 : 5_000);
-                        Counters now = keeper.counters();
+                        ProcessCounters now = keeper.counters();
                         double seconds = (now.at() - before.at()) / 1e9;
                         bytes.add(new Point(count, (pollers.bytes.get() - sent) / seconds));
                         cores.add(new Point(count, 100 * now.cores(before)));
--- a/src/main/java/beaconladder/testbed/scale/ListStandIn.java
+++ b/src/main/java/beaconladder/testbed/scale/DiscoveryStandIn.java
@@ -19,7 +19,7 @@
  * Discovery's agent with a list of any size: it waits as long as it is asked to, tells what changed since a version,
  * and counts what goes over its sockets.
  */
-final class ListStandIn implements AutoCloseable {
+final class DiscoveryStandIn implements AutoCloseable {
     /** Of one group: a primary and two replicas. */
     static final int MEMBERS = 3;
 
@@ -46,12 +46,12 @@
     private volatile Histogram applied = histogram();
 
     /** A list of so many hosts, all of them at this port. */
-    ListStandIn(int hosts, int port) throws IOException {
+    DiscoveryStandIn(int hosts, int port) throws IOException {
         this(hosts, host -> port);
     }
 
     /** A list of so many hosts at these ports. */
-    ListStandIn(int hosts, IntUnaryOperator ports) throws IOException {
+    DiscoveryStandIn(int hosts, IntUnaryOperator ports) throws IOException {
         this.ports = ports;
         states = new String[hosts];
         changed = new long[hosts];
--- a/src/main/java/beaconladder/testbed/scale/HollowPart.java
+++ b/src/main/java/beaconladder/testbed/scale/EndpointWatchLoad.java
@@ -10,7 +10,7 @@
  * Many watches of the real class in one process, before one list: what discovery's agent has to bear, and what a watch
  * costs with nothing behind it.
  */
-final class HollowPart {
+final class EndpointWatchLoad {
     private static final List<Integer> COUNTS = List.of(25, 50, 100, 200, 400);
     private static final int HOSTS = 600;
     private static final int ROUTERS = 4_100;
@@ -20,26 +20,26 @@
             "-XX:TieredStopAtLevel=1",
             "-Dorg.slf4j.simpleLogger.defaultLogLevel=error");
 
-    private HollowPart() {}
+    private EndpointWatchLoad() {}
 
     static void measure(Path folder, Report report) throws IOException, InterruptedException {
         List<Point> bytes = new ArrayList<>();
         List<Point> cores = new ArrayList<>();
-        try (OneForAll host = new OneForAll()) {
+        try (SharedHostStandIn host = new SharedHostStandIn()) {
             for (int count : COUNTS) {
-                try (ListStandIn list = new ListStandIn(HOSTS, host.port());
-                        Child child = Child.start(
+                try (DiscoveryStandIn list = new DiscoveryStandIn(HOSTS, host.port());
+                        ChildProcess child = ChildProcess.start(
                                 folder,
                                 "watches" + count,
                                 FLAGS,
-                                HollowWatches.class.getName(),
+                                EndpointWatchProcess.class.getName(),
                                 String.valueOf(list.port()),
                                 String.valueOf(count))) {
                     Thread.sleep(4_000);
-                    Counters before = child.counters();
+                    ProcessCounters before = child.counters();
                     long sent = list.bytes.get();
                     Thread.sleep(8_000);
-                    Counters now = child.counters();
+                    ProcessCounters now = child.counters();
                     double seconds = (now.at() - before.at()) / 1e9;
                     bytes.add(new Point(count, (list.bytes.get() - sent) / seconds));
                     cores.add(new Point(count, 100 * now.cores(before)));
--- a/src/main/java/beaconladder/testbed/scale/HollowWatches.java
+++ b/src/main/java/beaconladder/testbed/scale/EndpointWatchProcess.java
@@ -8,13 +8,13 @@
 import java.util.concurrent.CountDownLatch;
 
 /** A process with many watches of the real class, each with a map of what it was told and nothing behind. */
-final class HollowWatches {
+final class EndpointWatchProcess {
     private static final int GRACE_MILLIS = 2_000;
     private static final int STACK = 256 * 1024;
     /** They begin spread over about a second, as a fleet's do at the best. */
     private static final int SPREAD_MILLIS = 1_000;
 
-    private HollowWatches() {}
+    private EndpointWatchProcess() {}
 
     public static void main(String[] arguments) throws InterruptedException {
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(arguments[0]));
--- a/src/main/java/beaconladder/testbed/scale/FleetRun.java
+++ b/src/main/java/beaconladder/testbed/scale/FleetMeasurement.java
@@ -20,7 +20,7 @@
  * @param paused how many were
  * @param buriedFew the same of a few alone
  */
-record FleetRun(
+record FleetMeasurement(
         int size,
         double messages,
         double bytes,
@@ -31,8 +31,8 @@
         int buried,
         int paused,
         int buriedFew) {
-    private static final long SECOND = 1_000 * Fleet.MS;
-    private static final long STEP = 100 * Fleet.MS;
+    private static final long SECOND = 1_000 * SimulatedFleet.MS;
+    private static final long STEP = 100 * SimulatedFleet.MS;
     private static final int ZONES = 9;
     private static final int DEATHS = 6;
     /** A pause of a JVM on a full machine. */
@@ -46,8 +46,8 @@
 
     private static final long PATIENCE = 180 * SECOND;
 
-    static FleetRun of(int size, SplittableRandom chance) {
-        Fleet fleet = new Fleet(size, chance.split());
+    static FleetMeasurement of(int size, SplittableRandom chance) {
+        SimulatedFleet fleet = new SimulatedFleet(size, chance.split());
         fleet.run(3 * SECOND);
         long messages = fleet.messages();
         long bytes = fleet.bytes();
@@ -76,7 +76,7 @@
                         .boxed()
                         .toList());
         double zoneSeconds = Math.max(1, (fleet.now() - from) / (double) SECOND);
-        return new FleetRun(
+        return new FleetMeasurement(
                 size,
                 messagesRest,
                 bytesRest,
@@ -90,7 +90,7 @@
     }
 
     /** Pauses one in so many for some seconds; how many living ones somebody holds for dead behind it. */
-    private static int pause(Fleet fleet, int every, SplittableRandom chance) {
+    private static int pause(SimulatedFleet fleet, int every, SplittableRandom chance) {
         for (int member = 1; member < fleet.size(); member += every) {
             if (!fleet.dead(member)) {
                 fleet.pause(member, chance.nextLong(SHORTEST, LONGEST));
@@ -103,7 +103,7 @@
     }
 
     /** Kills these and waits until all others know it. */
-    private static Histogram die(Fleet fleet, List<Integer> members) {
+    private static Histogram die(SimulatedFleet fleet, List<Integer> members) {
         members.forEach(fleet::kill);
         long from = fleet.now();
         Histogram known = new Histogram(3);
@@ -116,7 +116,7 @@
                 for (int observer = 0; observer < fleet.size(); observer++) {
                     if (!seen[i][observer] && !fleet.dead(observer) && fleet.buries(observer, members.get(i))) {
                         seen[i][observer] = true;
-                        known.recordValue((fleet.now() - from) / Fleet.MS);
+                        known.recordValue((fleet.now() - from) / SimulatedFleet.MS);
                         left--;
                     }
                 }
@@ -124,13 +124,13 @@
         }
         // Who has not heard of it counts as long as was waited.
         if (left > 0) {
-            known.recordValueWithCount(PATIENCE / Fleet.MS, left);
+            known.recordValueWithCount(PATIENCE / SimulatedFleet.MS, left);
         }
         return known;
     }
 
     /** How many living ones some other living one holds for dead. */
-    private static int buried(Fleet fleet) {
+    private static int buried(SimulatedFleet fleet) {
         boolean[] held = new boolean[fleet.size()];
         List<Integer> living = new ArrayList<>();
         for (int i = 0; i < fleet.size(); i++) {
--- a/src/main/java/beaconladder/testbed/scale/HostsAtWork.java
+++ b/src/main/java/beaconladder/testbed/scale/HostsUnderLoad.java
@@ -12,13 +12,13 @@
  * A real router at work before N listed hosts, in groups of three, its txns spread evenly over all groups: what it
  * uses, and how many connections to hosts it holds. Three stand-ins play all hosts, by role.
  */
-final class HostsAtWork {
+final class HostsUnderLoad {
     private static final List<Integer> SIZES = List.of(60, 300, 600, 1_200, 2_400, 5_800);
     private static final int TARGET = 5_800;
     private static final int TXNS = 902;
     private static final int CLIENTS = 64;
 
-    private HostsAtWork() {}
+    private HostsUnderLoad() {}
 
     static void measure(List<HostStandIn> hosts, SplittableRandom chance, Path folder, Report report)
             throws IOException, InterruptedException {
@@ -26,18 +26,18 @@
         List<Point> resident = new ArrayList<>();
         List<Point> descriptors = new ArrayList<>();
         for (int size : SIZES) {
-            int port = Child.freePort();
-            try (ListStandIn list = new ListStandIn(
-                            size, i -> hosts.get(i % ListStandIn.MEMBERS).port());
-                    Child router = ClientsPart.router(list, folder, port, "w" + size);
-                    Callers callers = new Callers(port, CLIENTS)) {
-                callers.groups(size / ListStandIn.MEMBERS);
+            int port = ChildProcess.freePort();
+            try (DiscoveryStandIn list = new DiscoveryStandIn(
+                            size, i -> hosts.get(i % DiscoveryStandIn.MEMBERS).port());
+                    ChildProcess router = ClientsPart.router(list, folder, port, "w" + size);
+                    RouterClients callers = new RouterClients(port, CLIENTS)) {
+                callers.groups(size / DiscoveryStandIn.MEMBERS);
                 callers.work(TXNS, 4, chance.split());
                 callers.times().reset();
                 long failed = callers.failed();
-                Counters before = router.counters();
+                ProcessCounters before = router.counters();
                 double served = callers.work(TXNS, 5, chance.split());
-                Counters now = router.counters();
+                ProcessCounters now = router.counters();
                 cores.add(new Point(size, 100 * now.cores(before)));
                 resident.add(new Point(size, now.residentKb() / 1024.0));
                 descriptors.add(new Point(size, now.descriptors()));
--- a/src/main/java/beaconladder/testbed/scale/Grantors.java
+++ b/src/main/java/beaconladder/testbed/scale/LeaseServers.java
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /** Three real grantors, a process each, on one machine and one disk. */
-final class Grantors implements AutoCloseable {
+final class LeaseServers implements AutoCloseable {
     static final long LENGTH_MILLIS = 5_000;
     static final long BOUND_MILLIS = 100;
     private static final int COUNT = 3;
@@ -21,18 +21,18 @@
     private static final List<String> FLAGS =
             List.of("-XX:-UsePerfData", "-Xmx512m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
 
-    private final List<Child> children = new ArrayList<>();
+    private final List<ChildProcess> children = new ArrayList<>();
     private final List<InetSocketAddress> doors = new ArrayList<>();
 
-    Grantors(Path folder) throws IOException, InterruptedException {
+    LeaseServers(Path folder) throws IOException, InterruptedException {
         StringBuilder text = new StringBuilder(
                 "(leases (length " + LENGTH_MILLIS + "ms) (clock " + BOUND_MILLIS + "ms) (disk 64MB))\n");
         for (int i = 0; i < COUNT; i++) {
-            doors.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), Child.freePort()));
+            doors.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), ChildProcess.freePort()));
             text.append("(grantor k")
                     .append(i)
                     .append(" (raft 127.0.0.1:")
-                    .append(Child.freePort())
+                    .append(ChildProcess.freePort())
                     .append(") (at 127.0.0.1:")
                     .append(doors.get(i).getPort())
                     .append(") (store \"")
@@ -42,7 +42,7 @@
         Path plan = folder.resolve("leases.plan");
         Files.writeString(plan, text);
         for (int i = 0; i < COUNT; i++) {
-            children.add(Child.start(
+            children.add(ChildProcess.start(
                     folder,
                     "k" + i,
                     FLAGS,
@@ -78,7 +78,7 @@
         return doors;
     }
 
-    Child child(int grantor) {
+    ChildProcess child(int grantor) {
         return children.get(grantor);
     }
 
@@ -108,6 +108,6 @@
 
     @Override
     public void close() {
-        children.forEach(Child::close);
+        children.forEach(ChildProcess::close);
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/LeasesPart.java
+++ b/src/main/java/beaconladder/testbed/scale/LeasesPart.java
@@ -75,7 +75,7 @@
     }
 
     private static void real(List<Integer> sizes, Path folder, Report report) throws IOException, InterruptedException {
-        try (Grantors grantors = new Grantors(folder)) {
+        try (LeaseServers grantors = new LeaseServers(folder)) {
             List<Point> rate = new ArrayList<>();
             List<Point> leading = new ArrayList<>();
             List<Point> following = new ArrayList<>();
@@ -94,7 +94,7 @@
                 run(grantors, 10 * TASKS, tasks, "t" + tasks, report);
             }
             leaderEnds(grantors, sizes.get(sizes.size() - 1), report);
-            Counters now = grantors.child(Math.max(0, grantors.awaitLeader())).counters();
+            ProcessCounters now = grantors.child(Math.max(0, grantors.awaitLeader())).counters();
             report.figure("leases.grantor_resident_mb", now.residentKb() / 1024.0);
             report.figure("leases.grantor_threads", now.threads());
         }
@@ -103,12 +103,12 @@
     /** Asks a second, and the shares of a core of the leader and of one that follows. */
     private record Run(double rate, double leader, double follower) {}
 
-    private static Run run(Grantors grantors, int askers, int tasks, String name, Report report)
+    private static Run run(LeaseServers grantors, int askers, int tasks, String name, Report report)
             throws IOException, InterruptedException {
-        try (Askers all = new Askers(askers, tasks, name, grantors.doors())) {
+        try (SimulatedLeaseClients all = new SimulatedLeaseClients(askers, tasks, name, grantors.doors())) {
             long first = until(all, tasks);
             // The first storm is over, and those that were refused ask on as each is told.
-            Thread.sleep(Grantors.LENGTH_MILLIS);
+            Thread.sleep(LeaseServers.LENGTH_MILLIS);
             int leader = grantors.awaitLeader();
             if (leader < 0) {
                 report.say(String.format(
@@ -124,11 +124,11 @@
                 return new Run(0, 0, 0);
             }
             int follower = (leader + 1) % 3;
-            Counters lead = grantors.child(leader).counters();
-            Counters follow = grantors.child(follower).counters();
+            ProcessCounters lead = grantors.child(leader).counters();
+            ProcessCounters follow = grantors.child(follower).counters();
             long answered = all.answered();
-            Thread.sleep(Grantors.LENGTH_MILLIS);
-            Counters leadNow = grantors.child(leader).counters();
+            Thread.sleep(LeaseServers.LENGTH_MILLIS);
+            ProcessCounters leadNow = grantors.child(leader).counters();
             Run run = new Run(
                     (all.answered() - answered) / ((leadNow.at() - lead.at()) / 1e9),
                     100 * leadNow.cores(lead),
@@ -151,11 +151,11 @@
         }
     }
 
-    private static void leaderEnds(Grantors grantors, int askers, Report report)
+    private static void leaderEnds(LeaseServers grantors, int askers, Report report)
             throws IOException, InterruptedException {
-        try (Askers all = new Askers(askers, TASKS, "ends", grantors.doors())) {
+        try (SimulatedLeaseClients all = new SimulatedLeaseClients(askers, TASKS, "ends", grantors.doors())) {
             until(all, TASKS);
-            Thread.sleep(Grantors.LENGTH_MILLIS);
+            Thread.sleep(LeaseServers.LENGTH_MILLIS);
             int leader = grantors.awaitLeader();
             report.atMost("leases.no_leader_is_told_of", leader < 0 ? 1 : 0, 0);
             if (leader < 0) {
@@ -170,7 +170,7 @@
             long answeredAt = 0;
             long heldAt = 0;
             long now = 0;
-            while (now < 2 * Grantors.LENGTH_MILLIS || least < TASKS && heldAt == 0 && now < PATIENCE_MILLIS) {
+            while (now < 2 * LeaseServers.LENGTH_MILLIS || least < TASKS && heldAt == 0 && now < PATIENCE_MILLIS) {
                 Thread.sleep(20);
                 int held = all.held();
                 least = Math.min(least, held);
@@ -187,7 +187,7 @@
     }
 
     /** Milliseconds until all tasks are held. */
-    private static long until(Askers all, int tasks) throws InterruptedException {
+    private static long until(SimulatedLeaseClients all, int tasks) throws InterruptedException {
         long from = System.nanoTime();
         while (all.held() < tasks && (System.nanoTime() - from) / MS < PATIENCE_MILLIS) {
             Thread.sleep(5);
--- a/src/main/java/beaconladder/testbed/scale/ListPart.java
+++ b/src/main/java/beaconladder/testbed/scale/ListPart.java
@@ -21,10 +21,10 @@
     private static final int ZONES = 9;
 
     /** A router before its list. */
-    private record Site(int hosts, ListStandIn list, Child router) {}
+    private record Site(int hosts, DiscoveryStandIn list, ChildProcess router) {}
 
     /** What one of them has used in some time. */
-    private record Used(double seconds, double cores, long bytes, Counters end) {}
+    private record Used(double seconds, double cores, long bytes, ProcessCounters end) {}
 
     @Override
     public String of() {
@@ -46,11 +46,11 @@
     public void measure(List<Integer> sizes, boolean small, SplittableRandom chance, Path folder, Report report)
             throws IOException, InterruptedException {
         List<Site> sites = new ArrayList<>();
-        try (OneForAll host = new OneForAll()) {
+        try (SharedHostStandIn host = new SharedHostStandIn()) {
             for (int hosts : sizes) {
-                ListStandIn list = new ListStandIn(hosts, host.port());
-                int port = Child.freePort();
-                Child router = Child.router(folder, "r" + hosts, RouterText.of("r" + hosts, port, list.port(), 512));
+                DiscoveryStandIn list = new DiscoveryStandIn(hosts, host.port());
+                int port = ChildProcess.freePort();
+                ChildProcess router = ChildProcess.router(folder, "r" + hosts, RouterConfig.of("r" + hosts, port, list.port(), 512));
                 sites.add(new Site(hosts, list, router));
                 router.listens(port);
             }
@@ -90,7 +90,7 @@
             }
         }
         if (!small) {
-            HollowPart.measure(folder, report);
+            EndpointWatchLoad.measure(folder, report);
         }
     }
 
@@ -201,7 +201,7 @@
     }
 
     private static List<Used> use(List<Site> sites, While meanwhile) throws IOException, InterruptedException {
-        List<Counters> before = new ArrayList<>();
+        List<ProcessCounters> before = new ArrayList<>();
         long[] bytes = new long[sites.size()];
         for (int i = 0; i < sites.size(); i++) {
             before.add(sites.get(i).router().counters());
@@ -210,7 +210,7 @@
         meanwhile.run();
         List<Used> used = new ArrayList<>();
         for (int i = 0; i < sites.size(); i++) {
-            Counters now = sites.get(i).router().counters();
+            ProcessCounters now = sites.get(i).router().counters();
             used.add(new Used(
                     (now.at() - before.get(i).at()) / 1e9,
                     now.cores(before.get(i)),
--- a/src/main/java/beaconladder/testbed/scale/RealMember.java
+++ b/src/main/java/beaconladder/testbed/scale/MemberProcess.java
@@ -9,11 +9,11 @@
 import java.util.List;
 
 /** A process with a member of the real classes, and nothing else; it tells when it knows all. */
-final class RealMember {
+final class MemberProcess {
     private static final int LOOK_MILLIS = 20;
     static final String KNOWS_ALL = "knows all";
 
-    private RealMember() {}
+    private MemberProcess() {}
 
     public static void main(String[] arguments) throws Exception {
         int port = Integer.parseInt(arguments[0]);
@@ -35,13 +35,13 @@
         swim.setAccessible(true);
         SwimProtocol inner = (SwimProtocol) swim.get(gossip);
         synchronized (inner) {
-            Settled.settle(inner);
+            ConvergedMembership.settle(inner);
         }
         thread.join();
     }
 
     /** Waits until the process says so. */
-    static void knowsAll(Child child, int seconds) throws IOException, InterruptedException {
+    static void knowsAll(ChildProcess child, int seconds) throws IOException, InterruptedException {
         long until = System.nanoTime() + seconds * 1_000_000_000L;
         while (!child.log().endsWith(KNOWS_ALL + "\n") && !child.log().contains("\n" + KNOWS_ALL + "\n")) {
             if (System.nanoTime() > until) {
--- a/src/main/java/beaconladder/testbed/scale/RealMembers.java
+++ b/src/main/java/beaconladder/testbed/scale/MemberProcesses.java
@@ -8,15 +8,15 @@
 import java.util.SplittableRandom;
 
 /** Processes with one real member each, among hollow peers: as newcomers, then settled. */
-final class RealMembers {
+final class MemberProcesses {
     private static final int TARGET = 4_100;
     private static final int KNOW_SECONDS = 60;
     /** So long after it knows all a member tells them on as news; then it is settled. */
     private static final int NEWCOMER_MILLIS = 8_000;
 
-    private record Pair(int members, HollowPeers peers, Child child) {}
+    private record Pair(int members, SimulatedPeers peers, ChildProcess child) {}
 
-    private RealMembers() {}
+    private MemberProcesses() {}
 
     static void measure(List<Integer> sizes, SplittableRandom chance, Path folder, Report report)
             throws IOException, InterruptedException {
@@ -29,19 +29,19 @@
         List<Point> resident = new ArrayList<>();
         try {
             for (int members : sizes) {
-                HollowPeers peers = new HollowPeers(members, chance.split());
-                Child child = Child.start(
+                SimulatedPeers peers = new SimulatedPeers(members, chance.split());
+                ChildProcess child = ChildProcess.start(
                         folder,
                         "member" + members,
-                        Child.RUN,
-                        RealMember.class.getName(),
-                        String.valueOf(Child.freeDatagramPort()),
+                        ChildProcess.RUN,
+                        MemberProcess.class.getName(),
+                        String.valueOf(ChildProcess.freeDatagramPort()),
                         peers.seed(),
                         String.valueOf(members),
                         String.valueOf(NEWCOMER_MILLIS));
                 pairs.add(new Pair(members, peers, child));
                 peers.introduce();
-                RealMember.knowsAll(child, KNOW_SECONDS);
+                MemberProcess.knowsAll(child, KNOW_SECONDS);
                 log.add(new Point(members, child.log().length() / 1e6));
                 if (members == sizes.get(sizes.size() - 1)) {
                     newcomerCpu.add(new Point(members, child.counters().cpuNanos() / 1e6));
@@ -51,7 +51,7 @@
                 }
             }
             Thread.sleep(NEWCOMER_MILLIS);
-            List<Counters> before = new ArrayList<>();
+            List<ProcessCounters> before = new ArrayList<>();
             long[] sent =
                     pairs.stream().mapToLong(pair -> pair.peers().bytes.get()).toArray();
             for (Pair pair : pairs) {
@@ -60,7 +60,7 @@
             Thread.sleep(2 * NEWCOMER_MILLIS);
             for (int i = 0; i < sent.length; i++) {
                 Pair pair = pairs.get(i);
-                Counters now = pair.child().counters();
+                ProcessCounters now = pair.child().counters();
                 rest.add(new Point(pair.members(), 100 * now.cores(before.get(i))));
                 bytes.add(new Point(
                         pair.members(),
--- a/src/main/java/beaconladder/testbed/scale/MembersPart.java
+++ b/src/main/java/beaconladder/testbed/scale/MembersPart.java
@@ -41,11 +41,11 @@
             throws IOException, InterruptedException {
         looks(small, report);
         if (!small) {
-            RealMembers.measure(LOOKS, chance, folder, report);
+            MemberProcesses.measure(LOOKS, chance, folder, report);
         }
-        List<FleetRun> runs = new ArrayList<>();
+        List<FleetMeasurement> runs = new ArrayList<>();
         for (int size : sizes) {
-            FleetRun run = FleetRun.of(size, chance.split());
+            FleetMeasurement run = FleetMeasurement.of(size, chance.split());
             runs.add(run);
             report.say(String.format(
                     Locale.ROOT,
@@ -70,14 +70,14 @@
                 "members",
                 TARGET,
                 2 * Report.COUNTED,
-                points(runs, FleetRun::messages));
+                points(runs, FleetMeasurement::messages));
         report.slope(
                 "members.bytes_s",
                 "B/s a member",
                 "members",
                 TARGET,
                 2 * Report.COUNTED,
-                points(runs, FleetRun::bytes));
+                points(runs, FleetMeasurement::bytes));
         report.slope(
                 "members.death_known_ms",
                 "ms in the median",
@@ -92,21 +92,21 @@
                 Math.log10(TARGET),
                 2 * Report.TIMED,
                 logarithms(runs, run -> run.zone().getValueAtPercentile(50)));
-        int buried = runs.stream().mapToInt(FleetRun::buried).sum();
+        int buried = runs.stream().mapToInt(FleetMeasurement::buried).sum();
         report.figure(
                 "members.false_deaths_of_two_paused",
-                runs.stream().mapToInt(FleetRun::buriedFew).sum());
+                runs.stream().mapToInt(FleetMeasurement::buriedFew).sum());
         report.figure("members.false_deaths_of_a_twentieth", buried);
-        report.figure("members.paused", runs.stream().mapToInt(FleetRun::paused).sum());
+        report.figure("members.paused", runs.stream().mapToInt(FleetMeasurement::paused).sum());
     }
 
     private static void looks(boolean small, Report report) {
         List<Integer> sizes = small ? LOOKS.subList(0, LOOKS.size() - 1) : LOOKS;
-        Look.micros(LOOKS.get(0), small ? 2 : 10);
+        MembershipTickCost.micros(LOOKS.get(0), small ? 2 : 10);
         List<Point> at = new ArrayList<>();
         List<Point> view = new ArrayList<>();
         for (int members : sizes) {
-            double[] micros = Look.micros(members, small ? LOOKS_SMALL : 10);
+            double[] micros = MembershipTickCost.micros(members, small ? LOOKS_SMALL : 10);
             at.add(new Point(members, micros[0]));
             view.add(new Point(members, micros[1]));
         }
@@ -121,13 +121,13 @@
                 "members.look_by_size", at.get(last).value() / at.get(last - 2).value(), 2.5 * times);
     }
 
-    private static List<Point> points(List<FleetRun> runs, ToDoubleFunction<FleetRun> value) {
+    private static List<Point> points(List<FleetMeasurement> runs, ToDoubleFunction<FleetMeasurement> value) {
         return runs.stream()
                 .map(run -> new Point(run.size(), value.applyAsDouble(run)))
                 .toList();
     }
 
-    private static List<Point> logarithms(List<FleetRun> runs, ToDoubleFunction<FleetRun> value) {
+    private static List<Point> logarithms(List<FleetMeasurement> runs, ToDoubleFunction<FleetMeasurement> value) {
         return runs.stream()
                 .map(run -> new Point(Math.log10(run.size()), value.applyAsDouble(run)))
                 .toList();
--- a/src/main/java/beaconladder/testbed/scale/Look.java
+++ b/src/main/java/beaconladder/testbed/scale/MembershipTickCost.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /** What one look of a settled member costs: at, wake and view, as its loop calls them. */
-final class Look {
+final class MembershipTickCost {
     private static final long DUE_NEVER = 1;
 
-    private Look() {}
+    private MembershipTickCost() {}
 
     /** Microseconds for at and wake, and for view, among so many; the least of several rounds. */
     static double[] micros(int members, int rounds) {
@@ -19,8 +19,8 @@
             all.add(new Member("r" + i, "10.0." + (i >> 8) + "." + (i & 255) + ":7946", 1, State.ALIVE));
         }
         SwimProtocol swim = new SwimProtocol("self", "10.9.9.9:7946", 1, List.of(), 1);
-        Settled.introduce(swim, all.get(0), all, 0);
-        Settled.settle(swim);
+        ConvergedMembership.introduce(swim, all.get(0), all, 0);
+        ConvergedMembership.settle(swim);
         swim.tick(0);
         double[] least = {Double.MAX_VALUE, Double.MAX_VALUE};
         int looks = Math.max(20, 400_000 / members);
--- a/src/main/java/beaconladder/testbed/scale/Pollers.java
+++ b/src/main/java/beaconladder/testbed/scale/PlacementPollers.java
@@ -12,7 +12,7 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /** Routers as the keeper sees them, hollow: a connection each, on which the next call follows the answer. */
-final class Pollers implements AutoCloseable {
+final class PlacementPollers implements AutoCloseable {
     private static final int STACK = 160 * 1024;
     private static final int LONGEST_HEAD = 4 * 1024;
     private static final int TIMEOUT_MILLIS = 5_000;
@@ -27,7 +27,7 @@
     private volatile boolean closed;
 
     /** So many, each of which asks with a wait of so long. */
-    Pollers(int port, int count, int waitMillis) {
+    PlacementPollers(int port, int count, int waitMillis) {
         for (int i = 0; i < count; i++) {
             String name = "r" + i;
             int later = (int) ((long) waitMillis * i / count);
--- a/src/main/java/beaconladder/testbed/scale/PositionsSight.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionMetrics.java
@@ -11,8 +11,8 @@
 import org.HdrHistogram.Histogram;
 
 /** What is seen of a hollow router's record of positions, judged by what its hosts really have. */
-final class PositionsSight implements PositionsRouter.Watcher {
-    private static final long MS = PositionsHosts.MS;
+final class PositionMetrics implements SimulatedRouter.Watcher {
+    private static final long MS = SimulatedHosts.MS;
     private static final long LOOK = 100 * MS;
     private static final List<Consistency> READS = List.of(Consistency.BOUNDED, Consistency.SESSION, Consistency.ANY);
 
@@ -35,21 +35,21 @@
         final Histogram positionAge = new Histogram(3);
     }
 
-    private final PositionsHosts truth;
+    private final SimulatedHosts truth;
     private final Map<Consistency, Kind> kinds = new LinkedHashMap<>();
     /** How long ago a replica of the group had last spoken when a read came. */
     private final Histogram heardBefore = new Histogram(3);
 
-    private final PositionsLines lines;
-    private final PositionsLines kept;
+    private final SimulatedConnections lines;
+    private final SimulatedConnections kept;
     private long txns;
     private long probes;
     private long nextLook;
 
-    PositionsSight(PositionsHosts truth, long keepIdle) {
+    PositionMetrics(SimulatedHosts truth, long keepIdle) {
         this.truth = truth;
-        lines = new PositionsLines(truth.count(), keepIdle, true);
-        kept = new PositionsLines(truth.count(), keepIdle, false);
+        lines = new SimulatedConnections(truth.count(), keepIdle, true);
+        kept = new SimulatedConnections(truth.count(), keepIdle, false);
         READS.forEach(read -> kinds.put(read, new Kind()));
     }
 
@@ -109,7 +109,7 @@
         if (kind == null) {
             return;
         }
-        boolean atPrimary = PositionsHosts.isPrimary(s.host.id);
+        boolean atPrimary = SimulatedHosts.isPrimary(s.host.id);
         if (s.index == 0) {
             kind.toPrimary += atPrimary ? 1 : 0;
             if (now > s.request.arrivedNanos) {
@@ -171,8 +171,8 @@
         times(to, "heard_ago_at_arrival_ms", heardBefore);
         to.put("probes_a_txn", (double) probes / Math.max(1, txns));
         String[] roles = {"primary", "replica"};
-        double groups = truth.count() / (double) PositionsHosts.MEMBERS;
-        double routers = PositionsStart.routers(truth.count());
+        double groups = truth.count() / (double) SimulatedHosts.MEMBERS;
+        double routers = SimulatedRouterSettings.routers(truth.count());
         to.put("reckoned_routers", routers);
         for (int role = 0; role < 2; role++) {
             // What one router has, at each such host, times the routers before so many hosts.
--- a/src/main/java/beaconladder/testbed/scale/Positions.java
+++ b/src/main/java/beaconladder/testbed/scale/Positions.java
@@ -32,23 +32,23 @@
 
     /** The same before replicas that lie so much further behind than they claim. */
     static Map<String, Object> run(int groups, long seed, int warmUp, int seconds, long hidden) {
-        PositionsHosts truth = new PositionsHosts(groups, new SplittableRandom(seed), hidden);
-        PositionsSight[] sight = new PositionsSight[1];
-        PositionsRouter router = new PositionsRouter(
+        SimulatedHosts truth = new SimulatedHosts(groups, new SplittableRandom(seed), hidden);
+        PositionMetrics[] sight = new PositionMetrics[1];
+        SimulatedRouter router = new SimulatedRouter(
                 truth,
                 new SplittableRandom(seed),
-                PositionsRouter.MIXED,
-                keepIdle -> sight[0] = new PositionsSight(truth, keepIdle));
-        router.play((long) (PositionsRouter.RATE * warmUp));
+                SimulatedRouter.MIXED,
+                keepIdle -> sight[0] = new PositionMetrics(truth, keepIdle));
+        router.play((long) (SimulatedRouter.RATE * warmUp));
         sight[0].reset();
         long from = router.now();
-        router.play((long) (PositionsRouter.RATE * (warmUp + seconds)));
+        router.play((long) (SimulatedRouter.RATE * (warmUp + seconds)));
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("groups", groups);
         figures.put("hosts", truth.count());
         figures.put("seed", seed);
         figures.put("warm_up_s", warmUp);
-        figures.put("txns", (long) (PositionsRouter.RATE * seconds));
+        figures.put("txns", (long) (SimulatedRouter.RATE * seconds));
         sight[0].figures(figures, (router.now() - from) / 1e9);
         return figures;
     }
--- a/src/main/java/beaconladder/testbed/scale/PositionsPart.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsPart.java
@@ -44,7 +44,7 @@
         if (!small) {
             int most = sizes.get(sizes.size() - 1);
             tell(Positions.cold(most, seed, SECONDS), "positions.cold_", report);
-            tell(PositionsLoss.run(most, seed), "positions.zone_", report);
+            tell(ZoneLoss.run(most, seed), "positions.zone_", report);
         }
         report.atMost("positions.stale_reads", stale, 0);
     }
--- a/src/main/java/beaconladder/testbed/scale/Counters.java
+++ b/src/main/java/beaconladder/testbed/scale/ProcessCounters.java
@@ -14,13 +14,13 @@
  * @param threads as many as it has now
  * @param at when it was read, by {@link System#nanoTime}
  */
-record Counters(long cpuNanos, long residentKb, int descriptors, int threads, long at) {
+record ProcessCounters(long cpuNanos, long residentKb, int descriptors, int threads, long at) {
     /** Linux tells processor time in hundredths of a second on every machine that this runs on. */
     private static final long TICK_NANOS = 10_000_000;
     /** Behind the name in brackets: utime and stime are fields 14 and 15 of all. */
     private static final int USER = 11;
 
-    static Counters of(long pid) throws IOException {
+    static ProcessCounters of(long pid) throws IOException {
         Path proc = Path.of("/proc", String.valueOf(pid));
         String stat = Files.readString(proc.resolve("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -35,12 +35,12 @@
         }
         try (Stream<Path> open = Files.list(proc.resolve("fd"))) {
             long ticks = Long.parseLong(fields[USER]) + Long.parseLong(fields[USER + 1]);
-            return new Counters(ticks * TICK_NANOS, resident, (int) open.count(), threads, System.nanoTime());
+            return new ProcessCounters(ticks * TICK_NANOS, resident, (int) open.count(), threads, System.nanoTime());
         }
     }
 
     /** The share of one core that it used from then to now. */
-    double cores(Counters before) {
+    double cores(ProcessCounters before) {
         return (cpuNanos - before.cpuNanos) / (double) (at - before.at);
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/Callers.java
+++ b/src/main/java/beaconladder/testbed/scale/RouterClients.java
@@ -12,7 +12,7 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /** Clients of one router, a connection each; some threads ask on all of them in turns. */
-final class Callers implements AutoCloseable {
+final class RouterClients implements AutoCloseable {
     private static final int THREADS = 16;
     private static final int STACK = 256 * 1024;
 
@@ -22,7 +22,7 @@
     private final AtomicLong failed = new AtomicLong();
     private volatile int groups = 1;
 
-    Callers(int port, int count) throws IOException {
+    RouterClients(int port, int count) throws IOException {
         for (int i = 0; i < count; i++) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
--- a/src/main/java/beaconladder/testbed/scale/RouterText.java
+++ b/src/main/java/beaconladder/testbed/scale/RouterConfig.java
@@ -4,12 +4,12 @@
 import java.util.stream.Stream;
 
 /** The file that tells a router what it needs. */
-final class RouterText {
+final class RouterConfig {
     private static final String REQUEST_CLASS = """
                 {"name":"%s","effect":"%s","goal_time_us":500000,"give_up_us":2000000,"late_share":0.5,\
                 "points":1.0}""";
 
-    private RouterText() {}
+    private RouterConfig() {}
 
     static String of(String name, int port, int discovery, int sockets) {
         String types = Stream.of("any", "fresh", "own", "write")
--- a/src/main/java/beaconladder/testbed/scale/ModuleCost.java
+++ b/src/main/java/beaconladder/testbed/scale/RoutingCost.java
@@ -17,7 +17,7 @@
  * any data, so that the module is asked the same at each size; mixed, the older record of more groups has it hold and
  * probe more, which costs too. The hollow hosts' own work, a few draws and a queue of events, is in the figures.
  */
-public final class ModuleCost {
+public final class RoutingCost {
     /** Hosts; the last one is the users'. */
     public static final List<Integer> SIZES = List.of(120, 300, 1_200, 2_400, 5_800);
     /** Txns before those measured, so that the compiler is done and hosts have been heard of. */
@@ -27,28 +27,28 @@
     /** The best of so many stretches counts: others on the machine can only add. */
     private static final int STRETCHES = 30;
 
-    private ModuleCost() {}
+    private RoutingCost() {}
 
     /** One size; the same script for the same seed, its times as measured. */
     public static Map<String, Object> measure(int hosts, long seed) {
-        PositionsHosts truth = new PositionsHosts(hosts / PositionsHosts.MEMBERS, new SplittableRandom(seed), 0);
+        SimulatedHosts truth = new SimulatedHosts(hosts / SimulatedHosts.MEMBERS, new SplittableRandom(seed), 0);
         // First, since what the first router brings up in the machine stays, and is none of a host's.
-        double mixed = micros(List.of(new PositionsRouter(
-                truth, new SplittableRandom(seed), PositionsRouter.MIXED, keepIdle -> new Blind())))[0];
+        double mixed = micros(List.of(new SimulatedRouter(
+                truth, new SplittableRandom(seed), SimulatedRouter.MIXED, keepIdle -> new Blind())))[0];
         long before = heap();
-        PositionsRouter router =
-                new PositionsRouter(truth, new SplittableRandom(seed), PositionsRouter.PLAIN, keepIdle -> new Blind());
+        SimulatedRouter router =
+                new SimulatedRouter(truth, new SplittableRandom(seed), SimulatedRouter.PLAIN, keepIdle -> new Blind());
         long heap = heap() - before;
         double plain = micros(List.of(router))[0];
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("hosts", truth.count());
-        figures.put("groups", truth.count() / PositionsHosts.MEMBERS);
+        figures.put("groups", truth.count() / SimulatedHosts.MEMBERS);
         figures.put("seed", seed);
         figures.put("txns", STRETCHES * MEASURED);
         figures.put("micros_a_txn", plain);
-        figures.put("share_of_core", plain * PositionsRouter.RATE / 1e6);
+        figures.put("share_of_core", plain * SimulatedRouter.RATE / 1e6);
         figures.put("mixed_micros_a_txn", mixed);
-        figures.put("mixed_share_of_core", mixed * PositionsRouter.RATE / 1e6);
+        figures.put("mixed_share_of_core", mixed * SimulatedRouter.RATE / 1e6);
         figures.put("heap_bytes_a_host", (double) heap / truth.count());
         return figures;
     }
@@ -56,8 +56,8 @@
     /** How many times as much a txn costs among so many groups as among so few, measured in turns. */
     static double ratio(int few, int many, List<Double> upTo, long seed) {
         double[] micros = micros(IntStream.of(few, many)
-                .mapToObj(groups -> new PositionsRouter(
-                        new PositionsHosts(groups, new SplittableRandom(seed), 0),
+                .mapToObj(groups -> new SimulatedRouter(
+                        new SimulatedHosts(groups, new SplittableRandom(seed), 0),
                         new SplittableRandom(seed),
                         upTo,
                         keepIdle -> new Blind()))
@@ -66,7 +66,7 @@
     }
 
     /** Microseconds of this thread a txn, at each of these routers. */
-    private static double[] micros(List<PositionsRouter> routers) {
+    private static double[] micros(List<SimulatedRouter> routers) {
         routers.forEach(router -> router.play(WARM_UP));
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         double[] best = routers.stream().mapToDouble(router -> Double.MAX_VALUE).toArray();
@@ -98,5 +98,5 @@
     }
 
     /** Looks at nothing, so that only the module is measured. */
-    private static final class Blind implements PositionsRouter.Watcher {}
+    private static final class Blind implements SimulatedRouter.Watcher {}
 }
--- a/src/main/java/beaconladder/testbed/scale/ModulePart.java
+++ b/src/main/java/beaconladder/testbed/scale/RoutingPart.java
@@ -10,7 +10,7 @@
  * The module by hosts, at one router's txns. Real: the module and its rounds, in this process. Hollow: the hosts, their
  * answers and the time.
  */
-final class ModulePart implements Part {
+final class RoutingPart implements Part {
     private static final int TARGET = 5_800;
 
     @Override
@@ -20,7 +20,7 @@
 
     @Override
     public List<Integer> sizes(boolean small) {
-        return small ? List.of(30, 60, 90, 120, 240) : ModuleCost.SIZES;
+        return small ? List.of(30, 60, 90, 120, 240) : RoutingCost.SIZES;
     }
 
     @Override
@@ -32,9 +32,9 @@
     public void measure(List<Integer> sizes, boolean small, SplittableRandom chance, Path folder, Report report) {
         long seed = chance.nextLong(1 << 20);
         // Once without being counted: compiled code finds its place.
-        ModuleCost.measure(sizes.get(0), seed);
+        RoutingCost.measure(sizes.get(0), seed);
         List<Map<String, Object>> runs =
-                sizes.stream().map(hosts -> ModuleCost.measure(hosts, seed)).toList();
+                sizes.stream().map(hosts -> RoutingCost.measure(hosts, seed)).toList();
         List<Point> micros = points(sizes, runs, "micros_a_txn");
         // A curve that levels off, so that a line through its small sizes foretells chance: a rule instead.
         micros.forEach(point -> report.figure("module.micros_a_txn_" + (int) point.size(), point.value()));
--- a/src/main/java/beaconladder/testbed/scale/Scale.java
+++ b/src/main/java/beaconladder/testbed/scale/Scale.java
@@ -26,9 +26,9 @@
         /** Clients: a real router by connections, idle, and by txns. */
         CLIENTS(ClientsPart::new),
         /** The keeper of cells, by routers. */
-        KEEPER(KeeperPart::new),
+        KEEPER(CoordinatorPart::new),
         /** The module: a txn's cost by the number of hosts. */
-        MODULE(ModulePart::new),
+        MODULE(RoutingPart::new),
         /** The record of positions, by groups; a zone lost, as one router sees it. */
         POSITIONS(PositionsPart::new);
 
--- a/src/main/java/beaconladder/testbed/scale/OneForAll.java
+++ b/src/main/java/beaconladder/testbed/scale/SharedHostStandIn.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** One listening socket that stands for all hosts: it takes connections, counts them and says nothing. */
-final class OneForAll implements AutoCloseable {
+final class SharedHostStandIn implements AutoCloseable {
     private final ServerSocket door = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
     private final Queue<Socket> taken = new ConcurrentLinkedQueue<>();
     final AtomicLong connections = new AtomicLong();
 
-    OneForAll() throws IOException {
+    SharedHostStandIn() throws IOException {
         Thread thread = new Thread(
                 null,
                 () -> {
--- a/src/main/java/beaconladder/testbed/scale/PositionsLines.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedConnections.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** The connections of a hollow router to its hosts, by the rules of the real ones; no sockets. */
-final class PositionsLines {
+final class SimulatedConnections {
     /** As the real ones rest before the next use. */
     private static final long RESTED = 3_000_000;
 
@@ -23,7 +23,7 @@
     private final long[] used = new long[2];
     private long looks;
 
-    PositionsLines(int hosts, long keepIdle, boolean closes) {
+    SimulatedConnections(int hosts, long keepIdle, boolean closes) {
         this.keepIdle = keepIdle;
         this.closes = closes;
         inUse = new int[hosts];
@@ -33,7 +33,7 @@
     }
 
     private static int role(int host) {
-        return PositionsHosts.isPrimary(host) ? 0 : 1;
+        return SimulatedHosts.isPrimary(host) ? 0 : 1;
     }
 
     /** A call to this host: on the newest connection that has rested, or on a new one. */
--- a/src/main/java/beaconladder/testbed/scale/Fleet.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedFleet.java
@@ -17,7 +17,7 @@
  * Members of the real class in one thread, on a clock and a network of their own: what one sends comes to the other
  * within some milliseconds, and a paused one hears all of it when it goes on.
  */
-final class Fleet {
+final class SimulatedFleet {
     static final long MS = 1_000_000L;
     private static final long FASTEST = MS / 2;
     private static final long SLOWEST = 3 * MS;
@@ -42,7 +42,7 @@
     private long inside;
 
     /** So many who know each other and have no news. */
-    Fleet(int count, SplittableRandom chance) {
+    SimulatedFleet(int count, SplittableRandom chance) {
         this.chance = chance;
         wake = new long[count];
         pausedUntil = new long[count];
@@ -53,8 +53,8 @@
         }
         for (int i = 0; i < count; i++) {
             SwimProtocol swim = new SwimProtocol(name(i), address(i), 1_700_000_000_000L, List.of(), chance.nextLong());
-            Settled.introduce(swim, all.get((i + 1) % count), all, 0);
-            Settled.settle(swim);
+            ConvergedMembership.introduce(swim, all.get((i + 1) % count), all, 0);
+            ConvergedMembership.settle(swim);
             swims.add(swim);
             wake[i] = chance.nextLong(PERIOD);
             push(wake[i], i, null);
--- a/src/main/java/beaconladder/testbed/scale/PositionsHosts.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedHosts.java
@@ -9,7 +9,7 @@
  * log up to a time that lies a constant part behind the clock, drawn for each; hosts answer after a drawn time, however
  * many ask. They are well, but for a zone that may be lost.
  */
-final class PositionsHosts {
+final class SimulatedHosts {
     static final long MS = 1_000_000;
     static final int MEMBERS = 3;
     /** How far replicas lie behind: 20 to 200 ms, so that all of them bear a bound of 500 ms. */
@@ -38,7 +38,7 @@
 
     private long lostAt = Long.MAX_VALUE;
 
-    PositionsHosts(int groups, SplittableRandom chance, long hidden) {
+    SimulatedHosts(int groups, SplittableRandom chance, long hidden) {
         this.chance = chance;
         this.hidden = hidden;
         lag = new long[groups * MEMBERS];
--- a/src/main/java/beaconladder/testbed/scale/Askers.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedLeaseClients.java
@@ -17,7 +17,7 @@
  * Processes that want a task, hollow: for each the real state machine, a thread and connections of its own, and nothing
  * that it does with the task.
  */
-final class Askers implements AutoCloseable {
+final class SimulatedLeaseClients implements AutoCloseable {
     private static final int STACK = 160 * 1024;
     private static final long MS = 1_000_000;
     private static final long SHORTEST_MILLIS = 2;
@@ -33,7 +33,7 @@
     private volatile boolean closed;
 
     /** So many that begin to ask for these tasks now, all at once. */
-    Askers(int count, int tasks, String name, List<InetSocketAddress> doors) {
+    SimulatedLeaseClients(int count, int tasks, String name, List<InetSocketAddress> doors) {
         this.tasks = tasks;
         tenures = new AtomicReferenceArray<>(count);
         for (int i = 0; i < count; i++) {
@@ -42,8 +42,8 @@
                     LeaseHolderState.initial(new LeaseTerms(
                                     name + "-" + i % tasks,
                                     "a" + i + "#1",
-                                    Grantors.LENGTH_MILLIS * MS,
-                                    Grantors.BOUND_MILLIS * MS))
+                                    LeaseServers.LENGTH_MILLIS * MS,
+                                    LeaseServers.BOUND_MILLIS * MS))
                             .want(clock.getAsLong()));
         }
         for (int i = 0; i < count; i++) {
@@ -56,7 +56,7 @@
     }
 
     private void ask(int asker, List<InetSocketAddress> at) {
-        try (LeaseClient doors = new LeaseClient(at, asker, (int) Grantors.LENGTH_MILLIS / 4)) {
+        try (LeaseClient doors = new LeaseClient(at, asker, (int) LeaseServers.LENGTH_MILLIS / 4)) {
             while (!closed) {
                 LeaseHolderState.Step step = tenures.get(asker).onTime(clock.getAsLong());
                 tenures.set(asker, step.next());
@@ -115,7 +115,7 @@
         closed = true;
         try {
             for (Thread thread : threads) {
-                thread.join(2 * Grantors.LENGTH_MILLIS);
+                thread.join(2 * LeaseServers.LENGTH_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/beaconladder/testbed/scale/HollowPeers.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedPeers.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** N members that are a socket each and no more: they answer probes, and one probes each half second. */
-final class HollowPeers implements AutoCloseable {
+final class SimulatedPeers implements AutoCloseable {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int NEWS = 10;
     private static final int PERIOD_MILLIS = 500;
@@ -37,7 +37,7 @@
     final AtomicLong messages = new AtomicLong();
     final AtomicLong bytes = new AtomicLong();
 
-    HollowPeers(int count, SplittableRandom chance) throws IOException {
+    SimulatedPeers(int count, SplittableRandom chance) throws IOException {
         this.chance = chance;
         for (int i = 0; i < count; i++) {
             DatagramChannel channel = DatagramChannel.open();
--- a/src/main/java/beaconladder/testbed/scale/PositionsRouter.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedRouter.java
@@ -21,8 +21,8 @@
  * One hollow router in virtual time: the real module and its real rounds, as behind the desk (a look after each event),
  * before hollow hosts. There are no sockets, clients, threads or lock.
  */
-final class PositionsRouter implements DecisionLoop.ActionHandler {
-    static final long MS = PositionsHosts.MS;
+final class SimulatedRouter implements DecisionLoop.ActionHandler {
+    static final long MS = SimulatedHosts.MS;
     /** Statements a second at one router, the users' figure. */
     static final double RATE = 902;
 
@@ -69,7 +69,7 @@
 
     final List<Host> hosts = new ArrayList<>();
     private final List<Group> groups = new ArrayList<>();
-    private final PositionsHosts truth;
+    private final SimulatedHosts truth;
     private final SplittableRandom chance;
     private final List<Double> upTo;
     private final Watcher watcher;
@@ -83,20 +83,20 @@
     private long taken;
 
     /** Its watcher is told how long a connection may be idle and still be used. */
-    PositionsRouter(PositionsHosts truth, SplittableRandom chance, List<Double> upTo, LongFunction<Watcher> watcher) {
+    SimulatedRouter(SimulatedHosts truth, SplittableRandom chance, List<Double> upTo, LongFunction<Watcher> watcher) {
         this.upTo = upTo;
         this.truth = truth;
         this.chance = chance;
-        logic = new RoutingPolicy(chance.nextLong(), PositionsStart.told(truth.count()));
+        logic = new RoutingPolicy(chance.nextLong(), SimulatedRouterSettings.told(truth.count()));
         rounds = new DecisionLoop(logic, this);
         this.watcher = watcher.apply(logic.maxIdleNanos());
         for (int i = 0; i < truth.count(); i++) {
-            if (PositionsHosts.isPrimary(i)) {
+            if (SimulatedHosts.isPrimary(i)) {
                 groups.add(new Group(groups.size()));
             }
-            Host host = new Host(i, groups.get(groups.size() - 1), i % PositionsHosts.MEMBERS);
+            Host host = new Host(i, groups.get(groups.size() - 1), i % SimulatedHosts.MEMBERS);
             hosts.add(host);
-            logic.updateHost(host, PositionsHosts.isPrimary(i), Host.State.READY, 0, now);
+            logic.updateHost(host, SimulatedHosts.isPrimary(i), Host.State.READY, 0, now);
         }
         until = rounds.processDue(now);
         at(now, this::comes);
@@ -160,9 +160,9 @@
                         .filter(host -> truth.lostWith(host.id))
                         .forEach(host -> logic.updateHost(host, false, Host.State.GONE, 0, now)));
         at(
-                now + PositionsHosts.FAILOVER + ROLE_LAG,
+                now + SimulatedHosts.FAILOVER + ROLE_LAG,
                 () -> hosts.stream()
-                        .filter(host -> truth.leads(host.id, now) && !PositionsHosts.isPrimary(host.id))
+                        .filter(host -> truth.leads(host.id, now) && !SimulatedHosts.isPrimary(host.id))
                         .forEach(host -> logic.updateHost(host, true, Host.State.READY, 0, now)));
     }
 
--- a/src/main/java/beaconladder/testbed/scale/PositionsStart.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedRouterSettings.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /** What a hollow router is told at start. */
-final class PositionsStart {
+final class SimulatedRouterSettings {
     /** Statements a second at one host of the users' fleet, of all routers. */
     private static final double HOST_RATE = 638;
 
-    private PositionsStart() {}
+    private SimulatedRouterSettings() {}
 
     /** How many routers give each of these hosts the users' rate: 4,102 before 5,799 hosts. */
     static int routers(int hosts) {
-        return (int) Math.max(1, Math.round(HOST_RATE * hosts / PositionsRouter.RATE));
+        return (int) Math.max(1, Math.round(HOST_RATE * hosts / SimulatedRouter.RATE));
     }
 
     /** What the router is told at start, as valpo-despacho-later tells it, but for the number of routers. */
--- a/src/main/java/beaconladder/testbed/scale/PositionsLoss.java
+++ b/src/main/java/beaconladder/testbed/scale/ZoneLoss.java
@@ -16,7 +16,7 @@
  * later. What one router's clients get meanwhile, by the real module; hosts that stay have all the room they need, and
  * clients don't come again.
  */
-public final class PositionsLoss implements PositionsRouter.Watcher {
+public final class ZoneLoss implements SimulatedRouter.Watcher {
     private static final long SECOND = 1_000_000_000;
     private static final int WARM_UP_SECONDS = 30;
     /** Seconds watched after the loss. */
@@ -24,7 +24,7 @@
     /** From which share of a second's txns in time on it counts as over. */
     private static final double WELL = 0.99;
 
-    private final PositionsHosts truth;
+    private final SimulatedHosts truth;
     private final long[] came = new long[WATCHED];
     private final long[] inTime = new long[WATCHED];
     private final long[] probes = new long[WATCHED];
@@ -36,7 +36,7 @@
     private int maxInFlight;
     private long stale;
 
-    private PositionsLoss(PositionsHosts truth) {
+    private ZoneLoss(SimulatedHosts truth) {
         this.truth = truth;
         for (Consistency read :
                 new Consistency[] {Consistency.BOUNDED, Consistency.SESSION, Consistency.ANY, Consistency.WRITE}) {
@@ -46,14 +46,14 @@
 
     /** So many groups; the same seed gives the same figures. */
     public static Map<String, Object> run(int groups, long seed) {
-        PositionsHosts truth = new PositionsHosts(groups, new SplittableRandom(seed), 0);
-        PositionsLoss loss = new PositionsLoss(truth);
-        PositionsRouter router =
-                new PositionsRouter(truth, new SplittableRandom(seed), PositionsRouter.MIXED, keepIdle -> loss);
-        router.play((long) (PositionsRouter.RATE * WARM_UP_SECONDS));
+        SimulatedHosts truth = new SimulatedHosts(groups, new SplittableRandom(seed), 0);
+        ZoneLoss loss = new ZoneLoss(truth);
+        SimulatedRouter router =
+                new SimulatedRouter(truth, new SplittableRandom(seed), SimulatedRouter.MIXED, keepIdle -> loss);
+        router.play((long) (SimulatedRouter.RATE * WARM_UP_SECONDS));
         loss.lostAt = router.now();
         router.lose();
-        router.play((long) (PositionsRouter.RATE * (WARM_UP_SECONDS + WATCHED + 5)));
+        router.play((long) (SimulatedRouter.RATE * (WARM_UP_SECONDS + WATCHED + 5)));
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("groups", groups);
         figures.put("hosts", truth.count());
@@ -69,8 +69,8 @@
 
     private boolean isHit(Request txn) {
         return txn.arrivedNanos >= lostAt
-                && txn.arrivedNanos < lostAt + PositionsHosts.FAILOVER
-                && truth.lostWith(txn.group.id * PositionsHosts.MEMBERS);
+                && txn.arrivedNanos < lostAt + SimulatedHosts.FAILOVER
+                && truth.lostWith(txn.group.id * SimulatedHosts.MEMBERS);
     }
 
     @Override
@@ -90,7 +90,7 @@
         if (!s.request.requestClass.consistency().requiresPrimary()
                 && !truth.leads(s.host.id, now)
                 && !truth.down(s.host.id, now)) {
-            stale += truth.position(s.host.id, now) < PositionsSight.target(s.request, s.request.sessionTarget, now)
+            stale += truth.position(s.host.id, now) < PositionMetrics.target(s.request, s.request.sessionTarget, now)
                     ? 1
                     : 0;
         }
--- a/src/test/java/beaconladder/testbed/scale/PositionsTest.java
+++ b/src/test/java/beaconladder/testbed/scale/PositionsTest.java
@@ -52,10 +52,10 @@
     /** A ninth of everything is lost: what needs a primary there waits for the new one, all else goes on. */
     @Test
     void aLostZoneCostsWhatNeedsItsPrimariesAndEndsWithTheFailover() {
-        Map<String, Object> figures = PositionsLoss.run(120, 1);
-        assertThat(figures).isEqualTo(PositionsLoss.run(120, 1));
+        Map<String, Object> figures = ZoneLoss.run(120, 1);
+        assertThat(figures).isEqualTo(ZoneLoss.run(120, 1));
         assertThat(of(figures, "stale")).isZero();
-        assertThat(of(PositionsLoss.run(1_933, 1), "stale")).isZero();
+        assertThat(of(ZoneLoss.run(1_933, 1), "stale")).isZero();
         assertThat(of(figures, "s1_to_13_in_time")).isBetween(0.85, 0.97);
         assertThat(of(figures, "s20_to_60_in_time")).isGreaterThan(0.99);
         assertThat(of(figures, "well_again_after_s")).isBetween(10.0, 16.0);
--- a/src/test/java/beaconladder/testbed/scale/ModuleCostTest.java
+++ b/src/test/java/beaconladder/testbed/scale/RoutingCostTest.java
@@ -6,7 +6,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-class ModuleCostTest {
+class RoutingCostTest {
     /**
      * The aim is 1.5, and a third more is for the noise of the machine; what is over 1 is memory further away. A look
      * at all groups at each event made it over thirty.
@@ -14,7 +14,7 @@
     @Test
     void aTxnCostsAboutTheSameAmongFiftyTimesAsManyGroups() {
         double best = LongStream.rangeClosed(1, 3)
-                .mapToDouble(seed -> ModuleCost.ratio(40, 1_933, PositionsRouter.PLAIN, seed))
+                .mapToDouble(seed -> RoutingCost.ratio(40, 1_933, SimulatedRouter.PLAIN, seed))
                 .min()
                 .orElseThrow();
         assertThat(best).isLessThan(2);
@@ -22,7 +22,7 @@
 
     @Test
     void aSizeIsMeasured() {
-        Map<String, Object> figures = ModuleCost.measure(1_200, 1);
+        Map<String, Object> figures = RoutingCost.measure(1_200, 1);
         assertThat(figures).containsEntry("hosts", 1_200).containsEntry("groups", 400);
         assertThat((double) figures.get("micros_a_txn")).isBetween(0.1, 1_000.0);
         // A few kilobytes of samples for a host.
--- a/src/test/java/beaconladder/testbed/scale/ScaleTest.java
+++ b/src/test/java/beaconladder/testbed/scale/ScaleTest.java
@@ -52,18 +52,18 @@
                 .findFirst()
                 .orElseThrow();
         assertThat(Arrays.stream(line.split(" ")).filter(word -> word.startsWith("-X") || word.startsWith("-D")))
-                .containsExactlyElementsOf(Child.RUN);
+                .containsExactlyElementsOf(ChildProcess.RUN);
     }
 
     @Test
     void countersAreThoseOfTheSystem() throws IOException, InterruptedException {
         long self = ProcessHandle.current().pid();
-        Counters before = Counters.of(self);
+        ProcessCounters before = ProcessCounters.of(self);
         long until = System.nanoTime() + 300_000_000;
         while (System.nanoTime() < until) {
             Thread.onSpinWait();
         }
-        Counters now = Counters.of(self);
+        ProcessCounters now = ProcessCounters.of(self);
         assertThat(now.cpuNanos()).isGreaterThan(before.cpuNanos());
         assertThat(now.residentKb()).isGreaterThan(1_000);
         assertThat(now.descriptors()).isGreaterThan(2);
