--- a/src/main/java/beaconladder/app/ScaleCommand.java
+++ b/src/main/java/beaconladder/app/ScaleCommand.java
@@ -62,7 +62,7 @@
             spec.commandLine().getErr().println("beaconladder: " + objection);
             return 2;
         }
-        return Scale.play(chosen, sizes, small, seed, spec.commandLine().getOut()) ? 0 : 1;
+        return Scale.run(chosen, sizes, small, seed, spec.commandLine().getOut()) ? 0 : 1;
     }
 
     private String objection(Set<Scale.Name> chosen) throws IOException {
@@ -72,6 +72,6 @@
         if (chosen.size() > 1) {
             throw new ParameterException(spec.commandLine(), "--sizes are of one part: name it by --part");
         }
-        return Scale.objection(chosen.iterator().next(), sizes, Scale.memory());
+        return Scale.validateSizes(chosen.iterator().next(), sizes, Scale.totalMemoryBytes());
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/ChildProcess.java
+++ b/src/main/java/beaconladder/testbed/scale/ChildProcess.java
@@ -10,10 +10,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A process of this program that is measured from outside; it ends with its owner. */
+/** A child process of this program that is measured from outside. It is killed when this one ends. */
 final class ChildProcess implements AutoCloseable {
-    /** As the `run` line of deploy/balancer.toml has them; a test compares. */
-    static final List<String> RUN = List.of(
+    /** The JVM flags of the `run` line of deploy/balancer.toml; a test compares the two. */
+    static final List<String> ROUTER_JVM_FLAGS = List.of(
             "-XX:-UsePerfData",
             "-XX:+DisableAttachMechanism",
             "-Djava.net.preferIPv4Stack=true",
@@ -30,67 +30,73 @@
 
     private final Process process;
     private final Path log;
-    private final Thread end = new Thread(this::kill);
+    private final Thread shutdownHook = new Thread(this::kill);
 
     private ChildProcess(ProcessBuilder builder, Path log) throws IOException {
         this.log = log;
         process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
-        Runtime.getRuntime().addShutdownHook(end);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
-    /** A process of this class path with these flags. */
-    static ChildProcess start(Path folder, String name, List<String> flags, String main, String... arguments)
+    /** Starts a process with the class path of this one and the given flags. */
+    static ChildProcess start(Path folder, String name, List<String> flags, String mainClass, String... arguments)
             throws IOException {
-        return new ChildProcess(new ProcessBuilder(line(flags, classes(), main, arguments)), folder.resolve(name + ".log"));
+        return new ChildProcess(
+                new ProcessBuilder(commandLine(flags, classPath(), mainClass, arguments)),
+                folder.resolve(name + ".log"));
     }
 
-    /** A router as operators start one. */
+    /** Starts a router the way operators start one. */
     static ChildProcess router(Path folder, String name, String config) throws IOException {
         Path file = folder.resolve(name + ".json");
         Files.writeString(file, config);
-        ProcessBuilder builder =
-                new ProcessBuilder(line(RUN, System.getProperty("java.class.path"), "beaconladder.app.Main", "serve"));
+        ProcessBuilder builder = new ProcessBuilder(
+                commandLine(ROUTER_JVM_FLAGS, System.getProperty("java.class.path"), "beaconladder.app.Main", "serve"));
         builder.environment().put("BALANCER_CONFIG", file.toString());
         return new ChildProcess(builder, folder.resolve(name + ".log"));
     }
 
-    private static List<String> line(List<String> flags, String classes, String main, String... arguments) {
-        List<String> line = new ArrayList<>();
-        line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        line.addAll(flags);
-        line.addAll(List.of("-cp", classes, main));
-        line.addAll(List.of(arguments));
-        return line;
+    private static List<String> commandLine(
+            List<String> flags, String classPath, String mainClass, String... arguments) {
+        List<String> commandLine = new ArrayList<>();
+        commandLine.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        commandLine.addAll(flags);
+        commandLine.addAll(List.of("-cp", classPath, mainClass));
+        commandLine.addAll(List.of(arguments));
+        return commandLine;
     }
 
-    /** This program's own; behind it, where it is a jar, what grantors need beside it. */
-    private static String classes() {
-        String own = System.getProperty("java.class.path");
-        Path jar = Path.of(own.split(java.io.File.pathSeparator)[0]).toAbsolutePath();
-        Path grantors = jar.resolveSibling("grantors");
-        return jar.toString().endsWith(".jar") && Files.isDirectory(grantors)
-                ? own + java.io.File.pathSeparator + grantors + "/*"
-                : own;
+    /**
+     * Returns the class path of this program and, when it runs from a jar, the libraries that lease servers need in
+     * addition.
+     */
+    private static String classPath() {
+        String ownClassPath = System.getProperty("java.class.path");
+        Path jar = Path.of(ownClassPath.split(java.io.File.pathSeparator)[0]).toAbsolutePath();
+        Path leaseServerLibraries = jar.resolveSibling("grantors");
+        return jar.toString().endsWith(".jar") && Files.isDirectory(leaseServerLibraries)
+                ? ownClassPath + java.io.File.pathSeparator + leaseServerLibraries + "/*"
+                : ownClassPath;
     }
 
-    /** A port that was free a moment ago. */
+    /** Returns a TCP port that was free a moment ago. */
     static int freePort() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             return free.getLocalPort();
         }
     }
 
-    /** The same for datagrams: those are ports of their own. */
+    /** Returns a UDP port that was free a moment ago. */
     static int freeDatagramPort() throws IOException {
         try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             return free.getLocalPort();
         }
     }
 
-    /** Waits until somebody listens at this port. */
-    void listens(int port) throws IOException, InterruptedException {
-        long until = System.nanoTime() + READY_MILLIS * 1_000_000L;
-        while (System.nanoTime() < until && process.isAlive()) {
+    /** Waits until the process accepts connections on this port. */
+    void awaitListening(int port) throws IOException, InterruptedException {
+        long deadline = System.nanoTime() + READY_MILLIS * 1_000_000L;
+        while (System.nanoTime() < deadline && process.isAlive()) {
             try {
                 new Socket(InetAddress.getLoopbackAddress(), port).close();
                 return;
@@ -98,7 +104,7 @@
                 Thread.sleep(20);
             }
         }
-        throw new IOException("a process of the test did not come up: " + log());
+        throw new IOException("a child process did not start listening: " + log());
     }
 
     ProcessCounters counters() throws IOException {
@@ -113,7 +119,7 @@
         return Files.readString(log);
     }
 
-    /** What it logged last. */
+    /** Returns the last line of the log. */
     String lastLine() throws IOException {
         List<String> lines = Files.readAllLines(log);
         return lines.isEmpty() ? "nothing" : lines.get(lines.size() - 1);
@@ -128,9 +134,9 @@
         kill();
         process.onExit().join();
         try {
-            Runtime.getRuntime().removeShutdownHook(end);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            // The program ends already.
+            // The JVM is shutting down already.
         }
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/ConvergedMembership.java
+++ b/src/main/java/beaconladder/testbed/scale/ConvergedMembership.java
@@ -8,26 +8,33 @@
 import java.util.Map;
 
 /**
- * A member that has known all others for long. By itself it comes there only once it has told each of them as news,
- * some twenty times: with thousands that takes half an hour, which a test does not have.
+ * Brings a member to the state of one that has long known all others. By itself it reaches that state only after it has
+ * spread an update about each of them some twenty times; with thousands of members that takes half an hour, too long
+ * for a test.
  */
 final class ConvergedMembership {
-    private static final int NEWS = 10;
+    private static final int UPDATES_PER_MESSAGE = 10;
 
     private ConvergedMembership() {}
 
-    /** Tells it of all these, in messages as a newcomer is told. */
-    static void introduce(SwimProtocol swim, Member from, List<Member> all, long now) {
-        for (int i = 0; i < all.size(); i += NEWS) {
-            swim.receive(
-                    new Message(Message.Kind.NACK, from, 0, "", all.subList(i, Math.min(all.size(), i + NEWS))), now);
+    /** Sends the member updates about all others, in messages as a newcomer receives them. */
+    static void addAll(SwimProtocol protocol, Member from, List<Member> all, long now) {
+        for (int i = 0; i < all.size(); i += UPDATES_PER_MESSAGE) {
+            protocol.receive(
+                    new Message(
+                            Message.Kind.NACK,
+                            from,
+                            0,
+                            "",
+                            all.subList(i, Math.min(all.size(), i + UPDATES_PER_MESSAGE))),
+                    now);
         }
     }
 
-    /** Nothing that it knows is news any more. */
-    static void settle(SwimProtocol swim) {
+    /** Marks all known updates as already spread. */
+    static void clearPendingUpdates(SwimProtocol protocol) {
         try {
-            Object table = read(swim, "table");
+            Object table = read(protocol, "table");
             Field transmissions = null;
             for (Object entry : ((Map<?, ?>) read(table, "entries")).values()) {
                 if (transmissions == null) {
--- a/src/main/java/beaconladder/testbed/scale/CoordinatorPart.java
+++ b/src/main/java/beaconladder/testbed/scale/CoordinatorPart.java
@@ -10,20 +10,20 @@
 import java.util.SplittableRandom;
 
 /**
- * The keeper of cells, before the routers that it grants leases to. Real: its process with its records on disk, its
- * sockets. Hollow: the routers, a connection each; no tenant is moved.
+ * Measures the coordinator of cells with the routers that it grants leases to. Real: its process with its records on
+ * disk, and its sockets. Simulated: the routers, a connection each; no tenant is migrated.
  */
 final class CoordinatorPart implements Part {
     private static final int TARGET = 4_100;
     private static final int LEASE_MILLIS = 2_000;
-    /** As routers ask: three times a lease. */
+    /** Routers ask three times per lease. */
     private static final int WAIT_MILLIS = LEASE_MILLIS / 3;
 
-    private static final List<String> FLAGS =
+    private static final List<String> JVM_FLAGS =
             List.of("-XX:-UsePerfData", "-Xmx256m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
 
     @Override
-    public String of() {
+    public String sizeUnit() {
         return "routers";
     }
 
@@ -33,12 +33,12 @@
     }
 
     @Override
-    public long bytes(List<Integer> sizes) {
+    public long estimatedMemoryBytes(List<Integer> sizes) {
         return 600_000_000L + 400_000 * sizes.stream().mapToLong(n -> n).max().orElse(0);
     }
 
     @Override
-    public void measure(List<Integer> sizes, boolean small, SplittableRandom chance, Path folder, Report report)
+    public void measure(List<Integer> sizes, boolean small, SplittableRandom random, Path folder, Report report)
             throws IOException, InterruptedException {
         List<Point> bytes = new ArrayList<>();
         List<Point> cores = new ArrayList<>();
@@ -55,38 +55,38 @@
                                 + ") (discovery 127.0.0.1:" + list.port() + ") (store \""
                                 + folder.resolve("records" + count) + "\") (lease " + LEASE_MILLIS
                                 + "ms) (expiry 3s) (copy 10min) (fence 10s))\n");
-                try (ChildProcess keeper = ChildProcess.start(
+                try (ChildProcess coordinator = ChildProcess.start(
                         folder,
                         "keeper" + count,
-                        FLAGS,
+                        JVM_FLAGS,
                         "beaconladder.app.Main",
                         "cells",
                         "keep",
                         "--plan",
                         plan.toString())) {
-                    keeper.listens(port);
-                    try (PlacementPollers pollers = new PlacementPollers(port, count, WAIT_MILLIS)) {
-                        pollers.await(3L * count);
+                    coordinator.awaitListening(port);
+                    try (PlacementPollers routers = new PlacementPollers(port, count, WAIT_MILLIS)) {
+                        routers.await(3L * count);
                         Thread.sleep(small ? 0 : 3_000);
-                        ProcessCounters before = keeper.counters();
-                        long sent = pollers.bytes.get();
-                        long calls = pollers.calls.get();
-                        pollers.late().reset();
+                        ProcessCounters before = coordinator.counters();
+                        long sent = routers.bytes.get();
+                        long calls = routers.calls.get();
+                        routers.latenessMillis().reset();
                         Thread.sleep(small ? 2_000 : 5_000);
-                        ProcessCounters now = keeper.counters();
-                        double seconds = (now.at() - before.at()) / 1e9;
-                        bytes.add(new Point(count, (pollers.bytes.get() - sent) / seconds));
-                        cores.add(new Point(count, 100 * now.cores(before)));
+                        ProcessCounters now = coordinator.counters();
+                        double seconds = (now.readAtNanos() - before.readAtNanos()) / 1e9;
+                        bytes.add(new Point(count, (routers.bytes.get() - sent) / seconds));
+                        cores.add(new Point(count, 100 * now.coresSince(before)));
                         threads.add(new Point(count, now.threads()));
-                        report.say(String.format(
+                        report.print(String.format(
                                 Locale.ROOT,
-                                "  %d routers: %.0f calls a second, answers"
-                                        + " late by %d ms (half), %d ms (99%%), %d calls broken, %.0f MB",
+                                "  %d routers: %.0f requests per second, responses"
+                                        + " late by %d ms (half), %d ms (99%%), %d connections failed, %.0f MB",
                                 count,
-                                (pollers.calls.get() - calls) / seconds,
-                                pollers.late().getValueAtPercentile(50),
-                                pollers.late().getValueAtPercentile(99),
-                                pollers.failed.get(),
+                                (routers.calls.get() - calls) / seconds,
+                                routers.latenessMillis().getValueAtPercentile(50),
+                                routers.latenessMillis().getValueAtPercentile(99),
+                                routers.failed.get(),
                                 now.residentKb() / 1024.0));
                     }
                 }
--- a/src/main/java/beaconladder/testbed/scale/DiscoveryStandIn.java
+++ b/src/main/java/beaconladder/testbed/scale/DiscoveryStandIn.java
@@ -16,72 +16,74 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Discovery's agent with a list of any size: it waits as long as it is asked to, tells what changed since a version,
- * and counts what goes over its sockets.
+ * A stand-in for the discovery agent with a list of any size: it holds a request for as long as the request asks,
+ * answers with what changed since a version, and counts the bytes on its sockets.
  */
 final class DiscoveryStandIn implements AutoCloseable {
-    /** Of one group: a primary and two replicas. */
-    static final int MEMBERS = 3;
+    /** The hosts of one group: a primary and two replicas. */
+    static final int GROUP_SIZE = 3;
 
-    private static final int LONGEST_HEAD = 8 * 1024;
-    private static final int LOOK_MILLIS = 5;
-    private static final int MOST_LOOKS = 4_000;
+    private static final int MAX_HEAD_BYTES = 8 * 1024;
+    private static final int POLL_MILLIS = 5;
+    private static final int MAX_POLLS = 4_000;
 
     private final ServerSocket listener = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
     private final IntUnaryOperator ports;
     private final String[] states;
-    private final long[] changed;
+    private final long[] changedInVersion;
     private long version = 1;
-    private byte[] whole;
-    private long wholeOf;
-    /** Read from sockets and written to them. */
+    private byte[] fullList;
+    private long fullListVersion;
+    /** Bytes read from and written to sockets. */
     final AtomicLong bytes = new AtomicLong();
 
-    final AtomicLong wholes = new AtomicLong();
+    final AtomicLong fullAnswers = new AtomicLong();
     final AtomicLong calls = new AtomicLong();
-    final AtomicLong news = new AtomicLong();
-    /** When calls that wait came, and what had gone over the sockets by then. */
-    private final List<Call> waits = new ArrayList<>();
-    /** From the last byte of news to the next call, in microseconds: the asker has applied them then. */
-    private volatile Histogram applied = histogram();
+    final AtomicLong changesSent = new AtomicLong();
+    /** The arrival times of waiting requests, with the bytes transferred until then. */
+    private final List<Call> waitingCalls = new ArrayList<>();
+    /** Microseconds from the last byte of a change to the next request, when the client has applied the change. */
+    private volatile Histogram applyTimes = histogram();
 
-    /** A list of so many hosts, all of them at this port. */
+    /** Creates a list of so many hosts, all at this port. */
     DiscoveryStandIn(int hosts, int port) throws IOException {
         this(hosts, host -> port);
     }
 
-    /** A list of so many hosts at these ports. */
+    /** Creates a list of so many hosts at these ports. */
     DiscoveryStandIn(int hosts, IntUnaryOperator ports) throws IOException {
         this.ports = ports;
         states = new String[hosts];
-        changed = new long[hosts];
+        changedInVersion = new long[hosts];
         java.util.Arrays.fill(states, "Ready");
-        java.util.Arrays.fill(changed, version);
-        thread(() -> {
+        java.util.Arrays.fill(changedInVersion, version);
+        startThread(() -> {
             while (true) {
                 Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
-                thread(() -> serve(socket));
+                startThread(() -> serve(socket));
             }
         });
     }
 
-    /** A call that waits. */
-    private record Call(long at, long bytes) {}
+    /** A request that waits for changes. */
+    private record Call(long atNanos, long bytes) {}
 
     /**
-     * Bytes a second from the first to the last call that waited since then: whole rounds of an asker, so that it does
-     * not count how many of them fell into some seconds.
+     * Returns the bytes per second between the first and the last waiting request since then. These are whole rounds of
+     * a client, so the result does not depend on how many rounds fall into the period.
      */
-    double bytesASecond(long since) {
-        synchronized (waits) {
-            List<Call> all = waits.stream().filter(call -> call.at() >= since).toList();
+    double bytesPerSecond(long sinceNanos) {
+        synchronized (waitingCalls) {
+            List<Call> all = waitingCalls.stream()
+                    .filter(call -> call.atNanos() >= sinceNanos)
+                    .toList();
             if (all.size() < 2) {
                 return 0;
             }
             Call first = all.get(0);
             Call last = all.get(all.size() - 1);
-            return (last.bytes() - first.bytes()) / ((last.at() - first.at()) / 1e9);
+            return (last.bytes() - first.bytes()) / ((last.atNanos() - first.atNanos()) / 1e9);
         }
     }
 
@@ -89,14 +91,14 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private static void thread(Task task) {
+    private static void startThread(Task task) {
         Thread thread = new Thread(
                 null,
                 () -> {
                     try {
                         task.run();
                     } catch (IOException | InterruptedException e) {
-                        // The other side, or the test, has ended it.
+                        // The peer or the test closed the connection.
                     }
                 },
                 "list",
@@ -113,26 +115,26 @@
         return listener.getLocalPort();
     }
 
-    /** Waits until so many entries of news were told in all, for a while at the most. */
+    /** Waits until so many changed entries were sent in total, up to a limit. */
     void awaitChanges(long entries) throws InterruptedException {
-        for (int i = 0; news.get() < entries && i < MOST_LOOKS; i++) {
-            Thread.sleep(LOOK_MILLIS);
+        for (int i = 0; changesSent.get() < entries && i < MAX_POLLS; i++) {
+            Thread.sleep(POLL_MILLIS);
         }
     }
 
-    /** How long news took to be applied since this was last asked, in microseconds. */
-    Histogram applied() {
-        Histogram now = applied;
-        applied = histogram();
+    /** Returns the times that changes took to be applied since the previous call, in microseconds. */
+    Histogram applyTimes() {
+        Histogram now = applyTimes;
+        applyTimes = histogram();
         return now;
     }
 
-    /** These hosts are in this state from now on, as one change. */
+    /** Sets the state of these hosts, as one change. */
     synchronized void change(Collection<Integer> hosts, String state) {
         version++;
         for (int host : hosts) {
             states[host] = state;
-            changed[host] = version;
+            changedInVersion[host] = version;
         }
         notifyAll();
     }
@@ -140,9 +142,9 @@
     String entry(int host) {
         return "{\"id\":\"s-" + Integer.toHexString(0x5be20000 + host) + "\",\"addr\":\"127.0.0.1:"
                 + ports.applyAsInt(host) + "\",\"zone\":\"z" + host % 9 + "\",\"kind\":\"m2\",\"cell\":"
-                + host / MEMBERS + ",\"state\":\"" + states[host]
+                + host / GROUP_SIZE + ",\"state\":\"" + states[host]
                 + "\",\"weight\":1.0,\"started_ms\":0,\"role\":\""
-                + (host % MEMBERS == 0 ? "leader" : "follower") + "\"}";
+                + (host % GROUP_SIZE == 0 ? "leader" : "follower") + "\"}";
     }
 
     private String body(boolean full, List<Integer> hosts) {
@@ -153,45 +155,45 @@
         return text.append("]}").toString();
     }
 
-    private synchronized byte[] whole() {
-        if (wholeOf != version) {
-            List<Integer> there = new ArrayList<>();
+    private synchronized byte[] fullList() {
+        if (fullListVersion != version) {
+            List<Integer> listed = new ArrayList<>();
             for (int i = 0; i < states.length; i++) {
                 if (!states[i].equals("Gone")) {
-                    there.add(i);
+                    listed.add(i);
                 }
             }
-            whole = body(true, there).getBytes(StandardCharsets.US_ASCII);
-            wholeOf = version;
+            fullList = body(true, listed).getBytes(StandardCharsets.US_ASCII);
+            fullListVersion = version;
         }
-        wholes.incrementAndGet();
-        return whole;
+        fullAnswers.incrementAndGet();
+        return fullList;
     }
 
-    private synchronized byte[] since(long index, long millis) throws InterruptedException {
-        long until = System.nanoTime() + millis * 1_000_000;
+    private synchronized byte[] changesSince(long index, long millis) throws InterruptedException {
+        long deadline = System.nanoTime() + millis * 1_000_000;
         while (index >= version) {
-            long left = (until - System.nanoTime()) / 1_000_000;
-            if (left <= 0) {
+            long remainingMillis = (deadline - System.nanoTime()) / 1_000_000;
+            if (remainingMillis <= 0) {
                 break;
             }
-            wait(left);
+            wait(remainingMillis);
         }
         List<Integer> hosts = new ArrayList<>();
         for (int i = 0; i < states.length && index < version; i++) {
-            if (changed[i] > index) {
+            if (changedInVersion[i] > index) {
                 hosts.add(i);
             }
         }
-        news.addAndGet(hosts.size());
+        changesSent.addAndGet(hosts.size());
         return body(false, hosts).getBytes(StandardCharsets.US_ASCII);
     }
 
     private void serve(Socket socket) throws IOException, InterruptedException {
         try (socket) {
             InputStream in = socket.getInputStream();
-            byte[] head = new byte[LONGEST_HEAD];
-            long told = 0;
+            byte[] head = new byte[MAX_HEAD_BYTES];
+            long answeredNanos = 0;
             while (true) {
                 int length = 0;
                 while (length < 4 || head[length - 1] != '\n' || head[length - 3] != '\n') {
@@ -199,9 +201,9 @@
                     if (n <= 0) {
                         return;
                     }
-                    if (told != 0) {
-                        applied.recordValue((System.nanoTime() - told) / 1_000);
-                        told = 0;
+                    if (answeredNanos != 0) {
+                        applyTimes.recordValue((System.nanoTime() - answeredNanos) / 1_000);
+                        answeredNanos = 0;
                     }
                     length += n;
                     bytes.addAndGet(n);
@@ -210,11 +212,11 @@
                 String path = new String(head, 0, length, StandardCharsets.US_ASCII).split(" ")[1];
                 long index = number(path, "index", -1);
                 if (path.contains("wait=")) {
-                    synchronized (waits) {
-                        waits.add(new Call(System.nanoTime(), bytes.get()));
+                    synchronized (waitingCalls) {
+                        waitingCalls.add(new Call(System.nanoTime(), bytes.get()));
                     }
                 }
-                byte[] body = index < 0 ? whole() : since(index, number(path, "wait", 0));
+                byte[] body = index < 0 ? fullList() : changesSince(index, number(path, "wait", 0));
                 ByteArrayOutputStream answer = new ByteArrayOutputStream(body.length + 128);
                 answer.writeBytes(("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length
                                 + "\r\n\r\n")
@@ -222,15 +224,15 @@
                 answer.writeBytes(body);
                 socket.getOutputStream().write(answer.toByteArray());
                 bytes.addAndGet(answer.size());
-                told = index < 0 ? 0 : System.nanoTime();
+                answeredNanos = index < 0 ? 0 : System.nanoTime();
             }
         }
     }
 
-    private static long number(String path, String name, long otherwise) {
+    private static long number(String path, String name, long defaultValue) {
         return path.contains(name + "=")
                 ? Long.parseLong(path.replaceAll(".*[?&]" + name + "=(\\d+).*", "$1"))
-                : otherwise;
+                : defaultValue;
     }
 
     @Override
--- a/src/main/java/beaconladder/testbed/scale/EndpointWatchLoad.java
+++ b/src/main/java/beaconladder/testbed/scale/EndpointWatchLoad.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * Many watches of the real class in one process, before one list: what discovery's agent has to bear, and what a watch
- * costs with nothing behind it.
+ * Measures many real endpoint watches in one process that share one list: the load on the discovery agent, and what a
+ * watch costs with no router behind it.
  */
 final class EndpointWatchLoad {
-    private static final List<Integer> COUNTS = List.of(25, 50, 100, 200, 400);
+    private static final List<Integer> WATCH_COUNTS = List.of(25, 50, 100, 200, 400);
     private static final int HOSTS = 600;
     private static final int ROUTERS = 4_100;
     private static final List<String> FLAGS = List.of(
@@ -26,7 +26,7 @@
         List<Point> bytes = new ArrayList<>();
         List<Point> cores = new ArrayList<>();
         try (SharedHostStandIn host = new SharedHostStandIn()) {
-            for (int count : COUNTS) {
+            for (int count : WATCH_COUNTS) {
                 try (DiscoveryStandIn list = new DiscoveryStandIn(HOSTS, host.port());
                         ChildProcess child = ChildProcess.start(
                                 folder,
@@ -40,9 +40,9 @@
                     long sent = list.bytes.get();
                     Thread.sleep(8_000);
                     ProcessCounters now = child.counters();
-                    double seconds = (now.at() - before.at()) / 1e9;
+                    double seconds = (now.readAtNanos() - before.readAtNanos()) / 1e9;
                     bytes.add(new Point(count, (list.bytes.get() - sent) / seconds));
-                    cores.add(new Point(count, 100 * now.cores(before)));
+                    cores.add(new Point(count, 100 * now.coresSince(before)));
                 }
             }
         }
--- a/src/main/java/beaconladder/testbed/scale/HostsUnderLoad.java
+++ b/src/main/java/beaconladder/testbed/scale/HostsUnderLoad.java
@@ -9,18 +9,19 @@
 import java.util.SplittableRandom;
 
 /**
- * A real router at work before N listed hosts, in groups of three, its txns spread evenly over all groups: what it
- * uses, and how many connections to hosts it holds. Three stand-ins play all hosts, by role.
+ * Measures a real router under load with N listed hosts in groups of three, its transactions spread evenly over all
+ * groups: resource use, and the number of connections to hosts. Three stand-ins serve all hosts, one for each member of
+ * a group.
  */
 final class HostsUnderLoad {
     private static final List<Integer> SIZES = List.of(60, 300, 600, 1_200, 2_400, 5_800);
-    private static final int TARGET = 5_800;
-    private static final int TXNS = 902;
+    private static final int TARGET_HOSTS = 5_800;
+    private static final int TXNS_PER_SECOND = 902;
     private static final int CLIENTS = 64;
 
     private HostsUnderLoad() {}
 
-    static void measure(List<HostStandIn> hosts, SplittableRandom chance, Path folder, Report report)
+    static void measure(List<HostStandIn> hosts, SplittableRandom random, Path folder, Report report)
             throws IOException, InterruptedException {
         List<Point> cores = new ArrayList<>();
         List<Point> resident = new ArrayList<>();
@@ -28,38 +29,40 @@
         for (int size : SIZES) {
             int port = ChildProcess.freePort();
             try (DiscoveryStandIn list = new DiscoveryStandIn(
-                            size, i -> hosts.get(i % DiscoveryStandIn.MEMBERS).port());
-                    ChildProcess router = ClientsPart.router(list, folder, port, "w" + size);
-                    RouterClients callers = new RouterClients(port, CLIENTS)) {
-                callers.groups(size / DiscoveryStandIn.MEMBERS);
-                callers.work(TXNS, 4, chance.split());
-                callers.times().reset();
-                long failed = callers.failed();
+                            size,
+                            i -> hosts.get(i % DiscoveryStandIn.GROUP_SIZE).port());
+                    ChildProcess router = ClientsPart.startRouter(list, folder, port, "w" + size);
+                    RouterClients clients = new RouterClients(port, CLIENTS)) {
+                clients.groups(size / DiscoveryStandIn.GROUP_SIZE);
+                clients.runAtRate(TXNS_PER_SECOND, 4, random.split());
+                clients.times().reset();
+                long failed = clients.failed();
                 ProcessCounters before = router.counters();
-                double served = callers.work(TXNS, 5, chance.split());
+                double served = clients.runAtRate(TXNS_PER_SECOND, 5, random.split());
                 ProcessCounters now = router.counters();
-                cores.add(new Point(size, 100 * now.cores(before)));
+                cores.add(new Point(size, 100 * now.coresSince(before)));
                 resident.add(new Point(size, now.residentKb() / 1024.0));
                 descriptors.add(new Point(size, now.descriptors()));
-                report.say(String.format(
+                report.print(String.format(
                         java.util.Locale.ROOT,
-                        "  %d hosts at work: %.0f served a second, %d" + " not, %d descriptors, %d threads",
+                        "  %d hosts under load: %.0f served per second, %d" + " failed, %d descriptors, %d threads",
                         size,
                         served,
-                        callers.failed() - failed,
+                        clients.failed() - failed,
                         now.descriptors(),
                         now.threads()));
-                report.times("clients.hosts_answer_us_" + size, callers.times());
+                report.times("clients.hosts_answer_us_" + size, clients.times());
             }
         }
         report.slope(
                 "clients.hosts_cpu_percent",
                 "% of a core at 902 txns a second",
                 "hosts",
-                TARGET,
+                TARGET_HOSTS,
                 2 * Report.TIMED,
                 cores);
-        report.slope("clients.hosts_resident_mb", "MB at 902 txns a second", "hosts", TARGET, Report.TIMED, resident);
+        report.slope(
+                "clients.hosts_resident_mb", "MB at 902 txns a second", "hosts", TARGET_HOSTS, Report.TIMED, resident);
         for (Point point : descriptors) {
             report.figure("clients.hosts_descriptors_" + (int) point.size(), point.value());
         }
--- a/src/main/java/beaconladder/testbed/scale/LeaseServers.java
+++ b/src/main/java/beaconladder/testbed/scale/LeaseServers.java
@@ -9,32 +9,32 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Three real grantors, a process each, on one machine and one disk. */
+/** Starts three real lease servers, a process each, on one machine and one disk. */
 final class LeaseServers implements AutoCloseable {
-    static final long LENGTH_MILLIS = 5_000;
-    static final long BOUND_MILLIS = 100;
+    static final long LEASE_MILLIS = 5_000;
+    static final long CLOCK_BOUND_MILLIS = 100;
     private static final int COUNT = 3;
     private static final int READY_MILLIS = 30_000;
-    /** With thousands of askers a door takes its time. */
-    private static final int PATIENCE_MILLIS = 5_000;
-    /** With the 64 MB of the scenario of leases the heap ends below 4,100 askers: a thread for each call. */
-    private static final List<String> FLAGS =
+    /** Lease servers respond slowly with thousands of clients. */
+    private static final int HTTP_TIMEOUT_MILLIS = 5_000;
+    /** With the 64 MB of the lease scenario the heap is exhausted below 4,100 clients: each call has a thread. */
+    private static final List<String> JVM_FLAGS =
             List.of("-XX:-UsePerfData", "-Xmx512m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
 
     private final List<ChildProcess> children = new ArrayList<>();
-    private final List<InetSocketAddress> doors = new ArrayList<>();
+    private final List<InetSocketAddress> addresses = new ArrayList<>();
 
     LeaseServers(Path folder) throws IOException, InterruptedException {
         StringBuilder text = new StringBuilder(
-                "(leases (length " + LENGTH_MILLIS + "ms) (clock " + BOUND_MILLIS + "ms) (disk 64MB))\n");
+                "(leases (length " + LEASE_MILLIS + "ms) (clock " + CLOCK_BOUND_MILLIS + "ms) (disk 64MB))\n");
         for (int i = 0; i < COUNT; i++) {
-            doors.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), ChildProcess.freePort()));
+            addresses.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), ChildProcess.freePort()));
             text.append("(grantor k")
                     .append(i)
                     .append(" (raft 127.0.0.1:")
                     .append(ChildProcess.freePort())
                     .append(") (at 127.0.0.1:")
-                    .append(doors.get(i).getPort())
+                    .append(addresses.get(i).getPort())
                     .append(") (store \"")
                     .append(folder.resolve("log" + i))
                     .append("\"))\n");
@@ -45,7 +45,7 @@
             children.add(ChildProcess.start(
                     folder,
                     "k" + i,
-                    FLAGS,
+                    JVM_FLAGS,
                     "beaconladder.app.Main",
                     "lease",
                     "grant",
@@ -55,51 +55,52 @@
                     "k" + i));
         }
         for (int i = 0; i < COUNT; i++) {
-            children.get(i).listens(doors.get(i).getPort());
+            children.get(i).awaitListening(addresses.get(i).getPort());
         }
         if (awaitLeader() < 0) {
             throw new IOException(
-                    "three grantors agree on no leader: " + children.get(0).log());
+                    "the three lease servers have no leader: " + children.get(0).log());
         }
     }
 
-    /** Which of them leads, once most say so, or -1 where they don't for long. */
+    /** Waits for a leader and returns its index once a majority agrees on it, or -1 after a timeout. */
     int awaitLeader() throws InterruptedException {
-        long until = System.nanoTime() + READY_MILLIS * 1_000_000L;
+        long deadline = System.nanoTime() + READY_MILLIS * 1_000_000L;
         int leader = leader();
-        while (leader < 0 && System.nanoTime() < until) {
+        while (leader < 0 && System.nanoTime() < deadline) {
             Thread.sleep(100);
             leader = leader();
         }
         return leader;
     }
 
-    List<InetSocketAddress> doors() {
-        return doors;
+    List<InetSocketAddress> addresses() {
+        return addresses;
     }
 
-    ChildProcess child(int grantor) {
-        return children.get(grantor);
+    ChildProcess child(int server) {
+        return children.get(server);
     }
 
-    /** Which of them leads, as most of those that are there say, or -1. */
+    /** Returns the index of the leader that a majority names, or -1. */
     private int leader() {
-        int[] votes = new int[COUNT];
+        int[] namedBy = new int[COUNT];
         for (int i = 0; i < COUNT; i++) {
-            HttpFetcher get = new HttpFetcher(doors.get(i));
+            HttpFetcher http = new HttpFetcher(addresses.get(i));
             try {
-                String name = get.get("/v1/leader", PATIENCE_MILLIS).replaceAll(".*\"leader\":\"k?(\\d*)\".*", "$1");
+                String name =
+                        http.get("/v1/leader", HTTP_TIMEOUT_MILLIS).replaceAll(".*\"leader\":\"k?(\\d*)\".*", "$1");
                 if (!name.isEmpty()) {
-                    votes[Integer.parseInt(name)]++;
+                    namedBy[Integer.parseInt(name)]++;
                 }
             } catch (IOException e) {
-                // It is not there.
+                // The lease server is not reachable.
             } finally {
-                get.close();
+                http.close();
             }
         }
         for (int i = 0; i < COUNT; i++) {
-            if (votes[i] >= 2 && children.get(i) != null) {
+            if (namedBy[i] >= 2 && children.get(i) != null) {
                 return i;
             }
         }
--- a/src/main/java/beaconladder/testbed/scale/LeasesPart.java
+++ b/src/main/java/beaconladder/testbed/scale/LeasesPart.java
@@ -11,19 +11,24 @@
 import java.util.SplittableRandom;
 
 /**
- * Leases. Real: three grantor processes with their log on disk. Hollow: those who ask, with the real state machine, a
- * thread and connections each, and no task behind it. The pure part by the number of tasks.
+ * Measures leases. Real: three lease server processes with their log on disk. Simulated: the clients, each with the
+ * real state machine, a thread and connections of its own, and no task to run. The lease table alone is measured by the
+ * number of tasks.
  */
 final class LeasesPart implements Part {
-    private static final int ASKERS = 4_100;
+    private static final int TARGET_CLIENTS = 4_100;
     private static final int TASKS = 64;
     private static final int TASKS_AT_ONCE = 16;
     private static final List<Integer> TASK_COUNTS = List.of(1, 4, 16, 32, 64);
-    private static final long MS = 1_000_000;
-    private static final long PATIENCE_MILLIS = 30_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long TIMEOUT_MILLIS = 30_000;
+    /** Answers count as resumed this long after the leader was killed, and after this many further answers. */
+    private static final long SETTLE_MILLIS = 500;
+
+    private static final long RECOVERY_ANSWERS = 100;
 
     @Override
-    public String of() {
+    public String sizeUnit() {
         return "askers";
     }
 
@@ -33,165 +38,182 @@
     }
 
     @Override
-    public long bytes(List<Integer> sizes) {
+    public long estimatedMemoryBytes(List<Integer> sizes) {
         return 2_500_000_000L + 2_000 * sizes.stream().mapToLong(n -> n).max().orElse(0);
     }
 
     @Override
-    public void measure(List<Integer> sizes, boolean small, SplittableRandom chance, Path folder, Report report)
+    public void measure(List<Integer> sizes, boolean small, SplittableRandom random, Path folder, Report report)
             throws IOException, InterruptedException {
-        pure(small, report);
+        measureTable(small, report);
         if (!small) {
-            real(sizes, folder, report);
+            measureServers(sizes, folder, report);
         }
     }
 
-    private static void pure(boolean small, Report report) {
-        apply(TASK_COUNTS.get(0), small);
+    private static void measureTable(boolean small, Report report) {
+        renewalMicros(TASK_COUNTS.get(0), small);
         List<Point> cost = TASK_COUNTS.stream()
-                .map(tasks -> new Point(tasks, apply(tasks, small)))
+                .map(tasks -> new Point(tasks, renewalMicros(tasks, small)))
                 .toList();
-        // It copies all leases, by which it bends up; a line would hide that.
+        // Each change copies all leases, so the cost grows faster than linearly; a fitted line would hide that.
         cost.forEach(point -> report.figure("leases.apply_us_" + (int) point.size(), point.value()));
         report.atMost("leases.apply_by_tasks", cost.get(4).value() / cost.get(2).value(), 10);
     }
 
-    /** Microseconds for a renewal among so many tasks; the least of some rounds. */
-    private static double apply(int tasks, boolean small) {
+    /** Returns the microseconds for a renewal among so many tasks, the minimum of several rounds. */
+    private static double renewalMicros(int tasks, boolean small) {
         LeaseTable grants = LeaseTable.empty();
         int rounds = small ? 2_000 : 20_000;
-        double least = Double.MAX_VALUE;
+        double minimum = Double.MAX_VALUE;
         long stamp = 0;
         for (int round = 0; round < 6; round++) {
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             for (int i = 0; i < rounds; i++) {
-                LeaseRequest ask = new LeaseRequest(
+                LeaseRequest request = new LeaseRequest(
                         LeaseRequest.Kind.ACQUIRE, "task" + i % tasks, "a" + i % tasks + "#1", i, 0, 1_000, "");
-                grants = grants.apply(ask, ++stamp, 1).next();
+                grants = grants.apply(request, ++stamp, 1).next();
             }
-            least = Math.min(least, (System.nanoTime() - from) / 1e3 / rounds);
+            minimum = Math.min(minimum, (System.nanoTime() - startNanos) / 1e3 / rounds);
         }
-        return least;
+        return minimum;
     }
 
-    private static void real(List<Integer> sizes, Path folder, Report report) throws IOException, InterruptedException {
-        try (LeaseServers grantors = new LeaseServers(folder)) {
+    private static void measureServers(List<Integer> sizes, Path folder, Report report)
+            throws IOException, InterruptedException {
+        try (LeaseServers servers = new LeaseServers(folder)) {
             List<Point> rate = new ArrayList<>();
             List<Point> leading = new ArrayList<>();
             List<Point> following = new ArrayList<>();
-            // Once without being counted: compiled code finds its place.
-            run(grantors, sizes.get(2), TASKS_AT_ONCE, "warm", report);
+            // The first run is not counted: it lets code be compiled.
+            run(servers, sizes.get(2), TASKS_AT_ONCE, "warm", report);
             for (int count : sizes) {
-                Run run = run(grantors, count, TASKS_AT_ONCE, "n" + count, report);
+                Run run = run(servers, count, TASKS_AT_ONCE, "n" + count, report);
                 rate.add(new Point(count, run.rate()));
                 leading.add(new Point(count, run.leader()));
                 following.add(new Point(count, run.follower()));
             }
-            report.slope("leases.asks_s", "asks answered a second", "askers", ASKERS, 2 * Report.TIMED, rate);
-            report.slope("leases.leader_cpu_percent", "% of a core", "askers", ASKERS, 2 * Report.TIMED, leading);
-            report.slope("leases.follower_cpu_percent", "% of a core", "askers", ASKERS, 2 * Report.TIMED, following);
+            report.slope("leases.asks_s", "asks answered a second", "askers", TARGET_CLIENTS, 2 * Report.TIMED, rate);
+            report.slope(
+                    "leases.leader_cpu_percent", "% of a core", "askers", TARGET_CLIENTS, 2 * Report.TIMED, leading);
+            report.slope(
+                    "leases.follower_cpu_percent",
+                    "% of a core",
+                    "askers",
+                    TARGET_CLIENTS,
+                    2 * Report.TIMED,
+                    following);
             for (int tasks : List.of(1, 64)) {
-                run(grantors, 10 * TASKS, tasks, "t" + tasks, report);
+                run(servers, 10 * TASKS, tasks, "t" + tasks, report);
             }
-            leaderEnds(grantors, sizes.get(sizes.size() - 1), report);
-            ProcessCounters now = grantors.child(Math.max(0, grantors.awaitLeader())).counters();
+            killLeader(servers, sizes.get(sizes.size() - 1), report);
+            ProcessCounters now =
+                    servers.child(Math.max(0, servers.awaitLeader())).counters();
             report.figure("leases.grantor_resident_mb", now.residentKb() / 1024.0);
             report.figure("leases.grantor_threads", now.threads());
         }
     }
 
-    /** Asks a second, and the shares of a core of the leader and of one that follows. */
+    /** Requests per second, and the percentages of a core that the leader and a follower use. */
     private record Run(double rate, double leader, double follower) {}
 
-    private static Run run(LeaseServers grantors, int askers, int tasks, String name, Report report)
+    private static Run run(LeaseServers servers, int clientCount, int tasks, String name, Report report)
             throws IOException, InterruptedException {
-        try (SimulatedLeaseClients all = new SimulatedLeaseClients(askers, tasks, name, grantors.doors())) {
-            long first = until(all, tasks);
-            // The first storm is over, and those that were refused ask on as each is told.
-            Thread.sleep(LeaseServers.LENGTH_MILLIS);
-            int leader = grantors.awaitLeader();
+        try (SimulatedLeaseClients clients = new SimulatedLeaseClients(clientCount, tasks, name, servers.addresses())) {
+            long allHeldMillis = awaitAllHeld(clients, tasks);
+            // The initial burst is over, and clients that were refused ask again at the times they were given.
+            Thread.sleep(LeaseServers.LEASE_MILLIS);
+            int leader = servers.awaitLeader();
             if (leader < 0) {
-                report.say(String.format(
+                report.print(String.format(
                         Locale.ROOT,
-                        "  %d askers of %d tasks: all held after %d ms, then no"
-                                + " grantor tells of a leader; %d answered, %d not; what one of them logged: %s",
-                        askers,
+                        "  %d clients of %d tasks: all held after %d ms, then no"
+                                + " lease server names a leader; %d answered, %d not; last log line of one: %s",
+                        clientCount,
                         tasks,
-                        first,
-                        all.answered(),
-                        all.unanswered(),
-                        grantors.child(0).lastLine()));
+                        allHeldMillis,
+                        clients.answered(),
+                        clients.unanswered(),
+                        servers.child(0).lastLine()));
                 return new Run(0, 0, 0);
             }
             int follower = (leader + 1) % 3;
-            ProcessCounters lead = grantors.child(leader).counters();
-            ProcessCounters follow = grantors.child(follower).counters();
-            long answered = all.answered();
-            Thread.sleep(LeaseServers.LENGTH_MILLIS);
-            ProcessCounters leadNow = grantors.child(leader).counters();
+            ProcessCounters leaderBefore = servers.child(leader).counters();
+            ProcessCounters followerBefore = servers.child(follower).counters();
+            long answered = clients.answered();
+            Thread.sleep(LeaseServers.LEASE_MILLIS);
+            ProcessCounters leaderNow = servers.child(leader).counters();
             Run run = new Run(
-                    (all.answered() - answered) / ((leadNow.at() - lead.at()) / 1e9),
-                    100 * leadNow.cores(lead),
-                    100 * grantors.child(follower).counters().cores(follow));
-            report.say(String.format(
+                    (clients.answered() - answered) / ((leaderNow.readAtNanos() - leaderBefore.readAtNanos()) / 1e9),
+                    100 * leaderNow.coresSince(leaderBefore),
+                    100 * servers.child(follower).counters().coresSince(followerBefore));
+            report.print(String.format(
                     Locale.ROOT,
-                    "  %d askers of %d tasks: all held after %d ms, then"
-                            + " %.0f asks a second, leader %.1f%%, follower %.1f%% of a core, answers after"
+                    "  %d clients of %d tasks: all held after %d ms, then"
+                            + " %.0f requests per second, leader %.1f%%, follower %.1f%% of a core, answers after"
                             + " %.1f ms (half), %.1f ms (99%%), %d unanswered",
-                    askers,
+                    clientCount,
                     tasks,
-                    first,
+                    allHeldMillis,
                     run.rate(),
                     run.leader(),
                     run.follower(),
-                    all.times().getValueAtPercentile(50) / 1e3,
-                    all.times().getValueAtPercentile(99) / 1e3,
-                    all.unanswered()));
+                    clients.times().getValueAtPercentile(50) / 1e3,
+                    clients.times().getValueAtPercentile(99) / 1e3,
+                    clients.unanswered()));
             return run;
         }
     }
 
-    private static void leaderEnds(LeaseServers grantors, int askers, Report report)
+    private static void killLeader(LeaseServers servers, int clientCount, Report report)
             throws IOException, InterruptedException {
-        try (SimulatedLeaseClients all = new SimulatedLeaseClients(askers, TASKS, "ends", grantors.doors())) {
-            until(all, TASKS);
-            Thread.sleep(LeaseServers.LENGTH_MILLIS);
-            int leader = grantors.awaitLeader();
+        try (SimulatedLeaseClients clients =
+                new SimulatedLeaseClients(clientCount, TASKS, "ends", servers.addresses())) {
+            awaitAllHeld(clients, TASKS);
+            Thread.sleep(LeaseServers.LEASE_MILLIS);
+            int leader = servers.awaitLeader();
             report.atMost("leases.no_leader_is_told_of", leader < 0 ? 1 : 0, 0);
             if (leader < 0) {
                 return;
             }
-            long unanswered = all.unanswered();
-            all.times().reset();
-            long from = System.nanoTime();
-            grantors.child(leader).close();
-            long least = TASKS;
-            long answers = all.answered();
-            long answeredAt = 0;
-            long heldAt = 0;
-            long now = 0;
-            while (now < 2 * LeaseServers.LENGTH_MILLIS || least < TASKS && heldAt == 0 && now < PATIENCE_MILLIS) {
+            long unansweredBefore = clients.unanswered();
+            clients.times().reset();
+            long startNanos = System.nanoTime();
+            servers.child(leader).close();
+            long fewestHeld = TASKS;
+            long answersBefore = clients.answered();
+            long answersAgainMillis = 0;
+            long heldAgainMillis = 0;
+            long elapsedMillis = 0;
+            while (elapsedMillis < 2 * LeaseServers.LEASE_MILLIS
+                    || fewestHeld < TASKS && heldAgainMillis == 0 && elapsedMillis < TIMEOUT_MILLIS) {
                 Thread.sleep(20);
-                int held = all.held();
-                least = Math.min(least, held);
-                now = (System.nanoTime() - from) / MS;
-                answeredAt = answeredAt == 0 && now > 500 && all.answered() > answers + 100 ? now : answeredAt;
-                heldAt = least < TASKS && held == TASKS && heldAt == 0 ? now : held < TASKS ? 0 : heldAt;
+                int held = clients.heldTasks();
+                fewestHeld = Math.min(fewestHeld, held);
+                elapsedMillis = (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
+                answersAgainMillis = answersAgainMillis == 0
+                                && elapsedMillis > SETTLE_MILLIS
+                                && clients.answered() > answersBefore + RECOVERY_ANSWERS
+                        ? elapsedMillis
+                        : answersAgainMillis;
+                heldAgainMillis = fewestHeld < TASKS && held == TASKS && heldAgainMillis == 0
+                        ? elapsedMillis
+                        : held < TASKS ? 0 : heldAgainMillis;
             }
-            report.figure("leases.leader_ends_answers_again_ms", answeredAt);
-            report.figure("leases.leader_ends_tasks_held_at_least", least);
-            report.figure("leases.leader_ends_all_held_again_ms", heldAt);
-            report.figure("leases.leader_ends_unanswered", all.unanswered() - unanswered);
-            report.times("leases.leader_ends_answer_us", all.times());
+            report.figure("leases.leader_ends_answers_again_ms", answersAgainMillis);
+            report.figure("leases.leader_ends_tasks_held_at_least", fewestHeld);
+            report.figure("leases.leader_ends_all_held_again_ms", heldAgainMillis);
+            report.figure("leases.leader_ends_unanswered", clients.unanswered() - unansweredBefore);
+            report.times("leases.leader_ends_answer_us", clients.times());
         }
     }
 
-    /** Milliseconds until all tasks are held. */
-    private static long until(SimulatedLeaseClients all, int tasks) throws InterruptedException {
-        long from = System.nanoTime();
-        while (all.held() < tasks && (System.nanoTime() - from) / MS < PATIENCE_MILLIS) {
+    /** Returns the milliseconds until all tasks are held. */
+    private static long awaitAllHeld(SimulatedLeaseClients clients, int tasks) throws InterruptedException {
+        long startNanos = System.nanoTime();
+        while (clients.heldTasks() < tasks && (System.nanoTime() - startNanos) / NANOS_PER_MILLI < TIMEOUT_MILLIS) {
             Thread.sleep(5);
         }
-        return (System.nanoTime() - from) / MS;
+        return (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/MemberProcess.java
+++ b/src/main/java/beaconladder/testbed/scale/MemberProcess.java
@@ -8,16 +8,16 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** A process with a member of the real classes, and nothing else; it tells when it knows all. */
+/** A process with one real member and nothing else. It prints a line when it knows all others. */
 final class MemberProcess {
-    private static final int LOOK_MILLIS = 20;
+    private static final int POLL_MILLIS = 20;
     static final String KNOWS_ALL = "knows all";
 
     private MemberProcess() {}
 
     public static void main(String[] arguments) throws Exception {
         int port = Integer.parseInt(arguments[0]);
-        int others = Integer.parseInt(arguments[2]);
+        int peerCount = Integer.parseInt(arguments[2]);
         GossipService gossip = new GossipService(
                 "real",
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
@@ -25,27 +25,27 @@
                 List.of(arguments[1]));
         Thread thread = new Thread(gossip, "gossip");
         thread.start();
-        while (gossip.view().members().size() <= others) {
-            Thread.sleep(LOOK_MILLIS);
+        while (gossip.view().members().size() <= peerCount) {
+            Thread.sleep(POLL_MILLIS);
         }
         System.out.println(KNOWS_ALL);
-        // From here on it does what one does that has known them for long.
+        // From now on it behaves like a member that has known the others for long.
         Thread.sleep(Long.parseLong(arguments[3]));
-        Field swim = GossipService.class.getDeclaredField("swim");
-        swim.setAccessible(true);
-        SwimProtocol inner = (SwimProtocol) swim.get(gossip);
-        synchronized (inner) {
-            ConvergedMembership.settle(inner);
+        Field protocolField = GossipService.class.getDeclaredField("swim");
+        protocolField.setAccessible(true);
+        SwimProtocol protocol = (SwimProtocol) protocolField.get(gossip);
+        synchronized (protocol) {
+            ConvergedMembership.clearPendingUpdates(protocol);
         }
         thread.join();
     }
 
-    /** Waits until the process says so. */
-    static void knowsAll(ChildProcess child, int seconds) throws IOException, InterruptedException {
-        long until = System.nanoTime() + seconds * 1_000_000_000L;
+    /** Waits until the process prints that it knows all others. */
+    static void awaitKnowsAll(ChildProcess child, int timeoutSeconds) throws IOException, InterruptedException {
+        long deadline = System.nanoTime() + timeoutSeconds * 1_000_000_000L;
         while (!child.log().endsWith(KNOWS_ALL + "\n") && !child.log().contains("\n" + KNOWS_ALL + "\n")) {
-            if (System.nanoTime() > until) {
-                throw new IOException("a member does not know all others after " + seconds + " s");
+            if (System.nanoTime() > deadline) {
+                throw new IOException("a member does not know all others after " + timeoutSeconds + " s");
             }
             Thread.sleep(100);
         }
--- a/src/main/java/beaconladder/testbed/scale/MembershipTickCost.java
+++ b/src/main/java/beaconladder/testbed/scale/MembershipTickCost.java
@@ -6,40 +6,46 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What one look of a settled member costs: at, wake and view, as its loop calls them. */
+/**
+ * Measures what one timer run of a converged member costs: tick, the next wakeup and the view, as the loop of the
+ * member calls them.
+ */
 final class MembershipTickCost {
-    private static final long DUE_NEVER = 1;
+    private static final long NOTHING_DUE_NANOS = 1;
 
     private MembershipTickCost() {}
 
-    /** Microseconds for at and wake, and for view, among so many; the least of several rounds. */
+    /**
+     * Returns the microseconds for a tick with its next wakeup, and for a view, among so many members; the minimum of
+     * several rounds.
+     */
     static double[] micros(int members, int rounds) {
         List<Member> all = new ArrayList<>();
         for (int i = 0; i < members; i++) {
             all.add(new Member("r" + i, "10.0." + (i >> 8) + "." + (i & 255) + ":7946", 1, State.ALIVE));
         }
-        SwimProtocol swim = new SwimProtocol("self", "10.9.9.9:7946", 1, List.of(), 1);
-        ConvergedMembership.introduce(swim, all.get(0), all, 0);
-        ConvergedMembership.settle(swim);
-        swim.tick(0);
-        double[] least = {Double.MAX_VALUE, Double.MAX_VALUE};
-        int looks = Math.max(20, 400_000 / members);
-        long sum = 0;
+        SwimProtocol protocol = new SwimProtocol("self", "10.9.9.9:7946", 1, List.of(), 1);
+        ConvergedMembership.addAll(protocol, all.get(0), all, 0);
+        ConvergedMembership.clearPendingUpdates(protocol);
+        protocol.tick(0);
+        double[] minimum = {Double.MAX_VALUE, Double.MAX_VALUE};
+        int calls = Math.max(20, 400_000 / members);
+        long checksum = 0;
         for (int round = 0; round < rounds; round++) {
-            long from = System.nanoTime();
-            for (int i = 0; i < looks; i++) {
-                sum += swim.tick(DUE_NEVER).size() + swim.nextWakeNanos();
+            long startNanos = System.nanoTime();
+            for (int i = 0; i < calls; i++) {
+                checksum += protocol.tick(NOTHING_DUE_NANOS).size() + protocol.nextWakeNanos();
             }
-            long half = System.nanoTime();
-            for (int i = 0; i < looks; i++) {
-                sum += swim.view(DUE_NEVER).members().size();
+            long ticksEndNanos = System.nanoTime();
+            for (int i = 0; i < calls; i++) {
+                checksum += protocol.view(NOTHING_DUE_NANOS).members().size();
             }
-            least[0] = Math.min(least[0], (half - from) / 1e3 / looks);
-            least[1] = Math.min(least[1], (System.nanoTime() - half) / 1e3 / looks);
+            minimum[0] = Math.min(minimum[0], (ticksEndNanos - startNanos) / 1e3 / calls);
+            minimum[1] = Math.min(minimum[1], (System.nanoTime() - ticksEndNanos) / 1e3 / calls);
         }
-        if (sum == 0) {
-            throw new IllegalStateException("nothing was looked at");
+        if (checksum == 0) {
+            throw new IllegalStateException("the calls returned nothing");
         }
-        return least;
+        return minimum;
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/Part.java
+++ b/src/main/java/beaconladder/testbed/scale/Part.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** One part of the scale tests: some quantity of the fleet, and what grows with it. */
+/** Measures one part of a fleet at several sizes. */
 interface Part {
-    /** What is counted by its sizes. */
-    String of();
+    /** Returns the unit that the sizes count. */
+    String sizeUnit();
 
-    /** Its sizes, at least {@link Slope#FEWEST} of them. */
+    /** Returns the default sizes, at least {@link Slope#MIN_SIZES} of them. */
     List<Integer> sizes(boolean small);
 
-    /** What the largest of these sizes needs of memory, in bytes, all processes together; about. */
-    long bytes(List<Integer> sizes);
+    /** Returns roughly how much memory the largest of these sizes needs, in bytes, over all processes. */
+    long estimatedMemoryBytes(List<Integer> sizes);
 
-    /** Measures at these sizes. */
-    void measure(List<Integer> sizes, boolean small, SplittableRandom chance, Path folder, Report report)
+    /** Measures at these sizes and reports the results. */
+    void measure(List<Integer> sizes, boolean small, SplittableRandom random, Path folder, Report report)
             throws IOException, InterruptedException;
 }
--- a/src/main/java/beaconladder/testbed/scale/PlacementPollers.java
+++ b/src/main/java/beaconladder/testbed/scale/PlacementPollers.java
@@ -11,31 +11,32 @@
 import java.util.concurrent.locks.LockSupport;
 import org.HdrHistogram.ConcurrentHistogram;
 
-/** Routers as the keeper sees them, hollow: a connection each, on which the next call follows the answer. */
+/** Simulated routers of the coordinator: a connection each, on which the next request follows the response. */
 final class PlacementPollers implements AutoCloseable {
-    private static final int STACK = 160 * 1024;
-    private static final int LONGEST_HEAD = 4 * 1024;
+    private static final int STACK_BYTES = 160 * 1024;
+    private static final int MAX_HEAD_BYTES = 4 * 1024;
     private static final int TIMEOUT_MILLIS = 5_000;
-    private static final int LOOK_MILLIS = 20;
-    private static final int MOST_LOOKS = 1_000;
+    private static final int POLL_MILLIS = 20;
+    private static final int MAX_POLLS = 1_000;
 
     private final List<Thread> threads = new ArrayList<>();
-    private final ConcurrentHistogram late = new ConcurrentHistogram(3);
+    private final ConcurrentHistogram latenessMillis = new ConcurrentHistogram(3);
     final AtomicLong calls = new AtomicLong();
     final AtomicLong bytes = new AtomicLong();
     final AtomicLong failed = new AtomicLong();
     private volatile boolean closed;
 
-    /** So many, each of which asks with a wait of so long. */
+    /** Starts so many routers, each of which asks with this wait. */
     PlacementPollers(int port, int count, int waitMillis) {
         for (int i = 0; i < count; i++) {
             String name = "r" + i;
-            int later = (int) ((long) waitMillis * i / count);
+            int startDelayMillis = (int) ((long) waitMillis * i / count);
             Thread thread = new Thread(
                     null,
                     () -> {
-                        // Spread over a wait, as a fleet's are that began at different times.
-                        LockSupport.parkNanos(later * 1_000_000L);
+                        // The starts are spread over one wait, as those of a fleet whose routers started at different
+                        // times.
+                        LockSupport.parkNanos(startDelayMillis * 1_000_000L);
                         while (!closed) {
                             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                                 socket.setTcpNoDelay(true);
@@ -47,7 +48,7 @@
                         }
                     },
                     "poller",
-                    STACK);
+                    STACK_BYTES);
             thread.setDaemon(true);
             threads.add(thread);
         }
@@ -56,44 +57,44 @@
 
     private void poll(Socket socket, String name, int waitMillis) throws IOException {
         InputStream in = socket.getInputStream();
-        byte[] head = new byte[LONGEST_HEAD];
+        byte[] head = new byte[MAX_HEAD_BYTES];
         long version = -1;
         while (!closed) {
             String path =
                     "/v1/placement?router=" + name + "&run=1&version=" + version + "&wait=" + waitMillis + "&busy=";
-            byte[] call = ("GET " + path + " HTTP/1.1\r\nHost: keeper\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
-            long from = System.nanoTime();
-            socket.getOutputStream().write(call);
+            byte[] request = ("GET " + path + " HTTP/1.1\r\nHost: keeper\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+            long startNanos = System.nanoTime();
+            socket.getOutputStream().write(request);
             int length = 0;
             while (length < 4 || head[length - 1] != '\n' || head[length - 3] != '\n') {
                 int c = in.read();
                 if (c < 0 || length == head.length) {
-                    throw new IOException("an answer without its end");
+                    throw new IOException("incomplete response head");
                 }
                 head[length++] = (byte) c;
             }
             String text = new String(head, 0, length, StandardCharsets.US_ASCII);
             int size = Integer.parseInt(text.replaceAll("(?is).*content-length: (\\d+).*", "$1"));
             String body = new String(in.readNBytes(size), StandardCharsets.UTF_8);
-            bytes.addAndGet(call.length + length + size);
+            bytes.addAndGet(request.length + length + size);
             calls.incrementAndGet();
             if (version >= 0) {
-                late.recordValue(Math.max(0, (System.nanoTime() - from) / 1_000_000 - waitMillis));
+                latenessMillis.recordValue(Math.max(0, (System.nanoTime() - startNanos) / 1_000_000 - waitMillis));
             }
             version = Long.parseLong(body.replaceAll("(?s).*\"version\":(-?\\d+).*", "$1"));
         }
     }
 
-    /** Waits until so many calls were answered, for a while at the most. */
+    /** Waits until so many requests were answered in total, up to a limit. */
     void await(long answered) throws InterruptedException {
-        for (int i = 0; calls.get() < answered && i < MOST_LOOKS; i++) {
-            Thread.sleep(LOOK_MILLIS);
+        for (int i = 0; calls.get() < answered && i < MAX_POLLS; i++) {
+            Thread.sleep(POLL_MILLIS);
         }
     }
 
-    /** Milliseconds by which answers came later than the wait that was asked for. */
-    ConcurrentHistogram late() {
-        return late;
+    /** Returns by how many milliseconds responses came later than the requested wait. */
+    ConcurrentHistogram latenessMillis() {
+        return latenessMillis;
     }
 
     @Override
--- a/src/main/java/beaconladder/testbed/scale/PositionMetrics.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionMetrics.java
@@ -10,185 +10,193 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What is seen of a hollow router's record of positions, judged by what its hosts really have. */
-final class PositionMetrics implements SimulatedRouter.Watcher {
-    private static final long MS = SimulatedHosts.MS;
-    private static final long LOOK = 100 * MS;
+/** Collects figures on a simulated router's record of positions, compared with the true positions of its hosts. */
+final class PositionMetrics implements SimulatedRouter.Observer {
+    private static final long NANOS_PER_MILLI = SimulatedHosts.NANOS_PER_MILLI;
+    private static final long SAMPLE_PERIOD_NANOS = 100 * NANOS_PER_MILLI;
     private static final List<Consistency> READS = List.of(Consistency.BOUNDED, Consistency.SESSION, Consistency.ANY);
 
-    /** Counts of one kind of read. */
-    private static final class Kind {
+    /** Counts for one kind of read. */
+    private static final class ReadCounts {
         long reads;
-        /** No replica was fresh enough by the record when it came; by what the hosts have. */
-        long noneByRecord;
+        /**
+         * Reads for which no replica was fresh enough on arrival: by the router's record, and by the true positions.
+         */
+        long noneFreshByRecord;
 
-        long noneInTruth;
+        long noneFreshInTruth;
         long held;
         long toPrimary;
         long neverSent;
         long stale;
-        /** Of those held. */
-        final Histogram heldFor = new Histogram(3);
-        /** When sent: how long ago the host had last spoken, and how far back its known position was. */
-        final Histogram heardAgo = new Histogram(3);
-
-        final Histogram positionAge = new Histogram(3);
+        /** How long held reads waited, in microseconds. */
+        final Histogram heldMicros = new Histogram(3);
+        /**
+         * At the time of sending: the time since the host's last report, and the age of its known position, in
+         * microseconds.
+         */
+        final Histogram reportAgeMicros = new Histogram(3);
+
+        final Histogram positionAgeMicros = new Histogram(3);
     }
 
-    private final SimulatedHosts truth;
-    private final Map<Consistency, Kind> kinds = new LinkedHashMap<>();
-    /** How long ago a replica of the group had last spoken when a read came. */
-    private final Histogram heardBefore = new Histogram(3);
+    private final SimulatedHosts simulatedHosts;
+    private final Map<Consistency, ReadCounts> countsByRead = new LinkedHashMap<>();
+    /** The time since the last report of each replica of the group when a read arrives, in microseconds. */
+    private final Histogram reportAgeAtArrivalMicros = new Histogram(3);
 
-    private final SimulatedConnections lines;
-    private final SimulatedConnections kept;
-    private long txns;
+    private final SimulatedConnections connections;
+    private final SimulatedConnections keptConnections;
+    private long requests;
     private long probes;
-    private long nextLook;
+    private long nextSampleNanos;
 
-    PositionMetrics(SimulatedHosts truth, long keepIdle) {
-        this.truth = truth;
-        lines = new SimulatedConnections(truth.count(), keepIdle, true);
-        kept = new SimulatedConnections(truth.count(), keepIdle, false);
-        READS.forEach(read -> kinds.put(read, new Kind()));
+    PositionMetrics(SimulatedHosts simulatedHosts, long maxIdleNanos) {
+        this.simulatedHosts = simulatedHosts;
+        connections = new SimulatedConnections(simulatedHosts.count(), maxIdleNanos, true);
+        keptConnections = new SimulatedConnections(simulatedHosts.count(), maxIdleNanos, false);
+        READS.forEach(read -> countsByRead.put(read, new ReadCounts()));
     }
 
-    /** From here on it counts anew. */
+    /** Resets all figures. */
     void reset() {
-        READS.forEach(read -> kinds.put(read, new Kind()));
-        heardBefore.reset();
-        lines.reset();
-        kept.reset();
-        txns = 0;
+        READS.forEach(read -> countsByRead.put(read, new ReadCounts()));
+        reportAgeAtArrivalMicros.reset();
+        connections.reset();
+        keptConnections.reset();
+        requests = 0;
         probes = 0;
     }
 
     @Override
-    public void came(Request txn, long now) {
-        if (now >= nextLook) {
-            nextLook = now + LOOK;
-            lines.look(now);
-            kept.look(now);
+    public void requestArrived(Request request, long now) {
+        if (now >= nextSampleNanos) {
+            nextSampleNanos = now + SAMPLE_PERIOD_NANOS;
+            connections.sample(now);
+            keptConnections.sample(now);
         }
-        txns++;
-        Kind kind = kinds.get(txn.requestClass.consistency());
-        if (kind == null) {
+        requests++;
+        ReadCounts counts = countsByRead.get(request.requestClass.consistency());
+        if (counts == null) {
             return;
         }
-        kind.reads++;
-        long target = target(txn, txn.sessionWritePosition, now);
-        boolean byRecord = false;
-        boolean inTruth = false;
-        for (Host host : txn.group.members) {
-            if (host != txn.group.primary) {
-                byRecord |= host.contacted && host.position >= target;
-                inTruth |= truth.position(host.id, now) >= target;
+        counts.reads++;
+        long target = target(request, request.sessionWritePosition, now);
+        boolean freshByRecord = false;
+        boolean freshInTruth = false;
+        for (Host host : request.group.members) {
+            if (host != request.group.primary) {
+                freshByRecord |= host.contacted && host.position >= target;
+                freshInTruth |= simulatedHosts.position(host.id, now) >= target;
                 if (host.contacted) {
-                    heardBefore.recordValue((now - host.lastReportNanos) / 1_000);
+                    reportAgeAtArrivalMicros.recordValue((now - host.lastReportNanos) / 1_000);
                 }
             }
         }
-        kind.noneByRecord += byRecord ? 0 : 1;
-        kind.noneInTruth += inTruth ? 0 : 1;
+        counts.noneFreshByRecord += freshByRecord ? 0 : 1;
+        counts.noneFreshInTruth += freshInTruth ? 0 : 1;
     }
 
-    /** The position that a read must see, given that of its session's last write. */
-    static long target(Request txn, long written, long now) {
-        return switch (txn.requestClass.consistency()) {
-            case BOUNDED -> now - txn.requestClass.maxStalenessNanos();
-            case SESSION -> written;
+    /** Returns the position that a read must see, given that of the last write of its session. */
+    static long target(Request request, long writePosition, long now) {
+        return switch (request.requestClass.consistency()) {
+            case BOUNDED -> now - request.requestClass.maxStalenessNanos();
+            case SESSION -> writePosition;
             default -> Long.MIN_VALUE;
         };
     }
 
     @Override
-    public void sent(Attempt s, long now) {
-        lines.take(s.host.id, now);
-        kept.take(s.host.id, now);
-        Kind kind = kinds.get(s.request.requestClass.consistency());
-        if (kind == null) {
+    public void attemptSent(Attempt attempt, long now) {
+        connections.acquire(attempt.host.id, now);
+        keptConnections.acquire(attempt.host.id, now);
+        ReadCounts counts = countsByRead.get(attempt.request.requestClass.consistency());
+        if (counts == null) {
             return;
         }
-        boolean atPrimary = SimulatedHosts.isPrimary(s.host.id);
-        if (s.index == 0) {
-            kind.toPrimary += atPrimary ? 1 : 0;
-            if (now > s.request.arrivedNanos) {
-                kind.held++;
-                kind.heldFor.recordValue((now - s.request.arrivedNanos) / 1_000);
+        boolean onPrimary = SimulatedHosts.isPrimary(attempt.host.id);
+        if (attempt.index == 0) {
+            counts.toPrimary += onPrimary ? 1 : 0;
+            if (now > attempt.request.arrivedNanos) {
+                counts.held++;
+                counts.heldMicros.recordValue((now - attempt.request.arrivedNanos) / 1_000);
             }
         }
-        if (!atPrimary) {
-            kind.heardAgo.recordValue((now - s.host.lastReportNanos) / 1_000);
-            kind.positionAge.recordValue((now - s.host.position) / 1_000);
-            kind.stale += truth.position(s.host.id, now) < target(s.request, s.request.sessionTarget, now) ? 1 : 0;
+        if (!onPrimary) {
+            counts.reportAgeMicros.recordValue((now - attempt.host.lastReportNanos) / 1_000);
+            counts.positionAgeMicros.recordValue((now - attempt.host.position) / 1_000);
+            counts.stale += simulatedHosts.position(attempt.host.id, now)
+                            < target(attempt.request, attempt.request.sessionTarget, now)
+                    ? 1
+                    : 0;
         }
     }
 
     @Override
-    public void probed(Host host, long now) {
+    public void probeSent(Host host, long now) {
         probes++;
-        lines.take(host.id, now);
-        kept.take(host.id, now);
+        connections.acquire(host.id, now);
+        keptConnections.acquire(host.id, now);
     }
 
     @Override
-    public void free(Host host, long now) {
-        lines.free(host.id, now);
-        kept.free(host.id, now);
+    public void callEnded(Host host, long now) {
+        connections.release(host.id, now);
+        keptConnections.release(host.id, now);
     }
 
     @Override
-    public void close(Host host, long now) {
-        lines.close(host.id);
-        kept.close(host.id);
+    public void idleCloseRequested(Host host, long now) {
+        connections.closeIdle(host.id);
+        keptConnections.closeIdle(host.id);
     }
 
     @Override
-    public void ended(Request txn, long now) {
-        Kind kind = kinds.get(txn.requestClass.consistency());
-        if (kind != null && txn.attempts.isEmpty()) {
-            kind.neverSent++;
+    public void requestEnded(Request request, long now) {
+        ReadCounts counts = countsByRead.get(request.requestClass.consistency());
+        if (counts != null && request.attempts.isEmpty()) {
+            counts.neverSent++;
         }
     }
 
-    /** The figures of so many seconds; shares are of the reads of a kind, times in milliseconds. */
-    void figures(Map<String, Object> to, double seconds) {
-        for (Map.Entry<Consistency, Kind> each : kinds.entrySet()) {
-            String name = each.getKey().name().toLowerCase(Locale.ROOT);
-            Kind kind = each.getValue();
-            double reads = Math.max(1, kind.reads);
-            to.put(name + "_reads", kind.reads);
-            to.put(name + "_none_fresh_by_record", kind.noneByRecord / reads);
-            to.put(name + "_none_fresh_in_truth", kind.noneInTruth / reads);
-            to.put(name + "_held", kind.held / reads);
-            times(to, name + "_held_ms", kind.heldFor);
-            to.put(name + "_to_primary", kind.toPrimary / reads);
-            to.put(name + "_never_sent", kind.neverSent / reads);
-            times(to, name + "_heard_ago_at_use_ms", kind.heardAgo);
-            times(to, name + "_position_age_at_use_ms", kind.positionAge);
-            to.put(name + "_stale", kind.stale);
+    /** Adds the figures of so many seconds; shares are of the reads of a kind, times in milliseconds. */
+    void figures(Map<String, Object> output, double seconds) {
+        for (Map.Entry<Consistency, ReadCounts> entry : countsByRead.entrySet()) {
+            String name = entry.getKey().name().toLowerCase(Locale.ROOT);
+            ReadCounts counts = entry.getValue();
+            double reads = Math.max(1, counts.reads);
+            output.put(name + "_reads", counts.reads);
+            output.put(name + "_none_fresh_by_record", counts.noneFreshByRecord / reads);
+            output.put(name + "_none_fresh_in_truth", counts.noneFreshInTruth / reads);
+            output.put(name + "_held", counts.held / reads);
+            times(output, name + "_held_ms", counts.heldMicros);
+            output.put(name + "_to_primary", counts.toPrimary / reads);
+            output.put(name + "_never_sent", counts.neverSent / reads);
+            times(output, name + "_heard_ago_at_use_ms", counts.reportAgeMicros);
+            times(output, name + "_position_age_at_use_ms", counts.positionAgeMicros);
+            output.put(name + "_stale", counts.stale);
         }
-        times(to, "heard_ago_at_arrival_ms", heardBefore);
-        to.put("probes_a_txn", (double) probes / Math.max(1, txns));
+        times(output, "heard_ago_at_arrival_ms", reportAgeAtArrivalMicros);
+        output.put("probes_a_txn", (double) probes / Math.max(1, requests));
         String[] roles = {"primary", "replica"};
-        double groups = truth.count() / (double) SimulatedHosts.MEMBERS;
-        double routers = SimulatedRouterSettings.routers(truth.count());
-        to.put("reckoned_routers", routers);
+        double groups = simulatedHosts.count() / (double) SimulatedHosts.GROUP_SIZE;
+        double routers = SimulatedRouterSettings.routers(simulatedHosts.count());
+        output.put("reckoned_routers", routers);
         for (int role = 0; role < 2; role++) {
-            // What one router has, at each such host, times the routers before so many hosts.
-            double fleet = routers / (role == 0 ? groups : truth.count() - groups);
+            // The value of one router, per host of this role, multiplied by the number of routers for so many hosts.
+            double routersPerHost = routers / (role == 0 ? groups : simulatedHosts.count() - groups);
             String name = "reckoned_at_a_" + roles[role];
-            to.put(name + "_open", lines.open(role) * fleet);
-            to.put(name + "_in_use", lines.used(role) * fleet);
-            to.put(name + "_made_a_second", lines.made(role) / seconds * fleet);
-            to.put(name + "_open_if_kept", kept.open(role) * fleet);
-            to.put(name + "_made_a_second_if_kept", kept.made(role) / seconds * fleet);
+            output.put(name + "_open", connections.meanOpen(role) * routersPerHost);
+            output.put(name + "_in_use", connections.meanInUse(role) * routersPerHost);
+            output.put(name + "_made_a_second", connections.opened(role) / seconds * routersPerHost);
+            output.put(name + "_open_if_kept", keptConnections.meanOpen(role) * routersPerHost);
+            output.put(name + "_made_a_second_if_kept", keptConnections.opened(role) / seconds * routersPerHost);
         }
-        to.put("reckoned_at_a_host_probes_a_second", probes / seconds * routers / truth.count());
+        output.put("reckoned_at_a_host_probes_a_second", probes / seconds * routers / simulatedHosts.count());
     }
 
-    private static void times(Map<String, Object> to, String name, Histogram of) {
-        to.put(name + "_p50", of.getValueAtPercentile(50) / 1e3);
-        to.put(name + "_p99", of.getValueAtPercentile(99) / 1e3);
+    private static void times(Map<String, Object> output, String name, Histogram micros) {
+        output.put(name + "_p50", micros.getValueAtPercentile(50) / 1e3);
+        output.put(name + "_p99", micros.getValueAtPercentile(99) / 1e3);
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/PositionsPart.java
+++ b/src/main/java/beaconladder/testbed/scale/PositionsPart.java
@@ -8,15 +8,16 @@
 import java.util.SplittableRandom;
 
 /**
- * A router's record of positions by the number of groups. Real: the module and its rounds. Hollow: hosts, their log,
- * and the time. What it tells are curves that level off, so they are told at the target itself.
+ * Measures a router's record of positions by number of groups. Real: the routing module and its decision loop.
+ * Simulated: hosts, their log, and the time. The results are curves that level off, so they are reported at the target
+ * size itself.
  */
 final class PositionsPart implements Part {
     private static final int SECONDS = 60;
     private static final int SECONDS_SMALL = 8;
 
     @Override
-    public String of() {
+    public String sizeUnit() {
         return "groups";
     }
 
@@ -26,33 +27,33 @@
     }
 
     @Override
-    public long bytes(List<Integer> sizes) {
+    public long estimatedMemoryBytes(List<Integer> sizes) {
         return 400_000_000L + 60_000L * sizes.stream().mapToLong(n -> n).max().orElse(0);
     }
 
     @Override
-    public void measure(List<Integer> sizes, boolean small, SplittableRandom chance, Path folder, Report report) {
-        long seed = chance.nextLong(1 << 20);
+    public void measure(List<Integer> sizes, boolean small, SplittableRandom random, Path folder, Report report) {
+        long seed = random.nextLong(1 << 20);
         double stale = 0;
-        Map<String, Object> last = Map.of();
+        Map<String, Object> latest = Map.of();
         for (int groups : sizes) {
-            last = Positions.run(groups, seed, small ? SECONDS_SMALL : SECONDS);
-            stale += number(last, "bounded_stale") + number(last, "session_stale") + number(last, "any_stale");
-            report.say("  " + text(last));
+            latest = Positions.run(groups, seed, small ? SECONDS_SMALL : SECONDS);
+            stale += number(latest, "bounded_stale") + number(latest, "session_stale") + number(latest, "any_stale");
+            report.print("  " + text(latest));
         }
-        tell(last, "positions.", report);
+        reportAll(latest, "positions.", report);
         if (!small) {
-            int most = sizes.get(sizes.size() - 1);
-            tell(Positions.cold(most, seed, SECONDS), "positions.cold_", report);
-            tell(ZoneLoss.run(most, seed), "positions.zone_", report);
+            int largest = sizes.get(sizes.size() - 1);
+            reportAll(Positions.cold(largest, seed, SECONDS), "positions.cold_", report);
+            reportAll(ZoneLoss.run(largest, seed), "positions.zone_", report);
         }
         report.atMost("positions.stale_reads", stale, 0);
     }
 
-    private static void tell(Map<String, Object> figures, String before, Report report) {
+    private static void reportAll(Map<String, Object> figures, String prefix, Report report) {
         figures.forEach((name, value) -> {
             if (value instanceof Number number) {
-                report.figure(before + name, number.doubleValue());
+                report.figure(prefix + name, number.doubleValue());
             }
         });
     }
--- a/src/main/java/beaconladder/testbed/scale/ProcessCounters.java
+++ b/src/main/java/beaconladder/testbed/scale/ProcessCounters.java
@@ -6,19 +6,19 @@
 import java.util.stream.Stream;
 
 /**
- * What the system has counted of a process.
+ * Resource counters of a process, read from /proc.
  *
- * @param cpuNanos processor time, its own and the system's for it
- * @param residentKb memory in place
- * @param descriptors open files and sockets
- * @param threads as many as it has now
- * @param at when it was read, by {@link System#nanoTime}
+ * @param cpuNanos user and system processor time
+ * @param residentKb resident memory, in kilobytes
+ * @param descriptors the number of open files and sockets
+ * @param threads the number of live threads
+ * @param readAtNanos the time of the reading, by {@link System#nanoTime}
  */
-record ProcessCounters(long cpuNanos, long residentKb, int descriptors, int threads, long at) {
-    /** Linux tells processor time in hundredths of a second on every machine that this runs on. */
+record ProcessCounters(long cpuNanos, long residentKb, int descriptors, int threads, long readAtNanos) {
+    /** Linux reports processor time in hundredths of a second on all machines that this runs on. */
     private static final long TICK_NANOS = 10_000_000;
-    /** Behind the name in brackets: utime and stime are fields 14 and 15 of all. */
-    private static final int USER = 11;
+    /** Index of utime after the process name in parentheses; utime and stime are fields 14 and 15 of the whole line. */
+    private static final int UTIME_INDEX = 11;
 
     static ProcessCounters of(long pid) throws IOException {
         Path proc = Path.of("/proc", String.valueOf(pid));
@@ -34,13 +34,13 @@
             }
         }
         try (Stream<Path> open = Files.list(proc.resolve("fd"))) {
-            long ticks = Long.parseLong(fields[USER]) + Long.parseLong(fields[USER + 1]);
+            long ticks = Long.parseLong(fields[UTIME_INDEX]) + Long.parseLong(fields[UTIME_INDEX + 1]);
             return new ProcessCounters(ticks * TICK_NANOS, resident, (int) open.count(), threads, System.nanoTime());
         }
     }
 
-    /** The share of one core that it used from then to now. */
-    double cores(ProcessCounters before) {
-        return (cpuNanos - before.cpuNanos) / (double) (at - before.at);
+    /** Returns the mean number of cores used between the earlier reading and this one. */
+    double coresSince(ProcessCounters before) {
+        return (cpuNanos - before.cpuNanos) / (double) (readAtNanos - before.readAtNanos);
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/RouterClients.java
+++ b/src/main/java/beaconladder/testbed/scale/RouterClients.java
@@ -11,12 +11,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.ConcurrentHistogram;
 
-/** Clients of one router, a connection each; some threads ask on all of them in turns. */
+/** Clients of one router, a connection each; a few threads send statements on all of them in turn. */
 final class RouterClients implements AutoCloseable {
     private static final int THREADS = 16;
-    private static final int STACK = 256 * 1024;
+    private static final int STACK_BYTES = 256 * 1024;
 
-    private final List<TestClient> callers = new ArrayList<>();
+    private final List<TestClient> clients = new ArrayList<>();
     private final ConcurrentHistogram times = new ConcurrentHistogram(3);
     private final AtomicLong ids = new AtomicLong();
     private final AtomicLong failed = new AtomicLong();
@@ -26,19 +26,19 @@
         for (int i = 0; i < count; i++) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
-            TestClient caller = new TestClient(socket);
-            callers.add(caller);
-            MessageWriter.startup("app", "shop").writeTo(caller.out);
-            caller.answer();
+            TestClient client = new TestClient(socket);
+            clients.add(client);
+            MessageWriter.startup("app", "shop").writeTo(client.out);
+            client.answer();
         }
     }
 
-    /** Txns go to so many groups from now on, evenly. */
+    /** Spreads further transactions evenly over so many groups. */
     void groups(int count) {
         groups = count;
     }
 
-    /** Times of answers, in microseconds. */
+    /** Returns the response times, in microseconds. */
     ConcurrentHistogram times() {
         return times;
     }
@@ -47,65 +47,68 @@
         return failed.get();
     }
 
-    /** Each asks once. */
-    void askAll() throws InterruptedException {
-        play((first, caller) -> {
-            for (int i = first; i < callers.size(); i += THREADS) {
-                ask(callers.get(i), 0, false);
+    /** Sends one statement on each connection. */
+    void queryOnEach() throws InterruptedException {
+        runThreads((threadIndex, client) -> {
+            for (int i = threadIndex; i < clients.size(); i += THREADS) {
+                query(clients.get(i), 0, false);
             }
         });
     }
 
-    /** So many txns a second for some seconds, a quarter of them writes; how many a second were answered. */
-    double work(int rate, int seconds, SplittableRandom chance) throws InterruptedException {
-        long from = System.nanoTime();
-        long until = from + seconds * 1_000_000_000L;
-        long gap = 1_000_000_000L * THREADS / rate;
+    /**
+     * Sends so many transactions per second for some seconds, a quarter of them writes, and returns how many per second
+     * were served.
+     */
+    double runAtRate(int rate, int seconds, SplittableRandom random) throws InterruptedException {
+        long startNanos = System.nanoTime();
+        long deadline = startNanos + seconds * 1_000_000_000L;
+        long intervalNanos = 1_000_000_000L * THREADS / rate;
         AtomicLong served = new AtomicLong();
-        List<SplittableRandom> own = new ArrayList<>();
+        List<SplittableRandom> randomByThread = new ArrayList<>();
         for (int i = 0; i < THREADS; i++) {
-            own.add(chance.split());
+            randomByThread.add(random.split());
         }
-        play((first, all) -> {
-            SplittableRandom mine = own.get(first);
-            long next = from + mine.nextLong(gap);
-            while (next < until) {
-                long left = next - System.nanoTime();
-                if (left > 0) {
-                    Thread.sleep(left / 1_000_000, (int) (left % 1_000_000));
+        runThreads((threadIndex, connections) -> {
+            SplittableRandom threadRandom = randomByThread.get(threadIndex);
+            long nextNanos = startNanos + threadRandom.nextLong(intervalNanos);
+            while (nextNanos < deadline) {
+                long remainingNanos = nextNanos - System.nanoTime();
+                if (remainingNanos > 0) {
+                    Thread.sleep(remainingNanos / 1_000_000, (int) (remainingNanos % 1_000_000));
                 }
-                next += gap;
-                int turns = callers.size() / THREADS;
-                if (ask(
-                        callers.get(first + THREADS * mine.nextInt(turns)),
-                        mine.nextInt(groups),
-                        mine.nextInt(4) == 0)) {
+                nextNanos += intervalNanos;
+                int clientsPerThread = clients.size() / THREADS;
+                if (query(
+                        clients.get(threadIndex + THREADS * threadRandom.nextInt(clientsPerThread)),
+                        threadRandom.nextInt(groups),
+                        threadRandom.nextInt(4) == 0)) {
                     served.incrementAndGet();
                 }
             }
         });
-        return served.get() / ((System.nanoTime() - from) / 1e9);
+        return served.get() / ((System.nanoTime() - startNanos) / 1e9);
     }
 
     private interface Task {
-        void run(int first, List<TestClient> callers) throws IOException, InterruptedException;
+        void run(int threadIndex, List<TestClient> clients) throws IOException, InterruptedException;
     }
 
-    private void play(Task task) throws InterruptedException {
+    private void runThreads(Task task) throws InterruptedException {
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < THREADS; i++) {
-            int first = i;
+            int threadIndex = i;
             Thread thread = new Thread(
                     null,
                     () -> {
                         try {
-                            task.run(first, callers);
+                            task.run(threadIndex, clients);
                         } catch (IOException | InterruptedException e) {
                             failed.incrementAndGet();
                         }
                     },
-                    "callers",
-                    STACK);
+                    "clients",
+                    STACK_BYTES);
             thread.start();
             threads.add(thread);
         }
@@ -114,15 +117,15 @@
         }
     }
 
-    private boolean ask(TestClient caller, int group, boolean write) throws IOException {
+    private boolean query(TestClient client, int group, boolean write) throws IOException {
         String id = "s" + Long.toHexString(ids.incrementAndGet());
         String comment = " /* id=" + id + ",c=" + (write ? "write" : "any") + ",t=acme,d=1000,cluster=" + group + " */";
-        long from = System.nanoTime();
-        String answer = caller.ask(
+        long startNanos = System.nanoTime();
+        String answer = client.ask(
                 write
                         ? "INSERT INTO items (id, doc) VALUES ('" + id + "', '\\x9f') RETURNING doc" + comment
                         : "SELECT doc FROM items WHERE id = 'k" + id.hashCode() % 100 + "'" + comment);
-        times.recordValue((System.nanoTime() - from) / 1_000);
+        times.recordValue((System.nanoTime() - startNanos) / 1_000);
         boolean served = answer.contains("D:") && answer.endsWith("Z");
         if (!served) {
             failed.incrementAndGet();
@@ -132,8 +135,8 @@
 
     @Override
     public void close() throws IOException {
-        for (TestClient caller : callers) {
-            caller.close();
+        for (TestClient client : clients) {
+            client.close();
         }
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/RouterConfig.java
+++ b/src/main/java/beaconladder/testbed/scale/RouterConfig.java
@@ -3,7 +3,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The file that tells a router what it needs. */
+/** Builds the configuration file of a router. */
 final class RouterConfig {
     private static final String REQUEST_CLASS = """
                 {"name":"%s","effect":"%s","goal_time_us":500000,"give_up_us":2000000,"late_share":0.5,\
@@ -11,7 +11,7 @@
 
     private RouterConfig() {}
 
-    static String of(String name, int port, int discovery, int sockets) {
+    static String of(String name, int port, int discovery, int socketLimit) {
         String types = Stream.of("any", "fresh", "own", "write")
                 .map(type -> REQUEST_CLASS.formatted(type, type.equals("write") ? "side_effect" : "pure"))
                 .collect(Collectors.joining(","));
@@ -24,6 +24,6 @@
                    "dial_timeout_us":250000,"conn_idle_us":3000000},"rules":{"drain_grace_us":2000000},
                   "load_report":{"fields":["x0","x1","rif"],"how":"inline"},"parties":[{"name":"acme"}],
                   "round_us":5000,"replicas_of_me":1,"zones":["z0","z1"],"request_classes":[%s]}}""";
-        return file.formatted(name, port, discovery, sockets, types);
+        return file.formatted(name, port, discovery, socketLimit, types);
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/RoutingCost.java
+++ b/src/main/java/beaconladder/testbed/scale/RoutingCost.java
@@ -12,84 +12,95 @@
 import java.util.stream.IntStream;
 
 /**
- * What a txn costs the module, and a listed host its heap, by the number of hosts: the real module and its rounds
- * before hollow hosts in groups of three, a quarter writes, at the users' rate of one router. Plain, the reads may have
- * any data, so that the module is asked the same at each size; mixed, the older record of more groups has it hold and
- * probe more, which costs too. The hollow hosts' own work, a few draws and a queue of events, is in the figures.
+ * Measures the processor time of a transaction in the routing module, and the heap of a listed host, by number of
+ * hosts: the real module and its decision loop with simulated hosts in groups of three, a quarter writes, at the users'
+ * rate for one router. In the plain mix, reads accept data of any age, so that the module is asked the same at each
+ * size; in the mixed one, the older record of more groups makes it hold and probe more, which costs time too. The
+ * figures include the work of the simulated hosts, a few random draws and an event queue.
  */
 public final class RoutingCost {
-    /** Hosts; the last one is the users'. */
+    /** Numbers of hosts; the last one is that of the users' fleet. */
     public static final List<Integer> SIZES = List.of(120, 300, 1_200, 2_400, 5_800);
-    /** Txns before those measured, so that the compiler is done and hosts have been heard of. */
-    private static final int WARM_UP = 30_000;
+    /** Transactions before the measured ones, so that code is compiled and hosts have reported. */
+    private static final int WARM_UP_TXNS = 30_000;
 
-    private static final int MEASURED = 5_000;
-    /** The best of so many stretches counts: others on the machine can only add. */
+    private static final int TXNS_PER_STRETCH = 5_000;
+    /**
+     * The number of measured stretches, of which the fastest counts: other programs on the machine can only add time.
+     */
     private static final int STRETCHES = 30;
 
     private RoutingCost() {}
 
-    /** One size; the same script for the same seed, its times as measured. */
+    /** Measures one size. The same seed gives the same sequence of events; times are as measured. */
     public static Map<String, Object> measure(int hosts, long seed) {
-        SimulatedHosts truth = new SimulatedHosts(hosts / SimulatedHosts.MEMBERS, new SplittableRandom(seed), 0);
-        // First, since what the first router brings up in the machine stays, and is none of a host's.
+        SimulatedHosts simulatedHosts =
+                new SimulatedHosts(hosts / SimulatedHosts.GROUP_SIZE, new SplittableRandom(seed), 0);
+        // Runs first, because what the first router initializes in the JVM stays and does not belong to a host.
         double mixed = micros(List.of(new SimulatedRouter(
-                truth, new SplittableRandom(seed), SimulatedRouter.MIXED, keepIdle -> new Blind())))[0];
-        long before = heap();
-        SimulatedRouter router =
-                new SimulatedRouter(truth, new SplittableRandom(seed), SimulatedRouter.PLAIN, keepIdle -> new Blind());
-        long heap = heap() - before;
+                simulatedHosts,
+                new SplittableRandom(seed),
+                SimulatedRouter.MIXED_SHARES,
+                maxIdleNanos -> new NoObserver())))[0];
+        long before = usedHeapBytes();
+        SimulatedRouter router = new SimulatedRouter(
+                simulatedHosts,
+                new SplittableRandom(seed),
+                SimulatedRouter.PLAIN_SHARES,
+                maxIdleNanos -> new NoObserver());
+        long usedHeapBytes = usedHeapBytes() - before;
         double plain = micros(List.of(router))[0];
         Map<String, Object> figures = new LinkedHashMap<>();
-        figures.put("hosts", truth.count());
-        figures.put("groups", truth.count() / SimulatedHosts.MEMBERS);
+        figures.put("hosts", simulatedHosts.count());
+        figures.put("groups", simulatedHosts.count() / SimulatedHosts.GROUP_SIZE);
         figures.put("seed", seed);
-        figures.put("txns", STRETCHES * MEASURED);
+        figures.put("txns", STRETCHES * TXNS_PER_STRETCH);
         figures.put("micros_a_txn", plain);
-        figures.put("share_of_core", plain * SimulatedRouter.RATE / 1e6);
+        figures.put("share_of_core", plain * SimulatedRouter.STATEMENTS_PER_SECOND / 1e6);
         figures.put("mixed_micros_a_txn", mixed);
-        figures.put("mixed_share_of_core", mixed * SimulatedRouter.RATE / 1e6);
-        figures.put("heap_bytes_a_host", (double) heap / truth.count());
+        figures.put("mixed_share_of_core", mixed * SimulatedRouter.STATEMENTS_PER_SECOND / 1e6);
+        figures.put("heap_bytes_a_host", (double) usedHeapBytes / simulatedHosts.count());
         return figures;
     }
 
-    /** How many times as much a txn costs among so many groups as among so few, measured in turns. */
-    static double ratio(int few, int many, List<Double> upTo, long seed) {
-        double[] micros = micros(IntStream.of(few, many)
+    /** Returns the ratio of a transaction's cost among many groups to that among few, measured in alternation. */
+    static double ratio(int fewGroups, int manyGroups, List<Double> cumulativeShares, long seed) {
+        double[] micros = micros(IntStream.of(fewGroups, manyGroups)
                 .mapToObj(groups -> new SimulatedRouter(
                         new SimulatedHosts(groups, new SplittableRandom(seed), 0),
                         new SplittableRandom(seed),
-                        upTo,
-                        keepIdle -> new Blind()))
+                        cumulativeShares,
+                        maxIdleNanos -> new NoObserver()))
                 .toList());
         return micros[1] / micros[0];
     }
 
-    /** Microseconds of this thread a txn, at each of these routers. */
+    /** Returns the processor time of this thread for a transaction at each of these routers, in microseconds. */
     private static double[] micros(List<SimulatedRouter> routers) {
-        routers.forEach(router -> router.play(WARM_UP));
+        routers.forEach(router -> router.runUntilArrivals(WARM_UP_TXNS));
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         double[] best = routers.stream().mapToDouble(router -> Double.MAX_VALUE).toArray();
         for (int i = 1; i <= STRETCHES; i++) {
             for (int j = 0; j < best.length; j++) {
-                long from = threads.getCurrentThreadCpuTime();
-                routers.get(j).play(WARM_UP + (long) i * MEASURED);
-                best[j] = Math.min(best[j], (threads.getCurrentThreadCpuTime() - from) / 1e3 / MEASURED);
+                long startCpuNanos = threads.getCurrentThreadCpuTime();
+                routers.get(j).runUntilArrivals(WARM_UP_TXNS + (long) i * TXNS_PER_STRETCH);
+                best[j] =
+                        Math.min(best[j], (threads.getCurrentThreadCpuTime() - startCpuNanos) / 1e3 / TXNS_PER_STRETCH);
             }
         }
         return best;
     }
 
-    private static long heap() {
+    private static long usedHeapBytes() {
         MemoryMXBean memory = ManagementFactory.getMemoryMXBean();
-        // The serial collector leaves some of what is dead where it lies, but for each fourth time.
+        // The serial collector leaves some dead objects in place except in each fourth collection.
         for (int i = 0; i < 4; i++) {
             System.gc();
         }
         return memory.getHeapMemoryUsage().getUsed();
     }
 
-    /** Prints each size, a line of JSON each: {@code [seed]}. */
+    /** Prints one line of JSON for each size. Arguments: {@code [seed]}. */
     public static void main(String[] args) throws JsonProcessingException {
         for (int hosts : SIZES) {
             System.out.println(new ObjectMapper()
@@ -97,6 +108,6 @@
         }
     }
 
-    /** Looks at nothing, so that only the module is measured. */
-    private static final class Blind implements SimulatedRouter.Watcher {}
+    /** Observes nothing, so that only the module is measured. */
+    private static final class NoObserver implements SimulatedRouter.Observer {}
 }
--- a/src/main/java/beaconladder/testbed/scale/RoutingPart.java
+++ b/src/main/java/beaconladder/testbed/scale/RoutingPart.java
@@ -7,14 +7,14 @@
 import java.util.SplittableRandom;
 
 /**
- * The module by hosts, at one router's txns. Real: the module and its rounds, in this process. Hollow: the hosts, their
- * answers and the time.
+ * Measures the routing module by number of hosts, at the transaction rate of one router. Real: the module and its
+ * decision loop, in this process. Simulated: the hosts, their answers and the time.
  */
 final class RoutingPart implements Part {
     private static final int TARGET = 5_800;
 
     @Override
-    public String of() {
+    public String sizeUnit() {
         return "hosts";
     }
 
@@ -24,21 +24,21 @@
     }
 
     @Override
-    public long bytes(List<Integer> sizes) {
+    public long estimatedMemoryBytes(List<Integer> sizes) {
         return 200_000_000L + 20_000L * sizes.stream().mapToLong(n -> n).max().orElse(0);
     }
 
     @Override
-    public void measure(List<Integer> sizes, boolean small, SplittableRandom chance, Path folder, Report report) {
-        long seed = chance.nextLong(1 << 20);
-        // Once without being counted: compiled code finds its place.
+    public void measure(List<Integer> sizes, boolean small, SplittableRandom random, Path folder, Report report) {
+        long seed = random.nextLong(1 << 20);
+        // The first run is not counted: it lets code be compiled.
         RoutingCost.measure(sizes.get(0), seed);
         List<Map<String, Object>> runs =
                 sizes.stream().map(hosts -> RoutingCost.measure(hosts, seed)).toList();
         List<Point> micros = points(sizes, runs, "micros_a_txn");
-        // A curve that levels off, so that a line through its small sizes foretells chance: a rule instead.
+        // The curve levels off, so a line fitted at its small sizes would predict noise; a rule replaces the line.
         micros.forEach(point -> report.figure("module.micros_a_txn_" + (int) point.size(), point.value()));
-        // Its own test holds it to twice, measured in turns; these come one after the other.
+        // The unit test allows a factor of two, measured in alternation; these runs follow one another.
         report.atMost(
                 "module.micros_by_hosts",
                 micros.get(micros.size() - 1).value() / micros.get(0).value(),
--- a/src/main/java/beaconladder/testbed/scale/Scale.java
+++ b/src/main/java/beaconladder/testbed/scale/Scale.java
@@ -13,23 +13,23 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 
-/** The scale tests, part by part. */
+/** Runs the scale experiment: what each part of a fleet costs as its size grows. */
 public final class Scale {
-    /** What is measured. */
+    /** The parts that can be measured; the names are values of the command line. */
     public enum Name {
-        /** The list of hosts: a real router before N listed hosts; hollow watches. */
+        /** The endpoint list: a real router with N listed hosts, and many watches without a router. */
         LIST(ListPart::new),
-        /** The fleet's membership: one real member among N hollow ones; N hollow ones by themselves. */
+        /** Fleet membership: one real process among N simulated peers, and N members in virtual time. */
         MEMBERS(MembersPart::new),
-        /** Leases: three real grantors under hollow askers; the pure part by tasks. */
+        /** Leases: three real lease servers with simulated clients, and the lease table by number of tasks. */
         LEASES(LeasesPart::new),
-        /** Clients: a real router by connections, idle, and by txns. */
+        /** Clients: a real router by number of idle connections and by transaction rate. */
         CLIENTS(ClientsPart::new),
-        /** The keeper of cells, by routers. */
+        /** The coordinator of cells, by number of routers. */
         KEEPER(CoordinatorPart::new),
-        /** The module: a txn's cost by the number of hosts. */
+        /** The routing module: the cost of a transaction by number of hosts. */
         MODULE(RoutingPart::new),
-        /** The record of positions, by groups; a zone lost, as one router sees it. */
+        /** The record of replica positions by number of groups, and the loss of a zone as one router sees it. */
         POSITIONS(PositionsPart::new);
 
         private final Supplier<Part> part;
@@ -43,37 +43,40 @@
         }
     }
 
+    /** Parts lose a ninth of their hosts or members, so that each needs nine. */
+    private static final int MIN_SIZE = 9;
+
     private Scale() {}
 
     /**
-     * What is wrong with these sizes for this part, or null.
+     * Returns why these sizes cannot be used for this part, or null if they can.
      *
-     * @param memory of this machine, in bytes
+     * @param memoryBytes total memory of this machine, in bytes
      */
-    public static String objection(Name name, List<Integer> sizes, long memory) {
+    public static String validateSizes(Name name, List<Integer> sizes, long memoryBytes) {
         String part = name.name().toLowerCase(Locale.ROOT);
-        if (sizes.size() < Slope.FEWEST || sizes.stream().distinct().count() < sizes.size()) {
-            return part + " needs " + Slope.FEWEST + " sizes or more, each once";
+        if (sizes.size() < Slope.MIN_SIZES || sizes.stream().distinct().count() < sizes.size()) {
+            return part + " needs " + Slope.MIN_SIZES + " sizes or more, each once";
         }
-        int least = sizes.stream().min(Comparator.naturalOrder()).orElseThrow();
-        if (least < 9) {
-            return "size " + least + " of " + part + ": the least is 9";
+        int smallest = sizes.stream().min(Comparator.naturalOrder()).orElseThrow();
+        if (smallest < MIN_SIZE) {
+            return "size " + smallest + " of " + part + ": the least is 9";
         }
-        int most = sizes.stream().max(Comparator.naturalOrder()).orElseThrow();
-        long needs = name.part().bytes(sizes);
-        return needs <= memory / 2
+        int largest = sizes.stream().max(Comparator.naturalOrder()).orElseThrow();
+        long neededBytes = name.part().estimatedMemoryBytes(sizes);
+        return neededBytes <= memoryBytes / 2
                 ? null
                 : String.format(
                         Locale.ROOT,
                         "size %d of %s needs %.1f GB; half of this machine's memory is %.1f GB",
-                        most,
+                        largest,
                         part,
-                        needs / 1e9,
-                        memory / 2e9);
+                        neededBytes / 1e9,
+                        memoryBytes / 2e9);
     }
 
-    /** Of this machine, in bytes. */
-    public static long memory() throws IOException {
+    /** Returns the total memory of this machine, in bytes. */
+    public static long totalMemoryBytes() throws IOException {
         return Files.readAllLines(Path.of("/proc/meminfo")).stream()
                 .filter(s -> s.startsWith("MemTotal:"))
                 .mapToLong(s -> Long.parseLong(s.replaceAll("\\D", "")) * 1024)
@@ -82,13 +85,13 @@
     }
 
     /**
-     * Measures; whether all lines and rules held.
+     * Measures the given parts and returns whether every fitted line and every rule held.
      *
-     * @param sizes in place of the parts' own, or null
+     * @param sizes the sizes to measure in place of the parts' own, or null
      */
-    public static boolean play(Set<Name> names, List<Integer> sizes, boolean small, long seed, PrintWriter out)
+    public static boolean run(Set<Name> names, List<Integer> sizes, boolean small, long seed, PrintWriter out)
             throws IOException, InterruptedException {
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         Report report = new Report(
                 out,
                 seed,
@@ -99,9 +102,9 @@
         Path folder = Files.createTempDirectory("scale");
         try {
             for (Name name : EnumSet.copyOf(names)) {
-                report.say(name.name().toLowerCase(Locale.ROOT));
+                report.print(name.name().toLowerCase(Locale.ROOT));
                 Part part = name.part();
-                // Each part draws its own, whichever others are played before it.
+                // Each part has its own random sequence, independent of which parts run before it.
                 part.measure(
                         sizes == null ? part.sizes(small) : sizes,
                         small,
@@ -115,7 +118,7 @@
                         .forEach(file -> file.toFile().delete());
             }
         }
-        report.say(report.json((System.nanoTime() - from) / 1_000_000_000));
+        report.print(report.json((System.nanoTime() - startNanos) / 1_000_000_000));
         return report.held();
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/SharedHostStandIn.java
+++ b/src/main/java/beaconladder/testbed/scale/SharedHostStandIn.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** One listening socket that stands for all hosts: it takes connections, counts them and says nothing. */
+/** One listening socket that represents all hosts: it accepts and counts connections and sends nothing. */
 final class SharedHostStandIn implements AutoCloseable {
-    private final ServerSocket door = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
-    private final Queue<Socket> taken = new ConcurrentLinkedQueue<>();
+    private final ServerSocket listener = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
+    private final Queue<Socket> accepted = new ConcurrentLinkedQueue<>();
     final AtomicLong connections = new AtomicLong();
 
     SharedHostStandIn() throws IOException {
@@ -20,11 +20,11 @@
                 () -> {
                     try {
                         while (true) {
-                            taken.add(door.accept());
+                            accepted.add(listener.accept());
                             connections.incrementAndGet();
                         }
                     } catch (IOException e) {
-                        // It is closed.
+                        // The listener was closed.
                     }
                 },
                 "hosts",
@@ -34,13 +34,13 @@
     }
 
     int port() {
-        return door.getLocalPort();
+        return listener.getLocalPort();
     }
 
     @Override
     public void close() throws IOException {
-        door.close();
-        for (Socket socket : taken) {
+        listener.close();
+        for (Socket socket : accepted) {
             socket.close();
         }
     }
--- a/src/main/java/beaconladder/testbed/scale/SimulatedConnections.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedConnections.java
@@ -5,97 +5,97 @@
 import java.util.Deque;
 import java.util.List;
 
-/** The connections of a hollow router to its hosts, by the rules of the real ones; no sockets. */
+/** Simulates the connections of a router to its hosts, by the rules of the real ones and without sockets. */
 final class SimulatedConnections {
-    /** As the real ones rest before the next use. */
-    private static final long RESTED = 3_000_000;
+    /** The time that a real connection rests before its next use, in nanoseconds. */
+    private static final long MIN_REST_NANOS = 3_000_000;
 
-    private final long keepIdle;
-    /** Whether connections are closed when the module asks for it; else only those idle too long. */
-    private final boolean closes;
+    private final long maxIdleNanos;
+    /** Whether connections are closed when the module asks for it; otherwise only after they were idle too long. */
+    private final boolean closeOnRequest;
 
     private final List<Deque<Long>> idle = new ArrayList<>();
     private final int[] inUse;
-    /** To primaries and to replicas: connections made, and the sums of those open and in use at the looks. */
-    private final long[] made = new long[2];
+    /** For primaries and replicas: connections opened, and the sums of open and used connections over all samples. */
+    private final long[] opened = new long[2];
 
-    private final long[] open = new long[2];
-    private final long[] used = new long[2];
-    private long looks;
+    private final long[] openSum = new long[2];
+    private final long[] inUseSum = new long[2];
+    private long samples;
 
-    SimulatedConnections(int hosts, long keepIdle, boolean closes) {
-        this.keepIdle = keepIdle;
-        this.closes = closes;
+    SimulatedConnections(int hosts, long maxIdleNanos, boolean closeOnRequest) {
+        this.maxIdleNanos = maxIdleNanos;
+        this.closeOnRequest = closeOnRequest;
         inUse = new int[hosts];
         for (int i = 0; i < hosts; i++) {
             idle.add(new ArrayDeque<>());
         }
     }
 
-    private static int role(int host) {
+    private static int roleIndex(int host) {
         return SimulatedHosts.isPrimary(host) ? 0 : 1;
     }
 
-    /** A call to this host: on the newest connection that has rested, or on a new one. */
-    void take(int host, long now) {
+    /** Takes a connection for a call to this host: the newest one that has rested, or a new one. */
+    void acquire(int host, long now) {
         inUse[host]++;
-        for (Long at : idle.get(host)) {
-            if (at < now - keepIdle) {
+        for (Long releasedAt : idle.get(host)) {
+            if (releasedAt < now - maxIdleNanos) {
                 break;
             }
-            if (at <= now - RESTED) {
-                idle.get(host).remove(at);
+            if (releasedAt <= now - MIN_REST_NANOS) {
+                idle.get(host).remove(releasedAt);
                 return;
             }
         }
-        made[role(host)]++;
+        opened[roleIndex(host)]++;
     }
 
-    void free(int host, long now) {
+    void release(int host, long now) {
         inUse[host]--;
         idle.get(host).addFirst(now);
     }
 
-    void close(int host) {
-        if (closes) {
+    void closeIdle(int host) {
+        if (closeOnRequest) {
             idle.get(host).clear();
         }
     }
 
-    /** Lets go of what lay idle too long, and counts. */
-    void look(long now) {
-        looks++;
+    /** Closes connections that were idle too long, and takes a sample. */
+    void sample(long now) {
+        samples++;
         for (int i = 0; i < inUse.length; i++) {
-            Deque<Long> of = idle.get(i);
-            while (!of.isEmpty() && of.peekLast() < now - keepIdle) {
-                of.removeLast();
+            Deque<Long> idleHere = idle.get(i);
+            while (!idleHere.isEmpty() && idleHere.peekLast() < now - maxIdleNanos) {
+                idleHere.removeLast();
             }
-            open[role(i)] += inUse[i] + of.size();
-            used[role(i)] += inUse[i];
+            openSum[roleIndex(i)] += inUse[i] + idleHere.size();
+            inUseSum[roleIndex(i)] += inUse[i];
         }
     }
 
-    /** Forgets what was counted, not what is open. */
+    /** Resets the counts and keeps the open connections. */
     void reset() {
-        for (long[] counts : List.of(made, open, used)) {
+        for (long[] counts : List.of(opened, openSum, inUseSum)) {
             counts[0] = 0;
             counts[1] = 0;
         }
-        looks = 0;
+        samples = 0;
     }
 
-    /** Connections made so far, to primaries (0) or replicas (1). */
-    long made(int role) {
-        return made[role];
+    /** Returns the number of connections opened so far, to primaries (0) or replicas (1). */
+    long opened(int role) {
+        return opened[role];
     }
 
-    /** Open at a look, on the mean. */
-    double open(int role) {
-        return looks == 0 ? 0 : (double) open[role] / looks;
+    /** Returns the mean number of open connections over the samples. */
+    double meanOpen(int role) {
+        return samples == 0 ? 0 : (double) openSum[role] / samples;
     }
 
-    /** In use at a look, on the mean. */
-    double used(int role) {
-        return looks == 0 ? 0 : (double) used[role] / looks;
+    /** Returns the mean number of connections in use over the samples. */
+    double meanInUse(int role) {
+        return samples == 0 ? 0 : (double) inUseSum[role] / samples;
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/SimulatedFleet.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedFleet.java
@@ -14,50 +14,51 @@
 import java.util.SplittableRandom;
 
 /**
- * Members of the real class in one thread, on a clock and a network of their own: what one sends comes to the other
- * within some milliseconds, and a paused one hears all of it when it goes on.
+ * Runs many members of the real membership protocol in one thread, on a virtual clock and network. Messages arrive
+ * within a few milliseconds; a paused member receives all of them when it resumes.
  */
 final class SimulatedFleet {
-    static final long MS = 1_000_000L;
-    private static final long FASTEST = MS / 2;
-    private static final long SLOWEST = 3 * MS;
-    private static final long PERIOD = 500 * MS;
+    static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long MIN_DELAY_NANOS = NANOS_PER_MILLI / 2;
+    private static final long MAX_DELAY_NANOS = 3 * NANOS_PER_MILLI;
+    private static final long PROBE_PERIOD_NANOS = 500 * NANOS_PER_MILLI;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** A message to a member, or, without one, its time to look. */
-    private record Event(long at, long number, int to, Message message) {}
+    /** A message to a member, or a timer of the member if there is no message. */
+    private record Event(long atNanos, long eventNumber, int to, Message message) {}
 
-    private final SplittableRandom chance;
-    private final List<SwimProtocol> swims = new ArrayList<>();
-    private final long[] wake;
-    private final long[] pausedUntil;
+    private final SplittableRandom random;
+    private final List<SwimProtocol> protocols = new ArrayList<>();
+    private final long[] wakeupNanos;
+    private final long[] pausedUntilNanos;
     private final boolean[] dead;
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
-    private long number;
+            new PriorityQueue<>(Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::eventNumber));
+    private long eventNumber;
     private long now;
     private long messages;
     private long bytes;
-    /** Time spent in the members themselves, in nanoseconds. */
-    private long inside;
-
-    /** So many who know each other and have no news. */
-    SimulatedFleet(int count, SplittableRandom chance) {
-        this.chance = chance;
-        wake = new long[count];
-        pausedUntil = new long[count];
+    /** Time spent in the protocol itself, in nanoseconds. */
+    private long protocolNanos;
+
+    /** Creates members that all know each other and have no updates left to spread. */
+    SimulatedFleet(int count, SplittableRandom random) {
+        this.random = random;
+        wakeupNanos = new long[count];
+        pausedUntilNanos = new long[count];
         dead = new boolean[count];
         List<Member> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             all.add(new Member(name(i), address(i), 1_700_000_000_000L, State.ALIVE));
         }
         for (int i = 0; i < count; i++) {
-            SwimProtocol swim = new SwimProtocol(name(i), address(i), 1_700_000_000_000L, List.of(), chance.nextLong());
-            ConvergedMembership.introduce(swim, all.get((i + 1) % count), all, 0);
-            ConvergedMembership.settle(swim);
-            swims.add(swim);
-            wake[i] = chance.nextLong(PERIOD);
-            push(wake[i], i, null);
+            SwimProtocol protocol =
+                    new SwimProtocol(name(i), address(i), 1_700_000_000_000L, List.of(), random.nextLong());
+            ConvergedMembership.addAll(protocol, all.get((i + 1) % count), all, 0);
+            ConvergedMembership.clearPendingUpdates(protocol);
+            protocols.add(protocol);
+            wakeupNanos[i] = random.nextLong(PROBE_PERIOD_NANOS);
+            push(wakeupNanos[i], i, null);
         }
     }
 
@@ -86,12 +87,12 @@
         return bytes;
     }
 
-    long inside() {
-        return inside;
+    long protocolNanos() {
+        return protocolNanos;
     }
 
     int size() {
-        return swims.size();
+        return protocols.size();
     }
 
     void kill(int member) {
@@ -99,65 +100,66 @@
     }
 
     void pause(int member, long nanos) {
-        pausedUntil[member] = now + nanos;
+        pausedUntilNanos[member] = now + nanos;
     }
 
-    /** Whether this one holds the other for dead. */
-    boolean buries(int observer, int member) {
-        Member word = swims.get(observer).member(name(member));
-        return word != null && word.state() == State.DEAD;
+    /** Returns whether the observer considers the member dead. */
+    boolean considersDead(int observer, int member) {
+        Member seen = protocols.get(observer).member(name(member));
+        return seen != null && seen.state() == State.DEAD;
     }
 
     boolean dead(int member) {
         return dead[member];
     }
 
-    /** Lets so much time go by. */
+    /** Advances the virtual clock by this time. */
     void run(long nanos) {
-        long until = now + nanos;
-        while (!events.isEmpty() && events.peek().at() <= until) {
+        long endNanos = now + nanos;
+        while (!events.isEmpty() && events.peek().atNanos() <= endNanos) {
             Event event = events.poll();
-            now = event.at();
+            now = event.atNanos();
             int to = event.to();
-            if (dead[to] || event.message() == null && wake[to] != event.at()) {
+            if (dead[to] || event.message() == null && wakeupNanos[to] != event.atNanos()) {
                 continue;
             }
-            if (pausedUntil[to] > now) {
+            if (pausedUntilNanos[to] > now) {
                 if (event.message() == null) {
-                    wake[to] = pausedUntil[to];
+                    wakeupNanos[to] = pausedUntilNanos[to];
                 }
-                push(pausedUntil[to], to, event.message());
+                push(pausedUntilNanos[to], to, event.message());
                 continue;
             }
-            long from = System.nanoTime();
-            SwimProtocol swim = swims.get(to);
+            long startNanos = System.nanoTime();
+            SwimProtocol protocol = protocols.get(to);
             Message message = event.message();
-            List<OutgoingMessage> sends = message == null ? swim.tick(now) : swim.receive(message, now);
-            // Other messages bring nothing that comes due earlier.
-            boolean look = message == null
+            List<OutgoingMessage> outgoingMessages =
+                    message == null ? protocol.tick(now) : protocol.receive(message, now);
+            // Other messages cannot make the next timer earlier.
+            boolean timerMayChange = message == null
                     || message.kind() == Message.Kind.PING_REQ
                     || !message.updates().isEmpty();
-            long next = look ? Math.max(now + 1, swim.nextWakeNanos()) : wake[to];
-            inside += System.nanoTime() - from;
-            if (message == null || next < wake[to]) {
-                wake[to] = next;
+            long next = timerMayChange ? Math.max(now + 1, protocol.nextWakeNanos()) : wakeupNanos[to];
+            protocolNanos += System.nanoTime() - startNanos;
+            if (message == null || next < wakeupNanos[to]) {
+                wakeupNanos[to] = next;
                 push(next, to, null);
             }
-            for (OutgoingMessage send : sends) {
-                deliver(send);
+            for (OutgoingMessage outgoing : outgoingMessages) {
+                deliver(outgoing);
             }
         }
-        now = until;
+        now = endNanos;
     }
 
-    private void deliver(OutgoingMessage send) {
+    private void deliver(OutgoingMessage outgoing) {
         messages++;
-        bytes += length(send.message());
-        push(now + chance.nextLong(FASTEST, SLOWEST), member(send.address()), send.message());
+        bytes += encodedLength(outgoing.message());
+        push(now + random.nextLong(MIN_DELAY_NANOS, MAX_DELAY_NANOS), member(outgoing.address()), outgoing.message());
     }
 
-    /** As it goes over a socket. */
-    private static int length(Message message) {
+    /** Returns the size of the message as it is sent over a socket. */
+    private static int encodedLength(Message message) {
         try {
             return MAPPER.writeValueAsBytes(message).length;
         } catch (JsonProcessingException e) {
@@ -165,7 +167,7 @@
         }
     }
 
-    private void push(long at, int to, Message message) {
-        events.add(new Event(at, number++, to, message));
+    private void push(long atNanos, int to, Message message) {
+        events.add(new Event(atNanos, eventNumber++, to, message));
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/SimulatedHosts.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedHosts.java
@@ -5,115 +5,120 @@
 import java.util.SplittableRandom;
 
 /**
- * Hollow hosts, in memory: groups of a primary and two replicas, in three of nine zones each. A replica has applied the
- * log up to a time that lies a constant part behind the clock, drawn for each; hosts answer after a drawn time, however
- * many ask. They are well, but for a zone that may be lost.
+ * Simulates hosts in memory: groups of a primary and two replicas, in three of nine zones each. A replica has applied
+ * the log up to a constant time behind the clock, drawn for each; hosts answer after a random time that does not depend
+ * on the load. They have no faults except that a zone can be lost.
  */
 final class SimulatedHosts {
-    static final long MS = 1_000_000;
-    static final int MEMBERS = 3;
-    /** How far replicas lie behind: 20 to 200 ms, so that all of them bear a bound of 500 ms. */
-    private static final long LEAST_LAG = 20 * MS;
-
-    private static final long MOST_LAG = 200 * MS;
-    /** A round trip within a region, and the mean of the work, as that of short statements. */
-    private static final long WAY = MS;
-
-    private static final long WORK = 4 * MS;
-    /** The middle of what valpo-despacho-later states for its reports: refreshed, and late by. */
-    private static final long REPORT_PERIOD = 148 * MS;
-
-    private static final long REPORT_DELAY = 38 * MS;
-
-    /** The users' nine zones, and the longest that their changes of primary take. */
-    private static final int ZONES = 9;
-
-    static final long FAILOVER = 13_000 * MS;
-
-    private final SplittableRandom chance;
-    private final long[] lag;
-    private final long[] phase;
-    /** How far replicas lie behind what they claim; 0 for hosts that tell the truth. */
-    private final long hidden;
-
-    private long lostAt = Long.MAX_VALUE;
-
-    SimulatedHosts(int groups, SplittableRandom chance, long hidden) {
-        this.chance = chance;
-        this.hidden = hidden;
-        lag = new long[groups * MEMBERS];
-        phase = new long[groups * MEMBERS];
-        for (int i = 0; i < lag.length; i++) {
-            lag[i] = isPrimary(i) ? 0 : chance.nextLong(LEAST_LAG, MOST_LAG);
-            phase[i] = chance.nextLong(REPORT_PERIOD);
+    static final long NANOS_PER_MILLI = 1_000_000;
+    static final int GROUP_SIZE = 3;
+    /** The lag of replicas: 20 to 200 ms, so that all of them satisfy a staleness bound of 500 ms. */
+    private static final long MIN_LAG_NANOS = 20 * NANOS_PER_MILLI;
+
+    private static final long MAX_LAG_NANOS = 200 * NANOS_PER_MILLI;
+    /** The round trip within a region, and the mean execution time, that of short statements. */
+    private static final long ROUND_TRIP_NANOS = NANOS_PER_MILLI;
+
+    private static final long MEAN_EXECUTION_NANOS = 4 * NANOS_PER_MILLI;
+    /** The middle of the ranges that valpo-despacho-later states for its reports: refresh period and delay. */
+    private static final long REPORT_PERIOD_NANOS = 148 * NANOS_PER_MILLI;
+
+    private static final long REPORT_DELAY_NANOS = 38 * NANOS_PER_MILLI;
+
+    /** The users' nine zones, and the longest time that their changes of primary take. */
+    private static final int ZONE_COUNT = 9;
+
+    static final long FAILOVER_NANOS = 13_000 * NANOS_PER_MILLI;
+
+    private final SplittableRandom random;
+    private final long[] lagNanos;
+    private final long[] reportPhaseNanos;
+    /** How far replicas are behind the position that they claim; 0 for hosts that report correctly. */
+    private final long unreportedLagNanos;
+
+    private long lostAtNanos = Long.MAX_VALUE;
+
+    SimulatedHosts(int groups, SplittableRandom random, long unreportedLagNanos) {
+        this.random = random;
+        this.unreportedLagNanos = unreportedLagNanos;
+        lagNanos = new long[groups * GROUP_SIZE];
+        reportPhaseNanos = new long[groups * GROUP_SIZE];
+        for (int i = 0; i < lagNanos.length; i++) {
+            lagNanos[i] = isPrimary(i) ? 0 : random.nextLong(MIN_LAG_NANOS, MAX_LAG_NANOS);
+            reportPhaseNanos[i] = random.nextLong(REPORT_PERIOD_NANOS);
         }
     }
 
     int count() {
-        return lag.length;
+        return lagNanos.length;
     }
 
     static boolean isPrimary(int host) {
-        return host % MEMBERS == 0;
+        return host % GROUP_SIZE == 0;
     }
 
-    /** Zone 0 is lost now: none of its hosts answers any more. */
-    void lose(long now) {
-        lostAt = now;
+    /** Loses zone 0: none of its hosts answers from now on. */
+    void loseZone(long now) {
+        lostAtNanos = now;
     }
 
-    boolean down(int host, long now) {
-        return now >= lostAt && lostWith(host);
+    boolean isDown(int host, long now) {
+        return now >= lostAtNanos && isInLostZone(host);
     }
 
-    /** Whether it stands in the zone that is lost. */
-    boolean lostWith(int host) {
-        return (host / MEMBERS + ZONES / MEMBERS * (host % MEMBERS)) % ZONES == 0;
+    /** Returns whether the host is in the zone that can be lost. */
+    boolean isInLostZone(int host) {
+        return (host / GROUP_SIZE + ZONE_COUNT / GROUP_SIZE * (host % GROUP_SIZE)) % ZONE_COUNT == 0;
     }
 
-    /** Whether it is the primary: the first member, or the second once it has taken over. */
-    boolean leads(int host, long now) {
+    /**
+     * Returns whether the host is the current primary: the first member of its group, or the second after it has taken
+     * over.
+     */
+    boolean isCurrentPrimary(int host, long now) {
         return isPrimary(host)
-                ? !down(host, now)
-                : host % MEMBERS == 1 && down(host - 1, now) && now >= lostAt + FAILOVER;
+                ? !isDown(host, now)
+                : host % GROUP_SIZE == 1 && isDown(host - 1, now) && now >= lostAtNanos + FAILOVER_NANOS;
     }
 
-    /** Up to when it has applied the log. */
+    /** Returns the time up to which the host has applied the log. */
     long position(int host, long now) {
-        return claimed(host, now) - (isPrimary(host) ? 0 : hidden);
+        return claimedPosition(host, now) - (isPrimary(host) ? 0 : unreportedLagNanos);
     }
 
-    private long claimed(int host, long now) {
-        long applied = leads(host, now) ? now : now - lag[host];
+    private long claimedPosition(int host, long now) {
+        long applied = isCurrentPrimary(host, now) ? now : now - lagNanos[host];
         // Nothing is committed while the group has no primary.
-        boolean gap = down(host - host % MEMBERS, now) && applied >= lostAt && applied < lostAt + FAILOVER;
-        return gap ? lostAt : applied;
+        boolean withoutPrimary = isDown(host - host % GROUP_SIZE, now)
+                && applied >= lostAtNanos
+                && applied < lostAtNanos + FAILOVER_NANOS;
+        return withoutPrimary ? lostAtNanos : applied;
     }
 
-    /** How long a statement takes there, the way included. */
-    long work() {
-        return WAY + (long) (WORK * -StrictMath.log(1 - chance.nextDouble()));
+    /** Returns how long a statement takes on a host, including the round trip, in nanoseconds. */
+    long statementNanos() {
+        return ROUND_TRIP_NANOS + (long) (MEAN_EXECUTION_NANOS * -StrictMath.log(1 - random.nextDouble()));
     }
 
-    /** How long a probe takes: the way alone. */
-    long probe() {
-        return WAY;
+    /** Returns how long a probe takes, which is the round trip alone, in nanoseconds. */
+    long probeNanos() {
+        return ROUND_TRIP_NANOS;
     }
 
-    /** The note of an answer: exact, rounded down to a millisecond as on the wire. */
-    HostReport answer(int host, long now) {
-        long position = claimed(host, now);
-        return new HostReport(role(host, now), position - Math.floorMod(position, MS), -1);
+    /** Returns the report in an answer: exact, rounded down to a millisecond as on the wire. */
+    HostReport answerReport(int host, long now) {
+        long position = claimedPosition(host, now);
+        return new HostReport(role(host, now), position - Math.floorMod(position, NANOS_PER_MILLI), -1);
     }
 
-    /** The report that goes with an answer or a probe: as old as its period and its delay make it. */
-    HostReport report(int host, long now) {
-        long taken = now - REPORT_DELAY - Math.floorMod(now + phase[host], REPORT_PERIOD);
-        // 638 statements a second of 4 ms each are two or three at a time.
-        return new HostReport(role(host, taken), claimed(host, taken), chance.nextInt(6));
+    /** Returns the load report that accompanies an answer or a probe, as old as its period and delay make it. */
+    HostReport loadReport(int host, long now) {
+        long takenNanos = now - REPORT_DELAY_NANOS - Math.floorMod(now + reportPhaseNanos[host], REPORT_PERIOD_NANOS);
+        // 638 statements per second of 4 ms each are two or three at a time.
+        return new HostReport(role(host, takenNanos), claimedPosition(host, takenNanos), random.nextInt(6));
     }
 
     private Role role(int host, long now) {
-        return leads(host, now) ? Role.PRIMARY : Role.REPLICA;
+        return isCurrentPrimary(host, now) ? Role.PRIMARY : Role.REPLICA;
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/SimulatedLeaseClients.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedLeaseClients.java
@@ -14,17 +14,16 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * Processes that want a task, hollow: for each the real state machine, a thread and connections of its own, and nothing
- * that it does with the task.
+ * Simulated lease clients: each has the real state machine, a thread and connections of its own, and no task to run.
  */
 final class SimulatedLeaseClients implements AutoCloseable {
-    private static final int STACK = 160 * 1024;
-    private static final long MS = 1_000_000;
-    private static final long SHORTEST_MILLIS = 2;
-    private static final long LONGEST_MILLIS = 500;
+    private static final int STACK_BYTES = 160 * 1024;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long MIN_SLEEP_MILLIS = 2;
+    private static final long MAX_SLEEP_MILLIS = 500;
 
     private final AnchoredClock clock = new AnchoredClock();
-    private final AtomicReferenceArray<LeaseHolderState> tenures;
+    private final AtomicReferenceArray<LeaseHolderState> states;
     private final int tasks;
     private final List<Thread> threads = new ArrayList<>();
     private final ConcurrentHistogram times = new ConcurrentHistogram(3);
@@ -32,67 +31,67 @@
     private final AtomicLong unanswered = new AtomicLong();
     private volatile boolean closed;
 
-    /** So many that begin to ask for these tasks now, all at once. */
-    SimulatedLeaseClients(int count, int tasks, String name, List<InetSocketAddress> doors) {
+    /** Starts so many clients that request leases on these tasks, all at once. */
+    SimulatedLeaseClients(int count, int tasks, String name, List<InetSocketAddress> servers) {
         this.tasks = tasks;
-        tenures = new AtomicReferenceArray<>(count);
+        states = new AtomicReferenceArray<>(count);
         for (int i = 0; i < count; i++) {
-            tenures.set(
+            states.set(
                     i,
                     LeaseHolderState.initial(new LeaseTerms(
                                     name + "-" + i % tasks,
                                     "a" + i + "#1",
-                                    LeaseServers.LENGTH_MILLIS * MS,
-                                    LeaseServers.BOUND_MILLIS * MS))
+                                    LeaseServers.LEASE_MILLIS * NANOS_PER_MILLI,
+                                    LeaseServers.CLOCK_BOUND_MILLIS * NANOS_PER_MILLI))
                             .want(clock.getAsLong()));
         }
         for (int i = 0; i < count; i++) {
-            int asker = i;
-            Thread thread = new Thread(null, () -> ask(asker, doors), "asker", STACK);
+            int client = i;
+            Thread thread = new Thread(null, () -> runClient(client, servers), "lease-client", STACK_BYTES);
             thread.setDaemon(true);
             threads.add(thread);
         }
         threads.forEach(Thread::start);
     }
 
-    private void ask(int asker, List<InetSocketAddress> at) {
-        try (LeaseClient doors = new LeaseClient(at, asker, (int) LeaseServers.LENGTH_MILLIS / 4)) {
+    private void runClient(int client, List<InetSocketAddress> addresses) {
+        try (LeaseClient servers = new LeaseClient(addresses, client, (int) LeaseServers.LEASE_MILLIS / 4)) {
             while (!closed) {
-                LeaseHolderState.Step step = tenures.get(asker).onTime(clock.getAsLong());
-                tenures.set(asker, step.next());
+                LeaseHolderState.Step step = states.get(client).onTime(clock.getAsLong());
+                states.set(client, step.next());
                 if (step.request() != null) {
-                    long from = System.nanoTime();
+                    long startNanos = System.nanoTime();
                     try {
-                        LeaseResponse answer = doors.send(step.request());
-                        times.recordValue((System.nanoTime() - from) / 1_000);
+                        LeaseResponse response = servers.send(step.request());
+                        times.recordValue((System.nanoTime() - startNanos) / 1_000);
                         answered.incrementAndGet();
-                        tenures.set(
-                                asker,
-                                tenures.get(asker)
-                                        .onResponse(answer, clock.getAsLong())
+                        states.set(
+                                client,
+                                states.get(client)
+                                        .onResponse(response, clock.getAsLong())
                                         .next());
                     } catch (LeaseRequestException e) {
                         unanswered.incrementAndGet();
                     }
                 }
-                long left = (tenures.get(asker).wakeupNanos() - clock.getAsLong()) / MS;
-                Thread.sleep(Math.max(SHORTEST_MILLIS, Math.min(LONGEST_MILLIS, left)));
+                long remainingMillis = (states.get(client).wakeupNanos() - clock.getAsLong()) / NANOS_PER_MILLI;
+                Thread.sleep(Math.max(MIN_SLEEP_MILLIS, Math.min(MAX_SLEEP_MILLIS, remainingMillis)));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** How many of the tasks somebody may act on now. */
-    int held() {
+    /** Returns how many of the tasks have a holder that may act now. */
+    int heldTasks() {
         boolean[] held = new boolean[tasks];
         long now = clock.getAsLong();
-        for (int i = 0; i < tenures.length(); i++) {
-            held[i % tasks] |= tenures.get(i).mayAct(now);
+        for (int i = 0; i < states.length(); i++) {
+            held[i % tasks] |= states.get(i).mayAct(now);
         }
         int count = 0;
-        for (boolean each : held) {
-            count += each ? 1 : 0;
+        for (boolean taskHeld : held) {
+            count += taskHeld ? 1 : 0;
         }
         return count;
     }
@@ -105,7 +104,7 @@
         return unanswered.get();
     }
 
-    /** Times of answers, in microseconds. */
+    /** Returns the response times, in microseconds. */
     ConcurrentHistogram times() {
         return times;
     }
@@ -115,7 +114,7 @@
         closed = true;
         try {
             for (Thread thread : threads) {
-                thread.join(2 * LeaseServers.LENGTH_MILLIS);
+                thread.join(2 * LeaseServers.LEASE_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/beaconladder/testbed/scale/SimulatedPeers.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedPeers.java
@@ -18,27 +18,27 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** N members that are a socket each and no more: they answer probes, and one probes each half second. */
+/** Simulates N peers, a socket each: all answer probes, and one of them sends a probe every half second. */
 final class SimulatedPeers implements AutoCloseable {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final int NEWS = 10;
-    private static final int PERIOD_MILLIS = 500;
-    private static final int PACE = 8;
-    private static final int FIRST_SECONDS = 30;
-    private static final int LONGEST = 8 * 1024;
+    private static final int UPDATES_PER_MESSAGE = 10;
+    private static final int PROBE_PERIOD_MILLIS = 500;
+    private static final int SEND_INTERVAL_MILLIS = 8;
+    private static final int FIRST_MESSAGE_TIMEOUT_SECONDS = 30;
+    private static final int MAX_MESSAGE_BYTES = 8 * 1024;
 
     private final List<DatagramChannel> channels = new ArrayList<>();
     private final List<Member> members = new ArrayList<>();
     private final Selector selector = Selector.open();
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Thread thread = new Thread(null, this::serve, "peers", 256 * 1024);
-    private volatile SocketAddress real;
+    private volatile SocketAddress realMember;
     private volatile boolean closed;
     final AtomicLong messages = new AtomicLong();
     final AtomicLong bytes = new AtomicLong();
 
-    SimulatedPeers(int count, SplittableRandom chance) throws IOException {
-        this.chance = chance;
+    SimulatedPeers(int count, SplittableRandom random) throws IOException {
+        this.random = random;
         for (int i = 0; i < count; i++) {
             DatagramChannel channel = DatagramChannel.open();
             channels.add(channel);
@@ -52,42 +52,46 @@
         thread.start();
     }
 
-    /** Where the first of them hears. */
+    /** Returns the address of the first peer. */
     String seed() {
         return members.get(0).address();
     }
 
-    /** Tells the real one of all, as a newcomer is told. */
-    void introduce() throws IOException, InterruptedException {
-        long until = System.nanoTime() + FIRST_SECONDS * 1_000_000_000L;
-        while (real == null) {
-            if (System.nanoTime() > until) {
-                throw new IOException("a member did not say a word");
+    /** Sends the real member updates about all peers, as a newcomer receives them. */
+    void sendAllMembers() throws IOException, InterruptedException {
+        long deadline = System.nanoTime() + FIRST_MESSAGE_TIMEOUT_SECONDS * 1_000_000_000L;
+        while (realMember == null) {
+            if (System.nanoTime() > deadline) {
+                throw new IOException("the real member sent no message");
             }
             Thread.sleep(5);
         }
-        for (int i = 0; i < members.size(); i += NEWS) {
+        for (int i = 0; i < members.size(); i += UPDATES_PER_MESSAGE) {
             send(
                     0,
                     new Message(
-                            Kind.NACK, members.get(0), 0, "", members.subList(i, Math.min(members.size(), i + NEWS))));
-            // As fast as its socket's buffer bears.
-            Thread.sleep(PACE);
+                            Kind.NACK,
+                            members.get(0),
+                            0,
+                            "",
+                            members.subList(i, Math.min(members.size(), i + UPDATES_PER_MESSAGE))));
+            // This is as fast as the buffer of its socket allows.
+            Thread.sleep(SEND_INTERVAL_MILLIS);
         }
     }
 
     private void serve() {
-        ByteBuffer buffer = ByteBuffer.allocate(LONGEST);
-        long next = System.nanoTime();
-        long number = 0;
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
+        long nextProbeNanos = System.nanoTime();
+        long lastProbeNumber = 0;
         try {
             while (!closed) {
-                selector.select(Math.max(1, (next - System.nanoTime()) / 1_000_000));
+                selector.select(Math.max(1, (nextProbeNanos - System.nanoTime()) / 1_000_000));
                 for (SelectionKey key : selector.selectedKeys()) {
                     buffer.clear();
                     SocketAddress from = ((DatagramChannel) key.channel()).receive(buffer);
                     if (from != null) {
-                        real = from;
+                        realMember = from;
                         messages.incrementAndGet();
                         bytes.addAndGet(buffer.position());
                         answer(
@@ -96,28 +100,28 @@
                     }
                 }
                 selector.selectedKeys().clear();
-                if (System.nanoTime() >= next && real != null) {
-                    next = System.nanoTime() + PERIOD_MILLIS * 1_000_000L;
-                    int who = chance.nextInt(members.size());
-                    send(who, new Message(Kind.PING, members.get(who), ++number, "", List.of()));
+                if (System.nanoTime() >= nextProbeNanos && realMember != null) {
+                    nextProbeNanos = System.nanoTime() + PROBE_PERIOD_MILLIS * 1_000_000L;
+                    int peer = random.nextInt(members.size());
+                    send(peer, new Message(Kind.PING, members.get(peer), ++lastProbeNumber, "", List.of()));
                 }
             }
         } catch (IOException e) {
-            // It is closed.
+            // The selector or a channel was closed.
         }
     }
 
-    private void answer(int who, Message message) throws IOException {
+    private void answer(int peer, Message message) throws IOException {
         if (message.kind() == Kind.PING) {
-            send(who, new Message(Kind.ACK, members.get(who), message.probeNumber(), "", List.of()));
+            send(peer, new Message(Kind.ACK, members.get(peer), message.probeNumber(), "", List.of()));
         }
     }
 
-    private void send(int who, Message message) throws IOException {
-        byte[] text = MAPPER.writeValueAsBytes(message);
-        channels.get(who).send(ByteBuffer.wrap(text), real);
+    private void send(int peer, Message message) throws IOException {
+        byte[] encoded = MAPPER.writeValueAsBytes(message);
+        channels.get(peer).send(ByteBuffer.wrap(encoded), realMember);
         messages.incrementAndGet();
-        bytes.addAndGet(text.length);
+        bytes.addAndGet(encoded.length);
     }
 
     @Override
--- a/src/main/java/beaconladder/testbed/scale/SimulatedRouter.java
+++ b/src/main/java/beaconladder/testbed/scale/SimulatedRouter.java
@@ -18,229 +18,243 @@
 import java.util.function.LongFunction;
 
 /**
- * One hollow router in virtual time: the real module and its real rounds, as behind the desk (a look after each event),
- * before hollow hosts. There are no sockets, clients, threads or lock.
+ * Simulates one router in virtual time: the real routing module and its real decision loop, which runs after each event
+ * as in the server, with simulated hosts. There are no sockets, clients, threads or locks.
  */
 final class SimulatedRouter implements DecisionLoop.ActionHandler {
-    static final long MS = SimulatedHosts.MS;
-    /** Statements a second at one router, the users' figure. */
-    static final double RATE = 902;
+    static final long NANOS_PER_MILLI = SimulatedHosts.NANOS_PER_MILLI;
+    /** The users' figure of statements per second for one router. */
+    static final double STATEMENTS_PER_SECOND = 902;
 
-    private static final int SESSION = 1;
-    /** Up to which share of the txns each type goes: a quarter writes, reads as on valpo-despacho-later. */
-    static final List<Double> MIXED = List.of(0.38, 0.57, 0.75, 1.0);
-    /** A quarter writes, and reads of any data: the module is asked the same however old its record is. */
-    static final List<Double> PLAIN = List.of(0.0, 0.0, 0.75, 1.0);
-    /** Of session's reads, how many follow a write of their session, and how long after it: same page. */
-    private static final double FOLLOWS = 0.76;
+    private static final int SESSION_CLASS = 1;
+    /** The cumulative shares of the request classes: a quarter writes, and reads as on valpo-despacho-later. */
+    static final List<Double> MIXED_SHARES = List.of(0.38, 0.57, 0.75, 1.0);
+    /** A quarter writes, and reads of data of any age: the module is asked the same however old its record is. */
+    static final List<Double> PLAIN_SHARES = List.of(0.0, 0.0, 0.75, 1.0);
+    /**
+     * The share of session reads that follow a write of their session, and the delay after it, from the same page as
+     * the mixed shares.
+     */
+    private static final double FOLLOWS_WRITE_SHARE = 0.76;
 
-    private static final long[] GAP = {130 * MS, 630 * MS};
-    /** So that positions before the start exist. */
-    private static final long ZERO = 100_000 * MS;
-    /** How long a connection is tried, and how late the list names what is lost, and who took over. */
-    private static final long DIAL = 250 * MS;
+    private static final long[] READ_AFTER_WRITE_NANOS = {130 * NANOS_PER_MILLI, 630 * NANOS_PER_MILLI};
+    /** The start of virtual time, late enough that positions before the start exist. */
+    private static final long START_NANOS = 100_000 * NANOS_PER_MILLI;
+    /**
+     * The timeout of a connection attempt, and the delays until the endpoint list names the lost hosts and the new
+     * primaries.
+     */
+    private static final long CONNECT_TIMEOUT_NANOS = 250 * NANOS_PER_MILLI;
 
-    private static final long NOTICE = 8_000 * MS;
-    private static final long ROLE_LAG = 3_000 * MS;
-    /** As the desk's timer rests between two looks. */
-    private static final long REST = MS;
+    private static final long LOSS_LISTED_DELAY_NANOS = 8_000 * NANOS_PER_MILLI;
+    private static final long NEW_PRIMARY_LISTED_DELAY_NANOS = 3_000 * NANOS_PER_MILLI;
+    /** The minimum time between two runs of the decision loop, as for the server's timer. */
+    private static final long MIN_TIMER_REST_NANOS = NANOS_PER_MILLI;
 
-    /** Sees what the router does. */
-    interface Watcher {
-        /** A txn has come in, and the module has not been asked yet. */
-        default void came(Request txn, long now) {}
+    /** Observes what the router does. */
+    interface Observer {
+        /** Called when a request has arrived, before the module is asked. */
+        default void requestArrived(Request request, long now) {}
 
-        default void sent(Attempt s, long now) {}
+        default void attemptSent(Attempt attempt, long now) {}
 
-        default void answered(Request txn, long now) {}
+        default void requestAnswered(Request request, long now) {}
 
-        default void probed(Host host, long now) {}
+        default void probeSent(Host host, long now) {}
 
-        /** A call to this host is over, and its connection free. */
-        default void free(Host host, long now) {}
+        /** Called when a call to this host has ended and its connection is free. */
+        default void callEnded(Host host, long now) {}
 
-        default void close(Host host, long now) {}
+        default void idleCloseRequested(Host host, long now) {}
 
-        /** It has had its final answer, whatever that is. */
-        default void ended(Request txn, long now) {}
+        /** Called when the request has its final answer of any kind. */
+        default void requestEnded(Request request, long now) {}
     }
 
     private record Event(long at, long number, Runnable run) {}
 
     final List<Host> hosts = new ArrayList<>();
     private final List<Group> groups = new ArrayList<>();
-    private final SimulatedHosts truth;
-    private final SplittableRandom chance;
-    private final List<Double> upTo;
-    private final Watcher watcher;
-    private final Router logic;
-    private final DecisionLoop rounds;
+    private final SimulatedHosts simulatedHosts;
+    private final SplittableRandom random;
+    private final List<Double> cumulativeShares;
+    private final Observer observer;
+    private final Router policy;
+    private final DecisionLoop decisionLoop;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
-    private long now = ZERO;
-    private long until = Long.MAX_VALUE;
-    private long numbered;
-    private long taken;
-
-    /** Its watcher is told how long a connection may be idle and still be used. */
-    SimulatedRouter(SimulatedHosts truth, SplittableRandom chance, List<Double> upTo, LongFunction<Watcher> watcher) {
-        this.upTo = upTo;
-        this.truth = truth;
-        this.chance = chance;
-        logic = new RoutingPolicy(chance.nextLong(), SimulatedRouterSettings.told(truth.count()));
-        rounds = new DecisionLoop(logic, this);
-        this.watcher = watcher.apply(logic.maxIdleNanos());
-        for (int i = 0; i < truth.count(); i++) {
+    private long now = START_NANOS;
+    private long nextRunNanos = Long.MAX_VALUE;
+    private long eventCount;
+    private long arrivals;
+
+    /** Creates the router; the observer is created with the time for which an idle connection may still be used. */
+    SimulatedRouter(
+            SimulatedHosts simulatedHosts,
+            SplittableRandom random,
+            List<Double> cumulativeShares,
+            LongFunction<Observer> observer) {
+        this.cumulativeShares = cumulativeShares;
+        this.simulatedHosts = simulatedHosts;
+        this.random = random;
+        policy = new RoutingPolicy(random.nextLong(), SimulatedRouterSettings.settings(simulatedHosts.count()));
+        decisionLoop = new DecisionLoop(policy, this);
+        this.observer = observer.apply(policy.maxIdleNanos());
+        for (int i = 0; i < simulatedHosts.count(); i++) {
             if (SimulatedHosts.isPrimary(i)) {
                 groups.add(new Group(groups.size()));
             }
-            Host host = new Host(i, groups.get(groups.size() - 1), i % SimulatedHosts.MEMBERS);
+            Host host = new Host(i, groups.get(groups.size() - 1), i % SimulatedHosts.GROUP_SIZE);
             hosts.add(host);
-            logic.updateHost(host, SimulatedHosts.isPrimary(i), Host.State.READY, 0, now);
+            policy.updateHost(host, SimulatedHosts.isPrimary(i), Host.State.READY, 0, now);
         }
-        until = rounds.processDue(now);
-        at(now, this::comes);
+        nextRunNanos = decisionLoop.processDue(now);
+        schedule(now, this::scheduleArrival);
     }
 
     long now() {
         return now;
     }
 
-    /** Plays until so many txns in all have come in. */
-    void play(long txns) {
-        while (taken < txns) {
+    /** Runs until so many transactions have arrived in total. */
+    void runUntilArrivals(long requests) {
+        while (arrivals < requests) {
             long next = events.peek().at();
-            if (until <= next) {
-                now = Math.max(now, until);
-                // The desk's timer rests a while, so that it can't spin.
-                until = Math.max(rounds.processDue(now), now + REST);
+            if (nextRunNanos <= next) {
+                now = Math.max(now, nextRunNanos);
+                // The server's timer rests between two runs, so that it cannot spin.
+                nextRunNanos = Math.max(decisionLoop.processDue(now), now + MIN_TIMER_REST_NANOS);
             } else {
                 now = next;
                 events.poll().run().run();
-                until = Math.max(rounds.processDue(now), now + REST);
+                nextRunNanos = Math.max(decisionLoop.processDue(now), now + MIN_TIMER_REST_NANOS);
             }
         }
     }
 
-    private void at(long moment, Runnable run) {
-        events.add(new Event(moment, numbered++, run));
+    private void schedule(long atNanos, Runnable run) {
+        events.add(new Event(atNanos, eventCount++, run));
     }
 
-    private void comes() {
-        at(now + (long) (1e9 / RATE * -StrictMath.log(1 - chance.nextDouble())), this::comes);
-        double kind = chance.nextDouble();
-        int type = 0;
-        while (kind >= upTo.get(type)) {
-            type++;
+    private void scheduleArrival() {
+        schedule(
+                now + (long) (1e9 / STATEMENTS_PER_SECOND * -StrictMath.log(1 - random.nextDouble())),
+                this::scheduleArrival);
+        double draw = random.nextDouble();
+        int classIndex = 0;
+        while (draw >= cumulativeShares.get(classIndex)) {
+            classIndex++;
         }
-        long written = type == SESSION && chance.nextDouble() < FOLLOWS
-                ? now - chance.nextLong(GAP[0], GAP[1])
+        long writePosition = classIndex == SESSION_CLASS && random.nextDouble() < FOLLOWS_WRITE_SHARE
+                ? now - random.nextLong(READ_AFTER_WRITE_NANOS[0], READ_AFTER_WRITE_NANOS[1])
                 : HostReport.NO_POSITION;
-        Request txn = new Request(
-                taken,
-                logic.requestClass(type),
-                groups.get(chance.nextInt(groups.size())),
+        Request request = new Request(
+                arrivals,
+                policy.requestClass(classIndex),
+                groups.get(random.nextInt(groups.size())),
                 0,
-                written,
+                writePosition,
                 0,
                 false,
                 now,
-                now + logic.requestClass(type).timeoutNanos(),
-                taken++);
-        watcher.came(txn, now);
-        rounds.execute(txn, logic.route(txn, now), now);
+                now + policy.requestClass(classIndex).timeoutNanos(),
+                arrivals++);
+        observer.requestArrived(request, now);
+        decisionLoop.execute(request, policy.route(request, now), now);
     }
 
-    /** A ninth of the hosts is lost now; the list tells of it, and later on of the new primaries. */
-    void lose() {
-        truth.lose(now);
-        at(
-                now + NOTICE,
+    /** Loses a ninth of the hosts now; the endpoint list reports them, and later the new primaries, after a delay. */
+    void loseZone() {
+        simulatedHosts.loseZone(now);
+        schedule(
+                now + LOSS_LISTED_DELAY_NANOS,
                 () -> hosts.stream()
-                        .filter(host -> truth.lostWith(host.id))
-                        .forEach(host -> logic.updateHost(host, false, Host.State.GONE, 0, now)));
-        at(
-                now + SimulatedHosts.FAILOVER + ROLE_LAG,
+                        .filter(host -> simulatedHosts.isInLostZone(host.id))
+                        .forEach(host -> policy.updateHost(host, false, Host.State.GONE, 0, now)));
+        schedule(
+                now + SimulatedHosts.FAILOVER_NANOS + NEW_PRIMARY_LISTED_DELAY_NANOS,
                 () -> hosts.stream()
-                        .filter(host -> truth.leads(host.id, now) && !SimulatedHosts.isPrimary(host.id))
-                        .forEach(host -> logic.updateHost(host, true, Host.State.READY, 0, now)));
+                        .filter(host ->
+                                simulatedHosts.isCurrentPrimary(host.id, now) && !SimulatedHosts.isPrimary(host.id))
+                        .forEach(host -> policy.updateHost(host, true, Host.State.READY, 0, now)));
     }
 
-    private void over(Attempt s, Outcome outcome) {
-        if (s.ended) {
+    private void endAttempt(Attempt attempt, Outcome outcome) {
+        if (attempt.ended) {
             return;
         }
-        watcher.free(s.host, now);
-        if (outcome == Outcome.COMMITTED && !s.request.ended) {
-            watcher.answered(s.request, now);
+        observer.callEnded(attempt.host, now);
+        if (outcome == Outcome.COMMITTED && !attempt.request.ended) {
+            observer.requestAnswered(attempt.request, now);
         }
-        boolean spoke = outcome.isFromHost();
-        rounds.execute(
-                s.request,
-                logic.onAttemptEnded(
-                        s,
+        boolean hostAnswered = outcome.isFromHost();
+        decisionLoop.execute(
+                attempt.request,
+                policy.onAttemptEnded(
+                        attempt,
                         outcome,
-                        s.request.ended || outcome == Outcome.COMMITTED,
-                        spoke ? truth.answer(s.host.id, now) : HostReport.EMPTY,
-                        spoke ? truth.report(s.host.id, now) : HostReport.EMPTY,
+                        attempt.request.ended || outcome == Outcome.COMMITTED,
+                        hostAnswered ? simulatedHosts.answerReport(attempt.host.id, now) : HostReport.EMPTY,
+                        hostAnswered ? simulatedHosts.loadReport(attempt.host.id, now) : HostReport.EMPTY,
                         now),
                 now);
     }
 
     @Override
-    public void send(Attempt s, long timeout) {
-        watcher.sent(s, now);
-        long work = truth.work();
-        int host = s.host.id;
-        if (truth.down(host, now)) {
-            at(now + Math.min(DIAL, timeout), () -> over(s, Outcome.UNREACHABLE));
+    public void send(Attempt attempt, long timeout) {
+        observer.attemptSent(attempt, now);
+        long statementNanos = simulatedHosts.statementNanos();
+        int host = attempt.host.id;
+        if (simulatedHosts.isDown(host, now)) {
+            schedule(now + Math.min(CONNECT_TIMEOUT_NANOS, timeout), () -> endAttempt(attempt, Outcome.UNREACHABLE));
             return;
         }
-        Outcome outcome = s.request.requestClass.consistency().requiresPrimary() && !truth.leads(host, now)
+        Outcome outcome = attempt.request.requestClass.consistency().requiresPrimary()
+                        && !simulatedHosts.isCurrentPrimary(host, now)
                 ? Outcome.MISS
                 : Outcome.COMMITTED;
-        at(now + Math.min(work, timeout), () -> {
-            if (truth.down(host, now)) {
-                // It was lost with the work in hand, and the connection falls silent.
-                at(s.sentNanos + timeout, () -> over(s, Outcome.TIMED_OUT));
+        schedule(now + Math.min(statementNanos, timeout), () -> {
+            if (simulatedHosts.isDown(host, now)) {
+                // The host was lost during the statement, and its connection stays silent.
+                schedule(attempt.sentNanos + timeout, () -> endAttempt(attempt, Outcome.TIMED_OUT));
             } else {
-                over(s, work <= timeout ? outcome : Outcome.TIMED_OUT);
+                endAttempt(attempt, statementNanos <= timeout ? outcome : Outcome.TIMED_OUT);
             }
         });
     }
 
     @Override
-    public void cancel(Attempt s) {
-        at(now, () -> over(s, Outcome.CANCELLED));
+    public void cancel(Attempt attempt) {
+        schedule(now, () -> endAttempt(attempt, Outcome.CANCELLED));
     }
 
     @Override
     public void probe(Host host) {
-        watcher.probed(host, now);
-        boolean down = truth.down(host.id, now);
-        at(now + (down ? DIAL : truth.probe()), () -> {
-            watcher.free(host, now);
-            logic.onHealthCheckEnded(
+        observer.probeSent(host, now);
+        boolean down = simulatedHosts.isDown(host.id, now);
+        schedule(now + (down ? CONNECT_TIMEOUT_NANOS : simulatedHosts.probeNanos()), () -> {
+            observer.callEnded(host, now);
+            policy.onHealthCheckEnded(
                     host,
                     down ? Outcome.UNREACHABLE : Outcome.COMMITTED,
-                    down ? HostReport.EMPTY : truth.report(host.id, now),
+                    down ? HostReport.EMPTY : simulatedHosts.loadReport(host.id, now),
                     now);
         });
     }
 
     @Override
     public void closeIdleConnections(Host host) {
-        watcher.close(host, now);
+        observer.idleCloseRequested(host, now);
     }
 
     @Override
-    public void reject(Request txn, long comeBack, RoutingDecision.Reason reason) {}
+    public void reject(Request request, long retryAfter, RoutingDecision.Reason reason) {}
 
     @Override
-    public void rollBack(Request txn, RoutingDecision.Reason reason) {}
+    public void rollBack(Request request, RoutingDecision.Reason reason) {}
 
     @Override
-    public void onRequestEnded(Request txn) {
-        watcher.ended(txn, now);
+    public void onRequestEnded(Request request) {
+        observer.requestEnded(request, now);
     }
 }
--- a/src/main/java/beaconladder/testbed/scale/ZoneLoss.java
+++ b/src/main/java/beaconladder/testbed/scale/ZoneLoss.java
@@ -12,143 +12,150 @@
 import java.util.SplittableRandom;
 
 /**
- * A zone is lost: a ninth of the hosts falls silent at once, and the groups that lose their primary have a new one 13 s
- * later. What one router's clients get meanwhile, by the real module; hosts that stay have all the room they need, and
- * clients don't come again.
+ * Measures what the clients of one router get when a zone is lost: a ninth of the hosts stops answering at once, and
+ * the groups that lose their primary get a new one 13 s later. The routing module is real; the remaining hosts have all
+ * the capacity that they need, and clients do not retry.
  */
-public final class ZoneLoss implements SimulatedRouter.Watcher {
-    private static final long SECOND = 1_000_000_000;
+public final class ZoneLoss implements SimulatedRouter.Observer {
+    private static final long SECOND_NANOS = 1_000_000_000;
     private static final int WARM_UP_SECONDS = 30;
-    /** Seconds watched after the loss. */
-    private static final int WATCHED = 60;
-    /** From which share of a second's txns in time on it counts as over. */
-    private static final double WELL = 0.99;
+    /** Seconds observed after the loss. */
+    private static final int OBSERVED_SECONDS = 60;
+    /** The share of a second's transactions answered in time from which the outage counts as over. */
+    private static final double RECOVERED_SHARE = 0.99;
 
-    private final SimulatedHosts truth;
-    private final long[] came = new long[WATCHED];
-    private final long[] inTime = new long[WATCHED];
-    private final long[] probes = new long[WATCHED];
-    /** Of the 13 s in the groups that lost their primary: how many of a kind came, and were in time. */
-    private final Map<Consistency, long[]> hit = new LinkedHashMap<>();
+    private final SimulatedHosts simulatedHosts;
+    private final long[] arrived = new long[OBSERVED_SECONDS];
+    private final long[] inTime = new long[OBSERVED_SECONDS];
+    private final long[] probes = new long[OBSERVED_SECONDS];
+    /**
+     * Requests during the 13 s to groups that lost their primary: per kind, how many arrived and how many were answered
+     * in time.
+     */
+    private final Map<Consistency, long[]> affected = new LinkedHashMap<>();
 
-    private long lostAt = Long.MAX_VALUE;
+    private long lostAtNanos = Long.MAX_VALUE;
     private int inFlight;
     private int maxInFlight;
     private long stale;
 
-    private ZoneLoss(SimulatedHosts truth) {
-        this.truth = truth;
+    private ZoneLoss(SimulatedHosts simulatedHosts) {
+        this.simulatedHosts = simulatedHosts;
         for (Consistency read :
                 new Consistency[] {Consistency.BOUNDED, Consistency.SESSION, Consistency.ANY, Consistency.WRITE}) {
-            hit.put(read, new long[2]);
+            affected.put(read, new long[2]);
         }
     }
 
-    /** So many groups; the same seed gives the same figures. */
+    /** Runs so many groups; the same seed gives the same figures. */
     public static Map<String, Object> run(int groups, long seed) {
-        SimulatedHosts truth = new SimulatedHosts(groups, new SplittableRandom(seed), 0);
-        ZoneLoss loss = new ZoneLoss(truth);
-        SimulatedRouter router =
-                new SimulatedRouter(truth, new SplittableRandom(seed), SimulatedRouter.MIXED, keepIdle -> loss);
-        router.play((long) (SimulatedRouter.RATE * WARM_UP_SECONDS));
-        loss.lostAt = router.now();
-        router.lose();
-        router.play((long) (SimulatedRouter.RATE * (WARM_UP_SECONDS + WATCHED + 5)));
+        SimulatedHosts simulatedHosts = new SimulatedHosts(groups, new SplittableRandom(seed), 0);
+        ZoneLoss loss = new ZoneLoss(simulatedHosts);
+        SimulatedRouter router = new SimulatedRouter(
+                simulatedHosts, new SplittableRandom(seed), SimulatedRouter.MIXED_SHARES, maxIdleNanos -> loss);
+        router.runUntilArrivals((long) (SimulatedRouter.STATEMENTS_PER_SECOND * WARM_UP_SECONDS));
+        loss.lostAtNanos = router.now();
+        router.loseZone();
+        router.runUntilArrivals(
+                (long) (SimulatedRouter.STATEMENTS_PER_SECOND * (WARM_UP_SECONDS + OBSERVED_SECONDS + 5)));
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("groups", groups);
-        figures.put("hosts", truth.count());
+        figures.put("hosts", simulatedHosts.count());
         figures.put("seed", seed);
         loss.figures(figures);
         return figures;
     }
 
-    /** The second after the loss, or -1 for one that is not watched. */
+    /** Returns the second after the loss, or -1 for a time that is not observed. */
     private int second(long at) {
-        return at >= lostAt && at < lostAt + WATCHED * SECOND ? (int) ((at - lostAt) / SECOND) : -1;
+        return at >= lostAtNanos && at < lostAtNanos + OBSERVED_SECONDS * SECOND_NANOS
+                ? (int) ((at - lostAtNanos) / SECOND_NANOS)
+                : -1;
     }
 
-    private boolean isHit(Request txn) {
-        return txn.arrivedNanos >= lostAt
-                && txn.arrivedNanos < lostAt + SimulatedHosts.FAILOVER
-                && truth.lostWith(txn.group.id * SimulatedHosts.MEMBERS);
+    private boolean isAffected(Request request) {
+        return request.arrivedNanos >= lostAtNanos
+                && request.arrivedNanos < lostAtNanos + SimulatedHosts.FAILOVER_NANOS
+                && simulatedHosts.isInLostZone(request.group.id * SimulatedHosts.GROUP_SIZE);
     }
 
     @Override
-    public void came(Request txn, long now) {
+    public void requestArrived(Request request, long now) {
         maxInFlight = Math.max(maxInFlight, ++inFlight);
         if (second(now) >= 0) {
-            came[second(now)]++;
+            arrived[second(now)]++;
         }
-        if (isHit(txn)) {
-            hit.get(txn.requestClass.consistency())[0]++;
+        if (isAffected(request)) {
+            affected.get(request.requestClass.consistency())[0]++;
         }
     }
 
     @Override
-    public void sent(Attempt s, long now) {
-        // One that is sent to a host that is lost is answered by nobody.
-        if (!s.request.requestClass.consistency().requiresPrimary()
-                && !truth.leads(s.host.id, now)
-                && !truth.down(s.host.id, now)) {
-            stale += truth.position(s.host.id, now) < PositionMetrics.target(s.request, s.request.sessionTarget, now)
+    public void attemptSent(Attempt attempt, long now) {
+        // A statement that is sent to a lost host gets no answer.
+        if (!attempt.request.requestClass.consistency().requiresPrimary()
+                && !simulatedHosts.isCurrentPrimary(attempt.host.id, now)
+                && !simulatedHosts.isDown(attempt.host.id, now)) {
+            stale += simulatedHosts.position(attempt.host.id, now)
+                            < PositionMetrics.target(attempt.request, attempt.request.sessionTarget, now)
                     ? 1
                     : 0;
         }
     }
 
     @Override
-    public void answered(Request txn, long now) {
-        if (now > txn.arrivedNanos + txn.requestClass.slaNanos()) {
+    public void requestAnswered(Request request, long now) {
+        if (now > request.arrivedNanos + request.requestClass.slaNanos()) {
             return;
         }
-        if (second(txn.arrivedNanos) >= 0) {
-            inTime[second(txn.arrivedNanos)]++;
+        if (second(request.arrivedNanos) >= 0) {
+            inTime[second(request.arrivedNanos)]++;
         }
-        if (isHit(txn)) {
-            hit.get(txn.requestClass.consistency())[1]++;
+        if (isAffected(request)) {
+            affected.get(request.requestClass.consistency())[1]++;
         }
     }
 
     @Override
-    public void probed(Host host, long now) {
+    public void probeSent(Host host, long now) {
         if (second(now) >= 0) {
             probes[second(now)]++;
         }
     }
 
     @Override
-    public void ended(Request txn, long now) {
+    public void requestEnded(Request request, long now) {
         inFlight--;
     }
 
-    private void figures(Map<String, Object> to) {
-        int[][] windows = {{0, 1}, {1, 13}, {13, 20}, {20, WATCHED}};
+    private void figures(Map<String, Object> output) {
+        int[][] windows = {{0, 1}, {1, 13}, {13, 20}, {20, OBSERVED_SECONDS}};
         for (int[] window : windows) {
-            long all = 0;
-            long good = 0;
-            long asked = 0;
+            long total = 0;
+            long answeredInTime = 0;
+            long probeCount = 0;
             for (int i = window[0]; i < window[1]; i++) {
-                all += came[i];
-                good += inTime[i];
-                asked += probes[i];
+                total += arrived[i];
+                answeredInTime += inTime[i];
+                probeCount += probes[i];
             }
             String name = "s" + window[0] + "_to_" + window[1];
-            to.put(name + "_in_time", (double) good / all);
-            to.put(name + "_probes_a_txn", (double) asked / all);
+            output.put(name + "_in_time", (double) answeredInTime / total);
+            output.put(name + "_probes_a_txn", (double) probeCount / total);
         }
-        int over = WATCHED;
-        while (over > 0 && inTime[over - 1] >= WELL * came[over - 1]) {
-            over--;
+        int recoveredAfter = OBSERVED_SECONDS;
+        while (recoveredAfter > 0 && inTime[recoveredAfter - 1] >= RECOVERED_SHARE * arrived[recoveredAfter - 1]) {
+            recoveredAfter--;
         }
-        to.put("well_again_after_s", over);
-        to.put("most_in_hand", maxInFlight);
-        to.put("stale", stale);
-        hit.forEach((read, counts) -> to.put(
+        output.put("well_again_after_s", recoveredAfter);
+        output.put("most_in_hand", maxInFlight);
+        output.put("stale", stale);
+        affected.forEach((read, counts) -> output.put(
                 "hit_groups_" + read.name().toLowerCase(Locale.ROOT) + "_in_time",
                 counts[0] == 0 ? 0 : (double) counts[1] / counts[0]));
     }
 
-    /** Prints each size, a line of JSON each: {@code [seed]}. */
+    /** Prints one line of JSON for each size. Arguments: {@code [seed]}. */
     public static void main(String[] args) throws JsonProcessingException {
         for (int groups : Positions.SIZES) {
             System.out.println(
--- a/src/main/java/beaconladder/testbed/scale/package-info.java
+++ b/src/main/java/beaconladder/testbed/scale/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Scale tests: what each part of a fleet costs by its size, measured at five sizes or more, as a straight line that
- * must foretell its largest size. docs/CAPACITY.md says what follows from them.
+ * Scale experiment: what each part of a fleet costs by its size, measured at five sizes or more and fitted with a
+ * straight line that must predict the largest size. docs/CAPACITY.md states the conclusions.
  */
 package beaconladder.testbed.scale;
--- a/src/test/java/beaconladder/testbed/scale/PositionsTest.java
+++ b/src/test/java/beaconladder/testbed/scale/PositionsTest.java
@@ -6,19 +6,19 @@
 import org.junit.jupiter.api.Test;
 
 class PositionsTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     private static double of(Map<String, Object> figures, String name) {
         return ((Number) figures.get(name)).doubleValue();
     }
 
     @Test
-    void sameSeedSameFigures() {
+    void sameSeedGivesSameFigures() {
         assertThat(Positions.run(120, 5, 5)).isEqualTo(Positions.run(120, 5, 5)).isNotEqualTo(Positions.run(120, 6, 5));
     }
 
     @Test
-    void noReadIsStaleAndEachIsSent() {
+    void noReadIsStaleAndNearlyAllAreSent() {
         for (int groups : new int[] {40, 1_933}) {
             Map<String, Object> figures = Positions.run(groups, 1, 10);
             for (String kind : new String[] {"bounded", "session", "any"}) {
@@ -29,17 +29,17 @@
         }
     }
 
-    /** The check of stale reads can fail: hosts that claim 0.4 s more than they have are believed. */
+    /** The check for stale reads can fail: hosts that claim to be 0.4 s further than they are get believed. */
     @Test
-    void readsOfHostsThatClaimTooMuchAreSeenToBeStale() {
-        Map<String, Object> figures = Positions.run(40, 1, 2, 5, 400 * MS);
+    void readsFromHostsThatOverstateTheirPositionAreCountedAsStale() {
+        Map<String, Object> figures = Positions.run(40, 1, 2, 5, 400 * NANOS_PER_MILLI);
         assertThat(of(figures, "bounded_stale")).isPositive();
         assertThat(of(figures, "session_stale")).isPositive();
     }
 
-    /** The same statements over more groups: what is known of each is older, and more has to be asked. */
+    /** The same statements over more groups: what is known of each group is older, and more probes are needed. */
     @Test
-    void theRecordIsOlderAmongMoreGroups() {
+    void recordIsOlderWithMoreGroups() {
         Map<String, Object> few = Positions.run(40, 1, 10);
         Map<String, Object> many = Positions.run(1_933, 1, 10);
         assertThat(of(many, "any_heard_ago_at_use_ms_p50")).isGreaterThan(10 * of(few, "any_heard_ago_at_use_ms_p50"));
@@ -49,9 +49,11 @@
         assertThat(of(many, "probes_a_txn")).isBetween(10 * of(few, "probes_a_txn"), 1.0);
     }
 
-    /** A ninth of everything is lost: what needs a primary there waits for the new one, all else goes on. */
+    /**
+     * With a ninth of the hosts lost, requests that need a lost primary wait for the new one, and all others continue.
+     */
     @Test
-    void aLostZoneCostsWhatNeedsItsPrimariesAndEndsWithTheFailover() {
+    void lostZoneAffectsWritesToItsPrimariesUntilTheFailover() {
         Map<String, Object> figures = ZoneLoss.run(120, 1);
         assertThat(figures).isEqualTo(ZoneLoss.run(120, 1));
         assertThat(of(figures, "stale")).isZero();
@@ -64,7 +66,7 @@
     }
 
     @Test
-    void afterAStartTheRecordIsEmpty() {
+    void recordIsEmptyAfterAStart() {
         assertThat(of(Positions.cold(400, 1, 5), "any_none_fresh_by_record"))
                 .isGreaterThan(10 * of(Positions.run(400, 1, 5), "any_none_fresh_by_record") + 0.05);
     }
--- a/src/test/java/beaconladder/testbed/scale/ReportTest.java
+++ b/src/test/java/beaconladder/testbed/scale/ReportTest.java
@@ -21,14 +21,14 @@
         return holds;
     }
 
-    /** Seen: 141, 113, 113, 113 and 113 B/s; the line through the first four foretold 87 for the last. */
+    /** Measured were 141, 113, 113, 113 and 113 B/s; the line through the first four predicted 87 for the last. */
     @Test
-    void oneSmallSizeThatIsOffByChanceDoesNotMakeAFlatValueSteep() {
+    void noiseAtOneSmallSizeDoesNotBreakTheFlatRule() {
         assertThat(flat(size -> size == 30 ? 141.31 : 113)).isTrue();
     }
 
     @Test
-    void whatGrowsOrShrinksWithSizeIsNotFlat() {
+    void valueThatGrowsOrShrinksWithSizeIsNotFlat() {
         assertThat(flat(size -> 113 + 0.1 * size)).isFalse();
         assertThat(flat(size -> 113 * Math.pow(size / 30, 0.2))).isFalse();
         assertThat(flat(size -> 113 - 0.08 * size)).isFalse();
--- a/src/test/java/beaconladder/testbed/scale/ScaleIT.java
+++ b/src/test/java/beaconladder/testbed/scale/ScaleIT.java
@@ -9,12 +9,12 @@
 import java.util.EnumSet;
 import org.junit.jupiter.api.Test;
 
-/** The small sizes, with real routers: its lines and rules hold, and its last line says so. */
+/** Runs the small sizes with real routers: all lines and rules hold, and the last line of the output says so. */
 class ScaleIT {
     @Test
-    void theSmallSizesHold() throws Exception {
+    void allChecksHoldAtSmallSizes() throws Exception {
         StringWriter text = new StringWriter();
-        boolean held = Scale.play(EnumSet.allOf(Scale.Name.class), null, true, 1, new PrintWriter(text));
+        boolean held = Scale.run(EnumSet.allOf(Scale.Name.class), null, true, 1, new PrintWriter(text));
         String[] lines = text.toString().split("\n");
         JsonNode last = new ObjectMapper().readTree(lines[lines.length - 1]);
         assertThat(held).as(text.toString()).isTrue();
--- a/src/test/java/beaconladder/testbed/scale/SimulatedFleetTest.java
+++ b/src/test/java/beaconladder/testbed/scale/SimulatedFleetTest.java
@@ -5,43 +5,45 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What membership costs at four times the size, within one run. */
+/** Checks that the cost of membership does not grow too fast at four times the size, within one run. */
 class SimulatedFleetTest {
     @Test
-    void theSameSeedGivesTheSameFleet() {
+    void sameSeedGivesSameMeasurement() {
         FleetMeasurement one = FleetMeasurement.of(30, new SplittableRandom(7));
         FleetMeasurement again = FleetMeasurement.of(30, new SplittableRandom(7));
-        assertThat(again.messages()).isEqualTo(one.messages());
-        assertThat(again.bytes()).isEqualTo(one.bytes());
-        assertThat(again.known()).isEqualTo(one.known());
-        assertThat(again.zone()).isEqualTo(one.zone());
-        assertThat(again.buried()).isEqualTo(one.buried());
-        assertThat(FleetMeasurement.of(30, new SplittableRandom(8)).known()).isNotEqualTo(one.known());
+        assertThat(again.messagesPerSecond()).isEqualTo(one.messagesPerSecond());
+        assertThat(again.bytesPerSecond()).isEqualTo(one.bytesPerSecond());
+        assertThat(again.detectionMillis()).isEqualTo(one.detectionMillis());
+        assertThat(again.zoneDetectionMillis()).isEqualTo(one.zoneDetectionMillis());
+        assertThat(again.falseDeaths()).isEqualTo(one.falseDeaths());
+        assertThat(FleetMeasurement.of(30, new SplittableRandom(8)).detectionMillis())
+                .isNotEqualTo(one.detectionMillis());
     }
 
     @Test
-    void aMemberSaysNoMoreInAFleetFourTimesAsLarge() {
+    void trafficOfAMemberDoesNotGrowWithTheFleet() {
         FleetMeasurement small = FleetMeasurement.of(30, new SplittableRandom(1));
         FleetMeasurement large = FleetMeasurement.of(120, new SplittableRandom(1));
-        assertThat(large.messages()).isLessThan(1.05 * small.messages());
-        assertThat(large.bytes()).isLessThan(1.1 * small.bytes());
-        // By the logarithm of the size: 2.1 and 1.5.
-        assertThat(large.known().getValueAtPercentile(50))
-                .isLessThan(2 * small.known().getValueAtPercentile(50));
-        assertThat(large.zone().getMaxValue()).isLessThan(5 * small.zone().getMaxValue());
+        assertThat(large.messagesPerSecond()).isLessThan(1.05 * small.messagesPerSecond());
+        assertThat(large.bytesPerSecond()).isLessThan(1.1 * small.bytesPerSecond());
+        // Grows with the logarithm of the size: 2.1 against 1.5.
+        assertThat(large.detectionMillis().getValueAtPercentile(50))
+                .isLessThan(2 * small.detectionMillis().getValueAtPercentile(50));
+        assertThat(large.zoneDetectionMillis().getMaxValue())
+                .isLessThan(5 * small.zoneDetectionMillis().getMaxValue());
     }
 
     @Test
-    void twoPausedAloneAreHeldForDeadByNobody() {
+    void twoPausedMembersAreConsideredDeadByNoOther() {
         for (int seed = 1; seed <= 3; seed++) {
-            assertThat(FleetMeasurement.of(60, new SplittableRandom(seed)).buriedFew())
+            assertThat(FleetMeasurement.of(60, new SplittableRandom(seed)).falseDeathsOfTwo())
                     .as("seed %d", seed)
                     .isZero();
         }
     }
 
     @Test
-    void aLookCostsByTheNumberOfMembersAndNoMore() {
+    void costOfATickIsAtMostLinearInTheMembers() {
         MembershipTickCost.micros(400, 4);
         double[] small = MembershipTickCost.micros(400, 8);
         double[] large = MembershipTickCost.micros(1_600, 8);
