--- a/src/main/java/beaconladder/testbed/HostStandIn.java
+++ b/src/main/java/beaconladder/testbed/HostStandIn.java
@@ -16,46 +16,86 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A database host, as the published protocol has it. */
+/**
+ * Stands in for a database host: accepts connections on a loopback port, speaks the hosts' side of the published
+ * protocol and handles each statement in a configurable manner.
+ */
 public class HostStandIn implements AutoCloseable {
-    /** How a host stand-in takes a statement. */
+    /** How a host stand-in handles a statement. */
     public enum Manner {
+        /** Runs the statement and answers it. */
         ANSWER,
+        /** Rejects the statement because this host is not the primary (SQLSTATE 25006). */
         MISS,
+        /** Rejects the statement because the host's log position is too old (SQLSTATE 72000). */
         BEHIND,
+        /** Fails with an internal error (SQLSTATE XX000). */
         ERROR,
+        /** Rejects the statement as full (SQLSTATE 53300). */
         FULL,
+        /** Resets the connection without an answer. */
         RESET,
+        /** Closes the connection in the middle of a row. */
         CUT,
+        /** Answers with text of another protocol. */
         GARBAGE,
+        /** Answers with two results in place of one. */
         TWO_ROWS,
+        /** Announces a row of the greatest length that the protocol allows. */
         HUGE,
+        /** Sends a message of a type that does not belong in an answer. */
         UNKNOWN,
+        /** Reads the statement and sends nothing. */
         SILENT,
+        /** Sends the row without its row description. */
         NO_DESCRIPTION,
+        /** Announces two columns in place of one. */
         TWO_COLUMNS,
+        /** Sends a row whose column length is one byte less than the length of the message implies. */
         INNER_LENGTH,
+        /** Sends a row and then an error (SQLSTATE 53300). */
         ERROR_BEHIND_ROW,
+        /** Sends an error message that ends in the middle of its first field. */
         HALF_AN_ERROR,
+        /** Completes the statement with an unknown command tag. */
         ODD_TAG,
+        /** Sends the beginning of a row description and nothing more. */
         STALL,
+        /** Sends the whole answer twice. */
         TWICE
     }
 
-    private volatile ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
+    private static final int BACKLOG = 200;
+    /** How long a vanished host keeps a connection open without a byte. */
+    private static final int SILENCE_MILLIS = 60_000;
+
+    private static final int REPLICA_LAG_MILLIS = 3;
+    /** The length of the row description that precedes the row in a result with the one column {@code doc}. */
+    private static final int ROW_DESCRIPTION_BYTES = 28;
+
+    private volatile ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     private final int port = listener.getLocalPort();
+    /** The statements received so far, in the order of their arrival. */
     public final List<String> queries = new CopyOnWriteArrayList<>();
-    private final List<Long> times = new CopyOnWriteArrayList<>();
+    /** When each of {@link #queries} arrived, in Unix time in milliseconds. */
+    private final List<Long> arrivalsMillis = new CopyOnWriteArrayList<>();
+    /** The number of connections that ended from the other side. */
     public final AtomicInteger closed = new AtomicInteger();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
+    /** The role in the protocol's words: {@code leader} for a primary, {@code follower} for a replica. */
     private volatile String role;
     public volatile Manner manner = Manner.ANSWER;
+
+    /** The column value of each answer. */
     public volatile byte[] value = {0, (byte) 0xff, 0x27};
+    /** How long each answer is delayed. */
     public volatile int delayMillis;
+    /** How long the answer to a startup message is delayed. */
     public volatile int greetMillis;
+
     public volatile boolean closesAfterAnswer;
     public volatile boolean vanished;
-    /** Where its log stands still, or 0: it follows. */
+    /** The position at which replay has stopped, in Unix time in milliseconds, or 0 while the position advances. */
     public volatile long stoppedAt;
 
     public HostStandIn(String role) throws IOException {
@@ -63,10 +103,10 @@
         listen(listener);
     }
 
-    private void listen(ServerSocket at) {
+    private void listen(ServerSocket serverSocket) {
         StandInThreads.spawn(() -> {
             while (!vanished) {
-                Socket socket = at.accept();
+                Socket socket = serverSocket.accept();
                 sockets.add(socket);
                 StandInThreads.spawn(() -> {
                     try {
@@ -83,23 +123,24 @@
         return port;
     }
 
-    /** How discovery lists it. */
+    /** Returns the host's entry in the endpoint list, in group 1. */
     public String entry(String id, String state) {
         return entry("s-" + id, 1, state);
     }
 
-    /** How discovery lists it, in this group. */
+    /** Returns the host's entry in the endpoint list, in the given group. */
     public String entry(String id, int group, String state) {
         return """
                 {"id":"%s","addr":"127.0.0.1:%d","zone":"east","kind":"m2","cell":%d,"state":"%s",\
                 "weight":1.0,"started_ms":0,"role":"%s"}""".formatted(id, port, group, state, role);
     }
 
-    protected void role(String next) {
-        role = next;
+    /** Changes the role that the host reports, {@code leader} or {@code follower}. */
+    protected void role(String newRole) {
+        role = newRole;
     }
 
-    /** Its process is gone: connections are reset and new ones refused. */
+    /** Simulates the end of the host's process: resets open connections and refuses new ones. */
     public void crash() throws IOException {
         listener.close();
         for (Socket socket : sockets) {
@@ -109,29 +150,30 @@
         sockets.clear();
     }
 
-    /** Its process runs again, at the same address. */
+    /** Simulates a new process at the same address: listens again on the same port. */
     public void restart() throws IOException {
-        ServerSocket again = new ServerSocket();
-        again.setReuseAddress(true);
-        again.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
-        listener = again;
-        listen(again);
+        ServerSocket newListener = new ServerSocket();
+        newListener.setReuseAddress(true);
+        newListener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
+        listener = newListener;
+        listen(newListener);
     }
 
     public List<String> queries() {
         return List.copyOf(queries);
     }
 
-    public boolean sawBefore(String part, long millis) {
+    /** Returns whether a statement that contains this text arrived before a Unix time in milliseconds. */
+    public boolean sawBefore(String text, long beforeMillis) {
         for (int i = 0; i < queries.size(); i++) {
-            if (queries.get(i).contains(part) && times.get(i) < millis) {
+            if (queries.get(i).contains(text) && arrivalsMillis.get(i) < beforeMillis) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Says nothing any more, on open connections and to new ones. */
+    /** Stops sending for good, on open connections and on new ones, without closing any. */
     public void vanish() {
         vanished = true;
         manner = Manner.SILENT;
@@ -143,7 +185,7 @@
             in.readFully(new byte[in.readInt() - 4]);
             StandInThreads.sleep(greetMillis);
             if (vanished) {
-                StandInThreads.sleep(60_000);
+                StandInThreads.sleep(SILENCE_MILLIS);
             }
             new MessageWriter().authenticationOk().readyForQuery().writeTo(socket.getOutputStream());
             while (in.readUnsignedByte() == 'Q') {
@@ -151,7 +193,7 @@
                 in.readFully(body);
                 String text = new String(body, 0, body.length - 1, StandardCharsets.UTF_8);
                 if (vanished) {
-                    StandInThreads.sleep(60_000);
+                    StandInThreads.sleep(SILENCE_MILLIS);
                 }
                 halt();
                 if (text.equals("SELECT 1") || text.equals("SHOW server_load")) {
@@ -180,30 +222,34 @@
         }
     }
 
-    /** Called before each answer; returns when there may be one. */
+    /** Blocks for as long as the host may not answer; called for each statement before it is handled. */
     protected void halt() {}
 
-    /** How many txns it holds. */
+    /** Returns the number of requests in progress, as reported in the host's load. */
     protected int holds() {
         return 0;
     }
 
-    /** A statement has come in whole. */
+    /** Records a request that has arrived in full; probes and control statements are not reported here. */
     protected void saw(String text) {
-        times.add(System.currentTimeMillis());
+        arrivalsMillis.add(System.currentTimeMillis());
         queries.add(text);
     }
 
-    /** The answer to what is no txn, or null: it is one. */
+    /** Returns the answer to a control statement, or null if the statement is a request. */
     protected MessageWriter controlStatement(String text) {
         return null;
     }
 
-    /** Runs a txn; the answer up to its ready, or null: it is lost. */
+    /**
+     * Runs a request. Returns its answer without the final ReadyForQuery, or null to close the connection without an
+     * answer.
+     */
     protected MessageWriter run(String text) {
         return said().singleColumnResult("doc", value).commandComplete("SELECT 1");
     }
 
+    /** Handles a statement in the current manner; returns false if the connection is to be closed. */
     private boolean answer(Socket socket, String text) throws IOException {
         OutputStream out = socket.getOutputStream();
         switch (manner) {
@@ -240,11 +286,11 @@
             case UNKNOWN -> out.write(new byte[] {'G', 0, 0, 0, 4});
             case NO_DESCRIPTION -> {
                 byte[] row = new byte
-                        [new MessageWriter().singleColumnResult("doc", value).size() - 28];
+                        [new MessageWriter().singleColumnResult("doc", value).size() - ROW_DESCRIPTION_BYTES];
                 new MessageWriter()
                         .singleColumnResult("doc", value)
                         .asByteBuffer()
-                        .get(28, row);
+                        .get(ROW_DESCRIPTION_BYTES, row);
                 said().append(row, 0, row.length)
                         .commandComplete("SELECT 1")
                         .readyForQuery()
@@ -287,6 +333,7 @@
         return manner != Manner.CUT && manner != Manner.RESET;
     }
 
+    /** Returns a message that begins with the host's role, position and load as parameters. */
     protected MessageWriter said() {
         return new MessageWriter()
                 .parameterStatus("node_role", role)
@@ -294,15 +341,17 @@
                 .parameterStatus("server_load", load());
     }
 
-    /** The log position it has applied, in Unix time in milliseconds. */
+    /** Returns the log position that the host has applied, in Unix time in milliseconds. */
     protected long position() {
-        return stoppedAt != 0 ? stoppedAt : System.currentTimeMillis() - (role.equals("leader") ? 0 : 3);
+        return stoppedAt != 0
+                ? stoppedAt
+                : System.currentTimeMillis() - (role.equals("leader") ? 0 : REPLICA_LAG_MILLIS);
     }
 
     private String load() {
-        long at = position();
-        return "x0=" + at / 1000 + "." + String.format("%03d", at % 1000) + ",x1=" + (role.equals("leader") ? 1 : 0)
-                + ",inflight=" + holds();
+        long positionMillis = position();
+        return "x0=" + positionMillis / 1000 + "." + String.format("%03d", positionMillis % 1000) + ",x1="
+                + (role.equals("leader") ? 1 : 0) + ",inflight=" + holds();
     }
 
     @Override
