--- a/src/main/java/beaconladder/testbed/ReplicatedHost.java
+++ b/src/main/java/beaconladder/testbed/ReplicatedHost.java
@@ -17,82 +17,105 @@
 import java.util.regex.Pattern;
 
 /**
- * A host with data: a log of writes, a primary that appends to it, replicas that apply it a little later, and a feed by
- * which a primary copies one tenant's writes from a host of another group.
+ * A host stand-in with data. The primary of a group appends each write to its log, replicas apply that log after a lag,
+ * and a primary can copy one tenant's writes from a host of another group by a feed.
  */
 final class ReplicatedHost extends HostStandIn {
-    private static final Pattern KEY =
+    private static final Pattern KEY_AND_VALUE =
             Pattern.compile("(?:id = |VALUES \\()'([^']*)'(?:, '\\\\x([0-9a-f]*)')?.*", Pattern.DOTALL);
-    private static final Pattern FEED =
+    private static final Pattern FEED_STATEMENT =
             Pattern.compile("SET beaconladder.feed = '(\\S+) (on|off|drop)(?: .*:(\\d+))?'");
-    private static final Pattern COPIED =
+    private static final Pattern COPIED_QUERY =
             Pattern.compile("SELECT copied FROM beaconladder_feeds WHERE tenant = '(\\S+)'");
-    private static final int PULL_MILLIS = 2;
+    /** How often a replica fetches the primary's log, and a primary the logs of its feeds' sources. */
+    private static final int REPLICATION_INTERVAL_MILLIS = 2;
+    /** How many requests a host runs at the same time. */
     private static final int CORES = 8;
-    private static final int WORK_MILLIS = 2;
-    private static final int MOST_HELD = 200;
-
-    /** One entry of a log: a write, or how far a tenant's copy has come, or that it was dropped. */
+    /** How long a request occupies a core. */
+    private static final int SERVICE_MILLIS = 2;
+    /** How many requests a host has running or queued before it rejects more as full. */
+    private static final int MAX_IN_PROGRESS = 200;
+
+    private static final int HANG_POLL_MILLIS = 5;
+    /** How long a write waits for a replica to receive it before it is answered regardless. */
+    private static final int REPLICATION_WAIT_MILLIS = 100;
+
+    /**
+     * An entry of a log: a write (its key is set), the progress of a tenant's copy (a Unix time in milliseconds as
+     * {@code copied}), or the removal of the tenant's data ({@link #DROPPED} as {@code copied}).
+     */
     private record Entry(long position, String id, String tenant, String key, long version, long copied) {
         static final long DROPPED = -1;
     }
 
-    /** What a replica has received and is to apply at a time. */
-    private record Received(long due, int length, long asOf) {}
+    /**
+     * A part of the primary's log that a replica has received and applies when it is due.
+     *
+     * @param dueMillis when to apply it, in Unix milliseconds
+     * @param length the length of the primary's log up to its end, in entries
+     * @param asOfMillis the position that the replica has reached once it is applied, in Unix milliseconds
+     */
+    private record Received(long dueMillis, int length, long asOfMillis) {}
 
     final String id;
-    private final HostFleet ground;
+    private final HostFleet fleet;
     private final int group;
     private final int lagMillis;
     private final List<Entry> log = new ArrayList<>();
     private final Map<String, Entry> data = new HashMap<>();
-    private final Map<String, Long> copies = new HashMap<>();
-    /** Writes by their ids: a repeat of a referenced txn is known by them. */
-    private final Map<String, Entry> known = new HashMap<>();
+    /** How far the copy of each tenant has come, in Unix milliseconds. */
+    private final Map<String, Long> copiedUpToMillis = new HashMap<>();
+    /** Writes by the ids of their requests, to recognize a repeated request that carries a token. */
+    private final Map<String, Entry> writesById = new HashMap<>();
 
-    private final ArrayDeque<Received> pipe = new ArrayDeque<>();
+    private final ArrayDeque<Received> inTransit = new ArrayDeque<>();
     private final Map<String, Feed> feeds = new HashMap<>();
     private final Semaphore cores = new Semaphore(CORES);
-    private final AtomicInteger held = new AtomicInteger();
-    private long asOf;
+    private final AtomicInteger inProgress = new AtomicInteger();
+    /** The position up to which this replica has applied the primary's log, in Unix milliseconds. */
+    private long asOfMillis;
+
     private volatile boolean primary;
     private volatile boolean alive = true;
-    /** Says nothing for now. */
+    /** Whether the host neither answers nor replicates for now; connections stay open. */
     volatile boolean hung;
-    /** Receives nothing for now. */
+    /** Whether the host receives nothing of the primary's log for now. */
     volatile boolean deaf;
-    /** So many of the next writes run, and their answers are lost. */
+    /** The number of writes still to come that run but whose connection closes without an answer. */
     final AtomicInteger loseAnswers = new AtomicInteger();
 
-    private final ThreadLocal<Long> arrived = new ThreadLocal<>();
+    /** When the request that this thread handles arrived, in Unix milliseconds. */
+    private final ThreadLocal<Long> arrivedAtMillis = new ThreadLocal<>();
 
+    /** The copying of one tenant from a host of another group. */
     private static final class Feed {
-        private final int source;
-        private int taken;
+        private final int sourcePort;
+        /** The length of the source's log that has been copied, in entries. */
+        private int copiedLength;
 
-        Feed(int source) {
-            this.source = source;
+        Feed(int sourcePort) {
+            this.sourcePort = sourcePort;
         }
     }
 
-    ReplicatedHost(HostFleet ground, int group, String id, boolean primary, int lagMillis) throws IOException {
+    ReplicatedHost(HostFleet fleet, int group, String id, boolean primary, int lagMillis) throws IOException {
         super(primary ? "leader" : "follower");
-        this.ground = ground;
+        this.fleet = fleet;
         this.group = group;
         this.id = id;
         this.primary = primary;
         this.lagMillis = lagMillis;
         StandInThreads.spawn(() -> {
             while (true) {
-                StandInThreads.sleep(PULL_MILLIS);
+                StandInThreads.sleep(REPLICATION_INTERVAL_MILLIS);
                 if (alive && !hung) {
-                    work();
+                    replicate();
                 }
             }
         });
     }
 
-    String listed(String state) {
+    String endpointEntry(String state) {
         return entry(id, group, state);
     }
 
@@ -100,23 +123,23 @@
         return alive;
     }
 
-    /** How much of the log it has, applied or on its way. */
-    synchronized long received() {
-        return pipe.isEmpty() ? log.size() : pipe.peekLast().length();
+    /** Returns how many entries of the log the host has, applied or waiting out the lag. */
+    synchronized long receivedLength() {
+        return inTransit.isEmpty() ? log.size() : inTransit.peekLast().length();
     }
 
-    // ---- The log ------------------------------------------------------------------------------------------
+    // ---- The log
 
-    private void work() {
-        ReplicatedHost leader = ground.primary(group);
-        if (leader == null) {
+    private void replicate() {
+        ReplicatedHost currentPrimary = fleet.primary(group);
+        if (currentPrimary == null) {
             return;
         }
-        if (leader != this) {
-            pull(leader);
+        if (currentPrimary != this) {
+            replicateFrom(currentPrimary);
         } else {
             for (Map.Entry<String, Feed> feed : feeds().entrySet()) {
-                copy(feed.getKey(), feed.getValue());
+                copyTenant(feed.getKey(), feed.getValue());
             }
         }
     }
@@ -125,39 +148,39 @@
         return feeds.isEmpty() ? Map.of() : Map.copyOf(feeds);
     }
 
-    private void pull(ReplicatedHost leader) {
+    private void replicateFrom(ReplicatedHost currentPrimary) {
         int length = 0;
-        long at = 0;
-        if (leader.alive && !leader.hung && !deaf) {
-            synchronized (leader) {
-                length = leader.log.size();
-                // What commits in this very millisecond may not be in it.
-                at = System.currentTimeMillis() - 1;
+        long readAtMillis = 0;
+        if (currentPrimary.alive && !currentPrimary.hung && !deaf) {
+            synchronized (currentPrimary) {
+                length = currentPrimary.log.size();
+                // A write that commits later in the current millisecond is not in the log yet.
+                readAtMillis = System.currentTimeMillis() - 1;
             }
         }
         synchronized (this) {
             long now = System.currentTimeMillis();
-            // What was seen of a leader that has been replaced meanwhile is not waited for.
-            if (at > 0 && !primary && ground.primary(group) == leader) {
-                pipe.add(new Received(now + lagMillis, length, at));
+            // Discards what was read from a primary that has been replaced in the meantime.
+            if (readAtMillis > 0 && !primary && fleet.primary(group) == currentPrimary) {
+                inTransit.add(new Received(now + lagMillis, length, readAtMillis));
             }
-            while (!pipe.isEmpty() && pipe.peek().due() <= now) {
-                Received next = pipe.poll();
-                take(leader, next.length());
-                asOf = Math.max(asOf, next.asOf());
+            while (!inTransit.isEmpty() && inTransit.peek().dueMillis() <= now) {
+                Received next = inTransit.poll();
+                applyUpTo(currentPrimary, next.length());
+                asOfMillis = Math.max(asOfMillis, next.asOfMillis());
             }
         }
     }
 
-    /** Applies the leader's log up to this length; only it appends, and entries don't change. */
-    private void take(ReplicatedHost leader, int length) {
+    /** Applies the source's log up to this length; only the source appends to it, and entries never change. */
+    private void applyUpTo(ReplicatedHost source, int length) {
         while (log.size() < length) {
             Entry entry;
-            synchronized (leader.log) {
-                if (log.size() >= leader.log.size()) {
+            synchronized (source.log) {
+                if (log.size() >= source.log.size()) {
                     return;
                 }
-                entry = leader.log.get(log.size());
+                entry = source.log.get(log.size());
             }
             apply(entry);
         }
@@ -169,67 +192,70 @@
         }
         if (entry.key() != null) {
             data.put(entry.tenant() + "/" + entry.key(), entry);
-            known.put(entry.id(), entry);
+            writesById.put(entry.id(), entry);
         } else if (entry.copied() == Entry.DROPPED) {
             data.keySet().removeIf(key -> key.startsWith(entry.tenant() + "/"));
-            copies.remove(entry.tenant());
+            copiedUpToMillis.remove(entry.tenant());
         } else {
-            copies.put(entry.tenant(), entry.copied());
+            copiedUpToMillis.put(entry.tenant(), entry.copied());
         }
     }
 
-    private synchronized Entry append(String txn, String tenant, String key, long version, long copied) {
-        long last = log.isEmpty() ? 0 : log.get(log.size() - 1).position();
-        Entry entry = new Entry(Math.max(last, System.currentTimeMillis()), txn, tenant, key, version, copied);
+    private synchronized Entry append(String requestId, String tenant, String key, long version, long copied) {
+        long lastPosition = log.isEmpty() ? 0 : log.get(log.size() - 1).position();
+        Entry entry =
+                new Entry(Math.max(lastPosition, System.currentTimeMillis()), requestId, tenant, key, version, copied);
         apply(entry);
         return entry;
     }
 
-    synchronized void follow() {
+    /** Makes this host a replica and ends its feeds. */
+    synchronized void becomeReplica() {
         primary = false;
         feeds.clear();
         role("follower");
     }
 
-    /** Becomes primary with all that it has received from the old one. */
-    void lead(ReplicatedHost old) {
+    /** Makes this host the primary, after applying all that it has received from the old one. */
+    void becomePrimary(ReplicatedHost oldPrimary) {
         synchronized (this) {
-            for (Received next : pipe) {
-                take(old, next.length());
+            for (Received next : inTransit) {
+                applyUpTo(oldPrimary, next.length());
             }
-            pipe.clear();
+            inTransit.clear();
             primary = true;
             role("leader");
         }
     }
 
-    /** Goes on from another primary's log: what goes beyond it is dropped. */
-    void cutTo(ReplicatedHost leader) {
-        List<Entry> theirs;
-        synchronized (leader.log) {
-            theirs = List.copyOf(leader.log);
+    /** Truncates the log to what it has in common with the new primary's; records the writes that are lost by it. */
+    void truncateTo(ReplicatedHost newPrimary) {
+        List<Entry> primaryLog;
+        synchronized (newPrimary.log) {
+            primaryLog = List.copyOf(newPrimary.log);
         }
         synchronized (this) {
-            pipe.clear();
-            int same = 0;
-            while (same < Math.min(log.size(), theirs.size()) && log.get(same).equals(theirs.get(same))) {
-                same++;
+            inTransit.clear();
+            int commonLength = 0;
+            while (commonLength < Math.min(log.size(), primaryLog.size())
+                    && log.get(commonLength).equals(primaryLog.get(commonLength))) {
+                commonLength++;
             }
-            if (same < log.size()) {
-                List<Entry> kept = List.copyOf(log.subList(0, same));
-                log.subList(same, log.size()).forEach(entry -> {
+            if (commonLength < log.size()) {
+                List<Entry> kept = List.copyOf(log.subList(0, commonLength));
+                log.subList(commonLength, log.size()).forEach(entry -> {
                     if (entry.id() != null) {
-                        ground.dropped.add(entry.id());
+                        fleet.dropped.add(entry.id());
                     }
                 });
                 synchronized (log) {
                     log.clear();
                 }
                 data.clear();
-                copies.clear();
-                known.clear();
+                copiedUpToMillis.clear();
+                writesById.clear();
                 kept.forEach(this::apply);
-                asOf = kept.isEmpty() ? 0 : kept.get(kept.size() - 1).position();
+                asOfMillis = kept.isEmpty() ? 0 : kept.get(kept.size() - 1).position();
             }
         }
     }
@@ -243,27 +269,28 @@
     @Override
     public void restart() throws IOException {
         synchronized (this) {
-            pipe.clear();
+            inTransit.clear();
         }
         hung = false;
         super.restart();
         alive = true;
     }
 
-    // ---- The feed from cell to cell -----------------------------------------------------------------------
+    // ---- The feed from cell to cell
 
-    /** Copies what the source has beyond what was taken, then says how far that is. */
-    private void copy(String tenant, Feed feed) {
-        ReplicatedHost source = ground.at(feed.source);
+    /** Copies the tenant's entries that the source has gained since the last call, then records the progress. */
+    private void copyTenant(String tenant, Feed feed) {
+        ReplicatedHost source = fleet.at(feed.sourcePort);
         if (source == null || !source.alive || source.hung) {
             return;
         }
         List<Entry> entries;
-        long at;
+        long readAtMillis;
         synchronized (source) {
-            entries = new ArrayList<>(source.log.subList(Math.min(feed.taken, source.log.size()), source.log.size()));
-            feed.taken = source.log.size();
-            at = System.currentTimeMillis() - 1;
+            entries = new ArrayList<>(
+                    source.log.subList(Math.min(feed.copiedLength, source.log.size()), source.log.size()));
+            feed.copiedLength = source.log.size();
+            readAtMillis = System.currentTimeMillis() - 1;
         }
         synchronized (this) {
             if (!primary || feeds.get(tenant) != feed) {
@@ -274,13 +301,13 @@
                     append(entry.id(), tenant, entry.key(), entry.version(), entry.copied());
                 }
             }
-            append(null, tenant, null, 0, at);
+            append(null, tenant, null, 0, readAtMillis);
         }
     }
 
     @Override
     protected MessageWriter controlStatement(String text) {
-        Matcher feed = FEED.matcher(text);
+        Matcher feed = FEED_STATEMENT.matcher(text);
         if (feed.matches()) {
             synchronized (this) {
                 String tenant = feed.group(1);
@@ -296,80 +323,82 @@
             }
             return new MessageWriter().commandComplete("SET").readyForQuery();
         }
-        Matcher copied = COPIED.matcher(text);
+        Matcher copied = COPIED_QUERY.matcher(text);
         if (copied.matches()) {
-            Long at;
+            Long progressMillis;
             synchronized (this) {
-                at = copies.get(copied.group(1));
+                progressMillis = copiedUpToMillis.get(copied.group(1));
             }
             return new MessageWriter()
                     .singleColumnResult(
-                            "copied", (at == null ? "" : String.valueOf(at)).getBytes(StandardCharsets.US_ASCII))
+                            "copied",
+                            (progressMillis == null ? "" : String.valueOf(progressMillis))
+                                    .getBytes(StandardCharsets.US_ASCII))
                     .commandComplete("SELECT 1")
                     .readyForQuery();
         }
         return null;
     }
 
-    // ---- Txns ---------------------------------------------------------------------------------------------
+    // ---- Requests
 
     @Override
     protected void halt() {
         while (hung && alive) {
-            StandInThreads.sleep(5);
+            StandInThreads.sleep(HANG_POLL_MILLIS);
         }
     }
 
     @Override
     protected int holds() {
-        return held.get();
+        return inProgress.get();
     }
 
     @Override
     protected void saw(String text) {
-        arrived.set(System.currentTimeMillis());
-        ground.reached.add(new HostFleet.Reached(id, Statement.parse(text).parameter("id"), arrived.get()));
+        arrivedAtMillis.set(System.currentTimeMillis());
+        fleet.reached.add(new HostFleet.Reached(id, Statement.parse(text).parameter("id"), arrivedAtMillis.get()));
     }
 
     @Override
     protected MessageWriter run(String text) {
         Statement statement = Statement.parse(text);
-        Matcher form = KEY.matcher(text.substring(text.indexOf('\'') - (statement.isWrite() ? 8 : 5)));
-        if (statement.parseError() != null || !form.matches()) {
+        Matcher keyAndValue = KEY_AND_VALUE.matcher(text.substring(text.indexOf('\'') - (statement.isWrite() ? 8 : 5)));
+        if (statement.parseError() != null || !keyAndValue.matches()) {
             return new MessageWriter().error("ERROR", "08P01", "no statement of this form", null);
         }
-        if (held.incrementAndGet() > MOST_HELD) {
-            held.decrementAndGet();
+        if (inProgress.incrementAndGet() > MAX_IN_PROGRESS) {
+            inProgress.decrementAndGet();
             return said().error("ERROR", "53300", "full", null);
         }
         try {
             cores.acquireUninterruptibly();
             try {
-                StandInThreads.sleep(WORK_MILLIS);
+                StandInThreads.sleep(SERVICE_MILLIS);
             } finally {
                 cores.release();
             }
-            if (System.currentTimeMillis() - arrived.get() > Long.parseLong(statement.parameter("d"))) {
+            if (System.currentTimeMillis() - arrivedAtMillis.get() > Long.parseLong(statement.parameter("d"))) {
                 return said().error("ERROR", "53300", "the request is over", null);
             }
             return statement.isWrite()
-                    ? write(statement, form.group(1), form.group(2))
-                    : read(statement, form.group(1));
+                    ? write(statement, keyAndValue.group(1), keyAndValue.group(2))
+                    : read(statement, keyAndValue.group(1));
         } finally {
-            held.decrementAndGet();
+            inProgress.decrementAndGet();
         }
     }
 
     private MessageWriter read(Statement statement, String key) {
         Entry entry;
-        MessageWriter said;
+        MessageWriter answer;
         synchronized (this) {
             entry = data.get(statement.parameter("t") + "/" + key);
-            said = said();
+            answer = said();
         }
         long version = entry == null ? 0 : entry.version();
-        ran(statement, key, false, version);
-        return said.singleColumnResult(
+        recordRun(statement, key, false, version);
+        return answer.singleColumnResult(
                         "doc", ByteBuffer.allocate(8).putLong(version).array())
                 .commandComplete("SELECT 1");
     }
@@ -382,23 +411,24 @@
             if (!primary) {
                 return said().error("ERROR", "25006", "no primary", null);
             }
-            Entry before = "token".equals(statement.parameter("c")) ? known.get(statement.parameter("id")) : null;
-            entry = before != null
-                    ? before
+            Entry earlierWrite =
+                    "token".equals(statement.parameter("c")) ? writesById.get(statement.parameter("id")) : null;
+            entry = earlierWrite != null
+                    ? earlierWrite
                     : append(statement.parameter("id"), statement.parameter("t"), key, version, 0);
             length = log.size();
-            if (before == null) {
-                ran(statement, key, true, version);
+            if (earlierWrite == null) {
+                recordRun(statement, key, true, version);
             }
         }
         if (loseAnswers.get() > 0 && loseAnswers.decrementAndGet() >= 0) {
             return null;
         }
-        // It is answered when a replica has it, too.
-        long until = System.currentTimeMillis() + 100;
-        while (System.currentTimeMillis() < until
+        // A write is answered once a replica has received it, so that a failover does not lose it.
+        long waitUntilMillis = System.currentTimeMillis() + REPLICATION_WAIT_MILLIS;
+        while (System.currentTimeMillis() < waitUntilMillis
                 && alive
-                && ground.members(group).stream().noneMatch(m -> m != this && m.alive && m.received() >= length)) {
+                && fleet.members(group).stream().noneMatch(m -> m != this && m.alive && m.receivedLength() >= length)) {
             StandInThreads.sleep(1);
         }
         if (!alive || !primary) {
@@ -411,8 +441,8 @@
                 .commandComplete("INSERT 0 1");
     }
 
-    private void ran(Statement statement, String key, boolean write, long version) {
-        ground.ran.add(new HostFleet.Ran(
+    private void recordRun(Statement statement, String key, boolean write, long version) {
+        fleet.ran.add(new HostFleet.Ran(
                 statement.parameter("id"),
                 statement.parameter("t"),
                 key,
@@ -430,11 +460,11 @@
                     ? Math.max(
                             System.currentTimeMillis(),
                             log.isEmpty() ? 0 : log.get(log.size() - 1).position())
-                    : asOf;
+                    : asOfMillis;
         }
     }
 
-    /** The version it has of a key. */
+    /** Returns the version that the host has of a key, or 0 if it has none. */
     synchronized long version(String tenant, String key) {
         Entry entry = data.get(tenant + "/" + key);
         return entry == null ? 0 : entry.version();
