--- a/src/main/java/beaconladder/testbed/ClientLoad.java
+++ b/src/main/java/beaconladder/testbed/ClientLoad.java
@@ -17,34 +17,53 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Usual clients: sessions that write and read what they wrote, at any router; each keeps its own truth. */
+/**
+ * Well-behaved clients that write and read at any router. Each session records what it has committed, so that the
+ * checker can compare each answer with it.
+ */
 final class ClientLoad implements AutoCloseable {
+    /** The time that a request has, sent as its {@code d} parameter. */
     static final int BUDGET_MILLIS = 1_000;
+    /** How old the data of a bounded read ({@code fresh}) may be. */
     static final int BOUND_MILLIS = 500;
-    /** A client counts on an answer so long after its time at the latest; then none comes. */
-    private static final int PATIENCE_MILLIS = 700;
+    /** How long after the end of a request's time a client waits before it records that no answer came. */
+    private static final int ANSWER_GRACE_MILLIS = 700;
 
-    /** Where clients find a router, and whether it is well. */
+    /** A request is excused if its router was impaired or restored after it was sent, or at most this long before. */
+    private static final int IMPAIRMENT_MARGIN_MILLIS = 100;
+
+    private static final int READ_TIMEOUT_MILLIS = 3_000;
+    private static final int JOIN_MILLIS = 5_000;
+
+    /** The routers that the clients connect to, and when each was last impaired. */
     interface Routers {
         int count();
 
         int port(int router);
 
-        /** When the router was last started, stopped or cut off from its life, in Unix milliseconds. */
+        /**
+         * Returns when the router was last started, stopped or cut off from the coordinator, in Unix milliseconds;
+         * {@code Long.MAX_VALUE} while it is impaired.
+         */
         long impairedSinceMillis(int router);
     }
 
-    /** A session: a tenant's key, with the versions its client knows of. */
+    /** A session on one key of a tenant, with the versions that its client has written. */
     private static final class Session {
+        private static final int MAX_COMMITS = 64;
+
         private final String tenant;
         private final String key;
         private final int cell;
         private final int group;
-        private long tried;
+        /** The newest version that the client has tried to write. */
+        private long lastAttempted;
+        /** The newest version that is known to be committed. */
         private long committed;
         private String committedId;
-        private long after;
-        /** Commits by time, for bounded reads. */
+        /** The position that the session's own reads require, in Unix milliseconds, or 0 before the first commit. */
+        private long afterMillis;
+        /** The last {@link #MAX_COMMITS} commits, oldest first, to check bounded reads. */
         private final ArrayDeque<Commit> commits = new ArrayDeque<>();
 
         Session(String tenant, String key, int cell, int group) {
@@ -54,25 +73,28 @@
             this.group = group;
         }
 
-        /** The newest version that was committed by then. */
+        /** Returns the newest version that was committed by a Unix time in milliseconds; version 0 if there is none. */
         Commit committedBy(long millis) {
             Commit newest = new Commit(0, 0, null);
             for (Commit commit : commits) {
-                newest = commit.at() <= millis && commit.version() > newest.version() ? commit : newest;
+                newest = commit.atMillis() <= millis && commit.version() > newest.version() ? commit : newest;
             }
             return newest;
         }
     }
 
-    private record Commit(long at, long version, String id) {}
+    private record Commit(long atMillis, long version, String id) {}
 
-    /** One connection to one router. */
+    /** A connection to a router, with the result of the last request on it. */
     static final class Line implements AutoCloseable {
         private final Socket socket;
         private final DataInputStream in;
         final int router;
+        /** The SQLSTATE of the last answer, or null if it was no error. */
         private String code;
-        private byte[] cell;
+        /** The column value of the last answer, or null if it had no row. */
+        private byte[] value;
+        /** The text of the last error. */
         String message = "";
 
         Line(int port, int router) throws IOException {
@@ -80,7 +102,7 @@
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
             socket.setTcpNoDelay(true);
             in = new DataInputStream(socket.getInputStream());
-            socket.setSoTimeout(3_000);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             MessageWriter.startup("app", "shop").writeTo(socket.getOutputStream());
             answer();
         }
@@ -89,17 +111,17 @@
             MessageWriter.query(query).writeTo(socket.getOutputStream());
         }
 
-        /** Reads up to the next ready; false at the end of the connection. */
+        /** Reads up to the next ReadyForQuery; returns false if the connection ends before it. */
         boolean answer() throws IOException {
             code = null;
-            cell = null;
+            value = null;
             try {
                 while (true) {
                     char type = (char) in.readUnsignedByte();
                     byte[] body = new byte[in.readInt() - 4];
                     in.readFully(body);
                     switch (type) {
-                        case 'D' -> cell = java.util.Arrays.copyOfRange(body, 6, body.length);
+                        case 'D' -> value = java.util.Arrays.copyOfRange(body, 6, body.length);
                         case 'E' -> {
                             String text = new String(body, StandardCharsets.UTF_8);
                             code = text.replaceAll("(?s).*\0C([^\0]*)\0.*", "$1");
@@ -120,7 +142,8 @@
             socket.setSoTimeout(Math.max(1, millis));
         }
 
-        boolean more() throws IOException {
+        /** Returns whether bytes have arrived that are not yet read. */
+        boolean hasUnreadBytes() throws IOException {
             return in.available() > 0;
         }
 
@@ -133,73 +156,76 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // It is gone either way.
+                // The connection is of no further use in either case.
             }
         }
     }
 
-    private final InvariantChecker judge;
-    private final Routers doors;
-    private final String keys;
+    private final InvariantChecker checker;
+    private final Routers routers;
+    private final String keyPrefix;
     private final AtomicLong ids = new AtomicLong();
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean stopped;
 
     /**
-     * Clients that start at once.
+     * Starts the clients.
      *
-     * @param tenants names; tenant i lives in cell homes[i] and names group groups[i]
-     * @param keys what the names of their keys begin with
-     * @param clients threads, each with sessions of its own
-     * @param restMillis between two txns of a client, on average
+     * @param tenants the names of the tenants
+     * @param cellsOfTenants the number of each tenant's cell
+     * @param groupsOfTenants the number of the group that each tenant's requests name
+     * @param keyPrefix the prefix of the names of keys and of request ids
+     * @param clients the number of threads, each with its own sessions
+     * @param meanPauseMillis the mean pause before a client's next requests, in milliseconds
+     * @param seed the seed of the clients' random choices
      */
     ClientLoad(
-            InvariantChecker judge,
-            Routers doors,
+            InvariantChecker checker,
+            Routers routers,
             List<String> tenants,
-            int[] homes,
-            int[] groups,
-            String keys,
+            int[] cellsOfTenants,
+            int[] groupsOfTenants,
+            String keyPrefix,
             int clients,
-            int restMillis,
+            int meanPauseMillis,
             long seed) {
-        this.judge = judge;
-        this.keys = keys;
-        this.doors = doors;
-        SplittableRandom chance = new SplittableRandom(seed);
+        this.checker = checker;
+        this.keyPrefix = keyPrefix;
+        this.routers = routers;
+        SplittableRandom random = new SplittableRandom(seed);
         for (int i = 0; i < clients; i++) {
-            List<Session> own = new ArrayList<>();
+            List<Session> ownSessions = new ArrayList<>();
             for (int t = i; t < tenants.size(); t += clients) {
-                own.add(new Session(tenants.get(t), keys + i, homes[t], groups[t]));
+                ownSessions.add(new Session(tenants.get(t), keyPrefix + i, cellsOfTenants[t], groupsOfTenants[t]));
             }
-            if (own.isEmpty()) {
+            if (ownSessions.isEmpty()) {
                 int t = i % tenants.size();
-                own.add(new Session(tenants.get(t), keys + i, homes[t], groups[t]));
+                ownSessions.add(new Session(tenants.get(t), keyPrefix + i, cellsOfTenants[t], groupsOfTenants[t]));
             }
-            SplittableRandom mine = chance.split();
-            threads.add(StandInThreads.spawn(() -> live(own, mine, restMillis)));
+            SplittableRandom clientRandom = random.split();
+            threads.add(StandInThreads.spawn(() -> runClient(ownSessions, clientRandom, meanPauseMillis)));
         }
     }
 
-    private void live(List<Session> sessions, SplittableRandom chance, int restMillis) {
+    private void runClient(List<Session> sessions, SplittableRandom random, int meanPauseMillis) {
         Line line = null;
         while (!stopped) {
-            StandInThreads.sleep(chance.nextInt(2 * restMillis + 1));
-            Session session = sessions.get(chance.nextInt(sessions.size()));
-            int dice = chance.nextInt(100);
-            // A session's read comes soon after its write, and often at another router.
-            List<String> steps = dice < 45
+            StandInThreads.sleep(random.nextInt(2 * meanPauseMillis + 1));
+            Session session = sessions.get(random.nextInt(sessions.size()));
+            int percentile = random.nextInt(100);
+            // A session reads soon after its write and often at another router, where a stale read would show.
+            List<String> requestTypes = percentile < 45
                     ? List.of("write", "own")
-                    : dice < 55
+                    : percentile < 55
                             ? List.of("token", "own")
-                            : dice < 75 ? List.of("fresh") : dice < 90 ? List.of("any") : List.of("own");
-            for (String type : steps) {
-                int router = chance.nextInt(doors.count());
-                if (line == null || chance.nextInt(3) == 0) {
+                            : percentile < 75 ? List.of("fresh") : percentile < 90 ? List.of("any") : List.of("own");
+            for (String type : requestTypes) {
+                int router = random.nextInt(routers.count());
+                if (line == null || random.nextInt(3) == 0) {
                     close(line);
-                    line = open(router, chance);
+                    line = open(router, random);
                 }
-                if (line == null || !ask(line, session, type)) {
+                if (line == null || !request(line, session, type)) {
                     close(line);
                     line = null;
                 }
@@ -208,13 +234,14 @@
         close(line);
     }
 
-    private Line open(int first, SplittableRandom chance) {
-        for (int i = 0; i < 2 * doors.count() && !stopped; i++) {
-            int router = (first + i) % doors.count();
+    /** Connects to a router, or to the next ones if that fails; returns null after two rounds without success. */
+    private Line open(int firstRouter, SplittableRandom random) {
+        for (int i = 0; i < 2 * routers.count() && !stopped; i++) {
+            int router = (firstRouter + i) % routers.count();
             try {
-                return new Line(doors.port(router), router);
+                return new Line(routers.port(router), router);
             } catch (IOException e) {
-                StandInThreads.sleep(chance.nextInt(20));
+                StandInThreads.sleep(random.nextInt(20));
             }
         }
         return null;
@@ -226,30 +253,38 @@
         }
     }
 
+    /** Returns the statement of a request, with its parameters in a comment. */
     static String query(
-            String id, String type, String tenant, String key, int group, long version, long after, int budget) {
-        String comment = " /* id=" + id + ",c=" + type + ",t=" + tenant + ",d=" + budget + ",cluster=" + group
-                + (after > 0 ? ",after=" + after : "") + " */";
+            String id,
+            String type,
+            String tenant,
+            String key,
+            int group,
+            long version,
+            long afterMillis,
+            int budgetMillis) {
+        String comment = " /* id=" + id + ",c=" + type + ",t=" + tenant + ",d=" + budgetMillis + ",cluster=" + group
+                + (afterMillis > 0 ? ",after=" + afterMillis : "") + " */";
         return type.equals("write") || type.equals("token")
                 ? "INSERT INTO items (id, doc) VALUES ('" + key + "', '\\x" + String.format("%016x", version)
                         + "') RETURNING doc" + comment
                 : "SELECT doc FROM items WHERE id = '" + key + "'" + comment;
     }
 
-    /** Asks one txn and notes what came of it; false when the connection is of no further use. */
-    private boolean ask(Line line, Session session, String type) {
-        String id = keys + "x" + Long.toHexString(ids.incrementAndGet());
+    /** Sends a request and records its result; returns false if the connection is of no further use. */
+    private boolean request(Line line, Session session, String type) {
+        String id = keyPrefix + "x" + Long.toHexString(ids.incrementAndGet());
         boolean write = type.equals("write") || type.equals("token");
-        long version = write ? ++session.tried : 0;
-        long sent = System.currentTimeMillis();
-        Commit least = type.equals("own")
+        long version = write ? ++session.lastAttempted : 0;
+        long sentAtMillis = System.currentTimeMillis();
+        Commit oldestAllowed = type.equals("own")
                 ? new Commit(0, session.committed, session.committedId)
-                : session.committedBy(type.equals("fresh") ? sent - BOUND_MILLIS : 0);
+                : session.committedBy(type.equals("fresh") ? sentAtMillis - BOUND_MILLIS : 0);
         End end;
-        boolean good = false;
-        boolean extra = false;
+        boolean answerComplete = false;
+        boolean extraAnswer = false;
         try {
-            line.timeout(BUDGET_MILLIS + PATIENCE_MILLIS);
+            line.timeout(BUDGET_MILLIS + ANSWER_GRACE_MILLIS);
             line.send(query(
                     id,
                     type,
@@ -257,55 +292,56 @@
                     session.key,
                     session.group,
                     version,
-                    type.equals("own") ? session.after : 0,
+                    type.equals("own") ? session.afterMillis : 0,
                     BUDGET_MILLIS));
-            good = line.answer();
-            end = !good && line.code() == null ? End.CUT : end(line.code());
-            extra = good && line.more();
+            answerComplete = line.answer();
+            end = !answerComplete && line.code() == null ? End.CUT : outcome(line.code());
+            extraAnswer = answerComplete && line.hasUnreadBytes();
         } catch (SocketTimeoutException e) {
             end = End.NONE;
         } catch (IOException e) {
             end = End.CUT;
         }
-        long answered = System.currentTimeMillis();
+        long answeredAtMillis = System.currentTimeMillis();
         if (end == End.COMMITTED) {
-            version = line.cell != null && line.cell.length >= 8
-                    ? ByteBuffer.wrap(line.cell).getLong()
+            version = line.value != null && line.value.length >= 8
+                    ? ByteBuffer.wrap(line.value).getLong()
                     : -1;
             if (write) {
                 session.committed = version;
                 session.committedId = id;
-                // The commit lies before its answer: a mark of this moment covers it.
-                session.after = answered;
-                session.commits.add(new Commit(answered, version, id));
-                while (session.commits.size() > 64) {
+                // The write committed before its answer arrived, so the current time is a position that covers it.
+                session.afterMillis = answeredAtMillis;
+                session.commits.add(new Commit(answeredAtMillis, version, id));
+                while (session.commits.size() > Session.MAX_COMMITS) {
                     session.commits.poll();
                 }
             }
         }
-        boolean excused = doors.impairedSinceMillis(line.router) >= sent - 100;
-        judge.asked.add(new Asked(
+        boolean excused = routers.impairedSinceMillis(line.router) >= sentAtMillis - IMPAIRMENT_MARGIN_MILLIS;
+        checker.asked.add(new Asked(
                 id,
                 session.tenant,
                 session.key,
                 type,
                 session.cell,
                 line.router,
-                sent,
-                answered,
+                sentAtMillis,
+                answeredAtMillis,
                 BUDGET_MILLIS,
                 end,
-                end == End.COMMITTED ? version : write ? session.tried : -1,
-                least.version(),
-                least.id(),
-                session.tried,
+                end == End.COMMITTED ? version : write ? session.lastAttempted : -1,
+                oldestAllowed.version(),
+                oldestAllowed.id(),
+                session.lastAttempted,
                 excused,
-                extra,
+                extraAnswer,
                 line.message));
-        return good && end != End.NONE;
+        return answerComplete && end != End.NONE;
     }
 
-    private static End end(String code) {
+    /** Returns the outcome that an answer with this SQLSTATE, or null for none, reports. */
+    private static End outcome(String code) {
         return code == null
                 ? End.COMMITTED
                 : switch (code) {
@@ -315,7 +351,7 @@
                 };
     }
 
-    /** Lets it run on by itself for so long. */
+    /** Lets the clients run for a time. */
     void await(long millis) {
         StandInThreads.sleep(millis);
     }
@@ -324,7 +360,7 @@
     public void close() {
         stopped = true;
         for (Thread thread : threads) {
-            StandInThreads.join(thread, 5_000);
+            StandInThreads.join(thread, JOIN_MILLIS);
         }
     }
 }
