--- a/src/main/java/beaconladder/testbed/PipeliningClients.java
+++ b/src/main/java/beaconladder/testbed/PipeliningClients.java
@@ -17,158 +17,174 @@
 import java.util.function.IntPredicate;
 
 /**
- * Clients that write ahead, and what they saw. What they wrote is answered, or its connection is reset with it unread;
- * nothing else is good enough, but where the router was killed.
+ * Clients that pipeline queries, and counts of the results. Each query must be answered, or its connection must be
+ * reset while the query is unread; any other result is recorded as a violation unless the router was killed.
  */
 public final class PipeliningClients {
-    private static final String GREETED = "R S S S S K Z";
-    /** Update that there is no room, or that the router ends; neither has run. */
+    private static final int RETRY_MILLIS = 5;
+    private static final int RECONNECT_MILLIS = 20;
+    /** The messages of a router that accepts a client, as {@link TestClient#answer} describes them. */
+    private static final String GREETING = "R S S S S K Z";
+    /** Answers that reject a query without running it: the router is full (53300) or shuts down (57P03). */
     private static final Set<String> DECLINED = Set.of("E:53300 Z", "E:53300 closed", "E:57P03 Z");
 
-    /** What should not have been. */
+    /** Descriptions of the violations. */
     public final Queue<String> odd = new ConcurrentLinkedQueue<>();
 
+    /** Queries that were answered, served or declined. */
     public final AtomicInteger answered = new AtomicInteger();
     public final AtomicInteger served = new AtomicInteger();
     public final AtomicInteger declined = new AtomicInteger();
-    /** Connections that ended with what was written last known not to have been read. */
+    /** Connections that were reset while their unanswered queries were still unread. */
     public final AtomicInteger unread = new AtomicInteger();
-    /** Txns that were in hand at a router that was killed. */
+    /** Unanswered queries on connections to routers that were killed. */
     public final AtomicInteger killed = new AtomicInteger();
 
-    private final Set<String> told = ConcurrentHashMap.newKeySet();
+    /** Queries that have been answered, to detect a second answer. */
+    private final Set<String> answeredQueries = ConcurrentHashMap.newKeySet();
     private final List<HostStandIn> hosts;
-    private final IntPredicate kills;
+    private final IntPredicate wasKilled;
 
     /**
-     * Clients of routers before these hosts.
+     * Creates clients of routers that send to these hosts.
      *
-     * @param kills whether the router at this port has been killed by now
+     * @param wasKilled returns whether the router at a port has been killed
      */
-    public PipeliningClients(List<HostStandIn> hosts, IntPredicate kills) {
+    public PipeliningClients(List<HostStandIn> hosts, IntPredicate wasKilled) {
         this.hosts = hosts;
-        this.kills = kills;
+        this.wasKilled = wasKilled;
     }
 
-    /** Sends these on one connection, startup and all at once, and again what was reset unread. */
-    public void batch(int port, String name, int size, SplittableRandom chance, Over over)
+    /**
+     * Sends queries and the startup message in one write on a new connection, and sends again on another connection
+     * what a reset left unread.
+     */
+    public void batch(int port, String name, int size, SplittableRandom random, Over over)
             throws IOException, InterruptedException {
-        List<String> left = queries(name, size, chance);
-        while (!left.isEmpty()) {
-            try (TestClient caller = new TestClient(new Socket(InetAddress.getLoopbackAddress(), port))) {
+        List<String> unanswered = queries(name, size, random);
+        while (!unanswered.isEmpty()) {
+            try (TestClient client = new TestClient(new Socket(InetAddress.getLoopbackAddress(), port))) {
                 MessageWriter out = MessageWriter.startup("app", "shop");
-                left.forEach(query -> out.append(MessageWriter.query(query)));
-                write(caller, out);
-                String greeting = caller.answer();
+                unanswered.forEach(query -> out.append(MessageWriter.query(query)));
+                write(client, out);
+                String greeting = client.answer();
                 if (greeting.equals("E:53300 closed")) {
-                    // Update that there is no room: that is an answer to all of it.
-                    left.forEach(query -> got(query, greeting));
+                    // The router is full: the rejection answers every query on the connection.
+                    unanswered.forEach(query -> recordAnswer(query, greeting));
                     return;
                 }
-                if (greeting.equals("closed") && kills.test(port)) {
-                    killed.addAndGet(left.size());
+                if (greeting.equals("closed") && wasKilled.test(port)) {
+                    killed.addAndGet(unanswered.size());
                     return;
                 }
-                if (greeting.equals("closed") ? !caller.reset() : !greeting.equals(GREETED)) {
+                if (greeting.equals("closed") ? !client.reset() : !greeting.equals(GREETING)) {
                     odd.add(name + " greeted " + greeting);
                     return;
                 }
-                answers(port, caller, left);
+                readAnswers(port, client, unanswered);
             } catch (SocketException e) {
                 if (over.over()) {
                     return;
                 }
-                Thread.sleep(5);
+                Thread.sleep(RETRY_MILLIS);
             }
         }
     }
 
-    /** Whether no more is wanted. */
+    /** Reports whether the clients are to send no more queries. */
     public interface Over {
         boolean over();
     }
 
-    /** Sends these on an open connection; false when it has ended, with what has no answer yet unread. */
-    public boolean ask(int port, TestClient caller, String name, int size, SplittableRandom chance) throws IOException {
-        List<String> left = queries(name, size, chance);
+    /** Sends queries on an open connection and reads the answers; returns false if the connection has ended. */
+    public boolean ask(int port, TestClient client, String name, int size, SplittableRandom random) throws IOException {
+        List<String> unanswered = queries(name, size, random);
         MessageWriter out = new MessageWriter();
-        left.forEach(query -> out.append(MessageWriter.query(query)));
-        write(caller, out);
-        return answers(port, caller, left);
+        unanswered.forEach(query -> out.append(MessageWriter.query(query)));
+        write(client, out);
+        return readAnswers(port, client, unanswered);
     }
 
     /**
-     * Keeps so many queries written ahead on one connection for as long as it stays open: another goes out with each
-     * answer, so that the connection is never idle.
+     * Keeps a number of queries outstanding on a new connection for as long as it stays open. It sends another query
+     * after each answer, so that the connection is never idle.
+     *
+     * @param depth the number of outstanding queries
      */
-    public void stream(int port, String name, int ahead, SplittableRandom chance, Over over)
+    public void stream(int port, String name, int depth, SplittableRandom random, Over over)
             throws IOException, InterruptedException {
-        TestClient caller = open(port);
-        if (caller == null) {
+        TestClient client = open(port);
+        if (client == null) {
             return;
         }
-        try (caller) {
-            List<String> left = queries(name, ahead, chance);
+        try (client) {
+            List<String> unanswered = queries(name, depth, random);
             MessageWriter first = new MessageWriter();
-            left.forEach(query -> first.append(MessageWriter.query(query)));
-            write(caller, first);
-            for (int i = ahead; !left.isEmpty(); i++) {
-                if (!answer(port, caller, left)) {
+            unanswered.forEach(query -> first.append(MessageWriter.query(query)));
+            write(client, first);
+            for (int i = depth; !unanswered.isEmpty(); i++) {
+                if (!readAnswer(port, client, unanswered)) {
                     return;
                 }
                 if (!over.over()) {
-                    left.add(query(name + "-" + i, chance));
-                    write(caller, MessageWriter.query(left.get(left.size() - 1)));
+                    unanswered.add(query(name + "-" + i, random));
+                    write(client, MessageWriter.query(unanswered.get(unanswered.size() - 1)));
                 }
             }
         }
     }
 
-    private boolean answers(int port, TestClient caller, List<String> left) throws IOException {
-        while (!left.isEmpty()) {
-            if (!answer(port, caller, left)) {
+    private boolean readAnswers(int port, TestClient client, List<String> unanswered) throws IOException {
+        while (!unanswered.isEmpty()) {
+            if (!readAnswer(port, client, unanswered)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Takes the next answer; false at the end of the connection, with what can't be sent again taken out. */
-    private boolean answer(int port, TestClient caller, List<String> left) throws IOException {
+    /**
+     * Reads the next answer. Returns false if there is none because the connection has ended; the list then holds only
+     * queries that may be sent again.
+     */
+    private boolean readAnswer(int port, TestClient client, List<String> unanswered) throws IOException {
         String answer;
         try {
-            answer = caller.answer();
+            answer = client.answer();
         } catch (SocketTimeoutException e) {
-            odd.add("never answered: " + left);
-            left.clear();
+            odd.add("never answered: " + unanswered);
+            unanswered.clear();
             return false;
         }
         if (!answer.equals("closed")) {
-            got(left.remove(0), answer);
+            recordAnswer(unanswered.remove(0), answer);
             return true;
         }
-        if (kills.test(port)) {
-            // Nobody knows which of them were in hand.
-            killed.addAndGet(left.size());
-            left.clear();
-        } else if (!caller.reset()) {
-            odd.add("taken and never answered: " + left);
-            left.clear();
+        if (wasKilled.test(port)) {
+            // It is unknown which of these queries the killed router had read.
+            killed.addAndGet(unanswered.size());
+            unanswered.clear();
+        } else if (!client.reset()) {
+            odd.add("taken and never answered: " + unanswered);
+            unanswered.clear();
         } else {
             unread.incrementAndGet();
-            left.stream().filter(this::reached).forEach(query -> odd.add("sent on, never answered: " + query));
+            unanswered.stream()
+                    .filter(this::reachedHost)
+                    .forEach(query -> odd.add("sent on, never answered: " + query));
         }
         return false;
     }
 
-    private boolean reached(String query) {
+    /** Returns whether a host has received this query. */
+    private boolean reachedHost(String query) {
         String id = query.replaceAll(".*/\\* (id=[^,]*,).*", "$1");
         return hosts.stream().anyMatch(host -> host.sawBefore(id, Long.MAX_VALUE));
     }
 
-    private void got(String query, String answer) {
+    private void recordAnswer(String query, String answer) {
         answered.incrementAndGet();
-        if (!told.add(query)) {
+        if (!answeredQueries.add(query)) {
             odd.add("answered twice: " + query);
         }
         if (answer.equals("T D:00ff27 C:SELECT 1 Z")) {
@@ -180,50 +196,50 @@
         }
     }
 
-    /** An open connection, or null: there was no room, or nobody there. */
+    /** Returns an open connection, or null if the router is full or not reachable. */
     public TestClient open(int port) throws IOException, InterruptedException {
         try {
-            TestClient caller = new TestClient(new Socket(InetAddress.getLoopbackAddress(), port));
-            write(caller, MessageWriter.startup("app", "shop"));
-            String greeting = caller.answer();
-            if (greeting.equals(GREETED)) {
-                return caller;
+            TestClient client = new TestClient(new Socket(InetAddress.getLoopbackAddress(), port));
+            write(client, MessageWriter.startup("app", "shop"));
+            String greeting = client.answer();
+            if (greeting.equals(GREETING)) {
+                return client;
             }
             if (!greeting.equals("E:53300 closed") && !greeting.equals("closed")) {
                 odd.add("greeted " + greeting);
             }
-            caller.close();
+            client.close();
         } catch (SocketException e) {
-            // Nobody there now.
+            // No process listens on the port at present.
         }
-        Thread.sleep(20);
+        Thread.sleep(RECONNECT_MILLIS);
         return null;
     }
 
-    private static void write(TestClient caller, MessageWriter out) throws IOException {
+    private static void write(TestClient client, MessageWriter out) throws IOException {
         try {
-            out.writeTo(caller.out);
+            out.writeTo(client.out);
         } catch (SocketException e) {
-            // The answer tells.
+            // Reading the answer finds the end of the connection.
         }
     }
 
-    private static List<String> queries(String name, int size, SplittableRandom chance) {
+    private static List<String> queries(String name, int size, SplittableRandom random) {
         List<String> all = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            all.add(query(name + "-" + i, chance));
+            all.add(query(name + "-" + i, random));
         }
         return all;
     }
 
-    private static String query(String id, SplittableRandom chance) {
-        return chance.nextInt(3) == 0
+    private static String query(String id, SplittableRandom random) {
+        return random.nextInt(3) == 0
                 ? "INSERT INTO items (id, doc) VALUES ('k', '\\x9f03') RETURNING doc /* id=" + id
                         + ",c=write,t=acme,d=2000,cluster=1 */"
                 : "SELECT doc FROM items WHERE id = 'k' /* id=" + id + ",c=any,t=acme,d=2000,cluster=1 */";
     }
 
-    /** Writes that reached a host more than once, by their ids. */
+    /** Returns the ids of the writes that reached hosts more than once. */
     public List<String> writesThatRanTwice() {
         Set<String> seen = ConcurrentHashMap.newKeySet();
         return hosts.stream()
--- a/src/main/java/beaconladder/testbed/TestClient.java
+++ b/src/main/java/beaconladder/testbed/TestClient.java
@@ -10,25 +10,35 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HexFormat;
 
-/** A client on one connection; prints what it gets, a letter a message. */
+/**
+ * A client on one connection. It describes each answer as text: one word per message, its type and for some types a
+ * colon and a value.
+ */
 public final class TestClient implements AutoCloseable {
-    /** A selector lets go of a closed connection within 50 ms; scenarios stop a program for 200 ms. */
-    private static final int RESET_MILLIS = 450;
+    /**
+     * How long to wait for a reset. A selector releases a closed connection within 50 ms, and scenarios stop a process
+     * for 200 ms.
+     */
+    private static final int RESET_DELAY_MILLIS = 450;
+
+    private static final int READ_TIMEOUT_MILLIS = 15_000;
 
     public final OutputStream out;
     private final Socket socket;
     private final DataInputStream in;
+    /** Whether the other side is known to have reset the connection. */
     private boolean reset;
     /** The text of the last error. */
     public String message = "";
 
     public TestClient(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(15_000);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         out = socket.getOutputStream();
         in = new DataInputStream(socket.getInputStream());
     }
 
+    /** Sends a query and returns the description of the answer, or "closed" if the query can't be sent. */
     public String ask(String query) throws IOException {
         try {
             MessageWriter.query(query).writeTo(out);
@@ -38,14 +48,14 @@
         return answer();
     }
 
-    /** The messages up to the next that says ready, or the end. */
+    /** Returns the description of the messages up to the next ReadyForQuery or the end of the connection. */
     public String answer() throws IOException {
-        StringBuilder all = new StringBuilder();
+        StringBuilder description = new StringBuilder();
         try {
             while (true) {
                 char type = (char) in.readUnsignedByte();
                 if (type == 'N') {
-                    all.append("N ");
+                    description.append("N ");
                     continue;
                 }
                 byte[] body = new byte[in.readInt() - 4];
@@ -54,7 +64,7 @@
                 if (type == 'E') {
                     message = text.replaceAll("(?s).*\0M([^\0]*)\0.*", "$1");
                 }
-                all.append(type)
+                description.append(type)
                         .append(
                                 switch (type) {
                                     case 'D' -> ":" + HexFormat.of().formatHex(body, 6, Math.min(body.length, 16));
@@ -63,25 +73,26 @@
                                     default -> "";
                                 });
                 if (type == 'Z') {
-                    return all.toString();
+                    return description.toString();
                 }
-                all.append(' ');
+                description.append(' ');
             }
         } catch (EOFException e) {
-            return all + "closed";
+            return description + "closed";
         } catch (SocketException e) {
             reset = true;
-            return all + "closed";
+            return description + "closed";
         }
     }
 
     /**
-     * Whether the other side ended this with something unread, so that it is known not to have been taken: the
-     * operating system tells it by a reset, at once or shortly behind the end.
+     * Returns whether the other side closed the connection while bytes from this client were unread, so that the router
+     * is known not to have taken them. The operating system then sends a reset, with the end of the connection or
+     * shortly after it.
      */
     public boolean reset() throws IOException {
         if (!reset) {
-            StandInThreads.sleep(RESET_MILLIS);
+            StandInThreads.sleep(RESET_DELAY_MILLIS);
             try {
                 out.write('S');
             } catch (SocketException e) {
@@ -91,13 +102,15 @@
         return reset;
     }
 
+    /** Returns the number of bytes that have arrived and are not yet read. */
     public int waiting() throws IOException {
         return in.available();
     }
 
+    /** Returns the description of all messages up to the end of the connection. */
     public String rest() throws IOException {
-        String all = answer();
-        return all.endsWith("closed") ? all : all + " " + rest();
+        String description = answer();
+        return description.endsWith("closed") ? description : description + " " + rest();
     }
 
     @Override
