--- a/src/main/java/beaconladder/testbed/ChildProcesses.java
+++ b/src/main/java/beaconladder/testbed/ChildProcesses.java
@@ -11,13 +11,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** Programs of this project, started as operators start them; only what was started here is ended here. */
+/** Starts programs of this project as operators start them; ends only processes that it has started. */
 public final class ChildProcesses implements AutoCloseable {
-    /** As in deploy/balancer.toml. */
+    private static final int END_SECONDS = 20;
+    /** The JVM flags of {@code deploy/balancer.toml}. */
     private static final List<String> FLAGS =
             List.of("-XX:-UsePerfData", "-Xmx64m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
 
-    /** One of them. */
+    /** A program that can be started, restarted and ended; its output is appended to a log file. */
     public static final class Program {
         private final List<String> command;
         private final String config;
@@ -31,6 +32,7 @@
             this.log = log;
         }
 
+        /** Starts a process of the program. */
         public void start() throws IOException {
             ProcessBuilder builder = new ProcessBuilder(command)
                     .redirectErrorStream(true)
@@ -42,17 +44,17 @@
             process = builder.start();
         }
 
-        /** From its next start on. */
+        /** Sets an environment variable, effective at the next start. */
         public void environment(String name, String value) {
             environment.put(name, value);
         }
 
-        /** Its config from the next start or reload on. */
+        /** Replaces the config file, effective at the next start or reload. */
         public void rewrite(String text) throws IOException {
             Files.writeString(Path.of(config), text);
         }
 
-        /** Of the process started last. */
+        /** Returns the process id of the process that was started last. */
         public long pid() {
             return process.pid();
         }
@@ -61,34 +63,36 @@
             return process != null && process.isAlive();
         }
 
-        /** SIGKILL. */
+        /** Sends SIGKILL and waits for the end of the process. */
         public void kill() {
             process.destroyForcibly();
             process.onExit().join();
         }
 
-        /** Whether it ends by itself within so long. */
+        /** Waits for the process to end by itself; returns whether it did within the time. */
         public boolean ended(long millis) throws InterruptedException {
             return process.waitFor(millis, TimeUnit.MILLISECONDS);
         }
 
-        /** What it ended with. */
+        /** Returns the exit status of the ended process. */
         public int exit() {
             return process.exitValue();
         }
 
-        /** SIGTERM, and the end. */
+        /** Sends SIGTERM and waits for the end; returns the exit status, or -1 if the process is still running. */
         int end() throws InterruptedException {
             process.destroy();
-            return process.waitFor(20, TimeUnit.SECONDS) ? process.exitValue() : -1;
+            return process.waitFor(END_SECONDS, TimeUnit.SECONDS) ? process.exitValue() : -1;
         }
 
+        /** Sends a signal, named as for {@code kill}. */
         public void signal(String name) throws IOException, InterruptedException {
             new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
                     .start()
                     .waitFor();
         }
 
+        /** Returns the text of the log, or of the exception if the log can't be read. */
         public String log() {
             try {
                 return Files.readString(log);
@@ -99,18 +103,18 @@
     }
 
     private final Path folder;
-    private final List<Program> all = new ArrayList<>();
+    private final List<Program> programs = new ArrayList<>();
 
     public ChildProcesses(Path folder) {
         this.folder = folder;
     }
 
-    /** A program that is not yet started; its config may be null. */
+    /** Returns a program that is not yet started; its config may be null. */
     Program program(String name, String config, String... arguments) throws IOException {
         return program(name, config, List.of(), arguments);
     }
 
-    /** One whose JVM gets more flags. */
+    /** Returns a program that is not yet started and whose JVM has additional flags; its config may be null. */
     public Program program(String name, String config, List<String> flags, String... arguments) throws IOException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -118,29 +122,29 @@
         command.addAll(flags);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "beaconladder.app.Main"));
         command.addAll(List.of(arguments));
-        String file = null;
+        String configFile = null;
         if (config != null) {
-            file = folder.resolve(name + ".json").toString();
-            Files.writeString(Path.of(file), config);
+            configFile = folder.resolve(name + ".json").toString();
+            Files.writeString(Path.of(configFile), config);
         }
-        Program program = new Program(command, file, folder.resolve(name + ".log"));
-        synchronized (all) {
-            all.add(program);
+        Program program = new Program(command, configFile, folder.resolve(name + ".log"));
+        synchronized (programs) {
+            programs.add(program);
         }
         return program;
     }
 
-    /** A port that was free a moment ago. */
+    /** Returns a loopback port that was free at the time of the call. */
     public static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            return free.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
     @Override
     public void close() {
-        synchronized (all) {
-            for (Program program : all) {
+        synchronized (programs) {
+            for (Program program : programs) {
                 if (program.alive()) {
                     program.kill();
                 }
