--- a/src/main/java/beaconladder/testbed/TestDeployment.java
+++ b/src/main/java/beaconladder/testbed/TestDeployment.java
@@ -14,14 +14,16 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Hosts, discovery, a keeper and routers, started and ready to be asked. */
+/** Hosts, discovery, a coordinator and routers, started and ready for requests. */
 final class TestDeployment implements AutoCloseable, ClientLoad.Routers {
     private static final String REQUEST_CLASS = """
                 {"name":"%s","effect":"%s","goal_time_us":500000,"give_up_us":1000000,"late_share":0.5,\
                 "key_ttl_us":5000000,"points":%s}""";
     static final int LEASE_MILLIS = 800;
     static final int FENCE_MILLIS = 4_000;
-    private static final int READY_MILLIS = 30_000;
+    private static final int READY_TIMEOUT_MILLIS = 30_000;
+    private static final int READY_POLL_MILLIS = 20;
+    private static final int COORDINATOR_TIMEOUT_MILLIS = 2_000;
 
     final HostFleet ground;
     final ChildProcesses programs;
@@ -29,45 +31,55 @@
     final List<Program> routers = new ArrayList<>();
     final List<Relay> relays = new ArrayList<>();
     final Path plan;
-    private final int keeperPort = ChildProcesses.freePort();
+    private final int coordinatorPort = ChildProcesses.freePort();
     private final List<Integer> ports = new ArrayList<>();
+    /** When each router was last impaired or restored, in Unix milliseconds. */
     private final AtomicLongArray impairedSince;
-    private final AtomicLongArray stopped;
+    /** 1 for each router that is impaired now, otherwise 0. */
+    private final AtomicLongArray impairedNow;
 
     /**
-     * Starts all and waits until they serve.
+     * Starts all processes and waits until the routers answer.
      *
-     * @param tenants lines of the plan beside cells and keeper
-     * @param membersEach hosts in each group
+     * @param folder the folder for plans, logs, config files and the coordinator's records
+     * @param hostsPerGroup the number of hosts in each group
+     * @param lagMillis the replication lag of the first host of a group, in milliseconds
+     * @param tenants the lines of the plan besides those of cells and coordinator
      */
     TestDeployment(
-            Path folder, int cells, int groupsEach, int membersEach, int routerCount, int lagMillis, String tenants)
+            Path folder,
+            int cells,
+            int groupsPerCell,
+            int hostsPerGroup,
+            int routerCount,
+            int lagMillis,
+            String tenants)
             throws IOException, InterruptedException {
-        ground = new HostFleet(cells * groupsEach, membersEach, lagMillis);
+        ground = new HostFleet(cells * groupsPerCell, hostsPerGroup, lagMillis);
         programs = new ChildProcesses(folder);
         impairedSince = new AtomicLongArray(routerCount);
-        stopped = new AtomicLongArray(routerCount);
-        StringBuilder text = new StringBuilder();
+        impairedNow = new AtomicLongArray(routerCount);
+        StringBuilder planText = new StringBuilder();
         for (int cell = 0; cell < cells; cell++) {
-            text.append("(cell c").append(cell).append(" (groups");
-            for (int slot = 0; slot < groupsEach; slot++) {
-                text.append(' ').append(cell * groupsEach + slot);
+            planText.append("(cell c").append(cell).append(" (groups");
+            for (int slot = 0; slot < groupsPerCell; slot++) {
+                planText.append(' ').append(cell * groupsPerCell + slot);
             }
-            text.append("))\n");
+            planText.append("))\n");
         }
-        text.append(tenants);
+        planText.append(tenants);
         plan = folder.resolve("keeper.plan");
-        Files.writeString(plan, text + keeperAt(keeperPort, folder));
+        Files.writeString(plan, planText + coordinatorEntry(coordinatorPort, folder));
         keeper = programs.program("keeper", null, "cells", "keep", "--plan", plan.toString());
         keeper.start();
         for (int i = 0; i < routerCount; i++) {
-            Relay relay = new Relay(keeperPort);
+            Relay relay = new Relay(coordinatorPort);
             relays.add(relay);
-            Path own = folder.resolve("router" + i + ".plan");
-            Files.writeString(own, text + keeperAt(relay.port(), folder));
+            Path routerPlan = folder.resolve("router" + i + ".plan");
+            Files.writeString(routerPlan, planText + coordinatorEntry(relay.port(), folder));
             int port = ChildProcesses.freePort();
             ports.add(port);
-            Program router = programs.program("n" + i, config("n" + i, port), "serve", "--plan", own.toString());
+            Program router = programs.program("n" + i, config("n" + i, port), "serve", "--plan", routerPlan.toString());
             routers.add(router);
             router.start();
         }
@@ -77,7 +89,7 @@
         }
     }
 
-    private String keeperAt(int port, Path folder) {
+    private String coordinatorEntry(int port, Path folder) {
         return "(keeper (at 127.0.0.1:" + port + ") (discovery 127.0.0.1:"
                 + ground.discovery.port()
                 + ") (store \"" + folder.resolve("records") + "\") (lease " + LEASE_MILLIS + "ms) (expiry "
@@ -103,26 +115,26 @@
         return file.formatted(name, port, ground.discovery.port(), ClientLoad.BOUND_MILLIS * 1_000, types);
     }
 
-    /** Waits until a router answers an empty query. */
+    /** Waits until a router answers an empty query; fails with the router's log if it does not in time. */
     void ready(int router) throws InterruptedException {
-        long until = System.currentTimeMillis() + READY_MILLIS;
-        while (System.currentTimeMillis() < until) {
+        long waitUntilMillis = System.currentTimeMillis() + READY_TIMEOUT_MILLIS;
+        while (System.currentTimeMillis() < waitUntilMillis) {
             try (ClientLoad.Line line = new ClientLoad.Line(ports.get(router), router)) {
                 line.send("");
                 if (line.answer()) {
                     return;
                 }
             } catch (IOException e) {
-                Thread.sleep(20);
+                Thread.sleep(READY_POLL_MILLIS);
             }
         }
         throw new IllegalStateException(
                 "router " + router + " is not ready: " + routers.get(router).log());
     }
 
-    /** A router is in impairedSince from now on until the end of it. */
-    void setImpaired(int router, boolean on) {
-        stopped.set(router, on ? 1 : 0);
+    /** Records that a router is impaired from now on, or no longer. */
+    void setImpaired(int router, boolean impaired) {
+        impairedNow.set(router, impaired ? 1 : 0);
         impairedSince.set(router, System.currentTimeMillis());
     }
 
@@ -138,13 +150,18 @@
 
     @Override
     public long impairedSinceMillis(int router) {
-        return stopped.get(router) == 1 ? Long.MAX_VALUE : impairedSince.get(router);
+        return impairedNow.get(router) == 1 ? Long.MAX_VALUE : impairedSince.get(router);
     }
 
-    /** What the keeper answers to an operator; a refusal is the message of the exception. */
+    /**
+     * Returns the coordinator's answer to an operator's request.
+     *
+     * @throws IllegalStateException if the coordinator refuses, with its reason as the message
+     */
     Map<?, ?> keeper(String path) throws IOException {
         try {
-            if (JsonReader.parse(new HttpFetcher(new InetSocketAddress("127.0.0.1", keeperPort), true).get(path, 2_000))
+            if (JsonReader.parse(new HttpFetcher(new InetSocketAddress("127.0.0.1", coordinatorPort), true)
+                            .get(path, COORDINATOR_TIMEOUT_MILLIS))
                     instanceof Map<?, ?> answer) {
                 if (answer.get("error") != null) {
                     throw new IllegalStateException(String.valueOf(answer.get("error")));
@@ -157,28 +174,29 @@
         throw new IOException("no answer that can be read");
     }
 
-    /** The state of a tenant's move: of the one under way, or how the last one ended, or none. */
+    /** Returns the state of a tenant's migration: of the one under way, else of the last that ended, else "none". */
     String state(String tenant) throws IOException {
-        Map<?, ?> all = keeper("/v1/cells");
-        for (Object each : (List<?>) all.get("moves")) {
-            if (((Map<?, ?>) each).get("tenant").equals(tenant)) {
-                return String.valueOf(((Map<?, ?>) each).get("state"));
+        Map<?, ?> cells = keeper("/v1/cells");
+        for (Object migration : (List<?>) cells.get("moves")) {
+            if (((Map<?, ?>) migration).get("tenant").equals(tenant)) {
+                return String.valueOf(((Map<?, ?>) migration).get("state"));
             }
         }
-        return ended(all, tenant, "state");
+        return ended(cells, tenant, "state");
     }
 
-    /** A field of the last move of this tenant that has ended. */
-    static String ended(Map<?, ?> all, String tenant, String field) {
-        String found = "none";
-        for (Object each : (List<?>) all.get("ended")) {
-            if (((Map<?, ?>) each).get("tenant").equals(tenant)) {
-                found = String.valueOf(((Map<?, ?>) each).get(field));
+    /** Returns a field of the tenant's last migration that has ended, or "none". */
+    static String ended(Map<?, ?> cells, String tenant, String field) {
+        String value = "none";
+        for (Object migration : (List<?>) cells.get("ended")) {
+            if (((Map<?, ?>) migration).get("tenant").equals(tenant)) {
+                value = String.valueOf(((Map<?, ?>) migration).get(field));
             }
         }
-        return found;
+        return value;
     }
 
+    /** Returns the cell in which the coordinator has placed a tenant. */
     String cellOf(String tenant) throws IOException {
         return String.valueOf(((Map<?, ?>) keeper("/v1/cells").get("seats")).get(tenant));
     }
