--- a/src/main/java/beaconladder/testbed/Capacity.java
+++ b/src/main/java/beaconladder/testbed/Capacity.java
@@ -1,52 +1,54 @@
 package beaconladder.testbed;
 
 /**
- * What a service bears: so many lines a second, each call its lines and some more. Calls wait in turn, also those that
- * nobody waits for any more; one that would wait too long is turned away at once.
+ * The capacity of a service as a queue that is served at a constant rate of lines per second. Each call costs its lines
+ * and a fixed overhead. Calls are served in the order of their arrival, even if the client has given up; a call that
+ * would take too long is rejected at once.
  */
 public final class Capacity {
-    private static final double NANOS = 1e9;
-    private final double lineNanos;
-    private final int callLines;
-    private final long longest;
-    private long busyUntil = System.nanoTime();
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private final double nanosPerLine;
+    private final int linesPerCall;
+    private final long maxCallNanos;
+    private long busyUntilNanos = System.nanoTime();
     private long refused;
 
     /**
-     * Makes one that is idle.
+     * Creates an idle service.
      *
-     * @param lines it sends in a second
-     * @param callLines a call costs beside its lines
-     * @param longest milliseconds that a call may take, its turn included
+     * @param linesPerSecond the number of lines that the service sends in a second
+     * @param linesPerCall the overhead of a call, in lines
+     * @param maxMillis the longest time that a call may take, waiting included, in milliseconds
      */
-    public Capacity(int lines, int callLines, int longest) {
-        lineNanos = NANOS / lines;
-        this.callLines = callLines;
-        this.longest = longest * 1_000_000L;
+    public Capacity(int linesPerSecond, int linesPerCall, int maxMillis) {
+        nanosPerLine = NANOS_PER_SECOND / linesPerSecond;
+        this.linesPerCall = linesPerCall;
+        this.maxCallNanos = maxMillis * NANOS_PER_MILLI;
     }
 
-    /** Returns once a call of so many lines has had its turn; false at once where it is turned away. */
+    /** Waits until a call of this many lines is served and returns true, or returns false at once if it is rejected. */
     boolean serve(int lines) {
-        long until;
+        long doneAtNanos;
         synchronized (this) {
             long now = System.nanoTime();
-            until = Math.max(busyUntil, now) + (long) ((lines + callLines) * lineNanos);
-            if (until - now > longest) {
+            doneAtNanos = Math.max(busyUntilNanos, now) + (long) ((lines + linesPerCall) * nanosPerLine);
+            if (doneAtNanos - now > maxCallNanos) {
                 refused++;
                 return false;
             }
-            busyUntil = until;
+            busyUntilNanos = doneAtNanos;
         }
-        StandInThreads.sleep((int) Math.max(0, (until - System.nanoTime()) / 1_000_000));
+        StandInThreads.sleep((int) Math.max(0, (doneAtNanos - System.nanoTime()) / NANOS_PER_MILLI));
         return true;
     }
 
-    /** Takes up all of what it bears for so long: a burst that others make. */
+    /** Occupies the whole capacity for a time, as a burst of other clients' calls would. */
     public synchronized void occupy(int millis) {
-        busyUntil = Math.max(busyUntil, System.nanoTime()) + millis * 1_000_000L;
+        busyUntilNanos = Math.max(busyUntilNanos, System.nanoTime()) + millis * NANOS_PER_MILLI;
     }
 
-    /** How many calls were turned away. */
+    /** Returns the number of calls that were rejected. */
     public synchronized long refused() {
         return refused;
     }
--- a/src/main/java/beaconladder/testbed/ChangeLog.java
+++ b/src/main/java/beaconladder/testbed/ChangeLog.java
@@ -8,69 +8,73 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A list of hosts by versions: the whole of it, and what has changed since any of them. */
+/** A versioned list of hosts: gives the whole list, and the changes since any version. */
 final class ChangeLog {
     private record Change(boolean full, List<String> entries) {}
 
     private static final Pattern ID = Pattern.compile("\"id\"\\s*:\\s*\"([^\"]*)\"");
-    /** The change at place n made version n + 1. */
+    /** The changes in order; the change at index n led to version n + 1. */
     private final List<Change> changes = new ArrayList<>();
 
-    private String whole;
+    /** The JSON of the whole list at the current version, or null if it has to be built. */
+    private String fullList;
 
     int version() {
         return changes.size();
     }
 
+    /** Adds a version. Each string may hold several entries, joined by commas. */
     void add(boolean full, List<String> entries) {
-        List<String> each = new ArrayList<>();
-        entries.forEach(some -> each.addAll(List.of(some.split("(?<=\\})\\s*,\\s*(?=\\{)"))));
-        changes.add(new Change(full, each));
-        whole = null;
+        List<String> separateEntries = new ArrayList<>();
+        entries.forEach(joined -> separateEntries.addAll(List.of(joined.split("(?<=\\})\\s*,\\s*(?=\\{)"))));
+        changes.add(new Change(full, separateEntries));
+        fullList = null;
     }
 
-    /** The whole list; nothing before there is one. */
-    String whole() {
-        if (whole == null) {
-            whole = changes.isEmpty() ? "" : body(true, collect(0).values());
+    /** Returns the JSON of the whole list, or an empty string before the first version. */
+    String fullList() {
+        if (fullList == null) {
+            fullList = changes.isEmpty() ? "" : json(true, collect(0).values());
         }
-        return whole;
+        return fullList;
     }
 
-    /** What has changed since that version: the whole list where it was set anew meanwhile. */
-    String since(int index) {
-        if (index >= version()) {
-            return body(false, List.of());
+    /** Returns the JSON of the changes since a version, or of the whole list if it has been replaced since then. */
+    String changesSince(int version) {
+        if (version >= version()) {
+            return json(false, List.of());
         }
-        return changes.subList(index, version()).stream().anyMatch(Change::full)
-                ? whole()
-                : body(false, collect(index).values());
+        return changes.subList(version, version()).stream().anyMatch(Change::full)
+                ? fullList()
+                : json(false, collect(version).values());
     }
 
-    int entriesSince(int index) {
-        return index >= version() ? 0 : collect(Math.max(0, index)).size();
+    /** Returns how many entries have changed since a version; a negative version counts as 0. */
+    int entriesSince(int version) {
+        return version >= version() ? 0 : collect(Math.max(0, version)).size();
     }
 
-    private Map<String, String> collect(int from) {
+    /** Returns the newest entry of each host that has changed since a version; from version 0, without those gone. */
+    private Map<String, String> collect(int fromVersion) {
         Map<String, String> entries = new LinkedHashMap<>();
-        for (Change change : changes.subList(from, version())) {
+        for (Change change : changes.subList(fromVersion, version())) {
             if (change.full()) {
                 entries.clear();
             }
             change.entries().forEach(e -> entries.put(id(e), e));
         }
-        if (from == 0) {
+        if (fromVersion == 0) {
             entries.values().removeIf(e -> e.contains("\"Gone\""));
         }
         return entries;
     }
 
     private static String id(String entry) {
-        Matcher id = ID.matcher(entry);
-        return id.find() ? id.group(1) : entry;
+        Matcher matcher = ID.matcher(entry);
+        return matcher.find() ? matcher.group(1) : entry;
     }
 
-    private String body(boolean full, Collection<String> entries) {
+    private String json(boolean full, Collection<String> entries) {
         return "{\"version\":" + version() + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
     }
 }
--- a/src/main/java/beaconladder/testbed/DiscoveryStandIn.java
+++ b/src/main/java/beaconladder/testbed/DiscoveryStandIn.java
@@ -15,41 +15,48 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Discovery's agent. */
+/** Stands in for discovery: serves the endpoint list and its changes over HTTP, in a configurable manner. */
 public final class DiscoveryStandIn implements AutoCloseable {
-    /**
-     * How it takes a call: half an answer then silence, half an answer then an end, a byte now and then, all of it
-     * without its length and then a reset.
-     */
+    /** How the stand-in handles a request. */
     public enum Manner {
         ANSWER,
+        /** Sends nothing and keeps the connection open. */
         SILENT,
+        /** Sends half of the answer, then nothing, and keeps the connection open. */
         HALF,
+        /** Sends half of the answer and closes the connection. */
         CUT,
+        /** Sends the answer one byte at a time, with a pause after each. */
         DRIP,
+        /** Sends the whole answer without its Content-Length and resets the connection. */
         RESET
     }
 
     private static final int DRIP_MILLIS = 20;
 
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    /** The number of requests received. */
     public final AtomicInteger calls = new AtomicInteger();
+    /** The text sent in place of each answer before the connection is closed, or null. */
     public volatile String garbage;
     public volatile Manner manner = Manner.ANSWER;
-    /** So long each answer is late. */
+    /** How long each answer is delayed. */
     public volatile int lateMillis;
-    /** The longest it waits for news, whatever it is asked; short, so that nonsense has its turn soon. */
+    /**
+     * The longest time that a request waits for a change, whatever wait it asks for. It is short so that invalid
+     * answers reach the client soon.
+     */
     public volatile int waitMillis = 200;
-    /** Connections of an earlier age are cut off: they stay open, and nothing comes on them any more. */
-    private final AtomicInteger age = new AtomicInteger();
-    /** What it bears, or null for an agent, which bears all. */
+    /** The current generation of connections; those of earlier ones stay open but receive nothing more. */
+    private final AtomicInteger generation = new AtomicInteger();
+    /** The limit on the load of requests, or null for an agent, which has no limit. */
     public volatile Capacity capacity;
-    /** Bytes of its answers. */
+    /** The number of bytes of all answers. */
     public final AtomicLong bytes = new AtomicLong();
-    /** What it was asked, in turn. */
+    /** The paths of the requests, in the order of their arrival. */
     public final List<String> paths = new CopyOnWriteArrayList<>();
 
-    private ChangeLog log = new ChangeLog();
+    private ChangeLog changeLog = new ChangeLog();
 
     public DiscoveryStandIn() throws IOException {
         StandInThreads.spawn(() -> {
@@ -60,66 +67,68 @@
         });
     }
 
+    /** Publishes a new version: the whole list if {@code full}, otherwise the entries that change. */
     public synchronized void list(boolean full, String... entries) {
-        log.add(full, List.of(entries));
+        changeLog.add(full, List.of(entries));
         notifyAll();
     }
 
-    /** It begins anew with this list: nothing of earlier versions is known to it. */
+    /** Simulates a restart that loses all earlier versions: begins with this list as version 1. */
     public synchronized void restart(String... entries) {
-        log = new ChangeLog();
+        changeLog = new ChangeLog();
         list(true, entries);
     }
 
-    /** The port at which it listens on the loopback address. */
+    /** Returns the port on which the stand-in listens, on the loopback address. */
     public int port() {
         return listener.getLocalPort();
     }
 
-    /** The connections that are open now fall silent for good; new ones are served. */
+    /** Stops answering on the connections that are open now, without closing them; new ones are served. */
     public void silenceOpenConnections() {
-        age.incrementAndGet();
+        generation.incrementAndGet();
     }
 
     private void serve(Socket socket) throws IOException {
-        int born = age.get();
+        int openedInGeneration = generation.get();
         try (socket) {
             while (true) {
-                ByteArrayOutputStream head = new ByteArrayOutputStream();
-                while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
-                    int c = socket.getInputStream().read();
-                    if (c < 0) {
+                ByteArrayOutputStream requestHead = new ByteArrayOutputStream();
+                while (!requestHead.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
+                    int nextByte = socket.getInputStream().read();
+                    if (nextByte < 0) {
                         return;
                     }
-                    head.write(c);
+                    requestHead.write(nextByte);
                 }
                 calls.incrementAndGet();
-                String path = head.toString(StandardCharsets.US_ASCII).split(" ")[1];
+                String path = requestHead.toString(StandardCharsets.US_ASCII).split(" ")[1];
                 paths.add(path);
-                Capacity bears = capacity;
-                if (bears != null && !bears.serve(lines(path))) {
+                Capacity currentCapacity = capacity;
+                if (currentCapacity != null && !currentCapacity.serve(entryCount(path))) {
                     socket.getOutputStream()
                             .write(("HTTP/1.1 503 Service Unavailable\r\n" + "Content-Length: 0\r\n\r\n")
                                     .getBytes(StandardCharsets.US_ASCII));
                     continue;
                 }
-                String body = body(path);
+                String json = json(path);
                 StandInThreads.sleep(lateMillis);
-                String bad = garbage;
-                byte[] answer = (bad != null
-                                ? bad
-                                : "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                String invalidAnswer = garbage;
+                byte[] answer = (invalidAnswer != null
+                                ? invalidAnswer
+                                : "HTTP/1.1 200 OK\r\nContent-Length: " + json.length() + "\r\n\r\n" + json)
                         .getBytes(StandardCharsets.US_ASCII);
                 bytes.addAndGet(answer.length);
-                if (!say(socket, born < age.get() ? Manner.SILENT : manner, answer) || bad != null) {
+                if (!send(socket, openedInGeneration < generation.get() ? Manner.SILENT : manner, answer)
+                        || invalidAnswer != null) {
                     return;
                 }
             }
         }
     }
 
-    /** Answers in this manner; false when the connection is at its end. */
-    private static boolean say(Socket socket, Manner manner, byte[] answer) throws IOException {
+    /** Sends an answer in this manner; returns false if the connection is to be closed. */
+    private static boolean send(Socket socket, Manner manner, byte[] answer) throws IOException {
         OutputStream out = socket.getOutputStream();
         switch (manner) {
             case ANSWER -> out.write(answer);
@@ -132,7 +141,7 @@
             case RESET -> {
                 String text = new String(answer, StandardCharsets.US_ASCII);
                 out.write(text.replaceFirst("\r\nContent-Length: \\d+", "").getBytes(StandardCharsets.US_ASCII));
-                // What was written is read first, then the reset is met.
+                // The delay lets the client read the answer before it meets the reset.
                 StandInThreads.sleep(DRIP_MILLIS);
                 socket.setSoLinger(true, 0);
                 socket.close();
@@ -149,30 +158,31 @@
         return manner == Manner.ANSWER || manner == Manner.DRIP;
     }
 
+    /** Returns the version after which the client asks for changes, or -1 if it asks for the whole list. */
     private static int index(String path) {
         return path.contains("index=") ? Integer.parseInt(path.replaceAll(".*index=(\\d+).*", "$1")) : -1;
     }
 
-    /** The entries of an answer that was given now. */
-    private synchronized int lines(String path) {
-        return log.entriesSince(index(path));
+    /** Returns the number of entries that an answer would have if it were sent now. */
+    private synchronized int entryCount(String path) {
+        return changeLog.entriesSince(index(path));
     }
 
-    private synchronized String body(String path) {
+    private synchronized String json(String path) {
         int index = index(path);
         if (index < 0) {
-            return log.whole();
+            return changeLog.fullList();
         }
-        int wait = Math.min(waitMillis, Integer.parseInt(path.replaceAll(".*wait=(\\d+).*", "$1")));
+        int limitMillis = Math.min(waitMillis, Integer.parseInt(path.replaceAll(".*wait=(\\d+).*", "$1")));
         try {
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(wait);
-            while (index >= log.version() && System.nanoTime() < until) {
-                TimeUnit.NANOSECONDS.timedWait(this, Math.max(1, until - System.nanoTime()));
+            long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMillis);
+            while (index >= changeLog.version() && System.nanoTime() < untilNanos) {
+                TimeUnit.NANOSECONDS.timedWait(this, Math.max(1, untilNanos - System.nanoTime()));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return log.since(index);
+        return changeLog.changesSince(index);
     }
 
     @Override
