--- a/src/main/java/beaconladder/testbed/DatagramRelay.java
+++ b/src/main/java/beaconladder/testbed/DatagramRelay.java
@@ -10,16 +10,17 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** Passes datagrams on from one process to another, or drops, delays and doubles them; late ones are overtaken. */
+/** Relays datagrams from one process to another and drops, delays, duplicates and thereby reorders them. */
 final class DatagramRelay implements AutoCloseable {
-    private static final int LONGEST = 8 * 1024;
+    private static final int STACK_BYTES = 128 * 1024;
+    private static final int MAX_DATAGRAM_BYTES = 8 * 1024;
 
     private final DatagramSocket socket;
-    private final DatagramSocket out = new DatagramSocket();
+    private final DatagramSocket outgoing = new DatagramSocket();
     private final InetSocketAddress to;
-    private final SplittableRandom chance;
-    private final ScheduledThreadPoolExecutor later = new ScheduledThreadPoolExecutor(1, task -> {
-        Thread thread = new Thread(null, task, "datagrams", 128 * 1024);
+    private final SplittableRandom random;
+    private final ScheduledThreadPoolExecutor delayedSends = new ScheduledThreadPoolExecutor(1, task -> {
+        Thread thread = new Thread(null, task, "datagrams", STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     });
@@ -28,49 +29,50 @@
     DatagramRelay(InetSocketAddress at, InetSocketAddress to, long seed) throws IOException {
         this.socket = new DatagramSocket(at);
         this.to = to;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
         StandInThreads.spawn(() -> {
-            DatagramPacket packet = new DatagramPacket(new byte[LONGEST], LONGEST);
+            DatagramPacket packet = new DatagramPacket(new byte[MAX_DATAGRAM_BYTES], MAX_DATAGRAM_BYTES);
             while (true) {
-                packet.setLength(LONGEST);
+                packet.setLength(MAX_DATAGRAM_BYTES);
                 socket.receive(packet);
-                pass(Arrays.copyOf(packet.getData(), packet.getLength()));
+                relay(Arrays.copyOf(packet.getData(), packet.getLength()));
             }
         });
     }
 
-    void weather(Weather next) {
-        weather = next;
+    /** Sets the faults for datagrams that arrive from now on. */
+    void weather(Weather newWeather) {
+        weather = newWeather;
     }
 
-    private void pass(byte[] bytes) throws IOException {
-        Weather now = weather;
-        if (chance.nextInt(1_000) < now.drops()) {
+    private void relay(byte[] bytes) throws IOException {
+        Weather currentWeather = weather;
+        if (random.nextInt(1_000) < currentWeather.dropsPerMille()) {
             return;
         }
-        int times = chance.nextInt(1_000) < now.doubles() ? 2 : 1;
-        for (int i = 0; i < times; i++) {
-            int keeps = chance.nextInt(now.keepsMillis() + 1);
-            if (keeps == 0) {
+        int copies = random.nextInt(1_000) < currentWeather.duplicatesPerMille() ? 2 : 1;
+        for (int i = 0; i < copies; i++) {
+            int delayMillis = random.nextInt(currentWeather.maxDelayMillis() + 1);
+            if (delayMillis == 0) {
                 send(bytes);
             } else {
-                later.schedule(() -> send(bytes), keeps, TimeUnit.MILLISECONDS);
+                delayedSends.schedule(() -> send(bytes), delayMillis, TimeUnit.MILLISECONDS);
             }
         }
     }
 
     private void send(byte[] bytes) {
         try {
-            out.send(new DatagramPacket(bytes, bytes.length, to));
+            outgoing.send(new DatagramPacket(bytes, bytes.length, to));
         } catch (IOException e) {
-            // Nobody listens there now.
+            // No process listens at the address at present; a datagram may be lost.
         }
     }
 
     @Override
     public void close() {
-        later.shutdownNow();
+        delayedSends.shutdownNow();
         socket.close();
-        out.close();
+        outgoing.close();
     }
 }
--- a/src/main/java/beaconladder/testbed/FaultRelay.java
+++ b/src/main/java/beaconladder/testbed/FaultRelay.java
@@ -14,81 +14,104 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stands between two processes and does to what they say to each other what networks do. It passes bytes on, or,
- * between an HTTP client and its server, whole messages: those it can drop, delay, send twice and let overtake each
- * other. Each direction can be held on its own; what is held is passed on late once it is mended, as TCP does.
+ * Relays connections between two processes and injects network faults. It relays bytes or, between an HTTP client and
+ * its server, whole messages, which it can drop, delay, duplicate and reorder. Each direction can be held on its own;
+ * what is held is passed on after the release, as by TCP after an interruption.
  */
 final class FaultRelay implements AutoCloseable {
-    /** How often a message is dropped and sent twice, and how long it is kept at the most; of a thousand each. */
-    record Weather(int drops, int doubles, int keepsMillis) {
+    /**
+     * The faults of a network.
+     *
+     * @param dropsPerMille how many of a thousand messages are dropped
+     * @param duplicatesPerMille how many of a thousand messages are sent twice
+     * @param maxDelayMillis the longest delay of a message in one direction, in milliseconds; a duplicate that a
+     *     relay of HTTP messages sends comes once to twice this time later
+     */
+    record Weather(int dropsPerMille, int duplicatesPerMille, int maxDelayMillis) {
         static final Weather FAIR = new Weather(0, 0, 0);
         static final Weather FOUL = new Weather(80, 150, 400);
     }
 
-    private static final int HEAD_MOST = 64 * 1024;
-    /** Nobody waits longer for an answer here. */
-    private static final int ANSWER_MILLIS = 10_000;
+    /** All routers of a region connect at once; with a shorter backlog some would wait 1 s for TCP's next attempt. */
+    private static final int BACKLOG = 1024;
+
+    private static final int BUFFER_BYTES = 16 * 1024;
+    private static final int MAX_HEAD_BYTES = 64 * 1024;
+    /** The timeout of connecting and of reading an answer; no client of a relay waits longer. */
+    private static final int ANSWER_TIMEOUT_MILLIS = 10_000;
 
     private final ServerSocket listener = new ServerSocket();
     private final InetSocketAddress to;
-    private final boolean messages;
-    private final SplittableRandom chance;
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
+    private final boolean relaysMessages;
+    private final SplittableRandom random;
+    private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
     private volatile Weather weather = Weather.FAIR;
-    private boolean heldThere;
-    private boolean heldBack;
+    private boolean requestsHeld;
+    private boolean answersHeld;
+    /** The number of messages, or of blocks of bytes, that were passed on. */
     final AtomicLong sent = new AtomicLong();
+    /** The number of bytes that were passed on, in both directions. */
     final AtomicLong bytes = new AtomicLong();
 
-    /** Listens at this address (port 0 for any) and passes on to the other. */
-    FaultRelay(InetSocketAddress at, InetSocketAddress to, boolean messages, long seed) throws IOException {
+    /**
+     * Starts a relay.
+     *
+     * @param at the address to listen on, with port 0 for any free port
+     * @param to the address of the server
+     * @param relaysMessages whether to relay whole HTTP messages rather than bytes
+     * @param seed the seed of the random faults
+     */
+    FaultRelay(InetSocketAddress at, InetSocketAddress to, boolean relaysMessages, long seed) throws IOException {
         this.to = to;
-        this.messages = messages;
-        this.chance = new SplittableRandom(seed);
+        this.relaysMessages = relaysMessages;
+        this.random = new SplittableRandom(seed);
         listener.setReuseAddress(true);
-        // A region's routers come at once; with a shorter queue some would wait for TCP's next try, a second.
-        listener.bind(at, 1024);
+        listener.bind(at, BACKLOG);
         StandInThreads.spawn(() -> {
             while (true) {
-                Socket in = listener.accept();
-                open.add(in);
+                Socket clientSocket = listener.accept();
+                openSockets.add(clientSocket);
                 StandInThreads.spawn(() -> {
                     try {
-                        if (messages) {
-                            answerAll(in);
+                        if (relaysMessages) {
+                            relayMessages(clientSocket);
                         } else {
-                            join(in);
+                            relayBytes(clientSocket);
                         }
                     } finally {
-                        close(in);
+                        close(clientSocket);
                     }
                 });
             }
         });
     }
 
+    /** Starts a relay of whole messages on a free loopback port. */
     static FaultRelay toServer(InetSocketAddress to, long seed) throws IOException {
         return new FaultRelay(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), to, true, seed);
     }
 
+    /** Returns the address on which the relay listens. */
     InetSocketAddress at() {
         return new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort());
     }
 
-    void weather(Weather next) {
-        weather = next;
+    /** Sets the faults for messages that arrive from now on. */
+    void weather(Weather newWeather) {
+        weather = newWeather;
     }
 
-    /** What is held from now on: what goes there, what comes back. */
-    synchronized void hold(boolean there, boolean back) {
-        heldThere = there;
-        heldBack = back;
+    /** Holds or releases what goes to the server, and what comes from it. */
+    synchronized void hold(boolean towardsServer, boolean towardsClient) {
+        requestsHeld = towardsServer;
+        answersHeld = towardsClient;
         notifyAll();
     }
 
-    private synchronized void pass(boolean there) throws IOException {
+    /** Waits until the given direction is not held. */
+    private synchronized void awaitRelease(boolean towardsServer) throws IOException {
         try {
-            while (there ? heldThere : heldBack) {
+            while (towardsServer ? requestsHeld : answersHeld) {
                 wait();
             }
         } catch (InterruptedException e) {
@@ -96,115 +119,120 @@
         }
     }
 
-    private void join(Socket in) throws IOException {
-        Socket out = new Socket();
-        open.add(out);
-        pass(true);
-        out.connect(to, ANSWER_MILLIS);
-        in.setTcpNoDelay(true);
-        out.setTcpNoDelay(true);
+    private void relayBytes(Socket clientSocket) throws IOException {
+        Socket serverSocket = new Socket();
+        openSockets.add(serverSocket);
+        awaitRelease(true);
+        serverSocket.connect(to, ANSWER_TIMEOUT_MILLIS);
+        clientSocket.setTcpNoDelay(true);
+        serverSocket.setTcpNoDelay(true);
         StandInThreads.spawn(() -> {
             try {
-                copy(out, in, false);
+                copy(serverSocket, clientSocket, false);
             } finally {
-                close(in);
-                close(out);
+                close(clientSocket);
+                close(serverSocket);
             }
         });
         try {
-            copy(in, out, true);
+            copy(clientSocket, serverSocket, true);
         } finally {
-            close(out);
+            close(serverSocket);
         }
     }
 
-    private void copy(Socket from, Socket into, boolean there) throws IOException {
-        byte[] buffer = new byte[16 * 1024];
-        for (int n = from.getInputStream().read(buffer);
-                n >= 0;
-                n = from.getInputStream().read(buffer)) {
-            pass(there);
+    private void copy(Socket from, Socket into, boolean towardsServer) throws IOException {
+        byte[] buffer = new byte[BUFFER_BYTES];
+        for (int count = from.getInputStream().read(buffer);
+                count >= 0;
+                count = from.getInputStream().read(buffer)) {
+            awaitRelease(towardsServer);
             sent.incrementAndGet();
-            bytes.addAndGet(n);
-            into.getOutputStream().write(buffer, 0, n);
+            bytes.addAndGet(count);
+            into.getOutputStream().write(buffer, 0, count);
         }
-        pass(there);
+        awaitRelease(towardsServer);
     }
 
-    private void answerAll(Socket in) throws IOException {
-        in.setTcpNoDelay(true);
-        for (byte[] asked = head(in.getInputStream()); asked != null; asked = head(in.getInputStream())) {
-            Weather now = weather;
-            byte[] message = asked;
-            if (draw(1_000) < now.drops()) {
-                // Whoever sent it gives up in the end.
-                in.getInputStream().read();
+    private void relayMessages(Socket clientSocket) throws IOException {
+        clientSocket.setTcpNoDelay(true);
+        for (byte[] request = readHead(clientSocket.getInputStream());
+                request != null;
+                request = readHead(clientSocket.getInputStream())) {
+            Weather currentWeather = weather;
+            byte[] message = request;
+            if (draw(1_000) < currentWeather.dropsPerMille()) {
+                // Keeps the connection open until the client gives up.
+                clientSocket.getInputStream().read();
                 return;
             }
-            if (draw(1_000) < now.doubles()) {
-                int later = draw(now.keepsMillis() + 1) + now.keepsMillis();
+            if (draw(1_000) < currentWeather.duplicatesPerMille()) {
+                int duplicateDelayMillis = draw(currentWeather.maxDelayMillis() + 1) + currentWeather.maxDelayMillis();
                 StandInThreads.spawn(() -> {
-                    StandInThreads.sleep(later);
-                    pass(true);
-                    ask(message);
+                    StandInThreads.sleep(duplicateDelayMillis);
+                    awaitRelease(true);
+                    exchange(message);
                 });
             }
-            StandInThreads.sleep(draw(now.keepsMillis() + 1));
-            pass(true);
-            byte[] answer = ask(message);
-            StandInThreads.sleep(draw(now.keepsMillis() + 1));
-            pass(false);
-            in.getOutputStream().write(answer);
+            StandInThreads.sleep(draw(currentWeather.maxDelayMillis() + 1));
+            awaitRelease(true);
+            byte[] answer = exchange(message);
+            StandInThreads.sleep(draw(currentWeather.maxDelayMillis() + 1));
+            awaitRelease(false);
+            clientSocket.getOutputStream().write(answer);
         }
     }
 
-    private synchronized int draw(int below) {
-        return chance.nextInt(below);
+    /** Returns a random number from 0 to below the bound. */
+    private synchronized int draw(int bound) {
+        return random.nextInt(bound);
     }
 
-    /** Each message takes a connection of its own, so that one can overtake another. */
-    private byte[] ask(byte[] message) throws IOException {
+    /** Sends a message and returns the answer; each uses its own connection, so that one can overtake another. */
+    private byte[] exchange(byte[] message) throws IOException {
         sent.incrementAndGet();
         bytes.addAndGet(message.length);
-        try (Socket out = new Socket()) {
-            out.connect(to, ANSWER_MILLIS);
-            out.setSoTimeout(ANSWER_MILLIS);
-            out.getOutputStream().write(message);
-            byte[] head = head(out.getInputStream());
-            if (head == null) {
+        try (Socket serverSocket = new Socket()) {
+            serverSocket.connect(to, ANSWER_TIMEOUT_MILLIS);
+            serverSocket.setSoTimeout(ANSWER_TIMEOUT_MILLIS);
+            serverSocket.getOutputStream().write(message);
+            byte[] headBytes = readHead(serverSocket.getInputStream());
+            if (headBytes == null) {
                 throw new IOException("no answer");
             }
-            String text = new String(head, StandardCharsets.US_ASCII).toLowerCase(java.util.Locale.ROOT);
+            String text = new String(headBytes, StandardCharsets.US_ASCII).toLowerCase(java.util.Locale.ROOT);
             int length = Integer.parseInt(text.replaceAll("(?s).*content-length: *([0-9]+).*", "$1"));
-            ByteArrayOutputStream all = new ByteArrayOutputStream();
-            all.write(head);
-            all.write(out.getInputStream().readNBytes(length));
-            bytes.addAndGet(all.size());
-            return all.toByteArray();
+            ByteArrayOutputStream answer = new ByteArrayOutputStream();
+            answer.write(headBytes);
+            answer.write(serverSocket.getInputStream().readNBytes(length));
+            bytes.addAndGet(answer.size());
+            return answer.toByteArray();
         }
     }
 
-    /** A message's head with the empty line behind it, or null at the end. */
-    private static byte[] head(InputStream in) throws IOException {
-        ByteArrayOutputStream head = new ByteArrayOutputStream();
-        int ends = 0;
-        while (ends < 4 && head.size() < HEAD_MOST) {
-            int c = in.read();
-            if (c < 0) {
+    /** Returns the head of a message up to and including the empty line, or null at the end of the connection. */
+    private static byte[] readHead(InputStream stream) throws IOException {
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
+        int matchedBytes = 0;
+        while (matchedBytes < 4 && received.size() < MAX_HEAD_BYTES) {
+            int nextByte = stream.read();
+            if (nextByte < 0) {
                 return null;
             }
-            head.write(c);
-            ends = c == (ends % 2 == 0 ? '\r' : '\n') ? ends + 1 : c == '\r' ? 1 : 0;
+            received.write(nextByte);
+            matchedBytes = nextByte == (matchedBytes % 2 == 0 ? '\r' : '\n')
+                    ? matchedBytes + 1
+                    : nextByte == '\r' ? 1 : 0;
         }
-        return head.toByteArray();
+        return received.toByteArray();
     }
 
     private void close(Socket socket) {
-        open.remove(socket);
+        openSockets.remove(socket);
         try {
             socket.close();
         } catch (IOException e) {
-            // It is gone either way.
+            // The socket is of no further use in either case.
         }
     }
 
@@ -212,6 +240,6 @@
     public void close() throws IOException {
         listener.close();
         hold(false, false);
-        open.forEach(this::close);
+        openSockets.forEach(this::close);
     }
 }
--- a/src/main/java/beaconladder/testbed/Relay.java
+++ b/src/main/java/beaconladder/testbed/Relay.java
@@ -7,29 +7,31 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Passes connections on to a port, until it is cut: then those that are open fall silent and new ones are refused. */
+/** Relays connections to a loopback port. While it is cut, it closes open connections and each new one. */
 final class Relay implements AutoCloseable {
+    private static final int BUFFER_BYTES = 16 * 1024;
+
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final int to;
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
+    private final int targetPort;
+    private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
     private volatile boolean cut;
 
-    Relay(int to) throws IOException {
-        this.to = to;
+    Relay(int targetPort) throws IOException {
+        this.targetPort = targetPort;
         StandInThreads.spawn(() -> {
             while (true) {
-                Socket in = listener.accept();
+                Socket clientSocket = listener.accept();
                 if (cut) {
-                    in.close();
+                    clientSocket.close();
                     continue;
                 }
                 try {
-                    Socket out = new Socket(InetAddress.getLoopbackAddress(), to);
-                    open.addAll(List.of(in, out));
-                    StandInThreads.spawn(() -> pass(in, out));
-                    StandInThreads.spawn(() -> pass(out, in));
+                    Socket serverSocket = new Socket(InetAddress.getLoopbackAddress(), targetPort);
+                    openSockets.addAll(List.of(clientSocket, serverSocket));
+                    StandInThreads.spawn(() -> copyBytes(clientSocket, serverSocket));
+                    StandInThreads.spawn(() -> copyBytes(serverSocket, clientSocket));
                 } catch (IOException e) {
-                    in.close();
+                    clientSocket.close();
                 }
             }
         });
@@ -39,31 +41,33 @@
         return listener.getLocalPort();
     }
 
-    private void pass(Socket from, Socket into) throws IOException {
-        byte[] buffer = new byte[16 * 1024];
+    private void copyBytes(Socket from, Socket into) throws IOException {
+        byte[] buffer = new byte[BUFFER_BYTES];
         try (from;
                 into) {
-            for (int n = from.getInputStream().read(buffer);
-                    n >= 0;
-                    n = from.getInputStream().read(buffer)) {
+            for (int count = from.getInputStream().read(buffer);
+                    count >= 0;
+                    count = from.getInputStream().read(buffer)) {
                 if (cut) {
                     return;
                 }
-                into.getOutputStream().write(buffer, 0, n);
+                into.getOutputStream().write(buffer, 0, count);
             }
         } finally {
-            open.remove(from);
-            open.remove(into);
+            openSockets.remove(from);
+            openSockets.remove(into);
         }
     }
 
+    /** Closes all connections, and new ones until {@link #mend}. */
     void cut() throws IOException {
         cut = true;
-        for (Socket each : open) {
-            each.close();
+        for (Socket socket : openSockets) {
+            socket.close();
         }
     }
 
+    /** Relays new connections again. */
     void mend() {
         cut = false;
     }
--- a/src/main/java/beaconladder/testbed/RouterFile.java
+++ b/src/main/java/beaconladder/testbed/RouterFile.java
@@ -3,7 +3,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The file that tells a router what it needs, with four txn types before hosts of one group. */
+/** Builds the config file of a router with four request classes and the hosts of one group. */
 public final class RouterFile {
     private static final String REQUEST_CLASS = """
                 {"name":"%s","effect":"%s","goal_time_us":500000,"give_up_us":2000000,"late_share":0.5,\
@@ -12,13 +12,17 @@
     private RouterFile() {}
 
     /**
-     * The file's text.
+     * Returns the text of the file.
      *
+     * @param name the name of the router
+     * @param port the loopback port on which the router listens
+     * @param sockets the limit on sockets
+     * @param memoryMb the limit on memory, in megabytes
      * @param known the entries of hosts as last listed, joined by commas
      */
     public static String of(
             String name, int port, DiscoveryStandIn discovery, int sockets, int memoryMb, String known) {
-        String types = Stream.of("any", "fresh", "own", "write")
+        String requestClasses = Stream.of("any", "fresh", "own", "write")
                 .map(type -> REQUEST_CLASS.formatted(type, type.equals("write") ? "side_effect" : "pure"))
                 .collect(Collectors.joining(","));
         String file = """
@@ -30,6 +34,6 @@
                    "dial_timeout_us":250000,"conn_idle_us":3000000},
                   "load_report":{"fields":["x0","x1","rif"],"how":"inline"},"parties":[{"name":"acme"}],
                   "round_us":5000,"replicas_of_me":1,"zones":["east","west"],"request_classes":[%s]}}""";
-        return file.formatted(name, port, discovery.port(), sockets, memoryMb, known, types);
+        return file.formatted(name, port, discovery.port(), sockets, memoryMb, known, requestClasses);
     }
 }
--- a/src/main/java/beaconladder/testbed/SharedStandIn.java
+++ b/src/main/java/beaconladder/testbed/SharedStandIn.java
@@ -13,19 +13,29 @@
 import java.util.concurrent.Executors;
 import java.util.function.LongSupplier;
 
-/** A resource that one process of the fleet may act on at a time; it refuses what comes late and notes all it saw. */
+/**
+ * Stands in for a resource on which one process of the fleet may act at a time. It rejects requests with a stale token
+ * or an expired lease, and records all requests.
+ */
 final class SharedStandIn implements AutoCloseable {
-    /** What came: when by the true time, from whom, under which token, and whether it was done. */
+    /**
+     * A request to act on a resource.
+     *
+     * @param at when it arrived, in nanoseconds of this process's monotonic clock, which no fault changes
+     * @param token the fencing token of the holder's lease
+     * @param until the end of the lease as the holder sent it
+     * @param verdict whether the resource admitted the request, or why not
+     */
     record Act(long at, int resource, String holder, long token, long until, FencingGuard.Decision verdict) {}
 
     private final HttpServer server =
             HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200);
     private final int number;
     private final LongSupplier clock;
-    private final Map<String, FencingGuard> fences = new HashMap<>();
+    private final Map<String, FencingGuard> guardsByTask = new HashMap<>();
     private final List<Act> acts = new ArrayList<>();
 
-    /** A resource whose own clock this is. */
+    /** Starts a resource that reads the given clock to decide whether a lease has expired. */
     SharedStandIn(int number, LongSupplier clock) throws IOException {
         this.number = number;
         this.clock = clock;
@@ -35,15 +45,15 @@
             return thread;
         }));
         server.createContext("/act", exchange -> {
-            Map<String, String> asked = new HashMap<>();
+            Map<String, String> parameters = new HashMap<>();
             for (String pair : exchange.getRequestURI().getQuery().split("&")) {
-                asked.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
+                parameters.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
             }
             byte[] body = act(
-                            asked.get("task"),
-                            asked.get("holder"),
-                            Long.parseLong(asked.get("token")),
-                            Long.parseLong(asked.get("until")))
+                            parameters.get("task"),
+                            parameters.get("holder"),
+                            Long.parseLong(parameters.get("token")),
+                            Long.parseLong(parameters.get("until")))
                     .getBytes(StandardCharsets.US_ASCII);
             try (exchange) {
                 exchange.sendResponseHeaders(200, body.length);
@@ -55,12 +65,13 @@
 
     private synchronized String act(String task, String holder, long token, long until) {
         FencingGuard.Admission admission =
-                fences.getOrDefault(task, FencingGuard.initial()).admit(token, until, clock.getAsLong());
-        fences.put(task, admission.next());
+                guardsByTask.getOrDefault(task, FencingGuard.initial()).admit(token, until, clock.getAsLong());
+        guardsByTask.put(task, admission.next());
         acts.add(new Act(System.nanoTime(), number, holder, token, until, admission.decision()));
         return admission.decision().name();
     }
 
+    /** Returns the address on which the resource listens. */
     InetSocketAddress at() {
         return server.getAddress();
     }
