--- a/src/main/java/beaconladder/testbed/ClientLoad.java
+++ b/src/main/java/beaconladder/testbed/ClientLoad.java
@@ -97,6 +97,7 @@
         /** The text of the last error. */
         String message = "";
 
+        /** Connects to a router and reads its greeting. */
         Line(int port, int router) throws IOException {
             this.router = router;
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
@@ -138,6 +139,7 @@
             }
         }
 
+        /** Sets how long a read waits, at least 1 ms. */
         void timeout(int millis) throws IOException {
             socket.setSoTimeout(Math.max(1, millis));
         }
@@ -147,6 +149,7 @@
             return in.available() > 0;
         }
 
+        /** Returns the SQLSTATE of the last answer, or null if it was no error. */
         String code() {
             return code;
         }
--- a/src/main/java/beaconladder/testbed/HostStandIn.java
+++ b/src/main/java/beaconladder/testbed/HostStandIn.java
@@ -94,10 +94,12 @@
     public volatile int greetMillis;
 
     public volatile boolean closesAfterAnswer;
+    /** Whether the host has stopped sending for good. */
     public volatile boolean vanished;
     /** The position at which replay has stopped, in Unix time in milliseconds, or 0 while the position advances. */
     public volatile long stoppedAt;
 
+    /** Starts a host with the given role, {@code leader} or {@code follower}, on a free port. */
     public HostStandIn(String role) throws IOException {
         this.role = role;
         listen(listener);
--- a/src/main/java/beaconladder/testbed/SharedStandIn.java
+++ b/src/main/java/beaconladder/testbed/SharedStandIn.java
@@ -23,7 +23,7 @@
      *
      * @param at when it arrived, in nanoseconds of this process's monotonic clock, which no fault changes
      * @param token the fencing token of the holder's lease
-     * @param until the end of the lease as the holder sent it
+     * @param until when the holder's permit ends, as sent by the holder, in Unix nanoseconds
      * @param verdict whether the resource admitted the request, or why not
      */
     record Act(long at, int resource, String holder, long token, long until, FencingGuard.Decision verdict) {}
@@ -35,7 +35,7 @@
     private final Map<String, FencingGuard> guardsByTask = new HashMap<>();
     private final List<Act> acts = new ArrayList<>();
 
-    /** Starts a resource that reads the given clock to decide whether a lease has expired. */
+    /** Starts a resource that decides by the given clock, in Unix nanoseconds, whether a lease has expired. */
     SharedStandIn(int number, LongSupplier clock) throws IOException {
         this.number = number;
         this.clock = clock;
@@ -63,11 +63,11 @@
         server.start();
     }
 
-    private synchronized String act(String task, String holder, long token, long until) {
+    private synchronized String act(String task, String holder, long token, long deadlineNanos) {
         FencingGuard.Admission admission =
-                guardsByTask.getOrDefault(task, FencingGuard.initial()).admit(token, until, clock.getAsLong());
+                guardsByTask.getOrDefault(task, FencingGuard.initial()).admit(token, deadlineNanos, clock.getAsLong());
         guardsByTask.put(task, admission.next());
-        acts.add(new Act(System.nanoTime(), number, holder, token, until, admission.decision()));
+        acts.add(new Act(System.nanoTime(), number, holder, token, deadlineNanos, admission.decision()));
         return admission.decision().name();
     }
 
--- a/src/main/java/beaconladder/testbed/TestDeployment.java
+++ b/src/main/java/beaconladder/testbed/TestDeployment.java
@@ -43,7 +43,7 @@
      *
      * @param folder the folder for plans, logs, config files and the coordinator's records
      * @param hostsPerGroup the number of hosts in each group
-     * @param lagMillis the replication lag of the first host of a group, in milliseconds
+     * @param lagMillis the lag of a group's first host, in milliseconds; each further host has 1 ms more
      * @param tenants the lines of the plan besides those of cells and coordinator
      */
     TestDeployment(
