--- a/src/main/java/beaconladder/testbed/ClientLoad.java
+++ b/src/main/java/beaconladder/testbed/ClientLoad.java
@@ -60,6 +60,7 @@
         private long lastAttempted;
         /** The newest version that is known to be committed. */
         private long committed;
+
         private String committedId;
         /** The position that the session's own reads require, in Unix milliseconds, or 0 before the first commit. */
         private long afterMillis;
--- a/src/main/java/beaconladder/testbed/DiscoveryStandIn.java
+++ b/src/main/java/beaconladder/testbed/DiscoveryStandIn.java
@@ -39,6 +39,7 @@
     public final AtomicInteger calls = new AtomicInteger();
     /** The text sent in place of each answer before the connection is closed, or null. */
     public volatile String garbage;
+
     public volatile Manner manner = Manner.ANSWER;
     /** How long each answer is delayed. */
     public volatile int lateMillis;
--- a/src/main/java/beaconladder/testbed/FaultRelay.java
+++ b/src/main/java/beaconladder/testbed/FaultRelay.java
@@ -24,8 +24,8 @@
      *
      * @param dropsPerMille how many of a thousand messages are dropped
      * @param duplicatesPerMille how many of a thousand messages are sent twice
-     * @param maxDelayMillis the longest delay of a message in one direction, in milliseconds; a duplicate that a
-     *     relay of HTTP messages sends comes once to twice this time later
+     * @param maxDelayMillis the longest delay of a message in one direction, in milliseconds; a duplicate that a relay
+     *     of HTTP messages sends comes once to twice this time later
      */
     record Weather(int dropsPerMille, int duplicatesPerMille, int maxDelayMillis) {
         static final Weather FAIR = new Weather(0, 0, 0);
@@ -220,9 +220,8 @@
                 return null;
             }
             received.write(nextByte);
-            matchedBytes = nextByte == (matchedBytes % 2 == 0 ? '\r' : '\n')
-                    ? matchedBytes + 1
-                    : nextByte == '\r' ? 1 : 0;
+            matchedBytes =
+                    nextByte == (matchedBytes % 2 == 0 ? '\r' : '\n') ? matchedBytes + 1 : nextByte == '\r' ? 1 : 0;
         }
         return received.toByteArray();
     }
--- a/src/main/java/beaconladder/testbed/HostFleet.java
+++ b/src/main/java/beaconladder/testbed/HostFleet.java
@@ -21,6 +21,7 @@
     private final Map<Integer, List<ReplicatedHost>> groups = new LinkedHashMap<>();
     /** The state of each host in the endpoint list, by host id. */
     private final Map<String, String> states = new LinkedHashMap<>();
+
     private final Map<Integer, ReplicatedHost> primaries = new ConcurrentHashMap<>();
     final DiscoveryStandIn discovery = new DiscoveryStandIn();
     final Queue<Ran> ran = new ConcurrentLinkedQueue<>();
--- a/src/main/java/beaconladder/testbed/HostStandIn.java
+++ b/src/main/java/beaconladder/testbed/HostStandIn.java
@@ -81,9 +81,11 @@
     private final List<Long> arrivalsMillis = new CopyOnWriteArrayList<>();
     /** The number of connections that ended from the other side. */
     public final AtomicInteger closed = new AtomicInteger();
+
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     /** The role in the protocol's words: {@code leader} for a primary, {@code follower} for a replica. */
     private volatile String role;
+
     public volatile Manner manner = Manner.ANSWER;
 
     /** The column value of each answer. */
--- a/src/main/java/beaconladder/testbed/PipeliningClients.java
+++ b/src/main/java/beaconladder/testbed/PipeliningClients.java
@@ -33,6 +33,7 @@
 
     /** Queries that were answered, served or declined. */
     public final AtomicInteger answered = new AtomicInteger();
+
     public final AtomicInteger served = new AtomicInteger();
     public final AtomicInteger declined = new AtomicInteger();
     /** Connections that were reset while their unanswered queries were still unread. */
@@ -42,6 +43,7 @@
 
     /** Queries that have been answered, to detect a second answer. */
     private final Set<String> answeredQueries = ConcurrentHashMap.newKeySet();
+
     private final List<HostStandIn> hosts;
     private final IntPredicate wasKilled;
 
--- a/src/main/java/beaconladder/testbed/TestClient.java
+++ b/src/main/java/beaconladder/testbed/TestClient.java
@@ -64,7 +64,8 @@
                 if (type == 'E') {
                     message = text.replaceAll("(?s).*\0M([^\0]*)\0.*", "$1");
                 }
-                description.append(type)
+                description
+                        .append(type)
                         .append(
                                 switch (type) {
                                     case 'D' -> ":" + HexFormat.of().formatHex(body, 6, Math.min(body.length, 16));
