--- a/src/main/java/beaconladder/app/LabCommand.java
+++ b/src/main/java/beaconladder/app/LabCommand.java
@@ -45,7 +45,7 @@
             mixinStandardHelpOptions = true,
             description = "Routers between stand-ins for some seconds, with a drain, a move and a failover.")
     int demo() throws IOException, InterruptedException {
-        return new Demo(spec.commandLine().getOut()).play() ? 0 : 1;
+        return new Demo(spec.commandLine().getOut()).run() ? 0 : 1;
     }
 
     @Command(
@@ -53,7 +53,7 @@
             mixinStandardHelpOptions = true,
             description = "The same installation, until it is ended: move a tenant by hand.")
     void up() throws IOException, InterruptedException {
-        new Demo(spec.commandLine().getOut()).stay();
+        new Demo(spec.commandLine().getOut()).runUntilStopped();
     }
 
     @Command(
@@ -93,7 +93,7 @@
                                 small ? Size.SMALL : Size.FULL,
                                 seed,
                                 spec.commandLine().getOut())
-                        .play(from, !noFlood)
+                        .run(from, !noFlood)
                 ? 0
                 : 1;
     }
@@ -113,7 +113,7 @@
             return named(LeaseScenario.Fault.values());
         }
         return new LeaseScenario(seed, spec.commandLine().getOut())
-                        .play(faults == null ? List.of(LeaseScenario.Fault.values()) : faults, count)
+                        .run(faults == null ? List.of(LeaseScenario.Fault.values()) : faults, count)
                 ? 0
                 : 1;
     }
@@ -136,7 +136,7 @@
             throw new ParameterException(spec.commandLine(), "1 to 200 routers");
         }
         return new RestartScenario(seed, routers, spec.commandLine().getOut())
-                        .play(faults == null ? List.of(RestartScenario.Fault.values()) : faults)
+                        .run(faults == null ? List.of(RestartScenario.Fault.values()) : faults)
                 ? 0
                 : 1;
     }
--- a/src/main/java/beaconladder/testbed/CellsScenario.java
+++ b/src/main/java/beaconladder/testbed/CellsScenario.java
@@ -21,11 +21,11 @@
 import java.util.stream.Stream;
 
 /**
- * The scenario of cells: usual clients at several routers, a flood in one cell, and moves that are interrupted by a
- * script drawn from the seed; judged by what clients and hosts saw.
+ * Runs clients at several routers, a flood in one cell, and migrations that a fault script drawn from the seed
+ * interrupts, and checks what clients and hosts saw.
  */
 public final class CellsScenario {
-    /** What may happen to a move. */
+    /** Faults that may be injected during a migration. */
     public enum Fault {
         NONE,
         KILL_ROUTER,
@@ -42,10 +42,10 @@
         DRAIN
     }
 
-    /** In which state of the move it happens. */
+    /** States of a migration in which a fault may be injected, in their order. */
     private static final List<String> STATES = List.of("copying", "fenced", "sealed", "switched");
 
-    private static final Set<Fault> IN_THE_FENCE = EnumSet.of(
+    private static final Set<Fault> DURING_FENCE = EnumSet.of(
             Fault.SOURCE_FAILS,
             Fault.TARGET_FAILS,
             Fault.LOST_TAIL,
@@ -54,57 +54,57 @@
             Fault.UNDO,
             Fault.SECOND_MOVE,
             Fault.RELOAD);
-    /** Other cells' service may move so much for a flood. */
-    private static final double FLOOD_LIMIT = 0.01;
+    /** By how much a flood may reduce the share of transactions served in other cells. */
+    private static final double MAX_SERVICE_LOSS = 0.01;
 
-    private static final int WINDOW_MILLIS = 3_000;
-    /** A flood is so many times what its cell is usually asked. */
-    private static final int FLOOD_TIMES = 20;
+    private static final int FLOOD_WINDOW_MILLIS = 3_000;
+    /** Rate of a flood as a multiple of its cell's usual rate. */
+    private static final int FLOOD_MULTIPLE = 20;
 
-    private static final int SLOW_MILLIS = 250;
+    private static final int SLOW_HOST_MILLIS = 250;
     private static final int BUSY_SESSIONS = 4;
-    private static final int MOVE_MILLIS = 25_000;
-    private static final int HEAL_MILLIS = 1_200;
+    private static final int MOVE_TIMEOUT_MILLIS = 25_000;
+    private static final int RECOVERY_MILLIS = 1_200;
 
-    /** How large it is. */
-    public record Size(int cells, int tenants, int routers, int clients, int restMillis, int moves) {
+    /** Size of the deployment, its load, and the number of migrations. */
+    public record Size(int cells, int tenants, int routers, int clients, int pauseMillis, int moves) {
         public static final Size FULL = new Size(8, 200, 4, 64, 60, 5);
         public static final Size SMALL = new Size(3, 24, 2, 16, 40, 3);
     }
 
-    /** A step of the script. */
-    private record Planned(Fault fault, String at, int router, String tenant, String to) {}
+    /** A migration of the script: its fault, and the state in which the fault is injected. */
+    private record PlannedMove(Fault fault, String faultState, int router, String tenant, String to) {}
 
     private final Size size;
     private final long seed;
     private final PrintWriter out;
-    private final SplittableRandom chance;
-    private final InvariantChecker judge = new InvariantChecker();
-    private final List<Long> fences = new ArrayList<>();
-    private final List<Long> recoveries = new ArrayList<>();
-    private final Map<String, Integer> ends = new TreeMap<>();
-    private final Map<String, Integer> hit = new TreeMap<>();
-    private final List<InvariantChecker.Broken> broken = new ArrayList<>();
-    private TestDeployment installation;
-    private int[] homes;
+    private final SplittableRandom random;
+    private final InvariantChecker checker = new InvariantChecker();
+    private final List<Long> fenceMillis = new ArrayList<>();
+    private final List<Long> recoveryMillis = new ArrayList<>();
+    private final Map<String, Integer> movesByEnd = new TreeMap<>();
+    private final Map<String, Integer> movesByFault = new TreeMap<>();
+    private final List<InvariantChecker.Violation> violations = new ArrayList<>();
+    private TestDeployment deployment;
+    private int[] homeCells;
 
     public CellsScenario(Size size, long seed, PrintWriter out) {
         this.size = size;
         this.seed = seed;
         this.out = out;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
     }
 
     /**
-     * Plays it.
+     * Runs the scenario and prints the violations and figures.
      *
-     * @param faults from which the script is drawn
-     * @param withFlood whether a tenant floods as well
-     * @return whether every rule held
+     * @param faults the faults from which the script is drawn
+     * @param withFlood whether one tenant also floods its cell
+     * @return whether there was no violation
      */
-    public boolean play(List<Fault> faults, boolean withFlood) throws IOException, InterruptedException {
+    public boolean run(List<Fault> faults, boolean withFlood) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("rehearsal");
-        long started = System.currentTimeMillis();
+        long startedMillis = System.currentTimeMillis();
         ObjectNode figures = new ObjectMapper().createObjectNode();
         figures.put("rehearsal", "cells")
                 .put("seed", seed)
@@ -112,47 +112,55 @@
                 .put("tenants", size.tenants())
                 .put("routers", size.routers());
         try (TestDeployment all = new TestDeployment(folder, size.cells(), 1, 3, size.routers(), 15, tenants())) {
-            installation = all;
+            deployment = all;
             List<String> names = new ArrayList<>();
-            homes = new int[size.tenants()];
+            homeCells = new int[size.tenants()];
             int[] groups = new int[size.tenants()];
             for (int i = 0; i < size.tenants(); i++) {
                 names.add(name(i));
-                homes[i] = i % size.cells();
-                groups[i] = homes[i];
+                homeCells[i] = i % size.cells();
+                groups[i] = homeCells[i];
             }
             try (ClientLoad load = new ClientLoad(
-                    judge, all, names, homes, groups, "k", size.clients(), size.restMillis(), chance.nextLong())) {
+                    checker,
+                    all,
+                    names,
+                    homeCells,
+                    groups,
+                    "k",
+                    size.clients(),
+                    size.pauseMillis(),
+                    random.nextLong())) {
                 load.await(1_500);
                 if (withFlood) {
                     flood(figures);
                 }
-                List<Planned> script = script(faults);
-                for (Planned step : script) {
-                    move(step);
+                List<PlannedMove> script = script(faults);
+                for (PlannedMove step : script) {
+                    runMove(step);
                 }
                 Thread.sleep(500);
             }
-            // Replicas catch up before the last look.
+            // Lets replicas catch up before the check.
             Thread.sleep(300);
-            broken.addAll(judge.broken(all.ground, group -> group));
+            violations.addAll(checker.findViolations(all.ground, group -> group));
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
-                if (broken.isEmpty()) {
+                if (violations.isEmpty()) {
                     files.sorted(Comparator.reverseOrder())
                             .forEach(file -> file.toFile().delete());
                 } else {
-                    out.println("the programs' logs are in " + folder);
+                    out.println("logs are in " + folder);
                 }
             }
         }
-        report(figures, System.currentTimeMillis() - started);
-        return broken.isEmpty();
+        report(figures, System.currentTimeMillis() - startedMillis);
+        return violations.isEmpty();
     }
 
-    /** The last tenth are not stated: their keys are spread. */
+    /** Names a tenant; the plan does not list the last tenth, whose keys are spread over cells. */
     private String name(int i) {
-        return i >= size.tenants() * 9 / 10 ? InvariantChecker.SPREAD + i : "t" + i;
+        return i >= size.tenants() * 9 / 10 ? InvariantChecker.SPREAD_TENANT_PREFIX + i : "t" + i;
     }
 
     private String tenants() {
@@ -169,16 +177,16 @@
         return text + "(others (spread 2) (share 20%))\n";
     }
 
-    private List<Planned> script(List<Fault> faults) {
-        List<Planned> script = new ArrayList<>();
-        // Each move takes another tenant, so that none comes back to a cell that it has left.
+    private List<PlannedMove> script(List<Fault> faults) {
+        List<PlannedMove> script = new ArrayList<>();
+        // Each migration moves another tenant, so that none returns to a cell that it left.
         for (int i = 0; i < size.moves(); i++) {
             int tenant = 1 + i;
-            int to = (tenant % size.cells() + 1 + chance.nextInt(size.cells() - 1)) % size.cells();
-            script.add(new Planned(
-                    faults.get(chance.nextInt(faults.size())),
-                    STATES.get(chance.nextInt(STATES.size())),
-                    chance.nextInt(size.routers()),
+            int to = (tenant % size.cells() + 1 + random.nextInt(size.cells() - 1)) % size.cells();
+            script.add(new PlannedMove(
+                    faults.get(random.nextInt(faults.size())),
+                    STATES.get(random.nextInt(STATES.size())),
+                    random.nextInt(size.routers()),
                     "t" + tenant,
                     "c" + to));
         }
@@ -188,48 +196,53 @@
     // ---- The flood ----------------------------------------------------------------------------------------
 
     private void flood(ObjectNode figures) throws InterruptedException {
-        Flood.Kind kind = Flood.Kind.values()[chance.nextInt(Flood.Kind.values().length)];
-        boolean[] others = InvariantChecker.all(size.cells());
+        Flood.Kind kind = Flood.Kind.values()[random.nextInt(Flood.Kind.values().length)];
+        boolean[] others = InvariantChecker.allCells(size.cells());
         others[0] = false;
         boolean[] own = new boolean[size.cells()];
         own[0] = true;
-        long from = System.currentTimeMillis();
-        Thread.sleep(WINDOW_MILLIS);
-        long middle = System.currentTimeMillis();
-        int usual = Math.max(10, (int) (judge.asked.stream()
-                        .filter(t -> t.sent() >= from && t.cell() == 0)
+        long fromMillis = System.currentTimeMillis();
+        Thread.sleep(FLOOD_WINDOW_MILLIS);
+        long floodStartMillis = System.currentTimeMillis();
+        int usualPerSecond = Math.max(10, (int) (checker.asked.stream()
+                        .filter(t -> t.sentMillis() >= fromMillis && t.cell() == 0)
                         .count()
                 * 1_000
-                / WINDOW_MILLIS));
+                / FLOOD_WINDOW_MILLIS));
         long served;
         long declined;
-        // Its hosts are slow, so that what is asked piles up in the routers.
-        installation.ground.members(0).forEach(member -> member.delayMillis = SLOW_MILLIS);
-        try (Flood flood = new Flood(installation, kind, "t0", 0, FLOOD_TIMES * usual)) {
-            Thread.sleep(WINDOW_MILLIS);
+        // Slow hosts make requests queue up in the routers.
+        deployment.ground.members(0).forEach(member -> member.delayMillis = SLOW_HOST_MILLIS);
+        try (Flood flood = new Flood(deployment, kind, "t0", 0, FLOOD_MULTIPLE * usualPerSecond)) {
+            Thread.sleep(FLOOD_WINDOW_MILLIS);
             served = flood.served();
             declined = flood.declined();
         }
-        installation.ground.members(0).forEach(member -> member.delayMillis = 0);
-        long to = System.currentTimeMillis();
-        double without = judge.service(from, middle, others);
-        double with = judge.service(middle, to, others);
+        deployment.ground.members(0).forEach(member -> member.delayMillis = 0);
+        long toMillis = System.currentTimeMillis();
+        double servedBefore = checker.servedShare(fromMillis, floodStartMillis, others);
+        double servedDuring = checker.servedShare(floodStartMillis, toMillis, others);
         ObjectNode node = figures.putObject("flood")
                 .put("kind", kind.name().toLowerCase(java.util.Locale.ROOT))
-                .put("asked_per_second", FLOOD_TIMES * usual)
+                .put("asked_per_second", FLOOD_MULTIPLE * usualPerSecond)
                 .put("served", served)
                 .put("declined", declined);
-        node.put("others_without", round(without))
-                .put("others_with", round(with))
-                .put("own_without", round(judge.service(from, middle, own)))
-                .put("own_with", round(judge.service(middle, to, own)))
-                .put("others_p99_without_ms", judge.quantile(0.99, from, middle, others))
-                .put("others_p99_with_ms", judge.quantile(0.99, middle, to, others));
+        node.put("others_without", round(servedBefore))
+                .put("others_with", round(servedDuring))
+                .put("own_without", round(checker.servedShare(fromMillis, floodStartMillis, own)))
+                .put("own_with", round(checker.servedShare(floodStartMillis, toMillis, own)))
+                .put("others_p99_without_ms", checker.quantile(0.99, fromMillis, floodStartMillis, others))
+                .put("others_p99_with_ms", checker.quantile(0.99, floodStartMillis, toMillis, others));
         out.printf(
                 "flood %s: other cells %.4f to %.4f, its own %.3f to %.3f%n",
-                kind, without, with, judge.service(from, middle, own), judge.service(middle, to, own));
-        if (without - with > FLOOD_LIMIT) {
-            broken.add(new InvariantChecker.Broken("a flood cost other cells service", 1, without + " to " + with));
+                kind,
+                servedBefore,
+                servedDuring,
+                checker.servedShare(fromMillis, floodStartMillis, own),
+                checker.servedShare(floodStartMillis, toMillis, own));
+        if (servedBefore - servedDuring > MAX_SERVICE_LOSS) {
+            violations.add(new InvariantChecker.Violation(
+                    "a flood reduced the service of other cells", 1, servedBefore + " to " + servedDuring));
         }
         Thread.sleep(500);
     }
@@ -238,67 +251,71 @@
         return Math.round(value * 10_000) / 10_000.0;
     }
 
-    // ---- Moves and what injector them ----------------------------------------------------------------------
+    // ---- Migrations and their faults -----------------------------------------------------------------------
 
-    /** A move, with sessions of its tenant that write and read without rest, at one router and another. */
-    private void move(Planned step) throws IOException, InterruptedException {
+    /** Migrates a tenant while sessions of it write and read continuously at several routers. */
+    private void runMove(PlannedMove step) throws IOException, InterruptedException {
         int home = Integer.parseInt(step.tenant().substring(1)) % size.cells();
         try (ClientLoad busy = new ClientLoad(
-                judge,
-                installation,
+                checker,
+                deployment,
                 List.of(step.tenant()),
                 new int[] {home},
                 new int[] {home},
                 "m" + step.tenant() + "-",
                 BUSY_SESSIONS,
                 2,
-                chance.nextLong())) {
+                random.nextLong())) {
             busy.await(200);
-            moves(step);
+            awaitMove(step);
         }
     }
 
-    private void moves(Planned step) throws IOException, InterruptedException {
+    private void awaitMove(PlannedMove step) throws IOException, InterruptedException {
         String from = "c" + Integer.parseInt(step.tenant().substring(1)) % size.cells();
         int source = Integer.parseInt(from.substring(1));
         int target = Integer.parseInt(step.to().substring(1));
         if (step.fault() == Fault.LOSE_ANSWERS) {
-            installation.ground.primary(source).loseAnswers.set(5);
+            deployment.ground.primary(source).loseAnswers.set(5);
         }
-        // A router that does not hear holds the fence up for the rest of its lease and an expiry: time to
-        // fail in.
-        Relay silent = step.at().equals("fenced") && IN_THE_FENCE.contains(step.fault())
-                ? installation.relays.get((step.router() + 1) % size.routers())
+        // A router cut off from the coordinator prolongs the fence by the rest of its lease and an expiry, which
+        // leaves time to inject the fault.
+        Relay cutRelay = step.faultState().equals("fenced") && DURING_FENCE.contains(step.fault())
+                ? deployment.relays.get((step.router() + 1) % size.routers())
                 : null;
-        if (silent != null) {
-            silent.cut();
+        if (cutRelay != null) {
+            cutRelay.cut();
         }
-        installation.keeper("/v1/move?tenant=" + step.tenant() + "&to=" + step.to());
-        long proposed = System.currentTimeMillis();
-        long fenced = 0;
-        long opened = 0;
-        boolean done = step.fault() == Fault.NONE || step.fault() == Fault.LOSE_ANSWERS;
-        String at = "";
+        deployment.keeper("/v1/move?tenant=" + step.tenant() + "&to=" + step.to());
+        long proposedMillis = System.currentTimeMillis();
+        long fencedMillis = 0;
+        long fenceLiftedMillis = 0;
+        boolean injected = step.fault() == Fault.NONE || step.fault() == Fault.LOSE_ANSWERS;
+        String injectedState = "";
         Thread injector = null;
         String state = "proposed";
-        while (System.currentTimeMillis() < proposed + MOVE_MILLIS) {
+        while (System.currentTimeMillis() < proposedMillis + MOVE_TIMEOUT_MILLIS) {
             try {
-                state = installation.state(step.tenant());
+                state = deployment.state(step.tenant());
             } catch (IOException e) {
-                // The keeper is away for now.
+                // The coordinator is restarting.
                 Thread.sleep(5);
                 continue;
             }
-            boolean over = state.equals("done") || state.equals("undone");
-            long now = System.currentTimeMillis();
-            fenced = fenced == 0 && (state.equals("fenced") || state.equals("sealed")) ? now : fenced;
-            opened = opened == 0 && fenced > 0 && (state.equals("switched") || over) ? now : opened;
-            if (!done && (over || STATES.indexOf(state) >= STATES.indexOf(step.at()))) {
-                done = true;
-                at = state;
+            boolean ended = state.equals("done") || state.equals("undone");
+            long nowMillis = System.currentTimeMillis();
+            fencedMillis = fencedMillis == 0 && (state.equals("fenced") || state.equals("sealed"))
+                    ? nowMillis
+                    : fencedMillis;
+            fenceLiftedMillis = fenceLiftedMillis == 0 && fencedMillis > 0 && (state.equals("switched") || ended)
+                    ? nowMillis
+                    : fenceLiftedMillis;
+            if (!injected && (ended || STATES.indexOf(state) >= STATES.indexOf(step.faultState()))) {
+                injected = true;
+                injectedState = state;
                 injector = StandInThreads.spawn(() -> inject(step, source, target));
             }
-            if (over) {
+            if (ended) {
                 break;
             }
             Thread.sleep(2);
@@ -306,85 +323,88 @@
         if (injector != null) {
             injector.join(20_000);
         }
-        if (silent != null) {
-            silent.mend();
+        if (cutRelay != null) {
+            cutRelay.mend();
         }
-        if (fenced > 0 && opened > 0) {
-            fences.add(opened - fenced);
+        if (fencedMillis > 0 && fenceLiftedMillis > 0) {
+            fenceMillis.add(fenceLiftedMillis - fencedMillis);
         }
-        ends.merge(state, 1, Integer::sum);
-        hit.merge(
-                step.fault().name().toLowerCase(java.util.Locale.ROOT) + (at.isEmpty() ? "" : " at " + at),
+        movesByEnd.merge(state, 1, Integer::sum);
+        movesByFault.merge(
+                step.fault().name().toLowerCase(java.util.Locale.ROOT)
+                        + (injectedState.isEmpty() ? "" : " at " + injectedState),
                 1,
                 Integer::sum);
-        String lives = installation.cellOf(step.tenant());
-        String why = TestDeployment.ended(installation.keeper("/v1/cells"), step.tenant(), "why");
+        String finalCell = deployment.cellOf(step.tenant());
+        String why = TestDeployment.ended(deployment.keeper("/v1/cells"), step.tenant(), "why");
         out.printf(
                 "move %s %s to %s, %s%s: %s%s, fence %d ms, %d ms in all%n",
                 step.tenant(),
                 from,
                 step.to(),
                 step.fault(),
-                at.isEmpty() ? "" : " at " + at,
+                injectedState.isEmpty() ? "" : " at " + injectedState,
                 state,
                 why.equals("null") || why.equals("none") ? "" : " (" + why + ")",
-                fenced == 0 ? 0 : opened - fenced,
-                System.currentTimeMillis() - proposed);
+                fencedMillis == 0 ? 0 : fenceLiftedMillis - fencedMillis,
+                System.currentTimeMillis() - proposedMillis);
         if (!state.equals("done") && !state.equals("undone")) {
-            broken.add(new InvariantChecker.Broken("a move did not end", 1, step + " stands at " + state));
-        } else if (!lives.equals(state.equals("done") ? step.to() : from)) {
-            broken.add(new InvariantChecker.Broken("a move ended where it should not", 1, step + " lives in " + lives));
+            violations.add(new InvariantChecker.Violation("a move did not end", 1, step + " is in state " + state));
+        } else if (!finalCell.equals(state.equals("done") ? step.to() : from)) {
+            violations.add(new InvariantChecker.Violation(
+                    "a move ended where it should not", 1, step + " is in cell " + finalCell));
         }
         Thread.sleep(300);
     }
 
-    private void inject(Planned step, int source, int target) throws IOException {
+    private void inject(PlannedMove step, int source, int target) throws IOException {
         try {
             int router = step.router();
             switch (step.fault()) {
                 case KILL_ROUTER -> killRouter(router);
                 case KILL_KEEPER -> {
-                    installation.keeper.kill();
-                    long from = System.currentTimeMillis();
-                    installation.keeper.start();
-                    while (!answers()) {
+                    deployment.keeper.kill();
+                    long startMillis = System.currentTimeMillis();
+                    deployment.keeper.start();
+                    while (!coordinatorResponds()) {
                         Thread.sleep(5);
                     }
-                    recoveries.add(System.currentTimeMillis() - from);
+                    recoveryMillis.add(System.currentTimeMillis() - startMillis);
                 }
                 case STALL_ROUTER -> {
-                    installation.setImpaired(router, true);
-                    installation.routers.get(router).signal("STOP");
+                    deployment.setImpaired(router, true);
+                    deployment.routers.get(router).signal("STOP");
                     Thread.sleep(TestDeployment.LEASE_MILLIS + 1_600);
-                    installation.routers.get(router).signal("CONT");
+                    deployment.routers.get(router).signal("CONT");
                     Thread.sleep(200);
-                    installation.setImpaired(router, false);
+                    deployment.setImpaired(router, false);
                 }
                 case CUT_ROUTER -> {
-                    installation.relays.get(router).cut();
-                    Thread.sleep(TestDeployment.LEASE_MILLIS + HEAL_MILLIS);
-                    installation.relays.get(router).mend();
+                    deployment.relays.get(router).cut();
+                    Thread.sleep(TestDeployment.LEASE_MILLIS + RECOVERY_MILLIS);
+                    deployment.relays.get(router).mend();
                 }
-                case SOURCE_FAILS -> fail(source, false);
-                case TARGET_FAILS -> fail(target, false);
-                case LOST_TAIL -> fail(source, true);
-                case SECOND_MOVE -> refused("/v1/move?tenant=" + step.tenant() + "&to=" + step.to(), "a second move");
+                case SOURCE_FAILS -> failOver(source, false);
+                case TARGET_FAILS -> failOver(target, false);
+                case LOST_TAIL -> failOver(source, true);
+                case SECOND_MOVE ->
+                    expectRejected("/v1/move?tenant=" + step.tenant() + "&to=" + step.to(), "a second move");
                 case UNDO -> {
                     try {
-                        installation.keeper("/v1/undo?tenant=" + step.tenant());
+                        deployment.keeper("/v1/undo?tenant=" + step.tenant());
                     } catch (IllegalStateException e) {
-                        // It has switched or ended: that is told, and it stays.
+                        // The migration has switched or ended already, so the undo is rejected.
                     }
                 }
                 case RELOAD -> {
-                    installation.keeper.signal("HUP");
-                    for (ChildProcesses.Program each : installation.routers) {
+                    deployment.keeper.signal("HUP");
+                    for (ChildProcesses.Program each : deployment.routers) {
                         each.signal("HUP");
                     }
                 }
                 case DRAIN -> {
-                    ReplicatedHost draining = installation.ground.replica(source);
-                    installation.ground.list(draining.id, "Terminating");
+                    ReplicatedHost draining = deployment.ground.replica(source);
+                    deployment.ground.list(draining.id, "Terminating");
                 }
                 default -> {}
             }
@@ -393,47 +413,48 @@
         }
     }
 
-    private boolean answers() {
+    private boolean coordinatorResponds() {
         try {
-            installation.keeper("/v1/cells");
+            deployment.keeper("/v1/cells");
             return true;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private void refused(String path, String what) throws IOException {
+    private void expectRejected(String path, String what) throws IOException {
         try {
-            installation.keeper(path);
-            broken.add(new InvariantChecker.Broken(what + " of one tenant at a time was taken", 1, path));
+            deployment.keeper(path);
+            violations.add(new InvariantChecker.Violation(
+                    what + " of a tenant during its migration was accepted", 1, path));
         } catch (IllegalStateException e) {
-            // As it should be.
+            // Expected.
         }
     }
 
     private void killRouter(int router) throws IOException, InterruptedException {
-        installation.setImpaired(router, true);
-        installation.routers.get(router).kill();
-        long from = System.currentTimeMillis();
+        deployment.setImpaired(router, true);
+        deployment.routers.get(router).kill();
+        long startMillis = System.currentTimeMillis();
         Thread.sleep(200);
-        installation.routers.get(router).start();
-        installation.ready(router);
-        installation.setImpaired(router, false);
-        recoveries.add(System.currentTimeMillis() - from);
+        deployment.routers.get(router).start();
+        deployment.ready(router);
+        deployment.setImpaired(router, false);
+        recoveryMillis.add(System.currentTimeMillis() - startMillis);
     }
 
-    /** The primary of a group dies; another takes over, and it comes back as a replica. */
-    private void fail(int group, boolean losesTail) throws IOException, InterruptedException {
-        ReplicatedHost old = installation.ground.primary(group);
-        if (losesTail) {
-            installation.ground.members(group).forEach(m -> m.deaf = true);
+    /** Crashes the primary of a group, promotes another host, and restarts the old primary as a replica. */
+    private void failOver(int group, boolean losesRecentWrites) throws IOException, InterruptedException {
+        ReplicatedHost old = deployment.ground.primary(group);
+        if (losesRecentWrites) {
+            deployment.ground.members(group).forEach(m -> m.deaf = true);
             Thread.sleep(250);
         }
         old.crash();
         Thread.sleep(300);
-        installation.ground.failOver(group);
-        installation.ground.members(group).forEach(m -> m.deaf = false);
-        Thread.sleep(HEAL_MILLIS);
+        deployment.ground.failOver(group);
+        deployment.ground.members(group).forEach(m -> m.deaf = false);
+        Thread.sleep(RECOVERY_MILLIS);
         old.restart();
     }
 
@@ -444,59 +465,59 @@
         for (End end : End.values()) {
             answers.put(
                     end.name().toLowerCase(java.util.Locale.ROOT),
-                    judge.asked.stream().filter(t -> t.end() == end).count());
+                    checker.asked.stream().filter(t -> t.end() == end).count());
         }
-        figures.put("txns", judge.asked.size());
+        figures.put("txns", checker.asked.size());
         ObjectNode all = figures.putObject("answers");
         answers.forEach(all::put);
-        long[] times = judge.asked.stream()
+        long[] times = checker.asked.stream()
                 .filter(t -> t.end() == End.COMMITTED)
-                .mapToLong(t -> t.answered() - t.sent())
+                .mapToLong(t -> t.answeredMillis() - t.sentMillis())
                 .sorted()
                 .toArray();
         figures.put("median_ms", times.length == 0 ? 0 : times[times.length / 2]);
         figures.put(
                 "declined_by_moves",
-                judge.asked.stream().filter(CellsScenario::byMove).count());
+                checker.asked.stream().filter(CellsScenario::isDeclinedForMove).count());
         figures.put("double_runs", count("a once-only txn ran twice"))
                 .put("stale_reads", count("a stale read"))
                 .put("wrong_cell", count("a write in the wrong cell"))
                 .put("lost", count("a committed write is lost"));
         ObjectNode moves = figures.putObject("moves");
-        ends.forEach(moves::put);
+        movesByEnd.forEach(moves::put);
         ObjectNode faults = figures.putObject("faults");
-        hit.forEach(faults::put);
-        long[] fence = fences.stream().mapToLong(Long::longValue).sorted().toArray();
+        movesByFault.forEach(faults::put);
+        long[] fence = fenceMillis.stream().mapToLong(Long::longValue).sorted().toArray();
         figures.put("fence_median_ms", fence.length == 0 ? 0 : fence[fence.length / 2])
                 .put("fence_longest_ms", fence.length == 0 ? 0 : fence[fence.length - 1]);
         figures.put(
                 "recovery_longest_ms",
-                recoveries.stream().mapToLong(Long::longValue).max().orElse(0));
+                recoveryMillis.stream().mapToLong(Long::longValue).max().orElse(0));
         double[] service = new double[size.cells()];
         for (int cell = 0; cell < size.cells(); cell++) {
             boolean[] one = new boolean[size.cells()];
             one[cell] = true;
-            service[cell] = round(judge.service(0, Long.MAX_VALUE, one));
+            service[cell] = round(checker.servedShare(0, Long.MAX_VALUE, one));
         }
         figures.put("service_least", Arrays.stream(service).min().orElse(1))
                 .put("service_most", Arrays.stream(service).max().orElse(1));
-        figures.put("machine_busy_ms", judge.busyMillis());
-        figures.put("seconds", millis / 1_000).put("held", broken.isEmpty());
-        for (InvariantChecker.Broken each : broken) {
+        figures.put("machine_busy_ms", checker.delayedMillis());
+        figures.put("seconds", millis / 1_000).put("held", violations.isEmpty());
+        for (InvariantChecker.Violation each : violations) {
             out.printf("BROKEN: %s, %d times: %s%n", each.rule(), each.times(), each.example());
         }
         out.println(figures);
         out.flush();
     }
 
-    private static boolean byMove(Asked txn) {
+    private static boolean isDeclinedForMove(Asked txn) {
         return txn.end() == End.DECLINED && (txn.message().contains("moved"));
     }
 
     private int count(String rule) {
-        return broken.stream()
+        return violations.stream()
                 .filter(b -> b.rule().equals(rule))
-                .mapToInt(InvariantChecker.Broken::times)
+                .mapToInt(InvariantChecker.Violation::times)
                 .sum();
     }
 }
--- a/src/main/java/beaconladder/testbed/Demo.java
+++ b/src/main/java/beaconladder/testbed/Demo.java
@@ -12,46 +12,46 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** For who has just cloned it: routers between stand-ins, some troubles, and what comes of the txns meanwhile. */
+/** A demonstration for newcomers: routers between stand-ins, some faults, and the outcomes of transactions. */
 public final class Demo {
-    private static final int SECOND = 1_000;
+    private static final int SECOND_MILLIS = 1_000;
     private static final String TENANTS = """
             (tenant acme (cell c0) (load 30txns/s)) (tenant beta (cell c0) (load 20txns/s))
             (tenant corp (cell c1) (load 10txns/s)) (tenant dune (cell c1) (load 10txns/s))
             """;
 
     private final PrintWriter out;
-    private final InvariantChecker judge = new InvariantChecker();
-    private TestDeployment all;
-    private int ran;
+    private final InvariantChecker checker = new InvariantChecker();
+    private TestDeployment deployment;
+    private int ranCount;
 
     public Demo(PrintWriter out) {
         this.out = out;
     }
 
-    /** Starts the same and stays, with a usual load, until it is ended: for whoever wants to move a tenant by hand. */
-    public void stay() throws IOException, InterruptedException {
+    /** Starts the same deployment under a usual load, without faults, until terminated, for moving tenants by hand. */
+    public void runUntilStopped() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("up");
         try (TestDeployment started = new TestDeployment(folder, 2, 1, 3, 2, 8, TENANTS);
                 ClientLoad load = load(started)) {
             Runtime.getRuntime().addShutdownHook(new Thread(started.programs::close));
-            all = started;
+            deployment = started;
             out.println("two routers at 127.0.0.1:" + started.port(0) + " and 127.0.0.1:" + started.port(1)
-                    + ", their hosts and the keeper are up until this is ended. In another terminal:");
-            for (String what : List.of("show", "move acme c1", "show", "move acme c0", "plan")) {
-                out.println("  java -jar target/beaconladder.jar cells " + what + " --plan " + started.plan);
+                    + ", their hosts and the coordinator run until this process ends. In another terminal:");
+            for (String command : List.of("show", "move acme c1", "show", "move acme c0", "plan")) {
+                out.println("  java -jar target/beaconladder.jar cells " + command + " --plan " + started.plan);
             }
             while (true) {
                 load.await(0);
-                seconds(5, "");
+                printSeconds(5, "");
             }
         }
     }
 
-    private ClientLoad load(TestDeployment at) {
+    private ClientLoad load(TestDeployment target) {
         return new ClientLoad(
-                judge,
-                at,
+                checker,
+                target,
                 List.of("acme", "beta", "corp", "dune"),
                 new int[] {0, 0, 1, 1},
                 new int[] {0, 0, 1, 1},
@@ -61,36 +61,37 @@
                 1);
     }
 
-    /** Plays it; whether every rule held. */
-    public boolean play() throws IOException, InterruptedException {
+    /** Runs the demonstration; returns whether there was no violation. */
+    public boolean run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("demo");
         out.println("Two cells (c0: group 0, c1: group 1) of one primary and two replicas each, two routers,"
                 + " a"
-                + " keeper;\nall of them on loopback, the hosts played by stand-ins.");
+                + " coordinator;\nall of them on loopback, with stand-ins as hosts.");
         try (TestDeployment started = new TestDeployment(folder, 2, 1, 3, 2, 8, TENANTS)) {
-            all = started;
+            deployment = started;
             try (ClientLoad load = load(started)) {
                 load.await(300);
-                seconds(2, "usual load");
-                all.ground.list(all.ground.replica(0).id, "Terminating");
-                seconds(2, all.ground.replica(0).id + ", a replica, drains: reads go elsewhere at once");
-                all.keeper("/v1/move?tenant=acme&to=c1");
-                seconds(2, "tenant acme moves from c0 to c1, from group 0 to group 1");
-                ReplicatedHost primary = all.ground.primary(1);
+                printSeconds(2, "usual load");
+                deployment.ground.list(deployment.ground.replica(0).id, "Terminating");
+                printSeconds(
+                        2, deployment.ground.replica(0).id + ", a replica, drains: reads go to other hosts at once");
+                deployment.keeper("/v1/move?tenant=acme&to=c1");
+                printSeconds(2, "tenant acme moves from c0 to c1, from group 0 to group 1");
+                ReplicatedHost primary = deployment.ground.primary(1);
                 primary.crash();
-                seconds(1, primary.id + ", the primary of c1, dies: writes there wait or are declined");
-                ReplicatedHost next = all.ground.failOver(1);
-                seconds(2, next.id + " takes over");
+                printSeconds(1, primary.id + ", the primary of c1, crashes: writes there wait or are declined");
+                ReplicatedHost next = deployment.ground.failOver(1);
+                printSeconds(2, next.id + " takes over");
                 primary.restart();
-                seconds(2, primary.id + " comes back as a replica");
+                printSeconds(2, primary.id + " comes back as a replica");
             }
             Thread.sleep(300);
-            List<InvariantChecker.Broken> broken = judge.broken(all.ground, group -> group);
-            Map<End, Long> ends = judge.asked.stream()
+            List<InvariantChecker.Violation> violations = checker.findViolations(deployment.ground, group -> group);
+            Map<End, Long> ends = checker.asked.stream()
                     .collect(Collectors.groupingBy(InvariantChecker.Asked::end, TreeMap::new, Collectors.counting()));
             out.printf(
                     "%n%d txns: %s%n",
-                    judge.asked.size(),
+                    checker.asked.size(),
                     ends.entrySet().stream()
                             .map(e -> e.getValue() + " "
                                     + e.getKey()
@@ -98,15 +99,15 @@
                                             .toLowerCase(java.util.Locale.ROOT)
                                             .replace('_', ' '))
                             .collect(Collectors.joining(", ")));
-            boolean[] every = InvariantChecker.all(2);
+            boolean[] cells = InvariantChecker.allCells(2);
             out.printf(
                     "half of the answers within %d ms, 99 of 100 within %d ms%n",
-                    judge.quantile(0.5, 0, Long.MAX_VALUE, every), judge.quantile(0.99, 0, Long.MAX_VALUE, every));
-            out.println("acme lives in " + all.cellOf("acme") + "; its move: " + all.state("acme"));
-            broken.forEach(b -> out.println("BROKEN: " + b.rule() + ": " + b.example()));
-            out.println(broken.isEmpty() ? "every rule held, by what clients and hosts saw" : "a rule was broken");
+                    checker.quantile(0.5, 0, Long.MAX_VALUE, cells), checker.quantile(0.99, 0, Long.MAX_VALUE, cells));
+            out.println("acme is in " + deployment.cellOf("acme") + "; its move: " + deployment.state("acme"));
+            violations.forEach(b -> out.println("BROKEN: " + b.rule() + ": " + b.example()));
+            out.println(violations.isEmpty() ? "every rule held, as clients and hosts saw it" : "a rule was violated");
             out.flush();
-            return broken.isEmpty();
+            return violations.isEmpty();
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
                 files.sorted(Comparator.reverseOrder())
@@ -115,19 +116,19 @@
         }
     }
 
-    private void seconds(int count, String what) throws InterruptedException {
+    private void printSeconds(int count, String heading) throws InterruptedException {
         out.println();
-        out.println(what);
+        out.println(heading);
         for (int i = 0; i < count; i++) {
-            long from = System.currentTimeMillis();
-            int before = ran;
-            Thread.sleep(SECOND);
-            List<HostFleet.Ran> now = List.copyOf(all.ground.ran);
-            ran = now.size();
-            Map<String, Long> hosts = now.subList(Math.min(before, ran), ran).stream()
+            long startMillis = System.currentTimeMillis();
+            int countBefore = ranCount;
+            Thread.sleep(SECOND_MILLIS);
+            List<HostFleet.Ran> now = List.copyOf(deployment.ground.ran);
+            ranCount = now.size();
+            Map<String, Long> hosts = now.subList(Math.min(countBefore, ranCount), ranCount).stream()
                     .collect(Collectors.groupingBy(HostFleet.Ran::host, TreeMap::new, Collectors.counting()));
-            Map<End, Long> ends = judge.asked.stream()
-                    .filter(t -> t.answered() >= from)
+            Map<End, Long> ends = checker.asked.stream()
+                    .filter(t -> t.answeredMillis() >= startMillis)
                     .collect(Collectors.groupingBy(InvariantChecker.Asked::end, TreeMap::new, Collectors.counting()));
             out.printf("  %s   ran at %s%n", ends, hosts);
             out.flush();
--- a/src/main/java/beaconladder/testbed/Flood.java
+++ b/src/main/java/beaconladder/testbed/Flood.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** One tenant's flood, of one kind, at a stated rate; what it is answered is counted and no more. */
+/** A flood of requests of one tenant at a given rate; counts the answers without checking them. */
 final class Flood implements AutoCloseable {
-    /** The kinds that the issue names. */
+    /** What the flood consists of. */
     enum Kind {
         CONNECTIONS,
         ONE_CONNECTION,
@@ -16,41 +16,41 @@
         WRITES
     }
 
-    /** So many at once: more than any one tenant may have in hand. */
+    /** Concurrent connections: more requests than one tenant may have in flight. */
     private static final int THREADS = 320;
 
     private static final int LARGE_BYTES = 48 * 1024;
-    private static final int AHEAD = 32;
+    private static final int PIPELINED_REQUESTS = 32;
     private final AtomicLong ids = new AtomicLong();
     private final AtomicLong served = new AtomicLong();
     private final AtomicLong declined = new AtomicLong();
     private final List<Thread> threads = new ArrayList<>();
-    private volatile boolean stopped;
+    private volatile boolean closed;
 
-    Flood(ClientLoad.Routers doors, Kind kind, String tenant, int group, int perSecond) {
+    Flood(ClientLoad.Routers routers, Kind kind, String tenant, int group, int perSecond) {
         int count = kind == Kind.ONE_CONNECTION ? 1 : THREADS;
-        long gapNanos = 1_000_000_000L * count / perSecond;
+        long intervalNanos = 1_000_000_000L * count / perSecond;
         for (int i = 0; i < count; i++) {
-            int router = i % doors.count();
+            int router = i % routers.count();
             threads.add(StandInThreads.spawn(() -> {
                 ClientLoad.Line line = null;
-                long next = System.nanoTime();
-                while (!stopped) {
+                long nextNanos = System.nanoTime();
+                while (!closed) {
                     try {
                         if (line == null) {
-                            line = new ClientLoad.Line(doors.port(router), router);
+                            line = new ClientLoad.Line(routers.port(router), router);
                         }
-                        int batch = kind == Kind.ONE_CONNECTION ? AHEAD : 1;
-                        next += batch * gapNanos;
+                        int batch = kind == Kind.ONE_CONNECTION ? PIPELINED_REQUESTS : 1;
+                        nextNanos += batch * intervalNanos;
                         for (int n = 0; n < batch; n++) {
                             line.send(query(kind, tenant, group));
                         }
-                        boolean good = true;
-                        for (int n = 0; n < batch && good; n++) {
-                            good = line.answer();
+                        boolean connected = true;
+                        for (int n = 0; n < batch && connected; n++) {
+                            connected = line.answer();
                             (line.code() == null ? served : declined).incrementAndGet();
                         }
-                        if (!good || kind == Kind.CONNECTIONS) {
+                        if (!connected || kind == Kind.CONNECTIONS) {
                             line.close();
                             line = null;
                         }
@@ -60,11 +60,11 @@
                         }
                         line = null;
                     }
-                    long left = next - System.nanoTime();
-                    if (left > 0) {
-                        StandInThreads.sleep(left / 1_000_000);
+                    long remainingNanos = nextNanos - System.nanoTime();
+                    if (remainingNanos > 0) {
+                        StandInThreads.sleep(remainingNanos / 1_000_000);
                     } else {
-                        next = System.nanoTime();
+                        nextNanos = System.nanoTime();
                     }
                 }
                 if (line != null) {
@@ -99,7 +99,7 @@
 
     @Override
     public void close() {
-        stopped = true;
+        closed = true;
         for (Thread thread : threads) {
             StandInThreads.join(thread, 3_000);
         }
--- a/src/main/java/beaconladder/testbed/InvariantChecker.java
+++ b/src/main/java/beaconladder/testbed/InvariantChecker.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.IntUnaryOperator;
 
-/** Judges a scenario by what clients and hosts saw; the routers and the keeper are not asked. */
+/** Checks a scenario from what clients and hosts recorded; routers and the coordinator are not queried. */
 final class InvariantChecker {
-    /** How a txn ended for its client. */
+    /** How a transaction ended for its client. */
     enum End {
         COMMITTED,
         DECLINED,
@@ -25,14 +25,15 @@
     }
 
     /**
-     * A txn as its client saw it.
+     * A transaction as its client saw it. Times are Unix milliseconds.
      *
-     * @param version written, or read; -1 without an answer
-     * @param least the version that a read must at least show, and the txn that wrote it
-     * @param most the newest version that was ever tried
-     * @param budget how long the client waits, in milliseconds
-     * @param excused whether its router was killed, stopped or ended meanwhile
-     * @param extra whether more came behind its answer
+     * @param version the version written or read; -1 without an answer
+     * @param minVersion the oldest version that a read may return
+     * @param minVersionBy the transaction that wrote {@code minVersion}
+     * @param maxVersion the newest version of which a write was ever sent
+     * @param budgetMillis how long the client waits
+     * @param excused whether its router was killed, paused or terminated meanwhile
+     * @param extra whether further data followed its answer
      */
     record Asked(
             String id,
@@ -41,14 +42,14 @@
             String type,
             int cell,
             int router,
-            long sent,
-            long answered,
-            int budget,
+            long sentMillis,
+            long answeredMillis,
+            int budgetMillis,
             End end,
             long version,
-            long least,
-            String leastBy,
-            long most,
+            long minVersion,
+            String minVersionBy,
+            long maxVersion,
             boolean excused,
             boolean extra,
             String message) {
@@ -57,196 +58,199 @@
         }
     }
 
-    /** A rule that was broken, with one example. */
-    record Broken(String rule, int times, String example) {}
+    /** A rule that was violated, how often, and one example. */
+    record Violation(String rule, int times, String example) {}
 
-    /** An answer may be so late by the clocks of a busy machine. */
-    private static final long LATE_MILLIS = 100;
-    /** New work may reach a draining host so long after discovery told of it. */
-    private static final long GRACE_MILLIS = 2_000;
+    /** Tolerated lateness of an answer, for scheduling delays of a busy machine. */
+    private static final long MAX_LATENESS_MILLIS = 100;
+    /** How long after discovery announced a drain new work may still reach the host. */
+    private static final long DRAIN_GRACE_MILLIS = 2_000;
 
-    /** Tenants of such names are not stated: their keys are spread. */
-    static final String SPREAD = "other";
+    /** Prefix of the names of tenants that the plan does not list, whose keys are spread over cells. */
+    static final String SPREAD_TENANT_PREFIX = "other";
 
-    /** A look that was due every ten milliseconds and came much later tells of a machine that is too busy. */
+    /** Interval of the timer that measures scheduling delays; a far later tick shows an overloaded machine. */
     private static final long TICK_MILLIS = 10;
 
-    private static final long BUSY_MILLIS = 60;
+    private static final long MAX_TICK_DELAY_MILLIS = 60;
 
     final Queue<Asked> asked = new ConcurrentLinkedQueue<>();
-    /** When this very program came late, with how much: what is late then is not held against a router. */
-    private final Queue<long[]> busy = new ConcurrentLinkedQueue<>();
+    /** Intervals in which this process itself was delayed; late answers in them do not count as violations. */
+    private final Queue<long[]> delayedIntervals = new ConcurrentLinkedQueue<>();
 
     InvariantChecker() {
         StandInThreads.spawn(() -> {
-            long last = System.currentTimeMillis();
+            long lastMillis = System.currentTimeMillis();
             while (true) {
                 StandInThreads.sleep(TICK_MILLIS);
-                long now = System.currentTimeMillis();
-                if (now - last > TICK_MILLIS + BUSY_MILLIS) {
-                    busy.add(new long[] {last, now});
+                long nowMillis = System.currentTimeMillis();
+                if (nowMillis - lastMillis > TICK_MILLIS + MAX_TICK_DELAY_MILLIS) {
+                    delayedIntervals.add(new long[] {lastMillis, nowMillis});
                 }
-                last = now;
+                lastMillis = nowMillis;
             }
         });
     }
 
-    /** How long the machine was too busy for this program, in milliseconds. */
-    long busyMillis() {
-        return busy.stream().mapToLong(b -> b[1] - b[0]).sum();
+    /** Returns for how long this process was delayed by an overloaded machine, in milliseconds. */
+    long delayedMillis() {
+        return delayedIntervals.stream().mapToLong(b -> b[1] - b[0]).sum();
     }
 
-    private boolean machineBusy(Asked txn) {
-        return busy.stream().anyMatch(b -> b[1] >= txn.sent() && b[0] <= txn.answered());
+    private boolean wasMachineDelayed(Asked txn) {
+        return delayedIntervals.stream().anyMatch(b -> b[1] >= txn.sentMillis() && b[0] <= txn.answeredMillis());
     }
 
-    /** Every rule that was broken. */
-    List<Broken> broken(HostFleet ground, IntUnaryOperator cellOfGroup) {
+    /** Returns each violated rule. */
+    List<Violation> findViolations(HostFleet fleet, IntUnaryOperator cellOfGroup) {
         Map<String, List<String>> found = new LinkedHashMap<>();
         Map<String, List<HostFleet.Ran>> runs = new HashMap<>();
-        ground.ran.forEach(r -> {
+        fleet.ran.forEach(r -> {
             if (r.write()) {
                 runs.computeIfAbsent(r.id(), id -> new ArrayList<>()).add(r);
             }
         });
-        Map<String, Asked> unknown = new HashMap<>();
+        Map<String, Asked> unconfirmed = new HashMap<>();
         asked.forEach(t -> {
             if (t.write() && (t.end() == End.NONE || t.end() == End.CUT || t.end() == End.ROLLED_BACK)) {
-                unknown.put(t.tenant() + "/" + t.key() + "/" + t.version(), t);
+                unconfirmed.put(t.tenant() + "/" + t.key() + "/" + t.version(), t);
             }
         });
         Set<String> reached = new HashSet<>();
-        ground.reached.forEach(r -> reached.add(r.id()));
+        fleet.reached.forEach(r -> reached.add(r.id()));
         for (Asked txn : asked) {
             if (txn.extra()) {
-                add(found, "more than one answer", txn.toString());
+                addExample(found, "more than one answer", txn.toString());
             }
-            if (txn.end() == End.NONE && !txn.excused() && !machineBusy(txn)) {
-                add(found, "no answer in time", txn.toString());
+            if (txn.end() == End.NONE && !txn.excused() && !wasMachineDelayed(txn)) {
+                addExample(found, "no answer in time", txn.toString());
             }
-            // One that no host saw has crossed the end of an idle connection: it was not taken.
+            // One that reached no host was sent while the router closed the idle connection, and was not accepted.
             if (txn.end() == End.CUT && !txn.excused() && reached.contains(txn.id())) {
-                add(found, "the connection was ended with a txn in hand", txn.toString());
+                addExample(found, "the connection was ended with a txn in hand", txn.toString());
             }
-            if (txn.answered() - txn.sent() > txn.budget() + LATE_MILLIS && !txn.excused() && !machineBusy(txn)) {
-                add(found, "an answer after the expiry", txn.toString());
+            if (txn.answeredMillis() - txn.sentMillis() > txn.budgetMillis() + MAX_LATENESS_MILLIS
+                    && !txn.excused()
+                    && !wasMachineDelayed(txn)) {
+                addExample(found, "an answer after the expiry", txn.toString());
             }
-            // What a group's own failover has dropped is its loss, and no router's.
+            // A write that the group's own failover dropped is not a fault of a router.
             if (txn.end() == End.COMMITTED
                     && !txn.write()
-                    && txn.version() < txn.least()
-                    && !ground.dropped.contains(txn.leastBy())
-                    && !overtaken(txn, unknown, runs)) {
-                add(
+                    && txn.version() < txn.minVersion()
+                    && !fleet.dropped.contains(txn.minVersionBy())
+                    && !isNewerUnconfirmedWrite(txn, unconfirmed, runs)) {
+                addExample(
                         found,
                         "a stale read",
                         txn + " ran "
-                                + ground.ran.stream()
-                                        .filter(r -> r.id().equals(txn.id()) || r.id().equals(txn.leastBy()))
+                                + fleet.ran.stream()
+                                        .filter(r -> r.id().equals(txn.id()) || r.id().equals(txn.minVersionBy()))
                                         .toList());
             }
-            if (txn.end() == End.COMMITTED && !txn.write() && txn.version() > txn.most()) {
-                add(found, "a value that nobody wrote", txn.toString());
+            if (txn.end() == End.COMMITTED && !txn.write() && txn.version() > txn.maxVersion()) {
+                addExample(found, "a value that nobody wrote", txn.toString());
             }
             if (txn.write()) {
-                judge(txn, runs.getOrDefault(txn.id(), List.of()), found);
+                checkWrite(txn, runs.getOrDefault(txn.id(), List.of()), found);
             }
         }
-        twoCells(ground, cellOfGroup, found);
-        drains(ground, found);
-        lost(ground, found);
-        List<Broken> broken = new ArrayList<>();
-        found.forEach((rule, examples) -> broken.add(new Broken(rule, examples.size(), examples.get(0))));
-        return broken;
+        checkCells(fleet, cellOfGroup, found);
+        checkDrains(fleet, found);
+        checkLostWrites(fleet, found);
+        List<Violation> violations = new ArrayList<>();
+        found.forEach((rule, examples) -> violations.add(new Violation(rule, examples.size(), examples.get(0))));
+        return violations;
     }
 
-    /** Whether what was read is a write whose client was never told, and that ran after the one that is missed. */
-    private static boolean overtaken(Asked read, Map<String, Asked> unknown, Map<String, List<HostFleet.Ran>> runs) {
-        Asked late = unknown.get(read.tenant() + "/" + read.key() + "/" + read.version());
-        List<HostFleet.Ran> missed = runs.get(read.leastBy());
+    /** Whether the version read is of a write without a known outcome that ran after the expected write. */
+    private static boolean isNewerUnconfirmedWrite(
+            Asked read, Map<String, Asked> unconfirmed, Map<String, List<HostFleet.Ran>> runs) {
+        Asked late = unconfirmed.get(read.tenant() + "/" + read.key() + "/" + read.version());
+        List<HostFleet.Ran> missed = runs.get(read.minVersionBy());
         return late != null
                 && missed != null
                 && runs.getOrDefault(late.id(), List.of()).stream()
                         .anyMatch(run -> run.at() >= missed.get(0).at());
     }
 
-    private static void judge(Asked txn, List<HostFleet.Ran> runs, Map<String, List<String>> found) {
+    private static void checkWrite(Asked txn, List<HostFleet.Ran> runs, Map<String, List<String>> found) {
         if (txn.type().equals("write") && runs.size() > 1) {
-            add(found, "a once-only txn ran twice", txn + " ran " + runs);
+            addExample(found, "a once-only txn ran twice", txn + " ran " + runs);
         }
         if (txn.end() == End.DECLINED && !runs.isEmpty()) {
-            add(found, "a declined txn ran", txn + " ran " + runs);
+            addExample(found, "a declined txn ran", txn + " ran " + runs);
         }
         if (txn.end() == End.COMMITTED && runs.isEmpty()) {
-            add(found, "a committed txn never ran", txn.toString());
+            addExample(found, "a committed txn never ran", txn.toString());
         }
         if (runs.stream().map(HostFleet.Ran::group).distinct().count() > 1) {
-            add(found, "a txn ran in two groups", txn + " ran " + runs);
+            addExample(found, "a txn ran in two groups", txn + " ran " + runs);
         }
     }
 
-    /** What lives in one cell at a time: a tenant, or a key of one whose keys are spread. */
-    private static String resident(String tenant, String key) {
-        return tenant.startsWith(SPREAD) ? tenant + "/" + key : tenant;
+    /** Returns the unit that is placed in one cell at a time: a tenant, or a key of a tenant with spread keys. */
+    private static String placedUnit(String tenant, String key) {
+        return tenant.startsWith(SPREAD_TENANT_PREFIX) ? tenant + "/" + key : tenant;
     }
 
-    /** Once a tenant's write has run in a cell, none runs in the cell before; no scenario moves a tenant back. */
-    private static void twoCells(HostFleet ground, IntUnaryOperator cellOfGroup, Map<String, List<String>> found) {
+    /** Checks that no write runs in a cell that the tenant has left; no scenario moves a tenant back. */
+    private static void checkCells(HostFleet fleet, IntUnaryOperator cellOfGroup, Map<String, List<String>> found) {
         Map<String, List<HostFleet.Ran>> writes = new HashMap<>();
-        ground.ran.forEach(r -> {
+        fleet.ran.forEach(r -> {
             if (r.write()) {
-                writes.computeIfAbsent(resident(r.tenant(), r.key()), t -> new ArrayList<>())
+                writes.computeIfAbsent(placedUnit(r.tenant(), r.key()), t -> new ArrayList<>())
                         .add(r);
             }
         });
         writes.forEach((tenant, all) -> {
             all.sort((a, b) -> Long.compare(a.at(), b.at()));
-            Set<Integer> left = new HashSet<>();
+            Set<Integer> leftCells = new HashSet<>();
             int cell = -1;
             for (HostFleet.Ran run : all) {
-                int at = cellOfGroup.applyAsInt(run.group());
-                if (at != cell && cell >= 0) {
-                    left.add(cell);
+                int runCell = cellOfGroup.applyAsInt(run.group());
+                if (runCell != cell && cell >= 0) {
+                    leftCells.add(cell);
                 }
-                if (left.contains(at)) {
-                    add(found, "a write in the wrong cell", run.toString());
+                if (leftCells.contains(runCell)) {
+                    addExample(found, "a write in the wrong cell", run.toString());
                 }
-                cell = at;
+                cell = runCell;
             }
         });
     }
 
-    private static void drains(HostFleet ground, Map<String, List<String>> found) {
-        for (HostFleet.Reached reached : ground.reached) {
-            Long since = ground.draining.get(reached.host());
-            if (since != null && reached.at() > since + GRACE_MILLIS) {
-                add(found, "new work at a draining host", reached.toString());
+    private static void checkDrains(HostFleet fleet, Map<String, List<String>> found) {
+        for (HostFleet.Reached reached : fleet.reached) {
+            Long drainStartMillis = fleet.draining.get(reached.host());
+            if (drainStartMillis != null && reached.at() > drainStartMillis + DRAIN_GRACE_MILLIS) {
+                addExample(found, "new work at a draining host", reached.toString());
             }
         }
     }
 
-    /** Where each tenant's writes ran last, its committed writes are there, but for those a failover dropped. */
-    private void lost(HostFleet ground, Map<String, List<String>> found) {
-        Map<String, Integer> home = new HashMap<>();
-        Map<String, Long> at = new HashMap<>();
-        for (HostFleet.Ran run : ground.ran) {
-            String of = resident(run.tenant(), run.key());
-            if (run.write() && run.at() >= at.getOrDefault(of, Long.MIN_VALUE)) {
-                at.put(of, run.at());
-                home.put(of, run.group());
+    /** Checks that each committed write not dropped by a failover is present where its tenant's writes ran last. */
+    private void checkLostWrites(HostFleet fleet, Map<String, List<String>> found) {
+        Map<String, Integer> lastGroup = new HashMap<>();
+        Map<String, Long> lastRunMillis = new HashMap<>();
+        for (HostFleet.Ran run : fleet.ran) {
+            String unit = placedUnit(run.tenant(), run.key());
+            if (run.write() && run.at() >= lastRunMillis.getOrDefault(unit, Long.MIN_VALUE)) {
+                lastRunMillis.put(unit, run.at());
+                lastGroup.put(unit, run.group());
             }
         }
         Map<String, Asked> newest = new HashMap<>();
         for (Asked txn : asked) {
-            if (txn.write() && txn.end() == End.COMMITTED && !ground.dropped.contains(txn.id())) {
+            if (txn.write() && txn.end() == End.COMMITTED && !fleet.dropped.contains(txn.id())) {
                 newest.merge(txn.tenant() + "/" + txn.key(), txn, (a, b) -> a.version() > b.version() ? a : b);
             }
         }
         newest.values().forEach(txn -> {
-            Integer group = home.get(resident(txn.tenant(), txn.key()));
-            ReplicatedHost primary = group == null ? null : ground.primary(group);
+            Integer group = lastGroup.get(placedUnit(txn.tenant(), txn.key()));
+            ReplicatedHost primary = group == null ? null : fleet.primary(group);
             if (primary != null && primary.alive() && primary.version(txn.tenant(), txn.key()) < txn.version()) {
-                add(
+                addExample(
                         found,
                         "a committed write is lost",
                         txn + "; " + primary.id + " has " + primary.version(txn.tenant(), txn.key()));
@@ -254,16 +258,16 @@
         });
     }
 
-    private static void add(Map<String, List<String>> found, String rule, String example) {
+    private static void addExample(Map<String, List<String>> found, String rule, String example) {
         found.computeIfAbsent(rule, r -> new ArrayList<>()).add(example);
     }
 
-    /** The share of txns of these cells, asked in this time, that were served. */
-    double service(long from, long to, boolean... ofCell) {
+    /** Returns the share of the transactions sent to these cells in an interval that committed; 1 without any. */
+    double servedShare(long fromMillis, long toMillis, boolean... ofCell) {
         long all = 0;
         long served = 0;
         for (Asked txn : asked) {
-            if (txn.sent() >= from && txn.sent() < to && ofCell[txn.cell()]) {
+            if (txn.sentMillis() >= fromMillis && txn.sentMillis() < toMillis && ofCell[txn.cell()]) {
                 all++;
                 served += txn.end() == End.COMMITTED ? 1 : 0;
             }
@@ -271,17 +275,20 @@
         return all == 0 ? 1 : (double) served / all;
     }
 
-    /** The time, in milliseconds, within which this share of the txns served had their answers. */
-    long quantile(double share, long from, long to, boolean... ofCell) {
+    /** Returns a quantile of the latency of committed transactions, in milliseconds; 0 without any. */
+    long quantile(double share, long fromMillis, long toMillis, boolean... ofCell) {
         long[] times = asked.stream()
-                .filter(t -> t.end() == End.COMMITTED && t.sent() >= from && t.sent() < to && ofCell[t.cell()])
-                .mapToLong(t -> t.answered() - t.sent())
+                .filter(t -> t.end() == End.COMMITTED
+                        && t.sentMillis() >= fromMillis
+                        && t.sentMillis() < toMillis
+                        && ofCell[t.cell()])
+                .mapToLong(t -> t.answeredMillis() - t.sentMillis())
                 .sorted()
                 .toArray();
         return times.length == 0 ? 0 : times[(int) Math.min(times.length - 1, share * times.length)];
     }
 
-    static boolean[] all(int cells) {
+    static boolean[] allCells(int cells) {
         boolean[] all = new boolean[cells];
         Arrays.fill(all, true);
         return all;
--- a/src/main/java/beaconladder/testbed/LeaseChecker.java
+++ b/src/main/java/beaconladder/testbed/LeaseChecker.java
@@ -8,43 +8,44 @@
 import java.util.List;
 import java.util.Map;
 
-/** Whether holders ever acted at once, judged by what the resources saw alone. */
+/** Checks from the acts that the resources recorded that no two holders of a lease ever acted at the same time. */
 final class LeaseChecker {
     private LeaseChecker() {}
 
     /**
-     * What was broken, a line each.
+     * Returns the violations, one line each.
      *
-     * @param unixZero what the true Unix time was at nanoTime 0
-     * @param bound how far the resources' clocks may be off
-     * @param withTimes whether all clocks were within the bound; else the order of tokens alone is judged
+     * @param unixOffsetNanos Unix time in nanoseconds minus {@link System#nanoTime}
+     * @param maxClockErrorNanos by how much the resources' clocks may be off
+     * @param checkTimes whether all clocks were within the bound; otherwise only the order per resource is checked
      */
-    static List<String> broken(List<Act> acts, long unixZero, long bound, boolean withTimes) {
-        List<String> broken = new ArrayList<>();
-        List<Act> done = acts.stream()
+    static List<String> findViolations(
+            List<Act> acts, long unixOffsetNanos, long maxClockErrorNanos, boolean checkTimes) {
+        List<String> violations = new ArrayList<>();
+        List<Act> admitted = acts.stream()
                 .filter(act -> act.verdict() == FencingGuard.Decision.ADMITTED)
                 .sorted(Comparator.comparingLong(Act::at))
                 .toList();
-        Map<Integer, Act> last = new HashMap<>();
-        Map<Long, String> holders = new HashMap<>();
+        Map<Integer, Act> lastByResource = new HashMap<>();
+        Map<Long, String> holderByToken = new HashMap<>();
         Act newest = null;
-        for (Act act : done) {
-            Act before = last.put(act.resource(), act);
-            if (before != null && before.token() > act.token()) {
-                broken.add("out of turn at one resource: " + act + " behind " + before);
+        for (Act act : admitted) {
+            Act previous = lastByResource.put(act.resource(), act);
+            if (previous != null && previous.token() > act.token()) {
+                violations.add("stale token at one resource: " + act + " after " + previous);
             }
-            String holder = holders.putIfAbsent(act.token(), act.holder());
+            String holder = holderByToken.putIfAbsent(act.token(), act.holder());
             if (holder != null && !holder.equals(act.holder())) {
-                broken.add("one token at two holders: " + act + " and " + holder);
+                violations.add("one token at two holders: " + act + " and " + holder);
             }
-            if (withTimes && newest != null && newest.token() > act.token()) {
-                broken.add("two at once: " + act + " after " + newest);
+            if (checkTimes && newest != null && newest.token() > act.token()) {
+                violations.add("overlapping holders: " + act + " after " + newest);
             }
-            if (withTimes && act.at() + unixZero > act.until() + 2 * bound) {
-                broken.add("after its holder's time: " + act);
+            if (checkTimes && act.at() + unixOffsetNanos > act.until() + 2 * maxClockErrorNanos) {
+                violations.add("act after the lease's deadline: " + act);
             }
             newest = newest == null || act.token() >= newest.token() ? act : newest;
         }
-        return broken;
+        return violations;
     }
 }
--- a/src/main/java/beaconladder/testbed/LeaseHolder.java
+++ b/src/main/java/beaconladder/testbed/LeaseHolder.java
@@ -15,60 +15,67 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A process that wants a task and acts on shared resources for as long as it holds it, until a signal ends it. */
+/** A process that requests the lease of a task and acts on shared resources while it holds it, until terminated. */
 public final class LeaseHolder {
-    private static final int ACT_MILLIS = 300;
-    /** Between its look at the lease and the act it works so long: that is where a pause does harm. */
-    private static final int WORK_MILLIS = 25;
+    private static final int ACT_TIMEOUT_MILLIS = 300;
+    /** Longest delay between checking the lease and acting: a pause in between makes the check stale. */
+    private static final int MAX_WORK_MILLIS = 25;
 
     private LeaseHolder() {}
 
-    /** Holds and acts; does not return. */
+    /** Acquires the lease and acts on the resources; does not return. */
     public static void run(
-            Plan plan, String name, String task, List<InetSocketAddress> resources, Path clockFile, String gossipAt)
+            Plan plan,
+            String name,
+            String task,
+            List<InetSocketAddress> resources,
+            Path clockFile,
+            String gossipAddress)
             throws IOException, InterruptedException {
         AnchoredClock clock = new AnchoredClock(clockFile);
         Plan.Leases leases = plan.leases();
-        // A life of its own: what an earlier one of this name held is not this one's.
+        // A restarted process must not take over the lease of its predecessor of the same name.
         String holder = name + "#" + System.currentTimeMillis();
-        LeaseClient doors = new LeaseClient(
+        LeaseClient leaseClient = new LeaseClient(
                 leases.servers().stream().map(Plan.LeaseServer::clientAddress).toList(), name.hashCode(), (int)
                         (leases.durationNanos() / 4_000_000));
-        LeaseSession holding = new LeaseSession(
+        LeaseSession session = new LeaseSession(
                 LeaseHolderState.initial(
                         new LeaseTerms(task, holder, leases.durationNanos(), leases.maxClockErrorNanos())),
-                doors,
+                leaseClient,
                 clock);
-        Thread loop = new Thread(holding, "holding");
-        loop.setDaemon(true);
-        loop.start();
-        Runtime.getRuntime().addShutdownHook(new Thread(holding::close));
-        if (gossipAt != null) {
+        Thread sessionThread = new Thread(session, "lease-session");
+        sessionThread.setDaemon(true);
+        sessionThread.start();
+        Runtime.getRuntime().addShutdownHook(new Thread(session::close));
+        if (gossipAddress != null) {
             GossipService gossip = new GossipService(
                     name,
-                    new InetSocketAddress("127.0.0.1", Integer.parseInt(gossipAt.substring(gossipAt.indexOf(':') + 1))),
-                    gossipAt,
+                    new InetSocketAddress(
+                            "127.0.0.1",
+                            Integer.parseInt(gossipAddress.substring(gossipAddress.indexOf(':') + 1))),
+                    gossipAddress,
                     leases.gossipSeeds());
-            Thread talk = new Thread(gossip, "gossip");
-            talk.setDaemon(true);
-            talk.start();
+            Thread gossipThread = new Thread(gossip, "gossip");
+            gossipThread.setDaemon(true);
+            gossipThread.start();
         }
-        List<HttpFetcher> to = resources.stream().map(HttpFetcher::new).toList();
-        SplittableRandom chance = new SplittableRandom(name.hashCode());
+        List<HttpFetcher> resourceClients = resources.stream().map(HttpFetcher::new).toList();
+        SplittableRandom random = new SplittableRandom(name.hashCode());
         while (true) {
-            LeasePermit permit = holding.permit();
-            Thread.sleep(chance.nextInt(WORK_MILLIS));
+            LeasePermit permit = session.permit();
+            Thread.sleep(random.nextInt(MAX_WORK_MILLIS));
             if (permit == null) {
                 continue;
             }
             try {
-                to.get(chance.nextInt(to.size()))
+                resourceClients.get(random.nextInt(resourceClients.size()))
                         .get(
                                 "/act?task=" + task + "&holder=" + holder.replace('#', '.') + "&token=" + permit.token()
                                         + "&until=" + permit.deadlineNanos(),
-                                ACT_MILLIS);
+                                ACT_TIMEOUT_MILLIS);
             } catch (IOException e) {
-                // It may have been done or not; the next one is another act.
+                // The outcome is unknown; each attempt is an act of its own, so it is not retried.
             }
         }
     }
--- a/src/main/java/beaconladder/testbed/LeaseScenario.java
+++ b/src/main/java/beaconladder/testbed/LeaseScenario.java
@@ -25,122 +25,122 @@
 import java.util.stream.Stream;
 
 /**
- * The scenario of leases: grantors and holders, each a process of its own, with a relay between every two, under a
- * fault script drawn from the seed; judged by what the shared resources saw.
+ * Runs lease servers and holders, each in its own process, with a relay between every two, under a fault script drawn
+ * from the seed, and checks the acts that the shared resources recorded.
  */
 public final class LeaseScenario {
-    /** What may happen. */
+    /** Faults that the scenario can inject. */
     public enum Fault {
-        /** The holder is stopped for one and a half times its lease, and goes on. */
+        /** The holder is paused for one and a half times the lease duration. */
         PAUSE_HOLDER,
-        /** The holder is killed, and comes back a lease later. */
+        /** The holder is killed, and restarted after one and a half times the lease duration. */
         KILL_HOLDER,
-        /** The holder is killed and comes back at once under the same name. */
+        /** The holder is killed, and restarted at once under the same name. */
         RESTART_HOLDER,
-        /** One that has asked and waits is killed, and comes back. */
+        /** A process waiting for the lease is killed, and restarted. */
         KILL_ASKED,
-        /** The holder is killed while it has asked for more time and has no answer. */
+        /** The holder is killed while its renewal is unanswered. */
         KILL_RENEWING,
-        /** The holder is killed once it has given the task up for an heir. */
+        /** The holder is killed after it released the lease in a handover. */
         KILL_RELEASED,
-        /** The holder reaches no grantor, nor the other way, but the resources. */
+        /** The holder is partitioned from the lease servers, but not from the resources. */
         CUT_HOLDER,
-        /** What grantors answer to the holder is held; what it asks comes. */
+        /** Responses of the lease servers to the holder are held back; its requests arrive. */
         MUTE_GRANTORS,
-        /** The grantors' leader is stopped. */
+        /** The lease servers' leader is paused. */
         PAUSE_LEADER,
-        /** The grantors' leader is killed, and comes back. */
+        /** The lease servers' leader is killed, and restarted. */
         KILL_LEADER,
-        /** The grantors' leader is cut off from the other grantors. */
+        /** The lease servers' leader is partitioned from the other lease servers. */
         CUT_LEADER,
-        /** What the leader says to the other grantors is held; what they say comes. */
+        /** Messages of the leader to the other lease servers are held back; theirs arrive. */
         MUTE_LEADER,
-        /** All clocks are off, by the bound at the most. */
+        /** All clocks deviate, each by at most the bound. */
         CLOCKS_WITHIN,
-        /** The holder's clock is set back by two leases. */
+        /** The holder's clock is set back by two lease durations, which is beyond the bound. */
         CLOCK_BEYOND,
-        /** An operator hands the task over. */
+        /** An operator hands the task over to another process. */
         HAND_OVER,
-        /** Messages are dropped, delayed, sent twice and overtake each other. */
+        /** Messages are dropped, delayed, duplicated and reordered. */
         FOUL_WEATHER
     }
 
     private static final String TASK = "warm-up";
-    private static final int GRANTORS = 3;
+    private static final int LEASE_SERVERS = 3;
     private static final int HOLDERS = 3;
-    private static final long MS = 1_000_000;
-    private static final long LENGTH_MILLIS = 1_500;
-    private static final long BOUND_MILLIS = 60;
-    /** Within a lease, two bounds and two elections somebody must act again once all is mended. */
-    private static final long AGAIN_MILLIS = LENGTH_MILLIS + 2 * BOUND_MILLIS + 6_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long LEASE_MILLIS = 1_500;
+    private static final long MAX_CLOCK_ERROR_MILLIS = 60;
+    /** Once a fault is repaired, a holder must act within a lease, two clock bounds and two elections (6 s). */
+    private static final long RECOVERY_TIMEOUT_MILLIS = LEASE_MILLIS + 2 * MAX_CLOCK_ERROR_MILLIS + 6_000;
 
-    private static final long READY_MILLIS = 30_000;
-    /** A suspicion, its refutation and a round of probes, with all periods at their longest. */
-    private static final long TOGETHER_MILLIS = 40_000;
+    private static final long START_TIMEOUT_MILLIS = 30_000;
+    /** A suspicion, its refutation and a round of probes, each with its longest period. */
+    private static final long MEMBERSHIP_TIMEOUT_MILLIS = 40_000;
 
     private final long seed;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final PrintWriter out;
-    private final long unixZero = System.currentTimeMillis() * MS - System.nanoTime();
+    private final long unixOffsetNanos = System.currentTimeMillis() * NANOS_PER_MILLI - System.nanoTime();
     private final List<SharedStandIn> resources = new ArrayList<>();
-    private final long[] resourceOffsets = new long[2];
-    private final List<Program> grantors = new ArrayList<>();
+    private final long[] resourceOffsetsNanos = new long[2];
+    private final List<Program> leaseServers = new ArrayList<>();
     private final List<Program> holders = new ArrayList<>();
-    private final List<InetSocketAddress> doors = new ArrayList<>();
-    /** From each holder to each grantor's door and to each resource. */
-    private final FaultRelay[][] toServers = new FaultRelay[HOLDERS][GRANTORS];
+    private final List<InetSocketAddress> clientAddresses = new ArrayList<>();
+    /** From each holder to each lease server and to each resource. */
+    private final FaultRelay[][] toServers = new FaultRelay[HOLDERS][LEASE_SERVERS];
 
     private final FaultRelay[][] toResources = new FaultRelay[HOLDERS][2];
-    /** From each grantor to each other one. */
-    private final FaultRelay[][] between = new FaultRelay[GRANTORS][GRANTORS];
-    /** From each process to each other one, grantors first: datagrams of the fleet's membership. */
-    private final DatagramRelay[][] gossip = new DatagramRelay[GRANTORS + HOLDERS][GRANTORS + HOLDERS];
-
-    private final int[] gossipPorts = new int[GRANTORS + HOLDERS];
-    private final List<String> broken = new ArrayList<>();
-    private final Map<Fault, List<Long>> takeovers = new TreeMap<>();
+    /** From each lease server to each other one. */
+    private final FaultRelay[][] betweenServers = new FaultRelay[LEASE_SERVERS][LEASE_SERVERS];
+    /** From each process to each other one, lease servers first: datagrams of the membership protocol. */
+    private final DatagramRelay[][] gossipRelays = new DatagramRelay[LEASE_SERVERS + HOLDERS][LEASE_SERVERS + HOLDERS];
+
+    private final int[] gossipPorts = new int[LEASE_SERVERS + HOLDERS];
+    private final List<String> violations = new ArrayList<>();
+    private final Map<Fault, List<Long>> takeoverMillis = new TreeMap<>();
     private Path folder;
-    private int ports;
-    private boolean beyond;
+    private int allocatedPorts;
+    private boolean clockBeyondBound;
 
     public LeaseScenario(long seed, PrintWriter out) {
         this.seed = seed;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
         this.out = out;
     }
 
     /**
-     * Plays it.
+     * Runs the scenario and prints the violations and figures.
      *
-     * @param from the faults from which the script is drawn
-     * @param count how many of them
-     * @return whether every rule held
+     * @param faults the faults from which the script is drawn
+     * @param count the number of faults in the script
+     * @return whether there was no violation
      */
-    public boolean play(List<Fault> from, int count) throws IOException, InterruptedException {
+    public boolean run(List<Fault> faults, int count) throws IOException, InterruptedException {
         folder = Files.createTempDirectory("leases");
-        long started = System.nanoTime();
-        List<Fault> script = Stream.generate(() -> from.get(chance.nextInt(from.size())))
+        long startedNanos = System.nanoTime();
+        List<Fault> script = Stream.generate(() -> faults.get(random.nextInt(faults.size())))
                 .limit(count)
                 .toList();
         try (ChildProcesses programs = new ChildProcesses(folder)) {
-            set(programs);
+            createProcesses(programs);
             try {
-                if (!acted(System.nanoTime(), READY_MILLIS, 0)) {
-                    broken.add("nobody acts after the start");
+                if (!awaitAct(System.nanoTime(), START_TIMEOUT_MILLIS, 0)) {
+                    violations.add("no holder acts after the start");
                 }
                 for (Fault fault : script) {
-                    if (broken.isEmpty()) {
-                        play(fault);
+                    if (violations.isEmpty()) {
+                        inject(fault);
                     }
                 }
-                if (broken.isEmpty()) {
-                    together();
+                if (violations.isEmpty()) {
+                    awaitFullMembership();
                 }
             } finally {
                 for (Program holder : holders) {
                     holder.signal("CONT");
                 }
-                for (FaultRelay[] row : Stream.of(toServers, toResources, between)
+                for (FaultRelay[] row : Stream.of(toServers, toResources, betweenServers)
                         .flatMap(Stream::of)
                         .toList()) {
                     for (FaultRelay relay : row) {
@@ -149,7 +149,7 @@
                         }
                     }
                 }
-                for (DatagramRelay[] row : gossip) {
+                for (DatagramRelay[] row : gossipRelays) {
                     for (DatagramRelay relay : row) {
                         if (relay != null) {
                             relay.close();
@@ -161,14 +161,15 @@
             resources.forEach(SharedStandIn::close);
         }
         List<Act> acts = acts();
-        broken.addAll(LeaseChecker.broken(acts, unixZero, BOUND_MILLIS * MS, !beyond));
-        broken.forEach(line -> out.println("BROKEN " + line));
-        if (!broken.isEmpty()) {
+        violations.addAll(LeaseChecker.findViolations(
+                acts, unixOffsetNanos, MAX_CLOCK_ERROR_MILLIS * NANOS_PER_MILLI, !clockBeyondBound));
+        violations.forEach(line -> out.println("BROKEN " + line));
+        if (!violations.isEmpty()) {
             out.println("logs are in " + folder);
         }
-        out.println(figures(script, acts, (System.nanoTime() - started) / MS));
+        out.println(figures(script, acts, (System.nanoTime() - startedNanos) / NANOS_PER_MILLI));
         out.flush();
-        return broken.isEmpty();
+        return violations.isEmpty();
     }
 
     private ObjectNode figures(List<Fault> script, List<Act> acts, long millis) {
@@ -193,22 +194,22 @@
                         .count());
         all.put("tokens", acts.stream().mapToLong(Act::token).distinct().count());
         ObjectNode times = all.putObject("takeover_ms");
-        takeovers.forEach((fault, each) ->
+        takeoverMillis.forEach((fault, each) ->
                 times.put(name(fault), each.stream().map(String::valueOf).collect(Collectors.joining(","))));
         long sent = 0;
         long bytes = 0;
         for (FaultRelay[] row :
-                Stream.of(toServers, between).flatMap(Stream::of).toList()) {
+                Stream.of(toServers, betweenServers).flatMap(Stream::of).toList()) {
             for (FaultRelay relay : row) {
                 sent += relay == null ? 0 : relay.sent.get();
                 bytes += relay == null ? 0 : relay.bytes.get();
             }
         }
-        all.put("messages_s_process", Math.round(1_000.0 * sent / millis / (GRANTORS + HOLDERS)));
-        all.put("bytes_s_process", Math.round(1_000.0 * bytes / millis / (GRANTORS + HOLDERS)));
-        all.put("beyond_the_bound", beyond)
-                .put("broken", broken.size())
-                .put("held", broken.isEmpty())
+        all.put("messages_s_process", Math.round(1_000.0 * sent / millis / (LEASE_SERVERS + HOLDERS)));
+        all.put("bytes_s_process", Math.round(1_000.0 * bytes / millis / (LEASE_SERVERS + HOLDERS)));
+        all.put("beyond_the_bound", clockBeyondBound)
+                .put("broken", violations.size())
+                .put("held", violations.isEmpty())
                 .put("seconds", millis / 1_000);
         return all;
     }
@@ -217,74 +218,74 @@
         return fault.name().toLowerCase(Locale.ROOT);
     }
 
-    // ---- The installation ---------------------------------------------------------------------------------
+    // ---- The processes -------------------------------------------------------------------------------------
 
-    /** Below those that the system hands out, so that nobody takes one while its process is down. */
-    private int port() {
-        return 20_000 + (int) Math.floorMod(seed, 100L) * 100 + ports++;
+    /** Returns a port below the ephemeral range, so that none is taken while its process is down. */
+    private int allocatePort() {
+        return 20_000 + (int) Math.floorMod(seed, 100L) * 100 + allocatedPorts++;
     }
 
-    private void set(ChildProcesses programs) throws IOException {
-        for (int i = 0; i < resourceOffsets.length; i++) {
+    private void createProcesses(ChildProcesses programs) throws IOException {
+        for (int i = 0; i < resourceOffsetsNanos.length; i++) {
             int number = i;
             LongSupplier clock = () -> {
-                synchronized (resourceOffsets) {
-                    return System.nanoTime() + unixZero + resourceOffsets[number];
+                synchronized (resourceOffsetsNanos) {
+                    return System.nanoTime() + unixOffsetNanos + resourceOffsetsNanos[number];
                 }
             };
             resources.add(new SharedStandIn(number, clock));
         }
         for (int i = 0; i < gossipPorts.length; i++) {
-            gossipPorts[i] = port();
+            gossipPorts[i] = allocatePort();
         }
-        int[] raft = new int[GRANTORS];
-        for (int i = 0; i < GRANTORS; i++) {
-            raft[i] = port();
-            doors.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), port()));
+        int[] raft = new int[LEASE_SERVERS];
+        for (int i = 0; i < LEASE_SERVERS; i++) {
+            raft[i] = allocatePort();
+            clientAddresses.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), allocatePort()));
         }
-        for (int i = 0; i < GRANTORS; i++) {
-            StringBuilder names = names(i);
-            for (int j = 0; j < GRANTORS; j++) {
+        for (int i = 0; i < LEASE_SERVERS; i++) {
+            StringBuilder names = hostsFile(i);
+            for (int j = 0; j < LEASE_SERVERS; j++) {
                 String at = i == j ? "127.0.0.1" : "127." + (100 + seed % 100) + "." + (i + 1) + "." + (j + 1);
                 names.append(at).append(" k").append(j).append('\n');
-                between[i][j] = i == j
+                betweenServers[i][j] = i == j
                         ? null
                         : new FaultRelay(
                                 new InetSocketAddress(at, raft[j]),
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), raft[j]),
                                 false,
-                                chance.nextLong());
+                                random.nextLong());
             }
             Path hosts = folder.resolve("hosts" + i);
             Files.writeString(hosts, names);
-            offset("k" + i, 0);
-            grantors.add(programs.program(
+            writeClockOffset("k" + i, 0);
+            leaseServers.add(programs.program(
                     "k" + i,
                     null,
                     List.of("-Djdk.net.hosts.file=" + hosts),
                     "lease",
                     "grant",
                     "--plan",
-                    plan("k" + i, raft, doors),
+                    writePlan("k" + i, raft, clientAddresses),
                     "--name",
                     "k" + i,
                     "--clock",
                     clockFile("k" + i).toString()));
         }
         for (int i = 0; i < HOLDERS; i++) {
-            List<InetSocketAddress> mine = new ArrayList<>();
-            for (int j = 0; j < GRANTORS; j++) {
-                toServers[i][j] = FaultRelay.toServer(doors.get(j), chance.nextLong());
-                mine.add(toServers[i][j].at());
+            List<InetSocketAddress> relayAddresses = new ArrayList<>();
+            for (int j = 0; j < LEASE_SERVERS; j++) {
+                toServers[i][j] = FaultRelay.toServer(clientAddresses.get(j), random.nextLong());
+                relayAddresses.add(toServers[i][j].at());
             }
-            List<String> to = new ArrayList<>();
+            List<String> resourceAddresses = new ArrayList<>();
             for (int j = 0; j < resources.size(); j++) {
-                toResources[i][j] = FaultRelay.toServer(resources.get(j).at(), chance.nextLong());
-                to.add("127.0.0.1:" + toResources[i][j].at().getPort());
+                toResources[i][j] = FaultRelay.toServer(resources.get(j).at(), random.nextLong());
+                resourceAddresses.add("127.0.0.1:" + toResources[i][j].at().getPort());
             }
-            offset("h" + i, 0);
-            Path hosts = folder.resolve("hosts" + (GRANTORS + i));
-            Files.writeString(hosts, names(GRANTORS + i));
+            writeClockOffset("h" + i, 0);
+            Path hosts = folder.resolve("hosts" + (LEASE_SERVERS + i));
+            Files.writeString(hosts, hostsFile(LEASE_SERVERS + i));
             holders.add(programs.program(
                     "h" + i,
                     null,
@@ -292,45 +293,45 @@
                     "lab",
                     "holder",
                     "--plan",
-                    plan("h" + i, raft, mine),
+                    writePlan("h" + i, raft, relayAddresses),
                     "--name",
                     "h" + i,
                     "--task",
                     TASK,
                     "--resources",
-                    String.join(",", to),
+                    String.join(",", resourceAddresses),
                     "--clock",
                     clockFile("h" + i).toString(),
                     "--gossip",
-                    "g" + (GRANTORS + i) + ":" + gossipPorts[GRANTORS + i]));
+                    "g" + (LEASE_SERVERS + i) + ":" + gossipPorts[LEASE_SERVERS + i]));
         }
-        for (Program each : Stream.concat(grantors.stream(), holders.stream()).toList()) {
+        for (Program each : Stream.concat(leaseServers.stream(), holders.stream()).toList()) {
             each.start();
         }
     }
 
-    /** Each process finds the others under the same names, but at relays of its own. */
-    private StringBuilder names(int process) throws IOException {
+    /** Starts the gossip relays of a process and returns its hosts file, which maps the other names to them. */
+    private StringBuilder hostsFile(int process) throws IOException {
         StringBuilder names = new StringBuilder(
                 "127.0.0.1 localhost\n127.0.0.1 " + InetAddress.getLocalHost().getHostName() + "\n");
         for (int j = 0; j < gossipPorts.length; j++) {
             String at =
                     j == process ? "127.0.0.1" : "127." + (100 + seed % 100) + "." + (100 + process) + "." + (j + 1);
             names.append(at).append(" g").append(j).append('\n');
-            gossip[process][j] = j == process
+            gossipRelays[process][j] = j == process
                     ? null
                     : new DatagramRelay(
                             new InetSocketAddress(at, gossipPorts[j]),
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), gossipPorts[j]),
-                            chance.nextLong());
+                            random.nextLong());
         }
         return names;
     }
 
-    private String plan(String name, int[] raft, List<InetSocketAddress> at) throws IOException {
+    private String writePlan(String name, int[] raft, List<InetSocketAddress> addresses) throws IOException {
         StringBuilder text = new StringBuilder(
-                "(leases (length " + LENGTH_MILLIS + "ms) (clock " + BOUND_MILLIS + "ms) (disk 8MB))\n");
-        for (int j = 0; j < GRANTORS; j++) {
+                "(leases (length " + LEASE_MILLIS + "ms) (clock " + MAX_CLOCK_ERROR_MILLIS + "ms) (disk 8MB))\n");
+        for (int j = 0; j < LEASE_SERVERS; j++) {
             text.append("(grantor k")
                     .append(j)
                     .append(" (raft k")
@@ -338,7 +339,7 @@
                     .append(':')
                     .append(raft[j])
                     .append(") (at 127.0.0.1:")
-                    .append(at.get(j).getPort())
+                    .append(addresses.get(j).getPort())
                     .append(") (store \"")
                     .append(folder.resolve("log" + j))
                     .append("\") (gossip g")
@@ -356,32 +357,34 @@
         return folder.resolve(name + ".clock");
     }
 
-    private void offset(String name, long millis) throws IOException {
-        Path beside = folder.resolve(name + ".clock.part");
-        Files.writeString(beside, String.valueOf(millis));
-        Files.move(beside, clockFile(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    private void writeClockOffset(String name, long millis) throws IOException {
+        Path temporary = folder.resolve(name + ".clock.part");
+        Files.writeString(temporary, String.valueOf(millis));
+        Files.move(temporary, clockFile(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     // ---- The script ---------------------------------------------------------------------------------------
 
-    private void play(Fault fault) throws IOException, InterruptedException {
-        Act newest = newest();
-        int holder = newest == null ? 0 : newest.holder().charAt(1) - '0';
+    private void inject(Fault fault) throws IOException, InterruptedException {
+        Act newestAct = newestAct();
+        int holder = newestAct == null ? 0 : newestAct.holder().charAt(1) - '0';
         int leader = leader();
-        long from = System.nanoTime();
-        long hold = LENGTH_MILLIS * 3 / 2;
-        out.printf("%8.3f %s, holder h%d, leader k%d%n", (from + unixZero) / 1e9 % 1_000, name(fault), holder, leader);
+        long startNanos = System.nanoTime();
+        long holdMillis = LEASE_MILLIS * 3 / 2;
+        out.printf(
+                "%8.3f %s, holder h%d, leader k%d%n",
+                (startNanos + unixOffsetNanos) / 1e9 % 1_000, name(fault), holder, leader);
         out.flush();
-        boolean passesOn = true;
+        boolean expectsNewToken = true;
         switch (fault) {
             case PAUSE_HOLDER ->
                 during(
-                        hold,
+                        holdMillis,
                         () -> holders.get(holder).signal("STOP"),
                         () -> holders.get(holder).signal("CONT"));
             case KILL_HOLDER ->
                 during(
-                        hold,
+                        holdMillis,
                         () -> holders.get(holder).kill(),
                         () -> holders.get(holder).start());
             case RESTART_HOLDER -> {
@@ -389,16 +392,16 @@
                 holders.get(holder).start();
             }
             case KILL_ASKED -> {
-                passesOn = false;
+                expectsNewToken = false;
                 int other = (holder + 1) % HOLDERS;
                 during(
-                        hold,
+                        holdMillis,
                         () -> holders.get(other).kill(),
                         () -> holders.get(other).start());
             }
             case KILL_RENEWING -> {
                 hold(toServers[holder], false, true);
-                during(hold, () -> killIn(holder, "renewing"), () -> {
+                during(holdMillis, () -> killInState(holder, "renewing"), () -> {
                     hold(toServers[holder], false, false);
                     holders.get(holder).start();
                 });
@@ -406,74 +409,84 @@
             case KILL_RELEASED -> {
                 handOver((holder + 1) % HOLDERS);
                 during(
-                        hold,
-                        () -> killIn(holder, "released"),
+                        holdMillis,
+                        () -> killInState(holder, "released"),
                         () -> holders.get(holder).start());
             }
             case CUT_HOLDER ->
-                during(hold, () -> hold(toServers[holder], true, true), () -> hold(toServers[holder], false, false));
+                during(
+                        holdMillis,
+                        () -> hold(toServers[holder], true, true),
+                        () -> hold(toServers[holder], false, false));
             case MUTE_GRANTORS -> {
-                // What it asked before it stopped may have moved its time on past the end of this.
-                passesOn = false;
-                during(hold, () -> hold(toServers[holder], false, true), () -> hold(toServers[holder], false, false));
+                // A renewal sent before the fault may have extended the lease beyond its end.
+                expectsNewToken = false;
+                during(
+                        holdMillis,
+                        () -> hold(toServers[holder], false, true),
+                        () -> hold(toServers[holder], false, false));
             }
             case PAUSE_LEADER -> {
-                passesOn = false;
+                expectsNewToken = false;
                 during(
-                        hold,
-                        () -> grantors.get(leader).signal("STOP"),
-                        () -> grantors.get(leader).signal("CONT"));
+                        holdMillis,
+                        () -> leaseServers.get(leader).signal("STOP"),
+                        () -> leaseServers.get(leader).signal("CONT"));
             }
             case KILL_LEADER -> {
-                passesOn = false;
+                expectsNewToken = false;
                 during(
-                        hold,
-                        () -> grantors.get(leader).kill(),
-                        () -> grantors.get(leader).start());
+                        holdMillis,
+                        () -> leaseServers.get(leader).kill(),
+                        () -> leaseServers.get(leader).start());
             }
             case CUT_LEADER, MUTE_LEADER -> {
-                passesOn = false;
+                expectsNewToken = false;
                 boolean both = fault == Fault.CUT_LEADER;
-                during(hold, () -> part(leader, true, both), () -> part(leader, false, false));
+                during(holdMillis, () -> partition(leader, true, both), () -> partition(leader, false, false));
             }
             case CLOCKS_WITHIN -> {
-                passesOn = false;
-                during(2 * hold, () -> clocks(BOUND_MILLIS), () -> clocks(0));
+                expectsNewToken = false;
+                during(2 * holdMillis, () -> setClockOffsets(MAX_CLOCK_ERROR_MILLIS), () -> setClockOffsets(0));
             }
             case CLOCK_BEYOND -> {
-                passesOn = false;
-                beyond = true;
-                during(hold, () -> offset("h" + holder, -2 * LENGTH_MILLIS), () -> offset("h" + holder, 0));
+                expectsNewToken = false;
+                clockBeyondBound = true;
+                during(
+                        holdMillis,
+                        () -> writeClockOffset("h" + holder, -2 * LEASE_MILLIS),
+                        () -> writeClockOffset("h" + holder, 0));
             }
             case HAND_OVER -> handOver((holder + 1) % HOLDERS);
             default -> {
-                passesOn = false;
-                during(2 * hold, () -> weather(Weather.FOUL), () -> weather(Weather.FAIR));
+                expectsNewToken = false;
+                during(2 * holdMillis, () -> setWeather(Weather.FOUL), () -> setWeather(Weather.FAIR));
             }
         }
-        long mended = System.nanoTime();
-        if (!acted(
-                passesOn ? from : mended,
-                AGAIN_MILLIS + (mended - from) / MS,
-                passesOn && newest != null ? newest.token() + 1 : 0)) {
-            broken.add("nobody acts after " + name(fault));
+        long repairedNanos = System.nanoTime();
+        if (!awaitAct(
+                expectsNewToken ? startNanos : repairedNanos,
+                RECOVERY_TIMEOUT_MILLIS + (repairedNanos - startNanos) / NANOS_PER_MILLI,
+                expectsNewToken && newestAct != null ? newestAct.token() + 1 : 0)) {
+            violations.add("no holder acts after " + name(fault));
             return;
         }
-        long token = newest == null ? 0 : newest.token();
+        long token = newestAct == null ? 0 : newestAct.token();
         acts().stream()
                 .filter(act -> act.token() > token && act.verdict() == FencingGuard.Decision.ADMITTED)
                 .mapToLong(Act::at)
                 .min()
-                .ifPresent(at ->
-                        takeovers.computeIfAbsent(fault, f -> new ArrayList<>()).add((at - from) / MS));
+                .ifPresent(atNanos -> takeoverMillis
+                        .computeIfAbsent(fault, f -> new ArrayList<>())
+                        .add((atNanos - startNanos) / NANOS_PER_MILLI));
     }
 
-    /** What may throw. */
-    private interface Deed {
+    /** An action that may throw. */
+    private interface Action {
         void run() throws IOException, InterruptedException;
     }
 
-    private static void during(long millis, Deed begin, Deed end) throws IOException, InterruptedException {
+    private static void during(long millis, Action begin, Action end) throws IOException, InterruptedException {
         begin.run();
         Thread.sleep(millis);
         end.run();
@@ -485,42 +498,42 @@
         }
     }
 
-    /** Holds what a grantor says to the others, and, if both ways, what they say to it. */
-    private void part(int grantor, boolean on, boolean both) {
-        for (int other = 0; other < GRANTORS; other++) {
-            if (other != grantor) {
-                between[grantor][other].hold(on, on && both);
-                between[other][grantor].hold(on && both, on);
+    /** Holds back messages from a lease server to the others and, if {@code both}, those from the others to it. */
+    private void partition(int server, boolean on, boolean both) {
+        for (int other = 0; other < LEASE_SERVERS; other++) {
+            if (other != server) {
+                betweenServers[server][other].hold(on, on && both);
+                betweenServers[other][server].hold(on && both, on);
             }
         }
     }
 
-    private void clocks(long most) throws IOException {
-        for (int i = 0; i < GRANTORS; i++) {
-            offset("k" + i, draw(most));
+    private void setClockOffsets(long maxMillis) throws IOException {
+        for (int i = 0; i < LEASE_SERVERS; i++) {
+            writeClockOffset("k" + i, randomOffsetMillis(maxMillis));
         }
         for (int i = 0; i < HOLDERS; i++) {
-            offset("h" + i, draw(most));
+            writeClockOffset("h" + i, randomOffsetMillis(maxMillis));
         }
-        synchronized (resourceOffsets) {
-            for (int i = 0; i < resourceOffsets.length; i++) {
-                resourceOffsets[i] = draw(most) * MS;
+        synchronized (resourceOffsetsNanos) {
+            for (int i = 0; i < resourceOffsetsNanos.length; i++) {
+                resourceOffsetsNanos[i] = randomOffsetMillis(maxMillis) * NANOS_PER_MILLI;
             }
         }
     }
 
-    private long draw(long most) {
-        return most == 0 ? 0 : chance.nextLong(2 * most + 1) - most;
+    private long randomOffsetMillis(long maxMillis) {
+        return maxMillis == 0 ? 0 : random.nextLong(2 * maxMillis + 1) - maxMillis;
     }
 
-    private void weather(Weather next) {
+    private void setWeather(Weather next) {
         for (FaultRelay[] row :
                 Stream.of(toServers, toResources).flatMap(Stream::of).toList()) {
             for (FaultRelay relay : row) {
                 relay.weather(next);
             }
         }
-        for (DatagramRelay[] row : gossip) {
+        for (DatagramRelay[] row : gossipRelays) {
             for (DatagramRelay relay : row) {
                 if (relay != null) {
                     relay.weather(next);
@@ -529,11 +542,11 @@
         }
     }
 
-    /** Kills a holder as soon as its log says that it is in this state; a lease later in any case. */
-    private void killIn(int holder, String state) throws InterruptedException {
-        long until = System.nanoTime() + LENGTH_MILLIS * MS;
+    /** Kills a holder once the last line of its log shows this state, or after a lease duration in any case. */
+    private void killInState(int holder, String state) throws InterruptedException {
+        long untilNanos = System.nanoTime() + LEASE_MILLIS * NANOS_PER_MILLI;
         String last = "";
-        while (!last.contains(" is " + state) && System.nanoTime() < until) {
+        while (!last.contains(" is " + state) && System.nanoTime() < untilNanos) {
             Thread.sleep(2);
             String[] lines = holders.get(holder).log().split("\n");
             last = lines[lines.length - 1];
@@ -541,23 +554,23 @@
         holders.get(holder).kill();
     }
 
-    /** Once all is mended, each grantor has to find all processes in the fleet again. */
-    private void together() throws IOException, InterruptedException {
-        long until = System.nanoTime() + TOGETHER_MILLIS * MS;
-        for (InetSocketAddress door : doors) {
+    /** Waits until each lease server lists all processes as members again. */
+    private void awaitFullMembership() throws IOException, InterruptedException {
+        long untilNanos = System.nanoTime() + MEMBERSHIP_TIMEOUT_MILLIS * NANOS_PER_MILLI;
+        for (InetSocketAddress address : clientAddresses) {
             String view = "";
-            for (int there = 0; there < gossipPorts.length; ) {
-                if (System.nanoTime() > until) {
-                    broken.add("not all are in the fleet again: " + view);
+            for (int memberCount = 0; memberCount < gossipPorts.length; ) {
+                if (System.nanoTime() > untilNanos) {
+                    violations.add("a membership view is incomplete after the faults: " + view);
                     return;
                 }
                 Thread.sleep(50);
-                HttpFetcher http = new HttpFetcher(door);
+                HttpFetcher http = new HttpFetcher(address);
                 try {
                     view = http.get("/v1/members", 2_000);
-                    there = view.split("\"name\"").length - 1;
+                    memberCount = view.split("\"name\"").length - 1;
                 } catch (IOException e) {
-                    // It has just been started again.
+                    // The lease server may still be starting.
                     view = e.toString();
                 } finally {
                     http.close();
@@ -569,15 +582,15 @@
     private void handOver(int to) throws IOException {
         String ask = "{\"kind\":\"HAND_OVER\",\"task\":\"" + TASK
                 + "\",\"holder\":\"\",\"number\":0,\"token\":0,"
-                + "\"length\":" + LENGTH_MILLIS * MS + ",\"heir\":\"h" + to + "\"}";
+                + "\"length\":" + LEASE_MILLIS * NANOS_PER_MILLI + ",\"heir\":\"h" + to + "\"}";
         get("/v1/lease?ask=" + java.net.URLEncoder.encode(ask, java.nio.charset.StandardCharsets.UTF_8));
     }
 
-    /** What a grantor answers to the laboratory itself, past all relays. */
+    /** Returns the response of the first lease server that answers, bypassing all relays. */
     private String get(String path) throws IOException {
-        IOException last = new IOException("no grantor");
-        for (InetSocketAddress door : doors) {
-            HttpFetcher http = new HttpFetcher(door);
+        IOException last = new IOException("no lease server");
+        for (InetSocketAddress address : clientAddresses) {
+            HttpFetcher http = new HttpFetcher(address);
             try {
                 return http.get(path, 2_000);
             } catch (IOException e) {
@@ -598,20 +611,20 @@
         return resources.stream().flatMap(each -> each.acts().stream()).toList();
     }
 
-    private Act newest() {
+    private Act newestAct() {
         return acts().stream()
                 .filter(act -> act.verdict() == FencingGuard.Decision.ADMITTED)
                 .max((a, b) -> Long.compare(a.token(), b.token()))
                 .orElse(null);
     }
 
-    /** Waits until an act is done, since then and under this token or a higher one. */
-    private boolean acted(long since, long millis, long token) throws InterruptedException {
-        long until = since + millis * MS;
-        while (System.nanoTime() < until) {
+    /** Waits until an act is admitted at or after {@code sinceNanos} with at least this token. */
+    private boolean awaitAct(long sinceNanos, long millis, long token) throws InterruptedException {
+        long untilNanos = sinceNanos + millis * NANOS_PER_MILLI;
+        while (System.nanoTime() < untilNanos) {
             if (acts().stream()
                     .anyMatch(act -> act.verdict() == FencingGuard.Decision.ADMITTED
-                            && act.at() >= since
+                            && act.at() >= sinceNanos
                             && act.token() >= token)) {
                 return true;
             }
--- a/src/main/java/beaconladder/testbed/RestartScenario.java
+++ b/src/main/java/beaconladder/testbed/RestartScenario.java
@@ -15,83 +15,85 @@
 import java.util.stream.Collectors;
 
 /**
- * Routers restarted a tenth at a time, by SIGTERM and then SIGKILL, while clients go on sending on every connection
- * that stays open. Judged by what clients and hosts saw.
+ * Restarts routers a tenth at a time, by SIGTERM and then SIGKILL, while clients keep sending on every connection that
+ * stays open, and checks what clients and hosts saw.
  */
 public final class RestartScenario {
-    /** What happens to a router that is to end. */
+    /** Faults during the restart of a router. */
     public enum Fault {
-        /** SIGKILL no sooner than the protocol has it: all that was taken has its answer by then. */
+        /** SIGKILL no earlier than the restart procedure allows: each accepted request is answered by then. */
         PLANNED,
-        /** SIGKILL anywhere in the drain: what was in hand is lost, and nothing else. */
+        /** SIGKILL at any time in the drain: only the requests in flight are lost. */
         KILLED_EARLY,
         /** A second SIGTERM in the drain. */
         TOLD_TWICE,
-        /** SIGTERM again before its successor is ready. */
+        /** SIGTERM to the new process before it is ready. */
         TOLD_WHILE_STARTING,
-        /** Hosts that take most of a txn's time. */
+        /** Slow hosts, which use most of a request's time budget. */
         SLOW_HOSTS,
-        /** Discovery says nothing while it ends and its successor starts. */
+        /** Discovery does not respond while the router ends and the new process starts. */
         SILENT_DISCOVERY
     }
 
-    /** SIGKILL comes this long after SIGTERM: the longest deadline, counted as 3 s, and 0.7 s. */
-    private static final int KILL_MILLIS = 3_700;
+    /** Delay from SIGTERM to SIGKILL: the longest deadline, taken as 3 s, plus 0.7 s. */
+    private static final int KILL_DELAY_MILLIS = 3_700;
 
-    private static final int READY_MILLIS = 30_000;
-    private static final int SLOW_MILLIS = 1_200;
+    private static final int START_TIMEOUT_MILLIS = 30_000;
+    private static final int SLOW_HOST_MILLIS = 1_200;
 
-    /** One router, over all its lives. */
+    /** A router and its port, which stay the same over restarts. */
     private record Router(ChildProcesses.Program program, int port) {}
 
     private final long seed;
-    private final int count;
+    private final int routerCount;
     private final PrintWriter out;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final List<HostStandIn> hosts = new ArrayList<>();
     private final List<Router> routers = new ArrayList<>();
-    private final Set<Integer> kills = ConcurrentHashMap.newKeySet();
-    private final List<String> broken = new CopyOnWriteArrayList<>();
-    private final List<Long> ends = Collections.synchronizedList(new ArrayList<>());
-    private final List<Long> starts = Collections.synchronizedList(new ArrayList<>());
-    private final Map<Fault, Integer> played = new ConcurrentHashMap<>();
+    private final Set<Integer> killedPorts = ConcurrentHashMap.newKeySet();
+    private final List<String> violations = new CopyOnWriteArrayList<>();
+    private final List<Long> endMillis = Collections.synchronizedList(new ArrayList<>());
+    private final List<Long> startMillis = Collections.synchronizedList(new ArrayList<>());
+    private final Map<Fault, Integer> routersByFault = new ConcurrentHashMap<>();
     private DiscoveryStandIn discovery;
     private PipeliningClients writers;
-    private volatile boolean over;
+    private volatile boolean stopping;
 
     public RestartScenario(long seed, int routers, PrintWriter out) {
         this.seed = seed;
-        this.count = routers;
+        this.routerCount = routers;
         this.out = out;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
     }
 
-    /** Plays it; whether every rule held. */
-    public boolean play(List<Fault> from) throws IOException, InterruptedException {
+    /** Runs the scenario with faults drawn from these; returns whether there was no violation. */
+    public boolean run(List<Fault> faults) throws IOException, InterruptedException {
         List<Thread> clients = new ArrayList<>();
         try (ChildProcesses programs = new ChildProcesses(Files.createTempDirectory("restarts"))) {
-            standUp(programs);
-            for (int i = 0; i < 3 * count; i++) {
-                clients.add(client(i, chance.split()));
+            startFleet(programs);
+            for (int i = 0; i < 3 * routerCount; i++) {
+                clients.add(startClient(i, random.split()));
             }
-            int wave = Math.max(1, count / 10);
-            for (int first = 0; first < count; first += wave) {
-                wave(routers.subList(first, Math.min(count, first + wave)), from.get(chance.nextInt(from.size())));
+            int waveSize = Math.max(1, routerCount / 10);
+            for (int first = 0; first < routerCount; first += waveSize) {
+                restartWave(
+                        routers.subList(first, Math.min(routerCount, first + waveSize)),
+                        faults.get(random.nextInt(faults.size())));
             }
-            // The clients end before the routers do: what they have out is answered first.
-            over = true;
-            clients.forEach(client -> StandInThreads.join(client, READY_MILLIS));
+            // The clients end before the routers, so that their outstanding requests are answered.
+            stopping = true;
+            clients.forEach(client -> StandInThreads.join(client, START_TIMEOUT_MILLIS));
         } finally {
-            over = true;
+            stopping = true;
             for (HostStandIn host : hosts) {
                 host.close();
             }
             discovery.close();
         }
-        return verdict();
+        return report();
     }
 
-    private void standUp(ChildProcesses programs) throws IOException {
+    private void startFleet(ChildProcesses programs) throws IOException {
         for (String role : List.of("leader", "follower", "follower")) {
             hosts.add(new HostStandIn(role));
         }
@@ -103,133 +105,134 @@
                 hosts.get(1).entry("h1", "Ready"),
                 hosts.get(2).entry("h2", "Ready"));
         discovery.list(true, known);
-        writers = new PipeliningClients(hosts, kills::contains);
-        delay(5);
-        for (int i = 0; i < count; i++) {
+        writers = new PipeliningClients(hosts, killedPorts::contains);
+        setHostDelay(5);
+        for (int i = 0; i < routerCount; i++) {
             int port = ChildProcesses.freePort();
             routers.add(new Router(
                     programs.program("n" + i, RouterFile.of("n" + i, port, discovery, 256, 144, known), "serve"),
                     port));
         }
-        all(routers, this::start);
+        inParallel(routers, this::start);
     }
 
-    /** One client in three comes anew each time; the others never leave a connection idle. */
-    private Thread client(int n, SplittableRandom own) {
+    /** Starts a client; one in three connects anew for each batch, the others never leave a connection idle. */
+    private Thread startClient(int n, SplittableRandom clientRandom) {
         return StandInThreads.spawn(() -> {
-            for (int k = 0; !over; k++) {
-                int port = routers.get(own.nextInt(count)).port();
+            for (int k = 0; !stopping; k++) {
+                int port = routers.get(clientRandom.nextInt(routerCount)).port();
                 String name = "c" + n + "-" + k;
                 try {
                     if (n % 3 == 0) {
-                        writers.batch(port, name, 1 + own.nextInt(5), own, () -> over);
+                        writers.batch(port, name, 1 + clientRandom.nextInt(5), clientRandom, () -> stopping);
                     } else {
-                        writers.stream(port, name, 1 + own.nextInt(5), own, () -> over);
+                        writers.stream(port, name, 1 + clientRandom.nextInt(5), clientRandom, () -> stopping);
                     }
                 } catch (IOException e) {
-                    broken.add(name + " " + e);
+                    violations.add(name + " " + e);
                 }
             }
         });
     }
 
-    private void wave(List<Router> of, Fault fault) throws InterruptedException {
-        played.merge(fault, of.size(), Integer::sum);
-        out.println("wave of " + of.size() + ": " + name(fault));
+    private void restartWave(List<Router> wave, Fault fault) throws InterruptedException {
+        routersByFault.merge(fault, wave.size(), Integer::sum);
+        out.println("wave of " + wave.size() + ": " + name(fault));
         out.flush();
         StandInThreads.sleep(300);
-        SplittableRandom own = chance.split();
+        SplittableRandom waveRandom = random.split();
         if (fault == Fault.SLOW_HOSTS) {
-            delay(SLOW_MILLIS);
+            setHostDelay(SLOW_HOST_MILLIS);
         } else if (fault == Fault.SILENT_DISCOVERY) {
             discovery.silenceOpenConnections();
             discovery.manner = DiscoveryStandIn.Manner.SILENT;
         }
-        int at = 50 + own.nextInt(KILL_MILLIS - 700);
-        all(of, router -> {
-            stop(router, fault, at);
+        int faultDelayMillis = 50 + waveRandom.nextInt(KILL_DELAY_MILLIS - 700);
+        inParallel(wave, router -> {
+            stop(router, fault, faultDelayMillis);
             start(router);
             if (fault == Fault.TOLD_WHILE_STARTING) {
                 stop(router, Fault.PLANNED, 0);
                 router.program().start();
-                StandInThreads.sleep(at / 4);
+                StandInThreads.sleep(faultDelayMillis / 4);
                 stop(router, fault, 0);
                 start(router);
             }
         });
-        delay(5);
+        setHostDelay(5);
         discovery.manner = DiscoveryStandIn.Manner.ANSWER;
     }
 
-    /** SIGTERM, the fault, and SIGKILL where it has not ended by then. */
-    private void stop(Router router, Fault fault, int at) throws IOException, InterruptedException {
-        long from = System.nanoTime();
+    /** Sends SIGTERM, injects the fault, and sends SIGKILL if the router has not ended in time. */
+    private void stop(Router router, Fault fault, int faultDelayMillis) throws IOException, InterruptedException {
+        long startNanos = System.nanoTime();
         router.program().signal("TERM");
         if (fault == Fault.KILLED_EARLY) {
-            StandInThreads.sleep(at);
-            kills.add(router.port());
+            StandInThreads.sleep(faultDelayMillis);
+            killedPorts.add(router.port());
             router.program().kill();
             return;
         }
         if (fault == Fault.TOLD_TWICE) {
-            StandInThreads.sleep(Math.min(at, 600));
+            StandInThreads.sleep(Math.min(faultDelayMillis, 600));
             router.program().signal("TERM");
         }
-        long left = KILL_MILLIS - (System.nanoTime() - from) / 1_000_000;
-        if (!router.program().ended(Math.max(0, left))) {
-            // No excuse for what is unanswered now.
+        long remainingMillis = KILL_DELAY_MILLIS - (System.nanoTime() - startNanos) / 1_000_000;
+        if (!router.program().ended(Math.max(0, remainingMillis))) {
+            // Unanswered requests count as violations here, as the router is not in killedPorts.
             router.program().kill();
         } else if (router.program().exit() != 0 && fault != Fault.TOLD_WHILE_STARTING) {
-            broken.add(name(fault) + ": ended with " + router.program().exit());
+            violations.add(name(fault) + ": ended with " + router.program().exit());
         }
         if (fault != Fault.TOLD_WHILE_STARTING) {
-            ends.add((System.nanoTime() - from) / 1_000_000);
+            endMillis.add((System.nanoTime() - startNanos) / 1_000_000);
         }
     }
 
     private void start(Router router) throws IOException {
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         router.program().start();
-        while (System.nanoTime() - from < READY_MILLIS * 1_000_000L) {
+        while (System.nanoTime() - startNanos < START_TIMEOUT_MILLIS * 1_000_000L) {
             try (ClientLoad.Line line = new ClientLoad.Line(router.port(), 0)) {
                 line.send("");
                 if (line.answer()) {
-                    kills.remove(router.port());
-                    starts.add((System.nanoTime() - from) / 1_000_000);
+                    killedPorts.remove(router.port());
+                    startMillis.add((System.nanoTime() - startNanos) / 1_000_000);
                     return;
                 }
             } catch (IOException e) {
                 StandInThreads.sleep(10);
             }
         }
-        broken.add("not ready in time\n" + router.program().log());
+        violations.add("not ready in time\n" + router.program().log());
     }
 
-    private interface Step {
-        void take(Router router) throws IOException, InterruptedException;
+    private interface RouterAction {
+        void run(Router router) throws IOException, InterruptedException;
     }
 
-    private void all(List<Router> of, Step step) {
+    private void inParallel(List<Router> wave, RouterAction action) {
         List<Thread> threads = new ArrayList<>();
-        for (Router router : of) {
-            threads.add(StandInThreads.spawn(() -> step.take(router)));
+        for (Router router : wave) {
+            threads.add(StandInThreads.spawn(() -> action.run(router)));
         }
-        threads.forEach(thread -> StandInThreads.join(thread, 4 * READY_MILLIS));
+        threads.forEach(thread -> StandInThreads.join(thread, 4 * START_TIMEOUT_MILLIS));
     }
 
-    private void delay(int millis) {
+    private void setHostDelay(int millis) {
         hosts.forEach(host -> host.delayMillis = millis);
     }
 
-    private boolean verdict() {
-        broken.addAll(writers.odd);
-        writers.writesThatRanTwice().forEach(id -> broken.add("ran twice: " + id));
-        if (writers.served.get() < 100 * count || writers.unread.get() == 0) {
-            broken.add("too little was served, or nothing ended under a query: this has shown nothing");
+    private boolean report() {
+        violations.addAll(writers.odd);
+        writers.writesThatRanTwice().forEach(id -> violations.add("ran twice: " + id));
+        if (writers.served.get() < 100 * routerCount || writers.unread.get() == 0) {
+            violations.add(
+                    "too few requests were served, or no connection ended under a request: the run is inconclusive");
         }
-        broken.stream().limit(5).forEach(out::println);
-        Collections.sort(ends);
-        Collections.sort(starts);
+        violations.stream().limit(5).forEach(out::println);
+        Collections.sort(endMillis);
+        Collections.sort(startMillis);
         out.printf(
                 Locale.ROOT,
                 "{\"rehearsal\":\"restarts\",\"seed\":%d,\"routers\":%d,\"faults\":{%s},"
@@ -237,8 +240,8 @@
                         + "\"in_hand_at_kills\":%d,\"end_ms_median\":%d,\"end_ms_most\":%d,\"ready_ms_most\":%d,"
                         + "\"broken\":%d}%n",
                 seed,
-                count,
-                played.entrySet().stream()
+                routerCount,
+                routersByFault.entrySet().stream()
                         .map(e -> "\"" + name(e.getKey()) + "\":" + e.getValue())
                         .sorted()
                         .collect(Collectors.joining(",")),
@@ -248,12 +251,12 @@
                 writers.declined.get() / Math.max(1.0, writers.answered.get()),
                 writers.unread.get(),
                 writers.killed.get(),
-                ends.isEmpty() ? 0 : ends.get(ends.size() / 2),
-                ends.isEmpty() ? 0 : ends.get(ends.size() - 1),
-                starts.get(starts.size() - 1),
-                broken.size());
+                endMillis.isEmpty() ? 0 : endMillis.get(endMillis.size() / 2),
+                endMillis.isEmpty() ? 0 : endMillis.get(endMillis.size() - 1),
+                startMillis.get(startMillis.size() - 1),
+                violations.size());
         out.flush();
-        return broken.isEmpty();
+        return violations.isEmpty();
     }
 
     private static String name(Fault fault) {
--- a/src/test/java/beaconladder/testbed/CellsIT.java
+++ b/src/test/java/beaconladder/testbed/CellsIT.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The rehearsal of cells, small, and the command line as operators call it. */
+/** A small cell scenario with faults, and the command line as operators call it. */
 @Timeout(120)
 class CellsIT {
     @TempDir
@@ -31,16 +31,16 @@
         "4, TARGET_FAILS, true",
         "5, SOURCE_FAILS, false"
     })
-    void aMoveThatIsInterruptedEndsAndEveryRuleHolds(long seed, Fault fault, boolean flood) throws Exception {
-        StringWriter said = new StringWriter();
+    void anInterruptedMigrationEndsAndEveryRuleHolds(long seed, Fault fault, boolean flood) throws Exception {
+        StringWriter output = new StringWriter();
         Size size = new Size(3, 24, 2, 16, 40, 2);
-        boolean held = new CellsScenario(size, seed, new PrintWriter(said)).play(List.of(fault), flood);
-        assertThat(held).as(said.toString()).isTrue();
+        boolean passed = new CellsScenario(size, seed, new PrintWriter(output)).run(List.of(fault), flood);
+        assertThat(passed).as(output.toString()).isTrue();
     }
 
     /** Bad input gets one clear line and changes nothing. */
     @Test
-    void whatHasNoPlaceIsToldAtOnceAndABadPlanChangesNothing() throws Exception {
+    void requestsWithoutAPlacementAreRejectedAtOnceAndAnInvalidPlanChangesNothing() throws Exception {
         String tenants = """
                 (tenant t (cell c0)) (cell void (groups 99) (share 1%)) (tenant lost (cell void))
                 (tenant far (cell c0) (networks 10.0.0.0/8)) (router n0 (serves c0 void))
@@ -48,21 +48,21 @@
                 """;
         try (TestDeployment all = new TestDeployment(folder, 2, 1, 2, 1, 5, tenants);
                 ClientLoad.Line line = new ClientLoad.Line(all.port(0), 0)) {
-            StringBuilder said = new StringBuilder();
-            String[][] asks = {
+            StringBuilder output = new StringBuilder();
+            String[][] requests = {
                 {"t", "0"}, {"t", "1"}, {"t", "7"}, {"lost", "99"}, {"far", "0"}, {"nobody", "0"}, {"other", "1"}
             };
             Thread.sleep(300);
-            for (String[] ask : asks) {
-                line.send(
-                        ClientLoad.query("q" + said.length(), "any", ask[0], "k", Integer.parseInt(ask[1]), 0, 0, 900));
+            for (String[] request : requests) {
+                line.send(ClientLoad.query(
+                        "q" + output.length(), "any", request[0], "k", Integer.parseInt(request[1]), 0, 0, 900));
                 assertThat(line.answer()).isTrue();
-                said.append(String.join(" ", ask))
+                output.append(String.join(" ", request))
                         .append(": ")
                         .append(line.code() == null ? "served" : line.code() + " " + line.message)
                         .append('\n');
             }
-            assertThat(said.toString()).isEqualTo("""
+            assertThat(output.toString()).isEqualTo("""
                     t 0: served
                     t 1: served
                     t 7: 22023 group 7 is in no cell
@@ -87,25 +87,25 @@
         }
     }
 
-    /** What would be broken is seen: without this the rehearsal could not fail. */
+    /** Each violation is found: a checker that missed one would let the scenario pass. */
     @Test
-    void theJudgeSeesWhatIsBroken() throws Exception {
-        try (HostFleet ground = new HostFleet(2, 1, 5)) {
-            InvariantChecker judge = new InvariantChecker();
-            ground.ran.add(new HostFleet.Ran("w1", "t", "k", true, 1, 0, "h0-0", 1));
-            ground.ran.add(new HostFleet.Ran("w1", "t", "k", true, 1, 0, "h0-0", 2));
-            ground.ran.add(new HostFleet.Ran("w2", "t", "k", true, 2, 1, "h1-0", 3));
-            ground.ran.add(new HostFleet.Ran("w3", "t", "k", true, 3, 0, "h0-0", 4));
-            ground.reached.add(new HostFleet.Reached("h0-0", "w3", 10_000));
-            ground.draining.put("h0-0", 1L);
-            judge.asked.add(asked("w1", "write", InvariantChecker.End.COMMITTED, 1, 0, false));
-            judge.asked.add(asked("w2", "write", InvariantChecker.End.DECLINED, 2, 0, false));
-            judge.asked.add(asked("w4", "write", InvariantChecker.End.COMMITTED, 4, 0, false));
-            judge.asked.add(asked("r1", "own", InvariantChecker.End.COMMITTED, 1, 2, false));
-            judge.asked.add(asked("r2", "any", InvariantChecker.End.COMMITTED, 9, 0, true));
-            judge.asked.add(asked("r3", "any", InvariantChecker.End.NONE, -1, 0, false));
-            assertThat(judge.broken(ground, group -> group))
-                    .extracting(InvariantChecker.Broken::rule)
+    void theCheckerFindsEachViolation() throws Exception {
+        try (HostFleet fleet = new HostFleet(2, 1, 5)) {
+            InvariantChecker checker = new InvariantChecker();
+            fleet.ran.add(new HostFleet.Ran("w1", "t", "k", true, 1, 0, "h0-0", 1));
+            fleet.ran.add(new HostFleet.Ran("w1", "t", "k", true, 1, 0, "h0-0", 2));
+            fleet.ran.add(new HostFleet.Ran("w2", "t", "k", true, 2, 1, "h1-0", 3));
+            fleet.ran.add(new HostFleet.Ran("w3", "t", "k", true, 3, 0, "h0-0", 4));
+            fleet.reached.add(new HostFleet.Reached("h0-0", "w3", 10_000));
+            fleet.draining.put("h0-0", 1L);
+            checker.asked.add(asked("w1", "write", InvariantChecker.End.COMMITTED, 1, 0, false));
+            checker.asked.add(asked("w2", "write", InvariantChecker.End.DECLINED, 2, 0, false));
+            checker.asked.add(asked("w4", "write", InvariantChecker.End.COMMITTED, 4, 0, false));
+            checker.asked.add(asked("r1", "own", InvariantChecker.End.COMMITTED, 1, 2, false));
+            checker.asked.add(asked("r2", "any", InvariantChecker.End.COMMITTED, 9, 0, true));
+            checker.asked.add(asked("r3", "any", InvariantChecker.End.NONE, -1, 0, false));
+            assertThat(checker.findViolations(fleet, group -> group))
+                    .extracting(InvariantChecker.Violation::rule)
                     .containsExactlyInAnyOrder(
                             "a once-only txn ran twice",
                             "a declined txn ran",
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void theCommandLineSaysWhatIsWrongAndEndsWithItsCode() throws Exception {
+    void theCommandLineReportsErrorsAndExitsWithTheirCode() throws Exception {
         Path plan = folder.resolve("router.plan");
         Files.writeString(plan, "(cell a (groups 0))\n(tenant t (cell b))\n");
         assertThat(run("check", plan.toString()))
@@ -157,8 +157,8 @@
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().remove("BALANCER_CONFIG");
         Process process = builder.start();
-        String said = new String(process.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
+        String output = new String(process.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
         assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        return process.exitValue() + " " + said;
+        return process.exitValue() + " " + output;
     }
 }
