--- a/src/main/java/beaconladder/app/LabFeedCommand.java
+++ b/src/main/java/beaconladder/app/LabFeedCommand.java
@@ -98,7 +98,7 @@
                                 seed,
                                 FeedScenario.Size.of(relays, routers, every, steady),
                                 spec.commandLine().getOut())
-                        .play(faults == null ? List.of(FeedFault.values()) : faults, count)
+                        .run(faults == null ? List.of(FeedFault.values()) : faults, count)
                 ? 0
                 : 1;
     }
--- a/src/main/java/beaconladder/testbed/FeedChecker.java
+++ b/src/main/java/beaconladder/testbed/FeedChecker.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** Judges the feed by what routers wrote when they put a version in force, and by what the log answered. */
+/** Checks the feed from the journals of the versions that routers applied, and from what the log committed. */
 final class FeedChecker {
     /** Further violations of one kind give no new information. */
     private static final int MAX_LINES_PER_KIND = 5;
@@ -35,9 +35,9 @@
     record Outage(Predicate<String> routers, long startNanos, long endNanos) {}
 
     /** The result of a run: violations of the rules, and how often a version was late or never in force at a router. */
-    record Verdict(List<String> broken, int late, int never) {}
+    record Verdict(List<String> violations, int late, int never) {}
 
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final Map<String, List<Applied>> byRouter;
     private final List<Logged> log;
     private final List<Outage> outages;
@@ -53,13 +53,13 @@
     }
 
     private void addViolation(String kind, String line) {
-        if (broken.stream().filter(each -> each.startsWith(kind)).count() < MAX_LINES_PER_KIND) {
-            broken.add(kind + ": " + line);
+        if (violations.stream().filter(each -> each.startsWith(kind)).count() < MAX_LINES_PER_KIND) {
+            violations.add(kind + ": " + line);
         }
     }
 
     /** Checks that no router reverts to an older version, and that each version has the contents of the log. */
-    FeedChecker contents() {
+    FeedChecker checkContents() {
         Map<Long, String> digests = new HashMap<>();
         log.forEach(each -> digests.put(each.version(), each.digest()));
         byRouter.forEach((router, all) -> {
@@ -88,7 +88,7 @@
      * @param allNanos in which it has to be in force at all of them
      * @param times receives each time, in nanoseconds
      */
-    FeedChecker inForce(
+    FeedChecker checkTimes(
             List<String> routers,
             int share,
             long firstNanos,
@@ -161,11 +161,11 @@
         return sinceNanos;
     }
 
-    void fault(String line) {
-        broken.add(line);
+    void addFault(String line) {
+        violations.add(line);
     }
 
     Verdict verdict() {
-        return new Verdict(List.copyOf(broken), late, never);
+        return new Verdict(List.copyOf(violations), late, never);
     }
 }
--- a/src/main/java/beaconladder/testbed/FeedFigures.java
+++ b/src/main/java/beaconladder/testbed/FeedFigures.java
@@ -51,14 +51,14 @@
                         / 1024);
         into.put(
                 "grantor_mb_most",
-                fleet.grantors.stream()
+                fleet.leaseServers.stream()
                                 .mapToLong(each -> residentKilobytes(each))
                                 .max()
                                 .orElse(0)
                         / 1024);
         into.put(
                 "hollow_kb_router",
-                round(fleet.hollow.stream()
+                round(fleet.simulated.stream()
                                 .mapToLong(each -> residentKilobytes(each))
                                 .sum()
                         / (double) routers));
@@ -69,7 +69,7 @@
     }
 
     private List<List<Program>> groups() {
-        return List.of(fleet.hollow, fleet.relays, fleet.grantors);
+        return List.of(fleet.simulated, fleet.relays, fleet.leaseServers);
     }
 
     private Sample sample() {
--- a/src/main/java/beaconladder/testbed/FeedFleet.java
+++ b/src/main/java/beaconladder/testbed/FeedFleet.java
@@ -15,24 +15,24 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** Grantors, relays, real and hollow routers of the feed's scenario, each process the program itself. */
+/** Lease servers, relays, real and simulated routers of the feed's scenario, as processes of the program. */
 final class FeedFleet implements AutoCloseable {
-    private static final int GRANTORS = 3;
-    /** Routers as they are, with a process and a disk of their own. */
+    private static final int LEASE_SERVERS = 3;
+    /** Number of real routers, each with a process and a store of its own. */
     static final int REAL = 2;
-    /** Nobody is there; a router wants to know of a host before it serves. */
+    /** An address without a host; a router needs one in its endpoint list before it serves. */
     private static final String HOST = "{\"id\":\"h0\",\"addr\":\"127.0.0.1:9\",\"zone\":\"east\",\"cell\":0,"
             + "\"state\":\"Ready\",\"started_ms\":0,\"role\":\"leader\"}";
 
-    private static final int READY_MILLIS = 30_000;
-    /** Stacks of tasks are outside the heap; a thousand routers' states and buffers are within it. */
-    private static final List<String> LARGE = List.of("-Xmx192m");
+    private static final int START_TIMEOUT_MILLIS = 30_000;
+    /** The heap holds the states and buffers of a thousand routers; thread stacks are outside of it. */
+    private static final List<String> HEAP_OPTIONS = List.of("-Xmx192m");
 
     final FeedLinks links;
-    final List<InetSocketAddress> doors = new ArrayList<>();
-    final List<Program> grantors = new ArrayList<>();
+    final List<InetSocketAddress> serverAddresses = new ArrayList<>();
+    final List<Program> leaseServers = new ArrayList<>();
     final List<Program> relays = new ArrayList<>();
-    final List<Program> hollow = new ArrayList<>();
+    final List<Program> simulated = new ArrayList<>();
     final List<Program> real = new ArrayList<>();
     private final List<InetSocketAddress> relayAddresses = new ArrayList<>();
     private final Path folder;
@@ -40,7 +40,7 @@
     private final ChildProcesses programs;
     private final DiscoveryStandIn discovery = new DiscoveryStandIn();
     private final long seed;
-    private int ports;
+    private int allocatedPorts;
 
     FeedFleet(Path folder, long seed, int relayCount, int routers) throws IOException, InterruptedException {
         this.folder = folder;
@@ -48,27 +48,27 @@
         this.routers = routers;
         programs = new ChildProcesses(folder);
         discovery.list(true, HOST);
-        int[] raft = new int[GRANTORS];
-        for (int i = 0; i < GRANTORS; i++) {
-            raft[i] = port();
-            doors.add(loopback(port()));
+        int[] raftPorts = new int[LEASE_SERVERS];
+        for (int i = 0; i < LEASE_SERVERS; i++) {
+            raftPorts[i] = allocatePort();
+            serverAddresses.add(loopback(allocatePort()));
         }
         for (int j = 0; j < relayCount; j++) {
-            relayAddresses.add(loopback(port()));
+            relayAddresses.add(loopback(allocatePort()));
         }
-        links = new FeedLinks(relayAddresses, doors, raft, REAL, seed);
-        for (int i = 0; i < GRANTORS; i++) {
-            grantors.add(grantor(i, raft));
+        links = new FeedLinks(relayAddresses, serverAddresses, raftPorts, REAL, seed);
+        for (int i = 0; i < LEASE_SERVERS; i++) {
+            leaseServers.add(leaseServer(i, raftPorts));
         }
         for (int j = 0; j < relayCount; j++) {
             relays.add(programs.program(
                     "r" + j,
                     null,
-                    LARGE,
+                    HEAP_OPTIONS,
                     "feed",
                     "relay",
                     "--plan",
-                    plan("r" + j, raft, links.serversFrom(j)),
+                    writePlan("r" + j, raftPorts, links.serversFrom(j)),
                     "--name",
                     "r" + j,
                     "--at",
@@ -77,12 +77,12 @@
                     folder.resolve("relay" + j).toString()));
         }
         for (int region = 0; region < FeedLinks.REGIONS; region++) {
-            int from = first(region);
-            if (first(region + 1) > from) {
-                hollow.add(programs.program(
+            int from = firstRouter(region);
+            if (firstRouter(region + 1) > from) {
+                simulated.add(programs.program(
                         "hollow" + region,
                         null,
-                        LARGE,
+                        HEAP_OPTIONS,
                         "lab",
                         "feed-routers",
                         "--prefix",
@@ -90,9 +90,9 @@
                         "--from",
                         "" + from,
                         "--count",
-                        "" + (first(region + 1) - from),
+                        "" + (firstRouter(region + 1) - from),
                         "--relays",
-                        named(links.relaysFrom(region)),
+                        relayList(links.relaysFrom(region)),
                         "--journal",
                         folder.resolve("hollow" + region + ".journal").toString()));
             }
@@ -100,27 +100,27 @@
         for (int i = 0; i < REAL; i++) {
             real.add(programs.program(
                     "m" + i,
-                    RouterFile.of("m" + i, port(), discovery, 256, 192, HOST),
+                    RouterFile.of("m" + i, allocatePort(), discovery, 256, 192, HOST),
                     "serve",
                     "--feed",
-                    named(links.relaysFromReal(i)),
+                    relayList(links.relaysFromReal(i)),
                     "--feed-store",
                     folder.resolve("fed" + i).toString(),
                     "--feed-journal",
                     folder.resolve("m" + i + ".journal").toString()));
         }
-        // Also when the scenario itself is ended.
+        // Also ends the processes when the scenario itself is terminated.
         Runtime.getRuntime().addShutdownHook(new Thread(programs::close));
         boolean started = false;
         try {
             for (List<Program> group : List.of(
-                    grantors,
+                    leaseServers,
                     relays,
-                    Stream.concat(hollow.stream(), real.stream()).toList())) {
+                    Stream.concat(simulated.stream(), real.stream()).toList())) {
                 for (Program each : group) {
                     each.start();
                 }
-                ready(group == grantors, group == relays);
+                awaitReady(group == leaseServers, group == relays);
             }
             started = true;
         } finally {
@@ -130,9 +130,9 @@
         }
     }
 
-    /** Below those that the system hands out, and those of the scenario of leases, so that all stay free. */
-    private int port() {
-        return 10_000 + (int) Math.floorMod(seed, 100L) * 100 + ports++;
+    /** Returns a port below the ephemeral range and the ports of the lease scenario, so that it stays free. */
+    private int allocatePort() {
+        return 10_000 + (int) Math.floorMod(seed, 100L) * 100 + allocatedPorts++;
     }
 
     private static InetSocketAddress loopback(int port) {
@@ -143,16 +143,16 @@
         return at.getAddress().getHostAddress() + ":" + at.getPort();
     }
 
-    private static String named(List<InetSocketAddress> relays) {
+    private static String relayList(List<InetSocketAddress> relays) {
         return IntStream.range(0, relays.size())
                 .mapToObj(j -> "r" + j + "=" + text(relays.get(j)))
                 .collect(Collectors.joining(","));
     }
 
-    private Program grantor(int i, int[] raft) throws IOException {
+    private Program leaseServer(int i, int[] raftPorts) throws IOException {
         StringBuilder names = new StringBuilder(
                 "127.0.0.1 localhost\n127.0.0.1 " + InetAddress.getLocalHost().getHostName() + "\n");
-        for (int j = 0; j < GRANTORS; j++) {
+        for (int j = 0; j < LEASE_SERVERS; j++) {
             names.append(FeedLinks.raftHost(seed, i, j)).append(" k").append(j).append('\n');
         }
         Path hosts = folder.resolve("hosts" + i);
@@ -164,22 +164,22 @@
                 "lease",
                 "grant",
                 "--plan",
-                plan("k" + i, raft, doors),
+                writePlan("k" + i, raftPorts, serverAddresses),
                 "--name",
                 "k" + i);
     }
 
-    private String plan(String name, int[] raft, List<InetSocketAddress> at) throws IOException {
+    private String writePlan(String name, int[] raftPorts, List<InetSocketAddress> addresses) throws IOException {
         StringBuilder text = new StringBuilder("(leases (length 1500ms) (clock 60ms) (disk 16MB))\n");
-        for (int j = 0; j < GRANTORS; j++) {
+        for (int j = 0; j < LEASE_SERVERS; j++) {
             text.append("(grantor k")
                     .append(j)
                     .append(" (raft k")
                     .append(j)
                     .append(':')
-                    .append(raft[j])
+                    .append(raftPorts[j])
                     .append(") (at ")
-                    .append(text(at.get(j)))
+                    .append(text(addresses.get(j)))
                     .append(") (store \"")
                     .append(folder.resolve("log" + j))
                     .append("\"))\n");
@@ -189,50 +189,50 @@
         return file.toString();
     }
 
-    /** The first hollow router of a region. */
-    private int first(int region) {
+    /** Returns the number of the first simulated router of a region. */
+    private int firstRouter(int region) {
         return (int) ((long) routers * region / FeedLinks.REGIONS);
     }
 
-    boolean inFirst(String router) {
-        return router.startsWith("n") && Integer.parseInt(router.substring(1)) < first(1);
+    boolean inFirstRegion(String router) {
+        return router.startsWith("n") && Integer.parseInt(router.substring(1)) < firstRouter(1);
     }
 
-    /** All routers that are to have each version. */
-    List<String> names() {
+    /** Returns the names of all routers, each of which has to apply each version. */
+    List<String> routerNames() {
         return Stream.concat(
                         IntStream.range(0, routers).mapToObj(i -> "n" + i),
                         IntStream.range(0, REAL).mapToObj(i -> "m" + i))
                 .toList();
     }
 
-    /** Waits until the grantors have a leader, relays hear from it, or all routers have a relay. */
-    private void ready(boolean grantor, boolean relay) throws IOException, InterruptedException {
-        long until = System.nanoTime() + READY_MILLIS * 1_000_000L;
-        while (grantor
-                ? !led()
-                : relay
+    /** Waits until the lease servers have a leader, the relays reach it, or all routers have a relay. */
+    private void awaitReady(boolean awaitLeader, boolean awaitRelays) throws IOException, InterruptedException {
+        long untilNanos = System.nanoTime() + START_TIMEOUT_MILLIS * 1_000_000L;
+        while (awaitLeader
+                ? !hasLeader()
+                : awaitRelays
                         ? statuses().stream()
                                         .filter(each -> each.lagMillis() < 1_000)
                                         .count()
                                 < relays.size()
                         : connections() < routers + REAL) {
-            if (System.nanoTime() > until) {
+            if (System.nanoTime() > untilNanos) {
                 throw new IOException("not all are ready: " + statuses());
             }
             Thread.sleep(50);
         }
     }
 
-    private boolean led() {
-        return doors.stream().anyMatch(door -> get(door, "/v1/feed?since=0&wait=0") != null);
+    private boolean hasLeader() {
+        return serverAddresses.stream().anyMatch(address -> get(address, "/v1/feed?since=0&wait=0") != null);
     }
 
     private int connections() {
         return statuses().stream().mapToInt(Relay.Status::connections).sum() - relays.size();
     }
 
-    /** What each relay that answers says of itself; past all fault relays. */
+    /** Returns the status of each relay that responds, bypassing all fault relays. */
     List<Relay.Status> statuses() {
         List<Relay.Status> all = new ArrayList<>();
         for (InetSocketAddress at : relayAddresses) {
@@ -248,10 +248,10 @@
         return all;
     }
 
-    /** Which grantor leads, as one of them knows. */
+    /** Returns the number of the leading lease server as one of them reports it; 0 if unknown. */
     int leader() {
-        for (InetSocketAddress door : doors) {
-            String text = get(door, "/v1/leader");
+        for (InetSocketAddress address : serverAddresses) {
+            String text = get(address, "/v1/leader");
             if (text != null && text.matches(".*\"k[0-9]\"}")) {
                 return text.charAt(text.length() - 3) - '0';
             }
@@ -270,7 +270,7 @@
         }
     }
 
-    /** The lines of all journals. */
+    /** Returns the lines of all journals. */
     List<String> journal() throws IOException {
         List<String> lines = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
--- a/src/main/java/beaconladder/testbed/FeedLinks.java
+++ b/src/main/java/beaconladder/testbed/FeedLinks.java
@@ -9,121 +9,128 @@
 import java.util.SplittableRandom;
 
 /**
- * The ways between the processes of the feed's scenario, each with a fault relay on it where a script may cut it.
- * Routers outside the first region go straight to relays outside of it: no script cuts these.
+ * The links between the processes of the feed's scenario, with a fault relay on each that a fault may interrupt.
+ * Routers outside the first region connect to relays outside of it directly, as no fault interrupts these links.
  */
 final class FeedLinks implements AutoCloseable {
     static final int REGIONS = 4;
 
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final List<InetSocketAddress> relays;
     /** From the first region's routers to each relay; from all others to the first region's relays. */
-    private final FaultRelay[] fromFirst;
+    private final FaultRelay[] fromFirstRegion;
 
-    private final FaultRelay[] intoFirst;
+    private final FaultRelay[] toFirstRegion;
     /** From each real router to each relay. */
-    private final FaultRelay[][] fromReal;
-    /** From each relay to each grantor's door. */
+    private final FaultRelay[][] fromRealRouters;
+    /** From each relay to each lease server. */
     private final FaultRelay[][] toServers;
-    /** From each grantor to each other one. */
-    private final FaultRelay[][] between;
-
-    FeedLinks(List<InetSocketAddress> relays, List<InetSocketAddress> doors, int[] raft, int real, long seed)
+    /** From each lease server to each other one. */
+    private final FaultRelay[][] betweenServers;
+
+    FeedLinks(
+            List<InetSocketAddress> relays,
+            List<InetSocketAddress> leaseServers,
+            int[] raftPorts,
+            int realRouters,
+            long seed)
             throws IOException {
         this.relays = relays;
-        chance = new SplittableRandom(seed);
-        fromFirst = new FaultRelay[relays.size()];
-        intoFirst = new FaultRelay[relays.size()];
-        fromReal = new FaultRelay[real][relays.size()];
-        toServers = new FaultRelay[relays.size()][doors.size()];
-        between = new FaultRelay[doors.size()][doors.size()];
+        random = new SplittableRandom(seed);
+        fromFirstRegion = new FaultRelay[relays.size()];
+        toFirstRegion = new FaultRelay[relays.size()];
+        fromRealRouters = new FaultRelay[realRouters][relays.size()];
+        toServers = new FaultRelay[relays.size()][leaseServers.size()];
+        betweenServers = new FaultRelay[leaseServers.size()][leaseServers.size()];
         for (int j = 0; j < relays.size(); j++) {
-            fromFirst[j] = joined(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), relays.get(j));
-            if (inFirst(j)) {
-                intoFirst[j] = joined(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), relays.get(j));
+            fromFirstRegion[j] = startRelay(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), relays.get(j));
+            if (inFirstRegion(j)) {
+                toFirstRegion[j] =
+                        startRelay(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), relays.get(j));
             }
-            for (int i = 0; i < real; i++) {
-                fromReal[i][j] = joined(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), relays.get(j));
+            for (int i = 0; i < realRouters; i++) {
+                fromRealRouters[i][j] =
+                        startRelay(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), relays.get(j));
             }
-            for (int k = 0; k < doors.size(); k++) {
-                toServers[j][k] = FaultRelay.toServer(doors.get(k), chance.nextLong());
+            for (int k = 0; k < leaseServers.size(); k++) {
+                toServers[j][k] = FaultRelay.toServer(leaseServers.get(k), random.nextLong());
             }
         }
-        for (int i = 0; i < doors.size(); i++) {
-            for (int j = 0; j < doors.size(); j++) {
+        for (int i = 0; i < leaseServers.size(); i++) {
+            for (int j = 0; j < leaseServers.size(); j++) {
                 if (i != j) {
-                    between[i][j] = joined(
-                            new InetSocketAddress(raftHost(seed, i, j), raft[j]),
-                            new InetSocketAddress(InetAddress.getLoopbackAddress(), raft[j]));
+                    betweenServers[i][j] = startRelay(
+                            new InetSocketAddress(raftHost(seed, i, j), raftPorts[j]),
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), raftPorts[j]));
                 }
             }
         }
     }
 
-    private FaultRelay joined(InetSocketAddress at, InetSocketAddress to) throws IOException {
-        return new FaultRelay(at, to, false, chance.nextLong());
+    private FaultRelay startRelay(InetSocketAddress at, InetSocketAddress to) throws IOException {
+        return new FaultRelay(at, to, false, random.nextLong());
     }
 
-    /** Where one grantor finds another. */
+    /** Returns the address at which one lease server reaches another. */
     static String raftHost(long seed, int from, int to) {
         return from == to
                 ? "127.0.0.1"
                 : "127." + (100 + Math.floorMod(seed, 100L)) + "." + (from + 1) + "." + (to + 1);
     }
 
-    static boolean inFirst(int relay) {
+    static boolean inFirstRegion(int relay) {
         return relay % REGIONS == 0;
     }
 
-    /** Each relay as the routers of a region find it. */
+    /** Returns the address of each relay as the routers of a region reach it. */
     List<InetSocketAddress> relaysFrom(int region) {
         List<InetSocketAddress> all = new ArrayList<>();
         for (int j = 0; j < relays.size(); j++) {
-            all.add(region == 0 ? fromFirst[j].at() : inFirst(j) ? intoFirst[j].at() : relays.get(j));
+            all.add(region == 0 ? fromFirstRegion[j].at() : inFirstRegion(j) ? toFirstRegion[j].at() : relays.get(j));
         }
         return all;
     }
 
     List<InetSocketAddress> relaysFromReal(int router) {
-        return java.util.Arrays.stream(fromReal[router]).map(FaultRelay::at).toList();
+        return java.util.Arrays.stream(fromRealRouters[router]).map(FaultRelay::at).toList();
     }
 
     List<InetSocketAddress> serversFrom(int relay) {
         return java.util.Arrays.stream(toServers[relay]).map(FaultRelay::at).toList();
     }
 
-    /** Cuts a relay off from the log, or mends that. */
-    void relayFromLog(int relay, boolean cut) {
-        hold(toServers[relay], cut);
+    /** Partitions a relay from the log, or ends the partition. */
+    void setRelayCutFromLog(int relay, boolean cut) {
+        setCut(toServers[relay], cut);
     }
 
-    void realFromRelays(int router, boolean cut) {
-        hold(fromReal[router], cut);
+    void setRealRouterCut(int router, boolean cut) {
+        setCut(fromRealRouters[router], cut);
     }
 
-    /** Cuts the first region off, or mends that: its routers and relays still reach each other. */
-    void firstRegion(boolean cut) {
+    /** Partitions the first region, or ends the partition; its routers and relays still reach each other. */
+    void setFirstRegionCut(boolean cut) {
         for (int j = 0; j < relays.size(); j++) {
-            if (inFirst(j)) {
-                intoFirst[j].hold(cut, cut);
-                hold(toServers[j], cut);
+            if (inFirstRegion(j)) {
+                toFirstRegion[j].hold(cut, cut);
+                setCut(toServers[j], cut);
             } else {
-                fromFirst[j].hold(cut, cut);
+                fromFirstRegion[j].hold(cut, cut);
             }
         }
     }
 
-    /** Cuts a grantor off from the others, or mends that; who asks still reaches it. */
-    void grantor(int grantor, boolean cut) {
-        for (int other = 0; other < between.length; other++) {
-            if (other != grantor) {
-                between[grantor][other].hold(cut, cut);
-                between[other][grantor].hold(cut, cut);
+    /** Partitions a lease server from the others, or ends the partition; clients still reach it. */
+    void setLeaseServerCut(int server, boolean cut) {
+        for (int other = 0; other < betweenServers.length; other++) {
+            if (other != server) {
+                betweenServers[server][other].hold(cut, cut);
+                betweenServers[other][server].hold(cut, cut);
             }
         }
     }
 
-    void weather(Weather next) {
+    void setWeather(Weather next) {
         for (FaultRelay[] row : toServers) {
             for (FaultRelay each : row) {
                 each.weather(next);
@@ -131,7 +138,7 @@
         }
     }
 
-    private static void hold(FaultRelay[] row, boolean cut) {
+    private static void setCut(FaultRelay[] row, boolean cut) {
         for (FaultRelay each : row) {
             each.hold(cut, cut);
         }
@@ -139,11 +146,11 @@
 
     @Override
     public void close() throws IOException {
-        List<FaultRelay[]> rows = new ArrayList<>(List.of(fromReal));
+        List<FaultRelay[]> rows = new ArrayList<>(List.of(fromRealRouters));
         rows.addAll(List.of(toServers));
-        rows.addAll(List.of(between));
-        rows.add(fromFirst);
-        rows.add(intoFirst);
+        rows.addAll(List.of(betweenServers));
+        rows.add(fromFirstRegion);
+        rows.add(toFirstRegion);
         for (FaultRelay[] row : rows) {
             for (FaultRelay each : row) {
                 if (each != null) {
--- a/src/main/java/beaconladder/testbed/FeedRouters.java
+++ b/src/main/java/beaconladder/testbed/FeedRouters.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * A process of subscribers, each with its own task and connection as in a router, and no clients or hosts behind them:
- * hollow routers. Each appends the versions it applies to a journal, which the scenario checks.
+ * A process of simulated routers: subscribers, each with its own thread and connection as in a router, without clients
+ * or hosts. Each appends the versions it applies to a journal, which the scenario checks.
  */
 public final class FeedRouters {
     /** As for a router's threads; with half of it, loading HttpCore's classes overflowed the stack. */
--- a/src/main/java/beaconladder/testbed/FeedScenario.java
+++ b/src/main/java/beaconladder/testbed/FeedScenario.java
@@ -22,70 +22,71 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The rehearsal of the feed: grantors, relays and routers under changes and a fault script drawn from the seed, judged
- * by what routers wrote when they put a version in force, and by the log.
+ * Runs lease servers, relays and routers under changes and a fault script drawn from the seed, and checks the versions
+ * that routers recorded as applied against the log.
  */
 public final class FeedScenario {
     /**
-     * What is played.
+     * Size of the fleet, its load, and the time limits.
      *
-     * @param everyMillis between two changes when nothing happens
-     * @param steadyMillis for so long; and for half of it nothing changes at all, before
-     * @param burst changes one right after the other
-     * @param lastsMillis so long a fault lasts: longer than the feed's time-outs, so that they are met
-     * @param firstMillis in which a change is in force at all but one in a thousand
-     * @param allMillis in which it is in force at all
+     * @param routers the number of simulated routers
+     * @param changeIntervalMillis the interval of changes in the steady phase
+     * @param steadyMillis the length of the steady phase; the idle phase before it lasts half as long
+     * @param burst the number of changes proposed one directly after another
+     * @param faultMillis the length of a fault: longer than the feed's time-outs, so that they occur
+     * @param usualLimitMillis the time within which a change is in force at all routers but one in a thousand
+     * @param limitMillis the time within which a change is in force at all routers
      */
     public record Size(
             int relays,
             int routers,
-            int everyMillis,
+            int changeIntervalMillis,
             int steadyMillis,
             int burst,
-            int lastsMillis,
-            int firstMillis,
-            int allMillis) {
-        /** The users' bars. */
-        public static Size of(int relays, int routers, int everyMillis, int steadyMillis) {
-            return new Size(relays, routers, everyMillis, steadyMillis, 100, 4_000, 3_000, 6_000);
+            int faultMillis,
+            int usualLimitMillis,
+            int limitMillis) {
+        /** Returns a size with the time limits that users require. */
+        public static Size of(int relays, int routers, int changeIntervalMillis, int steadyMillis) {
+            return new Size(relays, routers, changeIntervalMillis, steadyMillis, 100, 4_000, 3_000, 6_000);
         }
     }
 
-    private static final long MS = 1_000_000;
-    private static final int SHARE = 1_000;
-    /** A tenth of a second each: the way back to a router's own relay, and until it counts there. */
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final int LATE_ROUTERS_ONE_IN = 1_000;
+    /** 0.1 s each: time for each router to return to its own relay and to be counted there. */
     private static final int COUNTED_TRIES = 170;
-    /** Three figures of a time are enough. */
-    private static final int DIGITS = 3;
+    /** Significant decimal digits of the recorded times. */
+    private static final int HISTOGRAM_DIGITS = 3;
 
     private final long seed;
     private final Size size;
     private final PrintWriter out;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final List<Outage> outages = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final ObjectNode figures = new ObjectMapper().createObjectNode();
     private FeedFleet fleet;
     private FeedWriter writer;
-    private FeedFaults faults;
+    private FeedFaults injector;
 
     public FeedScenario(long seed, Size size, PrintWriter out) {
         this.seed = seed;
         this.size = size;
         this.out = out;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
     }
 
-    /** Plays so many faults of these; says whether every rule held. */
-    public boolean play(List<FeedFault> from, int count) throws IOException, InterruptedException {
+    /** Runs the scenario with {@code count} faults drawn from these; returns whether there was no violation. */
+    public boolean run(List<FeedFault> faults, int count) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("feed");
-        long started = System.nanoTime();
-        // Each once before any twice.
+        long startedNanos = System.nanoTime();
+        // Draws each fault once before any is repeated.
         List<FeedFault> script = new ArrayList<>();
-        List<FeedFault> left = new ArrayList<>();
-        while (script.size() < count && !from.isEmpty()) {
-            left = left.isEmpty() ? new ArrayList<>(from) : left;
-            script.add(left.remove(chance.nextInt(left.size())));
+        List<FeedFault> remaining = new ArrayList<>();
+        while (script.size() < count && !faults.isEmpty()) {
+            remaining = remaining.isEmpty() ? new ArrayList<>(faults) : remaining;
+            script.add(remaining.remove(random.nextInt(remaining.size())));
         }
         figures.put("rehearsal", "feed")
                 .put("seed", seed)
@@ -93,47 +94,47 @@
         figures.put("relays", size.relays())
                 .put("routers_hollow", size.routers())
                 .put("routers_real", FeedFleet.REAL);
-        try (FeedFleet set = new FeedFleet(folder, seed, size.relays(), size.routers())) {
-            fleet = set;
-            writer = new FeedWriter(set.doors, seed);
-            faults = new FeedFaults(set, writer, folder, outages, broken, chance.split(), size);
-            say("ready");
-            quiet();
+        try (FeedFleet newFleet = new FeedFleet(folder, seed, size.relays(), size.routers())) {
+            fleet = newFleet;
+            writer = new FeedWriter(newFleet.serverAddresses, seed);
+            injector = new FeedFaults(newFleet, writer, folder, outages, violations, random.split(), size);
+            printPhase("ready");
+            measureCosts();
             for (FeedFault fault : script) {
-                if (broken.isEmpty()) {
-                    say(name(fault));
-                    faults.play(fault);
+                if (violations.isEmpty()) {
+                    printPhase(name(fault));
+                    injector.inject(fault);
                 }
             }
             writer.change("last");
-            settle();
-            sums();
-            judge(set.journal());
+            awaitLastVersion();
+            checkAcknowledgements();
+            checkJournals(newFleet.journal());
         }
-        broken.forEach(line -> out.println("BROKEN " + line));
-        if (!broken.isEmpty()) {
+        violations.forEach(line -> out.println("BROKEN " + line));
+        if (!violations.isEmpty()) {
             out.println("logs are in " + folder);
         }
         figures.put("versions", writer.log().size())
-                .put("broken", broken.size())
-                .put("held", broken.isEmpty())
-                .put("seconds", (System.nanoTime() - started) / MS / 1_000);
+                .put("broken", violations.size())
+                .put("held", violations.isEmpty())
+                .put("seconds", (System.nanoTime() - startedNanos) / NANOS_PER_MILLI / 1_000);
         out.println(figures);
         out.flush();
-        return broken.isEmpty();
+        return violations.isEmpty();
     }
 
     static String name(FeedFault fault) {
         return fault.name().toLowerCase(Locale.ROOT);
     }
 
-    private void say(String what) {
-        out.printf("%8.3f %s, leader k%d%n", FeedRouters.unix() / 1e9 % 1_000, what, fleet.leader());
+    private void printPhase(String phase) {
+        out.printf("%8.3f %s, leader k%d%n", FeedRouters.unix() / 1e9 % 1_000, phase, fleet.leader());
         out.flush();
     }
 
-    /** Nothing at all; a change now and then; a burst. */
-    private void quiet() throws IOException, InterruptedException {
+    /** Measures the costs without faults: without changes, with regular changes, and with a burst. */
+    private void measureCosts() throws IOException, InterruptedException {
         FeedFigures costs = new FeedFigures(fleet);
         writer.change("first");
         Thread.sleep(1_000);
@@ -141,9 +142,9 @@
         Thread.sleep(size.steadyMillis() / 2);
         costs.end(figures.putObject("rest"), size.routers() + FeedFleet.REAL);
         costs.begin();
-        for (int at = 0; at < size.steadyMillis(); at += size.everyMillis()) {
+        for (int elapsedMillis = 0; elapsedMillis < size.steadyMillis(); elapsedMillis += size.changeIntervalMillis()) {
             writer.change("steady");
-            Thread.sleep(size.everyMillis());
+            Thread.sleep(size.changeIntervalMillis());
         }
         costs.end(figures.putObject("steady"), size.routers() + FeedFleet.REAL);
         costs.begin();
@@ -154,31 +155,31 @@
         costs.end(figures.putObject("burst"), size.routers() + FeedFleet.REAL);
     }
 
-    /** Until all relays hold the last version and their routers had the time to take it. */
-    private void settle() throws InterruptedException {
+    /** Waits until all relays have the last version and their routers had time to apply it. */
+    private void awaitLastVersion() throws InterruptedException {
         long last = writer.log().get(writer.log().size() - 1).version();
-        long until = System.nanoTime() + size.allMillis() * MS;
-        while (System.nanoTime() < until
+        long untilNanos = System.nanoTime() + size.limitMillis() * NANOS_PER_MILLI;
+        while (System.nanoTime() < untilNanos
                 && fleet.statuses().stream()
                                 .filter(each -> each.version() == last)
                                 .count()
                         < size.relays()) {
             Thread.sleep(50);
         }
-        Thread.sleep(Math.min(2_500, size.allMillis()));
+        Thread.sleep(Math.min(2_500, size.limitMillis()));
     }
 
-    /** What the leader was told of acknowledgements: no router is counted twice, and in the end each once. */
-    private void sums() throws IOException, InterruptedException {
+    /** Checks the acknowledgements counted by the leader: no router is counted twice, and finally each once. */
+    private void checkAcknowledgements() throws IOException, InterruptedException {
         int routers = size.routers() + FeedFleet.REAL;
         long last = writer.log().get(writer.log().size() - 1).version();
         int counted = 0;
         for (int i = 0; i < COUNTED_TRIES && counted < routers; i++) {
-            int all = writer.logClient().status().counts().stream()
+            int countedAll = writer.logClient().status().counts().stream()
                     .mapToInt(each -> each.applied())
                     .sum();
-            if (all > routers) {
-                broken.add("the leader counts " + all + " of " + routers + " routers");
+            if (countedAll > routers) {
+                violations.add("the leader counts " + countedAll + " of " + routers + " routers");
             }
             counted = writer.logClient().status().counts().stream()
                     .filter(each -> each.version() == last)
@@ -188,32 +189,32 @@
         }
         figures.put("acknowledged", counted);
         if (counted != routers) {
-            broken.add("the leader counts version " + last + " in force at " + counted + " of " + routers + ": "
+            violations.add("the leader counts version " + last + " as applied at " + counted + " of " + routers + ": "
                     + writer.logClient().status());
         }
     }
 
-    private void judge(List<String> journal) throws IOException {
+    private void checkJournals(List<String> journal) throws IOException {
         List<Logged> log = writer.log();
         Logged last = log.get(log.size() - 1);
-        Update told = writer.logClient().updateSince(last.version());
-        if (told.version() != last.version() || !told.digest().equals(last.digest())) {
-            broken.add("the log ends with " + told + ", and answered " + last);
+        Update logEnd = writer.logClient().updateSince(last.version());
+        if (logEnd.version() != last.version() || !logEnd.digest().equals(last.digest())) {
+            violations.add("the log ends with " + logEnd + ", but committed " + last);
         }
         List<Applied> applied =
                 journal.stream().map(Applied::parse).filter(Objects::nonNull).toList();
-        FeedChecker judge = new FeedChecker(log, applied, outages).contents();
+        FeedChecker checker = new FeedChecker(log, applied, outages).checkContents();
         ObjectNode times = figures.putObject("in_force_ms");
         for (String phase : new TreeSet<>(log.stream().map(Logged::phase).toList())) {
-            Histogram histogram = new Histogram(DIGITS);
-            judge.inForce(
-                    fleet.names(),
-                    SHARE,
-                    size.firstMillis() * MS,
-                    size.allMillis() * MS,
+            Histogram histogram = new Histogram(HISTOGRAM_DIGITS);
+            checker.checkTimes(
+                    fleet.routerNames(),
+                    LATE_ROUTERS_ONE_IN,
+                    size.usualLimitMillis() * NANOS_PER_MILLI,
+                    size.limitMillis() * NANOS_PER_MILLI,
                     nanos -> histogram.recordValue(nanos / 1_000),
                     each -> each.phase().equals(phase));
-            double most = histogram.getMaxValue() / 1e3;
+            double maxMillis = histogram.getMaxValue() / 1e3;
             times.put(
                     phase,
                     Stream.of(50, 99, 99.9)
@@ -221,18 +222,18 @@
                                             String.valueOf(histogram.getValueAtPercentile(each.doubleValue()) / 1_000))
                                     .collect(Collectors.joining(","))
                             + ","
-                            + Math.round(most));
+                            + Math.round(maxMillis));
         }
         times.put("columns", "p50,p99,p999,max");
-        broken.addAll(judge.verdict().broken());
-        figures.put("late", judge.verdict().late());
+        violations.addAll(checker.verdict().violations());
+        figures.put("late", checker.verdict().late());
         figures.put(
                 "propose_ms_most",
                 log.stream()
                                 .mapToLong(each -> each.committedAtNanos() - each.proposedAtNanos())
                                 .max()
                                 .orElse(0)
-                        / MS);
+                        / NANOS_PER_MILLI);
         figures.put(
                 "bases_told",
                 fleet.statuses().stream()
--- a/src/main/java/beaconladder/testbed/FeedWriter.java
+++ b/src/main/java/beaconladder/testbed/FeedWriter.java
@@ -37,8 +37,8 @@
     private final List<Logged> log = new ArrayList<>();
     private long version;
 
-    FeedWriter(List<InetSocketAddress> grantors, long seed) {
-        logClient = new LogClient(grantors, CALL_TIMEOUT_MILLIS);
+    FeedWriter(List<InetSocketAddress> leaseServers, long seed) {
+        logClient = new LogClient(leaseServers, CALL_TIMEOUT_MILLIS);
         random = new SplittableRandom(seed);
     }
 
--- a/src/test/java/beaconladder/testbed/FeedConfiguredRouterIT.java
+++ b/src/test/java/beaconladder/testbed/FeedConfiguredRouterIT.java
@@ -23,7 +23,7 @@
 @Timeout(120)
 class FeedConfiguredRouterIT {
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final Duration LONG = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
     private static final String HOST = "{\"id\":\"h0\",\"addr\":\"127.0.0.1:9\",\"zone\":\"east\",\"cell\":0,"
             + "\"state\":\"Ready\",\"started_ms\":0,\"role\":\"leader\"}";
 
@@ -45,45 +45,45 @@
                     "--feed-store",
                     folder.resolve("fed").toString());
             router.start();
-            await().atMost(LONG).until(() -> first.calls.get() > 0);
+            await().atMost(TIMEOUT).until(() -> first.calls.get() > 0);
             assertThat(second.calls.get()).isZero();
 
-            // Discovery's address counts at once.
+            // A new address of discovery takes effect at once.
             LogClient logClient = new LogClient(List.of(log.address()), 5_000);
             String moved = "{\"discovery\":\"127.0.0.1:" + second.port() + "\"}";
             logClient.propose(new Proposal(0, Map.of("router.json", moved), List.of()));
-            await().atMost(LONG).until(() -> second.calls.get() > 0);
-            await().atMost(LONG)
+            await().atMost(TIMEOUT).until(() -> second.calls.get() > 0);
+            await().atMost(TIMEOUT)
                     .until(() -> logClient.status().counts().equals(List.of(new RelayReport.Count(1, 1, 0))));
 
-            // What can't be read, or is not the feed's, is refused, and said so.
+            // An invalid document, and a setting that the feed must not change, are rejected and counted so.
             logClient.propose(new Proposal(1, Map.of("router.json", "{\"discovery\":\"nowhere\"}"), List.of()));
-            await().atMost(LONG)
+            await().atMost(TIMEOUT)
                     .until(() -> logClient
                             .status()
                             .counts()
                             .equals(List.of(new RelayReport.Count(2, 0, 1), new RelayReport.Count(1, 1, 0))));
             logClient.propose(new Proposal(2, Map.of("router.json", "{\"listen\":\"127.0.0.1:1\"}"), List.of()));
-            await().atMost(LONG)
+            await().atMost(TIMEOUT)
                     .until(() -> logClient
                             .status()
                             .counts()
                             .equals(List.of(new RelayReport.Count(3, 0, 1), new RelayReport.Count(1, 1, 0))));
 
-            // Killed and alone, it goes on with what was in force.
+            // Killed and without a relay, the router restarts with the version in force.
             relay.close();
             router.kill();
             int calls = second.calls.get();
             int before = first.calls.get();
             router.start();
-            await().atMost(LONG).until(() -> second.calls.get() > calls);
-            await().atMost(LONG).until(() -> router.log().contains("version 1 is applied from the disk"));
+            await().atMost(TIMEOUT).until(() -> second.calls.get() > calls);
+            await().atMost(TIMEOUT).until(() -> router.log().contains("version 1 is applied from the disk"));
             assertThat(first.calls.get()).isEqualTo(before);
         }
     }
 
     @Test
-    void aRelayThatCantBeReadEndsTheStart(@TempDir Path folder) throws Exception {
+    void anInvalidRelayAddressFailsTheStart(@TempDir Path folder) throws Exception {
         try (DiscoveryStandIn discovery = new DiscoveryStandIn();
                 ChildProcesses programs = new ChildProcesses(folder)) {
             Program router = programs.program(
--- a/src/test/java/beaconladder/testbed/FeedMutantsTest.java
+++ b/src/test/java/beaconladder/testbed/FeedMutantsTest.java
@@ -33,44 +33,44 @@
     private final List<Applied> journal = new CopyOnWriteArrayList<>();
     private final List<Logged> logged = new ArrayList<>();
 
-    private interface Maker {
+    private interface SubscriberFactory {
         Subscriber make(String name, Map<String, InetSocketAddress> relays, Applier applier) throws IOException;
     }
 
     @Test
     void aRouterThatSkipsAChangeIsFoundByItsDigests() throws Exception {
-        play(FaultySubscribers::correct);
-        assertThat(verdict()).isEmpty();
+        run(FaultySubscribers::correct);
+        assertThat(contentViolations()).isEmpty();
         journal.clear();
         logged.clear();
-        play(FaultySubscribers::skipsChanges);
-        assertThat(verdict()).anyMatch(line -> line.startsWith("two contents under one version"));
+        run(FaultySubscribers::skipsChanges);
+        assertThat(contentViolations()).anyMatch(line -> line.startsWith("two contents under one version"));
     }
 
     @Test
     void aRouterThatRevertsToAnOlderVersionIsFound() throws Exception {
-        play(FaultySubscribers::revertsToOlderVersions);
-        assertThat(verdict()).anyMatch(line -> line.startsWith("a version went back"));
+        run(FaultySubscribers::revertsToOlderVersions);
+        assertThat(contentViolations()).anyMatch(line -> line.startsWith("a version went back"));
     }
 
-    private List<String> verdict() {
-        return new FeedChecker(logged, journal, List.of()).contents().verdict().broken();
+    private List<String> contentViolations() {
+        return new FeedChecker(logged, journal, List.of()).checkContents().verdict().violations();
     }
 
-    /** Bursts at one relay; then that one ends, and the router finds another whose log is older. */
-    private void play(Maker maker) throws Exception {
+    /** Proposes bursts of changes; then the relay ends, and the router polls another one whose log is older. */
+    private void run(SubscriberFactory factory) throws Exception {
         try (InMemoryLog log = new InMemoryLog();
                 InMemoryLog old = new InMemoryLog();
                 Relay a = new Relay("a", ANY, List.of(log.address()), null, 10);
                 Relay b = new Relay("b", ANY, List.of(old.address()), null, 10)) {
-            // One whose own relay is the first.
+            // Chooses a router whose own relay is the first one.
             String name = "n0";
-            for (int i = 1; !first(name); i++) {
+            for (int i = 1; !pollsFirstRelay(name); i++) {
                 name = "n" + i;
             }
             Map<String, InetSocketAddress> relays = new TreeMap<>(Map.of("a", a.address(), "b", b.address()));
             String router = name;
-            try (Subscriber subscriber = maker.make(name, relays, new Applier() {
+            try (Subscriber subscriber = factory.make(name, relays, new Applier() {
                 @Override
                 public void validate(VersionedState next) {}
 
@@ -79,14 +79,14 @@
                     journal.add(new Applied(FeedRouters.unix(), router, 1, next.version(), next.computeDigest()));
                 }
             })) {
-                write(log, "long", "a text that is longer than what the changes come to ".repeat(20));
+                propose(log, "long", "a text that is longer than what the changes come to ".repeat(20));
                 old.set("long", "a text that is longer than what the changes come to ".repeat(20));
                 Thread thread = new Thread(subscriber);
                 thread.setDaemon(true);
                 thread.start();
                 for (int burst = 0; burst < 4; burst++) {
                     for (int i = 0; i < 5; i++) {
-                        write(log, "d" + i, "text " + burst);
+                        propose(log, "d" + i, "text " + burst);
                     }
                     long version = logged.size();
                     await().atMost(Duration.ofSeconds(20))
@@ -99,12 +99,12 @@
         }
     }
 
-    private static boolean first(String name) {
-        // As Rendezvous has it, seen from outside: which of two relays a subscriber polls first.
+    private static boolean pollsFirstRelay(String name) {
+        // The relay order decides which of two relays a subscriber polls first.
         return beaconladder.feed.RelayOrder.first(name, List.of("a", "b")).equals("a");
     }
 
-    private void write(InMemoryLog log, String name, String text) {
+    private void propose(InMemoryLog log, String name, String text) {
         VersionedState state = log.set(name, text);
         long now = FeedRouters.unix();
         logged.add(new Logged(state.version(), state.digest(), now, now, "test"));
@@ -113,50 +113,50 @@
     // ---- Times --------------------------------------------------------------------------------------------
 
     @Test
-    void timesCountFromTheLogsAnswerAndAnOutagesEnd() {
+    void timesCountFromTheCommitOrTheEndOfAnOutage() {
         logged.add(new Logged(1, "x", 0, 10 * SECOND, "test"));
         journal.add(new Applied(11 * SECOND, "a", 1, 1, "x"));
         journal.add(new Applied(15 * SECOND, "b", 1, 1, "x"));
-        assertThat(inForce(List.of("a", "b"), List.of()))
+        assertThat(timeViolations(List.of("a", "b"), List.of()))
                 .anyMatch(line -> line.startsWith("at too many"))
                 .noneMatch(line -> line.startsWith("in force too late"));
-        assertThat(inForce(List.of("a", "b"), List.of(new Outage("b"::equals, 9 * SECOND, 14 * SECOND))))
+        assertThat(timeViolations(List.of("a", "b"), List.of(new Outage("b"::equals, 9 * SECOND, 14 * SECOND))))
                 .isEmpty();
-        // One that begins after the version was in force, or of another router, excuses nothing.
-        assertThat(inForce(List.of("a", "b"), List.of(new Outage("b"::equals, 16 * SECOND, 19 * SECOND))))
+        // An outage after the version was applied, or of another router, does not count.
+        assertThat(timeViolations(List.of("a", "b"), List.of(new Outage("b"::equals, 16 * SECOND, 19 * SECOND))))
                 .isNotEmpty();
-        assertThat(inForce(List.of("a", "b"), List.of(new Outage("a"::equals, 9 * SECOND, 14 * SECOND))))
+        assertThat(timeViolations(List.of("a", "b"), List.of(new Outage("a"::equals, 9 * SECOND, 14 * SECOND))))
                 .isNotEmpty();
-        assertThat(inForce(List.of("a", "c"), List.of())).anyMatch(line -> line.startsWith("never"));
+        assertThat(timeViolations(List.of("a", "c"), List.of())).anyMatch(line -> line.startsWith("never"));
         journal.add(new Applied(17 * SECOND, "c", 1, 1, "x"));
-        assertThat(inForce(List.of("a", "c"), List.of())).anyMatch(line -> line.startsWith("in force too late"));
+        assertThat(timeViolations(List.of("a", "c"), List.of())).anyMatch(line -> line.startsWith("in force too late"));
     }
 
     @Test
-    void aNewerVersionIsAsGoodAndOneInAThousandMayBeLate() {
+    void aNewerVersionCountsAndOneRouterInAThousandMayBeLate() {
         logged.add(new Logged(1, "x", 0, 10 * SECOND, "test"));
         List<String> routers = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
             routers.add("n" + i);
             journal.add(new Applied((i == 0 ? 14 : 11) * SECOND, "n" + i, 1, 2, "y"));
         }
-        assertThat(inForce(routers, List.of())).isEmpty();
-        assertThat(inForce(routers.subList(0, 999), List.of())).isNotEmpty();
+        assertThat(timeViolations(routers, List.of())).isEmpty();
+        assertThat(timeViolations(routers.subList(0, 999), List.of())).isNotEmpty();
     }
 
-    private List<String> inForce(List<String> routers, List<Outage> outages) {
+    private List<String> timeViolations(List<String> routers, List<Outage> outages) {
         return new FeedChecker(logged, journal, outages)
-                .inForce(routers, 1_000, 3 * SECOND, 6 * SECOND, nanos -> {}, each -> true)
+                .checkTimes(routers, 1_000, 3 * SECOND, 6 * SECOND, nanos -> {}, each -> true)
                 .verdict()
-                .broken();
+                .violations();
     }
 
     @Test
-    void aJournalsLineIsReadWholeOrNotAtAll() {
+    void aTruncatedJournalLineIsIgnored() {
         assertThat(Applied.parse("A 5 n1 1 2 0123456789abcdef0123456789abcdef"))
                 .isEqualTo(new Applied(5, "n1", 1, 2, "0123456789abcdef0123456789abcdef"));
-        for (String cut : List.of("", "A 5", "A 5 n1 1 2 0123456789ab", "G 5 n1 1 2")) {
-            assertThat(Applied.parse(cut)).isNull();
+        for (String truncated : List.of("", "A 5", "A 5 n1 1 2 0123456789ab", "G 5 n1 1 2")) {
+            assertThat(Applied.parse(truncated)).isNull();
         }
     }
 }
