--- a/src/main/java/beaconladder/testbed/CellSizes.java
+++ b/src/main/java/beaconladder/testbed/CellSizes.java
@@ -127,7 +127,8 @@
     private static void measureImpact(ObjectNode figures, int tenants, int cells, int routers, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         StaticPlacement spread = parsePlacement(plan(tenants, cells, false, random));
-        StaticPlacement plain = parsePlacement(plan(tenants, cells, false, random).replace("(spread 2)", "(spread 1)"));
+        StaticPlacement plain =
+                parsePlacement(plan(tenants, cells, false, random).replace("(spread 2)", "(spread 1)"));
         StaticPlacement joined =
                 parsePlacement(plan(tenants, cells, false, random) + "(cell joins (groups " + cells + "))");
         long sharingAll = 0;
--- a/src/main/java/beaconladder/testbed/CellsScenario.java
+++ b/src/main/java/beaconladder/testbed/CellsScenario.java
@@ -27,24 +27,38 @@
 public final class CellsScenario {
     /** Faults that may be injected during a migration. */
     public enum Fault {
+        /** No fault. */
         NONE,
+        /** A router is killed, and restarted. */
         KILL_ROUTER,
+        /** The coordinator is killed, and restarted. */
         KILL_KEEPER,
+        /** A router is paused for longer than its lease. */
         STALL_ROUTER,
+        /** A router is cut off from the coordinator for longer than its lease. */
         CUT_ROUTER,
+        /** The primary of the source cell crashes, and another host takes over. */
         SOURCE_FAILS,
+        /** The primary of the target cell crashes, and another host takes over. */
         TARGET_FAILS,
+        /** The primary of the source cell crashes with writes that its replicas have not received. */
         LOST_TAIL,
+        /** A second migration of the same tenant is requested, and has to be rejected. */
         SECOND_MOVE,
+        /** An operator undoes the migration. */
         UNDO,
+        /** The coordinator and all routers reload their plans. */
         RELOAD,
+        /** The source's primary loses some of its answers. */
         LOSE_ANSWERS,
+        /** A replica of the source cell drains. */
         DRAIN
     }
 
     /** States of a migration in which a fault may be injected, in their order. */
     private static final List<String> STATES = List.of("copying", "fenced", "sealed", "switched");
 
+    /** Faults that need a longer fence to be injected while it is up. */
     private static final Set<Fault> DURING_FENCE = EnumSet.of(
             Fault.SOURCE_FAILS,
             Fault.TARGET_FAILS,
@@ -251,7 +265,7 @@
         return Math.round(value * 10_000) / 10_000.0;
     }
 
-    // ---- Migrations and their faults -----------------------------------------------------------------------
+    // ---- Migrations and their faults ----------------------------------------------------------------------
 
     /** Migrates a tenant while sessions of it write and read continuously at several routers. */
     private void runMove(PlannedMove step) throws IOException, InterruptedException {
@@ -304,9 +318,8 @@
             }
             boolean ended = state.equals("done") || state.equals("undone");
             long nowMillis = System.currentTimeMillis();
-            fencedMillis = fencedMillis == 0 && (state.equals("fenced") || state.equals("sealed"))
-                    ? nowMillis
-                    : fencedMillis;
+            fencedMillis =
+                    fencedMillis == 0 && (state.equals("fenced") || state.equals("sealed")) ? nowMillis : fencedMillis;
             fenceLiftedMillis = fenceLiftedMillis == 0 && fencedMillis > 0 && (state.equals("switched") || ended)
                     ? nowMillis
                     : fenceLiftedMillis;
@@ -425,8 +438,8 @@
     private void expectRejected(String path, String what) throws IOException {
         try {
             deployment.keeper(path);
-            violations.add(new InvariantChecker.Violation(
-                    what + " of a tenant during its migration was accepted", 1, path));
+            violations.add(
+                    new InvariantChecker.Violation(what + " of a tenant during its migration was accepted", 1, path));
         } catch (IllegalStateException e) {
             // Expected.
         }
--- a/src/main/java/beaconladder/testbed/Demo.java
+++ b/src/main/java/beaconladder/testbed/Demo.java
@@ -105,7 +105,8 @@
                     checker.quantile(0.5, 0, Long.MAX_VALUE, cells), checker.quantile(0.99, 0, Long.MAX_VALUE, cells));
             out.println("acme is in " + deployment.cellOf("acme") + "; its move: " + deployment.state("acme"));
             violations.forEach(b -> out.println("BROKEN: " + b.rule() + ": " + b.example()));
-            out.println(violations.isEmpty() ? "every rule held, as clients and hosts saw it" : "a rule was violated");
+            out.println(
+                    violations.isEmpty() ? "every rule held, by what clients and hosts saw" : "a rule was violated");
             out.flush();
             return violations.isEmpty();
         } finally {
--- a/src/main/java/beaconladder/testbed/FeedFaults.java
+++ b/src/main/java/beaconladder/testbed/FeedFaults.java
@@ -170,8 +170,9 @@
                     + " ms, but one of its routers reports the age of its state as " + ageMillis + " ms");
         }
         if (polls > (long) MAX_POLLS_PER_ROUTER * fleet.routerNames().size()) {
-            violations.add("too many polls: " + polls + " polls of " + fleet.routerNames().size() + " routers in "
-                    + RECOVERY_WINDOW_MILLIS + " ms after a partition ended");
+            violations.add("too many polls: " + polls + " polls of "
+                    + fleet.routerNames().size() + " routers in " + RECOVERY_WINDOW_MILLIS
+                    + " ms after a partition ended");
         }
     }
 
--- a/src/main/java/beaconladder/testbed/FeedLinks.java
+++ b/src/main/java/beaconladder/testbed/FeedLinks.java
@@ -92,7 +92,9 @@
     }
 
     List<InetSocketAddress> relaysFromReal(int router) {
-        return java.util.Arrays.stream(fromRealRouters[router]).map(FaultRelay::at).toList();
+        return java.util.Arrays.stream(fromRealRouters[router])
+                .map(FaultRelay::at)
+                .toList();
     }
 
     List<InetSocketAddress> serversFrom(int relay) {
--- a/src/main/java/beaconladder/testbed/Flood.java
+++ b/src/main/java/beaconladder/testbed/Flood.java
@@ -7,7 +7,7 @@
 
 /** A flood of requests of one tenant at a given rate; counts the answers without checking them. */
 final class Flood implements AutoCloseable {
-    /** What the flood consists of. */
+    /** What the flood consists of: a connection per request, one pipelining connection, or a kind of statement. */
     enum Kind {
         CONNECTIONS,
         ONE_CONNECTION,
--- a/src/main/java/beaconladder/testbed/LeaseHolder.java
+++ b/src/main/java/beaconladder/testbed/LeaseHolder.java
@@ -52,15 +52,15 @@
             GossipService gossip = new GossipService(
                     name,
                     new InetSocketAddress(
-                            "127.0.0.1",
-                            Integer.parseInt(gossipAddress.substring(gossipAddress.indexOf(':') + 1))),
+                            "127.0.0.1", Integer.parseInt(gossipAddress.substring(gossipAddress.indexOf(':') + 1))),
                     gossipAddress,
                     leases.gossipSeeds());
             Thread gossipThread = new Thread(gossip, "gossip");
             gossipThread.setDaemon(true);
             gossipThread.start();
         }
-        List<HttpFetcher> resourceClients = resources.stream().map(HttpFetcher::new).toList();
+        List<HttpFetcher> resourceClients =
+                resources.stream().map(HttpFetcher::new).toList();
         SplittableRandom random = new SplittableRandom(name.hashCode());
         while (true) {
             LeasePermit permit = session.permit();
@@ -69,7 +69,8 @@
                 continue;
             }
             try {
-                resourceClients.get(random.nextInt(resourceClients.size()))
+                resourceClients
+                        .get(random.nextInt(resourceClients.size()))
                         .get(
                                 "/act?task=" + task + "&holder=" + holder.replace('#', '.') + "&token=" + permit.token()
                                         + "&until=" + permit.deadlineNanos(),
--- a/src/main/java/beaconladder/testbed/LeaseScenario.java
+++ b/src/main/java/beaconladder/testbed/LeaseScenario.java
@@ -218,7 +218,7 @@
         return fault.name().toLowerCase(Locale.ROOT);
     }
 
-    // ---- The processes -------------------------------------------------------------------------------------
+    // ---- The processes ------------------------------------------------------------------------------------
 
     /** Returns a port below the ephemeral range, so that none is taken while its process is down. */
     private int allocatePort() {
@@ -305,7 +305,8 @@
                     "--gossip",
                     "g" + (LEASE_SERVERS + i) + ":" + gossipPorts[LEASE_SERVERS + i]));
         }
-        for (Program each : Stream.concat(leaseServers.stream(), holders.stream()).toList()) {
+        for (Program each :
+                Stream.concat(leaseServers.stream(), holders.stream()).toList()) {
             each.start();
         }
     }
--- a/src/test/java/beaconladder/testbed/FeedMutantsTest.java
+++ b/src/test/java/beaconladder/testbed/FeedMutantsTest.java
@@ -54,7 +54,10 @@
     }
 
     private List<String> contentViolations() {
-        return new FeedChecker(logged, journal, List.of()).checkContents().verdict().violations();
+        return new FeedChecker(logged, journal, List.of())
+                .checkContents()
+                .verdict()
+                .violations();
     }
 
     /** Proposes bursts of changes; then the relay ends, and the router polls another one whose log is older. */
--- a/src/test/java/beaconladder/testbed/RestartsIT.java
+++ b/src/test/java/beaconladder/testbed/RestartsIT.java
@@ -20,8 +20,7 @@
     @Test
     void repeatedSignalsLoseNoRequestAndAKillLosesOnlyThoseInFlight() throws Exception {
         runScenario(
-                2,
-                List.of(Fault.TOLD_TWICE, Fault.TOLD_WHILE_STARTING, Fault.KILLED_EARLY, Fault.SILENT_DISCOVERY));
+                2, List.of(Fault.TOLD_TWICE, Fault.TOLD_WHILE_STARTING, Fault.KILLED_EARLY, Fault.SILENT_DISCOVERY));
     }
 
     private static void runScenario(long seed, List<Fault> faults) throws Exception {
