--- a/src/main/java/beaconladder/testbed/FeedRouters.java
+++ b/src/main/java/beaconladder/testbed/FeedRouters.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * A process of subscribers, each with its own task and connection as in a router, and no clients or hosts behind them:
- * hollow routers. Each appends the versions it applies to a journal, which the scenario checks.
+ * A process of simulated routers: subscribers, each with its own thread and connection as in a router, without clients
+ * or hosts. Each appends the versions it applies to a journal, which the scenario checks.
  */
 public final class FeedRouters {
     /** As for a router's threads; with half of it, loading HttpCore's classes overflowed the stack. */
@@ -69,10 +69,14 @@
         // Bounded, in case nobody ends the process.
         for (int i = 0; i < 3_000; i++) {
             Thread.sleep(FLUSH_MILLIS);
-            long minAgeMillis =
-                    subscribers.stream().mapToLong(Subscriber::ageMillis).min().orElse(0);
-            long maxAgeMillis =
-                    subscribers.stream().mapToLong(Subscriber::ageMillis).max().orElse(0);
+            long minAgeMillis = subscribers.stream()
+                    .mapToLong(Subscriber::confirmationAgeMillis)
+                    .min()
+                    .orElse(0);
+            long maxAgeMillis = subscribers.stream()
+                    .mapToLong(Subscriber::confirmationAgeMillis)
+                    .max()
+                    .orElse(0);
             synchronized (out) {
                 out.write("G " + unix() + ' ' + prefix + from + ' ' + minAgeMillis + ' ' + maxAgeMillis + '\n');
                 out.flush();
