--- a/src/main/java/beaconladder/testbed/FeedRouters.java
+++ b/src/main/java/beaconladder/testbed/FeedRouters.java
@@ -69,14 +69,10 @@
         // Bounded, in case nobody ends the process.
         for (int i = 0; i < 3_000; i++) {
             Thread.sleep(FLUSH_MILLIS);
-            long minAgeMillis = subscribers.stream()
-                    .mapToLong(Subscriber::confirmationAgeMillis)
-                    .min()
-                    .orElse(0);
-            long maxAgeMillis = subscribers.stream()
-                    .mapToLong(Subscriber::confirmationAgeMillis)
-                    .max()
-                    .orElse(0);
+            long minAgeMillis =
+                    subscribers.stream().mapToLong(Subscriber::ageMillis).min().orElse(0);
+            long maxAgeMillis =
+                    subscribers.stream().mapToLong(Subscriber::ageMillis).max().orElse(0);
             synchronized (out) {
                 out.write("G " + unix() + ' ' + prefix + from + ' ' + minAgeMillis + ' ' + maxAgeMillis + '\n');
                 out.flush();
