--- a/src/main/java/beaconladder/feed/Subscriber.java
+++ b/src/main/java/beaconladder/feed/Subscriber.java
@@ -12,8 +12,8 @@
 /**
  * A router's client of the feed: one task that polls one relay, applies or rejects each new version, and acknowledges
  * it with the next poll. It never polls the log: if four thousand routers lost all relays, they would overload the
- * lease servers, on which leases depend. While no relay responds, the applied version remains;
- * {@link #ageMillis} is the time since its last confirmation.
+ * lease servers, on which leases depend. While no relay responds, the applied version remains; {@link #ageMillis} is
+ * the time since its last confirmation.
  */
 public final class Subscriber extends PollLoop {
     private static final Logger LOG = LoggerFactory.getLogger(Subscriber.class);
